--- a/brassfall/__init__.py
+++ b/brassfall/__init__.py
@@ -1,1 +1,1 @@
-"""What keeps a fleet together: the list service and, in time, shared state, duties and releases."""
+"""A client-side load-balancing sidecar, its control plane and its lab; importing it loads nothing."""
--- a/poppypulley/balancer.py
+++ b/brassfall/balancer/balancer.py
@@ -14,10 +14,19 @@
 from collections.abc import Collection, Iterable, Mapping
 from hashlib import blake2b
 
-from poppypulley import model
-from poppypulley.records import HASH_MASK, HASH_MULTIPLIER, PACE_MEMORY, Attempt, Pace, Request, Server, Turn
-from poppypulley.shedding import SHED_GAIN, SHED_IDLE, SHED_LEAK_MS, Shed, Throttle
-from poppypulley.steering import Steering
+from brassfall.balancer import model
+from brassfall.balancer.records import (
+    HASH_MASK,
+    HASH_MULTIPLIER,
+    PACE_MEMORY,
+    Attempt,
+    Pace,
+    Request,
+    Server,
+    Turn,
+)
+from brassfall.balancer.shedding import SHED_GAIN, SHED_IDLE, SHED_LEAK_MS, Shed, Throttle
+from brassfall.balancer.steering import Steering
 
 Report = Mapping[str, float] | None
 
--- a/poppypulley/records.py
+++ b/brassfall/balancer/records.py
@@ -6,7 +6,7 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from poppypulley import model
+from brassfall.balancer import model
 
 PACE_MEMORY = 0.98  # kept at each new answer: about the last fifty
 HASH_MULTIPLIER = 0x9E3779B97F4A7C15  # 2^64 over the golden ratio: spreads bits upwards
--- a/poppypulley/shedding.py
+++ b/brassfall/balancer/shedding.py
@@ -6,7 +6,7 @@
 from collections import deque
 from collections.abc import Collection
 
-from poppypulley import model
+from brassfall.balancer import model
 
 # The throttle. Two minutes of memory would outlast every overload: evidence ages sooner.
 WINDOW_MS = 10000.0
--- a/poppypulley/steering.py
+++ b/brassfall/balancer/steering.py
@@ -8,7 +8,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from poppypulley.model import Steer
+from brassfall.balancer.model import Steer
 
 EASE_MS = 5000.0  # a change of shares, and the return of what was held off, are spread over this
 STAGES = 8.0  # changes that come faster than so many in that time are eased in together
--- a/brassfall/cli.py
+++ b/brassfall/cli.py
@@ -89,7 +89,7 @@
 @registry.command()
 def serve(config: Config) -> None:
     """Run one list service, until SIGTERM."""
-    from brassfall.registry import server
+    from brassfall.controlplane.registry import server
 
     told = settings.load(config)
     _serve(server.serve(told))
@@ -98,7 +98,7 @@
 @registry.command()
 def aggregate(config: Config) -> None:
     """Run one aggregator between sidecars and the list service that decides, until SIGTERM."""
-    from brassfall.registry.aggregator import service
+    from brassfall.controlplane.registry.aggregator import service
 
     told = settings.load_aggregator(config)
     _serve(service.serve(told))
@@ -133,8 +133,8 @@
 
 
 def _name(text: str) -> str:
+    from brassfall.controlplane.registry import entries
     from brassfall.errors import Refused
-    from brassfall.registry import entries
 
     try:
         return entries.name(text)
@@ -154,7 +154,7 @@
 @registry.command("list")
 def list_(at: At, json: Json = False) -> None:
     """The instances that are listed now."""
-    from brassfall.registry import client, entries
+    from brassfall.controlplane.registry import client, entries
 
     told = _run(client.call(_at(at), "GET", "/registry/instances"))
     listed = client.read(at, entries.Listed, told)
@@ -169,7 +169,7 @@
 @registry.command()
 def watch(at: At, from_: Annotated[int, typer.Option("--from")] = 0, json: Json = False) -> None:
     """Each change of the list as it is told, until Ctrl-C or the end of the watch."""
-    from brassfall.registry import client, entries
+    from brassfall.controlplane.registry import client, entries
 
     async def told() -> None:
         async for line in client.watch(_at(at), "/registry/instances", from_):
@@ -198,7 +198,7 @@
     json: Json = False,
 ) -> None:
     """Put one instance into the list, by hand; without --ttl-ms it stays until `leave`."""
-    from brassfall.registry import client
+    from brassfall.controlplane.registry import client
 
     body = {"address": address, "zone": zone, "type": type, "group": group, "weight": weight}
     body |= {"since_ms": since_ms, "ttl_ms": ttl_ms}
@@ -210,7 +210,7 @@
 @registry.command()
 def leave(at: At, name: str, json: Json = False) -> None:
     """Take one instance out of the list; every watch is told that it has left."""
-    from brassfall.registry import client
+    from brassfall.controlplane.registry import client
 
     told = _run(client.call(_at(at), "DELETE", f"/registry/instances/{_name(name)}"))
     index = client.read(at, Written, told).index
@@ -220,7 +220,7 @@
 @registry.command()
 def bench(rounds: Rounds = 3, seconds: float = 3.0) -> None:
     """Measure one list service on this machine; a table in Markdown, in about a minute a round."""
-    from brassfall.registry import bench as bench_
+    from brassfall.controlplane.registry import bench as bench_
 
     if not 0.1 <= seconds <= 600.0:
         raise UsageError("--seconds", f"{seconds:g} is not between 0.1 and 600", "Name a time in between.")
--- /dev/null
+++ b/brassfall/controlplane/__init__.py
@@ -0,0 +1,1 @@
+"""The control plane: list service, revisions, aggregators, overrides and geographic steering."""
--- a/brassfall/aggregation/admission.py
+++ b/brassfall/controlplane/aggregation/admission.py
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass, field
 
-from brassfall.aggregation.timing import AggregatorTiming
+from brassfall.controlplane.aggregation.timing import AggregatorTiming
 
 FULL_RETRY_MS = 2000.0
 EARLY_MS = 20.0  # a newcomer whose clock is fast, or whose wait was rounded down, may come so early
--- a/brassfall/aggregation/children.py
+++ b/brassfall/controlplane/aggregation/children.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from brassfall.aggregation.messages import ChildCounts, Member
-from brassfall.agreement.edges import Report
+from brassfall.controlplane.aggregation.messages import ChildCounts, Member
+from brassfall.controlplane.revisions.edges import Report
 
 FALLBACK = "safe"  # as a report says that its process acts on the fallback configuration
 
--- a/brassfall/aggregation/core.py
+++ b/brassfall/controlplane/aggregation/core.py
@@ -15,13 +15,13 @@
 
 import msgspec
 
-from brassfall.aggregation.admission import Admission
-from brassfall.aggregation.children import FALLBACK, Child, ChildKey, ChildLeases, Membership
-from brassfall.aggregation.endings import Endings
-from brassfall.aggregation.exceptions import OverrideExceptions
-from brassfall.aggregation.lease import UpstreamLease, expiry_bound_ms
-from brassfall.aggregation.merging import MergedDelays
-from brassfall.aggregation.messages import (
+from brassfall.controlplane.aggregation.admission import Admission
+from brassfall.controlplane.aggregation.children import FALLBACK, Child, ChildKey, ChildLeases, Membership
+from brassfall.controlplane.aggregation.endings import Endings
+from brassfall.controlplane.aggregation.exceptions import OverrideExceptions
+from brassfall.controlplane.aggregation.lease import UpstreamLease, expiry_bound_ms
+from brassfall.controlplane.aggregation.merging import MergedDelays
+from brassfall.controlplane.aggregation.messages import (
     LAGGING_MOST,
     MEMBERS_MOST,
     OBJECTIONS_MOST,
@@ -31,10 +31,10 @@
     AggregatorReport,
     ChildOrder,
 )
-from brassfall.aggregation.revisions import RevisionView
-from brassfall.aggregation.timing import AggregatorTiming
-from brassfall.agreement import pace
-from brassfall.agreement.edges import Objection, Report
+from brassfall.controlplane.aggregation.revisions import RevisionView
+from brassfall.controlplane.aggregation.timing import AggregatorTiming
+from brassfall.controlplane.revisions import pace
+from brassfall.controlplane.revisions.edges import Objection, Report
 
 EPOCH_GONE_MS = 12_000.0  # more than twice the time that a service needs to count a majority
 FETCH_EVERY_MS = 250.0
--- a/brassfall/aggregation/directory.py
+++ b/brassfall/controlplane/aggregation/directory.py
@@ -11,7 +11,7 @@
 
 from dataclasses import dataclass, field
 
-from brassfall.aggregation.messages import MEMBERS_MOST, AggregatorReport, Member
+from brassfall.controlplane.aggregation.messages import MEMBERS_MOST, AggregatorReport, Member
 from brassfall.errors import Conflict, Unavailable
 
 AGGREGATORS_MOST = 64
--- a/brassfall/aggregation/exceptions.py
+++ b/brassfall/controlplane/aggregation/exceptions.py
@@ -9,8 +9,8 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
 
-from brassfall.aggregation.children import Child, ChildKey
-from brassfall.aggregation.messages import (
+from brassfall.controlplane.aggregation.children import Child, ChildKey
+from brassfall.controlplane.aggregation.messages import (
     EXCEPTIONS_MOST,
     PLACES_MOST,
     ChildException,
--- a/brassfall/aggregation/lease.py
+++ b/brassfall/controlplane/aggregation/lease.py
@@ -14,7 +14,7 @@
 import math
 from dataclasses import dataclass
 
-from brassfall.aggregation.timing import AggregatorTiming
+from brassfall.controlplane.aggregation.timing import AggregatorTiming
 
 
 @dataclass(slots=True)
--- a/brassfall/aggregation/merging.py
+++ b/brassfall/controlplane/aggregation/merging.py
@@ -1,6 +1,6 @@
 """Measures of all children, merged: histograms of delays add up by client group and region. Pure code.
 
-Children tell windows of delays as `fordtrestle.fleet.delays` makes them. A merged row has the same form and
+Children tell windows of delays as `sidecar.agent.delays` makes them. A merged row has the same form and
 names its group; it counts at most a stated number of figures of one child, so that none outweighs others.
 """
 
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from brassfall.geo.evidence import COUNT_MOST, Points, sift
+from brassfall.controlplane.geo.evidence import COUNT_MOST, Points, sift
 
 DELAYS = "delays"
 EVERY_MS = 5000.0  # a pair's row comes no sooner after the one before
--- a/brassfall/aggregation/orders.py
+++ b/brassfall/controlplane/aggregation/orders.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from brassfall.aggregation.messages import EXCEPTIONS_MOST, TEXT_MOST, ChildOrder
+from brassfall.controlplane.aggregation.messages import EXCEPTIONS_MOST, TEXT_MOST, ChildOrder
 
 REPEATED_MS = 10_000.0  # that a child is not barred any more
 ORDERS_MOST = 4 * EXCEPTIONS_MOST
--- a/brassfall/aggregation/timing.py
+++ b/brassfall/controlplane/aggregation/timing.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from brassfall.agreement.core import Timing
+from brassfall.controlplane.revisions.core import Timing
 
 
 class AggregatorTiming(Timing, frozen=True):
--- a/brassfall/geo/evidence.py
+++ b/brassfall/controlplane/geo/evidence.py
@@ -15,7 +15,11 @@
 from typing import Any, NamedTuple, TypeGuard
 from zlib import crc32
 
-WIDTH, LEAST_MS, BUCKETS = 1.05, 0.05, 287  # as fordtrestle.fleet.delays has them; a test holds them together
+WIDTH, LEAST_MS, BUCKETS = (
+    1.05,
+    0.05,
+    287,
+)  # as sidecar.agent.delays has them; a test holds them together
 WINDOWS = 16  # of one region that are kept of an edge
 LIVES = 3  # of one edge that are kept, the last heard
 EDGES_MOST = 5000
--- a/brassfall/geo/levels.py
+++ b/brassfall/controlplane/geo/levels.py
@@ -10,7 +10,7 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, replace
 
-from brassfall.geo.evidence import Row, value_ms
+from brassfall.controlplane.geo.evidence import Row, value_ms
 
 LOW = 0.1  # the quantile that stands for the undisturbed way
 HALF_S = 30.0  # a row counts half as much as one that is younger by this
--- a/brassfall/geo/model.py
+++ b/brassfall/controlplane/geo/model.py
@@ -11,8 +11,8 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from brassfall.geo import levels, positions
-from brassfall.geo.evidence import State, by_pair
+from brassfall.controlplane.geo import levels, positions
+from brassfall.controlplane.geo.evidence import State, by_pair
 
 NORMAL_90 = 1.645
 DRIFT = 0.06  # what a delay that nobody measures may move in a minute, as a part (sd); by the root of time
--- a/brassfall/geo/plan.py
+++ b/brassfall/controlplane/geo/plan.py
@@ -18,8 +18,8 @@
 from scipy.optimize import linprog
 from scipy.sparse import coo_array
 
+from brassfall.controlplane.geo.model import Pair
 from brassfall.errors import Refused
-from brassfall.geo.model import Pair
 
 Array = npt.NDArray[np.float64]
 Shares = Mapping[str, Mapping[str, float]]
--- a/brassfall/geo/positions.py
+++ b/brassfall/controlplane/geo/positions.py
@@ -19,7 +19,7 @@
 import numpy.typing as npt
 from scipy.optimize import least_squares
 
-from brassfall.geo import marginals
+from brassfall.controlplane.geo import marginals
 
 Array = npt.NDArray[np.float64]
 Index = npt.NDArray[np.intp]
--- a/brassfall/geo/publisher.py
+++ b/brassfall/controlplane/geo/publisher.py
@@ -10,7 +10,7 @@
 
 from dataclasses import dataclass, field, replace
 
-from brassfall.geo.plan import AGE_LIMIT_MS, Plan
+from brassfall.controlplane.geo.plan import AGE_LIMIT_MS, Plan
 
 TABLE, KEY = "duties", "geo-publisher"
 CLOCKS_DIFFER = 0.99  # in their rate, at most by this
--- a/brassfall/overrides/book.py
+++ b/brassfall/controlplane/overrides/book.py
@@ -19,9 +19,9 @@
 
 import msgspec
 
+from brassfall.controlplane.overrides.document import BadOverride, Document, Override
+from brassfall.controlplane.overrides.history import Entry, History, Ring
 from brassfall.errors import BrassfallError, Conflict, Missing, Unavailable
-from brassfall.overrides.document import BadOverride, Document, Override
-from brassfall.overrides.history import Entry, History, Ring
 
 TABLE = "overrides"
 OVERRIDES_MOST = 4096
--- a/brassfall/overrides/reconciler.py
+++ b/brassfall/controlplane/overrides/reconciler.py
@@ -14,8 +14,8 @@
 
 import msgspec
 
-from brassfall.overrides.document import Override
-from brassfall.overrides.history import Entry, History, Ring
+from brassfall.controlplane.overrides.document import Override
+from brassfall.controlplane.overrides.history import Entry, History, Ring
 
 LATE_MS = 1500  # past its end by this, counting a report's interval and its way: an expiry was missed
 NEWS_MS = 5000  # what a start, a change or an end by hand may take to be acted on
--- a/brassfall/registry/aggregator/channels.py
+++ b/brassfall/controlplane/registry/aggregator/channels.py
@@ -7,10 +7,10 @@
 
 import msgspec
 
-from brassfall.registry import entries
-from brassfall.registry.aggregator.mirror import Mirror
-from brassfall.registry.entries import INSTANCES
-from brassfall.registry.watches import EMPTY, SLOTS, Channel, Form, chunk
+from brassfall.controlplane.registry import entries
+from brassfall.controlplane.registry.aggregator.mirror import Mirror
+from brassfall.controlplane.registry.entries import INSTANCES
+from brassfall.controlplane.registry.watches import EMPTY, SLOTS, Channel, Form, chunk
 
 AGE = "X-List-Age-Ms"
 FRESH_MS = 2000.0  # empty lines may be off by so much; while the list is older, lines tell its age instead
--- a/brassfall/registry/aggregator/children.py
+++ b/brassfall/controlplane/registry/aggregator/children.py
@@ -9,13 +9,20 @@
 import msgspec
 from aiohttp import web
 
-from brassfall.aggregation.core import Action, Aggregator, AnswerChild, ChildReported, Event, TurnAway
-from brassfall.agreement import pace
-from brassfall.agreement.edges import Report, ReportError
-from brassfall.registry import calls, entries
-from brassfall.registry.callers import Connection, Elsewhere
-from brassfall.registry.front import Front
-from brassfall.registry.reports import read_report
+from brassfall.controlplane.aggregation.core import (
+    Action,
+    Aggregator,
+    AnswerChild,
+    ChildReported,
+    Event,
+    TurnAway,
+)
+from brassfall.controlplane.registry import calls, entries
+from brassfall.controlplane.registry.callers import Connection, Elsewhere
+from brassfall.controlplane.registry.front import Front
+from brassfall.controlplane.registry.reports import read_report
+from brassfall.controlplane.revisions import pace
+from brassfall.controlplane.revisions.edges import Report, ReportError
 
 STAYS_MOST = 1  # reports after one that was answered with `elsewhere`, and without a lease
 
--- a/brassfall/registry/aggregator/mirror.py
+++ b/brassfall/controlplane/registry/aggregator/mirror.py
@@ -12,9 +12,9 @@
 
 import msgspec
 
+from brassfall.controlplane.registry.entries import INSTANCES, NAME
+from brassfall.controlplane.store.core import Change, Record, Row, Snapshot, Table
 from brassfall.errors import Refused
-from brassfall.registry.entries import INSTANCES, NAME
-from brassfall.table.core import Change, Record, Row, Snapshot, Table
 
 DOUBT_MS = 30_000.0  # how long a list that can't be right is held off
 HEARTBEAT_MS = 2000.0  # the k-th empty line of a watch comes no sooner than k times this after the call
--- a/brassfall/registry/aggregator/passing.py
+++ b/brassfall/controlplane/registry/aggregator/passing.py
@@ -8,10 +8,10 @@
 
 from aiohttp import web
 
+from brassfall.controlplane.registry.aggregator.addresses import Addresses
+from brassfall.controlplane.registry.aggregator.upstream import Answer, Upstream, UpstreamError
+from brassfall.controlplane.registry.front import Front
 from brassfall.errors import Unavailable
-from brassfall.registry.aggregator.addresses import Addresses
-from brassfall.registry.aggregator.upstream import Answer, Upstream, UpstreamError
-from brassfall.registry.front import Front
 
 PASSED_UP = ("If-Match", "X-Request-Id", "X-Lease", "X-Force", "Content-Type")
 PASSED_DOWN = ("Content-Type", "Retry-After")
--- a/brassfall/registry/aggregator/reporter.py
+++ b/brassfall/controlplane/registry/aggregator/reporter.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from brassfall.aggregation.core import (
+from brassfall.controlplane.aggregation.core import (
     Action,
     Aggregator,
     Event,
@@ -17,10 +17,10 @@
     UpstreamAnswered,
     UpstreamFailed,
 )
-from brassfall.aggregation.messages import AggregatorLease, AggregatorReport
+from brassfall.controlplane.aggregation.messages import AggregatorLease, AggregatorReport
+from brassfall.controlplane.registry.aggregator.addresses import Addresses
+from brassfall.controlplane.registry.aggregator.upstream import Upstream, UpstreamError
 from brassfall.logs import logger
-from brassfall.registry.aggregator.addresses import Addresses
-from brassfall.registry.aggregator.upstream import Upstream, UpstreamError
 
 JITTER = 0.1  # of the time between two reports
 HURRY_LEAST_S = 0.01  # between two reports that decisions wait for
--- a/brassfall/registry/aggregator/service.py
+++ b/brassfall/controlplane/registry/aggregator/service.py
@@ -11,27 +11,27 @@
 import msgspec
 from aiohttp import web
 
-from brassfall.aggregation import core as deciding
-from brassfall.aggregation.core import Action, Aggregator, Event, ListReceived, StateReceived
-from brassfall.aggregation.messages import AggregatorLease
-from brassfall.aggregation.timing import AggregatorTiming
+from brassfall.controlplane.aggregation import core as deciding
+from brassfall.controlplane.aggregation.core import Action, Aggregator, Event, ListReceived, StateReceived
+from brassfall.controlplane.aggregation.messages import AggregatorLease
+from brassfall.controlplane.aggregation.timing import AggregatorTiming
+from brassfall.controlplane.registry import calls, front
+from brassfall.controlplane.registry.aggregator.channels import AGE, ListChannel
+from brassfall.controlplane.registry.aggregator.children import Children
+from brassfall.controlplane.registry.aggregator.mirror import DOUBT_MS, Mirror, parse_line
+from brassfall.controlplane.registry.aggregator.passing import Passing
+from brassfall.controlplane.registry.aggregator.reporter import Reporter
+from brassfall.controlplane.registry.aggregator.upstream import Line, Upstream, UpstreamError, WatchState
+from brassfall.controlplane.registry.callers import Elsewhere, error
+from brassfall.controlplane.registry.calls import answer
+from brassfall.controlplane.registry.entries import INSTANCES
+from brassfall.controlplane.registry.front import Front, Watched
+from brassfall.controlplane.registry.limits import Door
+from brassfall.controlplane.registry.metrics import HttpMetrics, Told
+from brassfall.controlplane.registry.tasks import Tasks
+from brassfall.controlplane.registry.watches import Lines
 from brassfall.errors import Refused
 from brassfall.logs import faults, logger
-from brassfall.registry import calls, front
-from brassfall.registry.aggregator.channels import AGE, ListChannel
-from brassfall.registry.aggregator.children import Children
-from brassfall.registry.aggregator.mirror import DOUBT_MS, Mirror, parse_line
-from brassfall.registry.aggregator.passing import Passing
-from brassfall.registry.aggregator.reporter import Reporter
-from brassfall.registry.aggregator.upstream import Line, Upstream, UpstreamError, WatchState
-from brassfall.registry.callers import Elsewhere, error
-from brassfall.registry.calls import answer
-from brassfall.registry.entries import INSTANCES
-from brassfall.registry.front import Front, Watched
-from brassfall.registry.limits import Door
-from brassfall.registry.metrics import HttpMetrics, Told
-from brassfall.registry.tasks import Tasks
-from brassfall.registry.watches import Lines
 from brassfall.settings import AggregatorSettings
 
 LIST, RULES = "/registry/instances", "/rules"
--- a/brassfall/registry/aggregator/upstream.py
+++ b/brassfall/controlplane/registry/aggregator/upstream.py
@@ -10,11 +10,11 @@
 import aiohttp
 import msgspec
 
-from brassfall.aggregation.messages import AggregatorLease, AggregatorReport
+from brassfall.controlplane.aggregation.messages import AggregatorLease, AggregatorReport
+from brassfall.controlplane.registry.aggregator.addresses import Addresses
+from brassfall.controlplane.registry.client import UNANSWERED, UNREADABLE, read_bounded, seconds
 from brassfall.errors import Refused, Unreachable
 from brassfall.logs import logger
-from brassfall.registry.aggregator.addresses import Addresses
-from brassfall.registry.client import UNANSWERED, UNREADABLE, read_bounded, seconds
 
 CALL_S = 1.0  # an answer that takes longer is of no use: a lease is counted from asking
 SILENT_S = 4.5  # a watch brings a line every 2 s
--- a/brassfall/registry/aggregators.py
+++ b/brassfall/controlplane/registry/aggregators.py
@@ -10,26 +10,26 @@
 import msgspec
 from aiohttp import web
 
-from brassfall.aggregation.directory import AggregatorNameError, AggregatorProcess, Heard
-from brassfall.aggregation.messages import (
+from brassfall.controlplane.aggregation.directory import AggregatorNameError, AggregatorProcess, Heard
+from brassfall.controlplane.aggregation.messages import (
     AggregatorLease,
     AggregatorReport,
     AggregatorReportError,
     ChildCounts,
     parse_report,
 )
-from brassfall.aggregation.orders import Orders
-from brassfall.agreement.edges import Objection, Report
+from brassfall.controlplane.aggregation.orders import Orders
+from brassfall.controlplane.registry import calls, children_listing, entries, sidecar_rows
+from brassfall.controlplane.registry.calls import answer
+from brassfall.controlplane.registry.children_listing import Gathered
+from brassfall.controlplane.registry.entries import INSTANCES
+from brassfall.controlplane.registry.geo import Geo
+from brassfall.controlplane.registry.overrides import Overrides
+from brassfall.controlplane.registry.rules import Host, Rules
+from brassfall.controlplane.registry.sidecar_rows import SidecarRow
+from brassfall.controlplane.registry.tasks import Tasks
+from brassfall.controlplane.revisions.edges import Objection, Report
 from brassfall.logs import faults, logger
-from brassfall.registry import calls, children_listing, entries, sidecar_rows
-from brassfall.registry.calls import answer
-from brassfall.registry.children_listing import Gathered
-from brassfall.registry.entries import INSTANCES
-from brassfall.registry.geo import Geo
-from brassfall.registry.overrides import Overrides
-from brassfall.registry.rules import Host, Rules
-from brassfall.registry.sidecar_rows import SidecarRow
-from brassfall.registry.tasks import Tasks
 
 SWEEP_S = 1.0
 NAME_MOST = 128
--- a/brassfall/registry/bench.py
+++ b/brassfall/controlplane/registry/bench.py
@@ -25,8 +25,8 @@
 import aiohttp
 import psutil
 
+from brassfall.controlplane.registry import client
 from brassfall.errors import BrassfallError
-from brassfall.registry import client
 
 CONFIG = """[registry]
 listen = "127.0.0.1:0"
@@ -135,7 +135,7 @@
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            "brassfall.registry.bench",
+            "brassfall.controlplane.registry.bench",
             kind,
             *map(str, words),
             stdout=asyncio.subprocess.PIPE,
--- a/brassfall/registry/callers.py
+++ b/brassfall/controlplane/registry/callers.py
@@ -8,8 +8,8 @@
 
 from aiohttp import web
 
+from brassfall.controlplane.registry.limits import Shares
 from brassfall.errors import Conflict, Missing, Refused, Stale, TooLarge, TooOften, Unavailable
-from brassfall.registry.limits import Shares
 from brassfall.settings import CallerLimits
 
 HEAD_BYTES = 4096  # a line of a request's head
--- a/brassfall/registry/calls.py
+++ b/brassfall/controlplane/registry/calls.py
@@ -4,9 +4,9 @@
 
 from aiohttp import web
 
+from brassfall.controlplane.registry import entries
+from brassfall.controlplane.registry.entries import INSTANCES
 from brassfall.errors import Refused
-from brassfall.registry import entries
-from brassfall.registry.entries import INSTANCES
 
 # Tables with paths of their own: what is written there is decided first.
 OWNED = {
--- a/brassfall/registry/children_listing.py
+++ b/brassfall/controlplane/registry/children_listing.py
@@ -11,8 +11,8 @@
 import aiohttp
 import msgspec
 
-from brassfall.agreement.edges import Objection
-from brassfall.registry.sidecar_rows import SidecarRow, View, behind
+from brassfall.controlplane.registry.sidecar_rows import SidecarRow, View, behind
+from brassfall.controlplane.revisions.edges import Objection
 
 ASK_S = 1.0
 AT_ONCE = 8
--- a/brassfall/registry/client.py
+++ b/brassfall/controlplane/registry/client.py
@@ -12,9 +12,9 @@
 import msgspec
 from aiohttp.http import HttpProcessingError
 
+from brassfall.controlplane.registry.membership import Call, Membership, Place
 from brassfall.errors import Unreachable
 from brassfall.logs import logger
-from brassfall.registry.membership import Call, Membership, Place
 
 CALL_S = 2.0
 # The last two: an address that is no URL, and a line or a head without end.
--- a/brassfall/registry/entries.py
+++ b/brassfall/controlplane/registry/entries.py
@@ -9,9 +9,9 @@
 
 import msgspec
 
+from brassfall.controlplane.store.core import Change, Delete, Patch, Put, Row
 from brassfall.errors import Refused
 from brassfall.settings import LeaseSettings, address
-from brassfall.table.core import Change, Delete, Patch, Put, Row
 
 INSTANCES = "instances"
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._:-]{0,127}")
--- a/brassfall/registry/front.py
+++ b/brassfall/controlplane/registry/front.py
@@ -16,12 +16,20 @@
 
 from aiohttp import web
 
+from brassfall.controlplane.registry import calls
+from brassfall.controlplane.registry.callers import (
+    HEAD_BYTES,
+    QUIET,
+    Callers,
+    Connection,
+    NoSuchPath,
+    error,
+    refusal,
+)
+from brassfall.controlplane.registry.limits import Door, Rates, Shares
+from brassfall.controlplane.registry.watches import BEAT_S, SLOTS, Channel, chunk
 from brassfall.errors import BrassfallError, CantListen, Refused, Unavailable
 from brassfall.logs import faults, logger
-from brassfall.registry import calls
-from brassfall.registry.callers import HEAD_BYTES, QUIET, Callers, Connection, NoSuchPath, error, refusal
-from brassfall.registry.limits import Door, Rates, Shares
-from brassfall.registry.watches import BEAT_S, SLOTS, Channel, chunk
 from brassfall.settings import CallerLimits, address
 
 SWITCH_S = 0.0002
--- a/brassfall/registry/geo.py
+++ b/brassfall/controlplane/registry/geo.py
@@ -12,20 +12,20 @@
 import msgspec
 from aiohttp import web
 
-from brassfall.aggregation.messages import AggregatorReport
-from brassfall.agreement.core import Kept
-from brassfall.agreement.edges import Report
+from brassfall.controlplane.aggregation.messages import AggregatorReport
+from brassfall.controlplane.geo import evidence, publisher
+from brassfall.controlplane.geo.model import Estimate, follow
+from brassfall.controlplane.geo.plan import Plan, PlanError, ease, from_json, opened, plan
+from brassfall.controlplane.registry.calls import answer
+from brassfall.controlplane.registry.entries import INSTANCES
+from brassfall.controlplane.registry.tasks import Tasks
+from brassfall.controlplane.revisions.core import Kept
+from brassfall.controlplane.revisions.edges import Report
+from brassfall.controlplane.store.core import Put
+from brassfall.controlplane.store.store import Store
 from brassfall.errors import Refused
-from brassfall.geo import evidence, publisher
-from brassfall.geo.model import Estimate, follow
-from brassfall.geo.plan import Plan, PlanError, ease, from_json, opened, plan
 from brassfall.logs import logger
-from brassfall.registry.calls import answer
-from brassfall.registry.entries import INSTANCES
-from brassfall.registry.tasks import Tasks
 from brassfall.settings import GeoSettings
-from brassfall.table.core import Put
-from brassfall.table.store import Store
 
 TICK_S = 0.25
 FRESH_S = 1.0  # an estimate is told again for so long
--- a/brassfall/registry/metrics.py
+++ b/brassfall/controlplane/registry/metrics.py
@@ -10,8 +10,8 @@
 from prometheus_client import CollectorRegistry, Histogram, generate_latest
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily, Metric
 
-from brassfall.registry.front import Front
-from brassfall.table.store import Store
+from brassfall.controlplane.registry.front import Front
+from brassfall.controlplane.store.store import Store
 
 SECONDS = (0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5)
 
--- a/brassfall/registry/overrides.py
+++ b/brassfall/controlplane/registry/overrides.py
@@ -13,21 +13,26 @@
 import msgspec
 from aiohttp import web
 
-from brassfall.aggregation.messages import AggregatorReport, ChildException, ChildOrder, PlaceDigest
-from brassfall.aggregation.orders import Orders
-from brassfall.agreement.edges import Report
+from brassfall.controlplane.aggregation.messages import (
+    AggregatorReport,
+    ChildException,
+    ChildOrder,
+    PlaceDigest,
+)
+from brassfall.controlplane.aggregation.orders import Orders
+from brassfall.controlplane.overrides import book as books
+from brassfall.controlplane.overrides import document, history
+from brassfall.controlplane.overrides import reconciler as comparing
+from brassfall.controlplane.overrides.clock import SteadyClock
+from brassfall.controlplane.overrides.document import Override
+from brassfall.controlplane.registry import entries
+from brassfall.controlplane.registry.calls import answer
+from brassfall.controlplane.registry.tasks import Tasks
+from brassfall.controlplane.revisions.edges import Report
+from brassfall.controlplane.store.core import Command, Delete, Put
+from brassfall.controlplane.store.store import Store
 from brassfall.errors import Unavailable
 from brassfall.logs import faults, logger
-from brassfall.overrides import book as books
-from brassfall.overrides import document, history
-from brassfall.overrides import reconciler as comparing
-from brassfall.overrides.clock import SteadyClock
-from brassfall.overrides.document import Override
-from brassfall.registry import entries
-from brassfall.registry.calls import answer
-from brassfall.registry.tasks import Tasks
-from brassfall.table.core import Command, Delete, Put
-from brassfall.table.store import Store
 
 CLOCK, MARK = "overrides-clock", "mark"
 BOOT = Path("/proc/sys/kernel/random/boot_id")  # differs after each start of the machine
--- a/brassfall/registry/reports.py
+++ b/brassfall/controlplane/registry/reports.py
@@ -4,8 +4,8 @@
 
 from aiohttp import web
 
-from brassfall.agreement.edges import Report, read
-from brassfall.registry.callers import Connection
+from brassfall.controlplane.registry.callers import Connection
+from brassfall.controlplane.revisions.edges import Report, read
 
 
 def read_report(request: web.Request, name: str, body: bytes) -> Report:
--- a/brassfall/registry/revision_state.py
+++ b/brassfall/controlplane/registry/revision_state.py
@@ -5,8 +5,8 @@
 from collections.abc import Mapping
 from typing import Any
 
-from brassfall.agreement.core import Kept
-from brassfall.agreement.document import Edition
+from brassfall.controlplane.revisions.core import Kept
+from brassfall.controlplane.revisions.document import Edition
 from brassfall.errors import Missing
 
 
--- a/brassfall/registry/rules.py
+++ b/brassfall/controlplane/registry/rules.py
@@ -12,24 +12,24 @@
 import msgspec
 from aiohttp import web
 
-from brassfall.aggregation.directory import AggregatorNameError, Directory
-from brassfall.agreement import core as deciding
-from brassfall.agreement import document, pace
-from brassfall.agreement.core import Agreement, Event, Kept, Reported, Timing
-from brassfall.agreement.document import DocumentError, HarmfulError
-from brassfall.agreement.edges import Fleet, Objection, Report, ReportError
+from brassfall.controlplane.aggregation.directory import AggregatorNameError, Directory
+from brassfall.controlplane.registry import calls, entries, revision_state
+from brassfall.controlplane.registry.calls import answer
+from brassfall.controlplane.registry.entries import INSTANCES
+from brassfall.controlplane.registry.reports import read_report
+from brassfall.controlplane.registry.sidecar_rows import NEVER, SidecarRow, View, reported_row
+from brassfall.controlplane.registry.tasks import Tasks
+from brassfall.controlplane.registry.watches import Channel, Lines
+from brassfall.controlplane.revisions import core as deciding
+from brassfall.controlplane.revisions import document, pace
+from brassfall.controlplane.revisions.core import Agreement, Event, Kept, Reported, Timing
+from brassfall.controlplane.revisions.document import DocumentError, HarmfulError
+from brassfall.controlplane.revisions.edges import Fleet, Objection, Report, ReportError
+from brassfall.controlplane.store.core import Delete, Put
+from brassfall.controlplane.store.store import NotWritten, Store
 from brassfall.errors import Missing, Stale, Unavailable
 from brassfall.logs import faults, logger
-from brassfall.registry import calls, entries, revision_state
-from brassfall.registry.calls import answer
-from brassfall.registry.entries import INSTANCES
-from brassfall.registry.reports import read_report
-from brassfall.registry.sidecar_rows import NEVER, SidecarRow, View, reported_row
-from brassfall.registry.tasks import Tasks
-from brassfall.registry.watches import Channel, Lines
 from brassfall.settings import AgreementSettings
-from brassfall.table.core import Delete, Put
-from brassfall.table.store import NotWritten, Store
 
 RULES, ROSTER = "rules", "edges"
 STATE = "state"
--- a/brassfall/registry/server.py
+++ b/brassfall/controlplane/registry/server.py
@@ -10,24 +10,24 @@
 import msgspec
 from aiohttp import web
 
+from brassfall.controlplane.registry import calls, entries, front
+from brassfall.controlplane.registry.aggregators import Aggregators
+from brassfall.controlplane.registry.callers import error
+from brassfall.controlplane.registry.calls import OWNED, answer
+from brassfall.controlplane.registry.entries import INSTANCES
+from brassfall.controlplane.registry.front import Front, Watched
+from brassfall.controlplane.registry.geo import Geo
+from brassfall.controlplane.registry.metrics import Metrics
+from brassfall.controlplane.registry.overrides import Overrides
+from brassfall.controlplane.registry.rules import PLACE, Rules
+from brassfall.controlplane.registry.watches import AGED_S, Channel, Form
+from brassfall.controlplane.store.core import Change, Command, Delete, Put, Result, Status
+from brassfall.controlplane.store.leases import Guard
+from brassfall.controlplane.store.log import Log
+from brassfall.controlplane.store.store import Options, Store
 from brassfall.errors import Refused, Unavailable
 from brassfall.logs import logger
-from brassfall.registry import calls, entries, front
-from brassfall.registry.aggregators import Aggregators
-from brassfall.registry.callers import error
-from brassfall.registry.calls import OWNED, answer
-from brassfall.registry.entries import INSTANCES
-from brassfall.registry.front import Front, Watched
-from brassfall.registry.geo import Geo
-from brassfall.registry.metrics import Metrics
-from brassfall.registry.overrides import Overrides
-from brassfall.registry.rules import PLACE, Rules
-from brassfall.registry.watches import AGED_S, Channel, Form
 from brassfall.settings import RegistrySettings
-from brassfall.table.core import Change, Command, Delete, Put, Result, Status
-from brassfall.table.leases import Guard
-from brassfall.table.log import Log
-from brassfall.table.store import Options, Store
 
 MORE_ROOM = "Delete what is not needed, or raise the limit in the service's configuration."
 HELD = "X-Held-Index"  # a caller of the whole list says here which one it holds
--- a/brassfall/registry/sidecar_rows.py
+++ b/brassfall/controlplane/registry/sidecar_rows.py
@@ -8,7 +8,7 @@
 import msgspec
 from msgspec import UNSET, UnsetType
 
-from brassfall.agreement.edges import Edge, Objection
+from brassfall.controlplane.revisions.edges import Edge, Objection
 
 LIST_OLD_MS = 10_000.0  # a watch brings a word every 2 s, and is opened anew after 4.5 s of silence
 FALLBACK = "safe"  # as a report says that its process acts on the fallback configuration
--- a/brassfall/registry/watches.py
+++ b/brassfall/controlplane/registry/watches.py
@@ -18,7 +18,7 @@
 
 import msgspec
 
-from brassfall.table.core import Change, Row, Table
+from brassfall.controlplane.store.core import Change, Row, Table
 
 BEAT_S = 2.0
 SLOTS = 20  # the beat of all watches is spread over so many parts
--- a/brassfall/agreement/core.py
+++ b/brassfall/controlplane/revisions/core.py
@@ -23,8 +23,8 @@
 
 import msgspec
 
-from brassfall.agreement.document import Edition
-from brassfall.agreement.edges import Fleet, Objection, Report
+from brassfall.controlplane.revisions.document import Edition
+from brassfall.controlplane.revisions.edges import Fleet, Objection, Report
 
 DRIFT = 0.01
 CHILDREN_SPANS = 2.0  # permissions' lengths after which no child can act that has not acknowledged
--- a/brassfall/agreement/document.py
+++ b/brassfall/controlplane/revisions/document.py
@@ -3,7 +3,7 @@
 Every key is declared. Of an *exclusive* one two values at once do harm (who serves a tenant, which regions
 are held); of an *additive* one a sum must not be passed; of a *free* one two values may stand side by side
 for a while. A key that is not declared counts as exclusive, and a sidecar that does not know it objects.
-The sidecars' side of this table is `fordtrestle/fleet/rules.py`; a test holds the two against each other.
+The sidecars' side of this table is `sidecar/agent/rules.py`; a test holds the two against each other.
 """
 
 from __future__ import annotations
--- a/brassfall/table/log.py
+++ b/brassfall/controlplane/store/log.py
@@ -13,8 +13,8 @@
 
 import msgspec
 
+from brassfall.controlplane.store.core import Record, Snapshot, Table
 from brassfall.errors import Damaged
-from brassfall.table.core import Record, Snapshot, Table
 
 FORMAT = 1
 LEAST_RECORDS = 4096  # between two snapshots; more where the table is larger
--- a/brassfall/table/store.py
+++ b/brassfall/controlplane/store/store.py
@@ -13,11 +13,22 @@
 from concurrent.futures import ThreadPoolExecutor
 from dataclasses import dataclass, field
 
+from brassfall.controlplane.store.core import (
+    Change,
+    Command,
+    Delete,
+    Put,
+    Record,
+    Result,
+    Row,
+    Snapshot,
+    Status,
+    Table,
+)
+from brassfall.controlplane.store.leases import Guard, Leases
+from brassfall.controlplane.store.log import Log, LogError
 from brassfall.errors import Unavailable
 from brassfall.logs import logger
-from brassfall.table.core import Change, Command, Delete, Put, Record, Result, Row, Snapshot, Status, Table
-from brassfall.table.leases import Guard, Leases
-from brassfall.table.log import Log, LogError
 
 LOOK_S = 0.1
 Told = Callable[[str, Change], None]
--- a/brassfall/fleet_commands.py
+++ b/brassfall/fleet_commands.py
@@ -33,7 +33,7 @@
 
 def _show(at: str, told: Any, json: bool, text: Callable[[], str]) -> None:
     """What came, as JSON or as text; another program may have answered."""
-    from brassfall.registry import client
+    from brassfall.controlplane.registry import client
 
     try:
         typer.echo(msgspec.json.encode(told).decode() if json else text())
@@ -69,7 +69,7 @@
     @rules.command()
     def show(at: At, json: Json = False) -> None:
         """The edition that matters most now, and what each sidecar acts on."""
-        from brassfall.registry import client
+        from brassfall.controlplane.registry import client
 
         async def both() -> tuple[Any, Any]:
             return await client.call(address(at), "GET", "/rules"), await client.call(
@@ -93,7 +93,7 @@
 
 
 async def _publish(at: str, told: dict[str, Any], wait: bool, force: bool, follows: int | None) -> Any:
-    from brassfall.registry import client
+    from brassfall.controlplane.registry import client
 
     headers = ({"X-Force": "1"} if force else {}) | ({} if follows is None else {"If-Match": str(follows)})
     made = await client.call(at, "PUT", "/rules", told, headers)
@@ -137,7 +137,7 @@
         """End an override now."""
         from urllib.parse import urlencode
 
-        from brassfall.registry import client
+        from brassfall.controlplane.registry import client
 
         query = urlencode({"by": by, "why": why})
         made = run(client.call(address(at), "DELETE", f"/overrides/{name}?{query}"))
@@ -146,7 +146,7 @@
     @override.command("list")
     def list_(at: At, json: Json = False) -> None:
         """All overrides in force, and what is wrong with sidecars."""
-        from brassfall.registry import client
+        from brassfall.controlplane.registry import client
 
         told = run(client.call(address(at), "GET", "/overrides"))
 
@@ -164,7 +164,7 @@
 
 
 async def _add(at: str, name: str, told: dict[str, Any], lasts: float | None) -> Any:
-    from brassfall.registry import client
+    from brassfall.controlplane.registry import client
 
     if lasts is not None:
         # Counted by the service's clock, which says when it ends: the one here may be wrong by hours.
@@ -182,7 +182,7 @@
     @geo.command()
     def show(at: At, json: Json = False) -> None:
         """Each pair's estimate, its interval of 90%, and its age."""
-        from brassfall.registry import client
+        from brassfall.controlplane.registry import client
 
         told = run(client.call(address(at), "GET", "/geo"))
 
--- a/brassfall/lab/agreement/aggregator.py
+++ b/brassfall/lab/agreement/aggregator.py
@@ -8,9 +8,9 @@
 
 import msgspec
 
-from brassfall.aggregation import core
-from brassfall.aggregation.messages import AggregatorLease, AggregatorReport
-from brassfall.agreement.edges import ReportError, parse
+from brassfall.controlplane.aggregation import core
+from brassfall.controlplane.aggregation.messages import AggregatorLease, AggregatorReport
+from brassfall.controlplane.revisions.edges import ReportError, parse
 from brassfall.lab.agreement.base import Clock, Kernel
 from brassfall.lab.agreement.rules import SLACK_MS, Broken
 from brassfall.lab.agreement.service import TICK_MS, Service
--- a/brassfall/lab/agreement/cost.py
+++ b/brassfall/lab/agreement/cost.py
@@ -26,6 +26,7 @@
 
 import psutil
 
+from brassfall.controlplane.registry import client
 from brassfall.errors import UsageError
 from brassfall.lab.capacity.environment import (
     ROOT,
@@ -38,7 +39,6 @@
 )
 from brassfall.lab.capacity.fleet import HollowFleet, rates
 from brassfall.lab.capacity.machine import cpu_s, uss_mib
-from brassfall.registry import client
 
 PARTS = ("wire", "load", "request")
 READY_S = 10.0
--- a/brassfall/lab/agreement/defects.py
+++ b/brassfall/lab/agreement/defects.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from brassfall.agreement.core import (
+from brassfall.controlplane.revisions.core import (
     Action,
     Agreement,
     Enrol,
@@ -21,7 +21,7 @@
     Timing,
     Told,
 )
-from brassfall.agreement.edges import Fleet, Report
+from brassfall.controlplane.revisions.edges import Fleet, Report
 from brassfall.lab.agreement.program import Program, lease_client, sidecar_rules
 
 RealLeaseClient: Any = lease_client.LeaseClient
--- a/brassfall/lab/agreement/program.py
+++ b/brassfall/lab/agreement/program.py
@@ -12,14 +12,14 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from brassfall.aggregation.core import Aggregator
-from brassfall.aggregation.timing import AggregatorTiming
-from brassfall.agreement.core import Agreement, Timing
-from brassfall.agreement.edges import Fleet
-from brassfall.table.store import life_floor
-
-lease_client: Any = importlib.import_module("fordtrestle.fleet.lease_client")
-sidecar_rules: Any = importlib.import_module("fordtrestle.fleet.rules")
+from brassfall.controlplane.aggregation.core import Aggregator
+from brassfall.controlplane.aggregation.timing import AggregatorTiming
+from brassfall.controlplane.revisions.core import Agreement, Timing
+from brassfall.controlplane.revisions.edges import Fleet
+from brassfall.controlplane.store.store import life_floor
+
+lease_client: Any = importlib.import_module("brassfall.sidecar.agent.lease_client")
+sidecar_rules: Any = importlib.import_module("brassfall.sidecar.agent.rules")
 
 
 def life(wall_ms: float, last: int, chance: random.Random) -> int:
--- a/brassfall/lab/agreement/reconcile.py
+++ b/brassfall/lab/agreement/reconcile.py
@@ -13,15 +13,15 @@
 from dataclasses import dataclass
 from typing import Any
 
+from brassfall.controlplane.overrides import book as books
+from brassfall.controlplane.overrides import document as doc
 from brassfall.lab.overrides.world import CLASSES, REGIONS, TENANTS, WAY_MS, Node, World
-from brassfall.overrides import book as books
-from brassfall.overrides import document as doc
 
 CUT_MS, HEALED_MS, END_MS, LOOK_MS = 8_000.0, 18_000.0, 30_000.0, 20.0
 
 # By name, as the program under test: nothing of the house is built on a sidecar's files.
-deadlines: Any = importlib.import_module("fordtrestle.fleet.deadlines")
-overrides: Any = importlib.import_module("fordtrestle.fleet.overrides")
+deadlines: Any = importlib.import_module("brassfall.sidecar.agent.deadlines")
+overrides: Any = importlib.import_module("brassfall.sidecar.agent.overrides")
 NAMES = overrides.Names(frozenset(REGIONS), classes=frozenset(CLASSES), tenants=frozenset(TENANTS))
 
 
--- a/brassfall/lab/agreement/scale.py
+++ b/brassfall/lab/agreement/scale.py
@@ -18,7 +18,7 @@
 from statistics import quantiles
 from typing import Any
 
-from brassfall.agreement import core
+from brassfall.controlplane.revisions import core
 from brassfall.lab.agreement import reconcile
 from brassfall.lab.agreement.base import KINDS, Kernel
 from brassfall.lab.agreement.command import spread
--- a/brassfall/lab/agreement/schedule.py
+++ b/brassfall/lab/agreement/schedule.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from brassfall.agreement.core import DRIFT
+from brassfall.controlplane.revisions.core import DRIFT
 from brassfall.lab.agreement.base import HOUR_MS, KINDS
 from brassfall.lab.agreement.service import Disk, Service
 from brassfall.lab.agreement.sidecar import Sidecar
--- a/brassfall/lab/agreement/service.py
+++ b/brassfall/lab/agreement/service.py
@@ -7,11 +7,11 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
-from brassfall.aggregation.directory import Directory, Heard
-from brassfall.aggregation.messages import AggregatorLease, AggregatorReport, parse_report
-from brassfall.agreement import core, pace
-from brassfall.agreement.document import Edition
-from brassfall.agreement.edges import Objection, Report, ReportError, parse
+from brassfall.controlplane.aggregation.directory import Directory, Heard
+from brassfall.controlplane.aggregation.messages import AggregatorLease, AggregatorReport, parse_report
+from brassfall.controlplane.revisions import core, pace
+from brassfall.controlplane.revisions.document import Edition
+from brassfall.controlplane.revisions.edges import Objection, Report, ReportError, parse
 from brassfall.lab.agreement.base import Clock, Kernel
 from brassfall.lab.agreement.rules import Line
 
--- a/brassfall/lab/agreement/sidecar.py
+++ b/brassfall/lab/agreement/sidecar.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Sequence
 from typing import Any, Protocol
 
-from brassfall.agreement import pace
+from brassfall.controlplane.revisions import pace
 from brassfall.lab.agreement.base import Kernel
 from brassfall.lab.agreement.rules import Profile
 from brassfall.lab.agreement.watching import Watch, Watched
--- a/brassfall/lab/agreement/tier_defects.py
+++ b/brassfall/lab/agreement/tier_defects.py
@@ -8,13 +8,13 @@
 
 import msgspec
 
-from brassfall.aggregation import core
-from brassfall.aggregation.children import Child, ChildKey, ChildLeases, Membership
-from brassfall.aggregation.core import Aggregator
-from brassfall.aggregation.lease import UpstreamLease
-from brassfall.aggregation.messages import AggregatorLease, AggregatorReport, ChildCounts
-from brassfall.aggregation.timing import AggregatorTiming
-from brassfall.agreement.edges import Report
+from brassfall.controlplane.aggregation import core
+from brassfall.controlplane.aggregation.children import Child, ChildKey, ChildLeases, Membership
+from brassfall.controlplane.aggregation.core import Aggregator
+from brassfall.controlplane.aggregation.lease import UpstreamLease
+from brassfall.controlplane.aggregation.messages import AggregatorLease, AggregatorReport, ChildCounts
+from brassfall.controlplane.aggregation.timing import AggregatorTiming
+from brassfall.controlplane.revisions.edges import Report
 from brassfall.lab.agreement.defects import DURABLE, REAL, S1, S2, S3, S4, InjectedDefect
 from brassfall.lab.agreement.program import Program
 
--- a/brassfall/lab/agreement/tier_scale.py
+++ b/brassfall/lab/agreement/tier_scale.py
@@ -13,7 +13,7 @@
 from dataclasses import asdict, dataclass, field
 from pathlib import Path
 
-from brassfall.agreement import core
+from brassfall.controlplane.revisions import core
 from brassfall.lab.agreement.aggregator import Aggregator
 from brassfall.lab.agreement.base import KINDS
 from brassfall.lab.agreement.command import spread
--- a/brassfall/lab/agreement/world.py
+++ b/brassfall/lab/agreement/world.py
@@ -6,7 +6,7 @@
 from collections.abc import Sequence
 from typing import Any
 
-from brassfall.agreement import core
+from brassfall.controlplane.revisions import core
 from brassfall.lab.agreement.base import Kernel
 from brassfall.lab.agreement.program import Program
 from brassfall.lab.agreement.rules import Broken, Judge
--- a/brassfall/lab/capacity/datapath/scene.py
+++ b/brassfall/lab/capacity/datapath/scene.py
@@ -17,6 +17,7 @@
 import msgspec
 import psutil
 
+from brassfall.controlplane.registry.client import call
 from brassfall.lab import arrivals, day
 from brassfall.lab.capacity.datapath import client, server
 from brassfall.lab.real.troupe import (
@@ -29,7 +30,6 @@
     lend_environment,
     run_command,
 )
-from brassfall.registry.client import call
 
 MODULE = "brassfall.lab.capacity.datapath"
 EXPERIMENT = """[experiment]
--- a/brassfall/lab/capacity/durable.py
+++ b/brassfall/lab/capacity/durable.py
@@ -14,11 +14,11 @@
 
 import aiohttp
 
+from brassfall.controlplane.registry import client
 from brassfall.lab.capacity.environment import Service, register
 from brassfall.lab.capacity.lists import alter
 from brassfall.lab.capacity.part import Options, Recorder
 from brassfall.lab.capacity.topology import Topology, one_service
-from brassfall.registry import client
 
 ROLE = "durable log, by rows on the list"
 WRITES = 30  # of each kind
--- a/brassfall/lab/capacity/environment.py
+++ b/brassfall/lab/capacity/environment.py
@@ -12,8 +12,8 @@
 
 import aiohttp
 
+from brassfall.controlplane.registry import client
 from brassfall.errors import ExperimentError
-from brassfall.registry import client
 
 ROOT = Path(__file__).resolve().parent.parent.parent.parent
 READY_S = 20.0
--- a/brassfall/lab/capacity/geo.py
+++ b/brassfall/lab/capacity/geo.py
@@ -13,10 +13,10 @@
 
 import psutil
 
-from brassfall.geo import evidence, model, plan
+from brassfall.controlplane.geo import evidence, model, plan
 from brassfall.lab.capacity.part import Options, Recorder
 
-delays: Any = importlib.import_module("fordtrestle.fleet.delays")
+delays: Any = importlib.import_module("brassfall.sidecar.agent.delays")
 
 ROLE = "geo estimate and plan"
 REGIONS, GROUPS = 3, 11  # client groups: one for each zone
--- a/brassfall/lab/capacity/hollow.py
+++ b/brassfall/lab/capacity/hollow.py
@@ -1,6 +1,6 @@
 """Hollow sidecars, some hundreds in one process: `python -m brassfall.lab.capacity.hollow SOURCE`.
 
-Each is the sidecar's own control code (`fordtrestle.fleet`, and the watch of `fordtrestle.discovery`) on
+Each is the sidecar's own control code (`sidecar.agent`, and the watch of `sidecar.discovery`) on
 connections of its own, with its own configuration and list; what is missing is the data path. Connections go
 out from the address SOURCE. Commands come as JSON lines on standard input, answers go to standard output; the
 process ends when its input does.
@@ -26,9 +26,9 @@
 
 from brassfall.lab.capacity import control
 
-config_module: Any = importlib.import_module("fordtrestle.config")
-discovery_module: Any = importlib.import_module("fordtrestle.discovery")
-member_module: Any = importlib.import_module("fordtrestle.fleet.member")
+config_module: Any = importlib.import_module("brassfall.sidecar.config")
+discovery_module: Any = importlib.import_module("brassfall.sidecar.discovery")
+member_module: Any = importlib.import_module("brassfall.sidecar.agent.member")
 
 GROUPS = 7  # client groups over which a fleet is spread
 REGIONS = ("a", "b", "c")
--- a/brassfall/lab/capacity/lists.py
+++ b/brassfall/lab/capacity/lists.py
@@ -1,7 +1,7 @@
 """Part `lists`: what the length of the list of servers costs, on the wire and each sidecar.
 
 The sizes are entries on the list here: one for each transcriber. Measured on a few hollow sidecars (the
-control part alone) and on a whole one (`python -m fordtrestle`, with the module that picks servers).
+control part alone) and on a whole one (`python -m brassfall.sidecar`, with the module that picks servers).
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 
 import aiohttp
 
+from brassfall.controlplane.registry import client
 from brassfall.lab.capacity import machine
 from brassfall.lab.capacity.environment import MeasurementError, Service, register
 from brassfall.lab.capacity.part import Options, Recorder
 from brassfall.lab.capacity.sidecar import start_sidecar
 from brassfall.lab.capacity.topology import Topology, one_service
-from brassfall.registry import client
 
 LIST = "list, by its entries"
 HOLLOW, WHOLE = "sidecar's control path, by entries", "whole sidecar, by entries"
--- a/brassfall/lab/capacity/overrides.py
+++ b/brassfall/lab/capacity/overrides.py
@@ -5,13 +5,13 @@
 import asyncio
 import time
 
+from brassfall.controlplane.registry import client
 from brassfall.errors import BrassfallError
 from brassfall.lab.capacity import machine
 from brassfall.lab.capacity.environment import MeasurementError, Service
 from brassfall.lab.capacity.fleet import rates
 from brassfall.lab.capacity.part import Options, Recorder
 from brassfall.lab.capacity.topology import Topology, one_service
-from brassfall.registry import client
 
 ROLE = "overrides"
 IN_FORCE = 10
--- a/brassfall/lab/capacity/topology.py
+++ b/brassfall/lab/capacity/topology.py
@@ -10,6 +10,7 @@
 
 import aiohttp
 
+from brassfall.controlplane.registry import client
 from brassfall.lab.capacity.environment import (
     Environment,
     MeasurementError,
@@ -21,7 +22,6 @@
 )
 from brassfall.lab.capacity.fleet import HollowFleet, Worker
 from brassfall.lab.capacity.relay import Relay
-from brassfall.registry import client
 from brassfall.settings import address
 
 _drafts = count(1)
--- a/brassfall/lab/geo.py
+++ b/brassfall/lab/geo.py
@@ -13,7 +13,7 @@
 import msgspec
 import numpy as np
 
-from brassfall.geo import evidence, model, plan
+from brassfall.controlplane.geo import evidence, model, plan
 from brassfall.lab.models import delays, guesses, steered
 
 WARM_S, WATCH_S = 20, 12  # seconds of requests before the estimate; after a change
@@ -62,7 +62,7 @@
 
 def _sketch() -> Callable[[str], delays.Sketch]:
     """The sidecar's own sketch. By name, as nothing of the house is built on a sidecar's files."""
-    found: Callable[[str], delays.Sketch] = importlib.import_module("fordtrestle.fleet.delays").Delays
+    found: Callable[[str], delays.Sketch] = importlib.import_module("brassfall.sidecar.agent.delays").Delays
     return found
 
 
--- a/brassfall/lab/models/guesses.py
+++ b/brassfall/lab/models/guesses.py
@@ -10,7 +10,7 @@
 
 import numpy as np
 
-from brassfall.geo.evidence import State, by_pair, value_ms
+from brassfall.controlplane.geo.evidence import State, by_pair, value_ms
 
 Pair = tuple[str, str]
 Figures = Mapping[Pair, Sequence[tuple[float, int]]]  # (ms, count)
--- a/brassfall/lab/models/steered.py
+++ b/brassfall/lab/models/steered.py
@@ -11,8 +11,8 @@
 
 import numpy as np
 
-from brassfall.geo.model import Pair
-from brassfall.geo.plan import Plan
+from brassfall.controlplane.geo.model import Pair
+from brassfall.controlplane.geo.plan import Plan
 
 OVERLOAD_MS = 300.0  # the queue at capacity; it grows on from there
 
--- a/brassfall/lab/overrides/flaws.py
+++ b/brassfall/lab/overrides/flaws.py
@@ -7,11 +7,11 @@
 
 import msgspec
 
+from brassfall.controlplane.overrides import book as books
+from brassfall.controlplane.overrides.clock import SteadyClock
+from brassfall.controlplane.overrides.document import Override
+from brassfall.controlplane.overrides.history import History
 from brassfall.lab.overrides.parts import Clock, Parts
-from brassfall.overrides import book as books
-from brassfall.overrides.clock import SteadyClock
-from brassfall.overrides.document import Override
-from brassfall.overrides.history import History
 
 
 class WallClock:
--- a/brassfall/lab/overrides/judge.py
+++ b/brassfall/lab/overrides/judge.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from brassfall.overrides.document import Override
+from brassfall.controlplane.overrides.document import Override
 
 PAST_MS = 500.0  # an override may be acted on so long after its end, and no longer
 SETTLE_MS = 7500.0  # a well node, heard by a well service, has the news after that (a slow way takes 6 s)
--- a/brassfall/lab/overrides/parts.py
+++ b/brassfall/lab/overrides/parts.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
-from brassfall.overrides.book import Book
-from brassfall.overrides.clock import SteadyClock
-from brassfall.overrides.history import Ring
+from brassfall.controlplane.overrides.book import Book
+from brassfall.controlplane.overrides.clock import SteadyClock
+from brassfall.controlplane.overrides.history import Ring
 
 
 class Decided(Protocol):
--- a/brassfall/lab/overrides/world.py
+++ b/brassfall/lab/overrides/world.py
@@ -13,14 +13,14 @@
 from itertools import count
 from typing import Any
 
+from brassfall.controlplane.overrides import book as books
+from brassfall.controlplane.overrides import document as doc
+from brassfall.controlplane.overrides import reconciler as rec
+from brassfall.controlplane.overrides.document import Document, Override, layer, times
+from brassfall.controlplane.overrides.history import History, Ring
 from brassfall.errors import BrassfallError
 from brassfall.lab.overrides.judge import Judge, Outcome
 from brassfall.lab.overrides.parts import Disk, Edge, Parts
-from brassfall.overrides import book as books
-from brassfall.overrides import document as doc
-from brassfall.overrides import reconciler as rec
-from brassfall.overrides.document import Document, Override, layer, times
-from brassfall.overrides.history import History, Ring
 
 HOUR_MS = 3_600_000.0
 EPOCH_MS = 1.8e12
--- a/brassfall/lab/play.py
+++ b/brassfall/lab/play.py
@@ -24,6 +24,7 @@
 from brassfall.lab.arrivals import experiment
 from brassfall.settings import SettingsError
 
+PACKAGE, EARLIER_PACKAGE = "brassfall.balancer", "poppypulley"
 SLACK_MS = {"simulated": 30.0, "real": 120.0}  # for transit, where rules have time limits
 
 
@@ -50,18 +51,28 @@
 
 
 def install(code: Path) -> None:
-    """Take the decision module from another folder; `SettingsError` if there is none."""
-    package = code / "poppypulley"
+    """Take the decision module from another folder; `SettingsError` if there is none.
+
+    A revision from before the packages were joined has it under an earlier name: its modules are
+    then found under today's as well.
+    """
+    package, name = code / "brassfall" / "balancer", PACKAGE
+    if not package.is_dir():
+        package, name = code / EARLIER_PACKAGE, EARLIER_PACKAGE
     found = importlib.util.spec_from_file_location(
-        "poppypulley", package / "__init__.py", submodule_search_locations=[str(package)]
+        name, package / "__init__.py", submodule_search_locations=[str(package)]
     )
     if found is None or found.loader is None or not (package / "__init__.py").exists():
         raise SettingsError(
-            str(code), "no decision module there", "Name a revision that has the folder poppypulley."
+            str(code), "no decision module there", "Name a revision that has the folder brassfall/balancer."
         )
     module = importlib.util.module_from_spec(found)
-    sys.modules["poppypulley"] = module
+    sys.modules[name] = module
     found.loader.exec_module(module)
+    if name != PACKAGE:
+        for part in [part for part in sys.modules if f"{part}.".startswith(f"{name}.")]:
+            sys.modules[PACKAGE + part.removeprefix(name)] = sys.modules[part]
+    setattr(sys.modules["brassfall"], PACKAGE.rpartition(".")[2], module)
 
 
 def judged(folder: Path, told: spec.Experiment) -> judge.Judgement:
--- a/brassfall/lab/real/network.py
+++ b/brassfall/lab/real/network.py
@@ -18,11 +18,11 @@
 import msgspec
 from aiohttp import web
 
+from brassfall.controlplane.registry import client
 from brassfall.lab import ledger
 from brassfall.lab.day import Ways
 from brassfall.lab.models.network import Network
 from brassfall.lab.real import child
-from brassfall.registry import client
 
 STUFF = 3  # connections that fill the queue of a listening socket that takes none
 BACKLOG = 1024
--- a/brassfall/lab/real/server.py
+++ b/brassfall/lab/real/server.py
@@ -18,11 +18,11 @@
 from aiohttp import web
 
 from brassfall import logs
+from brassfall.controlplane.registry.client import Member
 from brassfall.lab import ledger
 from brassfall.lab.day import Machine
 from brassfall.lab.models.server import BROKEN, DRAINING, FULL, TAKEN, Job, Server
 from brassfall.lab.real import child
-from brassfall.registry.client import Member
 
 FELL = 9  # the exit status of a server that was pushed over
 NAMED = {FULL: "full", DRAINING: "draining", BROKEN: "error"}
--- a/brassfall/lab/real/stage.py
+++ b/brassfall/lab/real/stage.py
@@ -15,6 +15,7 @@
 
 import aiohttp
 
+from brassfall.controlplane.registry import client
 from brassfall.lab import ledger
 from brassfall.lab.day import Day, Machine, Trouble, wire_settings
 from brassfall.lab.real import clients, network, server
@@ -28,7 +29,6 @@
     run_command,
 )
 from brassfall.lab.spec import Experiment, Version
-from brassfall.registry import client
 
 READY_S = 30.0
 RATE_A_CLIENT = 400.0  # requests a second that one process of clients sends without being late
--- a/brassfall/lab/runner.py
+++ b/brassfall/lab/runner.py
@@ -21,6 +21,7 @@
 
 import msgspec
 
+from brassfall.balancer import model
 from brassfall.lab import compiled, day, report, spec
 from brassfall.lab.arrivals import experiment
 from brassfall.lab.editions import command
@@ -28,7 +29,6 @@
 from brassfall.lab.play import Order, Result
 from brassfall.lab.sim.flaws import FLAWS
 from brassfall.settings import SettingsError, read_toml
-from poppypulley import model
 
 ROOT = Path(__file__).resolve().parent.parent.parent
 TELL_EVERY_S = 2.0
--- a/brassfall/lab/sim/flaws.py
+++ b/brassfall/lab/sim/flaws.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
+from brassfall.balancer.model import Listing, Send
 from brassfall.lab.models.client import BROKEN, SERVED
 from brassfall.lab.sim.sidecar import RESET, Attempt, Request, Sidecar
-from poppypulley.model import Listing, Send
 
 EVERY = 25  # a flaw shows at one request in so many, where it shows at single requests
 
--- a/brassfall/lab/sim/listing.py
+++ b/brassfall/lab/sim/listing.py
@@ -7,13 +7,13 @@
 import msgspec
 
 from brassfall import settings
+from brassfall.controlplane.registry import entries
+from brassfall.controlplane.registry.entries import INSTANCES
+from brassfall.controlplane.registry.membership import Call
+from brassfall.controlplane.store.core import Change, Command, Delete, Record, Result, Status, Table
+from brassfall.controlplane.store.leases import Guard, Leases
+from brassfall.controlplane.store.store import unix_floor
 from brassfall.errors import Refused
-from brassfall.registry import entries
-from brassfall.registry.entries import INSTANCES
-from brassfall.registry.membership import Call
-from brassfall.table.core import Change, Command, Delete, Record, Result, Status, Table
-from brassfall.table.leases import Guard, Leases
-from brassfall.table.store import unix_floor
 
 STATUS = {Status.DONE: 200, Status.MISSING: 404, Status.CONFLICT: 409, Status.STALE: 412}
 
--- a/brassfall/lab/sim/lists.py
+++ b/brassfall/lab/sim/lists.py
@@ -5,12 +5,12 @@
 import random
 from typing import Any
 
+from brassfall.balancer.model import Listing
+from brassfall.controlplane.registry.membership import Call
 from brassfall.lab import ledger
 from brassfall.lab.sim.listing import ListService
 from brassfall.lab.sim.parts import Host
 from brassfall.lab.sim.sidecar import Sidecar, Surroundings
-from brassfall.registry.membership import Call
-from poppypulley.model import Listing
 
 LOOK_MS = 100.0
 SAMPLE_MS = 500.0
--- a/brassfall/lab/sim/parts.py
+++ b/brassfall/lab/sim/parts.py
@@ -5,9 +5,9 @@
 import math
 from typing import Any
 
+from brassfall.controlplane.registry.membership import Membership
 from brassfall.lab.day import Machine
 from brassfall.lab.models.server import Server
-from brassfall.registry.membership import Membership
 
 
 class Host:
--- a/brassfall/lab/sim/sidecar.py
+++ b/brassfall/lab/sim/sidecar.py
@@ -10,13 +10,25 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
+from brassfall.balancer import Balancer, model
+from brassfall.balancer.model import (
+    Cancel,
+    CloseIdle,
+    Fail,
+    Fetch,
+    Listing,
+    Log,
+    Probe,
+    Refuse,
+    Send,
+    Timer,
+    Watch,
+)
 from brassfall.lab.day import Day
 from brassfall.lab.ledger import Book
 from brassfall.lab.models.client import FAILED, REFUSED, SERVED
 from brassfall.lab.models.network import Network
 from brassfall.lab.sim.parts import Host, Try
-from poppypulley import Balancer, model
-from poppypulley.model import Cancel, CloseIdle, Fail, Fetch, Listing, Log, Probe, Refuse, Send, Timer, Watch
 
 Handler = Callable[[float, Any], None]
 
--- a/brassfall/lab/sim/world.py
+++ b/brassfall/lab/sim/world.py
@@ -16,6 +16,8 @@
 from itertools import count
 from typing import Any
 
+from brassfall.balancer import model
+from brassfall.controlplane.registry.membership import Membership
 from brassfall.lab import ledger
 from brassfall.lab.day import Day
 from brassfall.lab.geography import Delays
@@ -42,8 +44,6 @@
     Sidecar,
     Surroundings,
 )
-from brassfall.registry.membership import Membership
-from poppypulley import model
 
 ANSWER_SLACK_MS = 20.0  # how long past its time a client still reads an answer
 AFTER_MS = 1500.0  # how long a day runs on after the last deadline
--- a/brassfall/lab/steers.py
+++ b/brassfall/lab/steers.py
@@ -11,10 +11,10 @@
 import numpy as np
 from scipy.optimize import linprog
 
+from brassfall.balancer import model
 from brassfall.lab.day import Day
 from brassfall.lab.geography import Delays
 from brassfall.lab.spec import Experiment, Version
-from poppypulley import model
 
 
 def plan(
--- a/brassfall/lab/transcriber.py
+++ b/brassfall/lab/transcriber.py
@@ -18,9 +18,9 @@
 import msgspec
 from aiohttp import web
 
+from brassfall.controlplane.registry.client import Member
 from brassfall.errors import CantListen
 from brassfall.logs import logger
-from brassfall.registry.client import Member
 from brassfall.settings import address
 
 TOLD_S = 0.55  # sidecars send nothing new from 500 ms on, and a little for the way
--- a/fordtrestle/__main__.py
+++ b/brassfall/sidecar/__main__.py
@@ -10,21 +10,21 @@
 from collections.abc import Mapping
 from typing import TYPE_CHECKING
 
-from fordtrestle import config
-from fordtrestle.admin import Door
-from fordtrestle.config import Address, Config, ConfigError, ServerList
-from fordtrestle.discovery import Discovery
-from fordtrestle.driver import Clock, Driver, log
-from fordtrestle.handover import Seat
-from fordtrestle.inbound import Inbound
-from fordtrestle.lifecycle import Lifecycle, State
-from fordtrestle.outbound import Pool
-from fordtrestle.peers import Peers
-from poppypulley.model import Steer
+from brassfall.balancer.model import Steer
+from brassfall.sidecar import config
+from brassfall.sidecar.admin import Door
+from brassfall.sidecar.config import Address, Config, ConfigError, ServerList
+from brassfall.sidecar.discovery import Discovery
+from brassfall.sidecar.driver import Clock, Driver, log
+from brassfall.sidecar.handover import Seat
+from brassfall.sidecar.inbound import Inbound
+from brassfall.sidecar.lifecycle import Lifecycle, State
+from brassfall.sidecar.outbound import Pool
+from brassfall.sidecar.peers import Peers
 
 if TYPE_CHECKING:
-    from fordtrestle.fleet.lists import HeldList
-    from fordtrestle.fleet.member import FleetMember
+    from brassfall.sidecar.agent.lists import HeldList
+    from brassfall.sidecar.agent.member import FleetMember
 
 # New connections go on coming for up to 0.4 s after SIGTERM; SIGKILL comes no sooner than the
 # longest deadline and 0.7 s after it: whatever comes late is answered before that.
@@ -67,7 +67,7 @@
 
     def _member(self, told: Config) -> FleetMember:
         """This process as a member of the fleet, where it is one; the code is loaded only then."""
-        from fordtrestle.fleet.member import FleetMember
+        from brassfall.sidecar.agent.member import FleetMember
 
         member = FleetMember(self._loop, self, os.environ)
         member.agent.report_extensions.append(self.discovery.told)
--- a/fordtrestle/admin.py
+++ b/brassfall/sidecar/admin.py
@@ -5,10 +5,10 @@
 import asyncio
 from collections.abc import Callable
 
-from fordtrestle.config import DOOR_CALLERS, Address
-from fordtrestle.driver import log
-from fordtrestle.lifecycle import Impossible, Lifecycle
-from fordtrestle.listener import Listener, bound
+from brassfall.sidecar.config import DOOR_CALLERS, Address
+from brassfall.sidecar.driver import log
+from brassfall.sidecar.lifecycle import Impossible, Lifecycle
+from brassfall.sidecar.listener import Listener, bound
 
 LINE_MOST = 256
 # Callers that finish no call are there for seconds; they take one of few places meanwhile.
--- a/fordtrestle/fleet/lease_client.py
+++ b/brassfall/sidecar/agent/lease_client.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass
 from typing import Any, NamedTuple
 
-from fordtrestle.fleet import forms
+from brassfall.sidecar.agent import forms
 
 FALLBACK = "safe"  # on the wire and in logs: acting on the fallback configuration
 REVISIONS_MOST = 4
--- a/fordtrestle/fleet/lists.py
+++ b/brassfall/sidecar/agent/lists.py
@@ -11,8 +11,8 @@
 from collections import Counter
 from collections.abc import Iterable, Mapping, Sequence, Set
 
-from fordtrestle.config import Address, ServerList
-from poppypulley.model import Listing
+from brassfall.balancer.model import Listing
+from brassfall.sidecar.config import Address, ServerList
 
 FIRST_WAIT_S, WAIT_MOST_S = 0.25, 1.0
 ROUNDS_MOST = 16  # that count: long before it the wait is the longest
--- a/fordtrestle/fleet/member.py
+++ b/brassfall/sidecar/agent/member.py
@@ -9,16 +9,16 @@
 from dataclasses import replace
 from typing import Any, Protocol
 
-from fordtrestle import config
-from fordtrestle.config import Config, ConfigError
-from fordtrestle.driver import log
-from fordtrestle.fleet import rules
-from fordtrestle.fleet.agent import Agent
-from fordtrestle.fleet.delays import Delays
-from fordtrestle.fleet.lease_client import ActiveConfiguration, Revision
-from fordtrestle.fleet.lists import HeldList
-from fordtrestle.fleet.steering import NEUTRAL, Inputs, Steering
-from poppypulley.model import Steer
+from brassfall.balancer.model import Steer
+from brassfall.sidecar import config
+from brassfall.sidecar.agent import rules
+from brassfall.sidecar.agent.agent import Agent
+from brassfall.sidecar.agent.delays import Delays
+from brassfall.sidecar.agent.lease_client import ActiveConfiguration, Revision
+from brassfall.sidecar.agent.lists import HeldList
+from brassfall.sidecar.agent.steering import NEUTRAL, Inputs, Steering
+from brassfall.sidecar.config import Config, ConfigError
+from brassfall.sidecar.driver import log
 
 LIST_LATE_S = 2.0  # changes of the list take far less on a watch that works
 
--- a/fordtrestle/fleet/overrides.py
+++ b/brassfall/sidecar/agent/overrides.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field, replace
 from typing import Any, NamedTuple
 
-from fordtrestle.fleet.deadlines import Deadlines, Phase, whole
+from brassfall.sidecar.agent.deadlines import Deadlines, Phase, whole
 
 KINDS = ("shift", "hold", "cap", "pin", "freeze")
 NOBODY = ""  # the region of a tenant that nobody may be sure to serve
--- a/fordtrestle/fleet/rules.py
+++ b/brassfall/sidecar/agent/rules.py
@@ -1,7 +1,7 @@
 """From configuration revisions to what this sidecar does: what several of them have in common, the fallback
 configuration, and settings laid over its own file.
 
-The kinds of keys are those of the service, `brassfall/agreement/document.py`; a test holds the two tables
+The kinds of keys are those of the service, `controlplane/revisions/document.py`; a test holds the two tables
 against each other, since neither side may import the other.
 """
 
@@ -11,7 +11,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from fordtrestle.fleet.lease_client import ActiveConfiguration, Revision
+from brassfall.sidecar.agent.lease_client import ActiveConfiguration, Revision
 
 EXCLUSIVE = frozenset(("regions", "tenants", "affinity"))
 ADDITIVE = frozenset(("caps",))
--- a/fordtrestle/fleet/steering.py
+++ b/brassfall/sidecar/agent/steering.py
@@ -6,13 +6,13 @@
 from collections.abc import Callable, Mapping
 from typing import Any, NamedTuple
 
-from fordtrestle.config import Agreement, Names
-from fordtrestle.fleet import overrides, rules
-from fordtrestle.fleet.deadlines import Deadlines, digest
-from fordtrestle.fleet.lease_client import ActiveConfiguration, Revision
-from fordtrestle.fleet.lists import HeldList
-from fordtrestle.fleet.overrides import Effective, Override, Place
-from poppypulley.model import Steer
+from brassfall.balancer.model import Steer
+from brassfall.sidecar.agent import overrides, rules
+from brassfall.sidecar.agent.deadlines import Deadlines, digest
+from brassfall.sidecar.agent.lease_client import ActiveConfiguration, Revision
+from brassfall.sidecar.agent.lists import HeldList
+from brassfall.sidecar.agent.overrides import Effective, Override, Place
+from brassfall.sidecar.config import Agreement, Names
 
 NEUTRAL = Steer()
 PLAN_AGE_MS = 15_000.0  # a plan counts whole up to its limit, then evenly less, and not at twice the limit
--- a/fordtrestle/config.py
+++ b/brassfall/sidecar/config.py
@@ -14,7 +14,7 @@
 from itertools import count
 from typing import Any, NamedTuple
 
-from poppypulley import model
+from brassfall.balancer import model
 
 KEY_BELOW = 2**53
 RESERVED = 24  # descriptors for the log, the loop, discovery, peers and what opens for a moment
--- a/fordtrestle/discovery.py
+++ b/brassfall/sidecar/discovery.py
@@ -12,10 +12,10 @@
 
 import httptools
 
-from fordtrestle.config import Address, Config, ServerList, parse_list
-from fordtrestle.driver import log
-from fordtrestle.fleet.lists import Age, Doubt, HeldList, Sources
-from poppypulley.model import ASK_MOST_MS, CALL_MS, SPARE_MS, TOLD_MS
+from brassfall.balancer.model import ASK_MOST_MS, CALL_MS, SPARE_MS, TOLD_MS
+from brassfall.sidecar.agent.lists import Age, Doubt, HeldList, Sources
+from brassfall.sidecar.config import Address, Config, ServerList, parse_list
+from brassfall.sidecar.driver import log
 
 PATH = "/registry/instances"
 # What a change may take to arrive: all waits and limits here are parts of it.
--- a/fordtrestle/driver.py
+++ b/brassfall/sidecar/driver.py
@@ -16,10 +16,10 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol, cast
 
-from fordtrestle.body import Body
-from fordtrestle.config import Config, ServerList
-from poppypulley import Balancer, model
-from poppypulley.model import Outcome
+from brassfall.balancer import Balancer, model
+from brassfall.balancer.model import Outcome
+from brassfall.sidecar.body import Body
+from brassfall.sidecar.config import Config, ServerList
 
 # The client counts from its send and we from the read: transit, and what the loop lags.
 DEADLINE_MARGIN_MS = 8.0
--- a/fordtrestle/framing.py
+++ b/brassfall/sidecar/framing.py
@@ -13,7 +13,7 @@
 
 import httptools
 
-from fordtrestle.body import HELD_MOST
+from brassfall.sidecar.body import HELD_MOST
 
 MAX_BODY = 32 * 1024 * 1024
 MAX_HEAD = 16 * 1024
--- a/fordtrestle/handover.py
+++ b/brassfall/sidecar/handover.py
@@ -5,10 +5,12 @@
 import fcntl
 import os
 
-from fordtrestle.config import stable_number
-from fordtrestle.driver import log
+from brassfall.sidecar.config import stable_number
+from brassfall.sidecar.driver import log
 
 SERVES, COMES = "lock", "next"
+# The name of earlier versions: during an upgrade, processes of both look at the same files.
+LOCK_PREFIX = "fordtrestle-"
 
 
 class Lock:
@@ -46,7 +48,7 @@
 
     def __init__(self, folder: str | None, name: str) -> None:
         # Where the folder is everybody's, another sidecar's processes are no concern of this one's.
-        path = os.path.join(folder or "/tmp", f"fordtrestle-{stable_number(name):x}.")
+        path = os.path.join(folder or "/tmp", f"{LOCK_PREFIX}{stable_number(name):x}.")
         self._serves = Lock(path + SERVES)
         self._comes = Lock(path + COMES)
 
--- a/fordtrestle/inbound.py
+++ b/brassfall/sidecar/inbound.py
@@ -11,12 +11,12 @@
 
 import httptools
 
-from fordtrestle import framing
-from fordtrestle.body import FLOW_MOST, HELD_MOST, Body, Budget
-from fordtrestle.config import Address, Config, Names, RequestClass, stable_number
-from fordtrestle.driver import Answer, Clock, Flow, Request
-from fordtrestle.lifecycle import Lifecycle
-from fordtrestle.listener import Listener, bound, inherited
+from brassfall.sidecar import framing
+from brassfall.sidecar.body import FLOW_MOST, HELD_MOST, Body, Budget
+from brassfall.sidecar.config import Address, Config, Names, RequestClass, stable_number
+from brassfall.sidecar.driver import Answer, Clock, Flow, Request
+from brassfall.sidecar.lifecycle import Lifecycle
+from brassfall.sidecar.listener import Listener, bound, inherited
 
 READY_PATH = "/health/ready"
 # Past it requests are refused: client requests may hold no more than a third of all descriptors,
--- a/fordtrestle/listener.py
+++ b/brassfall/sidecar/listener.py
@@ -8,7 +8,7 @@
 import socket
 from collections.abc import Callable
 
-from fordtrestle.config import Address
+from brassfall.sidecar.config import Address
 
 BACKLOG = 2048
 # asyncio's own server accepts as many as the backlog in one turn, and stands still for a second
--- a/fordtrestle/outbound.py
+++ b/brassfall/sidecar/outbound.py
@@ -16,11 +16,11 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from fordtrestle import framing
-from fordtrestle.body import HELD_MOST, Body
-from fordtrestle.config import Address, Config, ServerList
-from fordtrestle.driver import Answer, Call, Clock, Result, Watcher
-from poppypulley.model import Listing, Outcome
+from brassfall.balancer.model import Listing, Outcome
+from brassfall.sidecar import framing
+from brassfall.sidecar.body import HELD_MOST, Body
+from brassfall.sidecar.config import Address, Config, ServerList
+from brassfall.sidecar.driver import Answer, Call, Clock, Result, Watcher
 
 # A server closes what has stood idle for the time in the settings at the latest, as it counts:
 # what we write must be there before. A tenth covers transit, lag and the sweep.
--- a/fordtrestle/peers.py
+++ b/brassfall/sidecar/peers.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from fordtrestle.config import Address, Config
-from fordtrestle.driver import log
+from brassfall.sidecar.config import Address, Config
+from brassfall.sidecar.driver import log
 
 MESSAGE_MOST = 256
 
--- a/poppypulley/wirehost.py
+++ b/brassfall/simulator.py
@@ -9,19 +9,23 @@
 from collections.abc import Callable, Iterable
 from typing import Any, TextIO
 
-from poppypulley import model
-from poppypulley.balancer import Balancer
+from brassfall.balancer import model
+from brassfall.balancer.balancer import Balancer
 
 FORMS = ("changes", "all", "remembered", "refused")
 STATES = ("active", "leaving", "left")
 
 
 class WireError(Exception):
-    """A line that is not wire."""
+    """A line from the simulator that is not of its wire."""
+
+    action = "look at the simulator's line and at the pages of its wire; the adapter ends"
 
 
 class ModuleError(Exception):
-    """The decision module raised."""
+    """The decision module raised while it handled an event."""
+
+    action = "report it with the traceback: a defect of the decision module"
 
 
 _FORMATS: dict[type, Callable[[Any], str]] = {
--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -15,10 +15,10 @@
 from dataclasses import dataclass, field
 from unittest import mock
 
-from fordtrestle import config, driver, framing, outbound
-from fordtrestle.body import Body
-from fordtrestle.config import Address, ServerList
-from poppypulley.model import Listing, Steer
+from brassfall.balancer.model import Listing, Steer
+from brassfall.sidecar import config, driver, framing, outbound
+from brassfall.sidecar.body import Body
+from brassfall.sidecar.config import Address, ServerList
 
 GRID_S = 0.01
 DAY_S, REST_S = 2.0, 45.0  # the rest outlasts each guard against what has stalled
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -4,8 +4,8 @@
 
 from typing import Any
 
-from poppypulley import Balancer, Settings
-from poppypulley.model import Arrival, Listing
+from brassfall.balancer import Balancer, Settings
+from brassfall.balancer.model import Arrival, Listing
 
 CLASSES = {
     "safe": {"Semantics": "pure", "Objective": 200.0, "Deadline": 1000.0},
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -9,9 +9,9 @@
 import socket
 from dataclasses import dataclass, field
 
-from fordtrestle import config
-from fordtrestle.__main__ import Sidecar
-from poppypulley.model import Send
+from brassfall.balancer.model import Send
+from brassfall.sidecar import config
+from brassfall.sidecar.__main__ import Sidecar
 
 PATIENCE_S = 15.0
 BUDGET = "4000m"
--- a/tests/test_aggregation_cases.py
+++ b/tests/test_aggregation_cases.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from brassfall.agreement import core
+from brassfall.controlplane.revisions import core
 from brassfall.lab.agreement import schedule
 from brassfall.lab.agreement.aggregator import Aggregator
 from brassfall.lab.agreement.program import Program
--- a/tests/test_aggregator_mirror.py
+++ b/tests/test_aggregator_mirror.py
@@ -9,13 +9,19 @@
 import msgspec
 import pytest
 
-from brassfall.registry import entries
-from brassfall.registry.aggregator.addresses import Addresses
-from brassfall.registry.aggregator.channels import FRESH_MS, ListChannel
-from brassfall.registry.aggregator.mirror import DOUBT_MS, ListLine, Mirror, MirrorError, parse_line
-from brassfall.registry.entries import INSTANCES
-from brassfall.registry.watches import EMPTY
-from brassfall.table.core import Delete, Put, Table
+from brassfall.controlplane.registry import entries
+from brassfall.controlplane.registry.aggregator.addresses import Addresses
+from brassfall.controlplane.registry.aggregator.channels import FRESH_MS, ListChannel
+from brassfall.controlplane.registry.aggregator.mirror import (
+    DOUBT_MS,
+    ListLine,
+    Mirror,
+    MirrorError,
+    parse_line,
+)
+from brassfall.controlplane.registry.entries import INSTANCES
+from brassfall.controlplane.registry.watches import EMPTY
+from brassfall.controlplane.store.core import Delete, Put, Table
 from tests.loopback import bounded, until
 
 
--- a/tests/test_aggregator_shell.py
+++ b/tests/test_aggregator_shell.py
@@ -12,13 +12,13 @@
 from typer.testing import CliRunner
 
 from brassfall import cli, settings
-from brassfall.registry import client
-from brassfall.registry.aggregator import service as aggregators
-from brassfall.registry.aggregator.channels import AGE
-from brassfall.registry.server import Service
+from brassfall.controlplane.registry import client
+from brassfall.controlplane.registry.aggregator import service as aggregators
+from brassfall.controlplane.registry.aggregator.channels import AGE
+from brassfall.controlplane.registry.server import Service
 from brassfall.settings import AggregatorSettings, AgreementSettings, CallerLimits, Limits, RegistrySettings
-from fordtrestle.config import Address, Agreement
-from fordtrestle.fleet.agent import Agent
+from brassfall.sidecar.agent.agent import Agent
+from brassfall.sidecar.config import Address, Agreement
 from tests.loopback import bounded, until
 from tests.processes import Logged, free_port
 from tests.processes import Service as ServiceProcess
--- a/tests/test_aggregators_agreement.py
+++ b/tests/test_aggregators_agreement.py
@@ -6,9 +6,18 @@
 
 import pytest
 
-from brassfall.agreement.core import Agreement, Durable, Granted, Kept, Persist, Publish, Reported, Timing
-from brassfall.agreement.document import Edition
-from brassfall.agreement.edges import Fleet, Objection, Report, parse
+from brassfall.controlplane.revisions.core import (
+    Agreement,
+    Durable,
+    Granted,
+    Kept,
+    Persist,
+    Publish,
+    Reported,
+    Timing,
+)
+from brassfall.controlplane.revisions.document import Edition
+from brassfall.controlplane.revisions.edges import Fleet, Objection, Report, parse
 
 EPOCH = 1 << 50
 START = 1e6
--- a/tests/test_aggregators_directory.py
+++ b/tests/test_aggregators_directory.py
@@ -6,14 +6,14 @@
 
 import pytest
 
-from brassfall.aggregation.directory import (
+from brassfall.controlplane.aggregation.directory import (
     MOVED_TELLINGS,
     ORPHANS_MS,
     AggregatorNameError,
     Directory,
 )
-from brassfall.aggregation.messages import AggregatorReport, ChildCounts, Member
-from brassfall.aggregation.orders import REPEATED_MS, Orders
+from brassfall.controlplane.aggregation.messages import AggregatorReport, ChildCounts, Member
+from brassfall.controlplane.aggregation.orders import REPEATED_MS, Orders
 
 EPOCH, LIVE_MS = 9, 3000.0
 
--- a/tests/test_aggregators_parts.py
+++ b/tests/test_aggregators_parts.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from brassfall.aggregation.merging import EVERY_MS, MergedDelays
-from brassfall.aggregation.messages import AggregatorReport, ChildCounts, Member
-from brassfall.agreement.core import Agreement
+from brassfall.controlplane.aggregation.merging import EVERY_MS, MergedDelays
+from brassfall.controlplane.aggregation.messages import AggregatorReport, ChildCounts, Member
+from brassfall.controlplane.revisions.core import Agreement
 from tests.loopback import bounded, until
 from tests.test_rules_shell import service
 
--- a/tests/test_agreement_agent.py
+++ b/tests/test_agreement_agent.py
@@ -10,16 +10,16 @@
 import pytest
 from aiohttp import web
 
-from brassfall.agreement import edges
-from fordtrestle.config import Address, Agreement, ConfigError, ServerList
-from fordtrestle.fleet import agent as agents
-from fordtrestle.fleet import rules
-from fordtrestle.fleet.agent import Agent
-from fordtrestle.fleet.lease_client import ActiveConfiguration, LeaseClient
-from fordtrestle.fleet.lists import HeldList
-from fordtrestle.fleet.member import FleetMember
-from fordtrestle.fleet.steering import Steering
-from poppypulley import model
+from brassfall.balancer import model
+from brassfall.controlplane.revisions import edges
+from brassfall.sidecar.agent import agent as agents
+from brassfall.sidecar.agent import rules
+from brassfall.sidecar.agent.agent import Agent
+from brassfall.sidecar.agent.lease_client import ActiveConfiguration, LeaseClient
+from brassfall.sidecar.agent.lists import HeldList
+from brassfall.sidecar.agent.member import FleetMember
+from brassfall.sidecar.agent.steering import Steering
+from brassfall.sidecar.config import Address, Agreement, ConfigError, ServerList
 from tests.loopback import told
 
 RARELY_MS, SOON_S = 9_000.0, 3.0  # a report in time would come after 6 s or more
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -181,7 +181,7 @@
 
 
 async def publish(address, settings):
-    from brassfall.registry import client
+    from brassfall.controlplane.registry import client
 
     return (await client.call(address, "PUT", "/rules", body=settings))["edition"]
 
--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -11,11 +11,11 @@
 
 import pytest
 
-from fordtrestle import driver, outbound
-from fordtrestle.config import parse_list
-from fordtrestle.driver import Answer, Result
-from poppypulley import Settings
-from poppypulley.model import Cancel, Fail, Listing, Outcome, Refuse, Send
+from brassfall.balancer import Settings
+from brassfall.balancer.model import Cancel, Fail, Listing, Outcome, Refuse, Send
+from brassfall.sidecar import driver, outbound
+from brassfall.sidecar.config import parse_list
+from brassfall.sidecar.driver import Answer, Result
 from tests import loopback as partners
 from tests.helpers import CLASSES, arrival, balancer, of_type, raw_settings
 from tests.loopback import (
--- a/tests/test_crossings_configuration.py
+++ b/tests/test_crossings_configuration.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from fordtrestle import __main__ as main
-from fordtrestle import config
+from brassfall.sidecar import __main__ as main
+from brassfall.sidecar import config
 from tests.loopback import SETTINGS, entry, listed, loopback
 from tests.processes import environment, start_fails
 
--- a/tests/test_crossings_discovery.py
+++ b/tests/test_crossings_discovery.py
@@ -13,9 +13,9 @@
 import looptime
 import pytest
 
-from fordtrestle import config, discovery
-from fordtrestle.__main__ import Sidecar
-from poppypulley.model import Watch
+from brassfall.balancer.model import Watch
+from brassfall.sidecar import config, discovery
+from brassfall.sidecar.__main__ import Sidecar
 from tests.loopback import entry, listed, told
 
 TOLD_S = 6.0  # after discovery had a change and could be reached
--- a/tests/test_crossings_inbound.py
+++ b/tests/test_crossings_inbound.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from fordtrestle import framing, inbound
-from poppypulley.model import Refuse, Send, Timer
+from brassfall.balancer.model import Refuse, Send, Timer
+from brassfall.sidecar import framing, inbound
 from tests import loopback as partners
 from tests.loopback import (
     OK,
--- a/tests/test_crossings_property.py
+++ b/tests/test_crossings_property.py
@@ -9,12 +9,12 @@
 
 import pytest
 
-from fordtrestle import outbound
-from fordtrestle.body import Body
-from fordtrestle.config import parse_list
-from fordtrestle.driver import Clock, Driver
-from poppypulley import balancer
-from poppypulley.model import Fail, Outcome, Refuse, Timer
+from brassfall.balancer import balancer
+from brassfall.balancer.model import Fail, Outcome, Refuse, Timer
+from brassfall.sidecar import outbound
+from brassfall.sidecar.body import Body
+from brassfall.sidecar.config import parse_list
+from brassfall.sidecar.driver import Clock, Driver
 from tests.crossings import Call, Source, World, play
 from tests.loopback import Scripted, Upstream, entry, listed, loopback, told
 
--- a/tests/test_crossings_ramp.py
+++ b/tests/test_crossings_ramp.py
@@ -15,8 +15,8 @@
 
 import pytest
 
-from poppypulley import Balancer, Settings
-from poppypulley.model import Arrival, Fail, Listing, Outcome, Refuse, Send, Timer
+from brassfall.balancer import Balancer, Settings
+from brassfall.balancer.model import Arrival, Fail, Listing, Outcome, Refuse, Send, Timer
 from tests.helpers import of_type, raw_settings
 
 MULTIPLE, SPAN, COLD_FROM, WARM_UP = 4.0, 2000.0, 0.12, 22_000.0
--- a/tests/test_crossings_reload.py
+++ b/tests/test_crossings_reload.py
@@ -10,12 +10,12 @@
 
 import pytest
 
-from fordtrestle import config, inbound, outbound
-from fordtrestle.config import parse_list
-from fordtrestle.driver import Clock
-from fordtrestle.lifecycle import Lifecycle
-from poppypulley import Balancer, Settings
-from poppypulley.model import Arrival, CloseIdle, Listing, Outcome, Send, Timer
+from brassfall.balancer import Balancer, Settings
+from brassfall.balancer.model import Arrival, CloseIdle, Listing, Outcome, Send, Timer
+from brassfall.sidecar import config, inbound, outbound
+from brassfall.sidecar.config import parse_list
+from brassfall.sidecar.driver import Clock
+from brassfall.sidecar.lifecycle import Lifecycle
 from tests.helpers import arrival, balancer, listing, of_type, raw_settings
 from tests.loopback import OK, App, Upstream, entry, listed, loopback, running, told
 from tests.test_reload import raw, row, take
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from poppypulley import Balancer, Settings
-from poppypulley.model import Arrival, Listing, Outcome, Probe, Refuse, Send, Timer, Watch
-from poppypulley.shedding import Shed
+from brassfall.balancer import Balancer, Settings
+from brassfall.balancer.model import Arrival, Listing, Outcome, Probe, Refuse, Send, Timer, Watch
+from brassfall.balancer.shedding import Shed
 from tests.helpers import arrival, balancer, listing, of_type, raw_settings
 
 LOOKING = {
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from fordtrestle import admin, inbound
-from fordtrestle.config import DOOR_CALLERS
-from fordtrestle.lifecycle import Impossible, Lifecycle, State
-from poppypulley.balancer import REASONS
+from brassfall.balancer.balancer import REASONS
+from brassfall.sidecar import admin, inbound
+from brassfall.sidecar.config import DOOR_CALLERS
+from brassfall.sidecar.lifecycle import Impossible, Lifecycle, State
 from tests.loopback import OK, PATIENCE_S, App, Upstream, loopback, running, until
 
 DOOR = {"operator": "127.0.0.1:0"}
--- a/tests/test_endurance.py
+++ b/tests/test_endurance.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from poppypulley import Balancer, Settings
-from poppypulley.model import Arrival, Listing, Outcome, Send
+from brassfall.balancer import Balancer, Settings
+from brassfall.balancer.model import Arrival, Listing, Outcome, Send
 from tests.helpers import listing, of_type, raw_settings
 
 COLD_FROM, WARM_UP, SPAN, MULTIPLE = 0.3, 8000.0, 1000.0, 2.5
@@ -102,8 +102,8 @@
 
 
 SCRIPT = """
-from poppypulley import Balancer, Settings
-from poppypulley.model import Arrival, Listing, Outcome, Send
+from brassfall.balancer import Balancer, Settings
+from brassfall.balancer.model import Arrival, Listing, Outcome, Send
 raw = {"Profiles": [{"Semantics": "pure", "Objective": 200, "Deadline": 900}],
        "Domain": {"WarmKeys": True}, "PolicyLimits": {"MaxAttempts": 3},
        "Report": {"How": "inline", "Fields": ["inflight"]}}
--- a/tests/test_geo.py
+++ b/tests/test_geo.py
@@ -13,11 +13,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from brassfall.geo import evidence, levels, model, plan, positions, publisher
+from brassfall.controlplane.geo import evidence, levels, model, plan, positions, publisher
 from brassfall.lab import geo
 from brassfall.lab.models import delays as worlds
 from brassfall.lab.models import steered
-from fordtrestle.fleet import delays
+from brassfall.sidecar.agent import delays
 
 # --- the edge's sketch -------------------------------------------------------------------------------------
 
--- a/tests/test_heavy.py
+++ b/tests/test_heavy.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from poppypulley import Settings
-from poppypulley.model import Outcome, Send
+from brassfall.balancer import Settings
+from brassfall.balancer.model import Outcome, Send
 from tests.helpers import arrival, balancer, of_type, raw_settings
 
 SHORT = {"Semantics": "pure", "Objective": 250.0, "Deadline": 360.0}
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from fordtrestle import body, framing, inbound, outbound
-from poppypulley.model import Arrival, Fail, Outcome, Send, Timer
+from brassfall.balancer.model import Arrival, Fail, Outcome, Send, Timer
+from brassfall.sidecar import body, framing, inbound, outbound
 from tests import loopback as partners
 from tests.helpers import balancer, of_type
 from tests.loopback import (
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from poppypulley import Settings
-from poppypulley.model import Listing, Outcome, Send
+from brassfall.balancer import Settings
+from brassfall.balancer.model import Listing, Outcome, Send
 from tests.helpers import arrival, balancer, listing, of_type, raw_settings
 
 README = Path(__file__).resolve().parent.parent / "README.md"
--- a/tests/test_overrides.py
+++ b/tests/test_overrides.py
@@ -9,8 +9,8 @@
 
 from brassfall.lab.overrides.flaws import FLAWS
 from brassfall.lab.overrides.world import CLASSES, REGIONS, TENANTS, World
-from fordtrestle.fleet.deadlines import Deadlines, digest
-from fordtrestle.fleet.overrides import Names, Place, Rules, effective, read_layer
+from brassfall.sidecar.agent.deadlines import Deadlines, digest
+from brassfall.sidecar.agent.overrides import Names, Place, Rules, effective, read_layer
 
 SEEDS = int(os.environ.get("OVERRIDES_SEEDS", "100"))  # 2000 in the nightly run
 NAMES = Names(frozenset(REGIONS), classes=frozenset(CLASSES), tenants=frozenset(TENANTS))
--- a/tests/test_overrides_parts.py
+++ b/tests/test_overrides_parts.py
@@ -9,18 +9,18 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from brassfall.balancer import model
+from brassfall.controlplane.overrides import book as books
+from brassfall.controlplane.overrides import reconciler as rec
+from brassfall.controlplane.overrides.clock import SteadyClock
+from brassfall.controlplane.overrides.document import BadOverride, layer, listed, parse, times
+from brassfall.controlplane.overrides.history import History, Ring
 from brassfall.lab.overrides.judge import expected
-from brassfall.overrides import book as books
-from brassfall.overrides import reconciler as rec
-from brassfall.overrides.clock import SteadyClock
-from brassfall.overrides.document import BadOverride, layer, listed, parse, times
-from brassfall.overrides.history import History, Ring
-from fordtrestle import config
-from fordtrestle.fleet import deadlines, lease_client, rules, steering
-from fordtrestle.fleet import overrides as edge
-from fordtrestle.fleet.deadlines import Deadlines
-from fordtrestle.fleet.lists import HeldList
-from poppypulley import model
+from brassfall.sidecar import config
+from brassfall.sidecar.agent import deadlines, lease_client, rules, steering
+from brassfall.sidecar.agent import overrides as edge
+from brassfall.sidecar.agent.deadlines import Deadlines
+from brassfall.sidecar.agent.lists import HeldList
 
 NOW = 1_800_000_000_000
 HOUR = 3_600_000
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -6,11 +6,11 @@
 
 import pytest
 
+from brassfall.balancer.balancer import REASONS
+from brassfall.balancer.model import Outcome, Refuse
 from brassfall.lab import day, ledger, spec
 from brassfall.lab.sim.sidecar import Sidecar
 from brassfall.lab.sim.world import World
-from poppypulley.balancer import REASONS
-from poppypulley.model import Outcome, Refuse
 from tests.helpers import arrival, balancer, of_type
 
 # Servers with room for twice the load, which no crowd slows down for good; a burst of 2.5 times.
--- a/tests/test_registry_fleet.py
+++ b/tests/test_registry_fleet.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from brassfall.registry import client
+from brassfall.controlplane.registry import client
 from tests.loopback import bounded, until
 from tests.processes import Fleet
 
--- a/tests/test_registry_service.py
+++ b/tests/test_registry_service.py
@@ -14,9 +14,9 @@
 import pytest
 
 from brassfall import settings
-from brassfall.registry import client
-from brassfall.registry.client import Member
-from brassfall.registry.membership import Place
+from brassfall.controlplane.registry import client
+from brassfall.controlplane.registry.client import Member
+from brassfall.controlplane.registry.membership import Place
 from tests.loopback import bounded, until
 from tests.processes import Service
 from tests.spread import crowded
--- a/tests/test_registry_simulated.py
+++ b/tests/test_registry_simulated.py
@@ -8,9 +8,9 @@
 
 import pytest
 
+from brassfall.controlplane.registry.entries import INSTANCES
+from brassfall.controlplane.registry.membership import Membership, Place
 from brassfall.lab.sim.listing import ListService
-from brassfall.registry.entries import INSTANCES
-from brassfall.registry.membership import Membership, Place
 
 TTL = 3000
 GRACE = 5000.0
--- a/tests/test_registry_spread.py
+++ b/tests/test_registry_spread.py
@@ -9,7 +9,7 @@
 import aiohttp
 import pytest
 
-from brassfall.registry.limits import Door
+from brassfall.controlplane.registry.limits import Door
 from tests.loopback import bounded
 from tests.processes import Service
 from tests.spread import crowded
--- a/tests/test_registry_watches.py
+++ b/tests/test_registry_watches.py
@@ -8,9 +8,9 @@
 import pytest
 import uvloop
 
-from brassfall.registry import entries
-from brassfall.registry.watches import EMPTY, SLOTS, Channel, Form
-from brassfall.table.core import Put, Table
+from brassfall.controlplane.registry import entries
+from brassfall.controlplane.registry.watches import EMPTY, SLOTS, Channel, Form
+from brassfall.controlplane.store.core import Put, Table
 
 
 class Reader(asyncio.Protocol):
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -11,9 +11,9 @@
 
 import pytest
 
-from fordtrestle import config, inbound
-from poppypulley import Settings
-from poppypulley.model import Arrival, Fail, Outcome, Refuse, Send
+from brassfall.balancer import Settings
+from brassfall.balancer.model import Arrival, Fail, Outcome, Refuse, Send
+from brassfall.sidecar import config, inbound
 from tests.helpers import balancer, of_type, raw_settings
 from tests.loopback import OK, SETTINGS, App, Registry, Upstream, listed, loopback, running, told, until
 from tests.processes import Process
--- a/tests/test_rules_property.py
+++ b/tests/test_rules_property.py
@@ -9,8 +9,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from poppypulley import Balancer, Settings
-from poppypulley.model import (
+from brassfall.balancer import Balancer, Settings
+from brassfall.balancer.model import (
     Arrival,
     Cancel,
     CloseIdle,
--- a/tests/test_rules_service.py
+++ b/tests/test_rules_service.py
@@ -12,8 +12,8 @@
 import aiohttp
 import pytest
 
-from brassfall.registry import client
-from fordtrestle.fleet.delays import EVERY_S, Delays
+from brassfall.controlplane.registry import client
+from brassfall.sidecar.agent.delays import EVERY_S, Delays
 from tests.loopback import bounded, until
 from tests.processes import Service
 from tests.test_registry_service import ENTRY, call
--- a/tests/test_rules_shell.py
+++ b/tests/test_rules_shell.py
@@ -11,15 +11,21 @@
 from typer.testing import CliRunner
 
 from brassfall import cli, logs
-from brassfall.aggregation.messages import AggregatorReport, ChildException, ChildOrder, Member, Place
-from brassfall.agreement.core import Agreement, Forget
-from brassfall.agreement.edges import Report
-from brassfall.overrides import book as books
-from brassfall.overrides import reconciler as comparing
-from brassfall.overrides.document import parse
-from brassfall.registry import client
-from brassfall.registry.server import Service
-from brassfall.registry.tasks import Tasks
+from brassfall.controlplane.aggregation.messages import (
+    AggregatorReport,
+    ChildException,
+    ChildOrder,
+    Member,
+    Place,
+)
+from brassfall.controlplane.overrides import book as books
+from brassfall.controlplane.overrides import reconciler as comparing
+from brassfall.controlplane.overrides.document import parse
+from brassfall.controlplane.registry import client
+from brassfall.controlplane.registry.server import Service
+from brassfall.controlplane.registry.tasks import Tasks
+from brassfall.controlplane.revisions.core import Agreement, Forget
+from brassfall.controlplane.revisions.edges import Report
 from brassfall.settings import AgreementSettings, RegistrySettings
 from tests.loopback import bounded, until
 
--- a/tests/test_server_ends.py
+++ b/tests/test_server_ends.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from fordtrestle import outbound
-from poppypulley.model import Outcome
+from brassfall.balancer.model import Outcome
+from brassfall.sidecar import outbound
 from tests.loopback import Upstream, loopback, until
 from tests.test_sidecar_attempts import pooled
 
--- a/tests/test_sidecar_attempts.py
+++ b/tests/test_sidecar_attempts.py
@@ -10,10 +10,10 @@
 
 import pytest
 
-from fordtrestle import driver, inbound, outbound
-from fordtrestle.config import parse_list
-from fordtrestle.driver import Clock
-from poppypulley.model import Cancel, CloseIdle, Fail, Outcome, Probe, Refuse, Send, Timer
+from brassfall.balancer.model import Cancel, CloseIdle, Fail, Outcome, Probe, Refuse, Send, Timer
+from brassfall.sidecar import driver, inbound, outbound
+from brassfall.sidecar.config import parse_list
+from brassfall.sidecar.driver import Clock
 from tests.loopback import (
     OK,
     App,
--- a/tests/test_sidecar_lists.py
+++ b/tests/test_sidecar_lists.py
@@ -11,10 +11,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from fordtrestle import config, discovery
-from fordtrestle.fleet import lists as fleet
-from poppypulley import model
-from poppypulley.model import Fetch, Tell, Watch
+from brassfall.balancer import model
+from brassfall.balancer.model import Fetch, Tell, Watch
+from brassfall.sidecar import config, discovery
+from brassfall.sidecar.agent import lists as fleet
 from tests.loopback import Registry, Scripted, Upstream, entry, listed, loopback, running, told, until
 
 
--- a/tests/test_sidecar_rules.py
+++ b/tests/test_sidecar_rules.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from fordtrestle.fleet import agent
+from brassfall.sidecar.agent import agent
 from tests.loopback import (
     OK,
     SETTINGS,
--- a/tests/test_sidecar_tier.py
+++ b/tests/test_sidecar_tier.py
@@ -11,9 +11,9 @@
 import looptime
 import pytest
 
-from fordtrestle.config import Address, Agreement
-from fordtrestle.fleet import agent as agents
-from fordtrestle.fleet.agent import Agent
+from brassfall.sidecar.agent import agent as agents
+from brassfall.sidecar.agent.agent import Agent
+from brassfall.sidecar.config import Address, Agreement
 
 LEASE_S, EPOCH, REVISION = 2.7, 7, 5
 LONGEST_PAUSE_S = 1.0  # between two reports, at the usual interval
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -15,8 +15,8 @@
 import looptime
 import pytest
 
-from fordtrestle import config
-from poppypulley.model import Fetch
+from brassfall.balancer.model import Fetch
+from brassfall.sidecar import config
 from tests.loopback import (
     OK,
     App,
--- a/tests/test_standing_module.py
+++ b/tests/test_standing_module.py
@@ -13,8 +13,8 @@
 
 import pytest
 
-from poppypulley import Balancer, Settings
-from poppypulley.model import Arrival, Listing, Outcome, Refuse, Send, Timer
+from brassfall.balancer import Balancer, Settings
+from brassfall.balancer.model import Arrival, Listing, Outcome, Refuse, Send, Timer
 from tests.helpers import raw_settings
 
 RULES = {"ColdFrom": 0.12, "WarmUp": 22_000.0, "FallMultiple": 4.0, "OverloadFor": 2000.0}
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from poppypulley import Balancer, Settings
-from poppypulley.model import Arrival, Listing, Outcome, Refuse, Send, Steer
+from brassfall.balancer import Balancer, Settings
+from brassfall.balancer.model import Arrival, Listing, Outcome, Refuse, Send, Steer
 from tests.helpers import of_type, raw_settings
 
 ZONES = ("a", "b", "c")
@@ -238,7 +238,7 @@
 
 
 def test_the_driver_hands_it_on_with_its_clock():
-    from fordtrestle.driver import Driver
+    from brassfall.sidecar.driver import Driver
 
     seen = []
     driver = object.__new__(Driver)
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from poppypulley.model import Listing, Outcome, Send, Steer
+from brassfall.balancer.model import Listing, Outcome, Send, Steer
 from tests.helpers import arrival, balancer, listing, of_type
 
 PRICED = {"Connection": 0.05}
--- a/tests/test_table.py
+++ b/tests/test_table.py
@@ -12,10 +12,10 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from brassfall.table import core
-from brassfall.table.core import Delete, Patch, Put, Status, Table
-from brassfall.table.leases import STEP_MOST_MS, Guard, Leases
-from brassfall.table.log import FILE, Log, LogError
+from brassfall.controlplane.store import core
+from brassfall.controlplane.store.core import Delete, Patch, Put, Status, Table
+from brassfall.controlplane.store.leases import STEP_MOST_MS, Guard, Leases
+from brassfall.controlplane.store.log import FILE, Log, LogError
 
 RING = 3
 KEYS = st.sampled_from(["a", "b"])
--- a/tests/test_throttle.py
+++ b/tests/test_throttle.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from poppypulley.model import Fail, Outcome, Refuse, Send
-from poppypulley.shedding import Throttle
+from brassfall.balancer.model import Fail, Outcome, Refuse, Send
+from brassfall.balancer.shedding import Throttle
 from tests.helpers import arrival, balancer, of_type
 
 
