--- a/brassfall/sidecar/inbound.py
+++ b/brassfall/sidecar/inbound.py
@@ -961,12 +961,15 @@
     @property
     def unfinished(self) -> bool:
         """Whether a request is still coming, or the rest of an answer still going."""
+        if self._listener is not None and self._listener.finishing:
+            return True
         return any(connection.unfinished for connection in self._connections)
 
     @property
     def empty(self) -> bool:
         """Whether all connections are closed, those included that are only just accepted."""
-        return not (self._connections or self._leaving or self._coming)
+        finishing = self._listener is not None and self._listener.finishing
+        return not (finishing or self._connections or self._leaving or self._coming)
 
     @property
     def _coming(self) -> int:
--- a/brassfall/sidecar/listener.py
+++ b/brassfall/sidecar/listener.py
@@ -7,6 +7,7 @@
 import errno
 import socket
 from collections.abc import Callable
+from enum import Enum, auto
 
 from brassfall.sidecar.config import Address
 
@@ -18,6 +19,17 @@
 # Where the owner has no room for more: what it closes for them is closed within a turn or two.
 SOON_S = 0.002
 NO_ROOM = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+# At the end the last connections are accepted for so long at most, where the system has no room for them.
+FINISH_S = 3.0
+
+
+class Accept(Enum):
+    """What one call of `accept` came to."""
+
+    CONNECTION = auto()
+    NONE_WAITS = auto()
+    BROKEN = auto()  # one that broke as it waited, or an interrupted call: others may wait behind it
+    NO_ROOM = auto()  # for one more descriptor, at this moment
 
 
 def bound(address: Address, backlog: int = BACKLOG) -> socket.socket:
@@ -67,6 +79,7 @@
         self._no_room = no_room  # told that no descriptor is left
         self._begun: set[asyncio.Task[object]] = set()
         self._again: asyncio.TimerHandle | None = None
+        self._finish_by: float | None = None  # by the loop's time, once `finish` was called
         sock.setblocking(False)
         loop.add_reader(sock.fileno(), self._accept)
 
@@ -96,11 +109,36 @@
 
     def finish(self) -> None:
         """Accept what waits, and then no more. Guards against a reset of connections that clients
-        hold for open, and have sent on, and that only the system has accepted."""
-        with contextlib.suppress(OSError):
-            while self.open and self._left > 0 and self._take():
-                pass
-        self.close()
+        hold for open, and have sent on, and that only the system has accepted.
+
+        Returns after the first look. Where accepting fails, or the owner may hold no more, it goes on by
+        itself, `finishing` meanwhile, and closes once nothing waits or `FINISH_S` is over."""
+        if self.open and not self.finishing:
+            self._finish_by = self._loop.time() + FINISH_S
+            self._loop.remove_reader(self._sock.fileno())
+            self._accept_rest()
+
+    @property
+    def finishing(self) -> bool:
+        """Whether it still accepts what waited as `finish` was called."""
+        return self._finish_by is not None and self.open
+
+    def _accept_rest(self) -> None:
+        assert self._finish_by is not None
+        failed = 0
+        while self._left > 0 and failed < BATCH:
+            outcome = self._take()
+            if outcome is Accept.NONE_WAITS:
+                self.close()
+                return
+            if outcome is Accept.NO_ROOM:
+                self._no_room()
+                break
+            failed += outcome is Accept.BROKEN
+        if self._loop.time() >= self._finish_by:
+            self.close()
+        else:
+            self._pause(SOON_S, self._accept_rest)
 
     @property
     def _left(self) -> int:
@@ -110,10 +148,10 @@
     def _accept(self) -> None:
         left = self._left
         for taken in range(min(BATCH, left)):
-            try:
-                if not self._take():
-                    return
-            except OSError:
+            outcome = self._take()
+            if outcome is Accept.NONE_WAITS:
+                return
+            if outcome is Accept.NO_ROOM:
                 # The system says so before it looks whether one more waits: only the first surely does.
                 if not taken:
                     self._rest(AGAIN_S)
@@ -122,16 +160,14 @@
         if left <= 0 and not self._begun:
             self._rest(SOON_S)
 
-    def _take(self) -> bool:
-        """Accept one, and whether that went well; `OSError` where no descriptor is left."""
+    def _take(self) -> Accept:
+        """Accept one connection, if one waits and there is a descriptor for it."""
         try:
             sock, _ = self._sock.accept()
-        except (BlockingIOError, InterruptedError, ConnectionAbortedError):
-            return False
+        except BlockingIOError:
+            return Accept.NONE_WAITS
         except OSError as error:
-            if error.errno in NO_ROOM:
-                raise
-            return False  # a connection that broke while it waited
+            return Accept.NO_ROOM if error.errno in NO_ROOM else Accept.BROKEN
         sock.setblocking(False)
         # asyncio does so only where the listening socket was made with a protocol's number.
         with contextlib.suppress(OSError):
@@ -139,11 +175,16 @@
         task = self._loop.create_task(self._loop.connect_accepted_socket(self._made, sock))
         self._begun.add(task)
         task.add_done_callback(self._done)
-        return True
+        return Accept.CONNECTION
 
     def _rest(self, pause: float) -> None:
         self._loop.remove_reader(self._sock.fileno())
-        self._again = self._loop.call_later(pause, self._resume)
+        self._pause(pause, self._resume)
+
+    def _pause(self, pause: float, then: Callable[[], None]) -> None:
+        if self._again is not None:
+            self._again.cancel()
+        self._again = self._loop.call_later(pause, then)
 
     def _done(self, task: asyncio.Task[object]) -> None:
         self._begun.discard(task)
--- a/tests/test_crossings_shutdown.py
+++ b/tests/test_crossings_shutdown.py
@@ -4,6 +4,7 @@
 
 import asyncio
 import contextlib
+import errno
 import json
 import os
 import resource
@@ -16,7 +17,7 @@
 import pytest
 
 from brassfall.sidecar import __main__ as main
-from brassfall.sidecar import inbound
+from brassfall.sidecar import inbound, listener
 from brassfall.sidecar.config import parse_address
 from tests.loopback import (
     OK,
@@ -34,6 +35,7 @@
     until,
 )
 from tests.processes import ROOT, Process, environment, free_port, start_fails
+from tests.system_calls import ACCEPT_ERRORS, Faults
 
 
 def held(made):
@@ -158,6 +160,11 @@
         sock.close()
 
 
+def of_clients(made):
+    """Matches the socket on which a sidecar accepts its clients."""
+    return lambda sock: sock.getsockname() == made.address
+
+
 @pytest.fixture
 def at_once(monkeypatch):
     """Nothing is waited for at the end."""
@@ -189,6 +196,82 @@
             assert (answer.body, answer.headers["connection"]) == (b"done", "close")
 
 
+FAILED_ACCEPTS = {
+    **{errno.errorcode[number]: (None, number) for number in ACCEPT_ERRORS},
+    "many that broke": (None, *(errno.ECONNABORTED,) * 100, None, errno.EPROTO),
+    "no descriptor for a while": (None, *(errno.EMFILE, errno.ENFILE) * 10),
+}
+
+
+@pytest.mark.parametrize("failed", FAILED_ACCEPTS)
+@loopback
+async def test_what_waits_behind_a_failed_accept_is_answered_before_the_end(at_once, failed):
+    # One failed accept had the listening socket closed, and all that waited behind it was reset.
+    upstream = await Upstream([OK]).start()
+    async with running(upstream) as made:
+        made.inbound._listener._rest(PATIENCE_S)  # it accepts nothing by itself
+        crossed = connected(made.address, 4)
+        for sock in crossed:
+            sock.sendall(request())
+        with Faults() as faults:
+            faults.script("accept", *FAILED_ACCEPTS[failed], on=of_clients(made))
+            await made.drain()
+        made.close()
+        assert faults.injected.total() == sum(result is not None for result in FAILED_ACCEPTS[failed])
+        for sock in crossed:
+            answer = await answer_to(sock)
+            assert (answer.body, answer.headers["connection"]) == (b"done", "close")
+
+
+@loopback
+async def test_what_waits_for_room_at_the_end_is_accepted_once_there_is_some(at_once):
+    release = asyncio.Event()
+
+    async def wait(reader, writer):
+        await release.wait()
+        return OK
+
+    upstream = await Upstream([wait]).start()
+    async with running(upstream) as made:
+        made.inbound._listener._room = lambda: 3 - len(held(made))
+        made.inbound._listener._rest(PATIENCE_S)
+        crossed = connected(made.address, 5)
+        for sock in crossed:
+            sock.sendall(request())
+        end = asyncio.create_task(made.drain())
+        await until(lambda: len(upstream.seen) == 3)
+        release.set()
+        await end
+        made.close()
+        for sock in crossed:
+            assert (await answer_to(sock)).body == b"done"
+
+
+@loopback
+async def test_the_end_does_not_wait_for_ever_for_what_can_not_be_accepted(at_once, monkeypatch):
+    monkeypatch.setattr(listener, "FINISH_S", 0.05)
+    async with running() as made:
+        with Faults() as faults:
+            faults.share("accept", 1.0, (errno.ENFILE,), on=of_clients(made))
+            await made.drain()
+        assert faults.injected["accept", errno.ENFILE] > 1 and made.inbound.empty
+
+
+@loopback
+async def test_while_it_serves_failed_accepts_lose_nobody(monkeypatch):
+    monkeypatch.setattr(listener, "AGAIN_S", 0.001)
+    upstream = await Upstream([OK]).start()
+    async with running(upstream) as made:
+        with Faults(seed=7) as faults:
+            faults.share("accept", 0.5, ACCEPT_ERRORS, on=of_clients(made))
+            crowd = connected(made.address, 60)
+            for sock in crowd:
+                sock.sendall(request(Connection="close"))
+            answers = [await answer_to(sock) for sock in crowd]
+        assert {answer.body for answer in answers} == {b"done"}
+        assert {number for _, number in faults.injected} == set(ACCEPT_ERRORS)
+
+
 @loopback
 async def test_clients_are_told_of_the_end_with_an_answer_while_new_ones_are_still_taken(monkeypatch):
     for name in ("STILL_LISTEN_S", "LAST_ANSWERS_S"):
