--- a/brassfall/sidecar/__main__.py
+++ b/brassfall/sidecar/__main__.py
@@ -19,6 +19,7 @@
 from brassfall.sidecar.handover import Seat
 from brassfall.sidecar.inbound import Inbound
 from brassfall.sidecar.lifecycle import Lifecycle, State
+from brassfall.sidecar.listener import once_there_is_room
 from brassfall.sidecar.outbound import Pool
 from brassfall.sidecar.peers import Peers
 
@@ -111,9 +112,8 @@
 
     async def start(self) -> Address:
         """Be ready: the known list is taken in before the first request; where it listens."""
-        if self._told.operator is not None:
-            self.door.listen(self._told.operator)
-        await self.peers.listen(self._loop)
+        await once_there_is_room(self._listen_to_operators)
+        await once_there_is_room(lambda: self.peers.listen(self._loop))
         self.driver.connect(self.pool, self.discovery, self.peers)
         self.discovery.start()
         if self.member is not None:
@@ -124,12 +124,19 @@
             await asyncio.gather(self.discovery.first_answer(FIRST_LIST_S), asyncio.sleep(LOOK_S))
         else:
             await self.discovery.first_call(FIRST_CALL_S)
-        address = self.inbound.listen(self._told.listen, self._told.inherited)
+        address = await once_there_is_room(self._listen_to_clients)
         self.life.serve()
         if self._file_changed:
             self.reload(os.environ)
         return address
 
+    async def _listen_to_operators(self) -> None:
+        if self._told.operator is not None:
+            self.door.listen(self._told.operator)
+
+    async def _listen_to_clients(self) -> Address:
+        return self.inbound.listen(self._told.listen, self._told.inherited)
+
     def _share(self) -> bool:
         """Hold half of all while another process of this sidecar lives; whether one does."""
         shared = self.seat is not None and self.seat.shared()
--- a/brassfall/sidecar/listener.py
+++ b/brassfall/sidecar/listener.py
@@ -6,8 +6,9 @@
 import contextlib
 import errno
 import socket
-from collections.abc import Callable
+from collections.abc import Awaitable, Callable
 from enum import Enum, auto
+from typing import TypeVar
 
 from brassfall.sidecar.config import Address
 
@@ -21,6 +22,10 @@
 NO_ROOM = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 # At the end the last connections are accepted for so long at most, where the system has no room for them.
 FINISH_S = 3.0
+# A start waits for so long for the system to have room for a socket.
+START_S = 3.0
+
+T = TypeVar("T")
 
 
 class Accept(Enum):
@@ -32,6 +37,21 @@
     NO_ROOM = auto()  # for one more descriptor, at this moment
 
 
+async def once_there_is_room(listen: Callable[[], Awaitable[T]]) -> T:
+    """Begin to listen, again for up to `START_S` where the system has no room for a socket just then.
+
+    Raises the last `OSError` after that, and every other one at once."""
+    loop = asyncio.get_running_loop()
+    until = loop.time() + START_S
+    while True:
+        try:
+            return await listen()
+        except OSError as error:
+            if error.errno not in NO_ROOM or loop.time() >= until:
+                raise
+        await asyncio.sleep(AGAIN_S)
+
+
 def bound(address: Address, backlog: int = BACKLOG) -> socket.socket:
     """A new socket that listens on an address."""
     family = socket.AF_INET6 if ":" in address.host else socket.AF_INET
@@ -79,6 +99,7 @@
         self._no_room = no_room  # told that no descriptor is left
         self._begun: set[asyncio.Task[object]] = set()
         self._again: asyncio.TimerHandle | None = None
+        self._lacked = False  # room for a descriptor, as it last tried
         self._finish_by: float | None = None  # by the loop's time, once `finish` was called
         sock.setblocking(False)
         loop.add_reader(sock.fileno(), self._accept)
@@ -132,7 +153,7 @@
                 self.close()
                 return
             if outcome is Accept.NO_ROOM:
-                self._no_room()
+                self._lacks_room()
                 break
             failed += outcome is Accept.BROKEN
         if self._loop.time() >= self._finish_by:
@@ -155,11 +176,18 @@
                 # The system says so before it looks whether one more waits: only the first surely does.
                 if not taken:
                     self._rest(AGAIN_S)
-                    self._no_room()
+                    self._lacks_room()
                 return
         if left <= 0 and not self._begun:
             self._rest(SOON_S)
 
+    def _lacks_room(self) -> None:
+        """The owner makes room where there is none for a second time: what was short for a moment only
+        closes nobody's connection."""
+        if self._lacked:
+            self._no_room()
+        self._lacked = True
+
     def _take(self) -> Accept:
         """Accept one connection, if one waits and there is a descriptor for it."""
         try:
@@ -168,6 +196,7 @@
             return Accept.NONE_WAITS
         except OSError as error:
             return Accept.NO_ROOM if error.errno in NO_ROOM else Accept.BROKEN
+        self._lacked = False
         sock.setblocking(False)
         # asyncio does so only where the listening socket was made with a protocol's number.
         with contextlib.suppress(OSError):
--- a/tests/test_crossings_shutdown.py
+++ b/tests/test_crossings_shutdown.py
@@ -257,6 +257,25 @@
         assert faults.injected["accept", errno.ENFILE] > 1 and made.inbound.empty
 
 
+@loopback
+async def test_a_descriptor_that_is_not_there_for_a_moment_costs_nobody_a_connection(monkeypatch):
+    monkeypatch.setattr(inbound, "QUIET_MS", 0.0)
+    upstream = await Upstream([OK]).start()
+    async with running(upstream) as made:
+        resting = await App.connect(made.address)
+        await resting.ask()
+        (connection,) = held(made)
+        for lacks, closes in ((1, False), (2, True)):
+            with Faults() as faults:
+                faults.script("accept", *(errno.ENFILE,) * lacks, on=of_clients(made))
+                (new,) = connected(made.address, 1)
+                await until(lambda lacks=lacks, found=faults: found.injected.total() == lacks)
+            new.sendall(request(Connection="close"))
+            assert (await answer_to(new)).body == b"done"
+            assert (connection not in held(made)) == closes
+        resting.close()
+
+
 @loopback
 async def test_while_it_serves_failed_accepts_lose_nobody(monkeypatch):
     monkeypatch.setattr(listener, "AGAIN_S", 0.001)
