--- a/brassfall/sidecar/inbound.py
+++ b/brassfall/sidecar/inbound.py
@@ -44,7 +44,7 @@
 SENT_AWAY_S = 1.0
 SENT_AWAY_SWEEP_S = 0.1
 FIRST_MS = 100.0  # a connection that has just come is left alone for so long: its request follows
-STILL_COMING_MS = 700.0  # at the end, a request of which nothing came for so long is not awaited
+STILL_COMING_MS = 700.0  # a request of which nothing came for so long has been left half sent
 # Clients use other classes 1.2 s after a reload, and come again until their time is over.
 LEARNED_S, CLASSES_BEFORE_S = 1.2, 4.0
 LOOK_S = 0.05  # a client that closes has gone; while nothing is read here, only a look shows it
@@ -361,7 +361,7 @@
         self._behind = False  # so many requests wait for their answers that no more are read
         self._shut = False  # its last answer is out, and what comes now is left unread
         self._cut_short = False  # a request was answered of which there is more to come, or that is none
-        self._waits_from = 0.0
+        self._waits_from = self._resumed_at = 0.0  # by the loop's time, when reading last paused and went on
         self._lay_here = True  # what is read next may have come long ago
         self._look: asyncio.TimerHandle | None = None  # for a close, while nothing is read
         self._deaf = False  # nothing more is read as a request
@@ -517,7 +517,8 @@
         if not self._holds_back:
             self._stop_looking()
             self._lay_here = True
-            self._begun_at += self._inbound.loop.time() - self._waits_from
+            self._resumed_at = self._inbound.loop.time()
+            self._begun_at += self._resumed_at - self._waits_from
             self._transport.resume_reading()
         elif self._look is None:
             self._waits_from = self._inbound.loop.time()
@@ -862,6 +863,11 @@
         self._half_sent = None
         size = self._message.size if self._message is not None else 0
         until = self._begun_at + HALF_SENT_S + size / BODY_BYTES_PER_S
+        if self._message is not None and not self.readable:
+            # More time comes with each byte to a client that goes on sending, and not to one that stopped.
+            heard_at = max(self._inbound.clock.at(self._read_at), self._resumed_at)
+            stopped = heard_at + STILL_COMING_MS / 1000.0
+            until = min(until, max(stopped, self._begun_at + HALF_SENT_S))
         if self._holds_back:
             until += self._inbound.loop.time() - self._waits_from + CLOCK_STEP_S * 100.0
         if until > self._inbound.loop.time() + CLOCK_STEP_S:
--- a/tests/test_sidecar_requests.py
+++ b/tests/test_sidecar_requests.py
@@ -324,6 +324,42 @@
         assert (await app.answer()).body == b"done"
 
 
+@pytest.mark.parametrize("size", [1, 60_000, 200_000, 1_000_000])
+@loopback
+async def test_a_client_that_stops_within_a_body_is_told_within_3_s(size):
+    # More time came with each byte: after 60,000 it was 4.4 s, after 200,000 8.8 s.
+    upstream = await Upstream([hang]).start()
+    loop = asyncio.get_running_loop()
+    async with running(upstream) as sidecar:
+        app = await App.connect(sidecar.address)
+        begun = loop.time()
+        app.writer.write(partners.request("POST", "/pay", b"x" * (size + 1))[:-1])
+        assert status_of(await app.answer()) == 408
+        assert loop.time() - begun < 3.0
+        assert await app.answer() is None
+        app.close()
+
+
+@loopback
+async def test_a_client_whose_body_was_not_read_for_long_has_time_to_go_on(monkeypatch):
+    monkeypatch.setattr(inbound, "HALF_SENT_S", 0.1)
+    monkeypatch.setattr(inbound, "STILL_COMING_MS", 200.0)
+    upstream = await Upstream([OK]).start()
+    async with running(upstream) as sidecar:
+        app = await App.connect(sidecar.address)
+        whole = partners.request("POST", "/pay", b"x" * 60_000)
+        app.writer.write(whole[:-1])
+        await until(lambda: any(c.begun for c in sidecar.inbound._connections))
+        (connection,) = sidecar.inbound._connections
+        connection.pause()
+        await asyncio.sleep(0.5)  # as long as a server takes nothing, say
+        connection.resume()
+        await asyncio.sleep(0.1)
+        app.writer.write(whole[-1:])
+        assert (await app.answer()).body == b"done"
+        app.close()
+
+
 @loopback
 async def test_a_request_that_is_mostly_framing_is_turned_away():
     # An endless trailer is no body, so neither bound on head and body meets it.
