--- a/brassfall/sidecar/inbound.py
+++ b/brassfall/sidecar/inbound.py
@@ -109,6 +109,11 @@
         """Whether its body is still coming."""
         return self.body is not None and not self.body.complete
 
+    def client_left(self) -> bool:
+        """Whether its client has closed the connection, though the loop may not have told so yet: it looks
+        at the socket. Nothing that has not begun may be begun then."""
+        return self.connection.hung_up()
+
     def read(self, message: Message, names: Names, kept_back: frozenset[bytes]) -> None:
         """Take in a request for servers, without some headers; `BadRequest` says what is wrong with it."""
         kind = _class_of(message, names)
@@ -560,6 +565,19 @@
         self._leave()
         return True
 
+    def hung_up(self) -> bool:
+        """Whether its client is gone by now; if so, the requests here are told of it in the next turn."""
+        if self._lost:
+            return True
+        gone = framing.hung_up(self._transport)
+        if gone and not self._deaf:
+            self._inbound.loop.call_soon(self._leave_unless_lost)
+        return gone
+
+    def _leave_unless_lost(self) -> None:
+        if not self._lost:
+            self._leave()
+
     def _leave(self) -> None:
         """Its client is gone, though answers may still be on their way: nothing that waits is sent on."""
         self._deaf = True
--- a/tests/test_crossings_inbound.py
+++ b/tests/test_crossings_inbound.py
@@ -12,6 +12,7 @@
 from brassfall.balancer.model import Refuse, Send, Timer
 from brassfall.sidecar import framing, inbound
 from tests import loopback as partners
+from tests import system_calls
 from tests.loopback import (
     OK,
     PATIENCE_S,
@@ -24,6 +25,7 @@
     small_buffers,
     until,
 )
+from tests.system_calls import Faults
 
 LARGE = b"x" * 3_000_000
 LONG = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(LARGE) + LARGE
@@ -297,6 +299,78 @@
         await nothing_left(sidecar)
 
 
+@LEAVE
+@loopback
+async def test_a_request_knows_that_its_client_left_before_the_loop_has_told_so(leave):
+    module = Later()
+    async with running(balancer=module) as sidecar:
+        app = await App.connect(sidecar.address)
+        connection = await connection_of(sidecar)
+        app.send("POST", "/pay", b"x")
+        await until(lambda: module.named("request"))
+        (exchange,) = connection._waiting
+        assert not exchange.client_left()
+        leave(app)
+        if leave is not end_sending:
+            await asyncio.sleep(0)  # its own end closes a turn later
+        assert exchange.client_left() and not module.named("client_gone")
+        await until(lambda: module.named("client_gone"))
+        assert len(module.named("client_gone")) == 1
+        assert exchange.client_left()
+        app.close()
+        await nothing_left(sidecar)
+
+
+@pytest.mark.parametrize("number", system_calls.BROKEN)
+@pytest.mark.parametrize("call", ["recv", "send"])
+@loopback
+async def test_a_broken_connection_is_a_client_that_left_whatever_the_error(number, call, caplog):
+    release = asyncio.Event()
+
+    async def wait(reader, writer):
+        await release.wait()
+        return OK
+
+    upstream = await Upstream([wait]).start()
+    async with running(upstream) as sidecar:
+        app = await App.connect(sidecar.address)
+        connection = await connection_of(sidecar)
+        app.send()
+        await until(lambda: upstream.seen)
+        with Faults() as faults:
+            port = app.writer.get_extra_info("sockname")[1]
+            faults.script(call, number, on=lambda sock: sock.getpeername()[1] == port)
+            app.writer.write(b"GET") if call == "recv" else release.set()
+            await until(lambda: faults.injected[call, number] == 1)
+            await until(lambda: connection not in sidecar.inbound._connections)
+        release.set()
+        await nothing_left(sidecar)
+        other = await App.connect(sidecar.address)
+        assert (await other.ask()).body == b"done"
+        app.close()
+        other.close()
+        assert not caplog.records
+
+
+@loopback
+async def test_reads_and_writes_of_one_byte_change_nothing_of_what_is_said():
+    upstream = await Upstream([OK]).start()
+    async with running(upstream) as sidecar:
+        with Faults() as faults:
+            for call in ("recv", "send"):
+                faults.shorten(call, 1)
+            app = await App.connect(sidecar.address)
+            app.send()
+            app.send("POST", "/pay", b"hello")
+            app.writer.write(b"GARBAGE\r\n\r\n")
+            answers = [await app.answer() for _ in range(3)]
+        assert [status_of(answer) for answer in answers] == [200, 200, 400]
+        assert [answer.body for answer in answers[:2]] == [b"done", b"done"]
+        assert [seen.body for seen in upstream.seen] == [b"", b"hello"]
+        app.close()
+        await nothing_left(sidecar)
+
+
 # --- answers that end their connection ----------------------------------------------------
 
 
