--- /dev/null
+++ b/tests/test_stored_data.py
@@ -0,0 +1,96 @@
+"""A data folder of the version of 2026-12-02 is read to the same rows, answers and changes.
+
+`tests/data/registry-folder` was copied from a running list service, as a kill would have left it: a snapshot,
+the records before and after it, and a write-ahead log that was never copied into the database file.
+`expected.json` is what that version itself read from the folder.
+"""
+
+from __future__ import annotations
+
+import json
+import shutil
+from pathlib import Path
+
+import aiohttp
+import msgspec
+import pytest
+
+from brassfall.controlplane.overrides import book as books
+from brassfall.controlplane.overrides.history import TABLE, Entry, Ring
+from brassfall.controlplane.registry.server import Service
+from brassfall.controlplane.store.log import FILE, Log
+from brassfall.settings import RegistrySettings
+from tests.loopback import bounded
+
+STORED = Path(__file__).parent / "data" / "registry-folder"
+EXPECTED = json.loads((STORED / "expected.json").read_text())
+
+
+@pytest.fixture
+def folder(tmp_path):
+    """A copy of the folder, which a test may write to."""
+    copy = tmp_path / "registry"
+    copy.mkdir()
+    for name in (FILE, f"{FILE}-wal"):
+        shutil.copy(STORED / name, copy / name)
+    return copy
+
+
+def test_rows_answers_and_changes_are_those_that_were_written(folder):
+    log = Log(folder)
+    loaded = log.load()
+    log.close()
+    table = loaded.table
+    assert (table.index, table.at) == (EXPECTED["index"], EXPECTED["at"])
+    assert loaded.records == EXPECTED["records_since_snapshot"]
+    rows = {name: [msgspec.to_builtins(row) for row in table.rows(name)] for name in table.names}
+    assert rows == EXPECTED["rows"]
+    answers = {name: msgspec.to_builtins(table.answer(name)) for name in EXPECTED["answers"]}
+    assert answers == EXPECTED["answers"]
+    changes = {}
+    for name in table.names:
+        found = table.since(name, EXPECTED["changes_after"])
+        changes[name] = found and [
+            [change.row.key, change.row.version, change.index, change.gone] for change in found
+        ]
+    assert changes == EXPECTED["changes"]
+
+
+def test_overrides_and_their_history_are_in_force_as_they_were(folder):
+    log = Log(folder)
+    table = log.load().table
+    log.close()
+    marked = table.get("overrides-clock", "mark").value["mark"]
+    book = books.Book(Ring())
+    history = [row.value for row in table.rows(TABLE)]
+    assert book.restore(((row.key, row.value) for row in table.rows(books.TABLE)), history) == []
+    assert [(found.id, found.by, found.rev) for found in book.active(marked)] == [
+        ("freeze-right", "ana", EXPECTED["rows"]["overrides"][0][2]["rev"])
+    ]
+    entries = [(msgspec.convert(value, Entry).kind, value["id"]) for value in history]
+    assert entries == [("started", "freeze-left"), ("started", "freeze-right"), ("ended", "freeze-left")]
+
+
+@bounded(30.0)
+async def test_the_service_starts_on_the_folder_and_goes_on(folder):
+    service = Service(RegistrySettings(listen="127.0.0.1:0", data=str(folder)))
+    listen = await service.start()
+    try:
+        async with aiohttp.ClientSession() as session:
+
+            async def get(path):
+                async with session.get(f"http://{listen}{path}") as response:
+                    assert response.status == 200
+                    return await response.json()
+
+            instances = (await get("/registry/instances"))["endpoints"]
+            assert [row["name"] for row in instances] == [row[0] for row in EXPECTED["rows"]["instances"]]
+            state = EXPECTED["rows"]["rules"][0][2]
+            assert (await get("/rules"))["edition"] == state["committed"]["number"]
+            # A repeat of a call that was answered then gets the same answer, and changes nothing.
+            url, headers = f"http://{listen}/tables/flags/f0", {"X-Request-Id": "flag-0"}
+            async with session.put(url, json="other", headers=headers) as response:
+                assert (await response.json())["index"] == EXPECTED["answers"]["flag-0"][1]
+            assert (await get("/tables/flags/f0"))["value"] == EXPECTED["rows"]["flags"][0][2]
+    finally:
+        await service.close()
