--- a/brassfall/controlplane/store/store.py
+++ b/brassfall/controlplane/store/store.py
@@ -7,9 +7,10 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import secrets
 import time
-from collections.abc import Callable, Iterable
+from collections.abc import Callable
 from concurrent.futures import ThreadPoolExecutor
 from dataclasses import dataclass, field
 
@@ -26,11 +27,15 @@
     Table,
 )
 from brassfall.controlplane.store.leases import Guard, Leases
-from brassfall.controlplane.store.log import Log, LogError
+from brassfall.controlplane.store.log import Log, LogError, LogOutcomeUnknownError
 from brassfall.errors import Unavailable
 from brassfall.logs import logger
 
 LOOK_S = 0.1
+SETTLE_LEAST_S, SETTLE_MOST_S = 0.05, 1.0  # between two tries to learn an outcome; doubled each time
+UNKNOWN_AFTER_S = 1.0  # so long a caller waits for an outcome before it is told that it is unknown
+COMPACT_AGAIN_S = 10.0  # after a snapshot that failed
+STOPPING = "the service is stopping"
 Told = Callable[[str, Change], None]
 
 log = logger("table")
@@ -42,6 +47,44 @@
     action = "Send it again after the time told; where that goes on, look at the disk of the list service."
 
 
+class OutcomeUnknownError(Unavailable):
+    """Whether a write has happened isn't known yet (503); repeat it with the same X-Request-Id."""
+
+    action = (
+        "It may have happened. Repeat it with the same X-Request-Id, which never carries it out twice, or "
+        "read what is there when the disk of the list service is back."
+    )
+    slug = "outcome unknown"
+
+
+@dataclass(slots=True)
+class Write:
+    """A command on its way, and who waits for its result."""
+
+    command: Command
+    future: asyncio.Future[Result]
+    until_settled: bool
+
+
+@dataclass(slots=True)
+class Unsettled:
+    """A batch whose commit failed, and may be in the file all the same; `again_at` in loop time."""
+
+    records: list[Record]
+    decided: list[tuple[Write, Result]]
+    reason: str
+    pause_s: float = SETTLE_LEAST_S
+    again_at: float = 0.0
+
+    def same(self, write: Write) -> Result | None:
+        """What was decided on the write that this one repeats."""
+        wanted = write.command.request_id
+        for earlier, result in self.decided:
+            if wanted and earlier.command.request_id == wanted:
+                return result
+        return None
+
+
 @dataclass(slots=True)
 class Figures:
     """What the store has done since its start."""
@@ -94,7 +137,10 @@
         self._log = journal
         self._options = options
         self._told = told
-        self._queue: list[tuple[Command, asyncio.Future[Result]]] = []
+        self._queue: list[Write] = []
+        self._unsettled: Unsettled | None = None
+        self._stopping = False
+        self._compact_at = 0.0  # no snapshot before, in monotonic ms
         self._work = asyncio.Event()
         self._thread = ThreadPoolExecutor(1, "table-log")
         self._tasks: list[asyncio.Task[None]] = []
@@ -113,7 +159,10 @@
         return time.monotonic() * 1000.0
 
     async def start(self) -> None:
-        """Read the log and begin a life; `LogError` if that can't be done."""
+        """Read the log and begin a life.
+
+        `LogUnavailableError` or `LogOutcomeUnknownError` while the disk fails: it may be called again, and
+        then reads all anew. Another `LogError` where only an operator can help."""
         loop = asyncio.get_running_loop()
         loaded = await loop.run_in_executor(self._thread, self._log.load, self._options.ring)
         self.table = loaded.table
@@ -121,7 +170,11 @@
         self._base_ms = self.table.at - self.now()
         floor = life_floor(time.time(), self.table.index, secrets.randbits(30))
         life = self.table.life(floor, self._at())
-        await loop.run_in_executor(self._thread, self._log.append, [life])
+        try:
+            await loop.run_in_executor(self._thread, self._log.append, [life])
+        except LogError:
+            self._log.close()  # what is in the file is read anew by the next try
+            raise
         self.table.absorb([life])
         self.life = life.index
         grace = self._options.restart_grace_ms
@@ -133,27 +186,33 @@
         self._tasks = [loop.create_task(self._write()), loop.create_task(self._look())]
 
     async def close(self) -> None:
-        """Stop; writes that wait are refused."""
-        for task in self._tasks:
-            task.cancel()
-        await asyncio.gather(*self._tasks, return_exceptions=True)
-        for _, future in self._queue:
-            if not future.done():
-                future.set_exception(NotWritten("the service is stopping"))
+        """Stop: the batch that is being written is answered, writes that wait are refused."""
+        self._stopping = True
+        self._work.set()
+        if self._tasks:
+            writer, looker = self._tasks
+            looker.cancel()
+            await asyncio.gather(writer, looker, return_exceptions=True)
+        for write in self._queue:
+            self._refuse(write, STOPPING)
         self._queue = []
+        if self._unsettled is not None:
+            for write, _ in self._unsettled.decided:
+                _fail(write, OutcomeUnknownError(STOPPING, self._unsettled.reason))
         self._thread.shutdown()
         self._log.close()
 
-    def submit(self, command: Command) -> asyncio.Future[Result]:
+    def submit(self, command: Command, *, until_settled: bool = True) -> asyncio.Future[Result]:
         """Have a command carried out; `NotWritten` where the disk or the queue is full.
 
         The answer comes when what was decided is durable. A caller that no longer waits for it does
-        not undo it."""
-        if len(self._queue) >= self._options.queue:
+        not undo it. Where a commit fails and can't be looked for in the file, the answer waits until the
+        disk is back; without `until_settled` it is `OutcomeUnknownError` after a second."""
+        if self._stopping or len(self._queue) >= self._options.queue:
             self.figures.refused += 1
-            raise NotWritten("too many writes wait for the disk")
+            raise NotWritten(STOPPING if self._stopping else "too many writes wait for the disk")
         future: asyncio.Future[Result] = asyncio.get_running_loop().create_future()
-        self._queue.append((command, future))
+        self._queue.append(Write(command, future, until_settled))
         self._work.set()
         return future
 
@@ -207,33 +266,58 @@
     # --- the disk -----------------------------------------------------------
 
     async def _write(self) -> None:
-        while True:
-            await self._work.wait()
+        while not self._stopping:
+            await self._wait_for_work()
             self._work.clear()
-            while self._queue:
+            if self._unsettled is not None:
+                await self._learn_outcome()
+            while self._queue and not self._stopping:
                 batch = self._queue[: self._options.batch]
                 del self._queue[: self._options.batch]
                 await self._commit(batch)
 
-    async def _commit(self, batch: list[tuple[Command, asyncio.Future[Result]]]) -> None:
+    async def _wait_for_work(self) -> None:
+        """Until something is to be written, or an outcome is to be asked for once more."""
+        if self._unsettled is None:
+            await self._work.wait()
+            return
+        with contextlib.suppress(TimeoutError):
+            async with asyncio.timeout_at(self._unsettled.again_at):
+                await self._work.wait()
+
+    async def _commit(self, batch: list[Write]) -> None:
         """Decide a batch, put it on the disk, then take it in, tell of it and answer."""
+        if self._unsettled is not None:
+            await self._learn_outcome()
+        if self._unsettled is not None:
+            self._put_off(batch, self._unsettled)
+            return
         stage = self.table.stage(self._at())
-        answers = [(command, future, stage.run(command)) for command, future in batch]
+        decided = [(write, stage.run(write.command)) for write in batch]
         if stage.records:
             try:
                 await self._put_down(stage.records)
+            except LogOutcomeUnknownError as error:
+                self._outcome_unknown(error, Unsettled(stage.records, decided, error.told))
+                return
             except LogError as error:
-                self._failed(error, answers)
+                self._failed(error)
+                for write, _ in decided:
+                    self._refuse(write, error.told)
                 return
-            for table, change in self.table.absorb(stage.records):
-                self._told(table, change)
-        for command, future, result in answers:
-            if result.done:
-                self._settle(command, result)
-            if not future.done():
-                future.set_result(result)
+        self._take_in(stage.records, decided)
         await self._compact()
 
+    def _take_in(self, records: list[Record], decided: list[tuple[Write, Result]]) -> None:
+        """Records are durable: absorb them, tell of them, and answer their writers."""
+        for table, change in self.table.absorb(records):
+            self._told(table, change)
+        for write, result in decided:
+            if result.done:
+                self._settle(write.command, result)
+            if not write.future.done():
+                write.future.set_result(result)
+
     async def _put_down(self, records: list[Record]) -> None:
         loop = asyncio.get_running_loop()
         begun = loop.time()
@@ -241,20 +325,80 @@
         self.figures.commit_s += loop.time() - begun
         self.figures.commits += 1
         self.figures.writes += len(records)
+        self._disk_is_back()
+
+    def _disk_is_back(self) -> None:
         if self.figures.disk:
             log.info("disk is back")
             self.figures.disk = ""
 
-    def _failed(
-        self, error: LogError, answers: Iterable[tuple[Command, asyncio.Future[Result], Result]]
-    ) -> None:
+    def _failed(self, error: LogError) -> None:
         self.figures.failures += 1
         if not self.figures.disk:
             log.error("disk", reason=error.told, action=error.action)
         self.figures.disk = error.told
-        for _, future, _ in answers:
-            if not future.done():
-                future.set_exception(NotWritten(error.told))
+
+    # --- outcomes that are unknown --------------------------------------------
+
+    def _outcome_unknown(self, error: LogError, unsettled: Unsettled) -> None:
+        self._failed(error)
+        log.error("outcome unknown", reason=error.told, action=error.action, records=len(unsettled.records))
+        self._unsettled = unsettled
+        self._ask_again_later(unsettled)
+        for write, _ in unsettled.decided:
+            self._bound(write)
+
+    def _bound(self, write: Write) -> None:
+        """A caller that does not wait until the outcome is known is told so after a while."""
+        if not write.until_settled:
+            error = OutcomeUnknownError("the write may have happened", self.figures.disk)
+            asyncio.get_running_loop().call_later(UNKNOWN_AFTER_S, _fail, write, error)
+
+    @staticmethod
+    def _ask_again_later(unsettled: Unsettled) -> None:
+        unsettled.again_at = asyncio.get_running_loop().time() + unsettled.pause_s
+        unsettled.pause_s = min(SETTLE_MOST_S, 2.0 * unsettled.pause_s)
+
+    def _put_off(self, batch: list[Write], unsettled: Unsettled) -> None:
+        """Nothing is written while an outcome is unknown. Who repeats a write of that batch waits with it."""
+        for write in batch:
+            result = unsettled.same(write)
+            if result is not None:
+                unsettled.decided.append((write, result))
+                self._bound(write)
+            else:
+                self._refuse(write, unsettled.reason)
+
+    def _refuse(self, write: Write, reason: str) -> None:
+        """Nothing is written; but who repeats what was done before gets that answer, also now."""
+        first = self.table.answer(write.command.request_id) if write.command.request_id else None
+        if first is None:
+            _fail(write, NotWritten(reason))
+        elif not write.future.done():
+            write.future.set_result(first)
+
+    async def _learn_outcome(self) -> None:
+        """Ask the file, not too often, whether the batch is in it; then it is taken in, or refused."""
+        loop = asyncio.get_running_loop()
+        unsettled = self._unsettled
+        if unsettled is None or loop.time() < unsettled.again_at:
+            return
+        try:
+            there = await loop.run_in_executor(self._thread, self._log.settle)
+        except LogError as error:
+            unsettled.reason = self.figures.disk = error.told
+            self._ask_again_later(unsettled)
+            return
+        self._unsettled = None
+        self._disk_is_back()
+        log.info("outcome known", written=there, records=len(unsettled.records))
+        if there:
+            self.figures.commits += 1
+            self.figures.writes += len(unsettled.records)
+            self._take_in(unsettled.records, unsettled.decided)
+            return
+        for write, _ in unsettled.decided:
+            self._refuse(write, unsettled.reason)
 
     def _settle(self, command: Command, result: Result) -> None:
         """What a command that was carried out means for the lease of its row."""
@@ -274,13 +418,14 @@
 
     async def _compact(self) -> None:
         rows = sum(map(self.table.count, self.table.names))
-        if not self._log.due(rows):
+        if not self._log.due(rows) or self.now() < self._compact_at:
             return
         snapshot: Snapshot = self.table.dump()
         try:
             await asyncio.get_running_loop().run_in_executor(self._thread, self._log.compact, snapshot)
             self.figures.snapshots += 1
         except LogError as error:
+            self._compact_at = self.now() + COMPACT_AGAIN_S * 1000.0
             log.warning("no snapshot", reason=error.told, action=error.action)
 
     # --- leases ---------------------------------------------------------------
@@ -313,8 +458,13 @@
             if (await self.submit(command)).done:
                 self.figures.expired += 1
                 log.info("expired", table=table, key=row.key)
-        except NotWritten:
+        except Unavailable:
             if self.table.get(table, row.key) is row:
                 self._lease(table, row)
         finally:
             self._ending.pop(place, None)
+
+
+def _fail(write: Write, error: Unavailable) -> None:
+    if not write.future.done():
+        write.future.set_exception(error)
--- a/tests/test_table.py
+++ b/tests/test_table.py
@@ -280,7 +280,7 @@
             Log(folder).load()
     (tmp_path / "file").write_text("")
     with pytest.raises(LogError, match="file"):
-        Log(tmp_path / "file")
+        Log(tmp_path / "file").load()
 
 
 # --- leases ---------------------------------------------------------------------
