--- a/brassfall/controlplane/registry/front.py
+++ b/brassfall/controlplane/registry/front.py
@@ -82,8 +82,8 @@
         self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, self.limits.watch_bytes // 2)
 
     def unbind(self) -> None:
-        """Give the address back: what had to be begun before the calls has failed."""
-        if self._socket is not None:
+        """Give the address back where no calls are taken yet: what had to be begun before has failed."""
+        if self._socket is not None and self._server is None:
             self._socket.close()
 
     async def serve(self, routes: Iterable[web.RouteDef], after_heartbeat: Callable[[], None]) -> str:
@@ -120,6 +120,8 @@
         """Take no more calls, end the watches, and let calls under way be answered."""
         if self._server is not None:
             self._server.close()
+        else:
+            self.unbind()
         if self._heartbeat is not None:
             self._heartbeat.cancel()
         for channel in self.channels.values():
@@ -264,7 +266,8 @@
 
 
 async def run(served: Served, listen: str, part: str, **said: str) -> int:
-    """Run until SIGTERM or SIGINT; the exit status. `said` goes into the log beside `ready`."""
+    """Run until SIGTERM or SIGINT, also while it starts; the exit status. `said` goes into the log beside
+    `ready`."""
     # Threads of a log ask for the interpreter several times in each commit, and would wait 5 ms
     # for it each time while calls come in.
     sys.setswitchinterval(SWITCH_S)
@@ -273,7 +276,7 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         asyncio.get_running_loop().add_signal_handler(number, stop.set)
     try:
-        at = await served.start()
+        at = await _started(served, stop)
     except (BrassfallError, OSError) as failed:
         wrong = (
             failed
@@ -282,8 +285,23 @@
         )
         own.error("can't start", reason=wrong.told, action=wrong.action)
         return wrong.exit_status
-    own.info("ready", listen=at, **said)
-    await stop.wait()
+    if at is not None:
+        own.info("ready", listen=at, **said)
+        await stop.wait()
     own.info("stopping")
     await served.close()
     return 0
+
+
+async def _started(served: Served, stop: asyncio.Event) -> str | None:
+    """Where it listens; None where it was told to end before it had started."""
+    start = asyncio.ensure_future(served.start())
+    stopped = asyncio.ensure_future(stop.wait())
+    await asyncio.wait({start, stopped}, return_when=asyncio.FIRST_COMPLETED)
+    stopped.cancel()
+    if start.done():
+        return await start
+    start.cancel()
+    with contextlib.suppress(asyncio.CancelledError):
+        await start
+    return None
--- a/brassfall/controlplane/registry/overrides.py
+++ b/brassfall/controlplane/registry/overrides.py
@@ -86,6 +86,7 @@
     _waiting: dict[int, asyncio.Future[Override | None]] = field(default_factory=dict)
     _tasks: Tasks = field(default_factory=Tasks)
     _due: tuple[Override, ...] = ()
+    _marking: asyncio.Task[str] | None = None
     _publishing: bool = False
     _again_at: float = 0.0  # when what did not take effect is published once more
     _again_s: float = AGAIN_S
@@ -93,7 +94,9 @@
     _ask: set[str] = field(default_factory=set)  # and those that are asked for details
 
     async def start(self) -> None:
-        """Load what is durable; the first mark of the clock is durable before anything is answered."""
+        """Load what is durable; the first mark of the clock is durable before anything is answered.
+
+        `Unavailable` while the disk fails: it may be called again."""
         table = self.host.store.table
         ring = history.Ring()
         past = sorted(table.rows(history.TABLE), key=lambda row: row.key)
@@ -111,7 +114,7 @@
         for key in bad:
             log.error("unreadable", override=key, action="End it with `override end`, and write it anew.")
         self.reconciler.restore(row.value for row in past)
-        await self._mark()
+        await self.host.store.submit(self._mark(), until_settled=False)
         self._tasks.spawn(self._tick())
 
     async def close(self) -> None:
@@ -138,7 +141,8 @@
             match action:
                 case books.Store(ticket, override):
                     row = Put(table=books.TABLE, key=override.id, value=action.value)
-                    self._tasks.spawn(self._written(ticket, row))
+                    # With the time it is from: a start after a kill begins at no earlier one.
+                    self._tasks.spawn(self._written(ticket, row, self._mark()))
                 case books.Drop(ticket, name):
                     self._tasks.spawn(self._written(ticket, Delete(table=books.TABLE, key=name)))
                 case history.History():
@@ -194,15 +198,21 @@
             return str(error)
         return ""
 
-    async def _written(self, ticket: int, row: Command) -> None:
-        self._step(books.Written(ticket, await self._write([row])))
+    async def _written(self, ticket: int, *rows: Command) -> None:
+        self._step(books.Written(ticket, await self._write(rows)))
 
-    async def _mark(self) -> None:
+    def _mark(self) -> Put:
+        """The row that says what time it is."""
         at = _monotonic()
-        mark = self.clock.mark(at)
-        if mark is not None:
-            value = {"mark": mark, "at": at, "boot": _boot()}
-            await self._write([Put(table=CLOCK, key=MARK, value=value)])
+        value = {"mark": self.clock.now(at), "at": at, "boot": _boot()}
+        return Put(table=CLOCK, key=MARK, value=value)
+
+    def _mark_when_due(self) -> None:
+        """Marks are written beside the ticks, one at a time: a disk that hangs holds up no end by time."""
+        if self._marking is not None and not self._marking.done():
+            return
+        if self.clock.mark(_monotonic()) is not None:
+            self._marking = self._tasks.spawn(self._write([self._mark()]))
 
     async def _tick(self) -> None:
         while True:
@@ -212,7 +222,7 @@
                 self._compare(comparing.Look())
                 self._published()
             if self._due:
-                await self._mark()  # while nothing can be prolonged, time need not be kept
+                self._mark_when_due()  # while nothing can be prolonged, time need not be kept
 
     def _published(self) -> None:
         """Have the newest edition carry what is in force, whatever became of those before."""
--- a/brassfall/controlplane/registry/server.py
+++ b/brassfall/controlplane/registry/server.py
@@ -2,8 +2,9 @@
 
 from __future__ import annotations
 
+import asyncio
 import time
-from collections.abc import Callable
+from collections.abc import Awaitable, Callable
 from pathlib import Path
 from typing import Any
 
@@ -23,7 +24,7 @@
 from brassfall.controlplane.registry.watches import AGED_S, Channel, Form
 from brassfall.controlplane.store.core import Change, Command, Delete, Put, Result, Status
 from brassfall.controlplane.store.leases import Guard
-from brassfall.controlplane.store.log import Log
+from brassfall.controlplane.store.log import Log, LogOutcomeUnknownError, LogUnavailableError
 from brassfall.controlplane.store.store import Options, Store
 from brassfall.errors import Refused, Unavailable
 from brassfall.logs import logger
@@ -31,6 +32,8 @@
 
 MORE_ROOM = "Delete what is not needed, or raise the limit in the service's configuration."
 HELD = "X-Held-Index"  # a caller of the whole list says here which one it holds
+STARTING = "the service is starting"
+START_AGAIN_S, START_AGAIN_MOST_S = 0.2, 5.0  # between tries to start on a disk that fails; doubled each time
 ANSWERED = {Status.DONE: 200, Status.MISSING: 404, Status.CONFLICT: 409, Status.STALE: 412}
 
 log = logger("registry")
@@ -62,25 +65,66 @@
         self.rules.riders += [self.overrides, self.geo]
         self.aggregators = Aggregators(self, self.rules, self.overrides, self.geo)
         self.started = time.monotonic()
+        self._listen = ""
+        self._not_started = STARTING  # why calls can't be answered yet
         self._gathering_until = 0.0
         self._evidence = False  # somebody knows an index of a life that this table has forgotten
 
     async def start(self) -> str:
-        """Load the table and take calls; where. `LogError` or `OSError` if that can't be done."""
+        """Load the table and take calls; where.
+
+        While the disk fails it goes on trying, and `/health/ready` says why. `LogError` where only an
+        operator can help, `OSError` where the address can't be had. Cancelling gives the address back."""
         self.front.bind(self.settings.listen)
         try:
-            await self.store.start()
+            await self._until_disk_works(self.store.start)
+            limits = self.settings.limits
+            self.rules.start(limits.watch_bytes, limits.watch_stuck_ms / 1000.0)
+            await self._until_disk_works(self.overrides.start)
+            self.geo.start()
+            self.aggregators.start()
+            if self.store.fresh:
+                self._gathering_until = time.monotonic() + self.settings.leases.gather_ms / 1000.0
+            await self._serve()
+            self._not_started = ""
         except BaseException:
             self.front.unbind()
             raise
-        limits = self.settings.limits
-        self.rules.start(limits.watch_bytes, limits.watch_stuck_ms / 1000.0)
-        await self.overrides.start()
-        self.geo.start()
-        self.aggregators.start()
-        if self.store.fresh:
-            self._gathering_until = time.monotonic() + self.settings.leases.gather_ms / 1000.0
-        return await self.front.serve(self._routes(), self._gathered)
+        return self._listen
+
+    async def _until_disk_works(self, begin: Callable[[], Awaitable[None]]) -> None:
+        """Begin a part; while the disk fails, answer calls about health alone, and try again."""
+        pause_s = START_AGAIN_S
+        while True:
+            try:
+                return await begin()
+            except (LogUnavailableError, LogOutcomeUnknownError, Unavailable) as failed:
+                if self._not_started != failed.told:
+                    log.error("not ready", reason=failed.told, action=failed.action)
+                self._not_started = failed.told
+            await self._serve()
+            await asyncio.sleep(pause_s)
+            pause_s = min(START_AGAIN_MOST_S, 2.0 * pause_s)
+
+    async def _serve(self) -> None:
+        if not self._listen:
+            routes = [self._when_started(route) for route in self._routes()]
+            self._listen = await self.front.serve(routes, self._gathered)
+
+    def _when_started(self, route: web.RouteDef) -> web.RouteDef:
+        """The same path, refused until all parts have started; not so for `/health/`."""
+
+        async def handle(request: web.Request) -> web.StreamResponse:
+            if self._not_started:
+                raise Unavailable("the service has not started", self._not_started)
+            made = route.handler(request)
+            assert isinstance(made, Awaitable)  # the paths here are functions, no classes
+            response: web.StreamResponse = await made
+            return response
+
+        if route.path.startswith("/health/"):
+            return route
+        return web.RouteDef(route.method, route.path, handle, route.kwargs)
 
     async def close(self) -> None:
         """Take no more calls, end the watches, and let what is being written become durable."""
@@ -175,7 +219,7 @@
         ]
 
     async def _run(self, command: Command) -> web.Response:
-        result = await self.store.submit(command)
+        result = await self.store.submit(command, until_settled=False)
         if result.done:
             return answer(_encode({"index": result.index}))
         return self._refusal(result)
@@ -324,6 +368,8 @@
         return answer(b'{"live":true}')
 
     async def _ready(self, request: web.Request) -> web.Response:
+        if self._not_started:
+            return error(503, self._not_started, 1.0)
         if self.gathering:
             return error(503, "servers are coming back to a list that was lost", 1.0)
         if self.store.figures.disk:
