--- a/brassfall/sidecar/driver.py
+++ b/brassfall/sidecar/driver.py
@@ -120,6 +120,8 @@
 class Exchange(Protocol):
     """One attempt or probe on its way."""
 
+    failed_here: bool  # this machine can't open its connection: it is not sent, and no server was silent
+
     def abandon(self) -> None:
         """Stop waiting: its connection is closed, and nothing more comes of it."""
 
@@ -468,9 +470,11 @@
         attempt.timeout = self._loop.call_at(at, self._expire, attempt)
 
     def _expire(self, attempt: Attempt) -> None:
-        if attempt.exchange is not None:
-            attempt.exchange.abandon()
-        self.attempt_ended(attempt, Result(Outcome.TIMEOUT))
+        exchange, outcome = attempt.exchange, Outcome.TIMEOUT
+        if exchange is not None:
+            exchange.abandon()
+            outcome = Outcome.MOOT if exchange.failed_here else outcome
+        attempt.ended(Result(outcome))
 
     def _timer(self, token: str) -> None:
         self._ask(None, self._balancer.timer, token)
--- a/brassfall/sidecar/outbound.py
+++ b/brassfall/sidecar/outbound.py
@@ -66,6 +66,7 @@
         "body",
         "ended",
         "expires",
+        "failed_here",
         "message",
         "stamp",
         "watcher",
@@ -85,6 +86,7 @@
         self.body = body
         self.stamp = b""  # the edition under which its server was picked, where there are any
         self.ended = False
+        self.failed_here = False  # whether this machine could not open its connection
         self._done = done
         self._connection: Connection | None = None
         self._opening: asyncio.Task[None] | None = None
@@ -96,6 +98,7 @@
     def carried_by(self, connection: Connection) -> None:
         """It is on a connection."""
         self._connection, self._opening = connection, None
+        self.failed_here = False
 
     def end(self, result: Result) -> None:
         """Report how it ended, once."""
