--- a/brassfall/sidecar/outbound.py
+++ b/brassfall/sidecar/outbound.py
@@ -38,6 +38,25 @@
 TURNS_TO_TELL = 4
 POOL_SHARE = 0.5  # of the descriptors that this process may hold
 
+# Failures to connect that lie in this machine: no descriptor, memory, port or route is free. They say
+# nothing of a server. All else (refused, unreachable, timed out, reset) is the server's or the way's to it.
+LOCAL_FAILURES = frozenset(
+    (
+        errno.EMFILE,  # descriptors of this process
+        errno.ENFILE,  # and of the system
+        errno.ENOBUFS,  # memory for the socket
+        errno.ENOMEM,
+        errno.EADDRNOTAVAIL,  # no port of our own is free
+        errno.ENETUNREACH,  # no route at all, or the interface is down
+        errno.ENETDOWN,
+        errno.ENOSPC,  # as it is registered to be waited for: too many watches
+    )
+)
+# An attempt that meets one ends after a pause, and is decided anew: without it, a machine on which nothing
+# opens would decide again at once, all of a request's time. It doubles until a connection opens.
+LOCAL_PAUSE_S = 0.005
+LOCAL_PAUSE_MOST_S = 0.04
+
 NOT_FOR_CLIENTS = frozenset((b"x-load-report", b"x-rejected"))
 PROBE_HEAD = b"GET %b HTTP/1.1\r\nHost: %b\r\n\r\n"
 
@@ -380,6 +399,7 @@
         self._opening: dict[asyncio.Task[None], Exchange] = {}
         self.share(1.0)
         self._sweeping = False
+        self._local_pause = LOCAL_PAUSE_S  # after the next failure of this machine
 
     def reload(self, config: Config) -> None:
         """Other settings for what begins from now on."""
@@ -565,6 +585,7 @@
         task = self.loop.create_task(self._connect(server, exchange))
         self._opening[task] = exchange
         task.add_done_callback(lambda done: self._opening.pop(done, None))
+        exchange.failed_here = self._local_pause > LOCAL_PAUSE_S  # as the last one did, until it is up
         exchange.opening(task)
 
     async def _connect(self, server: Server, exchange: Exchange) -> None:
@@ -588,13 +609,15 @@
                     lambda: Connection(self, server), server.address.host, server.address.port
                 )
         except (OSError, ValueError) as error:  # a time-out is the one, a name that can be none the other
-            if isinstance(error, OSError) and error.errno in (errno.EMFILE, errno.ENFILE):
-                self._close_oldest()  # the next attempt finds a descriptor
-            exchange.end(Result(Outcome.CONNECT_FAILED))
+            if isinstance(error, OSError) and error.errno in LOCAL_FAILURES:
+                self._failed_here(error, exchange)
+            else:
+                exchange.end(Result(Outcome.CONNECT_FAILED))
             return
         finally:
             timer.cancel()
         self._connections.add(connection)
+        self._local_pause = LOCAL_PAUSE_S
         if self.delays is not None:
             cold = self._clock.now() - server.started < self._warm_up
             self.delays.handshake(server.region, (self.loop.time() - begun) * 1000.0, cold)
@@ -607,6 +630,15 @@
         else:
             self._write(connection, exchange)
 
+    def _failed_here(self, error: OSError, exchange: Exchange) -> None:
+        """This machine could not open a connection: the attempt was never sent, and ends as such after a
+        pause."""
+        if error.errno in (errno.EMFILE, errno.ENFILE):
+            self._close_oldest()  # the next attempt finds a descriptor
+        exchange.failed_here = True
+        self.loop.call_later(self._local_pause, exchange.end, Result(Outcome.MOOT))
+        self._local_pause = min(2.0 * self._local_pause, LOCAL_PAUSE_MOST_S)
+
     def _close_oldest(self) -> bool:
         """Close the connection that has been idle for longest, to make room."""
         idle = [server.idle[0] for server in self._resting if server.idle]
--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -5,6 +5,7 @@
 
 import asyncio
 import contextlib
+import errno
 import os
 import socket
 import struct
@@ -668,6 +669,135 @@
         assert module.outcomes() == [(0, Outcome.CONNECT_FAILED, False)]
 
 
+# --- failures of this machine ------------------------------------------------------------
+
+
+class Faults:
+    """System calls that fail: the next `count` sockets made, or connects to a server."""
+
+    def __init__(self, monkeypatch, call, error, count, upstreams):
+        self.left, self.met = count, 0
+        ports = {int(upstream.address.rpartition(":")[2]) for upstream in upstreams}
+
+        def due():
+            if self.left <= 0:
+                return False
+            self.left -= 1
+            self.met += 1
+            return True
+
+        class Socket(socket.socket):
+            def __init__(self, *args, fileno=None, **kwargs):
+                if call == "socket" and fileno is None and due():
+                    raise OSError(error, os.strerror(error))
+                super().__init__(*args, fileno=fileno, **kwargs)
+
+            def connect(self, address):
+                if call == "connect" and address[1] in ports and due():
+                    raise OSError(error, os.strerror(error))
+                super().connect(address)
+
+        monkeypatch.setattr(socket, "socket", Socket)
+
+
+HERE = [
+    *(("socket", error) for error in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)),
+    *(("connect", error) for error in (errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL, errno.ENETUNREACH)),
+    *(("connect", error) for error in (errno.EMFILE, errno.ENFILE, errno.ENETDOWN, errno.ENOSPC)),
+]
+
+
+def blamed(sidecar):
+    """All that the decisions hold against servers, or count towards refusals."""
+    module = sidecar.driver._balancer
+    of_servers = [(server.ill, server.strikes, server.rest_until) for server in module._servers.values()]
+    return [*of_servers, module._connect_ill, module._missed, module._throttle.drop_chance(0.0)]
+
+
+@pytest.mark.parametrize(("call", "error"), HERE)
+@loopback
+async def test_a_failure_of_this_machine_is_held_against_no_server_and_uses_no_attempt_up(
+    monkeypatch, call, error
+):
+    upstream = await Upstream([OK]).start()
+    async with tidy(upstream, PolicyLimits={"MaxAttempts": 1}) as sidecar:
+        app = await App.connect(sidecar.address)
+        faults = Faults(monkeypatch, call, error, 4, [upstream])
+        before = blamed(sidecar)
+        assert (await app.ask()).body == b"done"
+        assert (faults.met, len(upstream.seen)) == (4, 1)
+        assert blamed(sidecar) == before
+
+
+@pytest.mark.parametrize("error", [errno.ECONNREFUSED, errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNRESET])
+@loopback
+async def test_what_only_the_server_or_the_way_to_it_can_cause_could_not_connect(monkeypatch, error):
+    upstream = await Upstream([OK]).start()
+    module = Scripted(outcome=failing)
+    async with tidy(upstream, balancer=module) as sidecar:
+        app = await App.connect(sidecar.address)
+        Faults(monkeypatch, "connect", error, 1, [upstream])
+        assert (await app.ask()).start.split(" ")[1] == "502"
+        assert module.outcomes() == [(0, Outcome.CONNECT_FAILED, False)]
+
+
+@pytest.mark.parametrize("target", ["/look", "/pay", "/book"])
+@loopback
+async def test_where_nothing_opens_a_request_is_refused_in_time_after_few_attempts(monkeypatch, target):
+    """Nothing was sent: it may be refused whatever its class, and no server is told to have been silent."""
+    upstreams = [await Upstream([OK]).start() for _ in range(2)]
+    loop = asyncio.get_running_loop()
+    async with tidy(*upstreams) as sidecar:
+        app = await App.connect(sidecar.address)
+        faults = Faults(monkeypatch, "socket", errno.ENOMEM, 10**6, upstreams)
+        before, began = blamed(sidecar), loop.time()
+        answer = await app.ask("GET" if target == "/look" else "POST", target, X_Budget="400m")
+        assert answer.start.split(" ")[1] == "503"
+        assert loop.time() - began < 0.4 + 0.5
+        assert 8 <= faults.met <= 40  # 4 to 13 pauses double, then come to an end with its time
+        assert blamed(sidecar) == before
+
+
+@loopback
+async def test_an_attempt_that_waits_out_a_failure_of_this_machine_ends_with_its_client(monkeypatch):
+    upstream = await Upstream([OK]).start()
+    monkeypatch.setattr(outbound, "LOCAL_PAUSE_S", 60.0)
+    monkeypatch.setattr(outbound, "LOCAL_PAUSE_MOST_S", 60.0)
+    module = Scripted()
+    async with tidy(upstream, balancer=module, **never_cancels()) as sidecar:
+        faults = Faults(monkeypatch, "socket", errno.ENOMEM, 0, [])
+        app = await App.connect(sidecar.address)
+        faults.left = 1
+        app.send()
+        await until(lambda: faults.met and not sidecar.pool._opening)
+        assert module.outcomes() == []
+        app.close()
+        await until(lambda: module.outcomes())
+        assert module.outcomes() == [(0, Outcome.MOOT, True)]
+        assert not module.named("unsent")
+
+
+@pytest.mark.parametrize("call", ["socket", "connect"])
+@loopback
+async def test_a_server_that_joins_while_this_machine_fails_is_not_ejected(monkeypatch, call):
+    """It has no connection yet: each of its first sends opens one, so that it alone meets the failures."""
+    known, joining = await Upstream([OK]).start(), await Upstream([OK]).start()
+    async with tidy(known, Report={"How": "off"}) as sidecar:
+        app = await App.connect(sidecar.address)
+        for _ in range(4):
+            await app.ask()
+        hear(sidecar, entry("s1", joining.address))
+        Faults(monkeypatch, call, errno.EADDRNOTAVAIL, 3, [joining])
+        for _ in range(400):
+            assert (await app.ask()).body == b"done"
+            if len(joining.seen) >= 8:
+                break
+        server = sidecar.driver._balancer._servers["s1"]
+        assert (server.ill, server.strikes, server.rest_until) == (0.0, 0, 0.0)
+        assert len(joining.seen) >= 8
+    joining.stop()
+
+
 # --- two events in one turn of the loop -----------------------------------------------------
 
 
