--- a/brassfall/sidecar/config.py
+++ b/brassfall/sidecar/config.py
@@ -80,6 +80,9 @@
     whole: bool
     entries: list[model.Listing]
     addresses: dict[str, Address]
+    # When the list before this one was last known to be the newest, in seconds of the loop: what this one
+    # adds was not there then. -inf where discovery has sent none before.
+    fresh_at: float = -math.inf
 
 
 @dataclass(frozen=True, slots=True)
--- a/brassfall/sidecar/discovery.py
+++ b/brassfall/sidecar/discovery.py
@@ -8,6 +8,7 @@
 import math
 import random
 from collections.abc import Callable
+from dataclasses import replace
 from typing import Any
 
 import httptools
@@ -82,7 +83,7 @@
         self._object = bytearray()  # one that has begun: lists may come indented
         self._depth = 0
         self._empties = 0
-        self._told = False  # whether a line with something in it has come
+        self.told = False  # whether a line with something in it has come
         self.retry_after = 0.0
         self.age: Age | None = None
         self._on_line = on_line
@@ -198,7 +199,7 @@
             self._give()
         self.lived = True
         self.heard_at, self._since = self._loop.time(), 0
-        if self.age is not None and self._told:
+        if self.age is not None and self.told:
             self.confirm(self.age, self._loop.time())
 
     def confirm(self, age: Age, received: float) -> None:
@@ -211,7 +212,7 @@
         if stated is not None:  # it stands in the place of an empty line
             self._stated = stated
             self._empties += 1
-        self._told = True
+        self.told = True
 
 
 class Discovery:
@@ -241,6 +242,8 @@
         self._retry_after = 0.0
         self._looking: asyncio.TimerHandle | None = None
         self._watching: asyncio.Task[None] | None = None
+        self._watched: Channel | None = None  # the open watch
+        self._fresh_at = -math.inf  # when the list held was last known to be the newest, but for that watch
         self._first = asyncio.Event()
         self._called = asyncio.Event()  # the first call is answered, or over
         self._fetches: set[asyncio.Task[None]] = set()
@@ -414,6 +417,7 @@
             return None
         if self._sources is not None:
             channel.age = self._age
+        self._watched = channel
         try:
             # Guards against a machine that is cut off: its connections stay open and silent.
             while (left := channel.due_at - self._loop.time()) > CLOCK_STEP_S:
@@ -424,6 +428,7 @@
         finally:
             channel.close()
             self._retry_after = channel.retry_after
+            self._fresh_at, self._watched = self._last_fresh(), None
         return channel
 
     async def _fetch(self) -> None:
@@ -504,15 +509,25 @@
         except MALFORMED as error:
             self._version = 0
             raise ValueError(f"not a list: {error}") from error
+        live = self._watched is not None and self._watched.told
         if news.whole:
-            self._tell("all", news)
+            self._tell("all", news, live=live)
         elif news.version >= (self._version if self._held is None else self._newest):
             # The version held may come again, with no entries: it answers who asked for a watch.
-            self._tell("changes", news)
+            self._tell("changes", news, live=live)
         # Older changes were told already: by a list asked for meanwhile, or by another address.
         return stated
 
-    def _tell(self, form: str, news: ServerList) -> None:
+    def _last_fresh(self) -> float:
+        """When the list held was last known to be the newest; -inf where none has come yet."""
+        watch = self._watched
+        return max(self._fresh_at, watch.heard_at) if watch is not None and watch.told else self._fresh_at
+
+    def _tell(self, form: str, news: ServerList, *, live: bool = False) -> None:
+        """Pass a list on; `live` where it came on a watch that has told before: as it happened."""
+        now = self._loop.time()
+        news = replace(news, fresh_at=now if live else self._last_fresh())
+        self._fresh_at = now
         self._version = self._newest = news.version
         if self._sources is not None and self._held is not None:
             self._sources.worked()
--- a/brassfall/sidecar/driver.py
+++ b/brassfall/sidecar/driver.py
@@ -20,6 +20,7 @@
 from brassfall.balancer.model import Outcome
 from brassfall.sidecar.body import Body
 from brassfall.sidecar.config import Config, ServerList
+from brassfall.sidecar.start_times import StartTimes
 
 # The client counts from its send and we from the read: transit, and what the loop lags.
 DEADLINE_MARGIN_MS = 8.0
@@ -161,7 +162,10 @@
 
 
 class Clock:
-    """Monotonic milliseconds plus one fixed offset to Unix time, so that `since_ms` compares."""
+    """Monotonic milliseconds plus one fixed offset to Unix time, so that `since_ms` compares.
+
+    The wall clock is read once, at the start: where it is stepped later, no span changes. What a wrong one
+    means for the starts of servers is bounded in `start_times`."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
@@ -175,6 +179,10 @@
         """The loop's own time for a time of this clock."""
         return (now - self._offset) / 1000.0
 
+    def of(self, at: float) -> float:
+        """This clock's time for a time of the loop."""
+        return at * 1000.0 + self._offset
+
 
 @dataclass(slots=True, eq=False)
 class Attempt:
@@ -250,6 +258,7 @@
         self._decided = b""  # the stamp of the decision that is carried out
         self._turned_off = 0  # for want of room for one more
         self._next_id = config.seed % 2**32
+        self._starts = StartTimes()
         self._balancer = Balancer(clock.now(), config.settings, config.seed)
         self._upstreams: Upstreams
         self._registry: Registry
@@ -365,7 +374,9 @@
         if news is None:
             self._ask(None, self._balancer.server_list, form, ())
             return
-        self._upstreams.update(self._clock.now(), form != "changes", news)
+        now = self._clock.now()
+        news = self._starts.bounded(now, self._clock.of(news.fresh_at), news)
+        self._upstreams.update(now, form != "changes", news)
         self._ask(None, self._balancer.server_list, form, news.entries)
 
     def peer_message(self, peer: int, data: bytes) -> None:
--- a/tests/test_crossings_discovery.py
+++ b/tests/test_crossings_discovery.py
@@ -7,15 +7,22 @@
 from __future__ import annotations
 
 import asyncio
+import collections
 import functools
+import itertools
 import json
+import time
+from unittest import mock
 
 import looptime
 import pytest
 
-from brassfall.balancer.model import Watch
+from brassfall.balancer.model import Listing, Outcome, Watch
 from brassfall.sidecar import config, discovery
 from brassfall.sidecar.__main__ import Sidecar
+from brassfall.sidecar.config import ServerList
+from brassfall.sidecar.driver import Answer, Result
+from brassfall.sidecar.start_times import FORGET_MS, StartTimes
 from tests.loopback import entry, listed, told
 
 TOLD_S = 6.0  # after discovery had a change and could be reached
@@ -173,11 +180,11 @@
 class Started:
     """A sidecar that has no sockets: discovery, the driver and the module are its own."""
 
-    def __init__(self, place, how="subscribe", seed=0, within=10_000.0, raw=None, balancer=None):
+    def __init__(self, place, how="subscribe", seed=0, within=10_000.0, raw=None, balancer=None, **rules):
         loop = asyncio.get_running_loop()
         loop.create_connection = self._connect
         self.place, self.places = place, {}
-        rules = {"AskWithin": within, "StopSendingWithin": 500.0}
+        rules = {"AskWithin": within, "StopSendingWithin": 500.0, **rules}
         made = told(raw={"seed": str(seed), **(raw or {})}, Discovery=how, Rules=rules)
         self.sidecar = Sidecar(loop, made)
         if balancer is not None:
@@ -611,3 +618,236 @@
     assert sum(tenths) == fleet
     assert max(tenths) <= fleet / 4
     assert sum(at > 0.4 for at in seen) > fleet / 4
+
+
+# --- how long servers have been up, whatever the wall clock says ---------------------------------
+
+HOUR_S = 3600.0
+REAL_START = 1_790_000_000.0  # Unix time at the loop's 0; the service's clock is right
+WRONG_BY = [0.0, 3.0, -3.0, HOUR_S, -HOUR_S]
+
+
+@pytest.fixture
+def wall_clock(monkeypatch):
+    """The system's wall clock, which tells what the test says."""
+    made = mock.Mock(return_value=REAL_START)
+    monkeypatch.setattr(time, "time", made)
+    return made
+
+
+class Joined(Started):
+    """With a wall clock that is wrong by so many seconds when the process starts, and steps about later."""
+
+    def __init__(self, place, wall_clock, wrong_by, how="automatic", **rules):
+        wall_clock.side_effect = itertools.chain(
+            [REAL_START + now() + wrong_by], itertools.cycle([0.0, 4e9, REAL_START])
+        )
+        super().__init__(place, how, **rules)
+        self.clock = self.sidecar._clock
+
+    def age_s(self, name):
+        """How long the module takes a server to be up."""
+        return (self.clock.now() - self.sidecar.driver._balancer._servers[name].started) / 1000.0
+
+    async def knows(self, name):
+        async with asyncio.timeout(60.0):
+            while name not in self.sidecar.driver._balancer._servers:
+                await asyncio.sleep(0.01)
+
+
+class Kept(Place):
+    """Discovery that tells what is put in; a call's first answer is all of it."""
+
+    def __init__(self, *rows, snapshot=False):
+        super().__init__()
+        self.rows, self.snapshot = {row["name"]: row for row in rows}, snapshot
+
+    async def news(self, wire):
+        rows = self.rows.values()
+        wire.feed(
+            HEAD + chunk(json.dumps(listed(self.version, *rows, snapshot=self.snapshot)).encode() + b"\n")
+        )
+        await wire.beat()
+
+    def put(self, name, since_s, *, tell=True, **changes):
+        """A server that started at a time of the loop."""
+        since_ms = 0 if since_s is None else int((REAL_START + since_s) * 1000.0)
+        row = self.rows[name] = entry(name, since_ms=since_ms, **changes)
+        self.version += 1
+        if tell:
+            self.wires[-1].feed(chunk(json.dumps(listed(self.version, row, snapshot=False)).encode() + b"\n"))
+
+
+@pytest.mark.parametrize("wrong_by", WRONG_BY)
+@timed
+async def test_a_server_told_on_an_open_watch_is_as_old_as_the_event(wrong_by, wall_clock):
+    place = Kept(entry("s0"))
+    started = Joined(place, wall_clock, wrong_by)
+    await started.knows("s0")
+    await asyncio.sleep(5.0)
+    place.put("s1", now() - 0.02)
+    await started.knows("s1")
+    assert started.age_s("s1") == pytest.approx(0.01, abs=0.02)
+    await asyncio.sleep(7.0)
+    assert started.age_s("s1") == pytest.approx(7.01, abs=0.02)
+    started.close()
+
+
+@pytest.mark.parametrize("wrong_by", WRONG_BY)
+@timed
+async def test_a_new_start_of_a_known_server_counts_from_its_event(wrong_by, wall_clock):
+    place = Kept(entry("s0"), entry("s1"))
+    started = Joined(place, wall_clock, wrong_by)
+    await started.knows("s1")
+    await asyncio.sleep(1.0)
+    for _ in range(2):
+        await asyncio.sleep(4.0)
+        place.put("s1", now())
+        await asyncio.sleep(1.0)
+        place.put("s1", now() - 1.0, status="leaving")  # the same start: nothing new begins
+        place.put("s1", now() - 1.0)
+        assert started.age_s("s1") == pytest.approx(1.0, abs=0.02)
+    started.close()
+
+
+@pytest.mark.parametrize("snapshot", [False, True])
+@pytest.mark.parametrize("moved", [False, True])
+@pytest.mark.parametrize("wrong_by", WRONG_BY)
+@timed
+async def test_a_server_that_a_new_watch_finds_is_no_older_than_the_gap(
+    wrong_by, moved, snapshot, wall_clock
+):
+    """It joined while nothing could be told; the new watch begins with the whole list, or with changes."""
+    place = Kept(entry("s0"), snapshot=snapshot)
+    started = Joined(place, wall_clock, wrong_by)
+    await started.knows("s0")
+    await asyncio.sleep(9.0)  # the last beat was a second ago
+    place.down = "refused"
+    place.reset()
+    await asyncio.sleep(4.0)
+    place.put("s1", now(), tell=False)
+    await asyncio.sleep(2.0)
+    place.down = None
+    if moved:
+        started.move(place)
+    await started.knows("s1")
+    waited = now() - 15.0  # until it was asked
+    age = started.age_s("s1")
+    if abs(wrong_by) < HOUR_S:  # within the gap a small error can't be told from the truth
+        assert 0.0 <= age == pytest.approx(2.0 + waited + wrong_by, abs=0.05) or age < 0.02
+        assert age <= 7.0 + waited
+    else:
+        assert 0.0 <= age <= 0.02
+    started.close()
+
+
+@pytest.mark.parametrize("wrong_by", WRONG_BY)
+@timed
+async def test_a_server_that_was_not_listed_for_a_while_keeps_its_start(wrong_by, wall_clock):
+    place = Kept(entry("s0"))
+    started = Joined(place, wall_clock, wrong_by)
+    await started.knows("s0")
+    await asyncio.sleep(3.0)
+    place.put("s1", now())
+    begun = now()
+    await asyncio.sleep(2.0)
+    place.put("s1", begun, status="left")
+    await asyncio.sleep(6.0)
+    place.put("s1", begun)
+    assert started.age_s("s1") == pytest.approx(8.0, abs=0.02)
+    started.close()
+
+
+@pytest.mark.parametrize("wrong_by", WRONG_BY)
+@timed
+async def test_in_the_first_list_only_what_is_impossible_is_put_right(wrong_by, wall_clock):
+    """No observation of this process bounds these ages: the wall clock's error shows, but never as an age
+    below 0, which would stretch slow start; who started long ago did so whatever the clock."""
+    place = Kept(entry("s0"))
+    place.put("s1", -10.0, tell=False)
+    started = Joined(place, wall_clock, wrong_by)
+    await started.knows("s1")
+    assert started.age_s("s1") == pytest.approx(max(0.0, 10.0 + wrong_by), abs=0.05)
+    assert started.sidecar.driver._balancer._servers["s0"].started == 0.0
+    before = started.age_s("s1")
+    await asyncio.sleep(5.0)
+    assert started.age_s("s1") == pytest.approx(before + 5.0, abs=0.02)
+    started.close()
+
+
+class Answering:
+    """Servers of which each answers at once."""
+
+    def __init__(self):
+        self.sent = collections.Counter()
+
+    def update(self, *args):
+        pass
+
+    def close_idle(self, server):
+        pass
+
+    def send(self, server, call, expires, watcher):
+        self.sent[server] += 1
+        done = Result(Outcome.OK, Answer([], b""))
+        asyncio.get_running_loop().call_later(0.01, watcher.ended, done)
+        return mock.Mock()
+
+
+class Asked:
+    """A small request that may be repeated."""
+
+    band = tenant = 0
+    key = work = body = None
+    again = mutates = reading = False
+    budget = 4000.0
+
+    def __init__(self):
+        self.served = self.refused = self.failed = lambda *told: None
+
+
+async def share_of_a_new_server(wall_clock, wrong_by):
+    """The part of the calls that a server gets in the 4 s after it joined, beside five warm ones."""
+    place = Kept(*(entry(f"s{number}") for number in range(5)))
+    started = Joined(place, wall_clock, wrong_by, ColdFrom=0.12, WarmUp=22_000.0, FallMultiple=4.0)
+    await started.knows("s0")
+    made, answering = started.sidecar.driver, Answering()
+    made.connect(answering, started.discovery, started.sidecar.peers)
+    until, joins_at = now() + 7.0, now() + 3.0
+    while now() < until:
+        if joins_at is not None and now() >= joins_at:
+            joins_at = None
+            place.put("s5", now())
+            answering.sent.clear()
+        made.arrive(Asked(), started.clock.now())
+        await asyncio.sleep(0.005)
+    started.close()
+    return answering.sent["s5"] / answering.sent.total()
+
+
+@pytest.mark.parametrize("wrong_by", WRONG_BY[1:])
+@timed
+async def test_a_new_server_gets_the_same_share_whatever_the_wall_clock_says(wrong_by, wall_clock):
+    """By the wall clock alone it got 22% an hour ahead and 4% an hour behind, where 7% is right."""
+    right = await share_of_a_new_server(wall_clock, 0.0)
+    assert 0.01 < right < 0.1
+    assert await share_of_a_new_server(wall_clock, wrong_by) == pytest.approx(right, abs=0.005)
+
+
+def test_starts_of_servers_long_gone_are_forgotten():
+    starts, made = StartTimes(), []
+    for number in range(100):
+        at = 1e12 + number * FORGET_MS
+        entries = [Listing(f"s{number}", started=at)]
+        made.append(starts.bounded(at, at - 1000.0, ServerList(number, True, entries, {})))
+    assert all(update.entries[0].started == 1e12 + n * FORGET_MS for n, update in enumerate(made))
+    assert len(starts._starts) <= 3
+
+
+def test_two_starts_told_in_one_moment_are_two():
+    starts, now_ms = StartTimes(), 1e12
+    told_ = [
+        starts.bounded(now_ms, now_ms, ServerList(n, False, [Listing("s", started=since)], {})).entries[0]
+        for n, since in enumerate([now_ms - 5.0, now_ms - 4.0])
+    ]
+    assert told_[0].started != told_[1].started and max(abs(e.started - now_ms) for e in told_) < 1.0
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -69,6 +69,7 @@
 FRAMING = "brassfall.sidecar.framing"
 LIFECYCLE, LISTENER = "brassfall.sidecar.lifecycle", "brassfall.sidecar.listener"
 FLEET = "brassfall.sidecar.agent"
+START_TIMES = "brassfall.sidecar.start_times"
 MODEL, MODULE = "brassfall.balancer.model", "brassfall.balancer.Balancer"
 
 
@@ -82,7 +83,8 @@
         ("config.py", {MODEL}),
         ("framing.py", {BODY}),
         ("body.py", set()),
-        ("driver.py", {BODY, CONFIG, MODEL, MODULE}),
+        ("driver.py", {BODY, CONFIG, MODEL, MODULE, START_TIMES}),
+        ("start_times.py", {CONFIG, MODEL}),
         ("lifecycle.py", set()),
         ("handover.py", {CONFIG, DRIVER}),
         ("listener.py", {CONFIG}),
