--- a/brassfall/lab/capacity/datapath/scene.py
+++ b/brassfall/lab/capacity/datapath/scene.py
@@ -20,15 +20,15 @@
 from brassfall.controlplane.registry.client import call
 from brassfall.lab import arrivals, day
 from brassfall.lab.capacity.datapath import client, server
-from brassfall.lab.real.troupe import (
+from brassfall.lab.real.process_group import (
     ROOT,
-    Actor,
+    MemberProcess,
     PlayError,
-    Troupe,
-    environment,
+    ProcessGroup,
     free_port,
     lend_environment,
     run_command,
+    sidecar_environment,
 )
 
 MODULE = "brassfall.lab.capacity.datapath"
@@ -52,12 +52,12 @@
 class Sidecar:
     """One sidecar under measurement."""
 
-    def __init__(self, actor: Actor, listen: str, operator: str, started: float) -> None:
-        self.actor = actor
+    def __init__(self, member: MemberProcess, listen: str, operator: str, started: float) -> None:
+        self.member = member
         self.listen = listen
         self._operator = operator
         self.start_ms = (time.monotonic() - started) * 1000.0  # until it was ready
-        self.pid = actor.process.pid
+        self.pid = member.process.pid
 
     def used(self) -> Used:
         """What the process has used since its start."""
@@ -104,9 +104,9 @@
 class Scene:
     """All processes of one measurement."""
 
-    def __init__(self, folder: Path, troupe: Troupe) -> None:
+    def __init__(self, folder: Path, group: ProcessGroup) -> None:
         self._folder = folder
-        self._troupe = troupe
+        self._group = group
         self._numbers = itertools.count()
         self._list_at = ""
         self._known: dict[str, Any] = {}
@@ -123,8 +123,8 @@
             "[registry.leases]\ngather_ms = 0\n[registry.limits]\ncaller_calls_per_s = 0\n",
             encoding="utf-8",
         )
-        words = [sys.executable, "-m", "brassfall", "registry", "serve", "--config", str(config)]
-        service = await self._troupe.start("list service", "list service", words)
+        command = [sys.executable, "-m", "brassfall", "registry", "serve", "--config", str(config)]
+        service = await self._group.start("list service", "list service", command)
         self._list_at = (await service.report("ready"))["listen"]
         await self._register(addresses, entries)
         self._known = await call(self._list_at, "GET", "/registry/instances")
@@ -153,16 +153,16 @@
         async with aiohttp.ClientSession() as session:
             await asyncio.gather(*(write(session) for _ in range(WRITERS)))
 
-    async def start_servers(self, sockets: int) -> tuple[Actor, list[str]]:
+    async def start_servers(self, sockets: int) -> tuple[MemberProcess, list[str]]:
         """Start a process of servers; where they listen."""
-        actor = await self._own("server", server.Order(sockets))
-        return actor, (await actor.report("ready"))["addresses"]
+        member = await self._own("server", server.Order(sockets))
+        return member, (await member.report("ready"))["addresses"]
 
-    async def start_client(self) -> Actor:
+    async def start_client(self) -> MemberProcess:
         """Start a client that is ready to play turns."""
-        actor = await self._own("client", client.Order(f"client-{next(self._numbers)}"))
-        await actor.report("ready")
-        return actor
+        member = await self._own("client", client.Order(f"client-{next(self._numbers)}"))
+        await member.report("ready")
+        return member
 
     async def start_sidecar(self) -> Sidecar:
         """Start a sidecar as the platform does; it is ready on return."""
@@ -183,18 +183,18 @@
         }
         config = folder / "config.json"
         config.write_text(json.dumps(raw), encoding="utf-8")
-        env = environment(NODE_CONFIG=str(config), TMPDIR=str(folder))
+        env = sidecar_environment(NODE_CONFIG=str(config), TMPDIR=str(folder))
         started = time.monotonic()
-        actor = await self._troupe.start(
+        member = await self._group.start(
             name, "sidecar", ["/bin/sh", "-c", run_command(ROOT)], None, ROOT, env
         )
-        await self._ready(actor, listen)
-        return Sidecar(actor, listen, operator, started)
+        await self._ready(member, listen)
+        return Sidecar(member, listen, operator, started)
 
-    async def _ready(self, actor: Actor, listen: str) -> None:
+    async def _ready(self, member: MemberProcess, listen: str) -> None:
         until = time.monotonic() + READY_S
         async with aiohttp.ClientSession() as session:
-            while actor.alive and time.monotonic() < until:
+            while member.alive and time.monotonic() < until:
                 try:
                     async with session.get(f"http://{listen}/health/ready") as answer:
                         if answer.status == 200:
@@ -202,11 +202,11 @@
                 except (aiohttp.ClientError, OSError):
                     pass
                 await asyncio.sleep(LOOK_S)
-        raise PlayError(f"sidecar {actor.name}: not ready: {actor.last}")
+        raise PlayError(f"sidecar {member.name}: not ready: {member.last}")
 
-    async def _own(self, module: str, order: Any) -> Actor:
+    async def _own(self, module: str, order: Any) -> MemberProcess:
         name = f"{module} {next(self._numbers)}"
-        return await self._troupe.start(name, "lab", [sys.executable, "-m", f"{MODULE}.{module}"], order)
+        return await self._group.start(name, "lab", [sys.executable, "-m", f"{MODULE}.{module}"], order)
 
 
 @asynccontextmanager
@@ -215,9 +215,9 @@
     lend_environment(ROOT)
     with tempfile.TemporaryDirectory(prefix="brassfall-data-path-") as name:
         folder = Path(name)
-        troupe = Troupe(folder / "logs")
-        await troupe.open()
+        group = ProcessGroup(folder / "logs")
+        await group.open()
         try:
-            yield Scene(folder, troupe)
+            yield Scene(folder, group)
         finally:
-            await troupe.close()
+            await group.close()
--- a/brassfall/lab/capacity/datapath/turns.py
+++ b/brassfall/lab/capacity/datapath/turns.py
@@ -16,7 +16,7 @@
 from brassfall.lab.capacity.datapath.scene import Scene, Sidecar, Used, scene
 from brassfall.lab.capacity.figures import Figure
 from brassfall.lab.real.child import raise_descriptors
-from brassfall.lab.real.troupe import Actor, PlayError
+from brassfall.lab.real.process_group import MemberProcess, PlayError
 
 ROLE = "sidecar data path"
 PERCENTILES = (("p50", 50.0), ("p99", 99.0), ("p99.9", 99.9))
@@ -84,14 +84,16 @@
         addresses = [listens[0] for _, listens in servers]
         await stage.start_list(addresses, options.chain)
         sidecars = [await stage.start_sidecar() for _ in range(options.chain)]
-        for (actor, _), onward in zip(servers, sidecars, strict=True):
-            actor.send(sidecar=onward.listen, direct=addresses)
+        for (member, _), onward in zip(servers, sidecars, strict=True):
+            member.send(sidecar=onward.listen, direct=addresses)
         client = await stage.start_client()
         pairs = await _pairs(options, rate, client, addresses, sidecars[0], sidecars, options.chain - 1)
         return _figures(pairs, f"in a chain at {rate:g}/s, sidecars", options.chain)
 
 
-async def _first_second(options: DatapathOptions, entries: int, stage: Scene, client: Actor) -> list[Figure]:
+async def _first_second(
+    options: DatapathOptions, entries: int, stage: Scene, client: MemberProcess
+) -> list[Figure]:
     """The first second of sidecars that have only just started."""
     spells: list[Spell] = []
     ready: list[float] = []
@@ -113,7 +115,7 @@
 async def _pairs(
     options: DatapathOptions,
     rate: float,
-    client: Actor,
+    client: MemberProcess,
     addresses: list[str],
     entry: Sidecar,
     sidecars: Sequence[Sidecar],
@@ -137,7 +139,7 @@
     return pairs
 
 
-async def _spell(client: Actor, turn: Turn, sidecars: Sequence[Sidecar]) -> Spell:
+async def _spell(client: MemberProcess, turn: Turn, sidecars: Sequence[Sidecar]) -> Spell:
     before = [sidecar.used() for sidecar in sidecars]
     client.send(**msgspec.to_builtins(turn))
     told = await client.report("played")
--- a/brassfall/lab/editions/command.py
+++ b/brassfall/lab/editions/command.py
@@ -14,7 +14,7 @@
 
 from brassfall.lab.editions import report, spec
 from brassfall.lab.editions.play import Order, Result
-from brassfall.lab.real.troupe import ROOT
+from brassfall.lab.real.process_group import ROOT
 from brassfall.settings import SettingsError, read_toml
 
 END_S = 15.0
--- a/brassfall/lab/editions/play.py
+++ b/brassfall/lab/editions/play.py
@@ -26,7 +26,7 @@
 from brassfall.lab.editions.spec import Experiment, Step
 from brassfall.lab.editions.stage import KEY_MS, Stage
 from brassfall.lab.real.child import Lateness
-from brassfall.lab.real.troupe import Troupe
+from brassfall.lab.real.process_group import ProcessGroup
 
 END_S = 12.0  # for an orderly end
 OLD_COPY_S = 6.5  # when the copy is taken that "old-copy" restores
@@ -67,7 +67,7 @@
 
     A `script` takes the place of the schedule: the play is over when it is, and after `told.seconds` at
     the latest."""
-    troupe, lateness = Troupe(folder / "logs"), Lateness()
+    troupe, lateness = ProcessGroup(folder / "logs"), Lateness()
     stage, publisher = Stage(told, folder, troupe), Publisher(told.regions)
     faults = Faults(stage, publisher)
     await troupe.open()
--- a/brassfall/lab/editions/stage.py
+++ b/brassfall/lab/editions/stage.py
@@ -21,14 +21,14 @@
 from brassfall.lab.editions.publisher import GROUPS, RARE, now
 from brassfall.lab.editions.spec import Experiment
 from brassfall.lab.editions.tier import Tier
-from brassfall.lab.real.troupe import (
+from brassfall.lab.real.process_group import (
     READY_S,
     ROOT,
-    Actor,
+    MemberProcess,
     PlayError,
-    Troupe,
-    environment,
+    ProcessGroup,
     run_command,
+    sidecar_environment,
 )
 
 FIRST_PORT = 20_001
@@ -77,7 +77,7 @@
 class Stage:
     """Everything that runs."""
 
-    def __init__(self, told: Experiment, folder: Path, troupe: Troupe) -> None:
+    def __init__(self, told: Experiment, folder: Path, troupe: ProcessGroup) -> None:
         self.told = told
         self.folder = folder
         self.troupe = troupe
@@ -86,11 +86,11 @@
         self.doors: list[list[Door]] = []  # of each sidecar, in the order in which it asks them
         self.ways = [Way(self._delay(number)) for number in range(told.servers)]
         self.listens = [f"{self.host}:{next(self._ports)}" for _ in range(told.sidecars)]
-        self.sidecars: list[Actor | None] = [None] * told.sidecars
+        self.sidecars: list[MemberProcess | None] = [None] * told.sidecars
         self._replacing = [asyncio.Lock() for _ in range(told.sidecars)]
         self.away: list[Away] = []
         self.tier = Tier(told, folder, troupe, self.host, self._ports) if told.aggregators else None
-        self.services: dict[str, Actor] = {}
+        self.services: dict[str, MemberProcess] = {}
         self.ports: dict[str, int] = {}
 
     def _delay(self, number: int) -> float:
@@ -199,7 +199,7 @@
 
     # --- sidecars ---------------------------------------------------------------------------
 
-    async def sidecar(self, number: int) -> Actor:
+    async def sidecar(self, number: int) -> MemberProcess:
         """Start one as the platform does."""
         folder = self.folder / f"sidecar-{number}"
         folder.mkdir(exist_ok=True)
@@ -223,7 +223,7 @@
             "fleet": fleet,
         }
         file.write_text(json.dumps(raw))
-        env = environment(NODE_CONFIG=str(file), TMPDIR=str(folder))
+        env = sidecar_environment(NODE_CONFIG=str(file), TMPDIR=str(folder))
         words = ["/bin/sh", "-c", run_command(ROOT)]
         actor = await self.troupe.start(f"n{number}", "sidecar", words, None, ROOT, env)
         self.sidecars[number] = actor
@@ -285,7 +285,7 @@
 
     def crashed(self) -> list[str]:
         """Whoever ended and was not meant to."""
-        found = [a for a in self.troupe.actors if not a.alive and not a.ending]
+        found = [a for a in self.troupe.members if not a.alive and not a.ending]
         return [f"{a.name} ended with {a.process.returncode}: {a.last}" for a in found]
 
     def close(self) -> None:
--- a/brassfall/lab/editions/tier.py
+++ b/brassfall/lab/editions/tier.py
@@ -12,7 +12,7 @@
 
 from brassfall.lab.editions.proxies import ANSWER, ASK, EDITIONS, LISTS, OTHER, REPORT, Door
 from brassfall.lab.editions.spec import Experiment, TierFault
-from brassfall.lab.real.troupe import Actor, Troupe
+from brassfall.lab.real.process_group import MemberProcess, ProcessGroup
 
 LEAVE_S = 10.0  # from SIGTERM; then SIGKILL
 UPWARD = (REPORT, EDITIONS, LISTS, OTHER)
@@ -28,7 +28,7 @@
     """All aggregators; `ports` are free ones on `host`."""
 
     def __init__(
-        self, told: Experiment, folder: Path, troupe: Troupe, host: str, ports: Iterator[int]
+        self, told: Experiment, folder: Path, troupe: ProcessGroup, host: str, ports: Iterator[int]
     ) -> None:
         self._told = told
         self._folder = folder
@@ -36,7 +36,7 @@
         self._host = host
         self._ports = ports
         self._replacing = [asyncio.Lock() for _ in range(told.aggregators)]
-        self.processes: list[Actor | None] = [None] * told.aggregators
+        self.processes: list[MemberProcess | None] = [None] * told.aggregators
         self.above = [Door((host, 9)) for _ in range(told.aggregators)]  # to the service
         self.fronts = [Door((host, 9)) for _ in range(told.aggregators)]  # where the service reaches each
         self.below: list[list[Door]] = [[] for _ in range(told.aggregators)]  # from children
@@ -60,7 +60,7 @@
             doors.append(door)
         return doors
 
-    async def aggregator(self, number: int) -> Actor:
+    async def aggregator(self, number: int) -> MemberProcess:
         """Start a process of one, and lead everybody to it."""
         port = next(self._ports)
         regions = self._told.regions
@@ -127,7 +127,7 @@
                     actor.process.send_signal(signal.SIGCONT)
 
     @staticmethod
-    async def _end(actor: Actor | None, planned: bool) -> None:
+    async def _end(actor: MemberProcess | None, planned: bool) -> None:
         if actor is None or not actor.alive:
             return
         actor.ending = True
--- a/brassfall/lab/play.py
+++ b/brassfall/lab/play.py
@@ -126,8 +126,8 @@
 
 def perform(order: Order) -> Result:
     """Play a day with real processes."""
-    from brassfall.lab.real.conductor import conduct
-    from brassfall.lab.real.troupe import ROOT
+    from brassfall.lab.real.controller import run_play
+    from brassfall.lab.real.process_group import ROOT
 
     told, recorded = experiment(Path(order.experiment))
     version = next(version for version in told.versions if version.name == order.version)
@@ -139,7 +139,7 @@
         task = asyncio.current_task()
         assert task is not None
         asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
-        return await conduct(told, version, drawn, folder, code, order.experiment, _progress(order))
+        return await run_play(told, version, drawn, folder, code, order.experiment, _progress(order))
 
     why, crashes, cost, events = asyncio.run(work())
     judgement = judged(folder, told)
--- a/brassfall/lab/real/child.py
+++ b/brassfall/lab/real/child.py
@@ -27,9 +27,9 @@
     return time.monotonic() * 1000.0
 
 
-def say(event: str, **told: Any) -> None:
+def say(event: str, **message: Any) -> None:
     """Report to whoever started this process."""
-    sys.stdout.buffer.write(msgspec.json.encode({"event": event, **told}) + b"\n")
+    sys.stdout.buffer.write(msgspec.json.encode({"event": event, **message}) + b"\n")
     sys.stdout.buffer.flush()
 
 
@@ -75,8 +75,8 @@
         line = await self._reader.readline()
         if not line:
             os._exit(1)
-        told: dict[str, Any] = msgspec.json.decode(line)
-        return told
+        message: dict[str, Any] = msgspec.json.decode(line)
+        return message
 
     async def __aiter__(self) -> AsyncIterator[dict[str, Any]]:
         while True:
--- a/brassfall/lab/real/clients.py
+++ b/brassfall/lab/real/clients.py
@@ -35,10 +35,10 @@
 class Clients:
     """The clients of some sidecars."""
 
-    def __init__(self, order: Order, day: Day, book: ledger.Book) -> None:
+    def __init__(self, order: Order, day: Day, ledger_writer: ledger.Book) -> None:
         self.order = order
         self.day = day
-        self.book = book
+        self.ledger_writer = ledger_writer
         self.t0 = 0.0
         self.lateness = child.Lateness()
         self.starved = 0  # tries that failed for want of descriptors
@@ -102,7 +102,7 @@
             tries += 1
             now = self.now()
             answer.end = round(now, 3)
-            self.book.add(answer)
+            self.ledger_writer.add(answer)
             wait = client.wait(
                 habits, row, answer.status, tries, now - due, now - due, retry_after, self._rng.random()
             )
@@ -133,12 +133,12 @@
         return 0.0
 
     async def _ask(self, answer: ledger.Answer, method: str, url: str, headers: dict[str, str]) -> float:
-        for again in (False, True):
+        for is_retry in (False, True):
             try:
                 body = b"x" * 64 if method == "POST" else None
-                async with self.session.request(method, url, headers=headers, data=body) as told:
-                    text = (await told.read()).decode("latin-1")
-                    return self._read(answer, told, text)
+                async with self.session.request(method, url, headers=headers, data=body) as response:
+                    text = (await response.read()).decode("latin-1")
+                    return self._read(answer, response, text)
             except aiohttp.ClientConnectorError as error:
                 self.starved += error.errno in (errno.EMFILE, errno.ENFILE)
                 answer.status = UNREACHED
@@ -146,21 +146,21 @@
             except aiohttp.ServerDisconnectedError:
                 # A close that crossed the request: it is sent once more, on a new connection.
                 answer.status = BROKEN
-                if again:
+                if is_retry:
                     return 0.0
             except aiohttp.ClientError:
                 answer.status = BROKEN
                 return 0.0
         return 0.0
 
-    def _read(self, answer: ledger.Answer, told: aiohttp.ClientResponse, text: str) -> float:
-        if told.status == 200:
+    def _read(self, answer: ledger.Answer, response: aiohttp.ClientResponse, text: str) -> float:
+        if response.status == 200:
             answer.status = SERVED
             answer.by, _, answer.of = text.partition(" ")
             return 0.0
-        answer.status = REFUSED if told.status in (429, 503) else FAILED
+        answer.status = REFUSED if response.status in (429, 503) else FAILED
         try:
-            return 1000.0 * float(told.headers.get("Retry-After", "0"))
+            return 1000.0 * float(response.headers.get("Retry-After", "0"))
         except ValueError:
             return 0.0
 
@@ -172,9 +172,9 @@
 async def work(raw: dict[str, Any], commands: child.Commands, lateness: child.Lateness) -> None:
     """Be ready, and play when told."""
     order = msgspec.convert(raw, Order)
-    told, recorded = experiment(Path(order.experiment))
-    book = ledger.Book(Path(order.folder), kinds=(ledger.Answer,))
-    clients = Clients(order, draw(told, order.seed, recorded), book)
+    declared, recorded = experiment(Path(order.experiment))
+    ledger_writer = ledger.Book(Path(order.folder), kinds=(ledger.Answer,))
+    clients = Clients(order, draw(declared, order.seed, recorded), ledger_writer)
     child.say("ready")
     clients.t0 = (await commands.next())["t0"]
 
@@ -184,7 +184,7 @@
 
     obeying = asyncio.get_running_loop().create_task(obey())
     await clients.play()
-    book.close()
+    ledger_writer.close()
     obeying.cancel()
     clients.lateness.say(starved=clients.starved)
 
--- a/brassfall/lab/real/conductor.py
+++ b/brassfall/lab/real/controller.py
@@ -14,9 +14,9 @@
 from brassfall.lab.geography import Delays
 from brassfall.lab.real import gather
 from brassfall.lab.real.child import LATE_MS, clock, raise_descriptors
+from brassfall.lab.real.environment import DESCRIPTORS, Environment
 from brassfall.lab.real.faults import Faults
-from brassfall.lab.real.stage import DESCRIPTORS, Stage
-from brassfall.lab.real.troupe import ROOT, Actor, PlayError, Troupe, lend_environment
+from brassfall.lab.real.process_group import ROOT, MemberProcess, PlayError, ProcessGroup, lend_environment
 from brassfall.lab.spec import Experiment, Version
 
 BEGIN_MS = 300.0  # between the last process being ready and the first request
@@ -25,20 +25,20 @@
 LATE_MOST_MS = 250.0
 
 
-async def _play(stage: Stage, senders: list[Actor]) -> list[dict[str, Any]]:
+async def _play(environment: Environment, senders: list[MemberProcess]) -> list[dict[str, Any]]:
     """Play the day; what the clients report at its end."""
-    stage.t0 = clock() + BEGIN_MS
-    for actor in senders:
-        actor.send(t0=stage.t0)
-    faults = Faults(stage)
-    troubles = [asyncio.create_task(faults.play(trouble)) for trouble in stage.day.troubles]
-    troubles += [asyncio.create_task(_reroute(stage, *route)) for route in stage.day.routes[1:]]
-    telling = asyncio.create_task(_tell(stage))
-    sampling = asyncio.create_task(_watch_sidecars(stage))
+    environment.t0 = clock() + BEGIN_MS
+    for member in senders:
+        member.send(t0=environment.t0)
+    faults = Faults(environment)
+    troubles = [asyncio.create_task(faults.play(trouble)) for trouble in environment.day.troubles]
+    troubles += [asyncio.create_task(_reroute(environment, *route)) for route in environment.day.routes[1:]]
+    telling = asyncio.create_task(_tell(environment))
+    sampling = asyncio.create_task(_watch_sidecars(environment))
     try:
-        limit = stage.day.lasts + max(row.deadline for row in stage.day.classes) + 10_000.0
+        limit = environment.day.lasts + max(row.deadline for row in environment.day.classes) + 10_000.0
         async with asyncio.timeout(limit / 1000.0):
-            reports = [await _done(actor) for actor in senders]
+            reports = [await _done(member) for member in senders]
             await asyncio.sleep(AFTER_S)
     except TimeoutError:
         raise PlayError("the clients did not come to an end") from None
@@ -52,33 +52,35 @@
     return reports
 
 
-async def _reroute(stage: Stage, at: float, between: Delays) -> None:
-    await stage.until(at)
-    stage.tell_networks(do="route", between=between)
+async def _reroute(environment: Environment, at: float, between: Delays) -> None:
+    await environment.until(at)
+    environment.command_networks(do="route", between=between)
 
 
-async def _done(actor: Actor) -> dict[str, Any]:
-    while "done" not in actor.reports:
-        if not actor.alive:
-            raise PlayError(f"{actor.name} ended with status {actor.process.returncode}: {actor.last}")
+async def _done(member: MemberProcess) -> dict[str, Any]:
+    while "done" not in member.reports:
+        if not member.alive:
+            raise PlayError(f"{member.name} ended with status {member.process.returncode}: {member.last}")
         await asyncio.sleep(0.05)
-    return actor.reports["done"]
+    return member.reports["done"]
 
 
-async def _tell(stage: Stage) -> None:
+async def _tell(environment: Environment) -> None:
     while True:
-        stage.progress(stage.now())
+        environment.progress(environment.now())
         await asyncio.sleep(1.0)
 
 
-async def _watch_sidecars(stage: Stage) -> None:
+async def _watch_sidecars(environment: Environment) -> None:
     """A sidecar that ends without being told to has crashed."""
     seen: set[int] = set()
     while True:
-        for name, actor in stage.sidecars.items():
-            if not actor.alive and actor.process.pid not in seen and not actor.ending:
-                seen.add(actor.process.pid)
-                stage.crashes.append(f"sidecar {name} ended with {actor.process.returncode}: {actor.last}")
+        for name, member in environment.sidecars.items():
+            if not member.alive and member.process.pid not in seen and not member.ending:
+                seen.add(member.process.pid)
+                environment.crashes.append(
+                    f"sidecar {name} ended with {member.process.returncode}: {member.last}"
+                )
         await asyncio.sleep(0.1)
 
 
@@ -97,8 +99,8 @@
     return f"the lab ran late, by {most:.0f} ms at the most" if most > LATE_MOST_MS else ""
 
 
-async def conduct(
-    told: Experiment,
+async def run_play(
+    experiment: Experiment,
     version: Version,
     day: Day,
     folder: Path,
@@ -112,37 +114,37 @@
         raise PlayError(f"{available} descriptors a process are too few: {DESCRIPTORS} are wanted")
     if code != ROOT:
         lend_environment(code)
-    troupe = Troupe(folder / "logs")
-    stage = Stage(told, version, day, folder, code, order, troupe, progress)
-    await troupe.open()
+    group = ProcessGroup(folder / "logs")
+    environment = Environment(experiment, version, day, folder, code, order, group, progress)
+    await group.open()
     begun = time.monotonic()
     try:
-        senders = await stage.start()
+        senders = await environment.start()
         started = time.monotonic()
-        troupe.count_from_here()
+        group.count_from_here()
         used = resource.getrusage(resource.RUSAGE_SELF)
-        reports = await _play(stage, senders)
+        reports = await _play(environment, senders)
         played = time.monotonic()
-        reports += await stage.end()
+        reports += await environment.end()
     finally:
-        await troupe.close()
+        await group.close()
     own = resource.getrusage(resource.RUSAGE_SELF)
-    cost = _cost(troupe, own.ru_utime + own.ru_stime - used.ru_utime - used.ru_stime, played - started)
+    cost = _cost(group, own.ru_utime + own.ru_stime - used.ru_utime - used.ru_stime, played - started)
     cost["start_s"] = started - begun
-    gather.gather(folder, stage)
-    return lateness(reports), stage.crashes, cost, stage.events
+    gather.gather(folder, environment)
+    return lateness(reports), environment.crashes, cost, environment.events
 
 
-def _cost(troupe: Troupe, own: float, played: float) -> dict[str, float]:
+def _cost(group: ProcessGroup, own: float, played: float) -> dict[str, float]:
     """Processor time by role, in seconds; the lab's own share of it."""
     by_role: dict[str, float] = {"lab": own, "sidecar": 0.0, "list service": 0.0}
-    for actor in troupe.actors:
-        by_role[actor.role] += actor.cpu_s
-    whole = sum(by_role.values())
+    for member in group.members:
+        by_role[member.role] += member.cpu_s
+    total = sum(by_role.values())
     return {
         "cpu_lab_s": by_role["lab"],
         "cpu_sidecars_s": by_role["sidecar"],
         "cpu_list_s": by_role["list service"],
-        "lab_share": by_role["lab"] / whole if whole else 0.0,
+        "lab_share": by_role["lab"] / total if total else 0.0,
         "play_s": played,
     }
--- a/brassfall/lab/real/stage.py
+++ b/brassfall/lab/real/environment.py
@@ -20,13 +20,13 @@
 from brassfall.lab.day import Day, Machine, Trouble, wire_settings
 from brassfall.lab.real import clients, network, server
 from brassfall.lab.real.child import clock
-from brassfall.lab.real.troupe import (
-    Actor,
+from brassfall.lab.real.process_group import (
+    MemberProcess,
     PlayError,
-    Troupe,
-    environment,
+    ProcessGroup,
     free_port,
     run_command,
+    sidecar_environment,
 )
 from brassfall.lab.spec import Experiment, Version
 
@@ -41,52 +41,52 @@
 
     name: str
     machine: Machine
-    life: int = -1
-    actor: Actor | None = None
+    incarnation: int = -1
+    member: MemberProcess | None = None
     ends: str = ""  # why it is about to end, once that is meant
 
 
 @dataclass(slots=True)
-class Stage:
+class Environment:
     """One play."""
 
-    told: Experiment
+    experiment: Experiment
     version: Version
     day: Day
     folder: Path
     code: Path
     order: str  # the path of the experiment
-    troupe: Troupe
+    group: ProcessGroup
     progress: Callable[[float], None]
     hosts: dict[str, Host] = field(default_factory=dict)
-    networks: list[Actor] = field(default_factory=list)
-    sidecars: dict[str, Actor] = field(default_factory=dict)
+    networks: list[MemberProcess] = field(default_factory=list)
+    sidecars: dict[str, MemberProcess] = field(default_factory=dict)
     events: list[ledger.Event] = field(default_factory=list)
-    lives: list[ledger.Life] = field(default_factory=list)
+    incarnations: list[ledger.Life] = field(default_factory=list)
     crashes: list[str] = field(default_factory=list)
     taps: dict[str, str] = field(default_factory=dict)
-    list_doors: dict[int, str] = field(default_factory=dict)  # by zone
+    list_addresses: dict[int, str] = field(default_factory=dict)  # by zone
     listens: dict[str, str] = field(default_factory=dict)
     list_port: int = 0
-    lister: Actor | None = None
+    list_service: MemberProcess | None = None
     t0: float = 0.0
     since: dict[tuple[str, int], int] = field(default_factory=dict)
     _tasks: list[asyncio.Task[None]] = field(default_factory=list)
 
     # --- start ----------------------------------------------------------------
 
-    async def start(self) -> list[Actor]:
+    async def start(self) -> list[MemberProcess]:
         """Start everything; the processes of clients, ready to send."""
         self.list_port = free_port()
         await self.start_list()
         await self._start_networks()
         self.hosts = {machine.name: Host(machine.name, machine) for machine in self.day.servers}
-        await asyncio.gather(*(self.start_server(host, cold=False) for host in self.hosts.values()))
+        await asyncio.gather(*(self.start_server(host, warming_up=False) for host in self.hosts.values()))
         await self._listed(len(self.hosts))
         known = await client.call(self._list_at, "GET", "/registry/instances")
-        for actor in self.networks:
-            actor.send(do="list", endpoints=known["endpoints"])
-        lists = [(await actor.report("list"))["endpoints"] for actor in self.networks]
+        for member in self.networks:
+            member.send(do="list", endpoints=known["endpoints"])
+        lists = [(await member.report("list"))["endpoints"] for member in self.networks]
         for number in range(len(self.day.apps)):
             self.listens[self.day.apps[number].name] = f"127.0.0.1:{free_port()}"
         await asyncio.gather(
@@ -109,11 +109,11 @@
         gather = "" if data.exists() else "[registry.leases]\ngather_ms = 0\n"
         config.write_text(f'[registry]\nlisten = "{self._list_at}"\ndata = "{data}"\n{gather}')
         words = [sys.executable, "-m", "brassfall", "registry", "serve", "--config", str(config)]
-        self.lister = await self.troupe.start("list service", "list service", words)
-        await self.lister.report("ready")
+        self.list_service = await self.group.start("list service", "list service", words)
+        await self.list_service.report("ready")
 
     async def _start_networks(self) -> None:
-        zones = self.told.fleet.zones
+        zones = self.experiment.fleet.zones
         for group, zone in enumerate(self.day.ways.homes):
             mine = [app.name for app in self.day.apps if app.group == group]
             order = network.Order(
@@ -126,44 +126,44 @@
                 str(self.folder / "parts" / f"network-{group}"),
             )
             name = f"network {zones[zone]} {group}"
-            self.networks.append(await self.troupe.own(name, "lab", "network", order))
-        for actor, zone in zip(self.networks, self.day.ways.homes, strict=True):
-            ready = await actor.report("ready")
+            self.networks.append(await self.group.own(name, "lab", "network", order))
+        for member, zone in zip(self.networks, self.day.ways.homes, strict=True):
+            ready = await member.report("ready")
             self.taps |= ready["taps"]
-            self.list_doors.setdefault(zone, ready["registry"])
+            self.list_addresses.setdefault(zone, ready["registry"])
 
-    async def start_server(self, host: Host, cold: bool) -> None:
+    async def start_server(self, host: Host, warming_up: bool) -> None:
         """Start a life of a server, and wait until it listens."""
-        host.life += 1
+        host.incarnation += 1
         host.ends = ""
-        since = int(time.time() * 1000.0) if cold else 0  # as if it had started long ago
-        self.since[host.name, since] = host.life
+        since = int(time.time() * 1000.0) if warming_up else 0  # as if it had started long ago
+        self.since[host.name, since] = host.incarnation
         order = server.Order(
             machine=host.machine,
             name=host.name,
-            life=host.life,
-            cold=cold,
+            incarnation=host.incarnation,
+            warming_up=warming_up,
             since_ms=since,
-            registry=self.list_doors[host.machine.zone],
+            registry=self.list_addresses[host.machine.zone],
             ttl_ms=int(self.day.ttl),
-            zones=self.told.fleet.zones,
-            kinds=[kind.name for kind in self.told.fleet.kinds],
+            zones=self.experiment.fleet.zones,
+            kinds=[kind.name for kind in self.experiment.fleet.kinds],
             noise={row.name: cv for row, cv in zip(self.day.classes, self.day.noise, strict=True)},
-            folder=str(self.folder / "parts" / f"server-{host.name}-{host.life}"),
+            folder=str(self.folder / "parts" / f"server-{host.name}-{host.incarnation}"),
         )
-        host.actor = await self.troupe.own(host.name, "lab", "server", order)
-        await host.actor.report("ready")
-        self._tasks.append(asyncio.create_task(self._mourn(host, host.actor, host.life)))
+        host.member = await self.group.own(host.name, "lab", "server", order)
+        await host.member.report("ready")
+        self._tasks.append(asyncio.create_task(self._note_end(host, host.member, host.incarnation)))
 
-    async def _mourn(self, host: Host, actor: Actor, life: int) -> None:
+    async def _note_end(self, host: Host, member: MemberProcess, incarnation: int) -> None:
         """When a server has ended, tell the network that nobody is there any more."""
-        status = await actor.wait()
+        status = await member.wait()
         why = host.ends or ("fallen" if status == server.FELL else "crashed")
-        self.lives.append(ledger.Life(host.name, life, 0.0, 0.0, end=self.now(), why=why))
+        self.incarnations.append(ledger.Life(host.name, incarnation, 0.0, 0.0, end=self.now(), why=why))
         for zone in self.networks:
             zone.send(do="down", names=[host.name])
         if why == "crashed":
-            self.crashes.append(f"server {host.name} ended with status {status}: {actor.last}")
+            self.crashes.append(f"server {host.name} ended with status {status}: {member.last}")
 
     async def start_sidecar(self, number: int, known: dict[str, Any] | None = None) -> None:
         """Start a sidecar as the platform does, and wait until it is ready."""
@@ -179,39 +179,39 @@
                 "seed": f"{app.seed:x}",
                 "limits": {"cores": 1.0, "memory_mb": 2048, "sockets": DESCRIPTORS},
                 "known": known,
-                "settings": wire_settings(self.told, number, self.version.settings),
+                "settings": wire_settings(self.experiment, number, self.version.settings),
             }
             path.write_text(json.dumps(raw))
-        env = environment(NODE_CONFIG=str(path), TMPDIR=str(folder))
+        env = sidecar_environment(NODE_CONFIG=str(path), TMPDIR=str(folder))
         command = run_command(self.code)
-        actor = await self.troupe.start(app.name, "sidecar", ["/bin/sh", "-c", command], None, self.code, env)
-        self.sidecars[app.name] = actor
-        await self._ready(actor, self.listens[app.name])
+        member = await self.group.start(app.name, "sidecar", ["/bin/sh", "-c", command], None, self.code, env)
+        self.sidecars[app.name] = member
+        await self._ready(member, self.listens[app.name])
 
-    async def _ready(self, actor: Actor, address: str) -> None:
+    async def _ready(self, member: MemberProcess, address: str) -> None:
         async with aiohttp.ClientSession() as session:
             for _ in range(int(READY_S / 0.02)):
-                if not actor.alive:
+                if not member.alive:
                     raise PlayError(
-                        f"sidecar {actor.name} ended with {actor.process.returncode}: {actor.last}"
+                        f"sidecar {member.name} ended with {member.process.returncode}: {member.last}"
                     )
                 with contextlib.suppress(aiohttp.ClientError, OSError):
                     async with session.get(f"http://{address}/health/ready") as answer:
                         if answer.status == 200:
                             return
                 await asyncio.sleep(0.02)
-        raise PlayError(f"sidecar {actor.name}: not ready within {READY_S:g} s")
+        raise PlayError(f"sidecar {member.name}: not ready within {READY_S:g} s")
 
     async def _listed(self, count: int) -> None:
         for _ in range(int(READY_S / 0.05)):
             with contextlib.suppress(client.CallError):
-                told = await client.call(self._list_at, "GET", "/registry/instances")
-                if len(told["endpoints"]) >= count:
+                listed = await client.call(self._list_at, "GET", "/registry/instances")
+                if len(listed["endpoints"]) >= count:
                     return
             await asyncio.sleep(0.05)
         raise PlayError(f"the list service does not list {count} servers within {READY_S:g} s")
 
-    async def _start_clients(self) -> list[Actor]:
+    async def _start_clients(self) -> list[MemberProcess]:
         """Clients in as many processes as it takes to be on time, each with whole applications."""
         rate = 1000.0 * len(self.day.arrivals.at) / self.day.lasts
         count = min(len(self.day.apps), max(1, math.ceil(rate / RATE_A_CLIENT)))
@@ -225,9 +225,9 @@
         for number, mine in enumerate(shares):
             folder = str(self.folder / "parts" / f"clients-{number}")
             order = clients.Order(self.order, self.day.seed, mine, folder)
-            made.append(await self.troupe.own(f"clients {number}", "lab", "clients", order))
-        for actor in made:
-            await actor.report("ready")
+            made.append(await self.group.own(f"clients {number}", "lab", "clients", order))
+        for member in made:
+            await member.report("ready")
         return made
 
     # --- play -----------------------------------------------------------------
@@ -248,24 +248,24 @@
         self.events.append(event)
         return event
 
-    def tell_networks(self, **told: Any) -> None:
+    def command_networks(self, **command: Any) -> None:
         """A command to the network of every zone."""
-        for actor in self.networks:
-            actor.send(**told)
+        for member in self.networks:
+            member.send(**command)
 
     # --- end ------------------------------------------------------------------
 
     async def end(self) -> list[dict[str, Any]]:
         """Let the lab's own processes end, and count what all have used; how late the lab's ran."""
-        for actor in self.troupe.actors:
-            if actor.alive:
-                actor.count_cpu()
+        for member in self.group.members:
+            if member.alive:
+                member.count_cpu()
         for task in self._tasks:
             task.cancel()
         stopped = {name for event in self.events if event.kind == "stop" for name in event.targets}
         hosts = [host for host in self.hosts.values() if host.name.partition(".")[0] not in stopped]
-        own = [*self.networks, *(host.actor for host in hosts if host.actor is not None)]
-        asked = [actor for actor in own if actor.alive]
-        for actor in asked:
-            actor.send(do="end")
-        return [await actor.report("done") for actor in asked]
+        own = [*self.networks, *(host.member for host in hosts if host.member is not None)]
+        asked = [member for member in own if member.alive]
+        for member in asked:
+            member.send(do="end")
+        return [await member.report("done") for member in asked]
--- a/brassfall/lab/real/gather.py
+++ b/brassfall/lab/real/gather.py
@@ -7,21 +7,21 @@
 
 from brassfall.lab import ledger
 from brassfall.lab.ledger import Answer, Attempt, Life, News
-from brassfall.lab.real.stage import Stage
+from brassfall.lab.real.environment import Environment
 
 READ_ON_MS = 500.0  # how long after it goes on a stopped server reads what came meanwhile
 START_MS = 2000.0  # a sidecar that was killed is away for as long as its start takes, too
 
 
-def gather(folder: Path, stage: Stage) -> None:
+def gather(folder: Path, environment: Environment) -> None:
     """Write the ledger of a play into its folder."""
     parts = sorted((folder / "parts").glob("*"))
-    t0, apps = stage.t0, {app.name: app.zone for app in stage.day.apps}
-    zones = {host.name: host.machine.zone for host in stage.hosts.values()}
-    book = ledger.Book(folder)
+    t0, apps = environment.t0, {app.name: app.zone for app in environment.day.apps}
+    zones = {host.name: host.machine.zone for host in environment.hosts.values()}
+    ledger_writer = ledger.Book(folder)
     answers = [row for part in parts for row in ledger.read(part, Answer)]
     sidecar_of = {answer.id: answer.sidecar for answer in answers}
-    away = [event for event in stage.events if event.kind == "sidecar-kill"]
+    away = [event for event in environment.events if event.kind == "sidecar-kill"]
     for answer in sorted(answers, key=lambda row: (row.sent, row.id)):
         answer.excused = any(
             answer.sidecar in event.targets
@@ -29,32 +29,32 @@
             and answer.sent <= event.until + START_MS
             for event in away
         )
-        book.add(answer)
-    for attempt in sorted(_attempts(parts, stage), key=lambda row: (row.at, row.id)):
+        ledger_writer.add(answer)
+    for attempt in sorted(_attempts(parts, environment), key=lambda row: (row.at, row.id)):
         there, here = zones.get(attempt.server, 0), apps.get(sidecar_of.get(attempt.id, ""), 0)
         attempt.cross = here != there
-        book.add(attempt)
+        ledger_writer.add(attempt)
     for news in sorted((r for p in parts for r in ledger.read(p, News)), key=lambda row: row.at):
         news.at = round(news.at - t0, 3)
-        news.life = stage.since.get((news.server, news.life), -1)
-        book.add(news)
-    ends = {(life.server, life.life): life for life in stage.lives}
+        news.life = environment.since.get((news.server, news.life), -1)
+        ledger_writer.add(news)
+    ends = {(life.server, life.life): life for life in environment.incarnations}
     for life in (row for part in parts for row in ledger.read(part, Life)):
         ended = ends.get((life.server, life.life))
         life.begun = round(life.begun - t0, 3)
         life.end, life.why = (round(ended.end, 3), ended.why) if ended is not None else (-1.0, "")
-        book.add(life)
-    for event in stage.events:
-        book.add(event)
-    book.close()
+        ledger_writer.add(life)
+    for event in environment.events:
+        ledger_writer.add(event)
+    ledger_writer.close()
 
 
-def _attempts(parts: list[Path], stage: Stage) -> list[Attempt]:
+def _attempts(parts: list[Path], environment: Environment) -> list[Attempt]:
     """Every attempt once, the last that its server wrote of it; the play's clock, and when it was sent."""
-    t0 = stage.t0
+    t0 = environment.t0
     stops: dict[str, list[tuple[float, float]]] = defaultdict(list)
     slow: dict[str, list[tuple[float, float, float]]] = defaultdict(list)
-    for trouble in stage.day.troubles:
+    for trouble in environment.day.troubles:
         for name in trouble.targets:
             if trouble.kind == "stop":
                 stops[name].append((trouble.at, trouble.until))
--- a/brassfall/lab/real/network.py
+++ b/brassfall/lab/real/network.py
@@ -34,7 +34,7 @@
     zone: int
     group: int
     zones: list[str]
-    ways: Ways
+    connections: Ways
     registry: str
     sidecars: list[str]
     folder: str
@@ -43,8 +43,8 @@
 class Side(asyncio.Protocol):
     """One end of a way; what comes here leaves at the other end."""
 
-    def __init__(self, way: Way, answers: bool) -> None:
-        self.way = way
+    def __init__(self, connection: Connection, answers: bool) -> None:
+        self.connection = connection
         self.answers = answers
         self.transport: asyncio.Transport | None = None
         self.other: Side
@@ -54,15 +54,15 @@
         """It is open."""
         self.transport = cast(asyncio.Transport, transport)  # uvloop's are no subclass
         if not self.answers:
-            self.way.opened(self)
+            self.connection.opened(self)
 
     def data_received(self, data: bytes) -> None:
         """Pass it on, late or never."""
-        self.way.carry(self, data)
+        self.connection.carry(self, data)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """The other end is closed too, if the network still says so."""
-        self.way.lost(self)
+        self.connection.lost(self)
 
     def write(self, data: bytes) -> None:
         """Send it, once this end is open."""
@@ -80,7 +80,7 @@
                 self.transport.close()
 
 
-class Way:
+class Connection:
     """One connection through the network."""
 
     def __init__(self, gate: Gate) -> None:
@@ -93,7 +93,7 @@
 
     def opened(self, side: Side) -> None:
         """A sidecar has connected: connect on to the server."""
-        self.gate.ways.add(self)
+        self.gate.connections.add(self)
         asyncio.get_running_loop().create_task(self._connect())
 
     async def _connect(self) -> None:
@@ -125,7 +125,7 @@
 
     def lost(self, side: Side) -> None:
         """One end is closed."""
-        self.gate.ways.discard(self)
+        self.gate.connections.discard(self)
         if self.dead or self.gate.delay(side.answers) is None:
             return  # the other end hears nothing of it
         side.other.close(abort=side.answers)
@@ -138,7 +138,7 @@
         self.network = network
         self.group, self.there = group, there
         self.name, self.target = name, target
-        self.ways: set[Way] = set()
+        self.connections: set[Connection] = set()
         self.port = 0
         self._server: asyncio.Server | None = None
         self._blocked: list[socket.socket] = []
@@ -156,7 +156,9 @@
         listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         listening.bind(("127.0.0.1", self.port))
         self.port = listening.getsockname()[1]
-        self._server = await loop.create_server(lambda: Way(self).near, sock=listening, backlog=BACKLOG)
+        self._server = await loop.create_server(
+            lambda: Connection(self).near, sock=listening, backlog=BACKLOG
+        )
         return self.port
 
     def shut(self, abort: bool) -> None:
@@ -164,10 +166,10 @@
         if self._server is not None:
             self._server.close()
             self._server = None
-        for way in list(self.ways):
+        for connection in list(self.connections):
             if abort:
-                way.near.close(abort=True)
-                way.far.close(abort=True)
+                connection.near.close(abort=True)
+                connection.far.close(abort=True)
 
     def block(self) -> None:
         """New connections never come up: the queue of the listening socket is full, and stays so."""
@@ -187,24 +189,24 @@
 
     async def unblock(self) -> None:
         """They come up again; connections over which something was swallowed are reset."""
-        for held in self._blocked:
-            held.close()
+        for listening in self._blocked:
+            listening.close()
         self._blocked = []
-        for way in [way for way in self.ways if way.dead]:
-            way.near.close(abort=True)
-            way.far.close(abort=True)
+        for connection in [connection for connection in self.connections if connection.dead]:
+            connection.near.close(abort=True)
+            connection.far.close(abort=True)
         await self.open()
 
 
 class Zone:
     """All gates of one zone, and what its sidecars are told of the list."""
 
-    def __init__(self, order: Order, book: ledger.Book) -> None:
+    def __init__(self, order: Order, ledger_writer: ledger.Book) -> None:
         import random
 
         self.order = order
-        self.book = book
-        self.network = Network(order.ways, random.random)
+        self.ledger_writer = ledger_writer
+        self.network = Network(order.connections, random.random)
         self.gates: dict[str, Gate] = {}  # by address
         self.list_gate = Gate(self.network, order.group, "", order.registry, 0)
         self._down: set[str] = set()
@@ -212,21 +214,21 @@
 
     # --- the list -------------------------------------------------------------
 
-    async def told(self, sidecar: str, line: bytes) -> bytes:
+    async def relay(self, sidecar: str, line: bytes) -> bytes:
         """One message of the list service as this sidecar gets it; what is new in it is noted."""
         news = msgspec.json.decode(line)
-        held = self._held[sidecar]
+        listening = self._held[sidecar]
         now = round(child.clock(), 3)
         if news["snapshot"]:
             named = {row["name"] for row in news["endpoints"]}
-            for name in [name for name in held if name not in named]:
-                self.book.add(ledger.News(sidecar, name, held.pop(name)[1], "left", now))
+            for name in [name for name in listening if name not in named]:
+                self.ledger_writer.add(ledger.News(sidecar, name, listening.pop(name)[1], "left", now))
         for row in news["endpoints"]:
             place = (row["status"], row["since_ms"])
-            if held.get(row["name"]) != place:
+            if listening.get(row["name"]) != place:
                 # The life is found by its start, when the ledger is put together.
-                self.book.add(ledger.News(sidecar, row["name"], row["since_ms"], row["status"], now))
-            held[row["name"]] = place
+                self.ledger_writer.add(ledger.News(sidecar, row["name"], row["since_ms"], row["status"], now))
+            listening[row["name"]] = place
             row["address"] = f"127.0.0.1:{await self.gate(row)}"
         return msgspec.json.encode(news)
 
@@ -250,7 +252,7 @@
         try:
             if request.query.get("watch") != "1":
                 news = await client.call(self.order.registry, "GET", "/registry/instances")
-                body = await self.told(sidecar, msgspec.json.encode(news))
+                body = await self.relay(sidecar, msgspec.json.encode(news))
                 return web.Response(body=body, content_type="application/json")
             return await self._watch(sidecar, request, int(index) if index.isdigit() else 0)
         except client.CallError as error:
@@ -262,7 +264,7 @@
         answer = web.StreamResponse()
         answer.enable_chunked_encoding()
         await answer.prepare(request)
-        await answer.write(await self.told(sidecar, first) + b"\n" if first else b"\n")
+        await answer.write(await self.relay(sidecar, first) + b"\n" if first else b"\n")
         await self._pass_on(sidecar, lines, answer)
         return answer
 
@@ -271,22 +273,22 @@
             async for line in lines:
                 while not self.network.reaches(self.order.zone, 0):
                     await asyncio.sleep(0.05)
-                await answer.write((await self.told(sidecar, line) if line else b"") + b"\n")
+                await answer.write((await self.relay(sidecar, line) if line else b"") + b"\n")
         except (client.CallError, OSError):
             pass  # the watch ends, as PROTOCOL has it
 
     # --- commands -------------------------------------------------------------
 
-    async def command(self, told: dict[str, Any]) -> None:
+    async def command(self, message: dict[str, Any]) -> None:
         """What goes wrong with the network, and what is over."""
-        names = set(told.get("names", ()))
-        match told["do"]:
+        names = set(message.get("names", ()))
+        match message["do"]:
             case "cut":
-                self.network.cut.add(told["zone"])
+                self.network.cut.add(message["zone"])
             case "mend":
-                self.network.cut.discard(told["zone"])
+                self.network.cut.discard(message["zone"])
             case "route":
-                between = tuple(tuple(row) for row in told["between"])
+                between = tuple(tuple(row) for row in message["between"])
                 self.network.ways = replace(self.network.ways, between=between)
             case "hole":
                 self.network.holes |= names
@@ -297,26 +299,26 @@
             case "no-deaf":
                 self.network.deaf -= names
             case "slow":
-                self.network.slow |= dict.fromkeys(names, told["ms"])
+                self.network.slow |= dict.fromkeys(names, message["ms"])
             case "no-slow":
                 self.network.slow = {k: v for k, v in self.network.slow.items() if k not in names}
             case "reset" | "down":
                 for gate in list(self.gates.values()):
                     if gate.name in names:
-                        self._strike(gate, told["do"] == "down")
+                        self._end_connections(gate, message["do"] == "down")
         self._apply_blocks()
         for gate in self._all():
             if gate._blocked and gate.delay(False) is not None and gate.name not in self._down:
                 await gate.unblock()
 
-    def _strike(self, gate: Gate, down: bool) -> None:
+    def _end_connections(self, gate: Gate, down: bool) -> None:
         if down:
             gate.shut(abort=True)
             del self.gates[gate.target]
             return
-        for way in list(gate.ways):
-            way.near.close(abort=True)
-            way.far.close(abort=True)
+        for connection in list(gate.connections):
+            connection.near.close(abort=True)
+            connection.far.close(abort=True)
 
     def _all(self) -> list[Gate]:
         return [*self.gates.values(), self.list_gate]
@@ -330,8 +332,8 @@
 async def work(raw: dict[str, Any], commands: child.Commands, lateness: child.Lateness) -> None:
     """Be the network of one zone until told to end."""
     order = msgspec.convert(raw, Order)
-    book = ledger.Book(Path(order.folder), buffered=False, kinds=(ledger.News,))
-    zone = Zone(order, book)
+    ledger_writer = ledger.Book(Path(order.folder), buffered=False, kinds=(ledger.News,))
+    zone = Zone(order, ledger_writer)
     taps, runners = {}, []
     for name in order.sidecars:
         app = web.Application()
@@ -347,17 +349,17 @@
         runners.append(runner)
     await zone.list_gate.open()
     child.say("ready", taps=taps, registry=f"127.0.0.1:{zone.list_gate.port}")
-    async for told in commands:
-        if told["do"] == "end":
+    async for message in commands:
+        if message["do"] == "end":
             break
-        if told["do"] == "list":
+        if message["do"] == "list":
             # The list as the sidecars are to know it from the start; it is no news to them.
-            rows = [{**row, "address": f"127.0.0.1:{await zone.gate(row)}"} for row in told["endpoints"]]
+            rows = [{**row, "address": f"127.0.0.1:{await zone.gate(row)}"} for row in message["endpoints"]]
             places = {row["name"]: (row["status"], row["since_ms"]) for row in rows}
             zone._held = {name: dict(places) for name in order.sidecars}
             child.say("list", endpoints=rows)
         else:
-            await zone.command(told)
+            await zone.command(message)
     lateness.say()
     for runner in runners:
         await runner.cleanup()
--- a/brassfall/lab/real/troupe.py
+++ b/brassfall/lab/real/process_group.py
@@ -30,7 +30,7 @@
     action = "Look at `logs` in the folder of the play; `lab run` with the same --out plays it again."
 
 
-class Actor:
+class MemberProcess:
     """One process."""
 
     def __init__(self, name: str, role: str, log: Path) -> None:
@@ -51,10 +51,10 @@
         """Whether it has not ended yet."""
         return self.process.returncode is None
 
-    def send(self, **told: Any) -> None:
+    def send(self, **message: Any) -> None:
         """Give it a command."""
         if self.alive and self.process.stdin is not None:
-            self.process.stdin.write(msgspec.json.encode(told) + b"\n")
+            self.process.stdin.write(msgspec.json.encode(message) + b"\n")
 
     async def report(self, event: str) -> dict[str, Any]:
         """Wait for it to report something; `PlayError` if it ends instead, or takes too long."""
@@ -88,9 +88,9 @@
 
     async def _read(self, stream: asyncio.StreamReader, reports: bool) -> None:
         async for line in stream:
-            told = _object(line)
-            if told is not None and "event" in told and (reports or told["event"] == "ready"):
-                self.reports[told["event"]] = told
+            message = _object(line)
+            if message is not None and "event" in message and (reports or message["event"] == "ready"):
+                self.reports[message["event"]] = message
             elif line.strip():
                 self.lines.append(line.decode(errors="replace").strip())
                 self._log.write(line)
@@ -116,40 +116,40 @@
 
 def _object(line: bytes) -> dict[str, Any] | None:
     try:
-        told = json.loads(line)
+        message = json.loads(line)
     except ValueError:
         return None
-    return told if isinstance(told, dict) else None
+    return message if isinstance(message, dict) else None
 
 
-class Troupe:
+class ProcessGroup:
     """All processes of one play."""
 
     def __init__(self, logs: Path) -> None:
         self._logs = logs
-        self.actors: list[Actor] = []
-        self._keeper: asyncio.subprocess.Process | None = None
+        self.members: list[MemberProcess] = []
+        self._supervisor: asyncio.subprocess.Process | None = None
 
     async def open(self) -> None:
-        """Start the keeper, which ends all others if this process dies."""
+        """Start the supervisor, which ends all others if this process dies."""
         self._logs.mkdir(parents=True, exist_ok=True)
-        self._keeper = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "brassfall.lab.real.keeper", cwd=ROOT, stdin=asyncio.subprocess.PIPE
+        self._supervisor = await asyncio.create_subprocess_exec(
+            sys.executable, "-m", "brassfall.lab.real.supervisor", cwd=ROOT, stdin=asyncio.subprocess.PIPE
         )
 
     async def start(
         self,
         name: str,
         role: str,
-        words: list[str],
+        command: list[str],
         order: Any = None,
         cwd: Path = ROOT,
         env: Mapping[str, str] | None = None,
-    ) -> Actor:
+    ) -> MemberProcess:
         """Start one process, and give it its order."""
-        actor = Actor(name, role, self._logs / f"{name.replace(' ', '-')}.log")
-        actor.process = await asyncio.create_subprocess_exec(
-            *words,
+        member = MemberProcess(name, role, self._logs / f"{name.replace(' ', '-')}.log")
+        member.process = await asyncio.create_subprocess_exec(
+            *command,
             cwd=cwd,
             env=env,
             stdin=asyncio.subprocess.PIPE if order is not None else asyncio.subprocess.DEVNULL,
@@ -157,38 +157,38 @@
             stderr=asyncio.subprocess.PIPE,
             limit=2**24,
         )
-        self.actors.append(actor)
-        if self._keeper is not None and self._keeper.stdin is not None:
-            self._keeper.stdin.write(f"{actor.process.pid}\n".encode())
-        actor.follow()
-        asyncio.get_running_loop().create_task(actor.wait())
+        self.members.append(member)
+        if self._supervisor is not None and self._supervisor.stdin is not None:
+            self._supervisor.stdin.write(f"{member.process.pid}\n".encode())
+        member.follow()
+        asyncio.get_running_loop().create_task(member.wait())
         if order is not None:
-            assert actor.process.stdin is not None
-            actor.process.stdin.write(msgspec.json.encode(order) + b"\n")
-        return actor
+            assert member.process.stdin is not None
+            member.process.stdin.write(msgspec.json.encode(order) + b"\n")
+        return member
 
-    async def own(self, name: str, role: str, module: str, order: Any) -> Actor:
+    async def own(self, name: str, role: str, module: str, order: Any) -> MemberProcess:
         """Start one of the lab's own processes."""
         return await self.start(name, role, [sys.executable, "-m", f"brassfall.lab.real.{module}"], order)
 
     def count_from_here(self) -> None:
         """The play begins: what all have used so far was their start."""
-        for actor in self.actors:
-            actor.count_cpu(begin=True)
+        for member in self.members:
+            member.count_cpu(begin=True)
 
     async def close(self) -> None:
         """End whatever still runs."""
-        for actor in self.actors:
-            if actor.alive:
-                actor.count_cpu()
-                actor.process.send_signal(signal.SIGCONT)
-                actor.process.kill()
-        for actor in self.actors:
-            await actor.wait()
-        if self._keeper is not None:
-            assert self._keeper.stdin is not None
-            self._keeper.stdin.close()
-            await self._keeper.wait()
+        for member in self.members:
+            if member.alive:
+                member.count_cpu()
+                member.process.send_signal(signal.SIGCONT)
+                member.process.kill()
+        for member in self.members:
+            await member.wait()
+        if self._supervisor is not None:
+            assert self._supervisor.stdin is not None
+            self._supervisor.stdin.close()
+            await self._supervisor.wait()
 
 
 def free_port() -> int:
@@ -214,7 +214,9 @@
         link.symlink_to(sys.prefix)
 
 
-def environment(**changes: str) -> dict[str, str]:
+def sidecar_environment(**changes: str) -> dict[str, str]:
     """The environment of a sidecar: nothing of the lab's own."""
-    kept = {name: value for name, value in os.environ.items() if not name.startswith(("NODE_", "PYTHONPATH"))}
-    return {**kept, **changes}
+    inherited = {
+        name: value for name, value in os.environ.items() if not name.startswith(("NODE_", "PYTHONPATH"))
+    }
+    return {**inherited, **changes}
--- a/brassfall/lab/real/server.py
+++ b/brassfall/lab/real/server.py
@@ -33,8 +33,8 @@
 
     machine: Machine
     name: str
-    life: int
-    cold: bool
+    incarnation: int
+    warming_up: bool
     since_ms: int
     registry: str
     ttl_ms: int
@@ -47,15 +47,15 @@
 class Host:
     """The model behind a listening socket."""
 
-    def __init__(self, order: Order, book: ledger.Book) -> None:
+    def __init__(self, order: Order, ledger_writer: ledger.Book) -> None:
         self.order = order
-        self.core = Server(order.machine, child.clock(), order.cold, random.random)
-        self._book = book
+        self.core = Server(order.machine, child.clock(), order.warming_up, random.random)
+        self._ledger = ledger_writer
         self._loop = asyncio.get_running_loop()
         self._timer: asyncio.TimerHandle | None = None
         self._seen: set[Any] = set()
         self.idle = asyncio.Event()
-        self._draws = {
+        self._work_parameters = {
             name: (-s * s / 2.0, s)
             for name, cv in order.noise.items()
             for s in [math.sqrt(math.log1p(cv * cv))]
@@ -67,19 +67,19 @@
             return web.Response(headers=self._report())
         call_id = request.headers.get("X-Call-Id")
         cls = request.path.split("/")[1]
-        if call_id is None or cls not in self._draws:
+        if call_id is None or cls not in self._work_parameters:
             return web.Response(status=404)
         sent = child.clock()
         await request.read()
         fresh = self._connected(request)
-        mu, sigma = self._draws[cls]
+        mu, sigma = self._work_parameters[cls]
         work = float(request.query.get("w", "1")) * random.lognormvariate(mu, sigma)
         job = Job(work, self._loop.create_future())
         now = child.clock()
         row = ledger.Attempt(
             call_id,
             self.order.name,
-            self.order.life,
+            self.order.incarnation,
             round(sent, 3),
             round(now, 3),
             -1.0,
@@ -88,11 +88,11 @@
             request.headers.get("Idempotency-Key", ""),
             round(work, 3),
         )
-        self._book.add(row)
+        self._ledger.add(row)
         self.settle(now)
         reason = self.core.offer(now, job, fresh)
         if self.core.fallen:
-            self._book.flush()
+            self._ledger.flush()
             os._exit(FELL)
         if reason == TAKEN:
             self._arm()
@@ -103,7 +103,7 @@
         row.end = round(child.clock(), 3)
         row.work = round(job.work, 3)
         row.outcome = NAMED.get(reason) or ("error" if job.failed else "ok")
-        self._book.add(row)
+        self._ledger.add(row)
         if not self.core.held:
             self.idle.set()
         headers = self._report()
@@ -144,12 +144,12 @@
         self.settle(child.clock())
         self._arm()
 
-    def command(self, told: dict[str, Any]) -> None:
+    def command(self, command: dict[str, Any]) -> None:
         """A change of what it can do."""
         self.settle(child.clock())
-        if "errors" in told:
-            self.core.errors = told["errors"]
-        self.core.burden(slow=told.get("slow"), taken=told.get("taken"))
+        if "errors" in command:
+            self.core.errors = command["errors"]
+        self.core.burden(slow=command.get("slow"), taken=command.get("taken"))
         self._arm()
 
 
@@ -157,34 +157,34 @@
     """Serve until it is told to drain, or its starter is gone."""
     logs.set_up()
     order = msgspec.convert(raw, Order)
-    book = ledger.Book(Path(order.folder), buffered=False, kinds=(ledger.Attempt, ledger.Life))
-    host = Host(order, book)
+    ledger_writer = ledger.Book(Path(order.folder), buffered=False, kinds=(ledger.Attempt, ledger.Life))
+    host = Host(order, ledger_writer)
     runner = web.ServerRunner(web.Server(host.serve, access_log=None, keepalive_timeout=60.0))
     await runner.setup()
     site = web.TCPSite(runner, "127.0.0.1", 0, backlog=1024)
     await site.start()
     address = f"127.0.0.1:{runner.addresses[0][1]}"
     machine = order.machine
-    book.add(
+    ledger_writer.add(
         ledger.Life(
             order.name,
-            order.life,
+            order.incarnation,
             round(host.core.begun, 3),
             round(machine.capacity, 4),
-            machine.cold_from if order.cold else 1.0,
-            machine.cold_ms if order.cold else 0.0,
+            machine.cold_from if order.warming_up else 1.0,
+            machine.cold_ms if order.warming_up else 0.0,
         )
     )
     member = Member([order.registry], _entry(order, address), order.ttl_ms)
     member.start()
     child.say("ready", listen=address, pid=os.getpid())
-    async for told in commands:
-        if told["do"] == "drain":
-            await _drain(host, member, told["drain_s"])
+    async for command in commands:
+        if command["do"] == "drain":
+            await _drain(host, member, command["drain_s"])
             break
-        if told["do"] == "end":
+        if command["do"] == "end":
             break
-        host.command(told)
+        host.command(command)
     lateness.say()
     await runner.cleanup()
 
--- a/brassfall/lab/real/keeper.py
+++ b/brassfall/lab/real/supervisor.py
@@ -1,4 +1,4 @@
-"""Ends processes whose starter is gone: `python -m brassfall.lab.real.keeper`.
+"""Ends processes whose starter is gone: `python -m brassfall.lab.real.supervisor`.
 
 It is told process ids, one a line, and kills those that still live when its standard input ends. An id
 counts only with the time at which its process was started, so that nobody else's is ever struck.
@@ -23,17 +23,17 @@
 
 def main() -> None:
     """Read until the end, and clear up."""
-    told: dict[int, float] = {}
+    process_starts: dict[int, float] = {}
     try:
         for line in sys.stdin:
             pid = int(line)
             try:
-                told[pid] = psutil.Process(pid).create_time()
+                process_starts[pid] = psutil.Process(pid).create_time()
             except psutil.NoSuchProcess:
                 continue
     except KeyboardInterrupt:
         pass  # a Ctrl-C goes to the lab too, which then ends all by itself, or dies
-    for pid, started in told.items():
+    for pid, started in process_starts.items():
         end(pid, started)
 
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -16,7 +16,7 @@
 
 from brassfall.lab import compare, day, judge, ledger, play, runner, spec
 from brassfall.lab.models.server import FULL, TAKEN, Job, Server
-from brassfall.lab.real import conductor
+from brassfall.lab.real import controller
 from brassfall.lab.sim.faults import Faults
 from brassfall.lab.sim.flaws import FLAWS
 from brassfall.lab.sim.sidecar import Sidecar
@@ -390,10 +390,10 @@
 
 def test_a_play_in_which_the_lab_was_late_or_starved_does_not_count():
     fine = {"late_ms": 20.0, "late": 0, "due": 1000}
-    assert conductor.lateness([fine, fine]) == ""
+    assert controller.lateness([fine, fine]) == ""
     for odd, why in (
         ({"late": 11}, "11 of 1000 came more than 50 ms late"),
         ({"late": 1, "late_ms": 400.0}, "late, by 400 ms"),
         ({"starved": 3}, "out of descriptors: 3 tries"),
     ):
-        assert why in conductor.lateness([fine, {**fine, **odd}])
+        assert why in controller.lateness([fine, {**fine, **odd}])
