--- a/brassfall/controlplane/aggregation/merging.py
+++ b/brassfall/controlplane/aggregation/merging.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from brassfall.controlplane.geo.evidence import COUNT_MOST, Points, sift
+from brassfall.controlplane.geo.evidence import MAX_COUNT, Points, validate_rows
 
 DELAYS = "delays"
 EVERY_MS = 5000.0  # a pair's row comes no sooner after the one before
@@ -45,9 +45,9 @@
         rows = measures.get(DELAYS)
         if not rows:
             return
-        sifted = sift(rows)
-        self.refused += sum(sifted.refused.values())
-        for region, _, shake, first in sifted.rows:
+        validated = validate_rows(rows)
+        self.refused += sum(validated.rejected.values())
+        for region, _, shake, first in validated.rows:
             pair = self._pairs.get((group, region))
             if pair is None:
                 if len(self._pairs) >= PAIRS_MOST:
@@ -89,7 +89,7 @@
     """At most one bucket for each of `RANKS`, with the counts of its part; low quantiles stay fine."""
     rows = sorted(counts.items())
     if len(rows) <= len(RANKS):
-        return {bucket: min(count, COUNT_MOST) for bucket, count in rows}
+        return {bucket: min(count, MAX_COUNT) for bucket, count in rows}
     total, passed, part = sum(count for _, count in rows), 0, 0
     parts: list[list[tuple[int, int]]] = [[] for _ in RANKS]
     for bucket, count in rows:
@@ -98,7 +98,7 @@
         parts[part].append((bucket, count))
         passed += count
     joined = [(_middle(some), sum(count for _, count in some)) for some in parts if some]
-    return {bucket: min(count, COUNT_MOST) for bucket, count in joined}
+    return {bucket: min(count, MAX_COUNT) for bucket, count in joined}
 
 
 def _middle(rows: list[tuple[int, int]]) -> int:
--- a/brassfall/controlplane/geo/evidence.py
+++ b/brassfall/controlplane/geo/evidence.py
@@ -1,9 +1,11 @@
-"""What edges reported of their delays: merged so that order and repetition do not matter. Pure code.
-
-A row is kept under its edge, life, group, region and window; the same window again changes nothing but that
-the earlier time of hearing holds. Of each region an edge has its newest `WINDOWS` windows, so no edge
-outweighs others by telling more, and one that tells little keeps what it told for longer. Ages are
-counted from when a row was heard, on the clock of whoever merges (seconds).
+"""Delays that nodes reported, merged so that neither order nor repetition matters. Pure code.
+
+A node is a sidecar, or the part of a client group that reports through one aggregator. A node numbers its
+windows; a row (one window of the delays to one region) is stored under node, incarnation, client group,
+region and window, so the same row again changes nothing except that the earlier time of receipt is taken.
+For each region a node has its newest `MAX_WINDOWS` windows: a node that reports often has no more
+influence, and one that reports seldom has its rows used for longer. Ages are counted from the receipt of a
+row, on the monotonic clock of the process that merges (seconds).
 """
 
 from __future__ import annotations
@@ -12,215 +14,269 @@
 from collections import Counter
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass, field, replace
-from typing import Any, NamedTuple, TypeGuard
+from typing import NamedTuple, TypeGuard
 from zlib import crc32
 
-WIDTH, LEAST_MS, BUCKETS = (
-    1.05,
-    0.05,
-    287,
-)  # as sidecar.agent.delays has them; a test holds them together
-WINDOWS = 16  # of one region that are kept of an edge
-LIVES = 3  # of one edge that are kept, the last heard
-EDGES_MOST = 5000
-EDGES_HEARD = 16  # of one pair: enough for most of them to be honest when a third is not
-SILENT_S = 10.0
-ROWS_MOST = 64  # of one report
-POINTS_MOST = 16  # of one sketch
-COUNT_MOST = 100_000  # of one point
-SPAN_MOST_MS = 3_600_000.0
-NAME_MOST = 128
-FORGET_S = 3600.0
-BUCKET_OF = {str(bucket): bucket for bucket in range(BUCKETS)}
+# Buckets of a sketch are geometric: bucket k holds delays from MIN_DELAY_MS * BUCKET_WIDTH**k upwards. The
+# sidecar's `agent.delays` has the same values; a test compares them.
+BUCKET_WIDTH = 1.05
+MIN_DELAY_MS = 0.05
+BUCKETS = 287
+
+MAX_WINDOWS = 16  # stored for one region of a node
+MAX_INCARNATIONS = 3  # stored for one node, by the time of the last receipt
+MAX_NODES = 5000
+MAX_NODES_PER_PAIR = 16  # used: enough for an honest majority where a third of the nodes report nonsense
+SILENT_S = 10.0  # a node this much older than the newest of its pair is used last
+MAX_ROWS = 64  # of one report, and regions of one incarnation
+MAX_POINTS = 16  # of one sketch
+MAX_COUNT = 100_000  # of one point
+MAX_SPAN_MS = 3_600_000.0
+MAX_NAME_LENGTH = 128
+MAX_WINDOW_NUMBER = 2**53
+EXPIRY_S = 3600.0  # a node that is silent for so long is removed
+BUCKET_BY_KEY = {str(bucket): bucket for bucket in range(BUCKETS)}
 
 Points = tuple[tuple[int, int], ...]  # (bucket, count), by bucket
-Life = tuple[str, str]  # of an edge: its life, and the group it said it is of
+PairName = tuple[str, str]  # (client group, region)
+
+
+class DelayRow(NamedTuple):
+    """One window of one node's delays to one region, as reported."""
+
+    region: str
+    window: int
+    handshakes: Points
+    first_bytes: Points
+
+
+class NodeReport(NamedTuple):
+    """The valid rows of one report, its sender, and when it was received."""
+
+    node: str
+    incarnation: str
+    group: str
+    rows: tuple[DelayRow, ...]
+    received_s: float
+
+
+class Source(NamedTuple):
+    """One incarnation of a node, and the client group that it reports for."""
+
+    incarnation: str
+    group: str
 
 
 @dataclass(frozen=True, slots=True, order=True)
-class Row:
-    """One window of one edge's delays to one region; `heard_s` is when it was merged first."""
+class WindowSample:
+    """The sketches of one window, and when they were merged first."""
 
-    heard_s: float
-    shake: Points
-    first: Points
+    received_s: float
+    handshakes: Points
+    first_bytes: Points
 
 
-Track = Mapping[int, Row]  # by window
+WindowSamples = Mapping[int, WindowSample]  # by window number
+RegionSamples = Mapping[str, WindowSamples]
+NodeSamples = Mapping[Source, RegionSamples]
 
 
 @dataclass(frozen=True, slots=True)
 class State:
-    """All evidence: edge, then life and group, then region, then window. Never changed in place."""
+    """All evidence, by node, source, region and window. Never changed in place."""
 
-    edges: Mapping[str, Mapping[Life, Mapping[str, Track]]] = field(default_factory=dict)
+    nodes: Mapping[str, NodeSamples] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
-class Sifted:
-    """The good rows of a report, as (region, window, shake, first), and why others were refused."""
+class ValidatedRows:
+    """The valid rows of a report, and how many others were rejected, by reason."""
 
-    rows: tuple[tuple[str, int, Points, Points], ...]
-    refused: Mapping[str, int]
+    rows: tuple[DelayRow, ...]
+    rejected: Mapping[str, int]
 
 
-def value_ms(bucket: float) -> float:
-    """The middle of a bucket, in ms."""
-    return float(LEAST_MS * WIDTH ** (bucket + 0.5))
+def bucket_middle_ms(bucket: float) -> float:
+    """The (geometric) middle of a bucket, in ms."""
+    return float(MIN_DELAY_MS * BUCKET_WIDTH ** (bucket + 0.5))
 
 
-class Heard(NamedTuple):
-    """What can be used of one report."""
+def sample_count(points: Iterable[tuple[int, int]]) -> int:
+    """The number of delays in a sketch."""
+    return sum(number for _, number in points)
 
-    edge: str
-    life: str
-    group: str
-    rows: tuple[tuple[str, int, Points, Points], ...]
-    now_s: float
+
+# --- validation --------------------------------------------------------------------------------------------
 
 
-def sift(rows: object) -> Sifted:
-    """What of a report can be used; never raises, whatever was sent."""
+def validate_rows(rows: object) -> ValidatedRows:
+    """Check the rows of a report, decoded from JSON; never raises, whatever was sent."""
     if not isinstance(rows, Sequence) or isinstance(rows, str | bytes):
-        return Sifted((), {"rows": 1})
-    refused: Counter[str] = Counter()
-    good = []
-    for row in rows[:ROWS_MOST]:
-        told = _sifted(row)
-        if isinstance(told, str):
-            refused[told] += 1
+        return ValidatedRows((), {"rows": 1})
+    rejected: Counter[str] = Counter()
+    valid: list[DelayRow] = []
+    for row in rows[:MAX_ROWS]:
+        checked = _validated(row)
+        if isinstance(checked, str):
+            rejected[checked] += 1
         else:
-            good.append(told)
-    if len(rows) > ROWS_MOST:
-        refused["too many"] += len(rows) - ROWS_MOST
-    return Sifted(tuple(good), dict(refused))
+            valid.append(checked)
+    if len(rows) > MAX_ROWS:
+        rejected["too many"] += len(rows) - MAX_ROWS
+    return ValidatedRows(tuple(valid), dict(rejected))
 
 
-def _sifted(row: object) -> tuple[str, int, Points, Points] | str:
-    """The row as it is kept, or what is wrong with it."""
+def _validated(row: object) -> DelayRow | str:
+    """The row, or the reason why it is rejected: the name of its first bad field."""
     if not isinstance(row, Mapping):
         return "row"
-    region, window, span = row.get("region"), row.get("window"), row.get("span_ms")
-    if not _is_name(region):
+    region, window = row.get("region"), row.get("window")
+    if not is_name(region):
         return "region"
-    if not isinstance(window, int) or isinstance(window, bool) or not 0 <= window < 2**53:
+    if not isinstance(window, int) or isinstance(window, bool) or not 0 <= window < MAX_WINDOW_NUMBER:
         return "window"
-    if not isinstance(span, int | float) or isinstance(span, bool) or not 0.0 < span <= SPAN_MOST_MS:
+    if not _is_span(row.get("span_ms")):
         return "span_ms"
-    shake, first = _points(row.get("shake", {})), _points(row.get("first", {}))
-    if shake is None or first is None:
-        return "shake" if shake is None else "first"
-    return (region, window, shake, first) if shake or first else "empty"
+    handshakes, first_bytes = _points(row.get("shake", {})), _points(row.get("first", {}))
+    if handshakes is None:
+        return "shake"
+    if first_bytes is None:
+        return "first"
+    return DelayRow(region, window, handshakes, first_bytes) if handshakes or first_bytes else "empty"
+
 
+def is_name(text: object) -> TypeGuard[str]:
+    """Whether this can be the name of a node, group, region or incarnation."""
+    return isinstance(text, str) and 0 < len(text) <= MAX_NAME_LENGTH
 
-def _is_name(text: object) -> TypeGuard[str]:
-    return isinstance(text, str) and 0 < len(text) <= NAME_MOST
+
+def _is_span(span_ms: object) -> bool:
+    return isinstance(span_ms, int | float) and not isinstance(span_ms, bool) and 0.0 < span_ms <= MAX_SPAN_MS
 
 
 def _points(counts: object) -> Points | None:
-    """A sketch as it is kept; None if it is none."""
-    if not isinstance(counts, Mapping) or len(counts) > POINTS_MOST:
+    """A sketch from its wire form (counts by the bucket's number in decimal); None if it is none."""
+    if not isinstance(counts, Mapping) or len(counts) > MAX_POINTS:
         return None
-    together: dict[int, int] = {}
+    by_bucket: dict[int, int] = {}
     for key, number in counts.items():
-        bucket = BUCKET_OF.get(key) if isinstance(key, str) else None
-        if bucket is None or type(number) is not int or not 0 < number <= COUNT_MOST:
+        bucket = BUCKET_BY_KEY.get(key) if isinstance(key, str) else None
+        if bucket is None or type(number) is not int or not 0 < number <= MAX_COUNT:
             return None
-        together[bucket] = number
-    return tuple(sorted(together.items()))
+        by_bucket[bucket] = number
+    return tuple(sorted(by_bucket.items()))
+
+
+# --- merging -----------------------------------------------------------------------------------------------
 
 
-def merge(state: State, edge: str, life: str, group: str, rows: object, now_s: float) -> State:
-    """The state with a report added; the same state where it holds nothing new or nothing usable."""
-    return gathered(state, [Heard(edge, life, group, sift(rows).rows, now_s)])
+def merge(state: State, node: str, incarnation: str, group: str, rows: object, now_s: float) -> State:
+    """The state with one report merged, validated first; the same object where nothing of it is usable."""
+    return merge_reports(state, [NodeReport(node, incarnation, group, validate_rows(rows).rows, now_s)])
 
 
-def gathered(state: State, many: Iterable[Heard]) -> State:
-    """The state with reports added in their order, as by `merge`: what there is of edges is copied once."""
-    edges = dict(state.edges)
-    good = [heard for heard in many if _add(edges, heard)]
-    return replace(state, edges=edges) if good else state
+def merge_reports(state: State, reports: Iterable[NodeReport]) -> State:
+    """The state with reports merged in their order; the table of nodes is copied once for all of them."""
+    nodes = dict(state.nodes)
+    changes = sum(_merge_into(nodes, report) for report in reports)
+    return replace(state, nodes=nodes) if changes else state
 
 
-def _add(edges: dict[str, Any], heard: Heard) -> bool:
-    edge, life, group, rows, now_s = heard
-    if not (rows and _is_name(edge) and _is_name(life) and _is_name(group) and math.isfinite(now_s)):
+def _merge_into(nodes: dict[str, NodeSamples], report: NodeReport) -> bool:
+    """Merge a report into the table of nodes; whether there was anything usable in it."""
+    if not _is_usable(report):
         return False
-    lives = dict(edges.get(edge, {}))
-    tracks = dict(lives.get((life, group), {}))
-    for region, window, shake, first in rows:
-        tracks[region] = _with(tracks.get(region, {}), window, Row(now_s, shake, first))
-    lives[life, group] = _newest(tracks, ROWS_MOST)
-    edges[edge] = _newest_lives(lives)
-    if len(edges) > EDGES_MOST:
-        del edges[min(edges, key=lambda name: (last_heard(edges[name]), name))]
+    source = Source(report.incarnation, report.group)
+    by_source = dict(nodes.get(report.node, {}))
+    by_region = dict(by_source.get(source, {}))
+    for region, window, handshakes, first_bytes in report.rows:
+        sample = WindowSample(report.received_s, handshakes, first_bytes)
+        by_region[region] = _with_window(by_region.get(region, {}), window, sample)
+    by_source[source] = _newest_regions(by_region)
+    nodes[report.node] = _newest_sources(by_source)
+    if len(nodes) > MAX_NODES:
+        del nodes[min(nodes, key=lambda name: (last_received_s(nodes[name]), name))]
     return True
 
 
-def _with(track: Track, window: int, row: Row) -> Track:
-    """A window twice: the content that sorts first (an honest edge has one), and the earlier hearing."""
-    before = track.get(window)
+def _is_usable(report: NodeReport) -> bool:
+    names = (report.node, report.incarnation, report.group)
+    return bool(report.rows) and all(map(is_name, names)) and math.isfinite(report.received_s)
+
+
+def _with_window(samples: WindowSamples, window: int, sample: WindowSample) -> WindowSamples:
+    """The samples with one more window, and without the oldest where there are too many.
+
+    Of a window that comes twice, the content that sorts first is taken (an honest node sends the same), and
+    the earlier time of receipt: so the order does not matter."""
+    before = samples.get(window)
     if before is not None:
-        shake, first = min((before.shake, before.first), (row.shake, row.first))
-        row = Row(min(before.heard_s, row.heard_s), shake, first)
-    made = {**track, window: row}
-    if len(made) > WINDOWS:
-        del made[min(made)]
-    return made
+        handshakes, first_bytes = min(
+            (before.handshakes, before.first_bytes), (sample.handshakes, sample.first_bytes)
+        )
+        sample = WindowSample(min(before.received_s, sample.received_s), handshakes, first_bytes)
+    merged = {**samples, window: sample}
+    if len(merged) > MAX_WINDOWS:
+        del merged[min(merged)]
+    return merged
 
 
-def _newest(tracks: Mapping[str, Track], most: int) -> Mapping[str, Track]:
-    if len(tracks) <= most:
-        return tracks
-    by_age = sorted(tracks, key=lambda region: (_heard(tracks[region]), region))
-    return {region: tracks[region] for region in by_age[-most:]}
+def _newest_regions(by_region: RegionSamples) -> RegionSamples:
+    if len(by_region) <= MAX_ROWS:
+        return by_region
+    by_age = sorted(by_region, key=lambda region: (_newest_s(by_region[region]), region))
+    return {region: by_region[region] for region in by_age[-MAX_ROWS:]}
 
 
-def _newest_lives(lives: Mapping[Life, Mapping[str, Track]]) -> Mapping[Life, Mapping[str, Track]]:
-    if len(lives) <= LIVES:
-        return lives
-    by_age = sorted(lives, key=lambda life: (last_heard({life: lives[life]}), life))
-    return {life: lives[life] for life in by_age[-LIVES:]}
+def _newest_sources(by_source: NodeSamples) -> NodeSamples:
+    if len(by_source) <= MAX_INCARNATIONS:
+        return by_source
+    by_age = sorted(by_source, key=lambda source: (last_received_s({source: by_source[source]}), source))
+    return {source: by_source[source] for source in by_age[-MAX_INCARNATIONS:]}
 
 
-def _heard(track: Track) -> float:
-    return max(row.heard_s for row in track.values())
+def _newest_s(samples: WindowSamples) -> float:
+    return max(sample.received_s for sample in samples.values())
 
 
-def last_heard(lives: Mapping[Life, Mapping[str, Track]]) -> float:
-    """When an edge's newest row was heard."""
-    return max((_heard(track) for tracks in lives.values() for track in tracks.values()), default=-math.inf)
+def last_received_s(samples: NodeSamples) -> float:
+    """When a node's newest row was received, in seconds; minus infinity where it has none."""
+    times = (_newest_s(track) for by_region in samples.values() for track in by_region.values())
+    return max(times, default=-math.inf)
 
 
-def forget(state: State, now_s: float, after_s: float = FORGET_S) -> State:
-    """Without edges that have been silent for so long; to be called now and then."""
-    kept = {edge: lives for edge, lives in state.edges.items() if last_heard(lives) > now_s - after_s}
-    return state if len(kept) == len(state.edges) else replace(state, edges=kept)
+def expire_nodes(state: State, now_s: float, after_s: float = EXPIRY_S) -> State:
+    """The state without nodes that have been silent for `after_s` seconds; to be called now and then."""
+    remaining = {
+        node: samples for node, samples in state.nodes.items() if last_received_s(samples) > now_s - after_s
+    }
+    return state if len(remaining) == len(state.nodes) else replace(state, nodes=remaining)
 
 
-def by_pair(state: State, edges_most: int = EDGES_HEARD) -> dict[tuple[str, str], dict[str, list[Row]]]:
-    """Rows by (group, region) and edge, oldest first; an edge's lives together count as one edge.
+# --- reading -----------------------------------------------------------------------------------------------
 
-    Of a pair with very many edges some speak for all: the same ones each time, those that are silent last."""
-    found: dict[tuple[str, str], dict[str, list[Row]]] = {}
-    for edge, lives in state.edges.items():
-        for (_, group), tracks in lives.items():
-            for region, track in tracks.items():
-                found.setdefault((group, region), {}).setdefault(edge, []).extend(track.values())
-    return {pair: _speakers(edges, edges_most) for pair, edges in found.items()}
 
+def by_pair(
+    state: State, max_nodes: int = MAX_NODES_PER_PAIR
+) -> dict[PairName, dict[str, list[WindowSample]]]:
+    """Samples by (client group, region) and node, oldest first; all incarnations of a node count as one node.
 
-def _speakers(edges: dict[str, list[Row]], most: int) -> dict[str, list[Row]]:
-    made = {edge: sorted(rows)[-WINDOWS:] for edge, rows in edges.items()}
-    if len(made) <= most:
-        return made
-    newest = max(rows[-1].heard_s for rows in made.values())
-    order = sorted(
-        made, key=lambda edge: (made[edge][-1].heard_s < newest - SILENT_S, crc32(edge.encode()), edge)
-    )
-    return {edge: made[edge] for edge in order[:most]}
+    Of a pair with more than `max_nodes` nodes, a fixed selection is used, and silent nodes last of all."""
+    found: dict[PairName, dict[str, list[WindowSample]]] = {}
+    for node, by_source in state.nodes.items():
+        for (_, group), by_region in by_source.items():
+            for region, samples in by_region.items():
+                found.setdefault((group, region), {}).setdefault(node, []).extend(samples.values())
+    return {pair: _selected_nodes(nodes, max_nodes) for pair, nodes in found.items()}
 
 
-def count(points: Iterable[tuple[int, int]]) -> int:
-    """How many figures a sketch holds."""
-    return sum(number for _, number in points)
+def _selected_nodes(nodes: dict[str, list[WindowSample]], most: int) -> dict[str, list[WindowSample]]:
+    newest = {node: sorted(samples)[-MAX_WINDOWS:] for node, samples in nodes.items()}
+    if len(newest) <= most:
+        return newest
+    silent_before_s = max(samples[-1].received_s for samples in newest.values()) - SILENT_S
+
+    def rank(node: str) -> tuple[bool, int, str]:
+        return newest[node][-1].received_s < silent_before_s, crc32(node.encode()), node
+
+    return {node: newest[node] for node in sorted(newest, key=rank)[:most]}
--- a/brassfall/controlplane/geo/publisher.py
+++ b/brassfall/controlplane/geo/publisher.py
@@ -1,9 +1,10 @@
-"""Who publishes steering plans, and when: a state machine without clock or socket. Pure code.
+"""Which replica publishes steering plans, and when: a state machine without clock or socket. Pure code.
 
-One row of the table of duties, taken with a lease only where there is none; its version is the fence that
-each publication carries. The holder counts its lease from when it asked, not from the answer, and stops
-before it can have ended at the service. A plan that is under way when the lease ends is for the service to
-refuse: it knows the row's version. Times are seconds of the holder's own monotonic clock.
+The publisher holds a lease on one row of the store's table of duties; it takes the row only where there is
+none, and the row's version is the fencing token of each publication. The lease is counted from when it was
+asked for, not from the answer, so the publisher stops before it can have expired at the service. A
+publication that is under way when the lease expires is rejected by the service, which knows the row's
+version. Times are seconds of the publisher's own monotonic clock.
 """
 
 from __future__ import annotations
@@ -13,20 +14,20 @@
 from brassfall.controlplane.geo.plan import AGE_LIMIT_MS, Plan
 
 TABLE, KEY = "duties", "geo-publisher"
-CLOCKS_DIFFER = 0.99  # in their rate, at most by this
-NOTICE = 1e-3  # shares that differ by less are the same
+CLOCK_RATE = 0.99  # of this clock over the service's, at least
+SAME_SHARE = 1e-3  # shares that differ by less are the same
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
-    """How a publisher goes about it."""
+class PublisherTiming:
+    """Durations in seconds, and the change that is worth a revision."""
 
     lease_s: float = 6.0
-    retry_s: float = 2.0  # until the row is asked for again, where another has it
-    answer_s: float = 2.0  # a call that was not answered so long has failed
-    make_s: float = 15.0  # so has a plan that was not made
-    every_s: float = 3.0  # a publication no sooner after the one before
-    change: float = 0.02  # of all requests that a plan moves, to be worth an edition
+    retry_s: float = 2.0  # until the row is asked for again, where another replica has it
+    answer_s: float = 2.0  # a call that was not answered for so long has failed
+    compute_s: float = 15.0  # so has a plan that was not computed
+    interval_s: float = 3.0  # a publication no sooner after the one before
+    min_shift: float = 0.02  # of all requests that a plan moves, to be worth a revision
     refresh_s: float = AGE_LIMIT_MS / 3000.0  # the same plan again, so that it does not age out
 
 
@@ -35,71 +36,80 @@
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Time went on; a few a second."""
+    """Time has passed; a few each second."""
 
 
 @dataclass(frozen=True, slots=True)
-class Granted:
-    """The row was taken or renewed by the call that went out at `asked_s`; `version` is the fence."""
+class LeaseGranted:
+    """The row was taken or renewed by the call that went out at `asked_s`; `version` is the fencing token."""
 
     asked_s: float
     version: int
 
 
 @dataclass(frozen=True, slots=True)
-class Denied:
-    """The row is another's, or the lease was gone at the renewal (404, 412)."""
+class LeaseDenied:
+    """The row is another replica's, or the lease had expired at the renewal (404, 412)."""
 
     asked_s: float
 
 
 @dataclass(frozen=True, slots=True)
-class Read:
-    """The plan that is in the newest edition, and that edition's number."""
+class NewestRead:
+    """The plan of the newest configuration revision, and that revision's number."""
 
     plan: Plan | None
-    edition: int
+    revision: int
 
 
 @dataclass(frozen=True, slots=True)
-class Made:
-    """A plan that follows the edition that `Make` named; None where nothing is known to plan with."""
+class PlanComputed:
+    """A plan that follows the revision that `ComputePlan` named; None where nothing is known to plan with."""
 
     plan: Plan | None
     follows: int
 
 
 @dataclass(frozen=True, slots=True)
-class Accepted:
-    """The publication is durable, as this edition."""
+class Published:
+    """The publication is durable, as this revision."""
 
-    edition: int
+    revision: int
 
 
 @dataclass(frozen=True, slots=True)
-class Overtaken:
-    """Somebody published another edition meanwhile (412), or the fence was refused."""
+class PublicationRejected:
+    """Somebody published another revision meanwhile (412), or the fencing token was rejected."""
 
 
 @dataclass(frozen=True, slots=True)
-class Failed:
+class CallFailed:
     """A call other than for the row had no answer, or a useless one."""
 
 
-Event = Tick | Granted | Denied | Read | Made | Accepted | Overtaken | Failed
+Event = (
+    Tick
+    | LeaseGranted
+    | LeaseDenied
+    | NewestRead
+    | PlanComputed
+    | Published
+    | PublicationRejected
+    | CallFailed
+)
 
 # --- actions -----------------------------------------------------------------------------------------------
 
 
 @dataclass(frozen=True, slots=True)
-class Take:
-    """`PUT` the row with `If-Match: 0` and a lease; answer `Granted` or `Denied` with this `asked_s`."""
+class AcquireLease:
+    """`PUT` the row with `If-Match: 0` and a lease; answer `LeaseGranted` or `LeaseDenied` with this time."""
 
     asked_s: float
 
 
 @dataclass(frozen=True, slots=True)
-class Renew:
+class RenewLease:
     """`POST .../renew` with `If-Match`; the same answers."""
 
     asked_s: float
@@ -108,117 +118,144 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadNewest:
-    """Read the newest edition; answer with `Read` or `Failed`."""
+    """Read the newest revision; answer with `NewestRead` or `CallFailed`."""
 
 
 @dataclass(frozen=True, slots=True)
-class Make:
-    """Estimate and plan, after this plan of this edition; answer with `Made`."""
+class ComputePlan:
+    """Estimate and plan, after this plan of this revision; answer with `PlanComputed`."""
 
     before: Plan | None
     follows: int
 
 
 @dataclass(frozen=True, slots=True)
-class Publish:
-    """Publish, only if the newest edition is `follows` and the row's version `fence`."""
+class PublishPlan:
+    """Publish, only if the newest revision is `follows` and the row's version `fencing_token`."""
 
     plan: Plan
     follows: int
-    fence: int
+    fencing_token: int
 
 
-Action = Take | Renew | ReadNewest | Make | Publish
+Action = AcquireLease | RenewLease | ReadNewest | ComputePlan | PublishPlan
 
 
 @dataclass(frozen=True, slots=True)
 class State:
-    """What one publisher knows. `busy_until_s` is when the call under way has failed."""
-
-    terms: Terms = field(default_factory=Terms)
-    version: int | None = None  # of the row, while held
-    until_s: float = 0.0  # the lease lasts at least so long
-    ask_at_s: float = 0.0  # for the row, next
-    busy_until_s: float = 0.0
-    known: bool = False  # whether `plan` and `edition` are the newest, as far as known
+    """What one publisher knows."""
+
+    timing: PublisherTiming = field(default_factory=PublisherTiming)
+    version: int | None = None  # of the row, while its lease was granted
+    lease_until_s: float = 0.0  # the lease lasts at least so long
+    next_ask_s: float = 0.0  # for the row
+    busy_until_s: float = 0.0  # when the call under way has failed
+    is_current: bool = False  # whether `plan` and `revision` are the newest, as far as known
     plan: Plan | None = None
-    edition: int = 0
-    published_s: float = float("-inf")  # when it last sent one off
+    revision: int = 0
+    published_s: float = float("-inf")  # when a publication was sent last
 
-    def holds(self, now_s: float) -> bool:
-        """May it publish at all?"""
-        return self.version is not None and now_s < self.until_s
+    def holds_lease(self, now_s: float) -> bool:
+        """Whether it may publish at all."""
+        return self.version is not None and now_s < self.lease_until_s
 
 
 def step(state: State, now_s: float, event: Event) -> tuple[State, list[Action]]:
-    """One event; the new state, and what to do."""
-    if isinstance(event, Granted | Denied):
-        return _row(state, now_s, event), []
-    if isinstance(event, Tick):
-        return _tick(state, now_s)
-    if not state.holds(now_s):
+    """The state after one event, and the actions to start."""
+    match event:
+        case LeaseGranted():
+            return _lease_granted(state, now_s, event), []
+        case LeaseDenied():
+            return _lease_denied(state, now_s, event), []
+        case Tick():
+            return _tick(state, now_s)
+    if not state.holds_lease(now_s):
         return state, []
     free = replace(state, busy_until_s=now_s)
-    if isinstance(event, Read):
-        own, newest = state.plan, event.plan
-        same = own is not None and newest is not None and own.as_json() == newest.as_json()
-        # Its own plan, come back as JSON, has lost what damps the next one.
-        return replace(free, known=True, plan=own if same else newest, edition=event.edition), []
-    if isinstance(event, Made):
-        return _made(free, now_s, event.plan) if event.follows == state.edition else (state, [])
-    if isinstance(event, Accepted):
-        return replace(free, edition=event.edition), []
-    return replace(free, known=False, busy_until_s=now_s + state.terms.retry_s), []
-
-
-def _row(state: State, now_s: float, event: Granted | Denied) -> State:
-    terms = state.terms
-    if isinstance(event, Denied):
-        if state.holds(now_s) and event.asked_s < state.until_s - terms.lease_s * CLOCKS_DIFFER:
-            return state  # an old answer; a later call was granted
-        return replace(state, version=None, known=False, busy_until_s=0.0, ask_at_s=now_s + terms.retry_s)
-    until = event.asked_s + terms.lease_s * CLOCKS_DIFFER
-    if now_s >= until:
-        return state  # it came too late to be worth anything
-    again = event.asked_s + terms.lease_s / 3.0
+    match event:
+        case NewestRead():
+            return _newest_read(free, event), []
+        case PlanComputed(plan, follows):
+            return _plan_computed(free, now_s, plan) if follows == state.revision else (state, [])
+        case Published(revision):
+            return replace(free, revision=revision), []
+    return replace(free, is_current=False, busy_until_s=now_s + state.timing.retry_s), []
+
+
+def _lease_granted(state: State, now_s: float, event: LeaseGranted) -> State:
+    timing = state.timing
+    until_s = event.asked_s + timing.lease_s * CLOCK_RATE
+    if now_s >= until_s:
+        return state  # the answer came after the lease's end
+    renew_s = event.asked_s + timing.lease_s / 3.0
     if state.version == event.version:
-        return replace(state, until_s=max(until, state.until_s), ask_at_s=again)
-    return replace(state, version=event.version, until_s=until, ask_at_s=again, known=False, busy_until_s=0.0)
+        return replace(state, lease_until_s=max(until_s, state.lease_until_s), next_ask_s=renew_s)
+    return replace(
+        state,
+        version=event.version,
+        lease_until_s=until_s,
+        next_ask_s=renew_s,
+        is_current=False,
+        busy_until_s=0.0,
+    )
+
+
+def _lease_denied(state: State, now_s: float, event: LeaseDenied) -> State:
+    timing = state.timing
+    granted_s = state.lease_until_s - timing.lease_s * CLOCK_RATE
+    if state.holds_lease(now_s) and event.asked_s < granted_s:
+        return state  # an old answer; a later call was granted
+    return replace(state, version=None, is_current=False, busy_until_s=0.0, next_ask_s=now_s + timing.retry_s)
+
+
+def _newest_read(state: State, event: NewestRead) -> State:
+    own, newest = state.plan, event.plan
+    # Its own plan, as read back from JSON, lacks what damps the next one.
+    is_own = own is not None and newest is not None and own.as_json() == newest.as_json()
+    return replace(state, is_current=True, plan=own if is_own else newest, revision=event.revision)
 
 
 def _tick(state: State, now_s: float) -> tuple[State, list[Action]]:
-    terms, actions = state.terms, list[Action]()
-    if now_s >= state.ask_at_s:
-        actions.append(Take(now_s) if state.version is None else Renew(now_s, state.version))
-        state = replace(state, ask_at_s=now_s + terms.answer_s)
-    if not state.holds(now_s) or now_s < state.busy_until_s:
+    timing, actions = state.timing, list[Action]()
+    if now_s >= state.next_ask_s:
+        if state.version is None:
+            actions.append(AcquireLease(now_s))
+        else:
+            actions.append(RenewLease(now_s, state.version))
+        state = replace(state, next_ask_s=now_s + timing.answer_s)
+    if not state.holds_lease(now_s) or now_s < state.busy_until_s:
         return state, actions
-    if not state.known:
+    if not state.is_current:
         actions.append(ReadNewest())
-        state = replace(state, busy_until_s=now_s + terms.answer_s)
-    elif now_s >= state.published_s + terms.every_s:
-        actions.append(Make(state.plan, state.edition))
-        state = replace(state, busy_until_s=now_s + terms.make_s)
+        state = replace(state, busy_until_s=now_s + timing.answer_s)
+    elif now_s >= state.published_s + timing.interval_s:
+        actions.append(ComputePlan(state.plan, state.revision))
+        state = replace(state, busy_until_s=now_s + timing.compute_s)
     return state, actions
 
 
-def _made(state: State, now_s: float, made: Plan | None) -> tuple[State, list[Action]]:
-    terms = state.terms
-    if made is None or not state.known:
-        return replace(state, busy_until_s=now_s + terms.every_s), []
-    first = state.plan is None or state.plan.shares.keys() != made.shares.keys()
-    due = now_s >= state.published_s + terms.refresh_s
-    if not (due or first or made.moved >= terms.change or _closes(state.plan, made)):
-        return replace(state, busy_until_s=now_s + terms.every_s / 3.0), []
-    publish = Publish(made, state.edition, state.version or 0)
-    return replace(state, plan=made, published_s=now_s, busy_until_s=now_s + terms.answer_s), [publish]
+def _plan_computed(state: State, now_s: float, plan: Plan | None) -> tuple[State, list[Action]]:
+    timing = state.timing
+    if plan is None or not state.is_current:
+        return replace(state, busy_until_s=now_s + timing.interval_s), []
+    if not _should_publish(state, now_s, plan):
+        return replace(state, busy_until_s=now_s + timing.interval_s / 3.0), []
+    publish = PublishPlan(plan, state.revision, state.version or 0)
+    return replace(state, plan=plan, published_s=now_s, busy_until_s=now_s + timing.answer_s), [publish]
+
+
+def _should_publish(state: State, now_s: float, plan: Plan) -> bool:
+    before, timing = state.plan, state.timing
+    if before is None or before.shares.keys() != plan.shares.keys():
+        return True
+    is_due = now_s >= state.published_s + timing.refresh_s
+    return is_due or plan.shift >= timing.min_shift or _closes_region(before, plan)
 
 
-def _closes(before: Plan | None, made: Plan) -> bool:
-    """Does a region lose all that it had of a group? That is worth an edition, however small."""
-    old = before.shares if before else {}
+def _closes_region(before: Plan, plan: Plan) -> bool:
+    """Whether a region loses all that it had of a group: worth a revision, however small."""
     return any(
-        share <= 0.0 < NOTICE < old.get(group, {}).get(region, 0.0)
-        for group, row in made.shares.items()
+        share <= 0.0 < SAME_SHARE < before.shares.get(group, {}).get(region, 0.0)
+        for group, row in plan.shares.items()
         for region, share in row.items()
     )
--- a/brassfall/controlplane/registry/geo.py
+++ b/brassfall/controlplane/registry/geo.py
@@ -1,4 +1,4 @@
-"""The shell of geo steering: delays out of reports, `GET /geo`, and plans published as editions."""
+"""Geo steering in the list service: delays from reports, `GET /geo`, and plans published as revisions."""
 
 from __future__ import annotations
 
@@ -6,16 +6,18 @@
 import time
 from collections.abc import Mapping
 from concurrent.futures import ThreadPoolExecutor
-from dataclasses import asdict, dataclass, field
-from typing import Any, Protocol
+from dataclasses import dataclass, field
+from functools import partial
+from typing import Any, NamedTuple, Protocol
 
 import msgspec
 from aiohttp import web
 
 from brassfall.controlplane.aggregation.messages import AggregatorReport
 from brassfall.controlplane.geo import evidence, publisher
-from brassfall.controlplane.geo.model import Estimate, follow
-from brassfall.controlplane.geo.plan import Plan, PlanError, ease, from_json, opened, plan
+from brassfall.controlplane.geo.model import Estimate, Pair, update_estimate
+from brassfall.controlplane.geo.plan import Plan, PlanError, capacity_ramp, open_since, plan_from_json
+from brassfall.controlplane.geo.planner import PlanInputs, PlanPolicy, make_plan
 from brassfall.controlplane.registry.calls import answer
 from brassfall.controlplane.registry.entries import INSTANCES
 from brassfall.controlplane.registry.tasks import Tasks
@@ -28,49 +30,67 @@
 from brassfall.settings import GeoSettings
 
 TICK_S = 0.25
-FRESH_S = 1.0  # an estimate is told again for so long
-DEMAND_S = 10.0  # a sidecar that is silent for longer asks for nothing
-HEARD_MOST = 256  # reports that are added to the evidence at once
-HOLDER = "list service"
+ESTIMATE_MAX_AGE_S = 1.0  # an estimate is used again for so long
+DEMAND_EXPIRY_S = 10.0  # a sidecar that is silent for longer has no demand
+FIRST_REPORT_SPAN_S = 1.0  # of a sidecar's demand, before there are two reports
+MIN_REPORT_SPAN_S = 0.25
+REPORT_BATCH = 256  # reports that are merged into the evidence at once
+MAX_ANSWERS = 2**53  # of one row
+LEASE_HOLDER = "list service"
 
 log = logger("geo")
 _encode = msgspec.json.Encoder().encode
 
 
 class Host(Protocol):
-    """What the list service lends."""
+    """What the list service provides."""
 
     store: Store
 
 
 class Editions(Protocol):
-    """The agreement, as far as plans go through it."""
+    """The part of the configuration revisions that plans go through."""
 
     def kept(self) -> Kept:
-        """What is durable of the editions."""
+        """What is durable of the revisions."""
 
     def publish(self, **layers: Any) -> asyncio.Future[int]:
-        """Have an edition published."""
+        """Have a revision published; its number, once it is durable."""
+
+
+class Demand(NamedTuple):
+    """What one node asks for."""
+
+    group: str
+    rate: float  # requests/s
+    reported_s: float  # on the monotonic clock
+
+
+class GeoAnswer(msgspec.Struct, frozen=True):
+    """The body of `GET /geo`."""
+
+    pairs: tuple[Pair, ...]
+    plan_revision: int = msgspec.field(name="plan_edition")
+    plan: dict[str, Any] | None
 
 
 @dataclass(slots=True)
 class Geo:
-    """Delays between client groups and regions, as this life of the service has heard of them."""
+    """Delays between client groups and regions, as this process received them, and the plans made of them."""
 
     host: Host
     editions: Editions
     settings: GeoSettings
-    refused: int = 0  # rows of reports that were none
-    _state: evidence.State = field(default_factory=evidence.State)
-    _heard: list[evidence.Heard] = field(default_factory=list)  # not yet part of it
-    # Group, rate and when: by edge, and for an aggregator by its name, group and region.
-    _demand: dict[str, tuple[str, float, float]] = field(default_factory=dict)
+    rejected_rows: int = 0  # of all reports
+    _evidence: evidence.State = field(default_factory=evidence.State)
+    _pending: list[evidence.NodeReport] = field(default_factory=list)  # not yet merged into the evidence
+    _demand: dict[str, Demand] = field(default_factory=dict)  # by node; of an aggregator by group and region
     _estimate: Estimate | None = None
-    _estimated_at: float = float("-inf")
-    _opened: dict[str, float] = field(default_factory=dict)  # since when regions have servers
+    _estimated_s: float = float("-inf")
+    _open_since: dict[str, float] = field(default_factory=dict)  # when each region came to have servers
     _publisher: publisher.State = field(default_factory=publisher.State)
     _tasks: Tasks = field(default_factory=Tasks)
-    _thread: ThreadPoolExecutor = field(default_factory=lambda: ThreadPoolExecutor(1, "geo"))
+    _executor: ThreadPoolExecutor = field(default_factory=lambda: ThreadPoolExecutor(1, "geo"))
 
     def start(self) -> None:
         """Publish plans from now on, where the settings say what regions can carry."""
@@ -78,95 +98,100 @@
             self._tasks.spawn(self._tick())
 
     async def close(self) -> None:
-        """Publish no more."""
+        """Publish no more: cancel what runs, and wait for an estimate or plan that is being computed."""
         await self._tasks.end()
-        self._thread.shutdown(cancel_futures=True)
+        self._executor.shutdown(cancel_futures=True)
 
     def routes(self) -> list[web.RouteDef]:
-        """The paths."""
+        """The paths that this part of the service answers."""
         return [web.get("/geo", self._get)]
 
     # --- reports ------------------------------------------------------------------------
 
     def reported(self, name: str, report: Report) -> dict[str, Any]:
-        """A sidecar's report: what it measured is added to the evidence."""
+        """Add the delays and the demand of a sidecar's report; nothing is added to its answer."""
         rows = report.measures.get("delays")
         if rows:
-            now = time.monotonic()
-            sifted = self._hear(name, report.life, report.group, rows, now)
-            answers = sum(evidence.count(first) for _, _, _, first in sifted.rows)
-            _, _, before = self._demand.get(name, ("", 0.0, now - 1.0))
-            self._demand[name] = (report.group, answers / max(0.25, now - before), now)
+            now_s = time.monotonic()
+            valid = self._add(name, report.life, report.group, rows, now_s)
+            answers = sum(evidence.sample_count(row.first_bytes) for row in valid)
+            before = self._demand.get(name)
+            before_s = before.reported_s if before else now_s - FIRST_REPORT_SPAN_S
+            rate = answers / max(MIN_REPORT_SPAN_S, now_s - before_s)
+            self._demand[name] = Demand(report.group, rate, now_s)
         return {}
 
-    def _hear(self, edge: str, life: str, group: str, rows: Any, now: float) -> evidence.Sifted:
-        sifted = evidence.sift(rows)
-        self.refused += sum(sifted.refused.values())
-        self._heard.append(evidence.Heard(edge, life, group, sifted.rows, now))
-        if len(self._heard) >= HEARD_MOST:
-            self._gather()
-        return sifted
+    def _add(
+        self, node: str, incarnation: str, group: str, rows: Any, now_s: float
+    ) -> tuple[evidence.DelayRow, ...]:
+        """Validate rows of delays and add them to what waits to be merged; the valid ones."""
+        validated = evidence.validate_rows(rows)
+        self.rejected_rows += sum(validated.rejected.values())
+        self._pending.append(evidence.NodeReport(node, incarnation, group, validated.rows, now_s))
+        if len(self._pending) >= REPORT_BATCH:
+            self._merge_pending()
+        return validated.rows
 
     def merged(self, name: str, report: AggregatorReport) -> None:
-        """An aggregator's report: what its children measured, by client group, is added to the evidence."""
+        """Add the delays and the demand of an aggregator's report, which has them by client group."""
         rows = report.measures.get("delays")
         if not isinstance(rows, list):
-            self.refused += rows is not None
+            self.rejected_rows += rows is not None
             return
+        now_s = time.monotonic()
+        for group, group_rows in self._by_group(rows).items():
+            # The node is the part of a group that reports through one aggregator.
+            self._add(f"{name}/{group}", report.life, group, group_rows, now_s)
+            for row in group_rows:
+                rate = _rate(row)
+                if rate is not None:
+                    self._demand[f"{name}/{group}/{row['region']}"] = Demand(group, rate, now_s)
+
+    def _by_group(self, rows: list[Any]) -> dict[str, list[Any]]:
         groups: dict[str, list[Any]] = {}
         for row in rows:
             group = row.get("group") if isinstance(row, dict) else None
-            if isinstance(group, str) and 0 < len(group) <= evidence.NAME_MOST:
+            if evidence.is_name(group):
                 groups.setdefault(group, []).append(row)
             else:
-                self.refused += 1
-        now = time.monotonic()
-        for group, some in groups.items():
-            # An edge is here the part of a group that reports to one aggregator.
-            self._hear(f"{name}/{group}", report.life, group, some, now)
-            for row in some:
-                asked = _rate(row)
-                if asked is not None:
-                    self._demand[f"{name}/{group}/{row['region']}"] = (group, asked, now)
+                self.rejected_rows += 1
+        return groups
 
     def gone(self, name: str) -> None:
-        """A sidecar, or an aggregator, has left the fleet."""
+        """Forget the demand of a sidecar, or an aggregator, that has left."""
         self._demand.pop(name, None)
-        for part in [edge for edge in self._demand if edge.startswith(f"{name}/")]:
+        for part in [node for node in self._demand if node.startswith(f"{name}/")]:
             del self._demand[part]
 
     def findings(self) -> dict[str, list[str]]:
-        """Nothing here is wrong with a single sidecar."""
+        """What is wrong with single sidecars: nothing that this part knows of."""
         return {}
 
-    def _gather(self) -> None:
-        # Each adding copies what there is of edges: of thousands, not at each report.
-        self._state = evidence.gathered(self._state, self._heard)
-        self._heard = []
+    def _merge_pending(self) -> None:
+        # Each merge copies the table of nodes: with thousands of them, not at each report.
+        self._evidence = evidence.merge_reports(self._evidence, self._pending)
+        self._pending = []
 
     # --- estimates ------------------------------------------------------------------------
 
-    async def _estimated(self) -> Estimate:
-        now = time.monotonic()
-        if self._estimate is None or now - self._estimated_at > FRESH_S:
-            self._gather()
-            self._state = evidence.forget(self._state, now)
-            groups = sorted({group for group, _, _ in self._demand.values() if group})
-            work = (self._state, now, groups, sorted(self._capacity()), self._estimate)
-            loop = asyncio.get_running_loop()
-            self._estimate = await loop.run_in_executor(self._thread, lambda: follow(*work))
-            self._estimated_at = now
+    async def _current_estimate(self) -> Estimate:
+        now_s = time.monotonic()
+        if self._estimate is None or now_s - self._estimated_s > ESTIMATE_MAX_AGE_S:
+            self._merge_pending()
+            self._evidence = evidence.expire_nodes(self._evidence, now_s)
+            groups = sorted({demand.group for demand in self._demand.values() if demand.group})
+            update = partial(
+                update_estimate, self._evidence, now_s, groups, sorted(self._capacity()), self._estimate
+            )
+            self._estimate = await asyncio.get_running_loop().run_in_executor(self._executor, update)
+            self._estimated_s = now_s
         return self._estimate
 
     async def _get(self, request: web.Request) -> web.Response:
-        found = await self._estimated()
-        kept = self.editions.kept()
-        pairs = [asdict(pair) for pair in found.pairs]
-        return answer(
-            _encode(
-                {"pairs": pairs, "plan_edition": kept.committed.plan_edition, "plan": kept.committed.plan}
-            )
-        )
+        estimate = await self._current_estimate()
+        committed = self.editions.kept().committed
+        body = GeoAnswer(estimate.pairs, committed.plan_edition, committed.plan)
+        return answer(_encode(body))
 
     def _capacity(self) -> Mapping[str, float]:
         """What each region can carry, in requests/s: by the weights of its active servers."""
@@ -182,88 +207,116 @@
     async def _tick(self) -> None:
         while True:
             await asyncio.sleep(TICK_S)
-            await self._step(publisher.Tick())
+            self._step(publisher.Tick())
 
-    async def _step(self, event: publisher.Event) -> None:
+    def _step(self, event: publisher.Event) -> None:
         self._publisher, actions = publisher.step(self._publisher, time.monotonic(), event)
         for action in actions:
-            self._tasks.spawn(self._do(action))
+            self._tasks.spawn(self._run(action))
 
-    async def _do(self, action: publisher.Action) -> None:
+    async def _run(self, action: publisher.Action) -> None:
         try:
-            match action:
-                case publisher.Take(asked):
-                    row = Put(
-                        table=publisher.TABLE,
-                        key=publisher.KEY,
-                        value={"holder": HOLDER},
-                        lease_ms=int(self._publisher.terms.lease_s * 1000.0),
-                        if_match=0,
-                    )
-                    result = await self.host.store.submit(row)
-                    granted = publisher.Granted(asked, result.index)
-                    await self._step(granted if result.done else publisher.Denied(asked))
-                case publisher.Renew(asked, version):
-                    held = self._fence() == version
-                    done = held and self.host.store.renew(publisher.TABLE, publisher.KEY, None).done
-                    await self._step(publisher.Granted(asked, version) if done else publisher.Denied(asked))
-                case publisher.ReadNewest():
-                    await self._step(self._newest())
-                case publisher.Make(before, follows):
-                    await self._step(publisher.Made(await self._make(before), follows))
-                case publisher.Publish(made, follows, fence):
-                    await self._publish(made, follows, fence)
+            event = await self._perform(action)
         except Refused as error:
             log.warning("no plan", reason=str(error))
-            await self._step(publisher.Failed())
+            event = publisher.CallFailed()
+        self._step(event)
+
+    async def _perform(self, action: publisher.Action) -> publisher.Event:
+        """Carry an action out; the event that says how it went."""
+        match action:
+            case publisher.AcquireLease(asked_s):
+                return await self._acquire_lease(asked_s)
+            case publisher.RenewLease(asked_s, version):
+                return self._renew_lease(asked_s, version)
+            case publisher.ReadNewest():
+                return self._read_newest()
+            case publisher.ComputePlan(before, follows):
+                return publisher.PlanComputed(await self._compute_plan(before), follows)
+            case publisher.PublishPlan(plan, follows, token):
+                return await self._publish(plan, follows, token)
+
+    async def _acquire_lease(self, asked_s: float) -> publisher.Event:
+        row = Put(
+            table=publisher.TABLE,
+            key=publisher.KEY,
+            value={"holder": LEASE_HOLDER},
+            lease_ms=int(self._publisher.timing.lease_s * 1000.0),
+            if_match=0,
+        )
+        result = await self.host.store.submit(row)
+        if not result.done:
+            return publisher.LeaseDenied(asked_s)
+        return publisher.LeaseGranted(asked_s, result.index)
+
+    def _renew_lease(self, asked_s: float, version: int) -> publisher.Event:
+        renewed = (
+            self._fencing_token() == version
+            and self.host.store.renew(publisher.TABLE, publisher.KEY, None).done
+        )
+        return publisher.LeaseGranted(asked_s, version) if renewed else publisher.LeaseDenied(asked_s)
 
-    def _fence(self) -> int:
+    def _fencing_token(self) -> int:
         row = self.host.store.table.get(publisher.TABLE, publisher.KEY)
         return row.version if row is not None else 0
 
-    def _newest(self) -> publisher.Read:
-        kept = self.editions.kept()
-        newest = kept.waiting or kept.pending or kept.committed
+    def _read_newest(self) -> publisher.NewestRead:
+        durable = self.editions.kept()
+        newest = durable.waiting or durable.pending or durable.committed
         try:
-            told = from_json(newest.plan) if newest.plan is not None else None
+            plan = plan_from_json(newest.plan) if newest.plan is not None else None
         except PlanError:
-            told = None  # of a version that writes plans in another way: made anew
-        return publisher.Read(told, kept.newest)
+            plan = None  # written by a version with another form of plans: made anew
+        return publisher.NewestRead(plan, durable.newest)
 
-    async def _make(self, before: Plan | None) -> Plan | None:
-        pairs = (await self._estimated()).pairs
+    async def _compute_plan(self, before: Plan | None) -> Plan | None:
+        pairs = (await self._current_estimate()).pairs
         if not pairs:
             return None
-        told, now, demand = self.settings, time.monotonic(), dict[str, float]()
-        for group, rate, at in self._demand.values():
-            if group and now - at < DEMAND_S:
+        settings, now_s = self.settings, time.monotonic()
+        inputs = PlanInputs(
+            pairs=pairs,
+            demand=self._demand_by_group(now_s),
+            capacity=self._ramped_capacity(now_s),
+            prices={(p.group, p.region): settings.crossing_ms for p in pairs if p.group != p.region},
+            closed=self.editions.kept().committed.settings.get("regions", {}).get("held", []),
+        )
+        policy = PlanPolicy(settings.floor, settings.most_moved, settings.look)
+        compute = partial(make_plan, inputs, policy, before)
+        return await asyncio.get_running_loop().run_in_executor(self._executor, compute)
+
+    def _demand_by_group(self, now_s: float) -> dict[str, float]:
+        demand: dict[str, float] = {}
+        for group, rate, reported_s in self._demand.values():
+            if group and now_s - reported_s < DEMAND_EXPIRY_S:
                 demand[group] = demand.get(group, 0.0) + rate
-        held = self.editions.kept().committed.settings.get("regions", {}).get("held", [])
-        price = {(p.group, p.region): told.crossing_ms for p in pairs if p.group != p.region}
+        return demand
+
+    def _ramped_capacity(self, now_s: float) -> dict[str, float]:
+        """Capacity by region, less for one that has come back a short time ago."""
         capacity = self._capacity()
-        self._opened = opened(self._opened, capacity, now)
-        capacity = {
-            region: each * ease(now - self._opened[region]) for region, each in capacity.items() if each > 0.0
+        self._open_since = open_since(self._open_since, capacity, now_s)
+        return {
+            region: rate * capacity_ramp(now_s - self._open_since[region])
+            for region, rate in capacity.items()
+            if rate > 0.0
         }
-        work = (pairs, demand, capacity, before, price, told.floor, told.most_moved, told.look, held)
-        return await asyncio.get_running_loop().run_in_executor(self._thread, lambda: plan(*work))
 
-    async def _publish(self, made: Plan, follows: int, fence: int) -> None:
-        if self._fence() != fence:
-            await self._step(publisher.Overtaken())
-            return
-        number = await self.editions.publish(plan=made.as_json(), if_match=follows)
-        log.info("plan", edition=number, moved=round(made.moved, 3))
-        await self._step(publisher.Accepted(number))
+    async def _publish(self, plan: Plan, follows: int, token: int) -> publisher.Event:
+        if self._fencing_token() != token:
+            return publisher.PublicationRejected()
+        number = await self.editions.publish(plan=plan.as_json(), if_match=follows)
+        log.info("plan", edition=number, moved=round(plan.shift, 3))
+        return publisher.Published(number)
 
 
 def _rate(row: Mapping[str, Any]) -> float | None:
-    """The answers a second that a row of an aggregator counts; None where it is none."""
-    region, answers, span_ms = row.get("region"), row.get("answers"), row.get("span_ms")
-    if not isinstance(region, str) or not 0 < len(region) <= evidence.NAME_MOST:
+    """The answers/s that a row of an aggregator counts; None where it is malformed."""
+    answers, span_ms = row.get("answers"), row.get("span_ms")
+    if not evidence.is_name(row.get("region")):
         return None
-    if not isinstance(answers, int) or isinstance(answers, bool) or not 0 <= answers < 2**53:
+    if not isinstance(answers, int) or isinstance(answers, bool) or not 0 <= answers < MAX_ANSWERS:
         return None
     if not isinstance(span_ms, int | float) or isinstance(span_ms, bool):
         return None
-    return answers / span_ms * 1000.0 if 0.0 < span_ms <= evidence.SPAN_MOST_MS else None
+    return answers / span_ms * 1000.0 if 0.0 < span_ms <= evidence.MAX_SPAN_MS else None
--- a/brassfall/controlplane/registry/server.py
+++ b/brassfall/controlplane/registry/server.py
@@ -370,7 +370,7 @@
                 tier["reports_superseded"],
             ),
             "children_unplaced": ("Arrivals of children that found no place", tier["children_unplaced"]),
-            "delays_refused": ("Rows of delays that were none", self.geo.refused),
+            "delays_refused": ("Rows of delays that were none", self.geo.rejected_rows),
         }
         return gauges, counters
 
--- a/brassfall/lab/capacity/geo.py
+++ b/brassfall/lab/capacity/geo.py
@@ -13,7 +13,7 @@
 
 import psutil
 
-from brassfall.controlplane.geo import evidence, model, plan
+from brassfall.controlplane.geo import evidence, model, plan, planner
 from brassfall.lab.capacity.part import Options, Recorder
 
 delays: Any = importlib.import_module("brassfall.sidecar.agent.delays")
@@ -43,8 +43,10 @@
     before = psutil.Process().memory_full_info().uss
     add_ms, state, now = _evidence(size)
     memory = psutil.Process().memory_full_info().uss - before
-    first_ms, found = _timed(lambda: model.follow(state, now))
-    warm = [_timed(lambda: model.follow(state, now + 1.0, before=found)) for _ in range(options.repeats)]
+    first_ms, found = _timed(lambda: model.update_estimate(state, now))
+    warm = [
+        _timed(lambda: model.update_estimate(state, now + 1.0, before=found)) for _ in range(options.repeats)
+    ]
     plans = [_timed(lambda: _planned(found)) for _ in range(options.repeats)]
     recorder.add(ROLE, "adding one report's rows", "ms", size, add_ms)
     recorder.add(ROLE, "evidence held", "MiB", size, memory / 2**20)
@@ -70,11 +72,13 @@
             for _ in range(SAMPLES):
                 region = rng.randrange(REGIONS)
                 sketch.first_byte(f"r{region}", 1.0 + 4.0 * region + rng.expovariate(1.0))
-            took_ms, sifted = _timed(partial(evidence.sift, sketch.take(now)))
+            took_ms, validated = _timed(partial(evidence.validate_rows, sketch.take(now)))
             spent_ms += took_ms
-            heard.append(evidence.Heard(f"n{number}", "life", f"g{number % GROUPS}", sifted.rows, now))
+            heard.append(
+                evidence.NodeReport(f"n{number}", "life", f"g{number % GROUPS}", validated.rows, now)
+            )
         for begin in range(0, size, TOGETHER):  # as the list service adds them
-            took_ms, state = _timed(partial(evidence.gathered, state, heard[begin : begin + TOGETHER]))
+            took_ms, state = _timed(partial(evidence.merge_reports, state, heard[begin : begin + TOGETHER]))
             spent_ms += took_ms
         reports += size
     return spent_ms / reports, state, now
@@ -85,4 +89,5 @@
     regions = sorted({pair.region for pair in found.pairs})
     demand = dict.fromkeys(groups, 100.0)
     capacity = dict.fromkeys(regions, PER_WEIGHT * len(groups))
-    return plan.plan(found.pairs, demand, capacity, None, {}, 0.05, 0.2, 0.01)
+    inputs = planner.PlanInputs(found.pairs, demand, capacity)
+    return planner.make_plan(inputs, planner.PlanPolicy(0.05, 0.2, 0.01), None)
--- a/brassfall/lab/geo.py
+++ b/brassfall/lab/geo.py
@@ -13,7 +13,7 @@
 import msgspec
 import numpy as np
 
-from brassfall.controlplane.geo import evidence, model, plan
+from brassfall.controlplane.geo import evidence, model, plan, planner
 from brassfall.lab.models import delays, guesses, steered
 
 WARM_S, WATCH_S = 20, 12  # seconds of requests before the estimate; after a change
@@ -87,7 +87,7 @@
     """One seed: the model, its time to see changes, and the simpler ways."""
     world = delays.draw(seed, delays.Terms(nonsense=nonsense), _sketch())
     state = _heard(world, evidence.State(), 0, WARM_S)
-    made = model.follow(state, float(WARM_S), world.groups, world.regions)
+    made = model.update_estimate(state, float(WARM_S), world.groups, world.regions)
     own = {(p.group, p.region): p for p in made.pairs}
     told = guesses.figures(state)
     pairs = list(world.true_ms)
@@ -113,7 +113,7 @@
     near: dict[tuple[str, str], list[bool]] = {pair: [] for pair in picks}
     for second in range(WARM_S, WARM_S + WATCH_S):
         state = _heard(world, state, second, second + 1)
-        made = model.follow(state, second + 1.0, world.groups, world.regions, made)
+        made = model.update_estimate(state, second + 1.0, world.groups, world.regions, made)
         for p in made.pairs:
             pair = p.group, p.region
             if pair in near:
@@ -173,7 +173,7 @@
     EVENTS[event](loop)
     made = []
     for turn in range(EDITIONS):
-        eased = plan.ease(turn * EDITION_S) if event == "region back, cold" else 1.0
+        eased = plan.capacity_ramp(turn * EDITION_S) if event == "region back, cold" else 1.0
         before = _next(loop, before, eased)
         made.append((before, eased))
     real = loop.open_capacity()
@@ -183,8 +183,8 @@
         event=event,
         leak=leak,
         most_load=max(_most_load(loop, each, eased) for each, eased in made),
-        late_moved=sum(each.moved for each, _ in made[-LATE:]),
-        largest_move=max(each.moved for each, _ in made[1 if event == "region lost" else 0 :]),
+        late_moved=sum(each.shift for each, _ in made[-LATE:]),
+        largest_move=max(each.shift for each, _ in made[1 if event == "region lost" else 0 :]),
         mean_ms=loop.delay_ms(made[-1][0]),
         even_ms=loop.delay_ms(even),
     )
@@ -194,7 +194,8 @@
     capacity = loop.open_capacity()
     capacity["r0"] *= eased
     pairs = loop.observe(before)
-    return plan.plan(pairs, loop.demand, capacity, before, {}, FLOOR, MOST_MOVED, LOOK, work_ms=loop.work_ms)
+    inputs = planner.PlanInputs(pairs, loop.demand, capacity)
+    return planner.make_plan(inputs, planner.PlanPolicy(FLOOR, MOST_MOVED, LOOK, loop.work_ms), before)
 
 
 def _most_load(loop: steered.Loop, made: plan.Plan, eased: float) -> float:
--- a/brassfall/lab/models/guesses.py
+++ b/brassfall/lab/models/guesses.py
@@ -10,7 +10,7 @@
 
 import numpy as np
 
-from brassfall.controlplane.geo.evidence import State, by_pair, value_ms
+from brassfall.controlplane.geo.evidence import State, bucket_middle_ms, by_pair
 
 Pair = tuple[str, str]
 Figures = Mapping[Pair, Sequence[tuple[float, int]]]  # (ms, count)
@@ -22,7 +22,9 @@
     for pair, edges in by_pair(state).items():
         for rows in edges.values():
             for row in rows:
-                found.setdefault(pair, []).extend((value_ms(b), n) for b, n in (*row.shake, *row.first))
+                found.setdefault(pair, []).extend(
+                    (bucket_middle_ms(b), n) for b, n in (*row.handshakes, *row.first_bytes)
+                )
     return found
 
 
--- a/tests/test_aggregation.py
+++ b/tests/test_aggregation.py
@@ -26,7 +26,7 @@
     parse_report,
 )
 from brassfall.controlplane.aggregation.timing import AggregatorTiming
-from brassfall.controlplane.geo.evidence import POINTS_MOST, sift
+from brassfall.controlplane.geo.evidence import MAX_POINTS, validate_rows
 from brassfall.controlplane.revisions.edges import Objection, Report
 
 EPOCH = 1 << 50
@@ -404,14 +404,14 @@
     assert merged.take(100.0) == {}
     (told,) = merged.take(6000.0)["delays"]
     assert told["first"] == {"40": 20, "50": 40, "60": CHILD_FIGURES_MOST} and told["children"] == 11
-    assert sift([told]).rows and merged.refused == 11
+    assert validate_rows([told]).rows and merged.refused == 11
     assert merged.take(20_000.0) == {}
 
 
 def test_a_wide_histogram_keeps_its_sum_and_its_low_quantiles():
     counts = {bucket: 1 + bucket % 5 for bucket in range(200)}
     found = thinned(counts)
-    assert len(found) <= len(RANKS) == POINTS_MOST and sum(found.values()) == sum(counts.values())
+    assert len(found) <= len(RANKS) == MAX_POINTS and sum(found.values()) == sum(counts.values())
     assert list(found)[:3] == sorted(found)[:3] and min(found) < 10
 
 
--- a/tests/test_aggregators_parts.py
+++ b/tests/test_aggregators_parts.py
@@ -106,7 +106,7 @@
             made.geo.merged("x", _report(seq, measures={"delays": [row]}))
         rates = {key: rate for key, (_, rate, _) in made.geo._demand.items()}
         assert rates == {f"x/{g}/{r}": pytest.approx(600.0) for g in GROUPS for r in REGIONS}
-        assert made.geo.refused == 0
+        assert made.geo.rejected_rows == 0
         bad = [
             {**told[0], name: value} for name, value in (("answers", -1), ("answers", "x"), ("span_ms", 0))
         ]
--- a/tests/test_geo.py
+++ b/tests/test_geo.py
@@ -8,12 +8,13 @@
 import math
 import random
 from dataclasses import replace
+from types import MappingProxyType
 
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from brassfall.controlplane.geo import evidence, levels, model, plan, positions, publisher
+from brassfall.controlplane.geo import evidence, levels, model, plan, planner, positions, publisher, sketches
 from brassfall.lab import geo
 from brassfall.lab.models import delays as worlds
 from brassfall.lab.models import steered
@@ -24,12 +25,12 @@
 
 def test_buckets_are_the_same_on_both_sides():
     assert (delays.WIDTH, delays.LEAST_MS, delays.BUCKETS) == (
-        evidence.WIDTH,
-        evidence.LEAST_MS,
+        evidence.BUCKET_WIDTH,
+        evidence.MIN_DELAY_MS,
         evidence.BUCKETS,
     )
     for ms in (0.05, 1.0, 33.3, 59_999.0):
-        assert evidence.value_ms(delays.bucket(ms)) == pytest.approx(ms, rel=0.026)
+        assert evidence.bucket_middle_ms(delays.bucket(ms)) == pytest.approx(ms, rel=0.026)
 
 
 def test_a_sketch_leaves_out_what_tells_nothing_of_the_way():
@@ -40,7 +41,7 @@
     assert held.take(1.0) == []
     held.first_byte("a", 30.0, 10.0)
     (row,) = held.take(1.0 + delays.EVERY_S)
-    assert not evidence.sift([row]).refused
+    assert not evidence.validate_rows([row]).rejected
     assert row == {
         "region": "a",
         "window": 2,
@@ -52,7 +53,7 @@
 def test_the_first_window_of_a_process_on_any_clock_is_good():
     held = delays.Delays("west-1")
     held.first_byte("a", 30.0, 10.0)
-    assert not evidence.sift(held.take(9e9)).refused
+    assert not evidence.validate_rows(held.take(9e9)).rejected
 
 
 def test_reports_are_small_and_what_waits_is_told_later():
@@ -63,7 +64,7 @@
             held.first_byte(region, 5.0 * 1.1**k, 0.0)
         rows = held.take((turn + 1.0) * delays.EVERY_S)
         assert len(json.dumps(rows, separators=(",", ":"))) <= delays.REPORT_BYTES
-        assert not evidence.sift(rows).refused
+        assert not evidence.validate_rows(rows).rejected
         told |= {str(row["region"]) for row in rows}
     assert told == set("abcdefghijkl")
 
@@ -74,17 +75,17 @@
     assert len(thin) <= 4 and sum(thin.values()) == sum(counts.values())
 
     def low(points, part):
-        return levels.quantile([(k, float(n)) for k, n in sorted(points.items())], part)
+        return sketches.quantile([(k, float(n)) for k, n in sorted(points.items())], part)
 
     assert low(thin, 0.05) == pytest.approx(low(counts, 0.05), rel=0.05)
 
 
 # --- evidence ----------------------------------------------------------------------------------------------
 
-sketches = st.dictionaries(st.integers(0, 286).map(str), st.integers(1, 9), min_size=1, max_size=3)
+sketch_counts = st.dictionaries(st.integers(0, 286).map(str), st.integers(1, 9), min_size=1, max_size=3)
 reports = st.lists(
     st.tuples(
-        st.sampled_from("ef"), st.sampled_from("12"), st.sampled_from("ab"), st.integers(0, 40), sketches
+        st.sampled_from("ef"), st.sampled_from("12"), st.sampled_from("ab"), st.integers(0, 40), sketch_counts
     ),
     max_size=25,
     unique_by=lambda told: told[:4],
@@ -117,14 +118,14 @@
 def test_an_edge_that_tells_more_has_no_more_rows_and_an_old_window_does_not_come_back():
     rows = [("e", "1", "a", window, {"100": 1}) for window in range(40)]
     state = merged(rows)
-    assert list(state.edges["e"]["1", "g"]["a"]) == list(range(24, 40))
+    assert list(state.nodes["e"]["1", "g"]["a"]) == list(range(24, 40))
     assert merged(rows[:20], state, now=9.0) == state
 
 
 @settings(max_examples=100, deadline=None)
 @given(reports)
 def test_no_edge_outweighs_the_others(told):
-    for each in levels.edge_levels(evidence.by_pair(merged(told))).values():
+    for each in levels.node_levels(evidence.by_pair(merged(told))).values():
         assert all(level.weight <= 1.0 for level in each.values())
 
 
@@ -153,15 +154,15 @@
     ],
 )
 def test_a_malformed_row_is_refused_by_reason_and_the_others_count(row, reason):
-    sifted = evidence.sift([row, GOOD])
-    assert sifted.refused == {reason: 1} and len(sifted.rows) == 1
+    validated = evidence.validate_rows([row, GOOD])
+    assert validated.rejected == {reason: 1} and len(validated.rows) == 1
     state = evidence.merge(evidence.State(), "e", "1", "g", [row], 1.0)
     assert state == evidence.State()
 
 
 @pytest.mark.parametrize("rows", [None, 3, "rows", {"a": 1}, [GOOD] * 5000])
 def test_a_report_of_any_shape_is_survived(rows):
-    assert sum(evidence.sift(rows).refused.values()) > 0
+    assert sum(evidence.validate_rows(rows).rejected.values()) > 0
     evidence.merge(evidence.State(), "e", "1", "g", rows, math.nan)
 
 
@@ -187,8 +188,10 @@
     return worlds.draw(seed, replace(SMALL, **terms), delays.Delays)
 
 
-def errors(world, pairs, tried):
-    return sorted(abs(p.delay_ms / world.true_ms[p.group, p.region] - 1.0) for p in pairs if p.tried == tried)
+def errors(world, pairs, measured):
+    return sorted(
+        abs(p.delay_ms / world.true_ms[p.group, p.region] - 1.0) for p in pairs if p.measured == measured
+    )
 
 
 @pytest.mark.parametrize("seed", [3])
@@ -197,9 +200,9 @@
     pairs = model.estimate(
         heard(world, world.tried, 0, 12, evidence.State()), 12.0, world.groups, world.regions
     )
-    tried, untried = errors(world, pairs, True), errors(world, pairs, False)
-    assert tried[len(tried) // 2] < 0.10
-    assert untried[len(untried) // 2] < 0.25
+    measured, unmeasured = errors(world, pairs, True), errors(world, pairs, False)
+    assert measured[len(measured) // 2] < 0.10
+    assert unmeasured[len(unmeasured) // 2] < 0.25
     inside = [p.low_ms <= world.true_ms[p.group, p.region] <= p.high_ms for p in pairs]
     assert sum(inside) / len(inside) > 0.8
 
@@ -213,7 +216,7 @@
     made = None
     for now in range(30, 55):
         state = heard(world, world.tried, now, now + 1, state)
-        made = model.follow(state, now + 1.0, before=made)
+        made = model.update_estimate(state, now + 1.0, before=made)
         for names in (changed, same) if now >= 36 else ():  # and it is not lost again
             assert pair_of(made.pairs, names).delay_ms == pytest.approx(world.true_ms[names], rel=0.12)
 
@@ -255,7 +258,7 @@
         held.first_byte(names[1], world.true_ms[names] * (1.0 + 0.02 * number), 0.0)
         state = evidence.merge(state, "lone", "1", names[0], held.take(6.0 * number), 6.0 * number)
     pair = pair_of(model.estimate(state, 60.0), names)
-    assert pair.edges == 1
+    assert pair.nodes == 1
     assert pair.low_ms <= world.true_ms[names] <= pair.high_ms * 1.02
 
 
@@ -265,9 +268,9 @@
     pairs = model.estimate(state, 12.0, [*world.groups, "new"], [*world.regions, "far"])
     new = pair_of(pairs, (world.tried[0][0], "far"))
     known = [pair for pair in pairs if pair.group == new.group and pair.region != "far"]
-    assert not new.tried and new.age_ms is None
+    assert not new.measured and new.age_ms is None
     assert sum(new.low_ms <= pair.delay_ms <= new.high_ms for pair in known) >= 0.8 * len(known)
-    assert pair_of(pairs, ("new", "far")).edges == 0
+    assert pair_of(pairs, ("new", "far")).nodes == 0
     assert model.estimate(evidence.State(), 0.0, ["new"], ["far"]) == []
 
 
@@ -280,8 +283,9 @@
         assert 0.0 < pair.low_ms <= pair.delay_ms <= pair.high_ms < math.inf
     assert {p.region for p in model.estimate(state, now, regions=["a"])} <= {"a"}  # no name is made up
     made = None
-    for held in ((), ("a",), ()):
-        made = plan.plan(pairs, {"g": 5.0, "h": 1.0}, {"a": 10.0, "b": 1.0}, made, {}, 0.1, 0.1, 0.01, held)
+    for closed in ((), ("a",), ()):
+        inputs = planner.PlanInputs(pairs, {"g": 5.0, "h": 1.0}, {"a": 10.0, "b": 1.0}, closed=closed)
+        made = planner.make_plan(inputs, planner.PlanPolicy(0.1, 0.1, 0.01), made)
         for row in made.shares.values():
             assert sum(row.values()) == pytest.approx(1.0) or not any(row.values())
             assert all(0.0 <= share <= 1.0 + 1e-9 for share in row.values())
@@ -291,7 +295,7 @@
     told = {
         (g, r): (math.log(ms), 0.05) for g in "gh" for r, ms in zip("abc", (10.0, 30.0, 90.0), strict=True)
     }
-    guesses = positions.fit(told, ["g", "h", "new"], ["a", "b", "c", "far"]).guesses
+    guesses = positions.fit_positions(told, ["g", "h", "new"], ["a", "b", "c", "far"]).predictions
     for names in (("g", "far"), ("new", "far")):
         assert math.exp(guesses[names].log_ms) == pytest.approx(30.0, rel=0.3)
         assert guesses[names].sd > 0.5
@@ -301,13 +305,16 @@
 # --- the plan ----------------------------------------------------------------------------------------------
 
 
-def editions(loop, before, count, **told):
+NOTHING_RAMPED = MappingProxyType({})
+
+
+def plans(loop, before, count, ramps=NOTHING_RAMPED, closed=()):
     """So many plans, each on what the one before it caused."""
     made = []
     for _ in range(count):
-        capacity = {r: each * told.get("eased", {}).get(r, 1.0) for r, each in loop.open_capacity().items()}
-        held = told.get("held", ())
-        before = plan.plan(loop.observe(before), loop.demand, capacity, before, {}, 0.05, 0.1, 0.01, held)
+        capacity = {r: each * ramps.get(r, 1.0) for r, each in loop.open_capacity().items()}
+        inputs = planner.PlanInputs(loop.observe(before), loop.demand, capacity, closed=closed)
+        before = planner.make_plan(inputs, planner.PlanPolicy(0.05, 0.1, 0.01), before)
         made.append(before)
     return made
 
@@ -320,20 +327,20 @@
 @pytest.mark.parametrize("load", [0.4, 0.75])
 def test_a_plan_does_not_swing_though_delay_follows_load(seed, load):
     loop = steered.draw(seed, load=load)
-    made = editions(loop, None, 50)
+    made = plans(loop, None, 50)
     assert sums(made[-1]) == pytest.approx([1.0] * 6)
     assert all(max(loop.load(each.shares).values()) <= 0.86 for each in made)
-    assert max(each.moved for each in made[1:]) <= 0.1 + 1e-6
-    assert sum(each.moved for each in made[-20:]) < 0.1
+    assert max(each.shift for each in made[1:]) <= 0.1 + 1e-6
+    assert sum(each.shift for each in made[-20:]) < 0.1
 
 
 def test_a_group_that_all_moves_moves_by_steps_and_stays():
     loop = steered.draw(1, load=0.3)
-    made = editions(loop, None, 20)
+    made = plans(loop, None, 20)
     group = "g0"
     best = max(made[-1].shares[group], key=made[-1].shares[group].get)
     loop.way_ms[group, best] += 500.0
-    after = editions(loop, made[-1], 40)
+    after = plans(loop, made[-1], 40)
     shares = [each.shares[group][best] for each in after]
     assert all(0.0 <= a - b <= 0.1 + 1e-6 for a, b in itertools.pairwise(shares))  # never back
     assert shares[-1] == pytest.approx(0.0, abs=0.01)
@@ -341,66 +348,69 @@
 
 def test_a_lost_region_loses_all_at_once_and_pushes_no_other_over():
     loop = steered.draw(2, groups=8, regions=4, load=0.5)
-    made = editions(loop, None, 20)
+    made = plans(loop, None, 20)
     loads = loop.load(made[-1].shares)
     lost = max(loads, key=lambda r: loads[r] * loop.capacity[r])
     loop.down.add(lost)
-    after = editions(loop, made[-1], 10)
+    after = plans(loop, made[-1], 10)
     assert all(row[lost] == 0.0 for row in after[0].shares.values())
     assert all(max(loop.load(each.shares).values()) <= 0.86 for each in after)
     assert sums(after[0]) == pytest.approx([1.0] * 8)
     loop.down.clear()
     back = []
     for turn in range(15):  # it returns cold: an edition every 3 s
-        eased = {lost: plan.ease(3.0 * turn)}
-        back += editions(loop, back[-1] if back else after[-1], 1, eased=eased)
-        assert loop.load(back[-1].shares)[lost] <= 0.86 * eased[lost]
+        ramps = {lost: plan.capacity_ramp(3.0 * turn)}
+        back += plans(loop, back[-1] if back else after[-1], 1, ramps=ramps)
+        assert loop.load(back[-1].shares)[lost] <= 0.86 * ramps[lost]
     assert loop.load(back[0].shares)[lost] <= 0.1
     assert loop.load(back[-1].shares)[lost] == pytest.approx(loads[lost], abs=0.15)
 
 
 def test_a_region_is_eased_in_only_after_it_was_away():
-    first = plan.opened({}, {"a": 5.0, "b": 5.0}, 100.0)
-    assert [plan.ease(100.0 - first[region]) for region in "ab"] == [
+    first = plan.open_since({}, {"a": 5.0, "b": 5.0}, 100.0)
+    assert [plan.capacity_ramp(100.0 - first[region]) for region in "ab"] == [
         1.0,
         1.0,
     ]  # a service that has just started
-    away = plan.opened(first, {"a": 5.0, "b": 0.0}, 110.0)
-    back = plan.opened(away, {"a": 5.0, "b": 5.0}, 120.0)
-    assert plan.opened(back, {"a": 5.0, "b": 5.0}, 125.0) == back
-    assert plan.ease(125.0 - back["a"]) == 1.0
-    assert plan.ease(125.0 - back["b"]) == pytest.approx(0.25)
+    away = plan.open_since(first, {"a": 5.0, "b": 0.0}, 110.0)
+    back = plan.open_since(away, {"a": 5.0, "b": 5.0}, 120.0)
+    assert plan.open_since(back, {"a": 5.0, "b": 5.0}, 125.0) == back
+    assert plan.capacity_ramp(125.0 - back["a"]) == 1.0
+    assert plan.capacity_ramp(125.0 - back["b"]) == pytest.approx(0.25)
 
 
 def test_held_regions_get_nothing_and_with_none_open_there_are_no_shares():
     loop = steered.draw(3)
-    made = editions(loop, None, 2, held=("r0",))
+    made = plans(loop, None, 2, closed=("r0",))
     assert all(row["r0"] == 0.0 for row in made[-1].shares.values())
-    nothing = editions(loop, made[-1], 1, held=("r0", "r1", "r2"))[0]
+    nothing = plans(loop, made[-1], 1, closed=("r0", "r1", "r2"))[0]
     assert not any(share for row in nothing.shares.values() for share in row.values())
-    assert sums(editions(loop, nothing, 1)[0]) == pytest.approx([1.0] * 6)
+    assert sums(plans(loop, nothing, 1)[0]) == pytest.approx([1.0] * 6)
 
 
 def test_a_new_region_that_nobody_measured_is_looked_at_and_not_pushed_over():
     loop = steered.draw(4)
-    made = editions(loop, None, 10)
-    assert made[-1].look == 0.0  # all is known
+    made = plans(loop, None, 10)
+    assert made[-1].exploration == 0.0  # all is known
     loop.unmeasured.add("r2")
-    after = editions(loop, made[-1], 10)
-    assert after[-1].look == 0.01
+    after = plans(loop, made[-1], 10)
+    assert after[-1].exploration == 0.01
     assert max(loop.load(after[-1].shares).values()) <= 0.86
 
 
 def test_price_floor_and_capacity_are_kept():
     loop = steered.draw(5, load=0.2)
     pairs = loop.observe(None)
-    price = {(f"g{i}", "r0"): 1e4 for i in range(6)}
-    free = plan.plan(pairs, loop.demand, loop.capacity, None, {}, 0.1, 0.1, 0.01)
-    dear = plan.plan(pairs, loop.demand, loop.capacity, None, price, 0.1, 0.1, 0.01)
+    prices = {(f"g{i}", "r0"): 1e4 for i in range(6)}
+    policy = planner.PlanPolicy(0.1, 0.1, 0.01)
+    free = planner.make_plan(planner.PlanInputs(pairs, loop.demand, loop.capacity), policy, None)
+    priced = planner.PlanInputs(pairs, loop.demand, loop.capacity, prices=prices)
+    dear = planner.make_plan(priced, policy, None)
     assert max(share for row in free.shares.values() for share in row.values()) <= 0.9 + 1e-6
     assert loop.load(dear.shares)["r0"] < 0.01 < loop.load(free.shares)["r0"]
     short = {r: each / 8.0 for r, each in loop.capacity.items()}  # 1.6 times what there is: all suffer alike
-    loads = loop.load(plan.plan(pairs, loop.demand, short, None, {}, 0.0, 0.1, 0.01).shares)
+    inputs = planner.PlanInputs(pairs, loop.demand, short)
+    loads = loop.load(planner.make_plan(inputs, planner.PlanPolicy(0.0, 0.1, 0.01), None).shares)
     assert max(loads.values()) / min(loads.values()) < 1.05
 
 
@@ -408,7 +418,7 @@
     ("age_ms", "counts"), [(0, 1.0), (15_000, 1.0), (22_500, 0.5), (30_000, 0.0), (1e9, 0.0), (math.nan, 0.0)]
 )
 def test_an_old_plan_fades_in_bounded_time(age_ms, counts):
-    assert plan.weight(age_ms) == pytest.approx(counts)
+    assert plan.plan_weight(age_ms) == pytest.approx(counts)
 
 
 @pytest.mark.parametrize(
@@ -425,9 +435,9 @@
 )
 def test_a_plan_layer_is_checked_as_a_whole(change):
     good = plan.Plan({"g": {"r": 0.7, "s": 0.3}}, 0.01).as_json()
-    assert plan.from_json(good).as_json() == good
+    assert plan.plan_from_json(good).as_json() == good
     with pytest.raises(plan.PlanError, match="plan"):
-        plan.from_json(good | change)
+        plan.plan_from_json(good | change)
 
 
 @pytest.mark.parametrize("event", sorted(geo.EVENTS))
@@ -451,25 +461,25 @@
         self.editions = [(0, plan.Plan({}))]  # the fence of each, and its plan
 
     def answer(self, now, action):
-        if isinstance(action, publisher.Take | publisher.Renew):
+        if isinstance(action, publisher.AcquireLease | publisher.RenewLease):
             if now >= self.ends:
                 self.row = 0
-            if isinstance(action, publisher.Take) and self.row == 0:
+            if isinstance(action, publisher.AcquireLease) and self.row == 0:
                 self.version += 1
                 self.row = self.version
-            elif isinstance(action, publisher.Take) or action.version != self.row or self.row == 0:
-                return publisher.Denied(action.asked_s)
+            elif isinstance(action, publisher.AcquireLease) or action.version != self.row or self.row == 0:
+                return publisher.LeaseDenied(action.asked_s)
             self.ends = now + 6.0
-            return publisher.Granted(action.asked_s, self.row)
+            return publisher.LeaseGranted(action.asked_s, self.row)
         if isinstance(action, publisher.ReadNewest):
-            return publisher.Read(self.editions[-1][1], len(self.editions) - 1)
-        if action.follows != len(self.editions) - 1 or (now >= self.ends or action.fence != self.row):
-            return publisher.Overtaken()
-        self.editions.append((action.fence, action.plan))
-        return publisher.Accepted(len(self.editions) - 1)
+            return publisher.NewestRead(self.editions[-1][1], len(self.editions) - 1)
+        if action.follows != len(self.editions) - 1 or (now >= self.ends or action.fencing_token != self.row):
+            return publisher.PublicationRejected()
+        self.editions.append((action.fencing_token, action.plan))
+        return publisher.Published(len(self.editions) - 1)
 
 
-def published(seed, until, stops=0.0, moved=0.05):
+def published(seed, until, stops=0.0, shift=0.05):
     """Three publishers on one service: calls take up to 1.5 s each way, some are lost, processes stop."""
     rng = random.Random(seed)
     service, states, stopped = Service(), [publisher.State() for _ in range(3)], [0.0] * 3
@@ -494,14 +504,16 @@
                 stopped[who] = now + rng.uniform(0, 15)
         states[who], actions = publisher.step(states[who], now, what)
         for action in actions:
-            if isinstance(action, publisher.Make):
+            if isinstance(action, publisher.ComputePlan):
                 share = rng.random()
-                made = plan.Plan({"g": {"a": share, "b": 1 - share}}, moved=moved)
-                heapq.heappush(queue, (now + 0.1, next(serial), who, publisher.Made(made, action.follows)))
+                made = plan.Plan({"g": {"a": share, "b": 1 - share}}, shift=shift)
+                heapq.heappush(
+                    queue, (now + 0.1, next(serial), who, publisher.PlanComputed(made, action.follows))
+                )
                 continue
-            if isinstance(action, publisher.Publish):
+            if isinstance(action, publisher.PublishPlan):
                 told.append((now, who, action))
-                sure.append(sum(state.holds(now) for state in states))
+                sure.append(sum(state.holds_lease(now) for state in states))
             if rng.random() > 0.05:
                 heapq.heappush(queue, (now + rng.uniform(0, 1.5), next(serial), -who - 1, action))
     return service, told, sure
@@ -517,11 +529,11 @@
 
 
 def test_publishers_are_sparing_and_keep_a_plan_fresh():
-    told = published(7, 90.0, moved=0.0)[1]
+    told = published(7, 90.0, shift=0.0)[1]
     times = [now for now, _, _ in told]
     gaps = [b - a for a, b in itertools.pairwise(times)]
-    terms = publisher.Terms()
-    assert min(gaps) >= terms.every_s
+    timing = publisher.PublisherTiming()
+    assert min(gaps) >= timing.interval_s
     assert max(gaps) < plan.AGE_LIMIT_MS / 1000.0
-    busy = published(7, 90.0, moved=0.5)[1]
-    assert len(told) < len(busy) <= 90.0 / terms.every_s + 1
+    busy = published(7, 90.0, shift=0.5)[1]
+    assert len(told) < len(busy) <= 90.0 / timing.interval_s + 1
