--- a/brassfall/sidecar/driver.py
+++ b/brassfall/sidecar/driver.py
@@ -26,8 +26,11 @@
 DEADLINE_MARGIN_MS = 8.0
 # The module answers at the deadline; what it left unanswered for so long is failed for it.
 GUARD_MS = 25.0
-# A repeat under a key has to have reached its server within the key's window: transit and lag again.
-KEY_MARGIN_MS = 20.0
+# This process may be held up for so long between reading its clock and writing.
+HOLD_UP_MS = 150.0
+# A retry under an idempotency key has to have reached its server within the key's window, also then. Its
+# transit is covered by the 50 ms that the protocol adds to each limit.
+KEY_MARGIN_MS = HOLD_UP_MS
 PROBE_TIMEOUT_MS = 1000.0
 
 
