--- /dev/null
+++ b/tests/test_crossings_wall_clock.py
@@ -0,0 +1,166 @@
+"""A wall clock that is stepped while the sidecar runs: every deadline, window, wait and grace is a span of
+real time. What a clock that is wrong at the start means for servers' ages is in test_crossings_discovery."""
+
+from __future__ import annotations
+
+import ast
+import asyncio
+from pathlib import Path
+
+import pytest
+
+from brassfall.balancer.model import Fail, Send
+from brassfall.sidecar.agent.agent import Agent
+from brassfall.sidecar.config import Address, Agreement, parse_list
+from tests.loopback import (
+    OK,
+    App,
+    Registry,
+    Scripted,
+    Upstream,
+    break_off,
+    entry,
+    hang,
+    listed,
+    loopback,
+    running,
+    until,
+)
+from tests.system_calls import Faults
+
+SIDECAR = Path(__file__).resolve().parent.parent / "brassfall" / "sidecar"
+WALL_CLOCK = {
+    "time",
+    "time_ns",
+    "clock_gettime",
+    "clock_gettime_ns",
+    "now",
+    "utcnow",
+    "today",
+    "localtime",
+    "gmtime",
+}
+STEPS_S = [5.0, -5.0, 3600.0, -3600.0]
+LATE_S = 0.5  # what a busy machine may add
+
+
+def test_the_wall_clock_is_read_once_at_the_start_and_nowhere_else():
+    met = []
+    for path in sorted(SIDECAR.rglob("*.py")):
+        for node in ast.walk(ast.parse(path.read_text())):
+            if isinstance(node, ast.ImportFrom) and node.module in ("time", "datetime"):
+                met += [(path.name, alias.name) for alias in node.names]
+            elif isinstance(node, ast.Attribute) and node.attr in WALL_CLOCK:
+                owner = node.value
+                if isinstance(owner, ast.Name) and owner.id in ("time", "datetime", "date"):
+                    met.append((path.name, node.attr))
+    assert met == [("driver.py", "time")]
+
+
+@pytest.mark.parametrize("step_s", STEPS_S)
+@loopback
+async def test_a_deadline_is_a_span_of_real_time(step_s):
+    loop, upstream = asyncio.get_running_loop(), await Upstream([hang]).start()
+    with Faults() as faults:
+        async with running(upstream) as sidecar:
+            app = await App.connect(sidecar.address)
+            asked = loop.time()
+            app.send("POST", "/pay", X_Budget="600m")
+            await until(lambda: upstream.seen)
+            faults.step(step_s)
+            answer = await app.answer()
+            assert answer.start.split(" ")[1] == "504"
+            assert 0.5 <= loop.time() - asked <= 0.6 + LATE_S
+            app.close()
+
+
+@pytest.mark.parametrize("step_s", STEPS_S)
+@loopback
+async def test_the_window_of_a_key_is_a_span_of_real_time(step_s):
+    """A retry within it is written, though by the wall clock it has been over for long or is yet to begin."""
+    loop, sent_at = asyncio.get_running_loop(), []
+    ends = []
+
+    def first(now, arrival):
+        ends.append(now + 1000.0)
+        return [Send(arrival.request, "s0", 0.0)]
+
+    def retry(now, number, hop, status, spent, last, report):
+        faults.step(step_s)
+        return [] if last else [Fail(number)] if hop else [Send(number, "s1", 0.0, ends[0])]
+
+    async def note(reader, writer):
+        sent_at.append(loop.time())
+        return OK
+
+    upstreams = await Upstream([break_off]).start(), await Upstream([note]).start()
+    with Faults() as faults:
+        async with running(*upstreams, balancer=Scripted(request=first, outcome=retry)) as sidecar:
+            app = await App.connect(sidecar.address)
+            answer = await app.ask("POST", "/book")
+            app.close()
+    assert answer.start.split(" ")[1] == "200" and len(sent_at) == 1
+
+
+@pytest.mark.parametrize("step_s", STEPS_S)
+@loopback
+async def test_the_grace_of_a_server_that_drains_is_a_span_of_real_time(step_s):
+    upstream = await Upstream([OK]).start()
+    module = Scripted(
+        outcome=lambda now, number, hop, status, spent, last, report: [] if last else [Fail(number)]
+    )
+    with Faults() as faults:
+        async with running(upstream, balancer=module, Rules={"StopSendingWithin": 800.0}) as sidecar:
+            app = await App.connect(sidecar.address)
+            row = entry("s0", upstream.address, status="leaving")
+            sidecar.driver.server_list(
+                "changes", parse_list(listed(42, row, snapshot=False), sidecar.running.names)
+            )
+            faults.step(step_s)
+            within = await app.ask()
+            await asyncio.sleep(0.9)
+            after = await app.ask()
+            app.close()
+    assert [answer.start.split(" ")[1] for answer in (within, after)] == ["200", "502"]
+
+
+@pytest.mark.parametrize("step_s", STEPS_S)
+@loopback
+async def test_a_watch_is_opened_anew_after_a_span_of_real_time(step_s):
+    """Beats that come in time keep it, whatever the wall clock does; discovery is asked once."""
+    registry = await Registry(current=True).start()
+    with Faults() as faults:
+        async with running(registry=registry) as sidecar:
+            await until(lambda: registry.watches)
+            for _ in range(4):
+                faults.step(step_s)
+                await asyncio.sleep(0.2)
+                registry.write(b"\n")
+            assert len(registry.asked) == 1 and sidecar.discovery.version == 41
+    registry.stop()
+
+
+@pytest.mark.parametrize("step_s", STEPS_S)
+@loopback
+async def test_a_lease_runs_for_a_span_of_real_time(step_s):
+    loop, acted = asyncio.get_running_loop(), []
+
+    def act(active, now):
+        acted.append(active)
+        return float("inf")
+
+    with Faults() as faults:
+        agreement = Agreement(600.0, "", "", {})
+        agent = Agent(loop, "e1", agreement, (Address("127.0.0.1", 9),), lambda revision: "", act, 1)
+        asked = loop.time()
+        seq = int(agent.lease_client.report(asked)["seq"])
+        granted = {"edition": 0, "permission_ms": 600.0, "life": 1, "pending": 0, "news": False}
+        assert agent.lease_client.receive_answer(asked, seq, granted)
+        faults.step(step_s)
+        agent.refresh(loop.time())
+        left_ms = agent.lease_client.left_ms(loop.time())
+        assert 300.0 < left_ms <= 600.0
+        await asyncio.sleep(0.65)
+        agent.at(loop.time())
+        assert agent.lease_client.left_ms(loop.time()) == 0.0
+        assert acted[-1].fallback
