--- a/brassfall/sidecar/framing.py
+++ b/brassfall/sidecar/framing.py
@@ -78,23 +78,31 @@
 
 
 def readable(transport: asyncio.BaseTransport) -> bool:
-    """Whether a connection holds unread bytes or its end, that the loop has not got to yet."""
+    """Whether a connection holds unread bytes or its end, that the loop has not got to yet; so it is taken
+    to be where the system can't say."""
     sock = transport.get_extra_info("socket")
     if sock is None or sock.fileno() < 0:
         return True
     poll = select.poll()
     poll.register(sock.fileno(), select.POLLIN)
-    return bool(poll.poll(0))
+    try:
+        return bool(poll.poll(0))
+    except OSError:  # no memory for the call
+        return True
 
 
 def hung_up(transport: asyncio.BaseTransport) -> bool:
-    """Whether the other side has closed or reset a connection, whatever lies unread before that."""
+    """Whether the other side is known to have closed or reset a connection, whatever lies unread before
+    that."""
     sock = transport.get_extra_info("socket")
     if sock is None or sock.fileno() < 0:
         return True
     poll = select.poll()
     poll.register(sock.fileno(), select.POLLRDHUP)  # a reset is told with it, asked for or not
-    return bool(poll.poll(0))
+    try:
+        return bool(poll.poll(0))
+    except OSError:  # no memory for the call: the loop will find out
+        return False
 
 
 def unread(transport: asyncio.WriteTransport) -> int:
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -9,7 +9,7 @@
 import socket
 from dataclasses import dataclass, field
 
-from brassfall.balancer.model import Send
+from brassfall.balancer.model import Fail, Send
 from brassfall.sidecar import config
 from brassfall.sidecar.__main__ import Sidecar
 
@@ -304,3 +304,88 @@
     sent |= {name.replace("_", "-"): value for name, value in headers.items()}
     rows = "".join(f"{name}: {value}\r\n" for name, value in sent.items() if value is not None)
     return f"{method} {target} HTTP/1.1\r\n{rows}\r\n".encode() + body
+
+
+# --- builders for tests of a send and its outcome
+
+
+class Gate:
+    """Connections to the servers come up late, but for the first few: when the test lets them."""
+
+    def __init__(self, monkeypatch, upstreams, free=0):
+        self.open = asyncio.Event()
+        self.waiting = 0
+        loop = asyncio.get_running_loop()
+        connect = loop.create_connection
+        held = {upstream.address for upstream in upstreams}
+
+        async def late(factory, host=None, port=None, **more):
+            if f"{host}:{port}" in held:
+                self.waiting += 1
+                if self.waiting > free:
+                    await self.open.wait()
+            return await connect(factory, host, port, **more)
+
+        monkeypatch.setattr(loop, "create_connection", late)
+
+
+def nothing_left(sidecar):
+    """Whether every count is back at none, and each open connection is an idle one."""
+    driver, pool = sidecar.driver, sidecar.pool
+    idle = [connection for server in pool._servers.values() for connection in server.idle]
+    counts = [driver._open, driver._flowing, len(driver._requests), len(pool._opening)]
+    balancer = driver._balancer
+    if not isinstance(balancer, Scripted):
+        servers = balancer._servers.values()
+        counts += [balancer._open, len(balancer._requests), *(server.open for server in servers)]
+        counts += [-min(0, server.idle) for server in servers]
+    free = all(connection._exchange is None for connection in idle)
+    return not any(counts) and free and set(idle) == pool._connections and len(set(idle)) == len(idle)
+
+
+@contextlib.asynccontextmanager
+async def tidy(*upstreams, **settings):
+    """A sidecar of which nothing is left over at the end: no request, attempt or connection."""
+    async with running(*upstreams, **settings) as sidecar:
+        yield sidecar
+        await until(lambda: nothing_left(sidecar))
+        module = sidecar.driver._balancer
+        if isinstance(module, Scripted):
+            ends = [(number, hop) for number, hop, *_ in module.named("outcome")]
+            assert len(ends) == len(set(ends))
+
+
+class Hands:
+    """The driver's clock, moved on by hand: no timer runs for it."""
+
+    def __init__(self, sidecar):
+        self.clock = sidecar.driver._clock
+
+    def on(self, ms):
+        self.clock._offset += ms
+
+
+def never_cancels():
+    """Settings that allow no cancelling, and connections that may take their time."""
+    return {"PolicyLimits": {"MaxAttempts": 3, "ParallelTries": True, "ConnectTimeout": 9000.0}}
+
+
+async def asked(sidecar, target="/look", method="GET", **headers):
+    """A client whose request has been taken."""
+    app = await App.connect(sidecar.address)
+    held = len(sidecar.driver._requests)
+    app.send(method, target, **headers)
+    await until(lambda: len(sidecar.driver._requests) > held)
+    return app
+
+
+def hear(sidecar, *entries):
+    """News of discovery."""
+    sidecar.driver.server_list(
+        "changes", config.parse_list(listed(42, *entries, snapshot=False), told().names)
+    )
+
+
+def failing(now, number, hop, status, spent, last, report):
+    """A decision on an outcome: the request fails, unless it is answered."""
+    return [] if last else [Fail(number)]
--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -5,7 +5,6 @@
 
 import asyncio
 import contextlib
-import errno
 import os
 import socket
 import struct
@@ -15,7 +14,6 @@
 from brassfall.balancer import Settings
 from brassfall.balancer.model import Cancel, Fail, Listing, Outcome, Refuse, Send
 from brassfall.sidecar import driver, outbound
-from brassfall.sidecar.config import parse_list
 from brassfall.sidecar.driver import Answer, Result
 from tests import loopback as partners
 from tests.helpers import CLASSES, arrival, balancer, of_type, raw_settings
@@ -23,15 +21,21 @@
     OK,
     SETTINGS,
     App,
+    Gate,
+    Hands,
     Scripted,
     Upstream,
+    asked,
     break_off,
     entry,
+    failing,
     hang,
-    listed,
+    hear,
     loopback,
-    running,
+    never_cancels,
+    nothing_left,
     small_buffers,
+    tidy,
     told,
     until,
 )
@@ -39,76 +43,6 @@
 LARGE = b"0123456789abcdef" * 16384
 
 
-class Gate:
-    """Connections to the servers come up late, but for the first few: when the test lets them."""
-
-    def __init__(self, monkeypatch, upstreams, free=0):
-        self.open = asyncio.Event()
-        self.waiting = 0
-        loop = asyncio.get_running_loop()
-        connect = loop.create_connection
-        held = {upstream.address for upstream in upstreams}
-
-        async def late(factory, host=None, port=None, **more):
-            if f"{host}:{port}" in held:
-                self.waiting += 1
-                if self.waiting > free:
-                    await self.open.wait()
-            return await connect(factory, host, port, **more)
-
-        monkeypatch.setattr(loop, "create_connection", late)
-
-
-def nothing_left(sidecar):
-    """Whether every count is back at none, and each open connection is an idle one."""
-    driver, pool = sidecar.driver, sidecar.pool
-    idle = [connection for server in pool._servers.values() for connection in server.idle]
-    counts = [driver._open, driver._flowing, len(driver._requests), len(pool._opening)]
-    balancer = driver._balancer
-    if not isinstance(balancer, Scripted):
-        servers = balancer._servers.values()
-        counts += [balancer._open, len(balancer._requests), *(server.open for server in servers)]
-        counts += [-min(0, server.idle) for server in servers]
-    free = all(connection._exchange is None for connection in idle)
-    return not any(counts) and free and set(idle) == pool._connections and len(set(idle)) == len(idle)
-
-
-@contextlib.asynccontextmanager
-async def tidy(*upstreams, **settings):
-    """A sidecar of which nothing is left over at the end: no request, attempt or connection."""
-    async with running(*upstreams, **settings) as sidecar:
-        yield sidecar
-        await until(lambda: nothing_left(sidecar))
-        module = sidecar.driver._balancer
-        if isinstance(module, Scripted):
-            told = [(number, hop) for number, hop, *_ in module.named("outcome")]
-            assert len(told) == len(set(told))
-
-
-class Hands:
-    """The driver's clock, moved on by hand: no timer runs for it."""
-
-    def __init__(self, sidecar):
-        self.clock = sidecar.driver._clock
-
-    def on(self, ms):
-        self.clock._offset += ms
-
-
-def never_cancels():
-    """Settings that allow no cancelling, and connections that may take their time."""
-    return {"PolicyLimits": {"MaxAttempts": 3, "ParallelTries": True, "ConnectTimeout": 9000.0}}
-
-
-async def asked(sidecar, target="/look", method="GET", **headers):
-    """A client whose request has been taken."""
-    app = await App.connect(sidecar.address)
-    held = len(sidecar.driver._requests)
-    app.send(method, target, **headers)
-    await until(lambda: len(sidecar.driver._requests) > held)
-    return app
-
-
 # --- nobody wants it any more -----------------------------------------------------------
 
 
@@ -436,11 +370,6 @@
     assert [int(again.server[1:]) // 2 for again in sends] == [group]
 
 
-def hear(sidecar, *entries):
-    """News of discovery."""
-    sidecar.driver.server_list("changes", parse_list(listed(42, *entries, snapshot=False), told().names))
-
-
 @pytest.mark.parametrize("drained", [False, True])
 @loopback
 async def test_a_connection_that_comes_up_at_what_stood_there_before_carries_nothing(monkeypatch, drained):
@@ -501,10 +430,6 @@
 # --- answers -----------------------------------------------------------------------------
 
 
-def failing(now, number, hop, status, spent, last, report):
-    return [] if last else [Fail(number)]
-
-
 STALE = OK.replace(b"done", b"late")
 
 
@@ -669,135 +594,6 @@
         assert module.outcomes() == [(0, Outcome.CONNECT_FAILED, False)]
 
 
-# --- failures of this machine ------------------------------------------------------------
-
-
-class Faults:
-    """System calls that fail: the next `count` sockets made, or connects to a server."""
-
-    def __init__(self, monkeypatch, call, error, count, upstreams):
-        self.left, self.met = count, 0
-        ports = {int(upstream.address.rpartition(":")[2]) for upstream in upstreams}
-
-        def due():
-            if self.left <= 0:
-                return False
-            self.left -= 1
-            self.met += 1
-            return True
-
-        class Socket(socket.socket):
-            def __init__(self, *args, fileno=None, **kwargs):
-                if call == "socket" and fileno is None and due():
-                    raise OSError(error, os.strerror(error))
-                super().__init__(*args, fileno=fileno, **kwargs)
-
-            def connect(self, address):
-                if call == "connect" and address[1] in ports and due():
-                    raise OSError(error, os.strerror(error))
-                super().connect(address)
-
-        monkeypatch.setattr(socket, "socket", Socket)
-
-
-HERE = [
-    *(("socket", error) for error in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)),
-    *(("connect", error) for error in (errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL, errno.ENETUNREACH)),
-    *(("connect", error) for error in (errno.EMFILE, errno.ENFILE, errno.ENETDOWN, errno.ENOSPC)),
-]
-
-
-def blamed(sidecar):
-    """All that the decisions hold against servers, or count towards refusals."""
-    module = sidecar.driver._balancer
-    of_servers = [(server.ill, server.strikes, server.rest_until) for server in module._servers.values()]
-    return [*of_servers, module._connect_ill, module._missed, module._throttle.drop_chance(0.0)]
-
-
-@pytest.mark.parametrize(("call", "error"), HERE)
-@loopback
-async def test_a_failure_of_this_machine_is_held_against_no_server_and_uses_no_attempt_up(
-    monkeypatch, call, error
-):
-    upstream = await Upstream([OK]).start()
-    async with tidy(upstream, PolicyLimits={"MaxAttempts": 1}) as sidecar:
-        app = await App.connect(sidecar.address)
-        faults = Faults(monkeypatch, call, error, 4, [upstream])
-        before = blamed(sidecar)
-        assert (await app.ask()).body == b"done"
-        assert (faults.met, len(upstream.seen)) == (4, 1)
-        assert blamed(sidecar) == before
-
-
-@pytest.mark.parametrize("error", [errno.ECONNREFUSED, errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNRESET])
-@loopback
-async def test_what_only_the_server_or_the_way_to_it_can_cause_could_not_connect(monkeypatch, error):
-    upstream = await Upstream([OK]).start()
-    module = Scripted(outcome=failing)
-    async with tidy(upstream, balancer=module) as sidecar:
-        app = await App.connect(sidecar.address)
-        Faults(monkeypatch, "connect", error, 1, [upstream])
-        assert (await app.ask()).start.split(" ")[1] == "502"
-        assert module.outcomes() == [(0, Outcome.CONNECT_FAILED, False)]
-
-
-@pytest.mark.parametrize("target", ["/look", "/pay", "/book"])
-@loopback
-async def test_where_nothing_opens_a_request_is_refused_in_time_after_few_attempts(monkeypatch, target):
-    """Nothing was sent: it may be refused whatever its class, and no server is told to have been silent."""
-    upstreams = [await Upstream([OK]).start() for _ in range(2)]
-    loop = asyncio.get_running_loop()
-    async with tidy(*upstreams) as sidecar:
-        app = await App.connect(sidecar.address)
-        faults = Faults(monkeypatch, "socket", errno.ENOMEM, 10**6, upstreams)
-        before, began = blamed(sidecar), loop.time()
-        answer = await app.ask("GET" if target == "/look" else "POST", target, X_Budget="400m")
-        assert answer.start.split(" ")[1] == "503"
-        assert loop.time() - began < 0.4 + 0.5
-        assert 8 <= faults.met <= 40  # 4 to 13 pauses double, then come to an end with its time
-        assert blamed(sidecar) == before
-
-
-@loopback
-async def test_an_attempt_that_waits_out_a_failure_of_this_machine_ends_with_its_client(monkeypatch):
-    upstream = await Upstream([OK]).start()
-    monkeypatch.setattr(outbound, "LOCAL_PAUSE_S", 60.0)
-    monkeypatch.setattr(outbound, "LOCAL_PAUSE_MOST_S", 60.0)
-    module = Scripted()
-    async with tidy(upstream, balancer=module, **never_cancels()) as sidecar:
-        faults = Faults(monkeypatch, "socket", errno.ENOMEM, 0, [])
-        app = await App.connect(sidecar.address)
-        faults.left = 1
-        app.send()
-        await until(lambda: faults.met and not sidecar.pool._opening)
-        assert module.outcomes() == []
-        app.close()
-        await until(lambda: module.outcomes())
-        assert module.outcomes() == [(0, Outcome.MOOT, True)]
-        assert not module.named("unsent")
-
-
-@pytest.mark.parametrize("call", ["socket", "connect"])
-@loopback
-async def test_a_server_that_joins_while_this_machine_fails_is_not_ejected(monkeypatch, call):
-    """It has no connection yet: each of its first sends opens one, so that it alone meets the failures."""
-    known, joining = await Upstream([OK]).start(), await Upstream([OK]).start()
-    async with tidy(known, Report={"How": "off"}) as sidecar:
-        app = await App.connect(sidecar.address)
-        for _ in range(4):
-            await app.ask()
-        hear(sidecar, entry("s1", joining.address))
-        Faults(monkeypatch, call, errno.EADDRNOTAVAIL, 3, [joining])
-        for _ in range(400):
-            assert (await app.ask()).body == b"done"
-            if len(joining.seen) >= 8:
-                break
-        server = sidecar.driver._balancer._servers["s1"]
-        assert (server.ill, server.strikes, server.rest_until) == (0.0, 0, 0.0)
-        assert len(joining.seen) >= 8
-    joining.stop()
-
-
 # --- two events in one turn of the loop -----------------------------------------------------
 
 
--- a/tests/test_sidecar_attempts.py
+++ b/tests/test_sidecar_attempts.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from brassfall.balancer.model import Cancel, CloseIdle, Fail, Outcome, Probe, Refuse, Send, Timer
+from brassfall.balancer.model import Cancel, CloseIdle, Outcome, Probe, Refuse, Send, Timer
 from brassfall.sidecar import driver, inbound, outbound
 from brassfall.sidecar.config import parse_list
 from brassfall.sidecar.driver import Clock
@@ -21,6 +21,7 @@
     Upstream,
     break_off,
     entry,
+    failing,
     hang,
     listed,
     loopback,
@@ -37,10 +38,6 @@
 INTERIM = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
-def failing(now, number, hop, status, spent, last, report):
-    return [] if last else [Fail(number)]
-
-
 async def cut_short(reader, writer):
     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\nhalf")
 
--- a/tests/test_standing_brink.py
+++ b/tests/test_standing_brink.py
@@ -19,6 +19,7 @@
     OK,
     SETTINGS,
     App,
+    Gate,
     Registry,
     Scripted,
     Upstream,
@@ -28,10 +29,10 @@
     loopback,
     request,
     running,
+    tidy,
     until,
 )
 from tests.processes import ROOT, Process
-from tests.test_crossings_attempts import Gate, tidy
 from tests.test_standing import KILLED_S, RULES, SENDS_ON_S, hurried, now
 
 FULL = b"HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
