--- /dev/null
+++ b/tests/test_store_disk.py
@@ -0,0 +1,241 @@
+"""The store on a disk that fails: writers, readers, watchers and a restart tell of the same writes."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import random
+from types import SimpleNamespace
+
+import pytest
+
+from brassfall.controlplane.registry.overrides import CLOCK, MARK, Overrides
+from brassfall.controlplane.store.core import Delete, Put, Result, Status
+from brassfall.controlplane.store.log import Log, LogError
+from brassfall.controlplane.store.store import NotWritten, Options, OutcomeUnknownError, Store
+from brassfall.errors import Unavailable
+from tests.disk_faults import Disk
+from tests.loopback import bounded, until
+
+
+class Running:
+    """A store on a disk that fails, and what its watchers were notified of."""
+
+    def __init__(self, folder):
+        self.folder, self.disk, self.notified = folder, Disk(), []
+        log = Log(folder, connect=self.disk.connect)
+        self.store = Store(log, Options(), lambda table, change: self.notified.append(change.row.key))
+
+    async def __aenter__(self):
+        await self.store.start()
+        return self
+
+    async def __aexit__(self, *error):
+        await self.store.close()
+
+    def put(self, key, request_id="", until_settled=False):
+        command = Put(table="t", key=key, value=key, request_id=request_id)
+        return self.store.submit(command, until_settled=until_settled)
+
+    def lose_sight(self, part):
+        """The next commit fails at its first write or at its sync, and the file can't be opened then."""
+        setattr(self.disk, part, f"EIO {part}")
+        self.disk.open = "EIO open"
+
+    def rows(self):
+        return {row.key: row.version for row in self.store.table.rows("t")}
+
+    def after_restart(self):
+        log = Log(self.folder)
+        table = log.load().table
+        log.close()
+        return {row.key: row.version for row in table.rows("t")}
+
+
+@bounded(30.0)
+async def test_a_write_that_is_found_in_the_file_is_taken_in_and_told(tmp_path):
+    async with Running(tmp_path) as running:
+        running.lose_sight("sync")
+        waits = running.put("internal", until_settled=True)
+        with pytest.raises(OutcomeUnknownError, match=r"may have happened.*X-Request-Id") as unknown:
+            await running.put("a", "r1")
+        assert (unknown.value.status, unknown.value.slug) == (503, "outcome unknown")
+        with pytest.raises(NotWritten):
+            await running.put("b", "r2")
+        assert not running.rows() and not running.notified and not waits.done()
+        assert "EIO open" in running.store.figures.disk
+        running.disk.mend()
+        internal = await waits
+        assert running.notified == ["internal", "a"]
+        assert not running.store.figures.disk
+        again = await running.put("a", "r1")
+        assert again == Result(Status.DONE, running.rows()["a"])
+        await running.put("b", "r2")
+        rows = running.rows()
+        assert rows["internal"] == internal.index and list(rows) == ["internal", "a", "b"]
+    assert running.after_restart() == rows
+
+
+@bounded(30.0)
+async def test_a_write_that_is_not_in_the_file_is_refused_and_may_be_repeated(tmp_path):
+    async with Running(tmp_path) as running:
+        running.lose_sight("write")
+        waits = running.put("internal", until_settled=True)
+        with pytest.raises(OutcomeUnknownError):
+            await running.put("a", "r1")
+        running.disk.mend()
+        with pytest.raises(NotWritten):
+            await waits
+        assert not running.notified and not running.rows()
+        await running.put("a", "r1")
+        rows = running.rows()
+        assert list(rows) == ["a"] == running.notified
+    assert running.after_restart() == rows
+
+
+@bounded(30.0)
+async def test_a_repeat_waits_for_the_outcome_and_an_earlier_answer_is_given_again(tmp_path):
+    async with Running(tmp_path) as running:
+        first = await running.put("before", "r0")
+        running.lose_sight("sync")
+        lost = asyncio.ensure_future(running.put("a", "r1"))
+        await until(lambda: running.store.figures.disk)
+        assert await running.put("before", "r0") == first
+        repeat = running.put("a", "r1", until_settled=True)
+        running.disk.mend()
+        assert await repeat == await lost == Result(Status.DONE, running.rows()["a"])
+        assert running.notified == ["before", "a"]
+
+
+@bounded(30.0)
+async def test_a_stop_tells_apart_what_is_not_written_and_what_is_not_known(tmp_path):
+    async with Running(tmp_path) as running:
+        running.lose_sight("sync")
+        waits = running.put("a", until_settled=True)
+        await until(lambda: running.store.figures.disk)
+    with pytest.raises(OutcomeUnknownError, match="stopping"):
+        await waits
+    with pytest.raises(NotWritten, match="stopping"):
+        running.put("b")
+    running.disk.mend()
+    assert list(running.after_restart()) in (["a"], [])
+
+
+@bounded(30.0)
+async def test_a_stop_answers_the_batch_that_is_being_written(tmp_path):
+    async with Running(tmp_path) as running:
+        written = running.put("a")
+        await asyncio.sleep(0)  # the batch is on its way to the disk
+        closing = asyncio.ensure_future(running.store.close())
+        result = await written
+        await closing
+    assert running.after_restart() == {"a": result.index}
+
+
+@pytest.mark.parametrize("seed", range(12))
+@bounded(60.0)
+async def test_writers_who_repeat_until_they_know_agree_with_a_restart(tmp_path, seed):
+    """Faults of all kinds come and go; each write happens once or never, as its writer was told."""
+    rng = random.Random(seed)
+    async with Running(tmp_path) as running:
+        told, gave_up = {}, set()
+
+        async def write(key):
+            while True:
+                try:
+                    told[key] = (await running.put(key, f"id-{key}")).index
+                    return
+                except OutcomeUnknownError:
+                    await asyncio.sleep(0.01)
+                except NotWritten:
+                    if rng.random() < 0.5:
+                        gave_up.add(key)
+                        return
+                    await asyncio.sleep(0.01)
+
+        async def fail():
+            for _ in range(12):
+                disk = running.disk
+                part, error = rng.choice([("write", "ENOSPC"), ("write", "EIO write"), ("sync", "EIO sync")])
+                setattr(disk, part, error)
+                disk.after, disk.keep = rng.randrange(4), rng.random()
+                disk.open = rng.choice(["", "EIO open"])
+                await asyncio.sleep(rng.uniform(0.0, 0.08))
+                disk.mend()
+                await asyncio.sleep(rng.uniform(0.0, 0.08))
+
+        failing = asyncio.ensure_future(fail())
+        number = 0
+        while not failing.done():
+            batch = [f"k{number + i}" for i in range(rng.randint(1, 4))]
+            number += len(batch)
+            await asyncio.gather(*(write(key) for key in batch))
+            await asyncio.sleep(0.005)
+        await failing
+        assert running.disk.failed
+        assert running.rows() == told
+        assert sorted(running.notified) == sorted(told)
+        assert not gave_up & told.keys()
+    assert running.after_restart() == told
+
+
+@bounded(30.0)
+async def test_a_lease_that_ends_on_a_failing_disk_ends_once_that_is_back(tmp_path):
+    async with Running(tmp_path) as running:
+        put = Put(table="t", key="a", value=1, lease_ms=300)
+        await running.store.submit(put)
+        running.lose_sight("sync")
+        await until(lambda: running.store.figures.disk)  # its deletion can't be made durable
+        assert "a" in running.rows()
+        running.disk.mend()
+        await until(lambda: not running.rows())
+        assert running.store.figures.expired == 1
+        assert (await running.store.submit(Delete(table="t", key="a"))).status is Status.MISSING
+    assert running.after_restart() == {}
+
+
+@bounded(30.0)
+async def test_a_start_may_be_tried_again_on_a_disk_that_is_back(tmp_path):
+    async with Running(tmp_path) as running:
+        await running.put("a")
+    running = Running(tmp_path)
+    for part in ("open", "write", "sync"):
+        setattr(running.disk, part, f"EIO {part}")
+        with pytest.raises(LogError):
+            await running.store.start()
+        running.disk.mend()
+    async with running:
+        assert list(running.rows()) == ["a"]
+        await running.put("b")
+    assert list(running.after_restart()) == ["a", "b"]
+
+
+# --- the marks of the overrides' clock -----------------------------------------
+
+
+@contextlib.asynccontextmanager
+async def overrides_on(running):
+    """The overrides over a store, with a revision layer that takes whatever is published."""
+
+    async def published(**layers):
+        return 1
+
+    revisions = SimpleNamespace(barred={}, layer=lambda: None, publish=published)
+    made = Overrides(SimpleNamespace(store=running.store), revisions)
+    try:
+        yield made
+    finally:
+        await made.close()
+
+
+@bounded(30.0)
+async def test_nothing_is_answered_before_the_first_mark_is_durable(tmp_path):
+    async with Running(tmp_path) as running, overrides_on(running) as overrides:
+        running.lose_sight("write")
+        with pytest.raises(Unavailable):
+            await overrides.start()
+        assert running.store.table.get(CLOCK, MARK) is None
+        running.disk.mend()
+        await until(lambda: not running.store.figures.disk)
+        await overrides.start()
+        assert running.store.table.get(CLOCK, MARK) is not None
