--- a/brassfall/cli.py
+++ b/brassfall/cli.py
@@ -65,7 +65,7 @@
 def check(file: Path) -> None:
     """Is this configuration good? It may be a list service's, an aggregator's, or an experiment."""
     from brassfall.lab import spec
-    from brassfall.lab.editions import spec as editions
+    from brassfall.lab.revision_chaos import spec as editions
 
     if editions.is_one(file):
         editions.load(file)
--- a/brassfall/lab/editions/command.py
+++ b/brassfall/lab/revision_chaos/command.py
@@ -1,4 +1,4 @@
-"""`brassfall lab run` for an experiment on editions: schedules side by side, each in a process."""
+"""`brassfall lab run` for an experiment on revisions: schedules side by side, each in a process."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 import msgspec
 
-from brassfall.lab.editions import report, spec
-from brassfall.lab.editions.play import Order, Result
 from brassfall.lab.real.process_group import ROOT
+from brassfall.lab.revision_chaos import report, spec
+from brassfall.lab.revision_chaos.play import Order, Result
 from brassfall.settings import SettingsError, read_toml
 
 END_S = 15.0
@@ -25,8 +25,8 @@
 class Run:
     """All schedules of one experiment."""
 
-    def __init__(self, told: spec.Experiment, file: Path, out: Path, say: Say) -> None:
-        self._told = told
+    def __init__(self, experiment: spec.Experiment, file: Path, out: Path, say: Say) -> None:
+        self._experiment = experiment
         self._file = file.resolve()
         self._out = out.resolve()
         self._say = say
@@ -36,11 +36,11 @@
 
     async def go(self) -> None:
         """Play those that were not played yet."""
-        room = asyncio.Semaphore(self._told.side_by_side)
-        first = self._told.first_seed
+        room = asyncio.Semaphore(self._experiment.side_by_side)
+        first = self._experiment.first_seed
         try:
             async with asyncio.TaskGroup() as group:
-                for seed in range(first, first + self._told.schedules):
+                for seed in range(first, first + self._experiment.schedules):
                     group.create_task(self._one(seed, room))
         finally:
             await self._end()
@@ -54,12 +54,12 @@
         async with room:
             shutil.rmtree(folder, ignore_errors=True)
             folder.mkdir(parents=True)
-            status, said = await self._play(Order(str(self._file), seed, str(folder)))
+            status, error_text = await self._play(Order(str(self._file), seed, str(folder)))
         if status == 0 and path.exists():
             self.results.append(load(path))
             self._tell(self.results[-1])
         else:
-            self.failed[seed] = said.splitlines()[-1] if said else f"ended with status {status}"
+            self.failed[seed] = error_text.splitlines()[-1] if error_text else f"ended with status {status}"
             self._say(f"seed {seed} was not played: {self.failed[seed]}")
 
     def _tell(self, result: Result) -> None:
@@ -67,7 +67,7 @@
         broken = ", ".join(f"{rule} {times}" for rule, times in verdict.broken.items())
         broken = ", ".join(filter(None, (broken, *result.crashes))) or "all rules held"
         self._say(
-            f"{done} of {self._told.schedules}: seed {result.seed}: {broken};"
+            f"{done} of {self._experiment.schedules}: seed {result.seed}: {broken};"
             f" two editions side by side for {verdict.contradiction_ms:.0f} ms at most"
             + ("" if verdict.counts else "; does not count, the observer was late")
         )
@@ -76,7 +76,7 @@
         log = Path(order.folder) / "errors.txt"
         with open(log, "wb") as errors:
             process = await asyncio.create_subprocess_exec(
-                *(sys.executable, "-m", "brassfall.lab.editions.play"),
+                *(sys.executable, "-m", "brassfall.lab.revision_chaos.play"),
                 cwd=ROOT,
                 env=dict(os.environ),
                 stdin=asyncio.subprocess.PIPE,
@@ -116,28 +116,28 @@
 
 def _lay_out(file: Path, out: Path) -> None:
     """The folder of the results, with the experiment in it."""
-    kept = out / "experiment.toml"
+    stored = out / "experiment.toml"
     text = file.read_text(encoding="utf-8")
-    if kept.exists() and read_toml(kept) != tomllib.loads(text):
+    if stored.exists() and read_toml(stored) != tomllib.loads(text):
         raise SettingsError(str(out), "holds another experiment, or one that was changed since", ELSEWHERE)
-    if out.exists() and not kept.exists() and (not out.is_dir() or any(out.iterdir())):
+    if out.exists() and not stored.exists() and (not out.is_dir() or any(out.iterdir())):
         raise SettingsError(str(out), "is not an empty folder, and holds no experiment", ELSEWHERE)
     try:
         out.mkdir(parents=True, exist_ok=True)
-        kept.write_text(text, encoding="utf-8")
+        stored.write_text(text, encoding="utf-8")
     except OSError as error:
         raise SettingsError(str(out), error.strerror or str(error), ELSEWHERE) from error
 
 
 async def run(file: Path, out: Path, say: Say) -> int:
     """Run an experiment; 0 if every schedule was played and every rule held."""
-    told = spec.load(file)
+    experiment = spec.load(file)
     _lay_out(file, out)
-    made = Run(told, file, out, say)
+    made = Run(experiment, file, out, say)
     try:
         await made.go()
     finally:
-        report.write(told, made.results, made.failed, out)
+        report.write(experiment, made.results, made.failed, out)
     say(f"report in {out / 'report.md'}")
     good = not made.failed and all(result.passed or not result.verdict.counts for result in made.results)
     return 0 if good else 1
--- a/brassfall/lab/editions/stage.py
+++ b/brassfall/lab/revision_chaos/environment.py
@@ -15,12 +15,6 @@
 
 import aiohttp
 
-from brassfall.lab.editions.clients import TENANTS
-from brassfall.lab.editions.judge import Away
-from brassfall.lab.editions.proxies import Door, Way
-from brassfall.lab.editions.publisher import GROUPS, RARE, now
-from brassfall.lab.editions.spec import Experiment
-from brassfall.lab.editions.tier import Tier
 from brassfall.lab.real.process_group import (
     READY_S,
     ROOT,
@@ -30,6 +24,12 @@
     run_command,
     sidecar_environment,
 )
+from brassfall.lab.revision_chaos.clients import TENANTS
+from brassfall.lab.revision_chaos.judge import Away
+from brassfall.lab.revision_chaos.proxies import ControlProxy, ServerProxy
+from brassfall.lab.revision_chaos.publisher import GROUPS, RARE, now
+from brassfall.lab.revision_chaos.spec import Experiment
+from brassfall.lab.revision_chaos.tier import Tier
 
 FIRST_PORT = 20_001
 KEY_MS = 1500.0
@@ -44,7 +44,7 @@
     return f"127.{64 + (pid >> 16) % 64}.{(pid >> 8) % 256}.{pid % 254 + 1}"
 
 
-def settings(told: Experiment, number: int) -> dict[str, Any]:
+def settings(experiment: Experiment, number: int) -> dict[str, Any]:
     """A sidecar's own file. One of them has no class `rare`: it objects to what names it."""
     rows: list[dict[str, Any]] = [
         {"Name": "look", "Semantics": "pure", "Objective": 500.0, "Deadline": 2000.0},
@@ -58,11 +58,11 @@
         },
         {"Name": "pay", "Semantics": "side_effect", "Objective": 500.0, "Deadline": 2000.0},
     ]
-    if number != told.sidecars - 1:
+    if number != experiment.sidecars - 1:
         rows.append({"Name": RARE, "Semantics": "pure", "Objective": 500.0, "Deadline": 2000.0})
     return {
         "Profiles": rows,
-        "FailureDomains": told.regions,
+        "FailureDomains": experiment.regions,
         "Kinds": ["any"],
         "Tenants": [{"Name": name, "AllowancePerS": 1000.0} for name in TENANTS],
         "Discovery": "automatic",
@@ -70,50 +70,54 @@
         "Rules": {"StopSendingWithin": 500.0},
         "Report": {"How": "inline", "Fields": ["inflight", "queue"]},
         "Me": number,
-        "Balancers": told.sidecars,
+        "Balancers": experiment.sidecars,
     }
 
 
-class Stage:
+class Environment:
     """Everything that runs."""
 
-    def __init__(self, told: Experiment, folder: Path, troupe: ProcessGroup) -> None:
-        self.told = told
+    def __init__(self, experiment: Experiment, folder: Path, group: ProcessGroup) -> None:
+        self.experiment = experiment
         self.folder = folder
-        self.troupe = troupe
+        self.group = group
         self.host = own_host()
         self._ports = itertools.count(FIRST_PORT)
-        self.doors: list[list[Door]] = []  # of each sidecar, in the order in which it asks them
-        self.ways = [Way(self._delay(number)) for number in range(told.servers)]
-        self.listens = [f"{self.host}:{next(self._ports)}" for _ in range(told.sidecars)]
-        self.sidecars: list[MemberProcess | None] = [None] * told.sidecars
-        self._replacing = [asyncio.Lock() for _ in range(told.sidecars)]
+        self.control_proxies: list[
+            list[ControlProxy]
+        ] = []  # of each sidecar, in the order in which it asks them
+        self.server_proxies = [ServerProxy(self._delay(number)) for number in range(experiment.servers)]
+        self.listens = [f"{self.host}:{next(self._ports)}" for _ in range(experiment.sidecars)]
+        self.sidecars: list[MemberProcess | None] = [None] * experiment.sidecars
+        self._replacing = [asyncio.Lock() for _ in range(experiment.sidecars)]
         self.away: list[Away] = []
-        self.tier = Tier(told, folder, troupe, self.host, self._ports) if told.aggregators else None
+        self.tier = (
+            Tier(experiment, folder, group, self.host, self._ports) if experiment.aggregators else None
+        )
         self.services: dict[str, MemberProcess] = {}
         self.ports: dict[str, int] = {}
 
     def _delay(self, number: int) -> float:
-        return self.told.delay_ms[number % len(self.told.regions)] / 1000.0
+        return self.experiment.delay_ms[number % len(self.experiment.regions)] / 1000.0
 
     async def start(self) -> None:
         """All of it, until each sidecar serves."""
         await self.service("main")
         if self.tier is not None:
             await self.tier.start(self.where("main"))
-        for number in range(self.told.sidecars):
-            self.doors.append(await self._doors(number))
-        await asyncio.gather(*(self._server(number) for number in range(self.told.servers)))
-        for number in range(self.told.sidecars):
+        for number in range(self.experiment.sidecars):
+            self.control_proxies.append(await self._control_proxies(number))
+        await asyncio.gather(*(self._server(number) for number in range(self.experiment.servers)))
+        for number in range(self.experiment.sidecars):
             await self.sidecar(number)
-        await asyncio.gather(*(self.serving(number) for number in range(self.told.sidecars)))
+        await asyncio.gather(*(self.serving(number) for number in range(self.experiment.sidecars)))
 
-    async def _doors(self, number: int) -> list[Door]:
-        if self.tier is not None and number >= self.told.direct:
+    async def _control_proxies(self, number: int) -> list[ControlProxy]:
+        if self.tier is not None and number >= self.experiment.direct:
             return await self.tier.children(number)
-        door = Door(self.where("main"))
-        await door.start(self.host)
-        return [door]
+        proxy = ControlProxy(self.where("main"))
+        await proxy.start(self.host)
+        return [proxy]
 
     # --- the list service ---------------------------------------------------------------
 
@@ -132,22 +136,22 @@
     def lead(self, who: list[int], name: str) -> None:
         """Lead some sidecars to another service; where there are aggregators, half of those."""
         if self.tier is not None:
-            for number in range((self.told.aggregators + 1) // 2):
+            for number in range((self.experiment.aggregators + 1) // 2):
                 self.tier.lead(number, self.where(name))
-            who = [number for number in who if number < self.told.direct]
+            who = [number for number in who if number < self.experiment.direct]
         for number in who:
-            for door in self.doors[number]:
-                door.turn(self.where(name))
+            for proxy in self.control_proxies[number]:
+                proxy.turn(self.where(name))
 
-    def links(self) -> list[Door]:
+    def links(self) -> list[ControlProxy]:
         """Everything that leads to a service or an aggregator."""
-        own = [door for doors in self.doors for door in doors]
+        own = [proxy for proxies in self.control_proxies for proxy in proxies]
         return own if self.tier is None else [*own, *self.tier.above, *self.tier.fronts]
 
-    def above(self) -> list[Door]:
+    def above(self) -> list[ControlProxy]:
         """What leads to a service alone."""
-        direct = self.doors if self.tier is None else self.doors[: self.told.direct]
-        own = [door for doors in direct for door in doors]
+        direct = self.control_proxies if self.tier is None else self.control_proxies[: self.experiment.direct]
+        own = [proxy for proxies in direct for proxy in proxies]
         return own if self.tier is None else [*own, *self.tier.above]
 
     async def service(self, name: str) -> None:
@@ -159,21 +163,21 @@
             f'listen = "{self.host}:{port}"',
             f"data = {json.dumps(str(self.disk(name)))}",
             "[registry.agreement]",
-            f"agree_ms = {self.told.agree_ms}",
+            f"agree_ms = {self.experiment.agree_ms}",
         ]
         file.write_text("\n".join(lines) + "\n")
-        words = [sys.executable, "-m", "brassfall", "registry", "serve", "--config", str(file)]
-        actor = await self.troupe.start(f"service {name}", "service", words)
-        self.services[name] = actor
-        await actor.report("ready")
+        command = [sys.executable, "-m", "brassfall", "registry", "serve", "--config", str(file)]
+        member = await self.group.start(f"service {name}", "service", command)
+        self.services[name] = member
+        await member.report("ready")
 
     async def kill(self, name: str) -> None:
         """End a service without a warning."""
-        actor = self.services[name]
-        if actor.alive:
-            actor.ending = True
-            actor.process.kill()
-        await actor.wait()
+        member = self.services[name]
+        if member.alive:
+            member.ending = True
+            member.process.kill()
+        await member.wait()
 
     def copy(self, name: str, to: Path) -> None:
         """A copy of a disk, as it is at this moment."""
@@ -183,19 +187,19 @@
     # --- servers --------------------------------------------------------------------------
 
     async def _server(self, number: int) -> None:
-        way, name = self.ways[number], f"s{number}"
-        await way.start(self.host)
+        server_proxy, name = self.server_proxies[number], f"s{number}"
+        await server_proxy.start(self.host)
         listen = f"{self.host}:{next(self._ports)}"
         host, _, port = listen.rpartition(":")
-        way.upstream = (host, int(port))
-        region = self.told.regions[number % len(self.told.regions)]
-        words = [
+        server_proxy.upstream = (host, int(port))
+        region = self.experiment.regions[number % len(self.experiment.regions)]
+        command = [
             *(sys.executable, "-m", "brassfall", "lab", "server", name),
-            *("--registry", self.at("main"), "--listen", listen, "--advertise", way.address),
+            *("--registry", self.at("main"), "--listen", listen, "--advertise", server_proxy.address),
             *("--zone", region, "--ledger", str(self.folder / f"ledger-{name}.jsonl")),
         ]
-        actor = await self.troupe.start(name, "server", words)
-        await actor.report("ready")
+        member = await self.group.start(name, "server", command)
+        await member.report("ready")
 
     # --- sidecars ---------------------------------------------------------------------------
 
@@ -206,12 +210,12 @@
         file = folder / "config.json"
         place = {
             "group": GROUPS[number % len(GROUPS)],
-            "region": self.told.regions[number % len(self.told.regions)],
+            "region": self.experiment.regions[number % len(self.experiment.regions)],
         }
         fleet = {
-            "registry": [door.address for door in self.doors[number]],
+            "registry": [proxy.address for proxy in self.control_proxies[number]],
             "place": place,
-            "agreement": {"agree_ms": self.told.agree_ms},
+            "agreement": {"agree_ms": self.experiment.agree_ms},
         }
         raw = {
             "name": f"n{number}",
@@ -219,15 +223,15 @@
             "seed": str(number + 1),
             "limits": {"sockets": 1024},
             "known": {"index": 0, "snapshot": True, "endpoints": []},
-            "settings": settings(self.told, number),
+            "settings": settings(self.experiment, number),
             "fleet": fleet,
         }
         file.write_text(json.dumps(raw))
         env = sidecar_environment(NODE_CONFIG=str(file), TMPDIR=str(folder))
-        words = ["/bin/sh", "-c", run_command(ROOT)]
-        actor = await self.troupe.start(f"n{number}", "sidecar", words, None, ROOT, env)
-        self.sidecars[number] = actor
-        return actor
+        command = ["/bin/sh", "-c", run_command(ROOT)]
+        member = await self.group.start(f"n{number}", "sidecar", command, None, ROOT, env)
+        self.sidecars[number] = member
+        return member
 
     async def serving(self, number: int) -> None:
         """Wait until a request through a sidecar is answered by a server."""
@@ -236,9 +240,9 @@
         limit = aiohttp.ClientTimeout(total=1.5)
         async with aiohttp.ClientSession(timeout=limit) as session:
             for _ in range(int(READY_S / 0.05)):
-                actor = self.sidecars[number]
-                if actor is not None and not actor.alive:
-                    raise PlayError(f"{actor.name} ended: {actor.last}")
+                member = self.sidecars[number]
+                if member is not None and not member.alive:
+                    raise PlayError(f"{member.name} ended: {member.last}")
                 with contextlib.suppress(aiohttp.ClientError, OSError, TimeoutError):
                     url = f"http://{self.listens[number]}/look/first"
                     async with session.get(url, headers=headers) as answer:
@@ -249,15 +253,15 @@
 
     async def pause(self, number: int, span: float) -> None:
         """SIGSTOP, and SIGCONT after a while."""
-        actor, since = self.sidecars[number], now()
-        if actor is None or not actor.alive:
+        member, since = self.sidecars[number], now()
+        if member is None or not member.alive:
             return
-        actor.process.send_signal(signal.SIGSTOP)
+        member.process.send_signal(signal.SIGSTOP)
         try:
             await asyncio.sleep(span)
         finally:
-            if actor.alive:
-                actor.process.send_signal(signal.SIGCONT)
+            if member.alive:
+                member.process.send_signal(signal.SIGCONT)
             self.away.append(Away(number, since, now() + SETTLE_S))
 
     async def replace(self, number: int, planned: bool, wait: float = 0.0) -> None:
@@ -266,18 +270,18 @@
             await self._replace(number, planned, wait)
 
     async def _replace(self, number: int, planned: bool, wait: float) -> None:
-        actor, since = self.sidecars[number], now()
-        if actor is None or not actor.alive:
+        member, since = self.sidecars[number], now()
+        if member is None or not member.alive:
             return
-        actor.ending = True
+        member.ending = True
         if planned:
-            actor.process.terminate()
+            member.process.terminate()
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(LEAVE_S):
-                    await actor.process.wait()
-        if actor.alive:
-            actor.process.kill()
-        await actor.wait()
+                    await member.process.wait()
+        if member.alive:
+            member.process.kill()
+        await member.wait()
         await asyncio.sleep(wait)
         await self.sidecar(number)
         await self.serving(number)
@@ -285,14 +289,14 @@
 
     def crashed(self) -> list[str]:
         """Whoever ended and was not meant to."""
-        found = [a for a in self.troupe.members if not a.alive and not a.ending]
+        found = [a for a in self.group.members if not a.alive and not a.ending]
         return [f"{a.name} ended with {a.process.returncode}: {a.last}" for a in found]
 
     def close(self) -> None:
         """Close what listens here."""
-        for way in self.ways:
+        for server_proxy in self.server_proxies:
             with contextlib.suppress(AttributeError):
-                way.close()
-        for door in self.links():
+                server_proxy.close()
+        for proxy in self.links():
             with contextlib.suppress(AttributeError):
-                door.close()
+                proxy.close()
--- a/brassfall/lab/editions/judge.py
+++ b/brassfall/lab/revision_chaos/judge.py
@@ -14,7 +14,7 @@
 SAFE = "safe"
 DOUBTFUL_S = 0.5  # an observer that ran later than this can accuse nobody
 LATE_S = 0.5  # an override may be acted on so long after its end
-BACK_S = 0.5  # two editions take longer: nobody goes to another region and back in that time
+BACK_S = 0.5  # two revisions take longer: nobody goes to another region and back in that time
 TEXTS_MOST = 5  # of each rule; the rest is counted
 
 
@@ -25,7 +25,7 @@
     sidecar: int
     server: str
     zone: str
-    edition: int | str | None  # None: it bore no stamp
+    revision: int | str | None  # None: it bore no stamp
     at: float
     unsafe: bool = False
     key: str = ""
@@ -65,11 +65,11 @@
 
     agree_s: float
     key_s: float  # how long a key keeps a repeat from being run again
-    held: Mapping[int, Sequence[str]]  # regions that each edition holds off
-    homes: Mapping[int, Mapping[str, str]] = {}  # the region of each tenant that an edition pins
+    held: Mapping[int, Sequence[str]]  # regions that each revision holds off
+    homes: Mapping[int, Mapping[str, str]] = {}  # the region of each tenant that a revision pins
     pins: Sequence[Pin] = ()
     exclusive: bool = True  # whether this program acts on held regions
-    committed: Mapping[int, float] = {}  # editions that took effect: when each was published
+    committed: Mapping[int, float] = {}  # revisions that took effect: when each was published
     link_s: float = 0.0  # the longest way from a sidecar to a server
     late_s: float = 0.0  # the most that the observer was late
 
@@ -90,17 +90,19 @@
     contradiction_ms: float = (
         0.0  # the longest, raw: from the first under the newer to the last under the older
     )
-    held_ms: float = 0.0  # the latest send to a region, after another edition that holds it was acted on
+    held_ms: float = 0.0  # the latest send to a region, after another revision that holds it was acted on
     override_ms: float | None = None  # the latest that a pin was acted on, from its end on
-    pinned: int = 0  # sends that a pin decided
+    sticky: int = msgspec.field(default=0, name="pinned")  # sends that a sticky tenant decided
     sends: int = 0
     safe: int = 0
-    safe_into_held: int = 0  # under safe rules, by sidecars that may not know of that edition
-    editions: int = 0
+    safe_into_held: int = (
+        0  # under the fallback configuration, by sidecars that may not know of that revision
+    )
+    revisions: int = msgspec.field(default=0, name="editions")
     asked: int = 0
     answers: dict[str, int] = {}
-    unknown: int = 0  # editions whose content the play never heard
-    # Of each edition that took effect: from its publish to the first send under it, or a later one, of the
+    unknown: int = 0  # revisions whose content the play never heard
+    # Of each revision that took effect: from its publish to the first send under it, or a later one, of the
     # first sidecar, of half of them, and of all; without those that some had not reached at the end.
     first_ms: list[float] = []
     half_ms: list[float] = []
@@ -108,7 +110,7 @@
     unreached: int = 0
 
 
-class _Book:
+class _Findings:
     def __init__(self) -> None:
         self.findings: list[Finding] = []
         self.broken: Counter[str] = Counter()
@@ -119,8 +121,8 @@
             self.findings.append(Finding(rule, text))
 
 
-class _Life:
-    """One edition, by the requests under it."""
+class _Activity:
+    """One revision, by the requests under it."""
 
     def __init__(self, calls: list[Call]) -> None:
         self.calls = calls
@@ -131,35 +133,35 @@
 def judge(calls: Iterable[Call], asked: Sequence[Asked], away: Sequence[Away], terms: Terms) -> Verdict:
     """All rules, over one play."""
     rows = sorted(calls, key=lambda call: call.at)
-    book, made = _Book(), Verdict(counts=terms.late_s <= DOUBTFUL_S)
+    findings, made = _Findings(), Verdict(counts=terms.late_s <= DOUBTFUL_S)
     under: dict[int, list[Call]] = defaultdict(list)
     for call in rows:
-        if isinstance(call.edition, int):
-            under[call.edition].append(call)
-        elif call.edition != SAFE:
-            book.add("no-stamp", f"{call.id} reached {call.server} with the stamp {call.edition!r}")
-    lives = {number: _Life(found) for number, found in sorted(under.items())}
-    made.sends, made.editions = len(rows), len(lives)
-    made.safe = sum(call.edition == SAFE for call in rows)
-    made.unknown = sum(number != 0 and number not in terms.held for number in lives)
-    made.contradiction_ms = _contradictions(lives, terms, book)
-    made.held_ms, made.safe_into_held = _held(rows, lives, terms, book)
+        if isinstance(call.revision, int):
+            under[call.revision].append(call)
+        elif call.revision != SAFE:
+            findings.add("no-stamp", f"{call.id} reached {call.server} with the stamp {call.revision!r}")
+    activities = {number: _Activity(found) for number, found in sorted(under.items())}
+    made.sends, made.revisions = len(rows), len(activities)
+    made.safe = sum(call.revision == SAFE for call in rows)
+    made.unknown = sum(number != 0 and number not in terms.held for number in activities)
+    made.contradiction_ms = _contradictions(activities, terms, findings)
+    made.held_ms, made.safe_into_held = _check_held_regions(rows, activities, terms, findings)
     _reached(rows, terms, made)
-    made.override_ms, made.pinned = _pins(rows, terms, book)
-    _apart([call for call in rows if _home(call, terms)], terms, book)
-    _twice(rows, terms, book)
+    made.override_ms, made.sticky = _pins(rows, terms, findings)
+    _apart([call for call in rows if _home(call, terms)], terms, findings)
+    _twice(rows, terms, findings)
     made.asked = len(asked)
     made.answers = dict(sorted(Counter(row.how for row in asked).items()))
-    _lost(asked, away, terms, book)
-    made.findings, made.broken = book.findings, dict(book.broken)
+    _lost(asked, away, terms, findings)
+    made.findings, made.broken = findings.findings, dict(findings.broken)
     return made
 
 
-def _contradictions(lives: Mapping[int, _Life], terms: Terms, book: _Book) -> float:
-    """The longest span in ms for which two editions were acted on side by side."""
+def _contradictions(activities: Mapping[int, _Activity], terms: Terms, findings: _Findings) -> float:
+    """The longest span in ms for which two revisions were acted on side by side."""
     worst, allowed = 0.0, terms.agree_s + terms.link_s + terms.late_s
     # The newer has the greater number, whenever it was first seen: nobody may go back.
-    ordered = list(lives.items())
+    ordered = list(activities.items())
     for place, (older, before) in enumerate(ordered):
         for newer, after in ordered[place + 1 :]:
             span = before.last.at - after.first.at
@@ -170,7 +172,7 @@
             worst = max(worst, span)
             if span > allowed:
                 last = before.last
-                book.add(
+                findings.add(
                     "contradiction",
                     f"sidecar {last.sidecar} acted on {older} {span * 1000.0:.0f} ms after sidecar"
                     f" {after.first.sidecar} acted on {newer}",
@@ -178,52 +180,56 @@
     return worst * 1000.0
 
 
-def _held(rows: Sequence[Call], lives: Mapping[int, _Life], terms: Terms, book: _Book) -> tuple[float, int]:
-    """How late in ms a region was sent to that another edition held; and how often under safe rules."""
+def _check_held_regions(
+    rows: Sequence[Call], activities: Mapping[int, _Activity], terms: Terms, findings: _Findings
+) -> tuple[float, int]:
+    """How late in ms a region was sent to that another revision held; and how often under the fallback configuration."""
     worst, safe = 0.0, 0
     allowed = terms.link_s + terms.late_s
     for call in rows:
-        if isinstance(call.edition, int) and call.zone in terms.held.get(call.edition, ()):
+        if isinstance(call.revision, int) and call.zone in terms.held.get(call.revision, ()):
             if terms.exclusive:
-                text = f"{call.id} reached {call.zone} under {call.edition}, which holds it off"
-                book.add("held-by-own", text)
+                text = f"{call.id} reached {call.zone} under {call.revision}, which holds it off"
+                findings.add("held-by-own", text)
             continue
-        found = _holder(call, lives, terms)
+        found = _holder(call, activities, terms)
         if found is None:
             continue
-        if call.edition == SAFE:
+        if call.revision == SAFE:
             safe += 1
             continue
-        span = call.at - lives[found].first.at
+        span = call.at - activities[found].first.at
         worst = max(worst, span)
         if span > allowed and terms.exclusive:
-            text = f"{call.id} reached {call.zone} under {call.edition}, {span * 1000.0:.0f} ms after {found}"
-            book.add("held-by-newer", f"{text}, which holds it off, was acted on")
+            text = (
+                f"{call.id} reached {call.zone} under {call.revision}, {span * 1000.0:.0f} ms after {found}"
+            )
+            findings.add("held-by-newer", f"{text}, which holds it off, was acted on")
     return worst * 1000.0, safe
 
 
-def _holder(call: Call, lives: Mapping[int, _Life], terms: Terms) -> int | None:
-    """The edition newer than a send's own that others act on, and that holds its region off."""
-    own = call.edition if isinstance(call.edition, int) else -1
+def _holder(call: Call, activities: Mapping[int, _Activity], terms: Terms) -> int | None:
+    """The revision newer than a send's own that others act on, and that holds its region off."""
+    own = call.revision if isinstance(call.revision, int) else -1
     found = None
-    for number, life in lives.items():
-        if number <= own or life.first.at >= call.at:
+    for number, activity in activities.items():
+        if number <= own or activity.first.at >= call.at:
             continue
         if call.zone not in terms.held.get(number, ()):
             found = None  # a later one opens it again, or says nothing of it
         elif found is None:
-            found = number if life.first.sidecar != call.sidecar else None
+            found = number if activity.first.sidecar != call.sidecar else None
     return found
 
 
 def _reached(rows: Sequence[Call], terms: Terms, made: Verdict) -> None:
-    """How long editions took to be acted on; as fine as requests are close."""
+    """How long revisions took to be acted on; as fine as requests are close."""
     sidecars = {call.sidecar for call in rows}
-    begun = [call for call in rows if isinstance(call.edition, int)]
+    begun = [call for call in rows if isinstance(call.revision, int)]
     for number, published in sorted(terms.committed.items()):
         spans: dict[int, float] = {}
         for call in begun:
-            if isinstance(call.edition, int) and call.edition >= number and call.at >= published:
+            if isinstance(call.revision, int) and call.revision >= number and call.at >= published:
                 spans.setdefault(call.sidecar, (call.at - published) * 1000.0)
                 if len(spans) == len(sidecars):
                     break
@@ -237,12 +243,12 @@
 
 
 def _home(call: Call, terms: Terms) -> str:
-    """The region that a send's edition pins its tenant to, if it does."""
-    found = terms.homes.get(call.edition, {}) if isinstance(call.edition, int) else {}
+    """The region that a send's revision pins its tenant to, if it does."""
+    found = terms.homes.get(call.revision, {}) if isinstance(call.revision, int) else {}
     return found.get(call.tenant, "")
 
 
-def _pins(rows: Sequence[Call], terms: Terms, book: _Book) -> tuple[float | None, int]:
+def _pins(rows: Sequence[Call], terms: Terms, findings: _Findings) -> tuple[float | None, int]:
     """The latest in ms that a pin was acted on after its end (less than 0: before it), and how many sends."""
     latest, count = None, 0
     for call in rows:
@@ -252,19 +258,19 @@
         begun = [p for p in begun if p.since <= call.at]
         count += 1
         if not begun:
-            text = f"{call.id} of {call.tenant} reached {call.zone} under {call.edition}, which says another"
-            book.add("astray", text)
+            text = f"{call.id} of {call.tenant} reached {call.zone} under {call.revision}, which says another"
+            findings.add("astray", text)
             continue
         over = call.at - max(pin.until for pin in begun)
         latest = over if latest is None else max(latest, over)
         if over > LATE_S + terms.link_s + terms.late_s:
-            book.add(
+            findings.add(
                 "override-late", f"{call.id} reached {call.zone} {over * 1000.0:.0f} ms after the pin's end"
             )
     return None if latest is None else latest * 1000.0, count
 
 
-def _apart(rows: Sequence[Call], terms: Terms, book: _Book) -> None:
+def _apart(rows: Sequence[Call], terms: Terms, findings: _Findings) -> None:
     """Whether a pinned tenant was served by two regions at once: to another one and back, in no time."""
     apart = terms.link_s + terms.late_s
     last: dict[str, list[Call]] = defaultdict(list)  # of each tenant: the last of each run in one region
@@ -281,10 +287,12 @@
         between = min(other.at - one.at, call.at - other.at)
         if one.zone == call.zone and call.at - one.at < BACK_S and between > apart:
             text = f"{call.tenant} was served by {one.zone} at {one.at:.3f} ({one.id}) and {call.at:.3f}"
-            book.add("two-regions", f"{text} ({call.id}), and by {other.zone} at {other.at:.3f} ({other.id})")
+            findings.add(
+                "two-regions", f"{text} ({call.id}), and by {other.zone} at {other.at:.3f} ({other.id})"
+            )
 
 
-def _twice(rows: Sequence[Call], terms: Terms, book: _Book) -> None:
+def _twice(rows: Sequence[Call], terms: Terms, findings: _Findings) -> None:
     """Requests that ran more often than their class allows."""
     ids: dict[str, list[Call]] = defaultdict(list)
     keys: dict[str, list[Call]] = defaultdict(list)
@@ -295,14 +303,14 @@
             keys[call.key].append(call)
     for name, found in ids.items():
         if len(found) > 1:
-            book.add("run-twice", f"{name} ran on {', '.join(call.server for call in found)}")
+            findings.add("run-twice", f"{name} ran on {', '.join(call.server for call in found)}")
     for key, found in keys.items():
         span = found[-1].at - found[0].at
         if span > terms.key_s + terms.link_s + terms.late_s:
-            book.add("key-outlived", f"key {key} ran again after {span * 1000.0:.0f} ms")
+            findings.add("key-outlived", f"key {key} ran again after {span * 1000.0:.0f} ms")
 
 
-def _lost(asked: Sequence[Asked], away: Sequence[Away], terms: Terms, book: _Book) -> None:
+def _lost(asked: Sequence[Asked], away: Sequence[Away], terms: Terms, findings: _Findings) -> None:
     """Requests without an end, at sidecars that were there all the time."""
     spans: dict[int, list[Away]] = defaultdict(list)
     for span in away:
@@ -310,4 +318,6 @@
     for row in asked:
         excused = any(s.since <= row.end and row.sent <= s.until for s in spans[row.sidecar])
         if row.how in ("silent", "broken", "unreached") and not excused:
-            book.add("lost", f"{row.id} to sidecar {row.sidecar}: {row.how} after {row.end - row.sent:.2f} s")
+            findings.add(
+                "lost", f"{row.id} to sidecar {row.sidecar}: {row.how} after {row.end - row.sent:.2f} s"
+            )
--- a/brassfall/lab/editions/play.py
+++ b/brassfall/lab/revision_chaos/play.py
@@ -1,4 +1,4 @@
-"""One schedule with real processes, in a process of its own: `python -m brassfall.lab.editions.play`.
+"""One schedule with real processes, in a process of its own: `python -m brassfall.lab.revision_chaos.play`.
 
 Its order is a line on standard input, and it ends, with all that it started, when that input does.
 """
@@ -20,13 +20,13 @@
 import msgspec
 
 from brassfall.errors import BrassfallError
-from brassfall.lab.editions import clients, judge, schedule, spec
-from brassfall.lab.editions.faults import Event, Faults
-from brassfall.lab.editions.publisher import Publisher, now
-from brassfall.lab.editions.spec import Experiment, Step
-from brassfall.lab.editions.stage import KEY_MS, Stage
 from brassfall.lab.real.child import Lateness
 from brassfall.lab.real.process_group import ProcessGroup
+from brassfall.lab.revision_chaos import clients, judge, schedule, spec
+from brassfall.lab.revision_chaos.environment import KEY_MS, Environment
+from brassfall.lab.revision_chaos.faults import Event, Faults
+from brassfall.lab.revision_chaos.publisher import Publisher, now
+from brassfall.lab.revision_chaos.spec import Experiment, Step
 
 END_S = 12.0  # for an orderly end
 OLD_COPY_S = 6.5  # when the copy is taken that "old-copy" restores
@@ -47,11 +47,12 @@
     verdict: judge.Verdict
     events: list[Event]
     published: dict[str, int]
-    states: dict[str, int]  # how many editions ended so
+    states: dict[str, int]  # how many revisions ended in each state
     late_ms: float
     crashes: list[str]
-    held: dict[int, tuple[str, ...]]  # regions, by edition
-    cut: int  # how often something met a cut
+    # Stored under the names of earlier results.
+    held_regions: dict[int, tuple[str, ...]] = msgspec.field(name="held")  # by revision
+    delayed: int = msgspec.field(name="cut")  # how many messages a partition delayed
 
     @property
     def passed(self) -> bool:
@@ -62,49 +63,49 @@
 Script = Callable[[Faults], Awaitable[None]]
 
 
-async def play(told: Experiment, seed: int, folder: Path, script: Script | None = None) -> Result:
+async def play(experiment: Experiment, seed: int, folder: Path, script: Script | None = None) -> Result:
     """Start everything, play the schedule, end everything, and judge.
 
     A `script` takes the place of the schedule: the play is over when it is, and after `told.seconds` at
     the latest."""
-    troupe, lateness = ProcessGroup(folder / "logs"), Lateness()
-    stage, publisher = Stage(told, folder, troupe), Publisher(told.regions)
-    faults = Faults(stage, publisher)
-    await troupe.open()
+    group, lateness = ProcessGroup(folder / "logs"), Lateness()
+    environment, publisher = Environment(experiment, folder, group), Publisher(experiment.regions)
+    faults = Faults(environment, publisher)
+    await group.open()
     await publisher.open()
     helpers: list[asyncio.Task[None]] = []
     try:
-        await stage.start()
+        await environment.start()
         helpers = [
             asyncio.create_task(lateness.measure()),
-            asyncio.create_task(publisher.observe(stage.at("main"))),
+            asyncio.create_task(publisher.observe(environment.at("main"))),
         ]
         begun = now()
-        books = await _perform(stage, faults, script, seed, begun)
-        crashes = stage.crashed()
+        answers = await _perform(environment, faults, script, seed, begun)
+        crashes = environment.crashed()
     finally:
         for task in helpers:
             task.cancel()
         await publisher.close()
-        stage.close()
-        await troupe.close()
+        environment.close()
+        await group.close()
     verdict = judge.judge(
         [call for call in _calls(folder) if call.at >= begun],
-        [row for book in books for row in book],
-        stage.away,
+        [row for answers in answers for row in answers],
+        environment.away,
         judge.Terms(
-            agree_s=told.agree_ms / 1000.0,
+            agree_s=experiment.agree_ms / 1000.0,
             key_s=KEY_MS / 1000.0,
-            held=publisher.held,
+            held=publisher.held_regions,
             homes=publisher.homes,
             pins=publisher.pins,
-            exclusive=told.exclusive,
+            exclusive=experiment.exclusive,
             committed={
                 number: sent
                 for number, sent in publisher.sent.items()
                 if publisher.states.get(number) == "committed"
             },
-            link_s=max(way.delay_s for way in stage.ways) + _slowest(told, seed),
+            link_s=max(proxy.delay_s for proxy in environment.server_proxies) + _slowest(experiment, seed),
             late_s=lateness.most / 1000.0,
         ),
     )
@@ -116,14 +117,16 @@
         _states(publisher),
         lateness.most,
         crashes,
-        publisher.held,
-        sum(door.held for door in stage.links()),
+        publisher.held_regions,
+        sum(proxy.delayed for proxy in environment.links()),
     )
 
 
-def _slowest(told: Experiment, seed: int) -> float:
+def _slowest(experiment: Experiment, seed: int) -> float:
     """By how much links are slowed at most."""
-    return max((step.by for step in schedule.draw(told, seed) if step.do == "slow-links"), default=0.0)
+    return max(
+        (step.by for step in schedule.sample(experiment, seed) if step.do == "slow-links"), default=0.0
+    )
 
 
 def _states(publisher: Publisher) -> dict[str, int]:
@@ -134,33 +137,34 @@
 
 
 async def _perform(
-    stage: Stage, faults: Faults, script: Script | None, seed: int, begun: float
+    environment: Environment, faults: Faults, script: Script | None, seed: int, begun: float
 ) -> list[list[judge.Asked]]:
     """Clients throughout, and each step when it is due."""
-    told = stage.told
+    experiment = environment.experiment
     applications = [
-        clients.Client(number, listen, told.rate, seed) for number, listen in enumerate(stage.listens)
+        clients.Client(number, listen, experiment.rate, seed)
+        for number, listen in enumerate(environment.listens)
     ]
     try:
         async with asyncio.TaskGroup() as group:
             for application in applications:
-                group.create_task(application.play(begun + told.seconds))
+                group.create_task(application.play(begun + experiment.seconds))
             if script is not None:
                 await script(faults)
                 for application in applications:
                     application.stop()
-                return [application.book for application in applications]
-            group.create_task(_copy(stage, begun))
-            for step in schedule.draw(told, seed):
+                return [application.answers for application in applications]
+            group.create_task(_copy(environment, begun))
+            for step in schedule.sample(experiment, seed):
                 group.create_task(_step(faults, step, begun))
     except ExceptionGroup as errors:
         raise errors.exceptions[0] from errors
-    return [application.book for application in applications]
+    return [application.answers for application in applications]
 
 
-async def _copy(stage: Stage, begun: float) -> None:
+async def _copy(environment: Environment, begun: float) -> None:
     await asyncio.sleep(max(0.0, begun + OLD_COPY_S - now()))
-    stage.copy("main", stage.folder / "old")
+    environment.copy("main", environment.folder / "old")
 
 
 async def _step(faults: Faults, step: Step, begun: float) -> None:
@@ -185,7 +189,7 @@
         sidecar=clients.sidecar_of(row["id"]),
         server=row["server"],
         zone=row["zone"],
-        edition=int(stamp) if stamp is not None and stamp.isdigit() else stamp,
+        revision=int(stamp) if stamp is not None and stamp.isdigit() else stamp,
         at=row["at"],
         unsafe=row["class"] == "pay",
         key=row["key"] or "",
@@ -202,7 +206,7 @@
             pass
         loop.call_soon_threadsafe(task.cancel)
         time.sleep(END_S)
-        os._exit(1)  # it hangs: the keeper ends what it started
+        os._exit(1)  # it hangs: the supervisor ends what it started
 
     threading.Thread(target=wait, daemon=True).start()
 
--- a/brassfall/lab/editions/proxies.py
+++ b/brassfall/lab/revision_chaos/proxies.py
@@ -13,7 +13,7 @@
 
 READ = 65_536
 LENGTH = re.compile(rb"\r\ncontent-length: *([0-9]+)", re.IGNORECASE)
-REPORT, EDITIONS, LISTS, OTHER = "reports", "editions", "lists", "other"
+REPORT, REVISIONS, LISTS, OTHER = "reports", "editions", "lists", "other"
 ASK, ANSWER = "ask", "answer"
 GONE = (OSError, asyncio.IncompleteReadError, asyncio.LimitOverrunError)
 
@@ -24,21 +24,21 @@
     if method == b"POST" and rest.startswith((b"/edges/", b"/aggregators/")):
         return REPORT
     if method == b"GET" and rest.startswith(b"/rules"):
-        return EDITIONS
+        return REVISIONS
     return LISTS if rest.startswith(b"/registry/") else OTHER
 
 
-class Door:
+class ControlProxy:
     """The way of a sidecar, or of an aggregator, to the list service; or of a sidecar to an aggregator."""
 
     def __init__(self, upstream: tuple[str, int]) -> None:
         self.upstream = upstream
-        self._cut: set[tuple[str, str]] = set()
+        self._partitions: set[tuple[str, str]] = set()
         self._open = asyncio.Event()  # set, and another in its place, whenever something heals
         self._server: asyncio.Server
         self._tasks: set[asyncio.Task[None]] = set()
         self.late_s = 0.0  # for each answer
-        self.held = 0  # how often something met a cut
+        self.delayed = 0  # how often something met a cut
         self.address = ""
 
     async def start(self, host: str) -> None:
@@ -47,13 +47,13 @@
         host, port = self._server.sockets[0].getsockname()[:2]
         self.address = f"{host}:{port}"
 
-    def cut(self, kind: str, way: str) -> None:
+    def partition(self, kind: str, direction: str) -> None:
         """Let nothing of a kind pass, one way."""
-        self._cut.add((kind, way))
+        self._partitions.add((kind, direction))
 
-    def heal(self, kind: str, way: str) -> None:
+    def heal(self, kind: str, direction: str) -> None:
         """Let it pass again, with what was held."""
-        self._cut.discard((kind, way))
+        self._partitions.discard((kind, direction))
         self._open.set()
         self._open = asyncio.Event()
 
@@ -98,8 +98,8 @@
     ) -> None:
         while True:
             head = await reader.readuntil(b"\r\n\r\n")
-            told = LENGTH.search(head)
-            body = await reader.readexactly(int(told[1])) if told else b""
+            length = LENGTH.search(head)
+            body = await reader.readexactly(int(length[1])) if length else b""
             kind[0] = kind_of(head)
             await self._pass(kind[0], ASK)
             up_writer.write(head + body)
@@ -115,10 +115,10 @@
             writer.write(data)
             await writer.drain()
 
-    async def _pass(self, kind: str, way: str) -> None:
-        if (kind, way) in self._cut:
-            self.held += 1
-        while (kind, way) in self._cut:
+    async def _pass(self, kind: str, direction: str) -> None:
+        if (kind, direction) in self._partitions:
+            self.delayed += 1
+        while (kind, direction) in self._partitions:
             await self._open.wait()
 
 
@@ -174,7 +174,7 @@
             self.transport.close()
 
 
-class Way:
+class ServerProxy:
     """The link to one server: a door on a port of its own, with a delay that can be changed."""
 
     def __init__(self, delay_s: float) -> None:
--- a/brassfall/lab/editions/publisher.py
+++ b/brassfall/lab/revision_chaos/publisher.py
@@ -1,6 +1,6 @@
-"""Operators of a play: they publish, and an observer of the service keeps what each edition says.
+"""Operators of a play: they publish, and an observer of the service keeps what each revision says.
 
-The content of an edition is taken from whoever published it, or, where that answer was lost, from the
+The content of a revision is taken from whoever published it, or, where that answer was lost, from the
 service; who acted on it when is never asked here.
 """
 
@@ -13,12 +13,12 @@
 
 import aiohttp
 
-from brassfall.lab.editions.judge import Pin
-from brassfall.lab.editions.spec import Step
+from brassfall.lab.revision_chaos.judge import Pin
+from brassfall.lab.revision_chaos.spec import Step
 
 PUT_S = 2.0
 POLL_S = 0.1
-TENANT = "t1"  # which editions pin to the first region, unless they hold that
+TENANT = "t1"  # which revisions pin to the first region, unless they hold that
 GROUPS = ("g0", "g1", "g2", "g3")  # of clients, by their sidecars
 EXTENDED_S = 1.5
 RARE = "rare"  # a class that all files but one have
@@ -30,12 +30,12 @@
     def __init__(self, regions: list[str]) -> None:
         self._regions = regions
         self._marks = itertools.count(1)
-        self._held: list[str] = []
-        self.held: dict[int, tuple[str, ...]] = {}  # regions held, by edition
-        self.homes: dict[int, dict[str, str]] = {}  # of tenants, by edition
+        self._held_regions: list[str] = []
+        self.held_regions: dict[int, tuple[str, ...]] = {}  # regions held, by revision
+        self.homes: dict[int, dict[str, str]] = {}  # of tenants, by revision
         self.pins: list[Pin] = []
         self.outcomes: dict[str, int] = {}  # of publishing
-        self.states: dict[int, str] = {}  # of editions, as told last
+        self.states: dict[int, str] = {}  # of revisions, as last reported
         self.sent: dict[int, float] = {}  # when they were published
         self._newest = 0
         self._session: aiohttp.ClientSession
@@ -50,15 +50,15 @@
 
     @property
     def preparing(self) -> bool:
-        """Whether an edition was published that is not decided, as far as is known here."""
+        """Whether a revision was published that is not decided, as far as is known here."""
         return self.states.get(self._newest) == "prepared"
 
     async def publish(self, service: str, step: Step) -> None:
         """Carry out one step of the schedule."""
-        held = [self._regions[int(step.by)]] if step.by >= 0.0 else []
+        held_regions = [self._regions[int(step.by)]] if step.by >= 0.0 else []
         match step.do:
             case "hold":
-                self._held = held
+                self._held_regions = held_regions
                 await self._put(service)
             case "free":
                 await self._put(service)
@@ -67,11 +67,11 @@
                 await self._put(service)
             case "two":
                 other = [self._regions[(int(step.by) + 1) % len(self._regions)]]
-                self._held = held
-                await asyncio.gather(self._put(service), self._put(service, held=other))
+                self._held_regions = held_regions
+                await asyncio.gather(self._put(service), self._put(service, held_regions=other))
             case "ten":
                 for number in range(10):
-                    self._held = [self._regions[number % len(self._regions)]] if number % 2 else []
+                    self._held_regions = [self._regions[number % len(self._regions)]] if number % 2 else []
                     await self._put(service)
                     await asyncio.sleep(0.08)
 
@@ -105,16 +105,16 @@
             pass
         self.outcomes[f"pin {outcome}"] = self.outcomes.get(f"pin {outcome}", 0) + 1
 
-    async def _put(self, service: str, name: str = "look", held: list[str] | None = None) -> None:
+    async def _put(self, service: str, name: str = "look", held_regions: list[str] | None = None) -> None:
         mark = next(self._marks)
-        held = self._held if held is None else held
+        held_regions = self._held_regions if held_regions is None else held_regions
         row = {"Name": name, "Objective": 500.0 + mark % 400}
         home = self._regions[0]
-        tenants = {} if home in held else {TENANT: home}
+        tenants = {} if home in held_regions else {TENANT: home}
         # Evenly over all regions, or the near one would take nearly everything, and hide who holds what.
         shares = dict.fromkeys(GROUPS, dict.fromkeys(self._regions, 1.0))
         settings: dict[str, Any] = {
-            "regions": {"held": held},
+            "regions": {"held": held_regions},
             "Profiles": [row],
             "tenants": tenants,
             "shares": shares,
@@ -123,17 +123,17 @@
         outcome, sent = "unanswered", now()
         try:
             async with self._session.put(f"http://{service}/rules", json=settings, headers=headers) as answer:
-                told = await answer.json(content_type=None)
+                published = await answer.json(content_type=None)
                 outcome = str(answer.status)
                 if answer.status == 200:
-                    self.sent.setdefault(int(told["edition"]), sent)
-                    self._note(int(told["edition"]), settings, "prepared")
+                    self.sent.setdefault(int(published["edition"]), sent)
+                    self._note(int(published["edition"]), settings, "prepared")
         except (aiohttp.ClientError, OSError, TimeoutError, ValueError):
             pass
         self.outcomes[outcome] = self.outcomes.get(outcome, 0) + 1
 
     def _note(self, number: int, settings: dict[str, Any], state: str) -> None:
-        self.held.setdefault(number, tuple(settings.get("regions", {}).get("held", ())))
+        self.held_regions.setdefault(number, tuple(settings.get("regions", {}).get("held", ())))
         self.homes.setdefault(number, dict(settings.get("tenants", {})))
         if self.states.get(number) not in ("committed", "halted"):
             self.states[number] = state
@@ -144,8 +144,8 @@
         while True:
             try:
                 async with self._session.get(f"http://{service}/rules") as answer:
-                    told = await answer.json(content_type=None)
-                    for row in (told, told.get("committed")):
+                    published = await answer.json(content_type=None)
+                    for row in (published, published.get("committed")):
                         if isinstance(row, dict) and "edition" in row:
                             self._note(row["edition"], row.get("settings", {}), row.get("state", "committed"))
             except (aiohttp.ClientError, OSError, TimeoutError, ValueError):
--- a/brassfall/lab/editions/report.py
+++ b/brassfall/lab/revision_chaos/report.py
@@ -1,4 +1,4 @@
-"""What an experiment on editions found, as lines of JSON and a page."""
+"""What an experiment on revisions found, as lines of JSON and a page."""
 
 from __future__ import annotations
 
@@ -7,27 +7,28 @@
 
 import msgspec
 
-from brassfall.lab.editions.judge import Verdict
-from brassfall.lab.editions.play import Result
-from brassfall.lab.editions.spec import Experiment
+from brassfall.lab.revision_chaos.judge import Verdict
+from brassfall.lab.revision_chaos.play import Result
+from brassfall.lab.revision_chaos.spec import Experiment
 
 
-def write(told: Experiment, results: list[Result], failed: dict[int, str], out: Path) -> None:
+def write(experiment: Experiment, results: list[Result], failed: dict[int, str], out: Path) -> None:
     """`schedules.jsonl` and `report.md`."""
     lines = [msgspec.json.encode(result) for result in sorted(results, key=lambda row: row.seed)]
     (out / "schedules.jsonl").write_bytes(b"".join(line + b"\n" for line in lines))
-    (out / "report.md").write_text(page(told, results, failed), encoding="utf-8")
+    (out / "report.md").write_text(page(experiment, results, failed), encoding="utf-8")
 
 
-def page(told: Experiment, results: list[Result], failed: dict[int, str]) -> str:
+def page(experiment: Experiment, results: list[Result], failed: dict[int, str]) -> str:
     """The page."""
     counted = [result for result in results if result.verdict.counts]
     parts = [
         "# Editions among real processes\n",
-        f"{len(results)} schedules of {told.seconds:g} s, each with {told.sidecars} sidecars, one list"
-        f" service, {told.aggregators} aggregators and {told.servers} servers in {len(told.regions)} regions;"
+        f"{len(results)} schedules of {experiment.seconds:g} s, each with {experiment.sidecars} sidecars,"
+        f" one list service, {experiment.aggregators} aggregators and {experiment.servers} servers"
+        f" in {len(experiment.regions)} regions;"
         f" {len(results) - len(counted)} do not count, since the observer was late.\n",
-        _bounds(told, counted),
+        _bounds(experiment, counted),
         _faults(counted),
         _findings(results),
     ]
@@ -35,7 +36,7 @@
     return "\n".join(parts) + "\n"
 
 
-def _bounds(told: Experiment, results: list[Result]) -> str:
+def _bounds(experiment: Experiment, results: list[Result]) -> str:
     verdicts = [result.verdict for result in results]
     answers: Counter[str] = Counter()
     for verdict in verdicts:
@@ -49,15 +50,15 @@
     sends, safe = sum(v.sends for v in verdicts), sum(v.safe for v in verdicts)
     late = max((result.late_ms for result in results), default=0.0)
     rows = [
-        ("two editions acted on side by side, longest", f"{worst:.0f} ms", f"{told.agree_ms:.0f} ms"),
+        ("two editions acted on side by side, longest", f"{worst:.0f} ms", f"{experiment.agree_ms:.0f} ms"),
         (
             "a send to a region after others acted on an edition that holds it, latest",
             f"{held:.0f} ms",
-            "0 ms, and the way" if told.exclusive else "not judged",
+            "0 ms, and the way" if experiment.exclusive else "not judged",
         ),
         ("sends under an edition that holds their region", str(broken["held-by-own"]), "0"),
         ("an override acted on after its end, latest", _ms(override), "500 ms"),
-        ("sends that an override decided", str(sum(v.pinned for v in verdicts)), ""),
+        ("sends that an override decided", str(sum(v.sticky for v in verdicts)), ""),
         ("sends of a pinned tenant elsewhere", str(broken["astray"]), "0"),
         ("a pinned tenant served by two regions at once", str(broken["two-regions"]), "0"),
         ("unsafe requests run twice", str(broken["run-twice"]), "0"),
@@ -75,7 +76,7 @@
         ("by half of the sidecars", _spans(verdicts, "half_ms"), ""),
         ("by all of them", _spans(verdicts, "all_ms"), "where all can be reached"),
         ("editions that some had not reached at the end", str(sum(v.unreached for v in verdicts)), ""),
-        ("editions acted on", str(sum(v.editions for v in verdicts)), ""),
+        ("editions acted on", str(sum(v.revisions for v in verdicts)), ""),
         ("of them with content never heard", str(sum(v.unknown for v in verdicts)), ""),
         ("requests asked", str(sum(v.asked for v in verdicts)), ""),
         ("their ends", ", ".join(f"{how} {count}" for how, count in sorted(answers.items())), ""),
--- a/brassfall/lab/editions/schedule.py
+++ b/brassfall/lab/revision_chaos/schedule.py
@@ -5,7 +5,7 @@
 import random
 from typing import get_args
 
-from brassfall.lab.editions.spec import (
+from brassfall.lab.revision_chaos.spec import (
     TIER_FAULTS,
     Experiment,
     Fault,
@@ -15,63 +15,65 @@
     is_tier_fault,
 )
 
-SETTLED_S = 8.5  # a service that starts permits nothing for 5.5 s; then the first edition takes effect
+SETTLED_S = 8.5  # a service that starts permits nothing for 5.5 s; then the first revision takes effect
 REST_S = 3.5  # at the end nothing new breaks
 EVERY_S = (0.6, 2.4)  # between publishes
-MEETS_S = 0.8  # a fault begins at most so long after an edition was published
+MEETS_S = 0.8  # a fault begins at most so long after a revision was published
 TIER_SHARE = 3  # each fault of the tier is as likely as so many others
 PUBLISHES: tuple[Publish, ...] = ("hold", "hold", "hold", "free", "free", "objected", "two", "ten")
 
 
-def draw(told: Experiment, seed: int) -> list[Step]:
+def sample(experiment: Experiment, seed: int) -> list[Step]:
     """The steps of one schedule, in order of time."""
-    if told.steps:
-        return sorted(told.steps, key=lambda step: step.at)
+    if experiment.steps:
+        return sorted(experiment.steps, key=lambda step: step.at)
     rng = random.Random(seed * 1_000_003 + 17)
-    steps = [*_publishes(told, rng), *_pins(told, rng)]
+    steps = [*_publishes(experiment, rng), *_pins(experiment, rng)]
     kinds: list[Fault | TierFault] = list(get_args(Fault))
-    if told.aggregators:
+    if experiment.aggregators:
         kinds += TIER_FAULTS * TIER_SHARE
     rng.shuffle(kinds)
-    room = told.seconds - SETTLED_S - REST_S
-    for number in range(told.faults):
-        at = SETTLED_S + room * (number + rng.random()) / told.faults
-        fault = _fault(told, rng, kinds[number % len(kinds)], at)
+    room = experiment.seconds - SETTLED_S - REST_S
+    for number in range(experiment.faults):
+        at = SETTLED_S + room * (number + rng.random()) / experiment.faults
+        fault = _fault(experiment, rng, kinds[number % len(kinds)], at)
         steps.append(fault)
         if at > SETTLED_S + MEETS_S:
-            steps.append(_hold(told, rng, at - rng.uniform(0.01, MEETS_S)))
+            steps.append(_hold(experiment, rng, at - rng.uniform(0.01, MEETS_S)))
     return sorted(steps, key=lambda step: step.at)
 
 
-def _hold(told: Experiment, rng: random.Random, at: float) -> Step:
+def _hold(experiment: Experiment, rng: random.Random, at: float) -> Step:
     """One region held off, or none."""
-    return Step(at=at, do="hold", by=float(rng.randrange(-1, len(told.regions))))
+    return Step(at=at, do="hold", by=float(rng.randrange(-1, len(experiment.regions))))
 
 
-def _publishes(told: Experiment, rng: random.Random) -> list[Step]:
+def _publishes(experiment: Experiment, rng: random.Random) -> list[Step]:
     steps, at = [], 0.2
-    while at < told.seconds - REST_S / 2.0:
+    while at < experiment.seconds - REST_S / 2.0:
         kind: Publish = rng.choice(PUBLISHES) if at > SETTLED_S else "hold"
-        by = float(rng.randrange(-1, len(told.regions)))
+        by = float(rng.randrange(-1, len(experiment.regions)))
         steps.append(Step(at=at, do=kind, by=by))
         at += rng.uniform(*EVERY_S) + (2.0 if at < SETTLED_S else 0.0)
     return steps
 
 
-def _pins(told: Experiment, rng: random.Random) -> list[Step]:
+def _pins(experiment: Experiment, rng: random.Random) -> list[Step]:
     """Overrides, one after the other; some are extended before their end."""
     steps, at = [], SETTLED_S + rng.uniform(0.0, 2.0)
-    while (lasts := rng.uniform(2.0, 7.0)) + at < told.seconds - 1.0:
-        by = float(rng.randrange(1, len(told.regions)))
+    while (lasts := rng.uniform(2.0, 7.0)) + at < experiment.seconds - 1.0:
+        by = float(rng.randrange(1, len(experiment.regions)))
         steps.append(Step(at=at, do="pin", lasts=lasts, by=by))
         at += lasts + rng.uniform(1.5, 4.0)
     return steps
 
 
-def _tier_fault(told: Experiment, rng: random.Random, kind: TierFault, at: float) -> Step:
+def _tier_fault(experiment: Experiment, rng: random.Random, kind: TierFault, at: float) -> Step:
     """A fault of one aggregator; of all of them now and then."""
-    left = told.seconds - at - 1.0
-    who = [rng.randrange(told.aggregators)] if rng.random() < 0.8 else list(range(told.aggregators))
+    left = experiment.seconds - at - 1.0
+    who = (
+        [rng.randrange(experiment.aggregators)] if rng.random() < 0.8 else list(range(experiment.aggregators))
+    )
     if kind in ("aggregator-kill", "aggregator-leave"):
         lasts = rng.choice((0.0, rng.uniform(0.2, 2.0), rng.uniform(2.0, 8.0)))
     else:
@@ -79,30 +81,30 @@
     return Step(at=at, do=kind, who=who, lasts=min(left, lasts))
 
 
-def _fault(told: Experiment, rng: random.Random, kind: Fault | TierFault, at: float) -> Step:
+def _fault(experiment: Experiment, rng: random.Random, kind: Fault | TierFault, at: float) -> Step:
     if is_tier_fault(kind):
-        return _tier_fault(told, rng, kind, at)
-    left = told.seconds - at - 1.0
-    who = sorted(rng.sample(range(told.sidecars), rng.randint(1, max(1, told.sidecars // 2))))
+        return _tier_fault(experiment, rng, kind, at)
+    left = experiment.seconds - at - 1.0
+    who = sorted(rng.sample(range(experiment.sidecars), rng.randint(1, max(1, experiment.sidecars // 2))))
     match kind:
         case "kills":
             return Step(at=at, do=kind, lasts=0.25, by=float(rng.randint(2, 4)))
         case "kill" | "lost-disk" | "old-copy":
             return Step(at=at, do=kind, lasts=min(left, rng.choice((0.0, 0.0, rng.uniform(0.2, 4.0)))))
         case "second":
-            half = sorted(rng.sample(range(told.sidecars), told.sidecars // 2))
+            half = sorted(rng.sample(range(experiment.sidecars), experiment.sidecars // 2))
             return Step(at=at, do=kind, who=half, lasts=min(left, rng.uniform(4.0, 12.0)))
         case "stop":
             return Step(at=at, do=kind, who=who, lasts=min(left, rng.uniform(2.0, 10.0)))
         case "crash":
             return Step(at=at, do=kind, who=who, lasts=rng.uniform(0.0, 2.0))
         case "roll":
-            return Step(at=at, do=kind, who=list(range(told.sidecars)))
+            return Step(at=at, do=kind, who=list(range(experiment.sidecars)))
         case "slow-service":
             return Step(at=at, do=kind, lasts=min(left, rng.uniform(3.0, 9.0)), by=rng.uniform(0.4, 4.0))
         case "slow-links" | "lost-answers":
             lasts, by = min(left, rng.uniform(3.0, 9.0)), 0.15 if kind == "slow-links" else 0.0
-            return Step(at=at, do=kind, who=[rng.randrange(len(told.regions))], lasts=lasts, by=by)
+            return Step(at=at, do=kind, who=[rng.randrange(len(experiment.regions))], lasts=lasts, by=by)
     if rng.random() < 0.3:
-        who = list(range(told.sidecars))
+        who = list(range(experiment.sidecars))
     return Step(at=at, do=kind, who=who, lasts=min(left, rng.uniform(2.0, 9.0)))
--- a/brassfall/lab/editions/spec.py
+++ b/brassfall/lab/revision_chaos/spec.py
@@ -1,4 +1,4 @@
-"""What an experiment on editions is made of: TOML to typed values."""
+"""What an experiment on revisions is made of: TOML to typed values."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     "roll",  # SIGTERM to all, one after the other
     "cut-reports",  # on their way to the service
     "cut-answers",  # to reports
-    "cut-editions",  # reports pass, the watch does not
+    "cut-editions",  # the watch of revisions; reports pass, the watch does not
     "cut-lists",
     "cut-off",  # from the service, in all ways
     "slow-service",  # too slow to be of use
@@ -94,15 +94,17 @@
 def load(path: Path) -> Experiment:
     """Read a file; `SettingsError` says what is wrong with it."""
     try:
-        told = msgspec.convert(read_toml(path), Experiment)
+        experiment = msgspec.convert(read_toml(path), Experiment)
     except msgspec.ValidationError as error:
         raise SettingsError(str(path), str(error)) from error
-    if len(told.delay_ms) != len(told.regions):
-        raise SettingsError(f"{path}: delay_ms", f"{len(told.regions)} figures are wanted, one a region")
-    for step in told.steps:
-        known, kind = told.sidecars, "sidecar"
+    if len(experiment.delay_ms) != len(experiment.regions):
+        raise SettingsError(
+            f"{path}: delay_ms", f"{len(experiment.regions)} figures are wanted, one a region"
+        )
+    for step in experiment.steps:
+        known, kind = experiment.sidecars, "sidecar"
         if is_tier_fault(step.do):
-            known, kind = told.aggregators, "aggregator"
+            known, kind = experiment.aggregators, "aggregator"
         if any(not 0 <= number < known for number in step.who):
             raise SettingsError(f"{path}: steps", f"{step.do} at {step.at:g} s names no {kind}")
-    return told
+    return experiment
--- a/brassfall/lab/editions/tier.py
+++ b/brassfall/lab/revision_chaos/tier.py
@@ -10,36 +10,38 @@
 from collections.abc import Iterator
 from pathlib import Path
 
-from brassfall.lab.editions.proxies import ANSWER, ASK, EDITIONS, LISTS, OTHER, REPORT, Door
-from brassfall.lab.editions.spec import Experiment, TierFault
 from brassfall.lab.real.process_group import MemberProcess, ProcessGroup
+from brassfall.lab.revision_chaos.proxies import ANSWER, ASK, LISTS, OTHER, REPORT, REVISIONS, ControlProxy
+from brassfall.lab.revision_chaos.spec import Experiment, TierFault
 
 LEAVE_S = 10.0  # from SIGTERM; then SIGKILL
-UPWARD = (REPORT, EDITIONS, LISTS, OTHER)
-CUTS_ABOVE: dict[TierFault, list[tuple[str, str]]] = {
+UPWARD = (REPORT, REVISIONS, LISTS, OTHER)
+UPSTREAM_PARTITIONS: dict[TierFault, list[tuple[str, str]]] = {
     "aggregator-cut-reports": [(REPORT, ASK)],
     "aggregator-cut-answers": [(kind, ANSWER) for kind in UPWARD],
-    "aggregator-cut-off": [(kind, way) for kind in UPWARD for way in (ASK, ANSWER)],
+    "aggregator-cut-off": [(kind, direction) for kind in UPWARD for direction in (ASK, ANSWER)],
 }
-CUTS_BELOW = [(kind, way) for kind in (REPORT, EDITIONS, LISTS) for way in (ASK, ANSWER)]
+CHILD_PARTITIONS = [(kind, direction) for kind in (REPORT, REVISIONS, LISTS) for direction in (ASK, ANSWER)]
 
 
 class Tier:
     """All aggregators; `ports` are free ones on `host`."""
 
     def __init__(
-        self, told: Experiment, folder: Path, troupe: ProcessGroup, host: str, ports: Iterator[int]
+        self, experiment: Experiment, folder: Path, group: ProcessGroup, host: str, ports: Iterator[int]
     ) -> None:
-        self._told = told
+        self._experiment = experiment
         self._folder = folder
-        self._troupe = troupe
+        self._group = group
         self._host = host
         self._ports = ports
-        self._replacing = [asyncio.Lock() for _ in range(told.aggregators)]
-        self.processes: list[MemberProcess | None] = [None] * told.aggregators
-        self.above = [Door((host, 9)) for _ in range(told.aggregators)]  # to the service
-        self.fronts = [Door((host, 9)) for _ in range(told.aggregators)]  # where the service reaches each
-        self.below: list[list[Door]] = [[] for _ in range(told.aggregators)]  # from children
+        self._replacing = [asyncio.Lock() for _ in range(experiment.aggregators)]
+        self.processes: list[MemberProcess | None] = [None] * experiment.aggregators
+        self.above = [ControlProxy((host, 9)) for _ in range(experiment.aggregators)]  # to the service
+        self.fronts = [
+            ControlProxy((host, 9)) for _ in range(experiment.aggregators)
+        ]  # where the service reaches each
+        self.below: list[list[ControlProxy]] = [[] for _ in range(experiment.aggregators)]  # from children
 
     async def start(self, service: tuple[str, int]) -> None:
         """Start all of them, under a service."""
@@ -49,21 +51,21 @@
             await front.start(self._host)
             await self.aggregator(number)
 
-    async def children(self, sidecar: int) -> list[Door]:
+    async def children(self, sidecar: int) -> list[ControlProxy]:
         """A door to each aggregator for one sidecar, in the order in which it is to ask them."""
-        first, count = sidecar % self._told.aggregators, self._told.aggregators
-        doors = []
+        first, count = sidecar % self._experiment.aggregators, self._experiment.aggregators
+        proxies = []
         for step in range(count):
-            door = Door(self.fronts[(first + step) % count].upstream)
-            await door.start(self._host)
-            self.below[(first + step) % count].append(door)
-            doors.append(door)
-        return doors
+            proxy = ControlProxy(self.fronts[(first + step) % count].upstream)
+            await proxy.start(self._host)
+            self.below[(first + step) % count].append(proxy)
+            proxies.append(proxy)
+        return proxies
 
     async def aggregator(self, number: int) -> MemberProcess:
         """Start a process of one, and lead everybody to it."""
         port = next(self._ports)
-        regions = self._told.regions
+        regions = self._experiment.regions
         lines = [
             "[aggregator]",
             f'name = "agg{number}"',
@@ -71,17 +73,17 @@
             f'listen = "{self._host}:{port}"',
             f'advertise = "{self.fronts[number].address}"',
             f"upstream = {json.dumps([self.above[number].address])}",
-            f"agree_ms = {self._told.agree_ms}",
+            f"agree_ms = {self._experiment.agree_ms}",
         ]
         file = self._folder / f"aggregator-{number}.toml"
         file.write_text("\n".join(lines) + "\n")
-        words = [sys.executable, "-m", "brassfall", "registry", "aggregate", "--config", str(file)]
-        actor = await self._troupe.start(f"aggregator {number}", "aggregator", words)
-        self.processes[number] = actor
-        await actor.report("ready")
-        for door in (self.fronts[number], *self.below[number]):
-            door.turn((self._host, port))
-        return actor
+        command = [sys.executable, "-m", "brassfall", "registry", "aggregate", "--config", str(file)]
+        member = await self._group.start(f"aggregator {number}", "aggregator", command)
+        self.processes[number] = member
+        await member.report("ready")
+        for proxy in (self.fronts[number], *self.below[number]):
+            proxy.turn((self._host, port))
+        return member
 
     # --- faults ---------------------------------------------------------------------------
 
@@ -95,9 +97,9 @@
             case "aggregator-twin":
                 await self._twin(number, lasts)
             case "aggregator-cut-children":
-                await self._cut(self.below[number], CUTS_BELOW, lasts)
+                await self._partition(self.below[number], CHILD_PARTITIONS, lasts)
             case _:
-                await self._cut([self.above[number]], CUTS_ABOVE[fault], lasts)
+                await self._partition([self.above[number]], UPSTREAM_PARTITIONS[fault], lasts)
 
     async def _replace(self, number: int, planned: bool, lasts: float) -> None:
         """End one, with a warning or without, and start its follower after a while."""
@@ -116,39 +118,41 @@
 
     async def _pause(self, number: int, lasts: float) -> None:
         async with self._replacing[number]:
-            actor = self.processes[number]
-            if actor is None or not actor.alive:
+            member = self.processes[number]
+            if member is None or not member.alive:
                 return
-            actor.process.send_signal(signal.SIGSTOP)
+            member.process.send_signal(signal.SIGSTOP)
             try:
                 await asyncio.sleep(lasts)
             finally:
-                if actor.alive:
-                    actor.process.send_signal(signal.SIGCONT)
+                if member.alive:
+                    member.process.send_signal(signal.SIGCONT)
 
     @staticmethod
-    async def _end(actor: MemberProcess | None, planned: bool) -> None:
-        if actor is None or not actor.alive:
+    async def _end(member: MemberProcess | None, planned: bool) -> None:
+        if member is None or not member.alive:
             return
-        actor.ending = True
+        member.ending = True
         if planned:
-            actor.process.terminate()
+            member.process.terminate()
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(LEAVE_S):
-                    await actor.process.wait()
-        if actor.alive:
-            actor.process.kill()
-        await actor.wait()
+                    await member.process.wait()
+        if member.alive:
+            member.process.kill()
+        await member.wait()
 
     @staticmethod
-    async def _cut(doors: list[Door], cuts: list[tuple[str, str]], lasts: float) -> None:
-        for door in doors:
-            for cut in cuts:
-                door.cut(*cut)
+    async def _partition(
+        proxies: list[ControlProxy], partitions: list[tuple[str, str]], lasts: float
+    ) -> None:
+        for proxy in proxies:
+            for partition in partitions:
+                proxy.partition(*partition)
         await asyncio.sleep(lasts)
-        for door in doors:
-            for cut in cuts:
-                door.heal(*cut)
+        for proxy in proxies:
+            for partition in partitions:
+                proxy.heal(*partition)
 
     def lead(self, number: int, service: tuple[str, int]) -> None:
         """Lead one to another service from now on."""
--- a/brassfall/lab/runner.py
+++ b/brassfall/lab/runner.py
@@ -24,9 +24,9 @@
 from brassfall.balancer import model
 from brassfall.lab import compiled, day, report, spec
 from brassfall.lab.arrivals import experiment
-from brassfall.lab.editions import command
-from brassfall.lab.editions import spec as editions
 from brassfall.lab.play import Order, Result
+from brassfall.lab.revision_chaos import command
+from brassfall.lab.revision_chaos import spec as editions
 from brassfall.lab.sim.flaws import FLAWS
 from brassfall.settings import SettingsError, read_toml
 
--- a/tests/test_edition_chaos.py
+++ b/tests/test_revision_chaos.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from brassfall.lab.editions import judge, play, schedule, spec
-from brassfall.lab.editions.judge import SAFE, Asked, Away, Call, Pin
+from brassfall.lab.revision_chaos import judge, play, schedule, spec
+from brassfall.lab.revision_chaos.judge import SAFE, Asked, Away, Call, Pin
 
 HOMES = {1: {"t": "a"}, 2: {"t": "a"}, 3: {"t": "a"}}
 PINS = [Pin("t", "c", 2.0, 6.0)]
@@ -32,7 +32,7 @@
         unsafe, key = number % 5 == 0, f"k{number}" if number % 5 == 1 else ""
         calls.append(Call(f"{number}", sidecar, f"s{zone}", zone, edition, at, unsafe, key))
         asked.append(Asked(f"{number}", sidecar, at - 0.01, at + 0.02, "200"))
-    return calls, asked, {n: min(call.at for call in calls if call.edition == n) for n in begins}
+    return calls, asked, {n: min(call.at for call in calls if call.revision == n) for n in begins}
 
 
 def late_contradiction(rng, calls, asked, first):
@@ -44,7 +44,7 @@
 
 
 def held_by_newer(rng, calls, asked, first):
-    by = next(call.sidecar for call in calls if call.edition == 2)
+    by = next(call.sidecar for call in calls if call.revision == 2)
     calls.append(Call("x", (by + 1) % 8, "sb", "b", 1, first[2] + 0.4))
 
 
@@ -96,7 +96,7 @@
 
 
 def judged(calls, asked, away=(), **terms):
-    told = {
+    rules = {
         "agree_s": 3.0,
         "key_s": 1.5,
         "held": HELD,
@@ -106,7 +106,7 @@
         "late_s": 0.05,
         **terms,
     }
-    return judge.judge(calls, asked, list(away), judge.Terms(**told))
+    return judge.judge(calls, asked, list(away), judge.Terms(**rules))
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -131,17 +131,17 @@
     asked.append(Asked("z", 3, 5.0, 8.0, "silent"))
     made = judged(calls, asked, [Away(3, 4.0, 7.0)])
     assert made.broken == {} and made.safe_into_held == 1 and 3040.0 < made.contradiction_ms < 3060.0
-    assert made.pinned == 3 and made.override_ms == pytest.approx(400.0)
+    assert made.sticky == 3 and made.override_ms == pytest.approx(400.0)
     assert made.counts and not judged(calls, asked, late_s=0.6).counts
 
 
 def test_schedules_are_drawn_by_seed_and_hold_every_fault():
-    told = spec.Experiment(kind="editions")
-    drawn = [schedule.draw(told, seed) for seed in range(60)]
-    assert drawn[3] == schedule.draw(told, 3) and len({str(steps) for steps in drawn}) == 60
-    assert set(get_args(spec.Fault)) <= {step.do for steps in drawn for step in steps}
-    last = max(step.at + step.lasts for steps in drawn for step in steps if step.do != "crash")
-    assert last <= told.seconds
+    experiment = spec.Experiment(kind="editions")
+    sampled = [schedule.sample(experiment, seed) for seed in range(60)]
+    assert sampled[3] == schedule.sample(experiment, 3) and len({str(steps) for steps in sampled}) == 60
+    assert set(get_args(spec.Fault)) <= {step.do for steps in sampled for step in steps}
+    last = max(step.at + step.lasts for steps in sampled for step in steps if step.do != "crash")
+    assert last <= experiment.seconds
 
 
 def steps(*rows):
@@ -150,7 +150,7 @@
 
 def test_one_schedule_of_faults_among_real_processes(tmp_path):
     """Kills around a publish, a stop of 4 s across a commit, a one-way cut, a lost disk."""
-    told = spec.Experiment(
+    experiment = spec.Experiment(
         kind="editions",
         seconds=34.0,
         rate=8.0,
@@ -172,9 +172,9 @@
             (30.0, "hold", {"by": -1.0}),
         ),
     )
-    result = asyncio.run(asyncio.wait_for(play.play(told, 1, tmp_path), 110))
+    result = asyncio.run(asyncio.wait_for(play.play(experiment, 1, tmp_path), 110))
     if not result.verdict.counts:
         pytest.skip(f"the observer was {result.late_ms:.0f} ms late: this machine can't tell")
     assert result.verdict.findings == [] and result.crashes == []
-    assert result.verdict.pinned and result.verdict.editions >= 4 and result.verdict.unknown == 0
+    assert result.verdict.sticky and result.verdict.revisions >= 4 and result.verdict.unknown == 0
     assert {event.do for event in result.events if event.prepared} >= {"kill", "stop"}
--- a/tests/test_tier_processes.py
+++ b/tests/test_tier_processes.py
@@ -8,8 +8,8 @@
 import aiohttp
 import pytest
 
-from brassfall.lab.editions import judge, play, schedule, spec
-from brassfall.lab.editions.spec import TIER_FAULTS, Step
+from brassfall.lab.revision_chaos import judge, play, schedule, spec
+from brassfall.lab.revision_chaos.spec import TIER_FAULTS, Step
 from brassfall.settings import SettingsError
 
 TIER = spec.Experiment(kind="editions", seconds=90.0, rate=8.0, aggregators=2, direct=1)
@@ -20,31 +20,35 @@
 class Rows:
     """The sidecars as the service lists them."""
 
-    def __init__(self, stage, session):
-        self.stage, self.session = stage, session
+    def __init__(self, environment, session):
+        self.environment, self.session = environment, session
 
     async def all_act_on(self, number, vias=None):
         """Wait until every sidecar says that it acts on a revision, and reports by way of these alone; how
         many report by way of each aggregator."""
         async with asyncio.timeout(PATIENCE_S):
             while True:
-                async with self.session.get(f"http://{self.stage.at('main')}/edges") as answer:
-                    told = await answer.json()
-                rows = {row["name"]: row for row in told["edges"]}
+                async with self.session.get(f"http://{self.environment.at('main')}/edges") as answer:
+                    experiment = await answer.json()
+                rows = {row["name"]: row for row in experiment["edges"]}
                 acting = [row["acting"] == number and row["age_ms"] < 2000 for row in rows.values()]
                 counts = Counter(row.get("via", "") for row in rows.values())
                 found = set(counts)
-                if all(acting) and len(acting) == self.stage.told.sidecars and found == (vias or found):
+                if (
+                    all(acting)
+                    and len(acting) == self.environment.experiment.sidecars
+                    and found == (vias or found)
+                ):
                     return counts
                 await asyncio.sleep(0.05)
 
 
 async def _kill_stop_and_cut(faults):
-    stage, publisher, tier = faults.stage, faults.publisher, faults.stage.tier
+    environment, publisher, tier = faults.environment, faults.publisher, faults.environment.tier
     tasks = []
 
     async def published(region):
-        await publisher.publish(stage.at("main"), Step(at=0.0, do="hold", by=region))
+        await publisher.publish(environment.at("main"), Step(at=0.0, do="hold", by=region))
         return max(publisher.sent)
 
     def fault(kind, number, lasts):
@@ -52,31 +56,31 @@
         tasks.append(asyncio.create_task(faults.take(step)))
 
     async with aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=2.0)) as session:
-        rows = Rows(stage, session)
+        rows = Rows(environment, session)
         counts = await rows.all_act_on(await published(1.0))
-        assert counts[""] == TIER.direct and sum(counts.values()) == stage.told.sidecars
+        assert counts[""] == TIER.direct and sum(counts.values()) == environment.experiment.sidecars
         # Sidecars choose at random, and move when a busy machine makes them wait: the one that has more ends.
         ended = 0 if counts["agg0"] >= counts["agg1"] else 1
-        await publisher.publish(stage.at("main"), Step(at=0.0, do="objected", by=1.0))
+        await publisher.publish(environment.at("main"), Step(at=0.0, do="objected", by=1.0))
         objected, number = sorted(publisher.sent)[-2:]
         await rows.all_act_on(number)
-        async with session.get(f"http://{stage.at('main')}/rules?edition={objected}") as answer:
-            told = await answer.json()
-        assert (told["state"], [row["edge"] for row in told["objections"]]) == ("halted", ["n7"])
+        async with session.get(f"http://{environment.at('main')}/rules?edition={objected}") as answer:
+            experiment = await answer.json()
+        assert (experiment["state"], [row["edge"] for row in experiment["objections"]]) == ("halted", ["n7"])
         number = await published(-1.0)
         # Longer than a lease lasts, so that all act on the revision before it is back: its children have to
         # have gone to the other.
         fault("aggregator-kill", ended, KILLED_S)
         await rows.all_act_on(number, {"", f"agg{1 - ended}"})
         await asyncio.gather(*tasks)
-        await publisher.publish(stage.at("main"), Step(at=0.0, do="pin", by=1.0, lasts=2.0))
+        await publisher.publish(environment.at("main"), Step(at=0.0, do="pin", by=1.0, lasts=2.0))
         fault("aggregator-stop", 1 - ended, 3.0)
         await rows.all_act_on(await published(2.0))
         await asyncio.gather(*tasks)
         fault("aggregator-cut-answers", ended, 3.0)
         await rows.all_act_on(await published(0.0))
         await asyncio.gather(*tasks)
-        assert tier.above[ended].held  # the cut met something
+        assert tier.above[ended].delayed  # the partition met something
         await rows.all_act_on(await published(-1.0))
 
 
@@ -85,17 +89,17 @@
     if not result.verdict.counts:
         pytest.skip(f"the observer was {result.late_ms:.0f} ms late: this machine can't tell")
     assert result.verdict.findings == [] and result.crashes == []
-    assert result.verdict.editions >= 5 and result.verdict.unknown == 0
+    assert result.verdict.revisions >= 5 and result.verdict.unknown == 0
     assert len(result.verdict.all_ms) >= 5
 
 
 def test_schedules_with_a_tier_hold_its_faults_and_others_are_as_they_were():
-    drawn = [schedule.draw(TIER, seed) for seed in range(60)]
-    assert set(TIER_FAULTS) <= {step.do for steps in drawn for step in steps}
-    for steps in drawn:
+    sampled = [schedule.sample(TIER, seed) for seed in range(60)]
+    assert set(TIER_FAULTS) <= {step.do for steps in sampled for step in steps}
+    for steps in sampled:
         assert all(max(step.who) < TIER.aggregators for step in steps if step.do in TIER_FAULTS)
     without = spec.Experiment(kind="editions")
-    assert not {step.do for seed in range(60) for step in schedule.draw(without, seed)} & set(TIER_FAULTS)
+    assert not {step.do for seed in range(60) for step in schedule.sample(without, seed)} & set(TIER_FAULTS)
 
 
 def test_a_step_that_names_no_aggregator_is_refused(tmp_path):
