--- a/brassfall/lab/revision_chaos/judge.py
+++ b/brassfall/lab/revision_chaos/judge.py
@@ -183,7 +183,7 @@
 def _check_held_regions(
     rows: Sequence[Call], activities: Mapping[int, _Activity], terms: Terms, findings: _Findings
 ) -> tuple[float, int]:
-    """How late in ms a region was sent to that another revision held; and how often under the fallback configuration."""
+    """How late in ms a region was sent to that another revision held; and how often under the fallback."""
     worst, safe = 0.0, 0
     allowed = terms.link_s + terms.late_s
     for call in rows:
--- a/tests/test_store_disk.py
+++ b/tests/test_store_disk.py
@@ -144,7 +144,7 @@
             while True:
                 try:
                     told[key] = (await running.put(key, f"id-{key}")).index
-                    return
+                    return  # noqa: TRY300
                 except OutcomeUnknownError:
                     await asyncio.sleep(0.01)
                 except NotWritten:
