--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -14,7 +14,6 @@
 from brassfall.balancer import Settings
 from brassfall.balancer.model import Cancel, Fail, Listing, Outcome, Refuse, Send
 from brassfall.sidecar import driver, outbound
-from brassfall.sidecar.config import parse_list
 from brassfall.sidecar.driver import Answer, Result
 from tests import loopback as partners
 from tests.helpers import CLASSES, arrival, balancer, of_type, raw_settings
@@ -22,15 +21,21 @@
     OK,
     SETTINGS,
     App,
+    Gate,
+    Hands,
     Scripted,
     Upstream,
+    asked,
     break_off,
     entry,
+    failing,
     hang,
-    listed,
+    hear,
     loopback,
-    running,
+    never_cancels,
+    nothing_left,
     small_buffers,
+    tidy,
     told,
     until,
 )
@@ -38,76 +43,6 @@
 LARGE = b"0123456789abcdef" * 16384
 
 
-class Gate:
-    """Connections to the servers come up late, but for the first few: when the test lets them."""
-
-    def __init__(self, monkeypatch, upstreams, free=0):
-        self.open = asyncio.Event()
-        self.waiting = 0
-        loop = asyncio.get_running_loop()
-        connect = loop.create_connection
-        held = {upstream.address for upstream in upstreams}
-
-        async def late(factory, host=None, port=None, **more):
-            if f"{host}:{port}" in held:
-                self.waiting += 1
-                if self.waiting > free:
-                    await self.open.wait()
-            return await connect(factory, host, port, **more)
-
-        monkeypatch.setattr(loop, "create_connection", late)
-
-
-def nothing_left(sidecar):
-    """Whether every count is back at none, and each open connection is an idle one."""
-    driver, pool = sidecar.driver, sidecar.pool
-    idle = [connection for server in pool._servers.values() for connection in server.idle]
-    counts = [driver._open, driver._flowing, len(driver._requests), len(pool._opening)]
-    balancer = driver._balancer
-    if not isinstance(balancer, Scripted):
-        servers = balancer._servers.values()
-        counts += [balancer._open, len(balancer._requests), *(server.open for server in servers)]
-        counts += [-min(0, server.idle) for server in servers]
-    free = all(connection._exchange is None for connection in idle)
-    return not any(counts) and free and set(idle) == pool._connections and len(set(idle)) == len(idle)
-
-
-@contextlib.asynccontextmanager
-async def tidy(*upstreams, **settings):
-    """A sidecar of which nothing is left over at the end: no request, attempt or connection."""
-    async with running(*upstreams, **settings) as sidecar:
-        yield sidecar
-        await until(lambda: nothing_left(sidecar))
-        module = sidecar.driver._balancer
-        if isinstance(module, Scripted):
-            told = [(number, hop) for number, hop, *_ in module.named("outcome")]
-            assert len(told) == len(set(told))
-
-
-class Hands:
-    """The driver's clock, moved on by hand: no timer runs for it."""
-
-    def __init__(self, sidecar):
-        self.clock = sidecar.driver._clock
-
-    def on(self, ms):
-        self.clock._offset += ms
-
-
-def never_cancels():
-    """Settings that allow no cancelling, and connections that may take their time."""
-    return {"PolicyLimits": {"MaxAttempts": 3, "ParallelTries": True, "ConnectTimeout": 9000.0}}
-
-
-async def asked(sidecar, target="/look", method="GET", **headers):
-    """A client whose request has been taken."""
-    app = await App.connect(sidecar.address)
-    held = len(sidecar.driver._requests)
-    app.send(method, target, **headers)
-    await until(lambda: len(sidecar.driver._requests) > held)
-    return app
-
-
 # --- nobody wants it any more -----------------------------------------------------------
 
 
@@ -292,7 +227,7 @@
     """Whether its end comes from the client or is still held back here."""
     upstream = await Upstream([hang]).start()
     module = Scripted(
-        request=lambda now, arrival: [Send(arrival.request, "s0", 0.0, now + 150.0)],
+        request=lambda now, arrival: [Send(arrival.request, "s0", 0.0, now + driver.KEY_MARGIN_MS + 130.0)],
         outcome=lambda now, number, hop, status, spent, last, report: [] if last else [Fail(number)],
     )
     async with tidy(upstream, balancer=module, **never_cancels()) as sidecar:
@@ -327,7 +262,7 @@
 async def test_a_repeat_that_the_kernel_does_not_take_is_not_on_the_wire(monkeypatch):
     """Held back here until its window ends: it is dropped with its connection."""
     upstream = await Upstream([OK, hang]).start()
-    windows = iter([float("inf"), 100.0])
+    windows = iter([float("inf"), driver.KEY_MARGIN_MS + 80.0])
     module = Scripted(
         request=lambda now, arrival: [Send(arrival.request, "s0", 0.0, now + next(windows))],
         outcome=lambda now, number, hop, status, spent, last, report: [] if last else [Fail(number)],
@@ -435,11 +370,6 @@
     assert [int(again.server[1:]) // 2 for again in sends] == [group]
 
 
-def hear(sidecar, *entries):
-    """News of discovery."""
-    sidecar.driver.server_list("changes", parse_list(listed(42, *entries, snapshot=False), told().names))
-
-
 @pytest.mark.parametrize("drained", [False, True])
 @loopback
 async def test_a_connection_that_comes_up_at_what_stood_there_before_carries_nothing(monkeypatch, drained):
@@ -500,10 +430,6 @@
 # --- answers -----------------------------------------------------------------------------
 
 
-def failing(now, number, hop, status, spent, last, report):
-    return [] if last else [Fail(number)]
-
-
 STALE = OK.replace(b"done", b"late")
 
 
