--- a/brassfall/sidecar/body.py
+++ b/brassfall/sidecar/body.py
@@ -1,68 +1,72 @@
-"""A request's body that is too large to be held whole: it flows from the client to a server."""
+"""A request body that is too large to be buffered whole: it flows from the client to one server.
+
+Its beginning, up to `MAX_BUFFERED` bytes, is buffered until a server has been chosen, and can be sent again
+to another server. Once more than that has flowed on, it can't be.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from typing import Protocol
 
-HELD_MOST = 64 * 1024  # so much is held, and can be sent again
-FLOW_MOST = 2 * HELD_MOST  # so much of a large message is here at a time: what is held, and one read
+MAX_BUFFERED = 64 * 1024  # bytes of a message that are buffered, and can be sent again
+MAX_FLOWING = 2 * MAX_BUFFERED  # bytes of a large message in memory at a time: the buffer and one read
 
 
 class Budget:
-    """The bytes of messages that this process may hold at a time."""
+    """The bytes of messages that this process may hold in memory at a time."""
 
-    def __init__(self, most: int) -> None:
-        self.most = most
+    def __init__(self, limit: int) -> None:
+        self.limit = limit
         self.used = 0
 
-    def take(self, size: int) -> bool:
-        """Ask for room; whether there is so much."""
-        if self.used + size > self.most:
+    def reserve(self, size: int) -> bool:
+        """Reserve `size` bytes; False, and nothing reserved, if that many are not free."""
+        if self.used + size > self.limit:
             return False
         self.used += size
         return True
 
-    def give(self, size: int) -> None:
-        """Room that is free again."""
+    def release(self, size: int) -> None:
+        """Free `size` bytes that were reserved."""
         self.used -= size
 
 
 class Source(Protocol):
-    """Where a body comes from."""
+    """Where a body comes from: a client's connection."""
 
     def pause(self) -> None:
-        """Read no more of it for now."""
+        """Stop reading the body, until `resume`."""
 
     def resume(self) -> None:
-        """Read on."""
+        """Go on reading it."""
 
 
 class Writer(Protocol):
-    """Where a body goes to."""
+    """Where a body goes to: a server's connection."""
 
-    def more(self, data: bytes) -> None:
-        """Write a part, framed."""
+    def write_part(self, data: bytes) -> None:
+        """Write a part of the body, with its framing."""
 
-    def whole(self) -> None:
-        """Nothing follows."""
+    def body_complete(self) -> None:
+        """The last part has been written."""
 
 
 class Body:
-    """Holds what has come until a server takes it, and reads no faster than that one does."""
+    """A large body on its way: buffers what no server has taken yet, and paces the client by the server."""
 
-    def __init__(self, source: Source, held: bytes, length: int | None) -> None:
-        self.length = length  # None: in chunks
-        self.complete = False
-        self.gone = False  # more has flowed on than is held: it can't be sent again
+    def __init__(self, source: Source, beginning: bytes, length: int | None) -> None:
+        self.length = length  # in bytes; None: not known, sent in chunks
+        self.complete = False  # whether its last part has come from the client
+        self.gone = False  # whether more has flowed on than is buffered: it can't be sent again
         self.on_gone: Callable[[], None] = lambda: None
         self._source = source
-        self._held = bytearray(held)
+        self._buffer = bytearray(beginning)
         self._writer: Writer | None = None
 
     @property
     def header(self) -> bytes:
-        """The framing, as a header."""
+        """The header line that tells its framing."""
         if self.length is None:
             return b"Transfer-Encoding: chunked\r\n"
         return b"Content-Length: %d\r\n" % self.length
@@ -70,21 +74,21 @@
     # --- from the client -------------------------------------------------------
 
     def feed(self, data: bytes) -> None:
-        """A part has come."""
+        """Take a part from the client. The first one that goes on to a server unbuffered calls `on_gone`."""
         writer = self._writer
         if writer is None:
-            if not self.gone:  # or else nobody takes it any more
-                self._held += data
+            if not self.gone:  # or else no server takes it any more
+                self._buffer += data
                 self._source.pause()
             return
         if not self.gone:
             self.gone = True
-            self._held.clear()
+            self._buffer.clear()
             self.on_gone()
-        writer.more(self._framed(data))
+        writer.write_part(self._framed(data))
 
     def end(self) -> None:
-        """The last part has come."""
+        """The last part has come from the client."""
         self.complete = True
         self._source.resume()  # what comes next is another request
         if self._writer is not None:
@@ -93,28 +97,28 @@
     # --- to the server ----------------------------------------------------------
 
     def attach(self, writer: Writer) -> None:
-        """A server takes it, from its start."""
+        """Send it to a server, from its beginning."""
         self._writer = writer
-        writer.more(self._framed(bytes(self._held)))
+        writer.write_part(self._framed(bytes(self._buffer)))
         if self.complete:
             self._finish(writer)
         else:
             self._source.resume()
 
     def detach(self, writer: Writer) -> None:
-        """That server takes no more."""
+        """Send no more to this server; without effect if another one has it by now."""
         if self._writer is writer:
             self._writer = None
             if not self.complete:
                 self._source.pause()
 
     def pause(self) -> None:
-        """The server is slower than the client."""
+        """The server takes no more for now: neither does the client's connection read."""
         if not self.complete:
             self._source.pause()
 
     def resume(self) -> None:
-        """The server has taken what there was."""
+        """The server has taken all that was written."""
         if not self.complete:
             self._source.resume()
 
@@ -125,5 +129,5 @@
 
     def _finish(self, writer: Writer) -> None:
         if self.length is None:
-            writer.more(b"0\r\n\r\n")
-        writer.whole()
+            writer.write_part(b"0\r\n\r\n")
+        writer.body_complete()
--- a/brassfall/sidecar/framing.py
+++ b/brassfall/sidecar/framing.py
@@ -1,4 +1,7 @@
-"""HTTP/1.1 framing that both sides share: answers, header hygiene and the parser of answers."""
+"""HTTP/1.1 framing that the client's and the server's side share: headers, answers, and their parser.
+
+Also what both sides ask the system about a connection. Sizes are in bytes.
+"""
 
 from __future__ import annotations
 
@@ -13,15 +16,16 @@
 
 import httptools
 
-from brassfall.sidecar.body import HELD_MOST
+from brassfall.sidecar.body import MAX_BUFFERED
 
-MAX_BODY = 32 * 1024 * 1024
-MAX_HEAD = 16 * 1024
+MAX_BODY = 32 * 1024 * 1024  # of a request
+MAX_HEAD = 16 * 1024  # of any message: its head, or its trailers
+FIRST_FINAL_STATUS = 200  # below are interim answers
 REASONS = {status.value: status.phrase for status in HTTPStatus}
 
-Headers = list[tuple[bytes, bytes]]
+Headers = list[tuple[bytes, bytes]]  # name and value, in the order of the wire
 
-# Headers of one connection, or of the framing that each side writes anew.
+# Hop-by-hop headers (RFC 9110, 7.6.1), and those of the framing, which each side writes anew.
 HOP_BY_HOP = frozenset(
     (
         b"connection",
@@ -40,7 +44,8 @@
 
 
 def end_to_end(headers: Headers, leave_out: frozenset[bytes] = frozenset()) -> Headers:
-    """The headers that are for the other end, not for this connection."""
+    """The end-to-end headers: all but hop-by-hop ones, those that `Connection` names, and `leave_out`
+    (in lower case)."""
     named = {
         part.strip().lower()
         for name, value in headers
@@ -52,7 +57,7 @@
 
 
 def origin_form(target: bytes) -> bytes:
-    """A request's target without scheme and host, which a client may put before the path."""
+    """A request's target in origin form: without the scheme and host of an absolute one."""
     scheme, found, rest = target.partition(b"://")
     if not found or scheme.lower() not in (b"http", b"https"):
         return target
@@ -60,17 +65,17 @@
     return rest[end:] if rest[end : end + 1] == b"/" else b"/" + rest[end:]
 
 
-def lines(headers: Iterable[tuple[bytes, bytes]]) -> bytes:
-    """Headers as they stand on the wire."""
+def header_lines(headers: Iterable[tuple[bytes, bytes]]) -> bytes:
+    """Headers as lines on the wire, each with its CRLF."""
     return b"".join(b"%b: %b\r\n" % header for header in headers)
 
 
-def answer(status: int, headers: Headers, body: bytes, close: bool) -> bytes:
-    """A whole answer, ready to be written at once."""
+def answer(status: int, headers: Headers, body: bytes, *, close: bool) -> bytes:
+    """A complete answer in one piece; with `close` it announces the end of its connection."""
     return b"HTTP/1.1 %d %b\r\n%bContent-Length: %d\r\n%b\r\n%b" % (
         status,
         REASONS.get(status, "").encode(),
-        lines(headers),
+        header_lines(headers),
         len(body),
         b"Connection: close\r\n" if close else b"",
         body,
@@ -78,8 +83,9 @@
 
 
 def readable(transport: asyncio.BaseTransport) -> bool:
-    """Whether a connection holds unread bytes or its end, that the loop has not got to yet; so it is taken
-    to be where the system can't say."""
+    """Whether a connection has unread bytes or its end, which the loop has not read yet.
+
+    True also where the connection is closed, or the system can't say: it is not to be trusted then."""
     sock = transport.get_extra_info("socket")
     if sock is None or sock.fileno() < 0:
         return True
@@ -91,9 +97,10 @@
         return True
 
 
-def hung_up(transport: asyncio.BaseTransport) -> bool:
-    """Whether the other side is known to have closed or reset a connection, whatever lies unread before
-    that."""
+def peer_closed(transport: asyncio.BaseTransport) -> bool:
+    """Whether the peer is known to have closed or reset a connection, whatever is unread before that.
+
+    False where the system can't say: the loop will find out as it reads."""
     sock = transport.get_extra_info("socket")
     if sock is None or sock.fileno() < 0:
         return True
@@ -105,8 +112,10 @@
         return False
 
 
-def unread(transport: asyncio.WriteTransport) -> int:
-    """How many bytes of what was written the other side has not taken yet, as far as can be told."""
+def unacknowledged(transport: asyncio.WriteTransport) -> int:
+    """How many bytes of what was written the peer has not acknowledged, buffered ones included.
+
+    Where the system can't say, the buffered ones alone."""
     size = transport.get_write_buffer_size()
     sock = transport.get_extra_info("socket")
     with contextlib.suppress(OSError, ValueError):
@@ -114,110 +123,121 @@
     return size
 
 
-class Reading(asyncio.BufferedProtocol):
-    """Reads at most one buffer at a time, the same one for all connections.
+class SharedBufferProtocol(asyncio.BufferedProtocol):
+    """A protocol whose reads all go through one buffer of `MAX_BUFFERED` bytes, which all connections share.
 
-    Guards against memory: asyncio would read 256 KiB for each connection that has so much."""
+    It bounds memory: asyncio would read up to 256 KiB for each connection."""
 
-    _buffer = memoryview(bytearray(HELD_MOST))
+    _buffer = memoryview(bytearray(MAX_BUFFERED))
 
-    def get_buffer(self, sizehint: int) -> memoryview:
-        """Called by the loop, which at once reads into it and calls `buffer_updated`."""
+    def get_buffer(self, _sizehint: int) -> memoryview:
+        """Called by the loop, which at once reads into the buffer and calls `buffer_updated`."""
         return self._buffer
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Called by the loop."""
+        """Called by the loop: so many bytes of the buffer are new."""
         self.data_received(bytes(self._buffer[:nbytes]))
 
     def data_received(self, data: bytes) -> None:
-        """Some bytes have come."""
+        """Bytes have come from the peer."""
 
 
-class BadAnswer(Exception):
-    """What came is not HTTP, or is larger than allowed."""
+class BadAnswerError(Exception):
+    """A server's answer is not HTTP, or has a head or trailers larger than allowed.
+
+    `reason` says what is wrong with it."""
 
     action = "look at the server: the attempt counts as broken, and others serve the request"
 
+    def __init__(self, reason: str) -> None:
+        super().__init__(reason)
+        self.reason = reason
+
 
 class AnswerParser:
-    """The answers that come on one connection, one after the other."""
+    """Parses the answers that come on one connection, one at a time.
+
+    `status` is 0 until the head is complete. The body goes to `body`, or to `sink` once that is set.
+    `complete` tells the end; `keep_alive` and `extra` then tell whether the connection may be used again."""
 
     def __init__(self) -> None:
         self._parser = httptools.HttpResponseParser(self)
-        self.extra = False  # bytes past the answer: the connection can't be trusted
+        self.extra = False  # whether bytes came past the answer: the connection can't be trusted
         self.reset()
 
     def reset(self) -> None:
-        """Make ready for the next answer."""
+        """Forget this answer, and expect the next one."""
         self.status = 0
         self.headers: Headers = []
         self.body = bytearray()
         self.sink: Callable[[bytes], None] | None = None  # takes the body in place of `body`
         self.complete = False
         self.keep_alive = False
-        self._framed = False
-        self._other = 0  # bytes since the body last grew: of heads, framing and trailers
+        self._framed = False  # whether the head tells where the body ends
+        self._overhead = 0  # bytes since the body last grew: of heads, framing and trailers
 
     def feed(self, data: bytes) -> None:
-        """Take in bytes; `BadAnswer` if they are none of HTTP's, or a head or trailers that don't end."""
-        self._other += len(data)
+        """Parse the next bytes.
+
+        Raises `BadAnswerError` if they are not HTTP, or if a head or trailers grow past `MAX_HEAD`."""
+        self._overhead += len(data)
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             if not self.complete:
-                raise BadAnswer(str(error)) from error
+                raise BadAnswerError(str(error)) from error
             self.extra = True
-        if self._other > MAX_HEAD and not self.complete:
-            raise BadAnswer("the head is too large")
+        if self._overhead > MAX_HEAD and not self.complete:
+            raise BadAnswerError("the head is too large")
 
     def end(self) -> bool:
-        """The other side has ended its sending: whether that completes an answer without a length."""
-        return self.complete or (self.status >= 200 and not self._framed)
+        """The server has ended its sending: whether the answer is complete, as one of no known length is."""
+        return self.complete or (self.status >= FIRST_FINAL_STATUS and not self._framed)
 
     def header(self, name: bytes) -> bytes | None:
-        """A header's first value."""
+        """A header's first value, by its name in lower case; None if it is not there."""
         return next((value for key, value in self.headers if key.lower() == name), None)
 
     @property
     def length(self) -> int | None:
         """The length of the body, where the head tells it."""
-        told = self.header(b"content-length")
-        return int(told) if told is not None and told.isdigit() else None
+        value = self.header(b"content-length")
+        return int(value) if value is not None and value.isdigit() else None
 
     def on_message_begin(self) -> None:
-        """Called by the parser."""
+        """Called by the parser; a second message is none that was asked for."""
         self.extra = self.extra or self.complete
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Called by the parser, also for trailers, which are none of the head."""
+        """Called by the parser for each header, and for each trailer, which is ignored."""
         if self.complete or self.status:
             return
         self.headers.append((name, value.rstrip(b" \t")))  # the parser leaves blanks after it
         self._framed = self._framed or name.lower() in (b"content-length", b"transfer-encoding")
 
     def on_headers_complete(self) -> None:
-        """Called by the parser."""
+        """Called by the parser at the end of the head."""
         if not self.complete:
             self.status = self._parser.get_status_code()
 
     def on_body(self, data: bytes) -> None:
-        """Called by the parser. Of what no client gets, only the beginning is kept."""
+        """Called by the parser. Of an answer that no client gets, only the beginning is buffered."""
         if self.complete:
             return
-        self._other = 0
+        self._overhead = 0
         if self.sink is not None:
             self.sink(data)
-        elif self.status == 200 or len(self.body) < HELD_MOST:
+        elif self.status == 200 or len(self.body) < MAX_BUFFERED:
             self.body += data
 
     def on_message_complete(self) -> None:
-        """Called by the parser; an interim answer (1xx) is passed over."""
+        """Called by the parser; an interim answer (1xx) is skipped."""
         if self.complete:
             return
-        if self.status < 200:
-            read = self._other
+        if self.status < FIRST_FINAL_STATUS:
+            overhead = self._overhead
             self.reset()
-            self._other = read  # these have to end as well
+            self._overhead = overhead  # interim answers have to end as well
             return
         self.complete = True
         self.keep_alive = self._parser.should_keep_alive()
--- a/brassfall/sidecar/inbound.py
+++ b/brassfall/sidecar/inbound.py
@@ -12,7 +12,7 @@
 import httptools
 
 from brassfall.sidecar import framing
-from brassfall.sidecar.body import FLOW_MOST, HELD_MOST, Body, Budget
+from brassfall.sidecar.body import MAX_BUFFERED, MAX_FLOWING, Body, Budget
 from brassfall.sidecar.config import Address, Config, Names, RequestClass, stable_number
 from brassfall.sidecar.driver import Answer, Clock, Flow, Request
 from brassfall.sidecar.lifecycle import Lifecycle
@@ -37,7 +37,7 @@
 HALF_SENT_S = 2.5
 BODY_BYTES_PER_S = 32_000  # half of what the slowest client gives: more time comes with each byte
 CLOCK_STEP_S = 0.001
-FRAMING_MOST = 2 * framing.MAX_HEAD + HELD_MOST  # beside eight bytes for each of the body's
+FRAMING_MOST = 2 * framing.MAX_HEAD + MAX_BUFFERED  # beside eight bytes for each of the body's
 UNREAD_S = 20.0  # a client that reads nothing of its answer for so long has left
 WRITE_MOST = 32 * 1024  # of an answer that its client does not take
 # Clients are sent away: new connections come for 0.3 s more, and 4 s after the call none may be idle.
@@ -137,7 +137,7 @@
         self._head = b"%b %b HTTP/1.1\r\n%b%b" % (
             message.method.encode(),
             message.target,
-            framing.lines(headers),
+            framing.header_lines(headers),
             length,
         )
 
@@ -223,7 +223,8 @@
         parts, self._parts = self._parts, []
         self.started = True
         body = b"".join(self._framed(part) for part in parts)
-        self._exchange.connection.write(b"HTTP/1.1 200 OK\r\n%b\r\n%b" % (framing.lines(headers), body))
+        head = framing.header_lines(headers)
+        self._exchange.connection.write(b"HTTP/1.1 200 OK\r\n%b\r\n%b" % (head, body))
 
     def end(self) -> None:
         """What ends it, where its framing asks for something."""
@@ -249,13 +250,13 @@
 
     def take(self, budget: Budget, size: int) -> bool:
         """Ask for more of it."""
-        taken = budget.take(size)
+        taken = budget.reserve(size)
         self.size += size * taken
         return taken
 
     def give(self, budget: Budget) -> None:
         """Nothing of the message is held any more."""
-        budget.give(self.size)
+        budget.release(self.size)
         self.size = 0
 
 
@@ -340,7 +341,7 @@
     return None
 
 
-class Connection(framing.Reading):
+class Connection(framing.SharedBufferProtocol):
     """One connection of the application."""
 
     def __init__(self, inbound: Inbound) -> None:
@@ -444,7 +445,7 @@
             self._turn_away(400)
         else:
             self._bound_unfinished(data)
-        if len(data) < HELD_MOST:
+        if len(data) < MAX_BUFFERED:
             self._lay_here = False  # all of it is read now
 
     def _parse(self, data: bytes) -> None:
@@ -469,7 +470,7 @@
     def _await_reading(self, left: float = math.inf) -> None:
         """Give a client time to read, and more as long as it reads as much as is held here: the buffer itself
         falls late, since the kernel takes more only when a large part of what it holds is read."""
-        unread = framing.unread(self._transport)
+        unread = framing.unacknowledged(self._transport)
         if unread <= left - WRITE_MOST:
             self._unread = self._inbound.loop.call_later(UNREAD_S, self._await_reading, unread)
         else:
@@ -512,7 +513,7 @@
 
     def _look_again(self) -> None:
         self._look = None
-        if framing.hung_up(self._transport):
+        if framing.peer_closed(self._transport):
             self._leave()
         else:
             self._look = self._inbound.loop.call_later(LOOK_S, self._look_again)
@@ -524,8 +525,8 @@
 
     def flows(self, exchange: Exchange) -> None:
         """An answer that is passed on takes its room, at the cost of requests that come later."""
-        self._inbound.budget.used += FLOW_MOST
-        exchange.room.size += FLOW_MOST
+        self._inbound.budget.used += MAX_FLOWING
+        exchange.room.size += MAX_FLOWING
 
     def write(self, data: bytes) -> None:
         """A part of an answer."""
@@ -540,7 +541,7 @@
     def left(self) -> bool:
         """Whether the client of a request just read is gone already. The loop tells that in time, but for
         what lay here before it was read, or came behind another request."""
-        if not (self._lay_here or len(self._waiting) > 1) or not framing.hung_up(self._transport):
+        if not (self._lay_here or len(self._waiting) > 1) or not framing.peer_closed(self._transport):
             return False
         self._leave()
         return True
@@ -639,8 +640,8 @@
             assert message.exchange.body is not None
             message.exchange.body.feed(data)
             return
-        large = len(message.body) + len(data) > HELD_MOST
-        size = FLOW_MOST - message.room.size if large else len(data)
+        large = len(message.body) + len(data) > MAX_BUFFERED
+        size = MAX_FLOWING - message.room.size if large else len(data)
         if not message.room.take(self._inbound.budget, size):
             raise BadRequest(503, "no memory for the body")
         message.body += data
@@ -714,7 +715,7 @@
                 last = exchange.last
             elif exchange.answer is not None:
                 status, headers, body = exchange.answer
-                self._transport.write(framing.answer(status, headers, body, last))
+                self._transport.write(framing.answer(status, headers, body, close=last))
             self._waiting.popleft()
             exchange.room.give(self._inbound.budget)
             if exchange.reading and exchange.request is not None:
@@ -886,7 +887,7 @@
         self._soft = max(1, int(min(connections * SHARE, third)))
         self._crowded = max(1, int(self._soft * CROWDED))
         self._hard = max(2, int(connections * HARD_SHARE))
-        self.budget.most = int(self._limits.memory * part * MEMORY_SHARE)
+        self.budget.limit = int(self._limits.memory * part * MEMORY_SHARE)
         # Where the limit has fallen below what is here, each new connection would be one too many.
         self._make_room(max(0, len(self._connections) - self._crowded))
 
--- a/brassfall/sidecar/outbound.py
+++ b/brassfall/sidecar/outbound.py
@@ -18,7 +18,7 @@
 
 from brassfall.balancer.model import Listing, Outcome
 from brassfall.sidecar import framing
-from brassfall.sidecar.body import HELD_MOST, Body
+from brassfall.sidecar.body import MAX_BUFFERED, Body
 from brassfall.sidecar.config import Address, Config, ServerList
 from brassfall.sidecar.driver import Answer, Call, Clock, Result, Watcher
 
@@ -162,7 +162,7 @@
     idle: list[Connection] = field(default_factory=list)  # newest last
 
 
-class Connection(framing.Reading):
+class Connection(framing.SharedBufferProtocol):
     """A connection to a server; it carries one exchange at a time."""
 
     def __init__(self, pool: Pool, server: Server) -> None:
@@ -202,7 +202,7 @@
         if self.written and self._exchange is not None and self._exchange.watcher is not None:
             self._exchange.watcher.written()
 
-    def more(self, data: bytes) -> None:
+    def write_part(self, data: bytes) -> None:
         """A part of a large body."""
         exchange = self._exchange
         if exchange is not None and exchange.watcher is not None and not exchange.watcher.may_write():
@@ -211,7 +211,7 @@
         else:
             self._transport.write(data)
 
-    def whole(self) -> None:
+    def body_complete(self) -> None:
         """The large body is complete."""
         self._body = None
         self._note_written()
@@ -290,7 +290,7 @@
             return
         try:
             self._parser.feed(data)
-        except framing.BadAnswer:
+        except framing.BadAnswerError:
             self._break()
             return
         if self._exchange is None:
@@ -314,11 +314,11 @@
         held for a moment, since a small one that breaks can still be asked for elsewhere."""
         assert self._exchange is not None
         if self._exchange.watcher is None:
-            if len(self._parser.body) > HELD_MOST:
+            if len(self._parser.body) > MAX_BUFFERED:
                 self._break()
             return
         length = self._parser.length
-        if len(self._parser.body) > HELD_MOST or (length is not None and length > HELD_MOST):
+        if len(self._parser.body) > MAX_BUFFERED or (length is not None and length > MAX_BUFFERED):
             self._pass_on()
         elif length is None and self._wait is None:
             self._wait = self._pool.loop.call_later(HOLD_S, self._pass_on)
--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -244,7 +244,7 @@
         self.world, self.number, self.name, self.band = world, number, name, band
         self.row, self.limits, self.budget, self.body = row, limits, budget, body
         self.arrived = world.now
-        self.sent = bytearray() if body is None else bytearray(body._held)
+        self.sent = bytearray() if body is None else bytearray(body._buffer)
         self.ended = body is None  # its last byte has been read
         self.read_at, self.until = world.now, world.until
         self.key, self.tenant = world.rng.choice([None, 1, 2]), world.rng.randrange(2)
--- a/tests/test_crossings_inbound.py
+++ b/tests/test_crossings_inbound.py
@@ -200,7 +200,7 @@
     monkeypatch.setattr(inbound, "LOOK_S", 0.001)
     looks = []
     monkeypatch.setattr(
-        framing, "hung_up", lambda transport, look=framing.hung_up: looks.append(look(transport))
+        framing, "peer_closed", lambda transport, look=framing.peer_closed: looks.append(look(transport))
     )
     upstream = await Upstream([LONG, OK]).start()
     async with running(upstream) as sidecar:
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -225,10 +225,10 @@
         def __init__(self):
             self.got, self.done = b"", False
 
-        def more(self, data):
+        def write_part(self, data):
             self.got += data
 
-        def whole(self):
+        def body_complete(self):
             self.done = True
 
     made = body.Body(Source(), b"first", None)
@@ -253,10 +253,10 @@
             self.reading = True
 
     class Full:
-        def more(self, data):
+        def write_part(self, data):
             made.pause()
 
-        def whole(self):
+        def body_complete(self):
             pass
 
     source = Source()
@@ -400,7 +400,7 @@
         await until(lambda: sidecar.inbound._connections and next(iter(sidecar.inbound._connections))._full)
         (connection,) = sidecar.inbound._connections
         held = connection._transport.get_write_buffer_size()
-        assert held <= inbound.WRITE_MOST + 2 * body.HELD_MOST
+        assert held <= inbound.WRITE_MOST + 2 * body.MAX_BUFFERED
         (server,) = sidecar.pool._connections
         assert not server._transport.is_reading()
         enough.set()
@@ -522,7 +522,7 @@
     upstream = await Upstream([OK]).start()
     async with running(upstream, raw={"limits": {"sockets": 1024, "memory_mb": 1}}) as sidecar:
         budget = sidecar.inbound.budget
-        assert budget.most == 2**18
+        assert budget.limit == 2**18
         apps = [await App.connect(sidecar.address) for _ in range(5)]
         whole = partners.request("POST", "/pay", b"x" * 60_000)
         for app in apps[:4]:
@@ -555,7 +555,7 @@
         app = await App.connect(sidecar.address)
         app.send("POST", "/pay", LARGE)
         assert await answer_of(app) == (200, LARGE)
-        assert seen == [2 * body.FLOW_MOST] and sidecar.inbound.budget.used == 0
+        assert seen == [2 * body.MAX_FLOWING] and sidecar.inbound.budget.used == 0
 
 
 # --- all forms of HTTP/1.1 ---------------------------------------------------------------
