--- a/brassfall/sidecar/__main__.py
+++ b/brassfall/sidecar/__main__.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING
 
 from brassfall.balancer.model import Steer
-from brassfall.sidecar import config
+from brassfall.sidecar import config, shutdown
 from brassfall.sidecar.admin import Door
 from brassfall.sidecar.config import Address, Config, ConfigError, ServerList
 from brassfall.sidecar.discovery import Discovery
@@ -27,17 +27,8 @@
     from brassfall.sidecar.agent.lists import HeldList
     from brassfall.sidecar.agent.member import FleetMember
 
-# New connections go on coming for up to 0.4 s after SIGTERM; SIGKILL comes no sooner than the
-# longest deadline and 0.7 s after it: whatever comes late is answered before that.
-STILL_LISTEN_S = 0.5
-# Clients that send at any time are told with an answer that their connection ends, rather than by its
-# end, which a request may cross: for so long, while new connections are still taken.
-LAST_ANSWERS_S = 0.1
-LONGEST_MS, ANSWERED_MS = 3000.0, 450.0
 CANT_LISTEN = "end whoever has that address or name another, and start it again"
-POLL_S = 0.02
 LOOK_S = 0.25  # for another process of this sidecar, which takes longer to start
-LAST_BYTES_S = 0.3
 # A process that replaces another says yes within 6 s; the module asks discovery within 2.5 s.
 FIRST_LIST_S = 4.0
 FIRST_CALL_S = 1.0  # for an agent that takes the call and says nothing
@@ -178,7 +169,8 @@
         self.discovery.move(news.config.discovery, news.config.registry)
 
     def _longest(self) -> float:
-        """The longest deadline of the classes that there are."""
+        """The longest deadline, in ms, of the classes that there are now: slots of classes that a reload left
+        out are no longer counted by whoever ends the process."""
         named = {kind.band for kind in self._told.names.classes.values()}
         return max(self._told.settings.profiles[band].deadline for band in named)
 
@@ -186,26 +178,13 @@
         """Stop listening, finish what was taken, close connections between requests."""
         self.life.stop()
         log("stopping: finishing what was taken")
-        # Slots of classes that a reload left out are no longer counted by whoever ends the process.
-        self.driver.stopping(self._clock.now() + min(self._longest(), LONGEST_MS) + ANSWERED_MS)
-        if self._told.inherited is not None:
-            self.inbound.stop_listening()  # what still comes is for the process that takes over
-        await asyncio.sleep(STILL_LISTEN_S - LAST_ANSWERS_S)
-        self.inbound.last_answers()
-        await asyncio.sleep(LAST_ANSWERS_S)
-        self.inbound.stop_listening()
-        self.inbound.close_idle(but_new=True)
-        # A request may be read at any time from what is not closed yet: it starts the wait anew.
-        quiet_since = self._loop.time()
-        while not (self.inbound.empty and self.driver.idle):
-            await asyncio.sleep(POLL_S)
-            self.inbound.close_idle(but_new=True)
-            if not self.driver.idle or self.inbound.unfinished:
-                quiet_since = self._loop.time()
-            elif self._loop.time() - quiet_since >= LAST_BYTES_S:
-                break
-        # In the turn of the last look: what is read after it would be taken, and cut off.
-        self.inbound.close()
+        await shutdown.drain(
+            self._clock,
+            self.inbound,
+            self.driver,
+            longest_deadline_ms=self._longest(),
+            inherited=self._told.inherited is not None,
+        )
 
     def close(self) -> None:
         """Close what is left."""
--- /dev/null
+++ b/brassfall/sidecar/streamed_answer.py
@@ -0,0 +1,65 @@
+"""A large answer that is passed on to its client as it comes from a server."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from brassfall.sidecar.driver import Answer, Flow
+from brassfall.sidecar.framing import header_lines
+
+
+class StreamedAnswer:
+    """An answer of which the beginning is here, and the rest is to come."""
+
+    def __init__(
+        self, write: Callable[[bytes], None], answer: Answer, flow: Flow, *, can_chunk: bool
+    ) -> None:
+        """Write `answer`, and what follows out of `flow`, to a client that `can_chunk` or knows no chunks."""
+        self.flow = flow
+        self.started = False  # whether its head is written
+        self.complete = False  # whether its last part has come
+        self._write = write
+        self._answer = answer
+        self._can_chunk = can_chunk
+        self._parts = [answer.body]  # that wait for their turn
+
+    def add(self, data: bytes) -> None:
+        """A part has come. Before its turn it is buffered, and the server's side is paused."""
+        if self.started:
+            self._write(self._framed(data))
+        else:
+            self._parts.append(data)
+            self.flow.pause()
+
+    def start(self, *, last: bool) -> None:
+        """It is its turn: write the head, which tells a `last` answer from others, and what there is."""
+        headers, length = list(self._answer.headers), self._answer.length
+        if length is not None:
+            headers.append((b"Content-Length", b"%d" % length))
+        elif self._can_chunk:
+            headers.append((b"Transfer-Encoding", b"chunked"))
+        if last:
+            headers.append((b"Connection", b"close"))
+        parts, self._parts = self._parts, []
+        self.started = True
+        body = b"".join(self._framed(part) for part in parts)
+        self._write(b"HTTP/1.1 200 OK\r\n%b\r\n%b" % (header_lines(headers), body))
+
+    def end(self) -> None:
+        """Write what ends it, where its framing asks for something."""
+        if self._chunked:
+            self._write(b"0\r\n\r\n")
+
+    @property
+    def until_close(self) -> bool:
+        """Whether only the end of the connection shows that it is complete."""
+        return self._answer.length is None and not self._can_chunk
+
+    @property
+    def _chunked(self) -> bool:
+        return self._answer.length is None and self._can_chunk
+
+    def _framed(self, data: bytes) -> bytes:
+        if not self._chunked or not data:
+            return data
+        return b"%x\r\n%b\r\n" % (len(data), data)
--- a/tests/test_crossings_inbound.py
+++ b/tests/test_crossings_inbound.py
@@ -10,7 +10,8 @@
 import pytest
 
 from brassfall.balancer.model import Refuse, Send, Timer
-from brassfall.sidecar import framing, inbound
+from brassfall.sidecar import client_connection, framing, read_control
+from brassfall.sidecar.read_control import Hold
 from tests import loopback as partners
 from tests import system_calls
 from tests.loopback import (
@@ -46,8 +47,8 @@
 
 async def connection_of(sidecar):
     """The only connection of the application."""
-    await until(lambda: sidecar.inbound._connections)
-    (connection,) = sidecar.inbound._connections
+    await until(lambda: sidecar.inbound.connections)
+    (connection,) = sidecar.inbound.connections
     return connection
 
 
@@ -56,11 +57,11 @@
     stays = 0
     while stays < 10:  # the kernel passes on what it has
         stays += 1
-        if not connection._transport.get_write_buffer_size():
+        if not connection.transport.get_write_buffer_size():
             connection.write(b"x" * 8192)
             stays = 0
         await asyncio.sleep(0.002)
-    assert not connection._full
+    assert not connection.read_control.holds(Hold.UNREAD_ANSWERS)
 
 
 def end_sending(app):
@@ -101,13 +102,13 @@
     async with running(upstream, balancer=module) as sidecar:
         app = await App.connect(sidecar.address)
         connection = await connection_of(sidecar)
-        small_buffers(connection._transport, app.writer.transport)
+        small_buffers(connection.transport, app.writer.transport)
         app.writer.transport.pause_reading()
         app.send(X_Budget=LONG_BUDGET)
         app.send(X_Budget=LONG_BUDGET)
         await until(lambda: len(module.named("request")) == 2)
         connection.write(LARGE)  # of an answer before: past what the sockets hold
-        assert connection._full and not connection._transport.is_reading()
+        assert connection.read_control.holds(Hold.UNREAD_ANSWERS) and not connection.transport.is_reading()
         app.send("POST", "/pay", b"unread")
         leave(app)
         await until(lambda: len(module.named("client_gone")) == 2)
@@ -133,10 +134,10 @@
             nonlocal sent
             app.writer.write(whole[sent : sent + 16_384])
             sent += 16_384
-            return connection._body_waits
+            return connection.read_control.holds(Hold.SLOW_SERVER)
 
         await until(waits)
-        assert not connection._transport.is_reading()
+        assert not connection.transport.is_reading()
         leave(app)
         await until(lambda: module.named("client_gone"))
         module.send(sidecar)
@@ -153,7 +154,7 @@
     async with running(upstream, balancer=module) as sidecar:
         app = await App.connect(sidecar.address)
         connection = await connection_of(sidecar)
-        small_buffers(connection._transport, app.writer.transport)
+        small_buffers(connection.transport, app.writer.transport)
         app.writer.transport.pause_reading()
         app.send(X_Budget=LONG_BUDGET)
         await until(lambda: module.named("request"))
@@ -168,11 +169,11 @@
 
 @loopback
 async def test_a_client_that_ends_its_sending_and_reads_nothing_is_let_go(monkeypatch):
-    monkeypatch.setattr(inbound, "UNREAD_S", 0.1)
+    monkeypatch.setattr(client_connection, "UNREAD_S", 0.1)
     async with running() as sidecar:
         app = await App.connect(sidecar.address)
         connection = await connection_of(sidecar)
-        small_buffers(connection._transport, app.writer.transport)
+        small_buffers(connection.transport, app.writer.transport)
         app.writer.transport.pause_reading()
         await write_a_little_too_much(connection)
         end_sending(app)
@@ -185,10 +186,10 @@
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
         connection = await connection_of(sidecar)
-        small_buffers(connection._transport, app.writer.transport)
+        small_buffers(connection.transport, app.writer.transport)
         connection.write(LARGE)
         end_sending(app)
-        await until(lambda: connection._transport.is_closing())
+        await until(lambda: connection.transport.is_closing())
         for _ in range(10):
             connection.write(b"more")  # of what is passed on: it is dropped, and no warning is told
         async with asyncio.timeout(PATIENCE_S):
@@ -199,7 +200,7 @@
 
 @loopback
 async def test_a_client_that_reads_a_long_answer_slowly_has_not_gone(monkeypatch):
-    monkeypatch.setattr(inbound, "LOOK_S", 0.001)
+    monkeypatch.setattr(read_control, "LOOK_S", 0.001)
     looks = []
     monkeypatch.setattr(
         framing, "peer_closed", lambda transport, look=framing.peer_closed: looks.append(look(transport))
@@ -208,10 +209,10 @@
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
         connection = await connection_of(sidecar)
-        small_buffers(connection._transport, app.writer.transport)
+        small_buffers(connection.transport, app.writer.transport)
         app.writer.transport.pause_reading()
         app.send(X_Budget=LONG_BUDGET)
-        await until(lambda: connection._full and len(looks) > 20)
+        await until(lambda: connection.read_control.holds(Hold.UNREAD_ANSWERS) and len(looks) > 20)
         app.writer.transport.resume_reading()
         assert (await app.answer()).body == LARGE
         assert not any(looks)
@@ -245,7 +246,7 @@
             leave(app)
         staying = await App.connect(sidecar.address)
         assert (await staying.ask()).body == b"done"
-        await until(lambda: len(sidecar.inbound._connections) == 1)
+        await until(lambda: len(sidecar.inbound.connections) == 1)
         assert len(module.named("request")) == len(upstream.seen) == 1
         app.close()
         staying.close()
@@ -256,12 +257,12 @@
 async def test_a_request_that_was_not_read_under_a_long_answer_is_not_sent_on_once_its_client_left(
     monkeypatch,
 ):
-    monkeypatch.setattr(inbound, "LOOK_S", 60.0)
+    monkeypatch.setattr(read_control, "LOOK_S", 60.0)
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
         connection = await connection_of(sidecar)
-        small_buffers(connection._transport, app.writer.transport)
+        small_buffers(connection.transport, app.writer.transport)
         assert (await app.ask()).body == b"done"
         connection.write(LARGE)
         app.send("POST", "/pay", b"later")
@@ -308,7 +309,7 @@
         connection = await connection_of(sidecar)
         app.send("POST", "/pay", b"x")
         await until(lambda: module.named("request"))
-        (exchange,) = connection._waiting
+        (exchange,) = connection.requests_waiting
         assert not exchange.client_left()
         leave(app)
         if leave is not end_sending:
@@ -342,7 +343,7 @@
             faults.script(call, number, on=lambda sock: sock.getpeername()[1] == port)
             app.writer.write(b"GET") if call == "recv" else release.set()
             await until(lambda: faults.injected[call, number] == 1)
-            await until(lambda: connection not in sidecar.inbound._connections)
+            await until(lambda: connection not in sidecar.inbound.connections)
         release.set()
         await nothing_left(sidecar)
         other = await App.connect(sidecar.address)
@@ -389,13 +390,13 @@
         app = await App.connect(sidecar.address)
         app.send()
         await until(lambda: upstream.seen)
-        (connection,) = sidecar.inbound._connections
-        soft, sidecar.inbound._soft = sidecar.inbound._soft, 0
+        (connection,) = sidecar.inbound.connections
+        soft, sidecar.inbound.limits.requests = sidecar.inbound.limits.requests, 0
         app.send("POST", "/pay", b"refused")
-        await until(lambda: len(connection._waiting) == 2)
-        sidecar.inbound._soft = soft
+        await until(lambda: len(connection.requests_waiting) == 2)
+        sidecar.inbound.limits.requests = soft
         app.send()
-        await until(lambda: len(connection._waiting) == 3)
+        await until(lambda: len(connection.requests_waiting) == 3)
         release.set()
         answers = [await app.answer() for _ in range(3)]
         assert [status_of(answer) for answer in answers] == [200, 503, 200]
@@ -429,15 +430,15 @@
     async with running(upstream, balancer=module) as sidecar:
         app = await App.connect(sidecar.address)
         connection = await connection_of(sidecar)
-        for sent in range(1, inbound.PIPELINED_MOST + 1):
+        for sent in range(1, client_connection.MAX_WAITING + 1):
             app.send(X_Budget="400m")
             await until(lambda sent=sent: len(module.named("request")) == sent)
         app.send()
         await until(lambda: connection.readable)
-        assert len(module.named("request")) == inbound.PIPELINED_MOST
-        answers = [await app.answer() for _ in range(inbound.PIPELINED_MOST)]
+        assert len(module.named("request")) == client_connection.MAX_WAITING
+        answers = [await app.answer() for _ in range(client_connection.MAX_WAITING)]
         assert {status_of(answer) for answer in answers} == {504}
-        await until(lambda: len(module.named("request")) == inbound.PIPELINED_MOST + 1)
+        await until(lambda: len(module.named("request")) == client_connection.MAX_WAITING + 1)
         app.close()
         for writer in upstream.writers:
             writer.transport.abort()
@@ -477,7 +478,7 @@
 
 @loopback
 async def test_what_waits_behind_an_answer_that_the_end_of_its_connection_ends_is_not_awaited(monkeypatch):
-    monkeypatch.setattr(inbound, "LINGER_S", 60.0)
+    monkeypatch.setattr(client_connection, "LINGER_S", 60.0)
     first = asyncio.Event()
 
     async def till_end(reader, writer):
@@ -507,7 +508,7 @@
 
 @loopback
 async def test_no_attempt_waits_for_the_rest_of_a_body_that_was_answered(monkeypatch):
-    monkeypatch.setattr(inbound, "LINGER_S", 0.05)
+    monkeypatch.setattr(client_connection, "LINGER_S", 0.05)
 
     class ReadsOn(Upstream):
         async def _serve(self, reader, writer):
@@ -606,8 +607,8 @@
 @pytest.mark.parametrize("what", BAD)
 @loopback
 async def test_bad_input_is_answered_or_closed_and_reaches_no_server(monkeypatch, caplog, what):
-    monkeypatch.setattr(inbound, "HALF_SENT_S", 0.1)
-    monkeypatch.setattr(inbound, "LINGER_S", 0.1)
+    monkeypatch.setattr(client_connection, "INCOMPLETE_S", 0.1)
+    monkeypatch.setattr(client_connection, "LINGER_S", 0.1)
     raw, status = BAD[what]
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
@@ -631,11 +632,11 @@
     async with running() as sidecar:
         app = await App.connect(sidecar.address)
         connection = await connection_of(sidecar)
-        connection._stop_clock()
-        connection._begun_at -= inbound.HALF_SENT_S
+        connection._stop_timeout()
+        connection._timeout_from -= client_connection.INCOMPLETE_S
         app.writer.write(b"\r\n")
         assert connection.readable
-        connection._unsent()
+        connection._incomplete()
         assert await app.answer() is None
         await nothing_left(sidecar)
 
@@ -676,8 +677,8 @@
 
 @loopback
 async def test_a_body_in_endless_chunks_that_drip_is_cut_off_and_frees_the_server(monkeypatch):
-    monkeypatch.setattr(inbound, "HALF_SENT_S", 0.2)
-    monkeypatch.setattr(inbound, "BODY_BYTES_PER_S", 10_000_000)
+    monkeypatch.setattr(client_connection, "INCOMPLETE_S", 0.2)
+    monkeypatch.setattr(client_connection, "BODY_BYTES_PER_S", 10_000_000)
     module = Scripted()
     reads = asyncio.Event()
 
@@ -721,7 +722,7 @@
         await until(lambda: len(module.named("client_gone")) == len(module.named("request")))
         app.close()
         await nothing_left(sidecar)
-        assert len(module.named("request")) <= 1 + inbound.PIPELINED_MOST
+        assert len(module.named("request")) <= 1 + client_connection.MAX_WAITING
 
 
 @loopback
@@ -746,28 +747,28 @@
         peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         peer.close()
         assert connection.readable  # the reset is here, and the loop has not got to it
-        connection._linger()
+        connection._end()
         await nothing_left(sidecar)
 
 
 @loopback
 async def test_the_time_in_which_nothing_is_read_of_a_client_is_not_its_own(monkeypatch):
-    monkeypatch.setattr(inbound, "HALF_SENT_S", 0.1)
+    monkeypatch.setattr(client_connection, "INCOMPLETE_S", 0.1)
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
         connection = await connection_of(sidecar)
-        small_buffers(connection._transport, app.writer.transport)
+        small_buffers(connection.transport, app.writer.transport)
         app.writer.write(WHOLE[:-1])
         await until(lambda: connection.begun)
         app.writer.transport.pause_reading()
         connection.write(LARGE)  # of an answer before
         app.writer.write(WHOLE[-1:])
-        checked = connection._unsent
+        checked = connection._incomplete
         late = asyncio.Event()
-        connection._unsent = lambda: (checked(), late.set())
-        connection._stop_clock()
-        connection._half_sent = asyncio.get_running_loop().call_later(0.15, connection._unsent)
+        connection._incomplete = lambda: (checked(), late.set())
+        connection._stop_timeout()
+        connection._timer = asyncio.get_running_loop().call_later(0.15, connection._incomplete)
         await late.wait()
         app.writer.transport.resume_reading()
         async with asyncio.timeout(PATIENCE_S):
@@ -779,32 +780,32 @@
 
 @loopback
 async def test_a_client_that_left_and_stops_reading_shortly_before_the_end_is_let_go(monkeypatch):
-    monkeypatch.setattr(inbound, "UNREAD_S", 0.3)
+    monkeypatch.setattr(client_connection, "UNREAD_S", 0.3)
     async with running() as sidecar:
         app = await App.connect(sidecar.address)
         connection = await connection_of(sidecar)
-        small_buffers(connection._transport, app.writer.transport)
+        small_buffers(connection.transport, app.writer.transport)
         app.writer.transport.pause_reading()
         connection.write(LARGE)
         end_sending(app)
-        await until(lambda: connection._transport.is_closing())
+        await until(lambda: connection.transport.is_closing())
         connection.resume_writing()  # what is buffered has fallen to a few KiB
         await nothing_left(sidecar)
 
 
 @loopback
 async def test_a_client_that_reads_on_slowly_is_given_all_of_a_long_answer(monkeypatch):
-    monkeypatch.setattr(inbound, "UNREAD_S", 0.3)
+    monkeypatch.setattr(client_connection, "UNREAD_S", 0.3)
     async with running() as sidecar:
         app = await App.connect(sidecar.address)
         connection = await connection_of(sidecar)
-        small_buffers(connection._transport, app.writer.transport)
+        small_buffers(connection.transport, app.writer.transport)
         connection.write(LARGE)
         begun = asyncio.get_running_loop().time()
         got = 0
         async with asyncio.timeout(PATIENCE_S):
             while asyncio.get_running_loop().time() < begun + 0.8:
-                assert connection._full
+                assert connection.read_control.holds(Hold.UNREAD_ANSWERS)
                 got += len(await app.reader.read(32_768))
                 await asyncio.sleep(0.02)
             got += len(await app.reader.readexactly(len(LARGE) - got))
--- a/tests/test_crossings_reload.py
+++ b/tests/test_crossings_reload.py
@@ -250,10 +250,10 @@
         profiles = [row(name, rng.choice(EFFECTS)) for name in rng.sample("abcdef", 3)]
         running = take(running, raw(Profiles=profiles), made.bands).config
         made.reload(running.names)
-        while len(made._before) > rng.randrange(1, 4):
-            made._forget_classes(made._before[-1])  # after their 4 s
+        while len(made.classes.known) - 1 > rng.randrange(1, 4):
+            made.classes.forget(made.classes.known[-1])  # after their 4 s
         named = {}
-        for names in (made._names, *made._before):
+        for names in made.classes.known:
             for name, kind in names.classes.items():
                 this = (name, kind.method, kind.keyed)
                 assert named.setdefault(kind.band, this) == this
--- a/tests/test_crossings_shutdown.py
+++ b/tests/test_crossings_shutdown.py
@@ -19,7 +19,15 @@
 
 from brassfall.balancer.model import Fail
 from brassfall.sidecar import __main__ as main
-from brassfall.sidecar import inbound, listener
+from brassfall.sidecar import (
+    client_connection,
+    client_request,
+    connection_limits,
+    inbound,
+    known_classes,
+    listener,
+    shutdown,
+)
 from brassfall.sidecar.config import parse_address
 from tests.loopback import (
     OK,
@@ -45,12 +53,12 @@
 
 def held(made):
     """The connections of clients that a sidecar holds."""
-    return list(made.inbound._connections)
+    return list(made.inbound.connections)
 
 
 def own_socket(connection):
     """The sidecar's end of a client's connection."""
-    return connection._transport.get_extra_info("socket")
+    return connection.transport.get_extra_info("socket")
 
 
 @pytest.mark.parametrize("inherits", [False, True])
@@ -106,8 +114,8 @@
     async with running(raw={"limits": {"sockets": 64}}) as made:
         crowd = connected(made.address, 150)
         before = descriptors()
-        most = await most_descriptors(lambda: sum(map(closed, crowd)) >= 150 - made.inbound._hard)
-        assert most - before <= made.inbound._hard + inbound.COMING
+        most = await most_descriptors(lambda: sum(map(closed, crowd)) >= 150 - made.inbound.limits.open)
+        assert most - before <= made.inbound.limits.open + connection_limits.RESERVED
         for sock in crowd:
             sock.close()
 
@@ -117,10 +125,10 @@
     # 1,900 silent clients at 1,024 descriptors cost 0.6 s of processor time, and the last of them were
     # closed 2.9 s after they had come: at a part of a core that is past the 3 s that are owed.
     async with running(raw={"limits": {"sockets": 256}}) as made:
-        looks, look = [], made.inbound._make_room
-        made.inbound._make_room = lambda most: looks.append(most) or look(most)
+        looks, look = [], made.inbound.make_room
+        made.inbound.make_room = lambda most: looks.append(most) or look(most)
         crowd = connected(made.address, 400)
-        await until(lambda: sum(map(closed, crowd)) >= 400 - made.inbound._hard)
+        await until(lambda: sum(map(closed, crowd)) >= 400 - made.inbound.limits.open)
         assert len(looks) < 120
         for sock in crowd:
             sock.close()
@@ -158,7 +166,7 @@
         sock.sendall(request())
         await until(lambda: upstream.seen and held(made) and held(made)[0].resting)
         assert sock.recv(4096).endswith(b"done")
-        made.inbound._make_room(1)
+        made.inbound.make_room(1)
         # No turn of the loop: what is sent from now on, on a connection that looks open, is lost.
         assert closed(sock)
         await until(lambda: made.inbound.empty)
@@ -173,8 +181,8 @@
 @pytest.fixture
 def at_once(monkeypatch):
     """Nothing is waited for at the end."""
-    monkeypatch.setattr(main, "STILL_LISTEN_S", 0.0)
-    monkeypatch.setattr(main, "LAST_ANSWERS_S", 0.0)
+    monkeypatch.setattr(shutdown, "STILL_LISTEN_S", 0.0)
+    monkeypatch.setattr(shutdown, "LAST_ANSWERS_S", 0.0)
 
 
 async def answer_to(sock):
@@ -299,7 +307,7 @@
 @loopback
 async def test_clients_are_told_of_the_end_with_an_answer_while_new_ones_are_still_taken(monkeypatch):
     for name in ("STILL_LISTEN_S", "LAST_ANSWERS_S"):
-        monkeypatch.setattr(main, name, PATIENCE_S)
+        monkeypatch.setattr(shutdown, name, PATIENCE_S)
     upstream = await Upstream([OK]).start()
     async with running(upstream) as made:
         kept = await App.connect(made.address)
@@ -346,8 +354,8 @@
 @loopback
 async def test_nothing_is_read_any_more_after_the_last_look_at_the_end(at_once, monkeypatch):
     # What comes between the two, while the list service is told of the end, was taken and cut off.
-    monkeypatch.setattr(main, "LAST_BYTES_S", 0.0)
-    monkeypatch.setattr(inbound, "STILL_COMING_MS", 0.0)
+    monkeypatch.setattr(shutdown, "LAST_BYTES_S", 0.0)
+    monkeypatch.setattr(client_connection, "STOPPED_MS", 0.0)
     upstream = await Upstream([OK]).start()
     async with running(upstream) as made:
         (sock,) = connected(made.address, 1)
@@ -438,7 +446,6 @@
 
 LATE = """
 import asyncio, os, sys
-from brassfall.balancer.model import Fail
 from brassfall.sidecar import __main__ as main
 run = asyncio.run
 def run_and_be_told_again(what):
@@ -571,7 +578,7 @@
         assert 10.2 in [pytest.approx(wait) for wait in waits]
         waits.clear()
         made.adopt(told(Profiles=[{**rows[0], "Name": "see"}]))
-        assert inbound.CLASSES_BEFORE_S in waits  # and no less, where deadlines are short
+        assert known_classes.KEEP_S in waits  # and no less, where deadlines are short
 
 
 @loopback
@@ -586,20 +593,20 @@
         made.driver.stopping = until_ms.append
         now = made._clock.now()
         await made.drain()
-        assert until_ms[0] - now == pytest.approx(400.0 + main.ANSWERED_MS, abs=100.0)
+        assert until_ms[0] - now == pytest.approx(400.0 + shutdown.ANSWERED_MS, abs=100.0)
 
 
 @loopback
 async def test_an_answer_is_out_before_the_kill_though_the_process_is_held_up_as_it_writes(monkeypatch):
     """SIGKILL may come 0.7 s and the longest deadline after SIGTERM; the process may stand still for 0.15 s
     between reading its clock and writing."""
-    finish = inbound.Exchange._finish
+    finish = client_request.ClientRequest.finish
 
     def held_up(exchange, *answer):
         time.sleep(0.15)
         finish(exchange, *answer)
 
-    monkeypatch.setattr(inbound.Exchange, "_finish", held_up)
+    monkeypatch.setattr(client_request.ClientRequest, "finish", held_up)
     row = {"Name": "look", "Semantics": "pure", "Objective": 50.0, "Deadline": 100.0}
     upstream = await Upstream([hang]).start()
     loop = asyncio.get_running_loop()
@@ -716,9 +723,9 @@
         made.append(main.Sidecar(asyncio.get_running_loop(), one))
     old, new = made
     await old.start()
-    whole = old.inbound._hard
+    whole = old.inbound.limits.open
     await new.start()  # its list comes at once
-    assert old.inbound._hard < whole and old.inbound._hard == new.inbound._hard
+    assert old.inbound.limits.open < whole and old.inbound.limits.open == new.inbound.limits.open
     for one in made:
         one.close()
     listening.close()
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -8,7 +8,8 @@
 import pytest
 
 from brassfall.balancer.model import Arrival, Fail, Outcome, Send, Timer
-from brassfall.sidecar import body, framing, inbound, outbound
+from brassfall.sidecar import body, client_connection, framing, outbound
+from brassfall.sidecar.read_control import Hold
 from tests import loopback as partners
 from tests.helpers import balancer, of_type
 from tests.loopback import (
@@ -108,14 +109,14 @@
         def stopped():
             """More, until the sidecar takes no more: how much the kernel holds is the machine's affair."""
             nonlocal sent
-            (connection,) = sidecar.inbound._connections
-            if connection._body_waits:
-                return not connection._transport.is_reading()
+            (connection,) = sidecar.inbound.connections
+            if connection.read_control.holds(Hold.SLOW_SERVER):
+                return not connection.transport.is_reading()
             app.writer.write(PIECE)
             sent += 1
             return False
 
-        await until(lambda: sidecar.inbound._connections)
+        await until(lambda: sidecar.inbound.connections)
         await until(stopped)
         upstream.slow.set()
         app.writer.write(b"0\r\n\r\n")
@@ -190,8 +191,8 @@
 
 @loopback
 async def test_a_client_that_stops_within_a_large_request_is_told_so_and_frees_the_server(monkeypatch):
-    monkeypatch.setattr(inbound, "HALF_SENT_S", 0.1)
-    monkeypatch.setattr(inbound, "BODY_BYTES_PER_S", 10_000_000)
+    monkeypatch.setattr(client_connection, "INCOMPLETE_S", 0.1)
+    monkeypatch.setattr(client_connection, "BODY_BYTES_PER_S", 10_000_000)
     upstream = await Server([OK]).start()
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
@@ -310,7 +311,7 @@
         head = await app.reader.readuntil(b"\r\n\r\n")
         assert head.startswith(b"HTTP/1.1 200")
         await asyncio.sleep(0.4)  # past the client's time
-        sidecar.inbound._life.drain()
+        sidecar.life.drain()
         more.set()
         app.reader._buffer[:0] = head  # whole again, for the one that reads it
         assert await answer_of(app) == (200, LARGE)
@@ -397,10 +398,10 @@
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
         app.send()
-        await until(lambda: sidecar.inbound._connections and next(iter(sidecar.inbound._connections))._full)
-        (connection,) = sidecar.inbound._connections
-        held = connection._transport.get_write_buffer_size()
-        assert held <= inbound.WRITE_MOST + 2 * body.MAX_BUFFERED
+        await until(lambda: sidecar.inbound.connections and sidecar.inbound.connections[0].read_control.held)
+        (connection,) = sidecar.inbound.connections
+        held = connection.transport.get_write_buffer_size()
+        assert held <= client_connection.MAX_UNSENT + 2 * body.MAX_BUFFERED
         (server,) = sidecar.pool._connections
         assert not server._transport.is_reading()
         enough.set()
@@ -410,16 +411,16 @@
 
 @loopback
 async def test_a_slow_reader_is_given_the_end_though_it_has_sent_more(monkeypatch):
-    monkeypatch.setattr(inbound, "LINGER_S", 0.05)
+    monkeypatch.setattr(client_connection, "LINGER_S", 0.05)
     async with running() as sidecar:
         app = await App.connect(sidecar.address)
-        await until(lambda: sidecar.inbound._connections)
-        (connection,) = sidecar.inbound._connections
-        small_buffers(connection._transport, app.writer.transport)
+        await until(lambda: sidecar.inbound.connections)
+        (connection,) = sidecar.inbound.connections
+        small_buffers(connection.transport, app.writer.transport)
         connection.write(10 * LARGE)  # past what the sockets hold
         app.send()
         await until(lambda: connection.readable)
-        connection._linger()
+        connection._end()
         await asyncio.sleep(0.2)
         async with asyncio.timeout(PATIENCE_S):
             assert len(await app.reader.read()) == 10 * len(LARGE)
@@ -428,7 +429,7 @@
 
 @loopback
 async def test_a_client_that_reads_nothing_is_let_go(monkeypatch):
-    monkeypatch.setattr(inbound, "UNREAD_S", 0.1)
+    monkeypatch.setattr(client_connection, "UNREAD_S", 0.1)
 
     async def endless(reader, writer):
         writer.write(CHUNKED)
@@ -441,7 +442,7 @@
         app = await App.connect(sidecar.address)
         app.writer.transport.pause_reading()
         app.send()
-        await until(lambda: sidecar.inbound._connections)
+        await until(lambda: sidecar.inbound.connections)
         await until(lambda: sidecar.inbound.empty and sidecar.driver.idle and not sidecar.pool._connections)
 
 
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -67,6 +67,12 @@
 FLEET = "brassfall.sidecar.agent"
 BODY, CONFIG, DRIVER = "brassfall.sidecar.body", "brassfall.sidecar.config", "brassfall.sidecar.driver"
 FRAMING = "brassfall.sidecar.framing"
+INBOUND = "brassfall.sidecar.inbound"
+CLIENT_CONNECTION, CLIENT_REQUEST = "brassfall.sidecar.client_connection", "brassfall.sidecar.client_request"
+CONNECTION_LIMITS, KNOWN_CLASSES = "brassfall.sidecar.connection_limits", "brassfall.sidecar.known_classes"
+READ_CONTROL, STREAMED_ANSWER = "brassfall.sidecar.read_control", "brassfall.sidecar.streamed_answer"
+REQUEST_CHECKS, REQUEST_MESSAGE = "brassfall.sidecar.request_checks", "brassfall.sidecar.request_message"
+REQUEST_PARSER = "brassfall.sidecar.request_parser"
 LIFECYCLE, LISTENER = "brassfall.sidecar.lifecycle", "brassfall.sidecar.listener"
 FLEET = "brassfall.sidecar.agent"
 START_TIMES = "brassfall.sidecar.start_times"
@@ -89,7 +95,47 @@
         ("handover.py", {CONFIG, DRIVER}),
         ("listener.py", {CONFIG}),
         ("admin.py", {CONFIG, DRIVER, LIFECYCLE, LISTENER}),
-        ("inbound.py", {BODY, CONFIG, DRIVER, FRAMING, LIFECYCLE, LISTENER}),
+        ("request_message.py", {BODY, FRAMING}),
+        ("request_checks.py", {CONFIG, REQUEST_MESSAGE}),
+        ("request_parser.py", {BODY, FRAMING, REQUEST_CHECKS, REQUEST_MESSAGE}),
+        ("streamed_answer.py", {DRIVER, FRAMING}),
+        (
+            "client_request.py",
+            {BODY, CONFIG, DRIVER, FRAMING, REQUEST_CHECKS, REQUEST_MESSAGE, STREAMED_ANSWER},
+        ),
+        ("read_control.py", {FRAMING}),
+        (
+            "client_connection.py",
+            {
+                BODY,
+                CLIENT_REQUEST,
+                DRIVER,
+                FRAMING,
+                READ_CONTROL,
+                REQUEST_MESSAGE,
+                REQUEST_PARSER,
+                STREAMED_ANSWER,
+            },
+        ),
+        ("connection_limits.py", {CLIENT_CONNECTION, CONFIG}),
+        ("known_classes.py", {CLIENT_REQUEST, CONFIG, REQUEST_MESSAGE}),
+        (
+            "inbound.py",
+            {
+                BODY,
+                CLIENT_CONNECTION,
+                CLIENT_REQUEST,
+                CONFIG,
+                CONNECTION_LIMITS,
+                DRIVER,
+                FRAMING,
+                KNOWN_CLASSES,
+                LIFECYCLE,
+                LISTENER,
+                REQUEST_MESSAGE,
+            },
+        ),
+        ("shutdown.py", {DRIVER, INBOUND}),
         ("outbound.py", {BODY, CONFIG, DRIVER, FRAMING, MODEL}),
         ("agent/lists.py", {CONFIG, MODEL}),
         ("agent/forms.py", set()),
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -13,7 +13,7 @@
 
 from brassfall.balancer import Settings
 from brassfall.balancer.model import Arrival, Fail, Outcome, Refuse, Send
-from brassfall.sidecar import config, inbound
+from brassfall.sidecar import config, known_classes
 from tests.helpers import balancer, of_type, raw_settings
 from tests.loopback import OK, SETTINGS, App, Registry, Upstream, listed, loopback, running, told, until
 from tests.processes import Process
@@ -158,7 +158,7 @@
 
 @loopback
 async def test_new_classes_are_served_and_old_ones_for_a_while(monkeypatch):
-    monkeypatch.setattr(inbound, "CLASSES_BEFORE_S", 0.2)
+    monkeypatch.setattr(known_classes, "KEEP_S", 0.2)
     upstream = await Upstream([OK]).start()
     new = [row("view"), row("book", "side_effect")]
     async with running(upstream) as made:
--- a/tests/test_sidecar_attempts.py
+++ b/tests/test_sidecar_attempts.py
@@ -11,7 +11,7 @@
 import pytest
 
 from brassfall.balancer.model import Cancel, CloseIdle, Outcome, Probe, Refuse, Send, Timer
-from brassfall.sidecar import driver, inbound, outbound
+from brassfall.sidecar import client_request, driver, outbound, request_message
 from brassfall.sidecar.config import parse_list
 from brassfall.sidecar.driver import Clock
 from tests.loopback import (
@@ -379,7 +379,13 @@
             gc.set_debug(0)
             gc.garbage.clear()
             gc.enable()
-        records = (driver.Request, driver.Attempt, inbound.Exchange, inbound.Message, outbound.Exchange)
+        records = (
+            driver.Request,
+            driver.Attempt,
+            client_request.ClientRequest,
+            request_message.RequestMessage,
+            outbound.Exchange,
+        )
         assert not [kind for kind in left if kind in records]
 
 
--- a/tests/test_sidecar_requests.py
+++ b/tests/test_sidecar_requests.py
@@ -9,7 +9,7 @@
 import pytest
 
 from brassfall.balancer.model import Fail, Refuse, Timer
-from brassfall.sidecar import config, framing, inbound
+from brassfall.sidecar import client_connection, config, framing, inbound, request_parser
 from brassfall.sidecar.driver import Clock
 from tests import loopback as partners
 from tests.loopback import (
@@ -239,7 +239,7 @@
 
 @loopback
 async def test_a_half_sent_request_does_not_stay_for_ever(monkeypatch):
-    monkeypatch.setattr(inbound, "HALF_SENT_S", 0.05)
+    monkeypatch.setattr(client_connection, "INCOMPLETE_S", 0.05)
     module = Scripted()
     async with running(balancer=module) as sidecar:
         app = await App.connect(sidecar.address)
@@ -286,8 +286,8 @@
 
 @loopback
 async def test_a_peer_that_sends_nothing_is_closed_in_time(monkeypatch):
-    assert inbound.HALF_SENT_S < 3.0
-    monkeypatch.setattr(inbound, "HALF_SENT_S", 0.05)
+    assert client_connection.INCOMPLETE_S < 3.0
+    monkeypatch.setattr(client_connection, "INCOMPLETE_S", 0.05)
     async with running() as sidecar:
         app = await App.connect(sidecar.address)
         assert await app.answer() is None
@@ -296,7 +296,7 @@
 
 @loopback
 async def test_a_peer_that_trickles_its_first_request_gains_no_time_by_it(monkeypatch):
-    monkeypatch.setattr(inbound, "HALF_SENT_S", 0.3)
+    monkeypatch.setattr(client_connection, "INCOMPLETE_S", 0.3)
     async with running() as sidecar:
         app = await App.connect(sidecar.address)
 
@@ -312,8 +312,8 @@
 
 @loopback
 async def test_a_body_that_goes_on_coming_has_more_time(monkeypatch):
-    monkeypatch.setattr(inbound, "HALF_SENT_S", 0.1)
-    monkeypatch.setattr(inbound, "BODY_BYTES_PER_S", 100)
+    monkeypatch.setattr(client_connection, "INCOMPLETE_S", 0.1)
+    monkeypatch.setattr(client_connection, "BODY_BYTES_PER_S", 100)
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
@@ -342,15 +342,15 @@
 
 @loopback
 async def test_a_client_whose_body_was_not_read_for_long_has_time_to_go_on(monkeypatch):
-    monkeypatch.setattr(inbound, "HALF_SENT_S", 0.1)
-    monkeypatch.setattr(inbound, "STILL_COMING_MS", 200.0)
+    monkeypatch.setattr(client_connection, "INCOMPLETE_S", 0.1)
+    monkeypatch.setattr(client_connection, "STOPPED_MS", 200.0)
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
         whole = partners.request("POST", "/pay", b"x" * 60_000)
         app.writer.write(whole[:-1])
-        await until(lambda: any(c.begun for c in sidecar.inbound._connections))
-        (connection,) = sidecar.inbound._connections
+        await until(lambda: any(c.begun for c in sidecar.inbound.connections))
+        (connection,) = sidecar.inbound.connections
         connection.pause()
         await asyncio.sleep(0.5)  # as long as a server takes nothing, say
         connection.resume()
@@ -366,7 +366,7 @@
     async with running() as sidecar:
         app = await App.connect(sidecar.address)
         app.send("POST", "/pay", Content_Length=None, Transfer_Encoding="chunked")
-        app.writer.write(b"0\r\nX-Trailer: " + b"x" * (2 * inbound.FRAMING_MOST))
+        app.writer.write(b"0\r\nX-Trailer: " + b"x" * (2 * request_parser.MAX_FRAMING))
         assert status_of(await app.answer()) == 413
 
 
@@ -374,9 +374,9 @@
 async def test_a_peer_that_reads_no_answers_is_not_read_on():
     async with running() as sidecar:
         app = await App.connect(sidecar.address)
-        await until(lambda: sidecar.inbound._connections)
-        (connection,) = sidecar.inbound._connections
-        held = connection._transport
+        await until(lambda: sidecar.inbound.connections)
+        (connection,) = sidecar.inbound.connections
+        held = connection.transport
         small_buffers(held, app.writer.transport)
         held.write(b"x" * 50_000_000)  # past what the sockets hold
         assert not held.is_reading()
@@ -415,7 +415,7 @@
 async def test_room_is_made_by_closing_what_is_idle_before_a_request_is_refused():
     upstream = await Upstream([OK, hang]).start()
     async with running(upstream) as sidecar:
-        sidecar.inbound._soft = sidecar.inbound._crowded = 2
+        sidecar.inbound.limits.requests = sidecar.inbound.limits.crowded = 2
         apps = [await App.connect(sidecar.address) for _ in range(2)]
         assert status_of(await apps[0].ask()) == 200
         apps[1].send()
@@ -433,11 +433,11 @@
 async def test_in_a_crowd_each_answer_is_the_last_on_its_connection():
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
-        sidecar.inbound._crowded = 2
+        sidecar.inbound.limits.crowded = 2
         apps = [await App.connect(sidecar.address) for _ in range(3)]
-        await until(lambda: len(sidecar.inbound._connections) == 3)
+        await until(lambda: len(sidecar.inbound.connections) == 3)
         assert (await apps[0].ask()).headers["connection"] == "close"
-        await until(lambda: len(sidecar.inbound._connections) == 2)
+        await until(lambda: len(sidecar.inbound.connections) == 2)
         assert "connection" not in (await apps[1].ask()).headers
 
 
@@ -451,18 +451,18 @@
         busy.send()
         whole = partners.request("POST", "/pay", b"hello")
         begun.writer.write(whole[:-1])
-        await until(lambda: sidecar.inbound._requests_held() == 1)
-        await until(lambda: sum(c.begun for c in sidecar.inbound._connections) == 1)
+        await until(lambda: sidecar.inbound.busy_connections == 1)
+        await until(lambda: sum(c.begun for c in sidecar.inbound.connections) == 1)
         answer = await idle.ask("GET", "/health/ready", X_Call_Class=None)
         assert answer.headers.get("connection") is None
-        sidecar.inbound._crowded = 1
+        sidecar.inbound.limits.crowded = 1
         # The longest silent comes before the one that came later, and a begun request after both.
         for held, gone in enumerate((idle, silent, later, begun), start=2):
             new = await App.connect(sidecar.address)
             assert await gone.answer() is None
             new.send()
             apps.append(new)  # or else it is closed with its last name
-            await until(lambda held=held: sidecar.inbound._requests_held() == held)
+            await until(lambda held=held: sidecar.inbound.busy_connections == held)
         last = await App.connect(sidecar.address)
         assert status_of(await last.ask("GET", "/health/ready", X_Call_Class=None)) == 200
         busy.close()
@@ -476,7 +476,7 @@
         for app in apps:
             assert "connection" not in (await app.ask("GET", "/health/ready", X_Call_Class=None)).headers
         sidecar.inbound.share(0.5)
-        assert len(sidecar.inbound._connections) <= sidecar.inbound._crowded < 60
+        assert len(sidecar.inbound.connections) <= sidecar.inbound.limits.crowded < 60
         new = await App.connect(sidecar.address)
         assert (await new.ask()).body == b"done"
         assert await apps[0].answer() is None
@@ -486,12 +486,12 @@
 async def test_a_request_in_slow_pieces_stays_while_there_is_room():
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
-        sidecar.inbound._crowded = 1
+        sidecar.inbound.limits.crowded = 1
         slow = await App.connect(sidecar.address)
         whole = partners.request("POST", "/pay", b"hello")
         slow.writer.write(whole[:-1])
         crowd = [await App.connect(sidecar.address) for _ in range(20)]
-        await until(lambda: len(sidecar.inbound._connections) == 1 + len(crowd))
+        await until(lambda: len(sidecar.inbound.connections) == 1 + len(crowd))
         slow.writer.write(whole[-1:])
         assert (await slow.answer()).body == b"done"
 
@@ -500,7 +500,7 @@
 @loopback
 async def test_client_requests_hold_no_more_than_a_third_of_all_descriptors(sockets, most):
     async with running(raw={"limits": {"sockets": sockets}}) as sidecar:
-        assert sidecar.inbound._soft == most
+        assert sidecar.inbound.limits.requests == most
 
 
 # --- readiness and drain -----------------------------------------------------------
@@ -517,7 +517,7 @@
 
 @loopback
 async def test_a_stop_waits_for_a_request_that_is_still_coming_and_answers_it_in_time(monkeypatch):
-    monkeypatch.setattr("brassfall.sidecar.__main__.LAST_BYTES_S", 0.0)
+    monkeypatch.setattr("brassfall.sidecar.shutdown.LAST_BYTES_S", 0.0)
 
     async def never(reader, writer):
         await reader.read()
@@ -549,8 +549,8 @@
 
 @loopback
 async def test_a_stop_ends_no_connection_under_a_request_that_was_read_late(monkeypatch):
-    monkeypatch.setattr("brassfall.sidecar.__main__.LAST_BYTES_S", 0.2)
-    monkeypatch.setattr(inbound, "STILL_COMING_MS", 0.0)
+    monkeypatch.setattr("brassfall.sidecar.shutdown.LAST_BYTES_S", 0.2)
+    monkeypatch.setattr(client_connection, "STOPPED_MS", 0.0)
     release = asyncio.Event()
 
     async def wait(reader, writer):
--- a/tests/test_standing_brink.py
+++ b/tests/test_standing_brink.py
@@ -14,7 +14,7 @@
 import pytest
 
 from brassfall.balancer.model import Cancel, Fetch, Outcome, Send
-from brassfall.sidecar import inbound
+from brassfall.sidecar import client_request
 from tests.loopback import (
     OK,
     SETTINGS,
@@ -284,13 +284,13 @@
 @loopback
 async def test_an_answer_that_ends_its_connection_is_not_reset_by_what_came_meanwhile(monkeypatch, more):
     """It lies unread in the turn in which the answer is written: a plain close over it would be a reset."""
-    served = inbound.Exchange.served
+    served = client_request.ClientRequest.served
 
     def crossed(exchange, answer):
         app.writer.write(more)
         served(exchange, answer)
 
-    monkeypatch.setattr(inbound.Exchange, "served", crossed)
+    monkeypatch.setattr(client_request.ClientRequest, "served", crossed)
     upstream = await Upstream([OK]).start()
     async with running(upstream, balancer=Scripted()) as sidecar:
         app = await App.connect(sidecar.address)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -104,18 +104,18 @@
         made.append(Sidecar(loop, config.parse(raw, environment)))
     old, new = made
     await old.start()
-    whole = old.inbound._hard, old.inbound.budget.limit
+    whole = old.inbound.limits.open, old.inbound.budget.limit
     assert whole[1] == 10 * 2**20
     monkeypatch.setattr("brassfall.sidecar.__main__.FIRST_LIST_S", 0.0)
     await new.start()
     await until(lambda: old._shared)
     held = 2 * 24
     for one in made:
-        held += one.inbound._hard + one.pool._most
+        held += one.inbound.limits.open + one.pool._most
         assert one.inbound.budget.limit == 5 * 2**20
     assert held <= 192
     old.close()
-    await until(lambda: (new.inbound._hard, new.inbound.budget.limit) == whole)
+    await until(lambda: (new.inbound.limits.open, new.inbound.budget.limit) == whole)
     new.close()
     listening.close()
 
