--- a/brassfall/lab/capacity/budgets.py
+++ b/brassfall/lab/capacity/budgets.py
@@ -49,7 +49,7 @@
     return tuple(Budget(role, f"{REACHED}, {name}", 6.0, FORCE, FAULTS[name]) for name in names)
 
 
-DATA_PATH, WHOLE = "sidecar data path", "whole sidecar, by entries"
+DATA_PATH, SIDECAR = "sidecar data path", "whole sidecar, by entries"
 ADDED = "0.89 ms added to a call for 99 in 100"
 CONNECTED = "kept connections, one decision a call, no lock or file on the way"
 ONE_CORE = "one process, one thread: it ends where its core is full"
@@ -57,10 +57,18 @@
     Budget(DATA_PATH, "added p99 at 185/s, entries", 0.89, ADDED, CONNECTED),
     Budget(DATA_PATH, "added p99 at 1850/s, entries", 0.89, ADDED, CONNECTED),
     Budget(
-        WHOLE, "memory (USS)", 122.0, "control: 128 MB of a sidecar, data path included", "one entry a server"
+        SIDECAR,
+        "memory (USS)",
+        122.0,
+        "control: 128 MB of a sidecar, data path included",
+        "one entry a server",
     ),
     Budget(
-        WHOLE, "processor time at 20 changed entries a second", 4.7, CORE, "each change rebuilds the picks"
+        SIDECAR,
+        "processor time at 20 changed entries a second",
+        4.7,
+        CORE,
+        "each change rebuilds the picks",
     ),
     Budget(
         "list, by its entries", "whole list at 14 KB/s", 6.0, FORCE, "only for who lacks too many changes"
--- a/brassfall/lab/capacity/command.py
+++ b/brassfall/lab/capacity/command.py
@@ -11,10 +11,10 @@
 from brassfall.lab.capacity import (
     durable,
     events,
-    figures,
     geo,
     lists,
     machine,
+    measurements,
     overrides,
     page,
     reports,
@@ -22,7 +22,7 @@
     tier,
 )
 from brassfall.lab.capacity.environment import MeasurementError
-from brassfall.lab.capacity.figures import Figure
+from brassfall.lab.capacity.measurements import Measurement
 from brassfall.lab.capacity.part import Options, Part, Recorder
 
 
@@ -49,7 +49,7 @@
 }
 SIZE_LEAST, SIZE_MOST = 3, 6000
 PART_S = 600.0  # no part takes longer at one size
-FIGURES, TABLES = "figures.json", "capacity.md"
+MEASUREMENTS, TABLES = "figures.json", "capacity.md"
 
 
 def chosen_parts(text: str) -> list[str]:
@@ -106,19 +106,19 @@
     except TimeoutError:
         raise MeasurementError(f"part {name} at {size}", f"took longer than {PART_S:g} s") from None
     finally:
-        _keep(options.out, recorder.figures())
+        _keep(options.out, recorder.measurements())
 
 
-def _keep(out: Path, found: list[Figure]) -> None:
-    path = out / FIGURES
-    held = figures.read(path) if path.exists() else []
-    rows = figures.merged(held, found)
-    figures.write(path, rows)
+def _keep(out: Path, found: list[Measurement]) -> None:
+    path = out / MEASUREMENTS
+    stored = measurements.read(path) if path.exists() else []
+    rows = measurements.merged(stored, found)
+    measurements.write(path, rows)
     (out / TABLES).write_text(page.document(rows))
 
 
 def write_page(out: Path, path: Path, say: Callable[[str], None]) -> None:
     """Write the tables of a page anew from the figures of a folder."""
-    rows = figures.read(out / FIGURES)
+    rows = measurements.read(out / MEASUREMENTS)
     path.write_text(page.filled(path.read_text(encoding="utf-8"), rows))
     say(f"{path}: tables from {len(rows)} figures")
--- a/brassfall/lab/capacity/datapath/__init__.py
+++ b/brassfall/lab/capacity/datapath/__init__.py
@@ -11,12 +11,14 @@
 from collections.abc import Callable
 
 from brassfall.lab.capacity.datapath.options import DatapathOptions
-from brassfall.lab.capacity.figures import Figure
+from brassfall.lab.capacity.measurements import Measurement
 
 __all__ = ["DatapathOptions", "measure"]
 
 
-async def measure(options: DatapathOptions, say: Callable[[str], None] = lambda text: None) -> list[Figure]:
+async def measure(
+    options: DatapathOptions, say: Callable[[str], None] = lambda text: None
+) -> list[Measurement]:
     """Measure all that the options name, and end what that starts; `say` is told of the progress.
 
     Raises `PlayError` if a process fails, or none of the calls of a spell is answered."""
--- a/brassfall/lab/capacity/datapath/calls.py
+++ b/brassfall/lab/capacity/datapath/calls.py
@@ -14,7 +14,7 @@
     """What a request's target tells a server: so many hops follow, by this way."""
 
     hops: int = 0
-    way: str = DIRECT
+    route: str = DIRECT
 
     @property
     def next_hop(self) -> Target:
@@ -25,7 +25,7 @@
 def message(call_id: str, target: Target) -> bytes:
     """A request, ready to be written."""
     return (
-        f"GET /{CLASS}/{call_id}?hops={target.hops}&way={target.way} HTTP/1.1\r\n"
+        f"GET /{CLASS}/{call_id}?hops={target.hops}&way={target.route} HTTP/1.1\r\n"
         f"Host: capacity\r\nX-Call-Id: {call_id}\r\nX-Call-Class: {CLASS}\r\nX-Budget: {BUDGET_MS}m\r\n\r\n"
     ).encode()
 
@@ -33,5 +33,5 @@
 def parse(target: bytes) -> Target:
     """Read the target of a request of `message`; any other (a probe, say) has no further hops."""
     _, found, query = target.partition(b"?hops=")
-    hops, _, way = query.decode("latin-1").partition("&way=")
-    return Target(int(hops), way) if found and hops.isdigit() else Target()
+    hops, _, route = query.decode("latin-1").partition("&way=")
+    return Target(int(hops), route) if found and hops.isdigit() else Target()
--- a/brassfall/lab/capacity/datapath/client.py
+++ b/brassfall/lab/capacity/datapath/client.py
@@ -39,7 +39,7 @@
     skip_seconds: float  # calls planned before that are sent and not counted
     connections: int  # opened before the first call, over all addresses
     hops: int  # that follow the first
-    way: str
+    route: str
     seed: int
 
 
@@ -102,7 +102,7 @@
         self._out[number] = due
         self._plan(due)  # before the call, which may end at once
         pool = self._pools[number % len(self._pools)]
-        target = calls.Target(self.turn.hops, self.turn.way)
+        target = calls.Target(self.turn.hops, self.turn.route)
         message = calls.message(f"{self._name}-{self.turn.seed}-{number}", target)
         sent = self._loop.time()
 
@@ -119,10 +119,10 @@
         if due >= self._counted_from:
             self._count(status, 1)
             if status == 200:
-                told = self.outcome
-                told.from_plan.append(round((now - due) * 1e6))
-                told.from_send.append(round((now - sent) * 1e6))
-                told.send_late.append(round((sent - due) * 1e6))
+                outcome = self.outcome
+                outcome.from_plan.append(round((now - due) * 1e6))
+                outcome.from_send.append(round((now - sent) * 1e6))
+                outcome.send_late.append(round((sent - due) * 1e6))
         self._look_finished()
 
     def _count(self, status: int, calls_ended: int) -> None:
@@ -162,8 +162,8 @@
     """Play turns until the starter is gone."""
     client = Client(msgspec.convert(raw, Order).name)
     child.say("ready")
-    async for told in commands:
-        outcome = await client.play(msgspec.convert(told, Turn))
+    async for command in commands:
+        outcome = await client.play(msgspec.convert(command, Turn))
         child.say("played", **msgspec.to_builtins(outcome))
 
 
--- a/brassfall/lab/capacity/datapath/scene.py
+++ b/brassfall/lab/capacity/datapath/scene.py
@@ -116,7 +116,7 @@
         """Start a list service with so many entries, which stand for the addresses in rotation."""
         experiment = self._folder / "experiment.toml"
         experiment.write_text(EXPERIMENT, encoding="utf-8")
-        self._told, _ = arrivals.experiment(experiment)
+        self._experiment, _ = arrivals.experiment(experiment)
         config = self._folder / "registry.toml"
         config.write_text(
             f'[registry]\nlisten = "127.0.0.1:0"\ndata = "{self._folder / "registry"}"\n'
@@ -130,8 +130,8 @@
         self._known = await call(self._list_at, "GET", "/registry/instances")
 
     async def _register(self, addresses: list[str], entries: int) -> None:
-        zones = self._told.fleet.zones
-        kinds = [kind.name for kind in self._told.fleet.kinds]
+        zones = self._experiment.fleet.zones
+        kinds = [kind.name for kind in self._experiment.fleet.kinds]
         rows = iter(range(entries))
 
         async def write(session: aiohttp.ClientSession) -> None:
@@ -179,7 +179,7 @@
             "seed": f"{number:x}",
             "limits": {"cores": 1.0, "memory_mb": 2048, "sockets": DESCRIPTORS},
             "known": self._known,
-            "settings": day.wire_settings(self._told, number, {}),
+            "settings": day.wire_settings(self._experiment, number, {}),
         }
         config = folder / "config.json"
         config.write_text(json.dumps(raw), encoding="utf-8")
--- a/brassfall/lab/capacity/datapath/server.py
+++ b/brassfall/lab/capacity/datapath/server.py
@@ -28,7 +28,7 @@
     sockets: int
 
 
-class Ways(msgspec.Struct):
+class Routes(msgspec.Struct):
     """Where further hops go: the sidecar beside this server, and all servers."""
 
     sidecar: str
@@ -42,16 +42,16 @@
         self.onward: dict[str, Sequence[wire.Pool]] = {}
         self.turn = itertools.count()
 
-    def learn(self, ways: Ways) -> None:
+    def learn(self, routes: Routes) -> None:
         """Know the next hops from now on."""
         self.onward = {
-            calls.SIDECAR: [wire.Pool(ways.sidecar)],
-            calls.DIRECT: [wire.Pool(address) for address in ways.direct],
+            calls.SIDECAR: [wire.Pool(routes.sidecar)],
+            calls.DIRECT: [wire.Pool(address) for address in routes.direct],
         }
 
     def pass_on(self, target: calls.Target, answered: wire.Answered) -> None:
         """Send the next hop of a call."""
-        pools = self.onward[target.way]
+        pools = self.onward[target.route]
         number = next(self.turn)
         pools[number % len(pools)].ask(calls.message(f"{os.getpid()}-{number}", target.next_hop), answered)
 
@@ -108,8 +108,8 @@
         port = server.sockets[0].getsockname()[1]
         addresses.append(f"127.0.0.1:{port}")
     child.say("ready", addresses=addresses)
-    async for told in commands:
-        host.learn(msgspec.convert(told, Ways))
+    async for command in commands:
+        host.learn(msgspec.convert(command, Routes))
 
 
 if __name__ == "__main__":
--- a/brassfall/lab/capacity/datapath/turns.py
+++ b/brassfall/lab/capacity/datapath/turns.py
@@ -14,7 +14,7 @@
 from brassfall.lab.capacity.datapath.client import Outcome, Turn
 from brassfall.lab.capacity.datapath.options import DatapathOptions
 from brassfall.lab.capacity.datapath.scene import Scene, Sidecar, Used, scene
-from brassfall.lab.capacity.figures import Figure
+from brassfall.lab.capacity.measurements import Measurement
 from brassfall.lab.real.child import raise_descriptors
 from brassfall.lab.real.process_group import MemberProcess, PlayError
 
@@ -47,20 +47,20 @@
     load: list[float] = field(default_factory=list)  # load average of the machine, a figure a turn
 
 
-async def measure(options: DatapathOptions, say: Callable[[str], None]) -> list[Figure]:
+async def measure(options: DatapathOptions, say: Callable[[str], None]) -> list[Measurement]:
     """Measure all that the options name; `PlayError` if a process fails. Ends what it starts."""
     raise_descriptors()
-    figures: list[Figure] = []
+    measurements: list[Measurement] = []
     for entries in options.entries:
-        figures += await _with_list(options, entries, say)
+        measurements += await _with_list(options, entries, say)
     if options.chain:
-        figures += await _chain(options, say)
-    return figures
+        measurements += await _chain(options, say)
+    return measurements
 
 
-async def _with_list(options: DatapathOptions, entries: int, say: Callable[[str], None]) -> list[Figure]:
+async def _with_list(options: DatapathOptions, entries: int, say: Callable[[str], None]) -> list[Measurement]:
     """Calls at each rate, and to sidecars that have just started, with so many entries on the list."""
-    figures: list[Figure] = []
+    measurements: list[Measurement] = []
     async with scene() as stage:
         _, addresses = await stage.start_servers(min(options.sockets, entries))
         await stage.start_list(addresses, entries)
@@ -68,14 +68,14 @@
         for rate in options.rates:
             say(f"data path: {rate:g} calls/s, {entries} entries, {options.turns} turns")
             pairs = await _pairs(options, rate, client, addresses, sidecar, [sidecar], 0)
-            figures += _figures(pairs, f"at {rate:g}/s, entries", entries)
+            measurements += _measurements(pairs, f"at {rate:g}/s, entries", entries)
         if options.starts:
             say(f"data path: first second of {options.starts} sidecars, {entries} entries")
-            figures += await _first_second(options, entries, stage, client)
-    return figures
+            measurements += await _first_second(options, entries, stage, client)
+    return measurements
 
 
-async def _chain(options: DatapathOptions, say: Callable[[str], None]) -> list[Figure]:
+async def _chain(options: DatapathOptions, say: Callable[[str], None]) -> list[Measurement]:
     """Calls that pass a sidecar before each of several servers, all processes of their own."""
     rate = options.rates[0]
     say(f"data path: a chain of {options.chain}, {rate:g} calls/s, {options.turns} turns")
@@ -88,12 +88,12 @@
             member.send(sidecar=onward.listen, direct=addresses)
         client = await stage.start_client()
         pairs = await _pairs(options, rate, client, addresses, sidecars[0], sidecars, options.chain - 1)
-        return _figures(pairs, f"in a chain at {rate:g}/s, sidecars", options.chain)
+        return _measurements(pairs, f"in a chain at {rate:g}/s, sidecars", options.chain)
 
 
 async def _first_second(
     options: DatapathOptions, entries: int, stage: Scene, client: MemberProcess
-) -> list[Figure]:
+) -> list[Measurement]:
     """The first second of sidecars that have only just started."""
     spells: list[Spell] = []
     ready: list[float] = []
@@ -105,8 +105,10 @@
     where, repeats = "in a sidecar's first second, entries", options.starts
     firsts = [spell.outcome.from_send[0] / 1000.0 for spell in spells if spell.outcome.from_send]
     return [
-        Figure(ROLE, f"from start to ready, {where}", "ms", entries, round(median(ready), 1), repeats),
-        Figure(ROLE, f"time of the first call, {where}", "ms", entries, round(median(firsts), 3), repeats),
+        Measurement(ROLE, f"from start to ready, {where}", "ms", entries, round(median(ready), 1), repeats),
+        Measurement(
+            ROLE, f"time of the first call, {where}", "ms", entries, round(median(firsts), 3), repeats
+        ),
         *_percentiles(spells, f"time of a call, {where}", entries),
         *_costs(spells, where, entries),
     ]
@@ -142,10 +144,10 @@
 async def _spell(client: MemberProcess, turn: Turn, sidecars: Sequence[Sidecar]) -> Spell:
     before = [sidecar.used() for sidecar in sidecars]
     client.send(**msgspec.to_builtins(turn))
-    told = await client.report("played")
-    outcome = msgspec.convert(told, Outcome, strict=False)
+    played = await client.report("played")
+    outcome = msgspec.convert(played, Outcome, strict=False)
     if not outcome.from_plan:
-        raise PlayError(f"none of the calls by way of {turn.way} was answered with 200: {outcome.statuses}")
+        raise PlayError(f"none of the calls by way of {turn.route} was answered with 200: {outcome.statuses}")
     if not sidecars:
         return Spell(outcome)
     used = [sidecar.used().since(then) for sidecar, then in zip(sidecars, before, strict=True)]
@@ -173,70 +175,72 @@
 # --- figures --------------------------------------------------------------------
 
 
-def _figures(pairs: Pairs, where: str, size: int) -> list[Figure]:
+def _measurements(pairs: Pairs, where: str, size: int) -> list[Measurement]:
     """All figures of one kind of turns."""
     repeats = len(pairs.direct)
-    figures = [
+    measurements = [
         *_added(pairs, where, size),
         *_percentiles(pairs.direct, f"time of a call direct {where}", size),
         *_percentiles(pairs.through, f"time of a call through it {where}", size),
         *_costs(pairs.through, where, size),
         *_late(pairs, where, size),
-        Figure(ROLE, f"load average {where}", "processes", size, round(median(pairs.load), 2), repeats),
+        Measurement(ROLE, f"load average {where}", "processes", size, round(median(pairs.load), 2), repeats),
     ]
     for reason, count in pairs.refused.items():
         if count:
-            figures.append(
-                Figure(ROLE, f"refused for {reason} {where}", "calls", size, float(count), repeats)
+            measurements.append(
+                Measurement(ROLE, f"refused for {reason} {where}", "calls", size, float(count), repeats)
             )
-    return figures
+    return measurements
 
 
-def _added(pairs: Pairs, where: str, size: int) -> list[Figure]:
+def _added(pairs: Pairs, where: str, size: int) -> list[Measurement]:
     """Time added: of p50 and p99 the median of the turns' differences; of p99.9 that of all turns at once,
     since one turn has too few calls for it."""
-    figures = []
+    measurements = []
     for name, share in PERCENTILES[:2]:
         gaps = [
             _share(through.outcome.from_plan, share) - _share(direct.outcome.from_plan, share)
             for through, direct in zip(pairs.through, pairs.direct, strict=True)
         ]
-        figures.append(_figure(f"added {name} {where}", size, median(gaps), len(gaps)))
-        figures.append(_figure(f"added {name}, least of the turns, {where}", size, min(gaps), len(gaps)))
-        figures.append(_figure(f"added {name}, most of the turns, {where}", size, max(gaps), len(gaps)))
+        measurements.append(_figure(f"added {name} {where}", size, median(gaps), len(gaps)))
+        measurements.append(_figure(f"added {name}, least of the turns, {where}", size, min(gaps), len(gaps)))
+        measurements.append(_figure(f"added {name}, most of the turns, {where}", size, max(gaps), len(gaps)))
     name, share = PERCENTILES[2]
     gap = _share(_all(pairs.through), share) - _share(_all(pairs.direct), share)
-    figures.append(_figure(f"added {name} {where}", size, gap, len(pairs.direct)))
-    return figures
+    measurements.append(_figure(f"added {name} {where}", size, gap, len(pairs.direct)))
+    return measurements
 
 
-def _percentiles(spells: Sequence[Spell], what: str, size: int) -> list[Figure]:
+def _percentiles(spells: Sequence[Spell], what: str, size: int) -> list[Measurement]:
     """Latencies from the planned arrival: medians over the spells; p99.9 of all calls at once."""
-    figures = [
+    measurements = [
         _figure(
             f"{name} {what}", size, median(_share(s.outcome.from_plan, share) for s in spells), len(spells)
         )
         for name, share in PERCENTILES[:2]
     ]
     name, share = PERCENTILES[2]
-    return [*figures, _figure(f"{name} {what}", size, _share(_all(spells), share), len(spells))]
+    return [*measurements, _figure(f"{name} {what}", size, _share(_all(spells), share), len(spells))]
 
 
-def _costs(spells: Sequence[Spell], where: str, size: int) -> list[Figure]:
+def _costs(spells: Sequence[Spell], where: str, size: int) -> list[Measurement]:
     """What the sidecars used a call: processor, sleeps (each ends in a wake-up), time in line for a core."""
     rows = [(spell.used, max(1, spell.count)) for spell in spells if spell.used is not None]
     unsent = sum(spell.outcome.statuses.get(wire.UNSENT, 0) for spell in spells)
     bad = sum(spell.count - len(spell.outcome.from_plan) for spell in spells) - unsent
 
-    def a_call(quantity: str, unit: str, values: list[float]) -> Figure:
-        return Figure(ROLE, f"{quantity} a call {where}", unit, size, round(median(values), 3), len(values))
+    def a_call(quantity: str, unit: str, values: list[float]) -> Measurement:
+        return Measurement(
+            ROLE, f"{quantity} a call {where}", unit, size, round(median(values), 3), len(values)
+        )
 
     return [
         a_call("processor time", "us", [used.cpu_s * 1e6 / count for used, count in rows]),
         a_call("wake-ups", "wake-ups", [used.sleeps / count for used, count in rows]),
         a_call("time in line for a core", "us", [used.in_line_s * 1e6 / count for used, count in rows]),
-        Figure(ROLE, f"calls not answered with 200 {where}", "calls", size, float(bad), len(spells)),
-        Figure(
+        Measurement(ROLE, f"calls not answered with 200 {where}", "calls", size, float(bad), len(spells)),
+        Measurement(
             ROLE,
             f"calls not sent, all client connections busy, {where}",
             "calls",
@@ -244,14 +248,16 @@
             float(unsent),
             len(spells),
         ),
-        Figure(ROLE, f"calls {where}", "calls", size, float(sum(count for _, count in rows)), len(spells)),
+        Measurement(
+            ROLE, f"calls {where}", "calls", size, float(sum(count for _, count in rows)), len(spells)
+        ),
     ]
 
 
-def _late(pairs: Pairs, where: str, size: int) -> list[Figure]:
+def _late(pairs: Pairs, where: str, size: int) -> list[Measurement]:
     """What the client's own loop adds, from planned to sent, and what the client itself uses."""
     spells = [*pairs.direct, *pairs.through]
-    figures = [
+    measurements = [
         _figure(
             f"client late by {name} {where}",
             size,
@@ -262,13 +268,13 @@
     ]
     cost = median(spell.outcome.cpu_s * 1e6 / max(1, spell.count) for spell in spells)
     return [
-        *figures,
-        Figure(ROLE, f"client's processor time a call {where}", "us", size, round(cost, 1), len(spells)),
+        *measurements,
+        Measurement(ROLE, f"client's processor time a call {where}", "us", size, round(cost, 1), len(spells)),
     ]
 
 
-def _figure(quantity: str, size: int, us: float, repeats: int) -> Figure:
-    return Figure(ROLE, quantity, "ms", size, round(us / 1000.0, 3), repeats)
+def _figure(quantity: str, size: int, us: float, repeats: int) -> Measurement:
+    return Measurement(ROLE, quantity, "ms", size, round(us / 1000.0, 3), repeats)
 
 
 def _share(values: Sequence[int], share: float) -> float:
--- a/brassfall/lab/capacity/durable.py
+++ b/brassfall/lab/capacity/durable.py
@@ -54,8 +54,8 @@
     async with options.environment() as environment:
         topology = await one_service(environment, 0)
         await register(topology.service.address, rows)
-        held = sum(path.stat().st_size for path in topology.service.data.rglob("*") if path.is_file())
-        recorder.add(ROLE, "on the disk, after each row was written once", "MB", rows, held / 1e6)
+        stored_bytes = sum(path.stat().st_size for path in topology.service.data.rglob("*") if path.is_file())
+        recorder.add(ROLE, "on the disk, after each row was written once", "MB", rows, stored_bytes / 1e6)
         await topology.publish()
         await topology.hollow.start(SIDECARS, [topology.service.address], alone=True)
         await topology.hollow.leased()
@@ -67,9 +67,9 @@
     """Wait until what was published last is in force, with an override where one is named."""
     async with asyncio.timeout(COMMIT_S):
         while True:
-            told = await client.call(service.address, "GET", "/rules")
-            carries = not override or any(row["id"] == override for row in told["overrides"])
-            if told["state"] == "committed" and carries:
+            committed = await client.call(service.address, "GET", "/rules")
+            carries = not override or any(row["id"] == override for row in committed["overrides"])
+            if committed["state"] == "committed" and carries:
                 return
             await asyncio.sleep(LOOK_S)
 
--- a/brassfall/lab/capacity/environment.py
+++ b/brassfall/lab/capacity/environment.py
@@ -42,22 +42,22 @@
         self.folder = folder
 
     async def process(
-        self, name: str, *words: str, env: dict[str, str] | None = None, piped: bool = False
+        self, name: str, *command: str, env: dict[str, str] | None = None, piped: bool = False
     ) -> asyncio.subprocess.Process:
         """Start a process whose log is a file of the folder; it is killed when this environment ends."""
         pipe = asyncio.subprocess.PIPE if piped else None
         with (self.folder / f"{name}.log").open("ab") as log:
             made = await asyncio.create_subprocess_exec(
-                *words, cwd=ROOT, env=env, stderr=log, stdin=pipe, stdout=pipe or log, limit=2**24
+                *command, cwd=ROOT, env=env, stderr=log, stdin=pipe, stdout=pipe or log, limit=2**24
             )
         self.push_async_callback(end, made)
         return made
 
     async def python(
-        self, name: str, *words: str, env: dict[str, str] | None = None, piped: bool = False
+        self, name: str, *command: str, env: dict[str, str] | None = None, piped: bool = False
     ) -> asyncio.subprocess.Process:
         """Start a module with this interpreter."""
-        return await self.process(name, sys.executable, "-m", *words, env=env, piped=piped)
+        return await self.process(name, sys.executable, "-m", *command, env=env, piped=piped)
 
 
 async def end(process: asyncio.subprocess.Process) -> None:
@@ -100,8 +100,8 @@
         self.data = environment.folder / "data"
         self._config = environment.folder / "registry.toml"
         rows = "".join(f"{name} = {value}\n" for name, value in limits.items())
-        told = f'[registry]\nlisten = "{self.address}"\ndata = "{self.data}"\n[registry.limits]\n{rows}'
-        self._config.write_text(told)
+        config = f'[registry]\nlisten = "{self.address}"\ndata = "{self.data}"\n[registry.limits]\n{rows}'
+        self._config.write_text(config)
         self.process: asyncio.subprocess.Process
 
     @property
@@ -111,8 +111,8 @@
 
     async def start(self) -> None:
         """Start it, also anew on the same data; until it is ready."""
-        words = ("brassfall", "registry", "serve", "--config", str(self._config))
-        self.process = await self._environment.python("service", *words)
+        command = ("brassfall", "registry", "serve", "--config", str(self._config))
+        self.process = await self._environment.python("service", *command)
         await until(lambda: client.call(self.address, "GET", "/health/ready"))
 
     async def status(self) -> dict[str, Any]:
--- a/brassfall/lab/capacity/events.py
+++ b/brassfall/lab/capacity/events.py
@@ -15,7 +15,7 @@
 
 from brassfall.errors import BrassfallError
 from brassfall.lab.capacity import control, machine
-from brassfall.lab.capacity.faults import Fleet, region_cut_off
+from brassfall.lab.capacity.faults import Fleet, region_partitioned
 from brassfall.lab.capacity.fleet import Spread, Worker, rates
 from brassfall.lab.capacity.lists import alter
 from brassfall.lab.capacity.part import Options, Recorder
@@ -24,7 +24,7 @@
 
 RACK, ZONE = 40, 490  # sidecars
 SAMPLE_S = 0.5
-CUT_S = 15.0
+PARTITION_S = 15.0
 BACK_S = 60.0  # for all to hold a lease again
 PAUSE_S = 4.0
 AT_ONCE = 20  # changes in a second
@@ -133,12 +133,12 @@
         await stand.normal(f"{name} lost")
     async with stand.event(f"{name} started at once"):
         begun = time.monotonic()
-        await asyncio.gather(*(_again(stand, worker, taken) for worker, taken in workers))
+        await asyncio.gather(*(_restart(stand, worker, taken) for worker, taken in workers))
         await stand.topology.hollow.leased(BACK_S)
         stand.add(f"{name} started at once: all act on a revision", "s", time.monotonic() - begun)
 
 
-async def _again(stand: Stand, worker: Worker, number: int) -> None:
+async def _restart(stand: Stand, worker: Worker, number: int) -> None:
     region = next((name for name, workers in stand.fleet.regions.items() if worker in workers), "")
     region = region or next(iter(stand.topology.regions))
     addresses = stand.topology.regions[region]
@@ -192,14 +192,14 @@
     await second.start()
 
 
-async def region_cut(stand: Stand) -> None:
+async def region_partition(stand: Stand) -> None:
     """A region is cut off from the service, and comes back."""
-    name = f"a region cut off for {CUT_S:g} s"
+    name = f"a region cut off for {PARTITION_S:g} s"
     async with stand.event(name):
-        async with region_cut_off(stand.fleet) as reachable:
+        async with region_partitioned(stand.fleet) as reachable:
             begun = time.monotonic()
             await stand.normal(name, reachable)
-            await asyncio.sleep(max(0.0, CUT_S - (time.monotonic() - begun)))
+            await asyncio.sleep(max(0.0, PARTITION_S - (time.monotonic() - begun)))
         begun = time.monotonic()
         await stand.topology.hollow.leased(BACK_S)
         stand.add(f"{name}, its return: all act on a revision", "s", time.monotonic() - begun)
@@ -250,7 +250,13 @@
 
 ALWAYS: tuple[Event, ...] = (priced, many_changes, one_machine, rack, zone)
 ONE_EVENTS: tuple[Event, ...] = (*ALWAYS, service_restarted)
-TIER_EVENTS: tuple[Event, ...] = (*ALWAYS, aggregator_restarted, all_move, region_cut, service_restarted)
+TIER_EVENTS: tuple[Event, ...] = (
+    *ALWAYS,
+    aggregator_restarted,
+    all_move,
+    region_partition,
+    service_restarted,
+)
 
 
 async def _play(
--- a/brassfall/lab/capacity/faults.py
+++ b/brassfall/lab/capacity/faults.py
@@ -83,9 +83,9 @@
 
 
 @asynccontextmanager
-async def _cut(aggregators: list[Aggregator], ways: tuple[str, ...]) -> AsyncIterator[None]:
+async def _partition(aggregators: list[Aggregator], directions: tuple[str, ...]) -> AsyncIterator[None]:
     for each in aggregators:
-        each.relay.cut(*ways)
+        each.relay.partition(*directions)
     try:
         yield
     finally:
@@ -96,20 +96,20 @@
 @asynccontextmanager
 async def aggregator_unheard(fleet: Fleet) -> AsyncIterator[list[Worker]]:
     """Nothing of one aggregator reaches the service; its children can go to the other of the region."""
-    async with _cut(_aggregators(fleet)[:1], (UP,)):
+    async with _partition(_aggregators(fleet)[:1], (UP,)):
         yield fleet.all
 
 
 @asynccontextmanager
 async def aggregator_untold(fleet: Fleet) -> AsyncIterator[list[Worker]]:
     """Nothing of the service reaches one aggregator; its children can go to the other of the region."""
-    async with _cut(_aggregators(fleet)[:1], (DOWN,)):
+    async with _partition(_aggregators(fleet)[:1], (DOWN,)):
         yield fleet.all
 
 
 @asynccontextmanager
-async def region_cut_off(fleet: Fleet) -> AsyncIterator[list[Worker]]:
+async def region_partitioned(fleet: Fleet) -> AsyncIterator[list[Worker]]:
     """Nothing passes between a region and the service, either way."""
-    async with _cut(_aggregators(fleet), (UP, DOWN)):
-        cut = fleet.regions[last_region(fleet)]
-        yield [worker for worker in fleet.all if worker not in cut]
+    async with _partition(_aggregators(fleet), (UP, DOWN)):
+        partitioned = fleet.regions[last_region(fleet)]
+        yield [worker for worker in fleet.all if worker not in partitioned]
--- a/brassfall/lab/capacity/fit.py
+++ b/brassfall/lab/capacity/fit.py
@@ -7,7 +7,7 @@
 
 import numpy
 
-from brassfall.lab.capacity.figures import Figure
+from brassfall.lab.capacity.measurements import Measurement
 
 TARGET = 5400  # sidecars for which the design is made
 PERCENT = 100.0
@@ -36,7 +36,7 @@
         return PERCENT * self.error / largest if largest else math.nan
 
 
-def line(rows: list[Figure]) -> Line:
+def line(rows: list[Measurement]) -> Line:
     """The line through the rows of one quantity."""
     ordered = sorted(rows, key=lambda row: row.size)
     sizes = tuple(row.size for row in ordered)
@@ -58,7 +58,7 @@
     times: float
 
 
-def value_at_target(rows: list[Figure], target: int = TARGET) -> AtTarget:
+def value_at_target(rows: list[Measurement], target: int = TARGET) -> AtTarget:
     """The value measured at a size, or else what the line gives there.
 
     What falls with the size is taken to stay as it is at the largest size that was measured: no line makes a
--- a/brassfall/lab/capacity/fleet.py
+++ b/brassfall/lab/capacity/fleet.py
@@ -118,8 +118,8 @@
         index, first = next(self._indices), self._next
         self._next += number
         source = f"127.0.0.{2 + index}"
-        words = ("brassfall.lab.capacity.hollow", source)
-        process = await self._environment.python(f"hollow{index}", *words, piped=True)
+        command = ("brassfall.lab.capacity.hollow", source)
+        process = await self._environment.python(f"hollow{index}", *command, piped=True)
         worker = Worker(process, first, number, source)
         self.workers.append(worker)
         return worker
--- a/brassfall/lab/capacity/hollow.py
+++ b/brassfall/lab/capacity/hollow.py
@@ -32,7 +32,7 @@
 
 GROUPS = 7  # client groups over which a fleet is spread
 REGIONS = ("a", "b", "c")
-MOMENTS_KEPT = 64  # revisions, and versions of the list, whose times are kept
+MOMENTS_CACHED = 64  # revisions, and versions of the list, whose times are kept
 FEED_S = 2.5  # how often each sidecar is given delays to report, as traffic would
 FED_MS = (0.8, 0.9, 1.0, 1.1, 1.3, 2.0)  # first-byte times of one feed, in each region
 ADDRESS, REASON_MOST = re.compile(r"[0-9.]+:[0-9]+:? ?"), 80
@@ -66,13 +66,13 @@
     def traffic(self) -> dict[str, control.Traffic]:
         """Bytes by kind since the start."""
         return {
-            kind: _sum(self._closed[kind], *(_traffic(each) for each in held))
-            for kind, held in self._open.items()
+            kind: _sum(self._closed[kind], *(_traffic(each) for each in sockets))
+            for kind, sockets in self._open.items()
         }
 
     def by_server(self) -> dict[str, int]:
         """How many connections are open to each server."""
-        return dict(Counter(_peer(each) for held in self._open.values() for each in held))
+        return dict(Counter(_peer(each) for sockets in self._open.values() for each in sockets))
 
 
 def _peer(made: socket.socket) -> str:
@@ -85,10 +85,10 @@
 
 def _traffic(made: socket.socket) -> control.Traffic:
     try:
-        told = made.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
+        tcp_info = made.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
     except OSError:
         return control.Traffic()
-    sent, received = struct.unpack_from("=QQ", told, SENT_AT)
+    sent, received = struct.unpack_from("=QQ", tcp_info, SENT_AT)
     return control.Traffic(sent, received)
 
 
@@ -104,10 +104,10 @@
         self._source = source
         self.connections = Connections()
 
-    async def create_connection(self, protocol_factory: Any, *words: Any, **options: Any) -> Any:
+    async def create_connection(self, protocol_factory: Any, *arguments: Any, **options: Any) -> Any:
         """As the loop's, from the address."""
         options["local_addr"] = (self._source, 0)
-        transport, protocol = await super().create_connection(protocol_factory, *words, **options)
+        transport, protocol = await super().create_connection(protocol_factory, *arguments, **options)
         kind = control.WATCHES if isinstance(protocol, discovery_module.Channel) else control.REPORTS
         made = transport.get_extra_info("socket")
         self.connections.add(kind, made)
@@ -129,14 +129,14 @@
 class HollowSidecar:
     """One sidecar's control part, and in place of its process what that part needs of one."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, told: Any) -> None:
+    def __init__(self, loop: asyncio.AbstractEventLoop, config: Any) -> None:
         self._loop = loop
-        self._told = told
+        self._config = config
         self.busy: set[int] = set()  # no request names a class
         self.acted: dict[int, float] = {}  # revision to when it was first acted on
         self.listed: dict[int, float] = {}  # version of the list to when it was held
         self.reports = 0
-        self.discovery = discovery_module.Discovery(loop, told, self._list_changed)
+        self.discovery = discovery_module.Discovery(loop, config, self._list_changed)
         self.member = member_module.FleetMember(loop, self, {})
         agent = self.member.agent
         agent.report_extensions.append(self.discovery.told)
@@ -187,12 +187,12 @@
 
         return observed
 
-    def _answered(self, asked: float, heard: float, told: Any) -> None:
+    def _answered(self, asked: float, heard: float, answer: Any) -> None:
         self.reports += 1
 
-    def _list_changed(self, form: str, news: Any) -> None:
-        if news is not None:
-            _keep(self.listed, news.version, self._loop.time())
+    def _list_changed(self, form: str, event: Any) -> None:
+        if event is not None:
+            _keep(self.listed, event.version, self._loop.time())
         self.member.listed(self._loop.time())
 
     # --- what a sidecar's control part asks of its process ------------------------------
@@ -200,12 +200,12 @@
     @property
     def running(self) -> Any:
         """The configuration in use."""
-        return self._told
+        return self._config
 
-    def adopt(self, told: Any) -> None:
+    def adopt(self, config: Any) -> None:
         """Take another configuration: checked as a sidecar checks it."""
-        self._told = config_module.successor(self._told, told, self.busy).config
-        self.discovery.move(self._told.discovery, self._told.registry)
+        self._config = config_module.successor(self._config, config, self.busy).config
+        self.discovery.move(self._config.discovery, self._config.registry)
 
     def steer(self, steer: Any) -> None:
         """Nothing is picked here."""
@@ -227,13 +227,13 @@
 
 def _keep(times: dict[int, float], number: int, now: float) -> None:
     times[number] = now
-    if len(times) > MOMENTS_KEPT:
+    if len(times) > MOMENTS_CACHED:
         del times[next(iter(times))]
 
 
 def _since(times: dict[int, float], number: int) -> float | None:
     """When this number or a later one came first."""
-    return min((at for held, at in times.items() if held >= number), default=None)
+    return min((at for known, at in times.items() if known >= number), default=None)
 
 
 def sidecar_config(index: int, start: control.Start) -> Any:
--- a/brassfall/lab/capacity/lists.py
+++ b/brassfall/lab/capacity/lists.py
@@ -21,7 +21,7 @@
 from brassfall.lab.capacity.topology import Topology, one_service
 
 LIST = "list, by its entries"
-HOLLOW, WHOLE = "sidecar's control path, by entries", "whole sidecar, by entries"
+HOLLOW, SIDECAR = "sidecar's control path, by entries", "whole sidecar, by entries"
 HOLLOWS = 20
 CHANGES, CHANGES_PER_S = 40, 5.0
 SETTLE_S = 6.0  # for the whole list to be taken in, and the start to be over
@@ -36,10 +36,10 @@
         await _wire(recorder, topology.service, entries, version)
         await topology.hollow.start(HOLLOWS, [topology.service.address], alone=True)
         await topology.hollow.leased()
-        _, whole = await start_sidecar(environment, "whole", [topology.service.address])
+        _, sidecar = await start_sidecar(environment, "whole", [topology.service.address])
         await asyncio.sleep(SETTLE_S)
-        await _memory(recorder, topology, whole.pid, entries)
-        await _changes(options, recorder, topology, whole.pid, entries)
+        await _memory(recorder, topology, sidecar.pid, entries)
+        await _changes(options, recorder, topology, sidecar.pid, entries)
         recorder.load("lists", entries)
 
 
@@ -49,17 +49,17 @@
         aiohttp.ClientSession() as session,
         session.get(f"http://{service.address}/registry/instances") as answer,
     ):
-        whole = len(await answer.read())
-    recorder.add(LIST, "whole list on the wire", "KB", entries, whole / 1000.0)
-    recorder.add(LIST, "whole list at 14 KB/s", "s", entries, whole / 14_000.0)
+        list_bytes = len(await answer.read())
+    recorder.add(LIST, "whole list on the wire", "KB", entries, list_bytes / 1000.0)
+    recorder.add(LIST, "whole list at 14 KB/s", "s", entries, list_bytes / 14_000.0)
     lines = client.watch(service.address, "/registry/instances", version)
-    async with aclosing(_told(lines)) as told:
-        await anext(told)  # the answer to who asks for a watch
+    async with aclosing(_watch_events(lines)) as events:
+        await anext(events)  # the answer to who asks for a watch
         await alter(service.address, 0, 0.5)
-        recorder.add(LIST, "one changed entry on the wire", "B", entries, len(await anext(told)))
+        recorder.add(LIST, "one changed entry on the wire", "B", entries, len(await anext(events)))
 
 
-async def _told(lines: AsyncIterator[bytes]) -> AsyncGenerator[bytes, None]:
+async def _watch_events(lines: AsyncIterator[bytes]) -> AsyncGenerator[bytes, None]:
     async for line in lines:
         if line:
             yield line
@@ -76,14 +76,14 @@
     recorder.add(
         HOLLOW, "memory of a hollow one, its part", "MiB", entries, snapshot.uss_bytes / HOLLOWS / 2**20
     )
-    recorder.add(WHOLE, "memory (USS)", "MiB", entries, machine.uss_mib(pid))
+    recorder.add(SIDECAR, "memory (USS)", "MiB", entries, machine.uss_mib(pid))
 
 
 async def _changes(options: Options, recorder: Recorder, topology: Topology, pid: int, entries: int) -> None:
     """Processor time for one changed entry: what changes at a steady rate add to a time without any."""
     idle = await _spent(topology, pid, 0)
     busy = await _spent(topology, pid, CHANGES)
-    for role, before, after in ((HOLLOW, idle[0], busy[0]), (WHOLE, idle[1], busy[1])):
+    for role, before, after in ((HOLLOW, idle[0], busy[0]), (SIDECAR, idle[1], busy[1])):
         each_ms = 1000.0 * max(0.0, after - before) / CHANGES
         recorder.add(role, "processor time for one changed entry", "ms", entries, each_ms)
         recorder.add(
@@ -96,7 +96,7 @@
 async def _spent(topology: Topology, pid: int, changes: int) -> tuple[float, float, float]:
     """Processor time in s of a hollow sidecar and of the whole one, and the median delay in ms."""
     [before] = await topology.hollow.snapshots()
-    whole, delays = machine.cpu_s(pid), []
+    cpu_before_s, delays = machine.cpu_s(pid), []
     for number in range(CHANGES):
         begun = time.monotonic()
         if number < changes:
@@ -110,4 +110,4 @@
     if changes and set(after.list_versions) != {version}:
         raise MeasurementError("a hollow sidecar does not hold the newest list", str(after.list_versions))
     middle = sorted(delays)[len(delays) // 2] if delays else 0.0
-    return (after.cpu_s - before.cpu_s) / HOLLOWS, machine.cpu_s(pid) - whole, middle
+    return (after.cpu_s - before.cpu_s) / HOLLOWS, machine.cpu_s(pid) - cpu_before_s, middle
--- a/brassfall/lab/capacity/figures.py
+++ b/brassfall/lab/capacity/measurements.py
@@ -9,7 +9,7 @@
 from brassfall.errors import UsageError
 
 
-class Figure(msgspec.Struct, frozen=True):
+class Measurement(msgspec.Struct, frozen=True):
     """One measured quantity of one role at one size of the fleet: the median of `repeats` measurements.
 
     Of what should not be at all (sidecars that came too late), the most of them."""
@@ -22,37 +22,37 @@
     repeats: int
 
 
-class FiguresError(UsageError):
+class MeasurementsError(UsageError):
     """A file of figures that can't be read."""
 
     action = "Name a figures.json that `lab capacity` has written, or measure anew."
 
 
-def read(path: Path) -> list[Figure]:
+def read(path: Path) -> list[Measurement]:
     """The rows of a file; `FiguresError` says what is wrong with it."""
     try:
-        return msgspec.json.decode(path.read_bytes(), type=list[Figure])
+        return msgspec.json.decode(path.read_bytes(), type=list[Measurement])
     except OSError as error:
-        raise FiguresError(str(path), error.strerror or str(error)) from error
+        raise MeasurementsError(str(path), error.strerror or str(error)) from error
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-        raise FiguresError(str(path), str(error)) from error
+        raise MeasurementsError(str(path), str(error)) from error
 
 
-def write(path: Path, figures: list[Figure]) -> None:
+def write(path: Path, measurements: list[Measurement]) -> None:
     """Write a file, a row a line, in the order of roles as they first come."""
-    lines = ",\n".join(msgspec.json.encode(figure).decode() for figure in figures)
+    lines = ",\n".join(msgspec.json.encode(measurement).decode() for measurement in measurements)
     path.write_text(f"[\n{lines}\n]\n")
 
 
-def merged(held: list[Figure], new: list[Figure]) -> list[Figure]:
+def merged(stored: list[Measurement], new: list[Measurement]) -> list[Measurement]:
     """Rows held before with newer ones in place of those of the same role, quantity and size."""
-    rows = {(each.role, each.quantity, each.size): each for each in held}
+    rows = {(each.role, each.quantity, each.size): each for each in stored}
     rows |= {(each.role, each.quantity, each.size): each for each in new}
     order: dict[str, int] = {}
-    for each in (*held, *new):
+    for each in (*stored, *new):
         order.setdefault(each.role, len(order))
     quantities: dict[tuple[str, str], int] = {}
-    for each in (*held, *new):
+    for each in (*stored, *new):
         quantities.setdefault((each.role, each.quantity), len(quantities))
     return sorted(
         rows.values(), key=lambda row: (order[row.role], quantities[row.role, row.quantity], row.size)
--- a/brassfall/lab/capacity/overrides.py
+++ b/brassfall/lab/capacity/overrides.py
@@ -69,9 +69,9 @@
     """The revision that carries an override."""
     until = time.monotonic() + LIMIT_S
     while time.monotonic() < until:
-        told = await client.call(service.address, "GET", "/rules")
-        if any(row["id"] == name for row in told["overrides"]):
-            return int(told["edition"])
+        answer = await client.call(service.address, "GET", "/rules")
+        if any(row["id"] == name for row in answer["overrides"]):
+            return int(answer["edition"])
         await asyncio.sleep(LOOK_S / 5.0)
     raise MeasurementError(f"override {name}", f"no revision carries it after {LIMIT_S:g} s")
 
--- a/brassfall/lab/capacity/page.py
+++ b/brassfall/lab/capacity/page.py
@@ -11,8 +11,8 @@
 
 from brassfall.errors import UsageError
 from brassfall.lab.capacity.budgets import BUDGETS, Budget
-from brassfall.lab.capacity.figures import Figure
 from brassfall.lab.capacity.fit import TARGET, line, value_at_target
+from brassfall.lab.capacity.measurements import Measurement
 from brassfall.lab.capacity.roles import MACHINE, TARGETS
 
 MARKED = re.compile(r"(<!-- table (?P<name>[a-z ,'-]+) -->\n).*?(<!-- end -->)", re.DOTALL)
@@ -46,17 +46,17 @@
     return f"{number(value)} {unit}".rstrip()
 
 
-def by_quantity(figures: Iterable[Figure]) -> dict[tuple[str, str], list[Figure]]:
+def by_quantity(measurements: Iterable[Measurement]) -> dict[tuple[str, str], list[Measurement]]:
     """Rows of each quantity of each role, by size."""
-    found: dict[tuple[str, str], list[Figure]] = {}
-    for figure in figures:
-        found.setdefault((figure.role, figure.quantity), []).append(figure)
+    found: dict[tuple[str, str], list[Measurement]] = {}
+    for measurement in measurements:
+        found.setdefault((measurement.role, measurement.quantity), []).append(measurement)
     return {key: sorted(rows, key=lambda row: row.size) for key, rows in found.items()}
 
 
-def roles(figures: Iterable[Figure]) -> list[str]:
+def roles(measurements: Iterable[Measurement]) -> list[str]:
     """The roles, in the order in which they come first."""
-    return list(dict.fromkeys(figure.role for figure in figures))
+    return list(dict.fromkeys(measurement.role for measurement in measurements))
 
 
 def table(head: list[str], rows: list[list[str]]) -> str:
@@ -65,60 +65,60 @@
     return "\n".join([*lines, *(f"| {' | '.join(row)} |" for row in rows)]) + "\n"
 
 
-def measured(rows: list[Figure]) -> str:
+def measured(rows: list[Measurement]) -> str:
     """What was measured at each size."""
     return "; ".join(f"{number(row.value)} at {row.size:,}" for row in rows)
 
 
-def slope(rows: list[Figure]) -> str:
+def slope(rows: list[Measurement]) -> str:
     """What a thousand more add, and the fit's error."""
     fitted = line(rows)
     if len(fitted.sizes) < 2:
         return "-"
     error = fitted.error_percent
-    told = "two sizes: no error" if math.isnan(error) else f"error {error:.0f}%"
-    return f"{number(THOUSAND * fitted.slope)} ({told})"
+    text = "two sizes: no error" if math.isnan(error) else f"error {error:.0f}%"
+    return f"{number(THOUSAND * fitted.slope)} ({text})"
 
 
-def at_target(rows: list[Figure], target: int) -> str:
+def at_target(rows: list[Measurement], target: int) -> str:
     """The value at the size aimed at, and how far that is extrapolated."""
     found = value_at_target(rows, target)
     if len(rows) == 1 and found.times > FAR:
         return f"not measured beyond {rows[0].size:,}"
-    told = with_unit(found.value, rows[0].unit)
-    return f"{told} (x{found.times:.1f} beyond what was measured)" if found.times > FAR else told
+    text = with_unit(found.value, rows[0].unit)
+    return f"{text} (x{found.times:.1f} beyond what was measured)" if found.times > FAR else text
 
 
-def role_table(figures: list[Figure], role: str) -> str:
+def role_table(measurements: list[Measurement], role: str) -> str:
     """All quantities of a role. What tells of the machine has no size that is aimed at."""
     if role == MACHINE:
-        found = by_quantity(figures).items()
+        found = by_quantity(measurements).items()
         return table(
-            ["quantity", "measured"], [[name, measured(held)] for (of, name), held in found if of == role]
+            ["quantity", "measured"], [[name, measured(rows)] for (of, name), rows in found if of == role]
         )
     target = TARGETS.get(role, TARGET)
     rows = [
-        [quantity, measured(held), held[0].unit, slope(held), at_target(held, target), _repeats(held)]
-        for (of, quantity), held in by_quantity(figures).items()
+        [quantity, measured(rows), rows[0].unit, slope(rows), at_target(rows, target), _repeats(rows)]
+        for (of, quantity), rows in by_quantity(measurements).items()
         if of == role
     ]
     return table(["quantity", "measured", "unit", "slope, per 1,000", f"at {target:,}", "repeats"], rows)
 
 
-def _repeats(rows: list[Figure]) -> str:
+def _repeats(rows: list[Measurement]) -> str:
     least, most = min(row.repeats for row in rows), max(row.repeats for row in rows)
     return str(least) if least == most else f"{least} to {most}"
 
 
-def budget_table(figures: list[Figure]) -> str:
+def budget_table(measurements: list[Measurement]) -> str:
     """Each budget, and how much of it is used at the target size. What is over says so."""
-    held = by_quantity(figures)
-    rows = [_budget_row(budget, held.get((budget.role, budget.quantity), [])) for budget in BUDGETS]
+    measured_rows = by_quantity(measurements)
+    rows = [_budget_row(budget, measured_rows.get((budget.role, budget.quantity), [])) for budget in BUDGETS]
     head = ["role", "quantity", "measured", "slope, per 1,000", "at full size", "budget", "part of it used"]
     return table([*head, "what carries it"], rows)
 
 
-def _budget_row(budget: Budget, rows: list[Figure]) -> list[str]:
+def _budget_row(budget: Budget, rows: list[Measurement]) -> list[str]:
     if not rows:
         none = ["not measured", "-", "-"]
         return [budget.role, budget.quantity, *none, f"{budget.of}", "not known", budget.mechanism]
@@ -136,7 +136,7 @@
     ]
 
 
-def used(rows: list[Figure], target: int, limit: float) -> str:
+def used(rows: list[Measurement], target: int, limit: float) -> str:
     """How much of a budget is used at the size aimed at; where there is no slope, at the one measured."""
     if len(rows) == 1 and rows[0].size < target / FAR:
         return f"{verdict(rows[0].value / limit)} at {rows[0].size:,}; not known at {target:,}"
@@ -152,22 +152,22 @@
     return f"{100.0 * part:.1f}%"
 
 
-def tables(figures: list[Figure]) -> dict[str, str]:
+def tables(measurements: list[Measurement]) -> dict[str, str]:
     """Each table by its name."""
-    made = {BUDGET_TABLE: budget_table(figures)}
-    return made | {role: role_table(figures, role) for role in roles(figures)}
+    made = {BUDGET_TABLE: budget_table(measurements)}
+    return made | {role: role_table(measurements, role) for role in roles(measurements)}
 
 
-def document(figures: list[Figure]) -> str:
+def document(measurements: list[Measurement]) -> str:
     """All tables, as a page of their own."""
-    made = tables(figures)
+    made = tables(measurements)
     first = f"# Capacity, from figures.json\n\n## Budgets at {TARGET:,} sidecars\n\n{made[BUDGET_TABLE]}"
-    return first + "".join(f"\n## {role}\n\n{made[role]}" for role in roles(figures))
+    return first + "".join(f"\n## {role}\n\n{made[role]}" for role in roles(measurements))
 
 
-def filled(text: str, figures: list[Figure]) -> str:
+def filled(text: str, measurements: list[Measurement]) -> str:
     """A page with its tables written anew; `PageError` names a table that there is none of."""
-    made = tables(figures)
+    made = tables(measurements)
 
     def put(found: re.Match[str]) -> str:
         name = found["name"]
--- a/brassfall/lab/capacity/part.py
+++ b/brassfall/lab/capacity/part.py
@@ -12,7 +12,7 @@
 
 from brassfall.lab.capacity import machine
 from brassfall.lab.capacity.environment import Environment
-from brassfall.lab.capacity.figures import Figure
+from brassfall.lab.capacity.measurements import Measurement
 from brassfall.lab.capacity.roles import MACHINE
 
 
@@ -46,7 +46,7 @@
     def __init__(self) -> None:
         self._values: dict[tuple[str, str, str, int], list[float]] = {}
         self._worst: set[tuple[str, str, str, int]] = set()
-        self._made: list[Figure] = []
+        self._made: list[Measurement] = []
 
     def add(self, role: str, quantity: str, unit: str, size: int, value: float) -> None:
         """One measurement."""
@@ -57,7 +57,7 @@
         self._worst.add((role, quantity, "", size))
         self.add(role, quantity, "", size, value)
 
-    def take(self, made: list[Figure]) -> None:
+    def take(self, made: list[Measurement]) -> None:
         """Figures that are medians already."""
         self._made += made
 
@@ -65,10 +65,10 @@
         """The load average of the machine at this moment of a part."""
         self.add(MACHINE, f"load average, {part}", "", size, machine.load_average())
 
-    def figures(self) -> list[Figure]:
+    def measurements(self) -> list[Measurement]:
         """All of them."""
         return self._made + [
-            Figure(*key, float(f"{(max if key in self._worst else median)(values):.4g}"), len(values))
+            Measurement(*key, float(f"{(max if key in self._worst else median)(values):.4g}"), len(values))
             for key, values in self._values.items()
         ]
 
--- a/brassfall/lab/capacity/relay.py
+++ b/brassfall/lab/capacity/relay.py
@@ -35,10 +35,10 @@
         host, port = self._server.sockets[0].getsockname()[:2]
         self.address = f"{host}:{port}"
 
-    def cut(self, *ways: str) -> None:
+    def partition(self, *directions: str) -> None:
         """Let nothing pass these ways."""
-        for way in ways:
-            self._open[way].clear()
+        for direction in directions:
+            self._open[direction].clear()
 
     def heal(self) -> None:
         """Let all pass again."""
@@ -69,20 +69,20 @@
         up_reader, up_writer = await asyncio.open_connection(self.host, self.port)
         try:
             async with asyncio.TaskGroup() as group:
-                ways = (
+                directions = (
                     group.create_task(self._pump(reader, up_writer, UP)),
                     group.create_task(self._pump(up_reader, writer, DOWN)),
                 )
-                await asyncio.wait(ways, return_when=asyncio.FIRST_COMPLETED)
-                for way in ways:
-                    way.cancel()
+                await asyncio.wait(directions, return_when=asyncio.FIRST_COMPLETED)
+                for direction in directions:
+                    direction.cancel()
         finally:
             up_writer.close()
 
-    async def _pump(self, source: asyncio.StreamReader, sink: asyncio.StreamWriter, way: str) -> None:
+    async def _pump(self, source: asyncio.StreamReader, sink: asyncio.StreamWriter, direction: str) -> None:
         with contextlib.suppress(*GONE):
             while data := await source.read(READ_BYTES):
-                await self._open[way].wait()
-                self.passed[way] += len(data)
+                await self._open[direction].wait()
+                self.passed[direction] += len(data)
                 sink.write(data)
                 await sink.drain()
--- a/brassfall/lab/capacity/revisions.py
+++ b/brassfall/lab/capacity/revisions.py
@@ -67,7 +67,7 @@
     recorder.count(role, f"{what}, sidecars later than {LIMIT_S:g} s", size, late)
 
 
-def told(found: Spread) -> str:
+def described(found: Spread) -> str:
     """One revision in a few words."""
     times = f"p50 {found.p50_s:.2f} s, p99 {found.p99_s:.2f} s, last {found.last_s:.2f} s"
     return f"{times}, {found.reached} of {found.sidecars}"
@@ -81,7 +81,7 @@
             found, back_s = await revision(fleet, fault)
             record(recorder, role, condition, size, found)
             options.progress(
-                f"{role}: {size} sidecars, {condition}: {told(found)}; leased {back_s:.1f} s after"
+                f"{role}: {size} sidecars, {condition}: {described(found)}; leased {back_s:.1f} s after"
             )
     recorder.load("revisions", size)
 
--- a/brassfall/lab/capacity/sidecar.py
+++ b/brassfall/lab/capacity/sidecar.py
@@ -27,11 +27,11 @@
     if agreement:
         fleet |= {"agreement": {}, "place": {"group": "g0", "region": "a"}}
     known = {"index": 0, "snapshot": True, "endpoints": []}
-    told = {"name": name, "listen": address, "seed": "1", "known": known, "settings": SETTINGS}
+    raw_config = {"name": name, "listen": address, "seed": "1", "known": known, "settings": SETTINGS}
     path = environment.folder / f"{name}.json"
-    path.write_text(json.dumps(told | {"fleet": fleet}))
-    kept = {key: value for key, value in os.environ.items() if not key.startswith("NODE_")}
-    made = await environment.python(name, "brassfall.sidecar", env={**kept, "NODE_CONFIG": str(path)})
+    path.write_text(json.dumps(raw_config | {"fleet": fleet}))
+    inherited = {key: value for key, value in os.environ.items() if not key.startswith("NODE_")}
+    made = await environment.python(name, "brassfall.sidecar", env={**inherited, "NODE_CONFIG": str(path)})
     await until(lambda: _connect(address))
     return address, made
 
--- a/brassfall/lab/capacity/steady.py
+++ b/brassfall/lab/capacity/steady.py
@@ -35,7 +35,7 @@
         took_s = await topology.hollow.leased(LEASED_S)
     except BrassfallError as error:
         options.progress(f"{role}: {size} sidecars are not held: {error.told}")
-        await _not_held(options, recorder, topology, size)
+        await _not_sustained(options, recorder, topology, size)
         return False
     recorder.add(role, "all sidecars act on a revision after the last start", "s", size, took_s)
     recorder.count(role, UNLEASED, size, 0.0)
@@ -43,7 +43,7 @@
     return True
 
 
-async def _not_held(options: Options, recorder: Recorder, topology: Topology, size: int) -> None:
+async def _not_sustained(options: Options, recorder: Recorder, topology: Topology, size: int) -> None:
     role, begun = roles(topology).service, time.monotonic()
     before = machine.cpu_s(topology.service.pid)
     found = await topology.hollow.snapshots()
@@ -147,14 +147,16 @@
     core = (after.aggregator_cpu_s[index] - before.aggregator_cpu_s[index]) / seconds
     recorder.add(AGGREGATOR, "processor time", "core", children, core)
     recorder.add(AGGREGATOR, "memory (USS)", "MiB", children, machine.uss_mib(each.pid))
-    for way, name in ((UP, "bytes to the deciding service"), (DOWN, "bytes from the deciding service")):
-        passed = after.passed[index][way] - before.passed[index][way]
+    for direction, name in ((UP, "bytes to the deciding service"), (DOWN, "bytes from the deciding service")):
+        passed = after.passed[index][direction] - before.passed[index][direction]
         recorder.add(AGGREGATOR, name, "KB/s", children, passed / seconds / 1000.0)
 
 
 def _upward(recorder: Recorder, size: int, before: Looked, after: Looked, seconds: float) -> None:
-    for way, name in ((UP, "bytes in"), (DOWN, "bytes out")):
-        passed = sum(each[way] for each in after.passed) - sum(each[way] for each in before.passed)
+    for direction, name in ((UP, "bytes in"), (DOWN, "bytes out")):
+        passed = sum(each[direction] for each in after.passed) - sum(
+            each[direction] for each in before.passed
+        )
         recorder.add(TIER.service, name, "KB/s", size, passed / seconds / 1000.0)
 
 
--- a/brassfall/lab/capacity/tier.py
+++ b/brassfall/lab/capacity/tier.py
@@ -12,7 +12,7 @@
 from brassfall.errors import BrassfallError
 from brassfall.lab.capacity import faults
 from brassfall.lab.capacity.part import Options, Recorder
-from brassfall.lab.capacity.revisions import LIMIT_S, Plan, play, reached, start, told
+from brassfall.lab.capacity.revisions import LIMIT_S, Plan, described, play, reached, start
 from brassfall.lab.capacity.steady import aggregators, at_rest, fan_out, steady
 from brassfall.lab.capacity.topology import with_aggregators
 
@@ -30,7 +30,7 @@
         "one aggregator killed": (faults.aggregator_killed, some),
         "one aggregator not heard": (faults.aggregator_unheard, 1),
         "one aggregator not told": (faults.aggregator_untold, 1),
-        "a region cut off": (faults.region_cut_off, 1),
+        "a region cut off": (faults.region_partitioned, 1),
         "service killed": (faults.service_killed, 1),
     }
 
@@ -67,6 +67,6 @@
         found = await reached(topology, revision, begun, topology.hollow.workers)
         what = f"{size:,} sidecars of a region, half of them move, acted on by all after"
         recorder.add(REGION, what, "s", size, LIMIT_S if found.reached < found.sidecars else found.last_s)
-        options.progress(f"{REGION}: {what}: {told(found)}")
+        options.progress(f"{REGION}: {what}: {described(found)}")
         await asyncio.sleep(SETTLED_S)
         await aggregators(options, recorder, topology)
--- a/brassfall/lab/capacity/topology.py
+++ b/brassfall/lab/capacity/topology.py
@@ -56,8 +56,8 @@
 
     async def start(self) -> None:
         """Start it, also anew; until it is ready."""
-        words = ("brassfall", "registry", "aggregate", "--config", str(self._config))
-        self.process = await self._environment.python(self.name, *words)
+        command = ("brassfall", "registry", "aggregate", "--config", str(self._config))
+        self.process = await self._environment.python(self.name, *command)
         await until(lambda: client.call(self.address, "GET", "/health/ready"), LEASED_S)
 
     async def kill(self) -> None:
@@ -109,10 +109,10 @@
             aiohttp.ClientSession(timeout=limit) as session,
             session.put(f"http://{self.service.address}/rules", json=settings) as answer,
         ):
-            told = await answer.json()
+            status = await answer.json()
             if answer.status != 200:
-                raise MeasurementError("a revision was not published", str(told))
-            return int(told["edition"])
+                raise MeasurementError("a revision was not published", str(status))
+            return int(status["edition"])
 
 
 async def one_service(environment: Environment, list_length: int) -> Topology:
--- a/brassfall/lab/demo.py
+++ b/brassfall/lab/demo.py
@@ -38,7 +38,10 @@
 }
 ZONES = {"s1": "a", "s2": "b", "s3": "b"}
 AGREE_MS = 1500  # half the default, so that the demonstration is short
-HELD_S, STOPPED_S = 4.0, 2.0  # how long the override lasts, and how long the sidecar is stopped over its end
+OVERRIDE_S, STOPPED_S = (
+    4.0,
+    2.0,
+)  # how long the override lasts, and how long the sidecar is stopped over its end
 BACK_S = 4.0  # within that, traffic has begun to come back: it is eased in over 5 s
 
 
@@ -56,7 +59,7 @@
         self._say = say
         self._processes: dict[str, asyncio.subprocess.Process] = {}
         self._logs: list[asyncio.Task[None]] = []
-        self._door = _free_port()
+        self._admin_address = _free_port()
 
     async def run(self) -> None:
         """Start all, send, break things, send again; `DemoError` if something is not as it should be."""
@@ -77,14 +80,14 @@
         say(f"list service on {service}")
         await self._brassfall("service", "registry", "serve", "--config", str(config))
         for name, zone in ZONES.items():
-            words = ("lab", "server", name, "--registry", service, "--ttl-ms", "2000", "--zone", zone)
-            listen = await self._brassfall(name, *words, "--ledger", str(self._ledger(name)))
+            command = ("lab", "server", name, "--registry", service, "--ttl-ms", "2000", "--zone", zone)
+            listen = await self._brassfall(name, *command, "--ledger", str(self._ledger(name)))
             say(f"server {name} in region {zone} on {listen}")
         await self._listed(service, 3)
         address = await self._sidecar(service)
         say(f"sidecar on {address}")
         await self._send(address, 60, "all three up")
-        await self._edition(service)
+        await self._publish_revision(service)
         await self._override(service, address)
         say("the list service is killed: the sidecar goes on with the list that it holds")
         await self._kill("service")
@@ -104,12 +107,12 @@
 
     # --- an edition, and an override that ends while the sidecar is stopped ---------------
 
-    async def _edition(self, service: str) -> None:
+    async def _publish_revision(self, service: str) -> None:
         """Publish an edition, and wait until the sidecar acts on it."""
         settings = {"Profiles": [{"Name": "look", "Objective": 400.0}]}
         number = (await client.call(service, "PUT", "/rules", settings))["edition"]
         begun = time.monotonic()
-        await self._until("the edition was not acted on", lambda told: told["acting"] == number)
+        await self._until("the edition was not acted on", lambda answer: answer["acting"] == number)
         took = time.monotonic() - begun
         self._say(
             f"edition {number} is committed, and the sidecar acts on it, {took:.1f} s after it was published"
@@ -118,9 +121,9 @@
     async def _override(self, service: str, address: str) -> None:
         """Hold region b off for a while, and stop the sidecar over the end of that."""
         hold = {"action": {"hold": {"region": "b"}}, "by": "demo", "why": "to show it"}
-        until = time.time() + HELD_S
+        until = time.time() + OVERRIDE_S
         await client.call(service, "PUT", "/overrides/demo", {**hold, "until_ms": int(until * 1000.0)})
-        await self._until("the override was not acted on", lambda told: told["overrides"] == ["demo"])
+        await self._until("the override was not acted on", lambda answer: answer["overrides"] == ["demo"])
         since, left = time.monotonic(), until - time.time()
         self._say(f"an override holds region b off, {left:.1f} s are left")
         await self._send(address, 30, "b held off")
@@ -131,9 +134,9 @@
         finally:
             self._processes["sidecar"].send_signal(signal.SIGCONT)
         went_on = time.monotonic()
-        told = await self._rules()
-        if told["overrides"]:
-            raise DemoError("an override was acted on past its end", f"the sidecar said {told}")
+        answer = await self._rules()
+        if answer["overrides"]:
+            raise DemoError("an override was acted on past its end", f"the sidecar said {answer}")
         self._say("  it goes on: with its first word it acts on no override any more")
         while not any(row["at"] > went_on for row in self._rows("b")):
             if time.monotonic() - went_on > 2.0 * BACK_S:
@@ -156,7 +159,7 @@
 
     async def _rules(self) -> Any:
         """What the sidecar says that it acts on."""
-        reader, writer = await asyncio.open_connection("127.0.0.1", self._door)
+        reader, writer = await asyncio.open_connection("127.0.0.1", self._admin_address)
         try:
             writer.write(b"RULES\n")
             async with asyncio.timeout(READY_S):
@@ -179,7 +182,7 @@
         for name in ZONES:
             found = Counter(str(row["edition"]) for row in rows if row["server"] == name)
             self._say(
-                f"  {name}: " + ", ".join(f"{times} under {edition}" for edition, times in found.items())
+                f"  {name}: " + ", ".join(f"{times} under {revision}" for revision, times in found.items())
             )
         if any(row["edition"] is None for row in rows):
             raise DemoError("a request named no edition")
@@ -192,9 +195,9 @@
                 async with session.get(f"http://{address}/look/{number}", headers=headers) as answer:
                     body = (await answer.read()).decode()
                 served[body.split(" ")[0] if answer.status == 200 else f"status {answer.status}"] += 1
-        told = ", ".join(f"{name} {times}" for name, times in sorted(served.items()))
+        shares = ", ".join(f"{name} {times}" for name, times in sorted(served.items()))
         if not quiet:
-            self._say(f"  {when}: {count} requests, answered by {told}")
+            self._say(f"  {when}: {count} requests, answered by {shares}")
         if any(name.startswith("status") for name in served):
             raise DemoError("a request was not served")
         return served
@@ -205,25 +208,25 @@
             async with asyncio.timeout(READY_S):
                 async for line in client.watch(service, "/registry/instances"):
                     if line:
-                        told = await client.call(service, "GET", "/registry/instances")
-                        if sum(row["status"] == "active" for row in told["endpoints"]) == count:
+                        answer = await client.call(service, "GET", "/registry/instances")
+                        if sum(row["status"] == "active" for row in answer["endpoints"]) == count:
                             return
         except TimeoutError:
             raise DemoError(f"{count} servers were not listed within {READY_S:g} s") from None
 
-    async def _brassfall(self, name: str, *words: str) -> str:
+    async def _brassfall(self, name: str, *command: str) -> str:
         """Start a process of this program and wait until it is ready; where it listens."""
         process = self._processes[name] = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "brassfall", *words, cwd=ROOT, stderr=asyncio.subprocess.PIPE
+            sys.executable, "-m", "brassfall", *command, cwd=ROOT, stderr=asyncio.subprocess.PIPE
         )
         assert process.stderr is not None
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(READY_S):
                 async for line in process.stderr:
-                    told = json.loads(line) if line.startswith(b"{") else {}
-                    if told.get("event") == "ready":
+                    answer = json.loads(line) if line.startswith(b"{") else {}
+                    if answer.get("event") == "ready":
                         self._logs.append(asyncio.create_task(_drop(process.stderr)))
-                        return str(told["listen"])
+                        return str(answer["listen"])
         raise DemoError(f"{name} did not start", f"not ready within {READY_S:g} s")
 
     async def _sidecar(self, service: str) -> str:
@@ -232,23 +235,23 @@
         address = f"127.0.0.1:{_free_port()}"
         config = self._folder / "sidecar.json"
         known = {"index": 0, "snapshot": True, "endpoints": []}
-        told = {"name": "n1", "listen": address, "seed": "1", "known": known, "settings": SETTINGS}
-        told["operator"] = f"127.0.0.1:{self._door}"
+        raw = {"name": "n1", "listen": address, "seed": "1", "known": known, "settings": SETTINGS}
+        raw["operator"] = f"127.0.0.1:{self._admin_address}"
         place, agreement = {"group": "a", "region": "a"}, {"agree_ms": AGREE_MS}
         fleet = {"registry": [service], "place": place, "agreement": agreement}
-        config.write_text(json.dumps({**told, "fleet": fleet}))
-        kept = {key: value for key, value in os.environ.items() if not key.startswith("NODE_")}
+        config.write_text(json.dumps({**raw, "fleet": fleet}))
+        inherited = {key: value for key, value in os.environ.items() if not key.startswith("NODE_")}
         log = (self._folder / "sidecar.log").open("wb")
         self._processes["sidecar"] = await asyncio.create_subprocess_exec(
-            "/bin/sh", "-c", run, cwd=ROOT, env={**kept, "NODE_CONFIG": str(config)}, stderr=log
+            "/bin/sh", "-c", run, cwd=ROOT, env={**inherited, "NODE_CONFIG": str(config)}, stderr=log
         )
         log.close()
         try:
             async with asyncio.timeout(READY_S), aiohttp.ClientSession() as session:
                 while not await _serves(session, address):
                     if self._processes["sidecar"].returncode is not None:
-                        said = (self._folder / "sidecar.log").read_text().strip()[-300:]
-                        raise DemoError("the sidecar ended", said)
+                        last_lines = (self._folder / "sidecar.log").read_text().strip()[-300:]
+                        raise DemoError("the sidecar ended", last_lines)
                     await asyncio.sleep(0.05)
         except TimeoutError:
             raise DemoError("the sidecar did not start", f"not ready within {READY_S:g} s") from None
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -12,10 +12,10 @@
 import psutil
 import pytest
 
-from brassfall.lab.capacity import command, control, figures, fit, fleet, machine, page, relay, topology
+from brassfall.lab.capacity import command, control, fit, fleet, machine, measurements, page, relay, topology
 from brassfall.lab.capacity.environment import Environment, register, start_service
-from brassfall.lab.capacity.figures import Figure
 from brassfall.lab.capacity.hollow import HollowSidecar, SourceLoop, sidecar_config
+from brassfall.lab.capacity.measurements import Measurement
 from tests.loopback import bounded
 
 ROOT = Path(__file__).parent.parent
@@ -24,7 +24,7 @@
 
 
 def rows(*pairs, unit="core", role="r", quantity="q"):
-    return [Figure(role, quantity, unit, size, value, 3) for size, value in pairs]
+    return [Measurement(role, quantity, unit, size, value, 3) for size, value in pairs]
 
 
 def test_a_line_through_figures_tells_slope_error_and_what_it_gives_at_the_target():
@@ -47,14 +47,14 @@
 def test_figures_are_kept_a_row_a_line_and_newer_ones_take_the_place_of_older(tmp_path):
     path = tmp_path / "figures.json"
     old, new = rows((300, 0.4), (900, 1.0)), [*rows((900, 2.0)), *rows((300, 7.0), role="s")]
-    figures.write(path, figures.merged(old, new))
-    assert figures.read(path) == [*rows((300, 0.4), (900, 2.0)), *rows((300, 7.0), role="s")]
+    measurements.write(path, measurements.merged(old, new))
+    assert measurements.read(path) == [*rows((300, 0.4), (900, 2.0)), *rows((300, 7.0), role="s")]
     assert len(path.read_text().splitlines()) == 5
     path.write_text('[{"role": 3}]')
-    with pytest.raises(figures.FiguresError, match="role"):
-        figures.read(path)
-    with pytest.raises(figures.FiguresError, match="No such file"):
-        figures.read(tmp_path / "none.json")
+    with pytest.raises(measurements.MeasurementsError, match="role"):
+        measurements.read(path)
+    with pytest.raises(measurements.MeasurementsError, match="No such file"):
+        measurements.read(tmp_path / "none.json")
 
 
 def test_what_is_over_budget_says_so_in_words():
@@ -222,7 +222,7 @@
     writer.write(b"one")
     assert await reader.readexactly(3) == b"ONE"
     for cut, passed in ((relay.UP, 3), (relay.DOWN, 6)):
-        way.cut(cut)
+        way.partition(cut)
         writer.write(b"two")
         with pytest.raises(TimeoutError):
             await asyncio.wait_for(reader.readexactly(1), 0.1)
@@ -268,7 +268,7 @@
 
 def test_the_capacity_page_is_what_its_figures_give():
     path, held = ROOT / "docs" / "CAPACITY.md", ROOT / "docs" / "capacity" / "figures.json"
-    text, measured = path.read_text(), figures.read(held)
+    text, measured = path.read_text(), measurements.read(held)
     assert page.filled(text, measured) == text
     named = {found["name"] for found in page.MARKED.finditer(text)}
     assert named == set(page.tables(measured))  # no table of the page lacks figures, and no figure a table
--- a/tests/test_capacity_datapath.py
+++ b/tests/test_capacity_datapath.py
@@ -33,7 +33,7 @@
 def turn(address, **changes):
     """A short turn."""
     told = {"rate": 100.0, "seconds": 0.5, "skip_seconds": 0.0, "connections": 2, "hops": 0, "seed": 5}
-    return Turn(addresses=[address], way=calls.DIRECT, **{**told, **changes})
+    return Turn(addresses=[address], route=calls.DIRECT, **{**told, **changes})
 
 
 def test_a_target_tells_hops_and_way_and_any_other_target_has_none():
@@ -71,32 +71,32 @@
 
 
 @pytest.fixture(scope="module")
-def figures():
+def measurements():
     """The figures of a small measurement, by quantity."""
     rows = asyncio.run(asyncio.wait_for(measure(SMALL), 60.0))
     assert len({(row.quantity, row.size) for row in rows}) == len(rows), "a quantity is told twice"
     return {(row.quantity, row.size): row for row in rows}
 
 
-def test_every_call_is_answered_and_both_ways_are_told(figures):
+def test_every_call_is_answered_and_both_ways_are_told(measurements):
     for where, size in (
         ("at 60/s, entries", 3),
         ("in a chain at 60/s, sidecars", 2),
         ("in a sidecar's first second, entries", 3),
     ):
-        assert figures[f"calls {where}", size].value > 20
-        assert figures[f"calls not answered with 200 {where}", size].value == 0
-        assert figures[f"processor time a call {where}", size].value > 0
+        assert measurements[f"calls {where}", size].value > 20
+        assert measurements[f"calls not answered with 200 {where}", size].value == 0
+        assert measurements[f"processor time a call {where}", size].value > 0
     for quantity in ("added p50", "p99.9 time of a call direct", "client late by p99"):
-        assert (f"{quantity} at 60/s, entries", 3) in figures
-    assert not [quantity for quantity, _ in figures if quantity.startswith("refused")]
+        assert (f"{quantity} at 60/s, entries", 3) in measurements
+    assert not [quantity for quantity, _ in measurements if quantity.startswith("refused")]
 
 
-def test_a_call_wakes_a_sidecar_a_bounded_number_of_times(figures):
+def test_a_call_wakes_a_sidecar_a_bounded_number_of_times(measurements):
     """Its bytes, its answer, and the module's timer; a chain of two has two sidecars."""
-    assert figures["wake-ups a call at 60/s, entries", 3].value < 6.0
+    assert measurements["wake-ups a call at 60/s, entries", 3].value < 6.0
     one, two = (
-        figures[f"wake-ups a call {where}", size].value
+        measurements[f"wake-ups a call {where}", size].value
         for where, size in (("at 60/s, entries", 3), ("in a chain at 60/s, sidecars", 2))
     )
     assert two > one
