--- a/tests/test_standing_module.py
+++ b/tests/test_standing_module.py
@@ -5,11 +5,13 @@
 
 from __future__ import annotations
 
+import bisect
 import heapq
 import itertools
 import math
 import random
 from collections import Counter, defaultdict
+from typing import NamedTuple
 
 import pytest
 
@@ -46,7 +48,7 @@
         profiles = [kind.profile for kind in kinds]
         allowances = [{"AllowancePerS": 1.0} for _ in tenants]
         raw = raw_settings(Profiles=profiles, Tenants=allowances, OverShareWorth=0.1, **settings)
-        raw |= {"Report": {"How": "inline", "Fields": ["inflight"]}, "Rules": RULES}
+        raw = {"Rules": RULES, **raw, "Report": {"How": "inline", "Fields": ["inflight"]}}
         self.raw = {**raw, "Balancers": sidecars}
         self.names = [f"s{i}" for i in range(servers)]
         self.sidecars = [
@@ -190,6 +192,77 @@
     assert 0.0 < worst < 1.0
 
 
+class Start(NamedTuple):
+    """Servers that start cold, all at once, and what else befalls a fleet of twelve in that moment."""
+
+    cores: int
+    load: float
+    joined: int
+    lost: int = 0
+    reborn: bool = False
+
+
+SIDECARS = [1, 2, 4, 20, 30, 200]
+STARTS = {
+    "one beside eleven that are overloaded": Start(cores=4, load=3.0, joined=1),
+    "all, and all sidecars, at twice the load": Start(cores=2, load=2.0, joined=12, reborn=True),
+    "four, all others lost": Start(cores=1, load=0.9, joined=4, lost=8),
+    "three, all others lost, all sidecars killed": Start(cores=4, load=0.9, joined=3, lost=9, reborn=True),
+}
+
+
+def borne(age, cores):
+    """The calls that a server of this age bears within the span, with what is put down to chance."""
+    warmth = min(1.0, RULES["ColdFrom"] + (1.0 - RULES["ColdFrom"]) * age / RULES["WarmUp"])
+    calls = RULES["FallMultiple"] * warmth * cores * RULES["OverloadFor"] / ONE[0].work
+    root = math.sqrt(calls)
+    return calls + (3.0 * root + 3.0 if calls < 30.0 else 2.0 * root + 2.0)
+
+
+def worst_of(start, sidecars, seed=1, **told):
+    """The most that a cold server was sent within the span, as a part of what it bears; `told` is what the
+    sidecars are told of the rules, where that isn't what holds."""
+    settings = {"Rules": {**RULES, **told}}
+    fleet = Fleet(ONE, sidecars, servers=12, cores=start.cores, load=start.load, seed=seed, **settings)
+    names = fleet.names[:]
+    fleet.rng.shuffle(names)
+    joined, lost = names[: start.joined], names[start.joined : start.joined + start.lost]
+    fresh = [Listing(name, started=START) for name in joined]
+    news = fresh + [Listing(name, state="left") for name in lost]
+
+    def begin(now):
+        fleet.sent.clear()
+        fleet.gone = set(lost)
+        for me, made in enumerate(fleet.sidecars):
+            if start.reborn:
+                warm = [Listing(name) for name in names[start.joined + start.lost :]]
+                fleet.sidecars[me] = fleet.sidecar(me, now, warm + fresh)
+            else:
+                fleet.act(now, me, made.server_list(now, "changes", news))
+
+    fleet.later(START, begin)
+    fleet.run(START + 5000.0)
+    worst = 0.0
+    for name in joined:
+        sent = fleet.sent[name]
+        for last, at in enumerate(sent):
+            met = last + 1 - bisect.bisect_right(sent, at - RULES["OverloadFor"])
+            worst = max(worst, met / borne(at - START, start.cores))
+    return worst
+
+
+@pytest.mark.parametrize("sidecars", SIDECARS)
+@pytest.mark.parametrize("start", STARTS.values(), ids=STARTS)
+def test_a_cold_server_gets_no_more_than_it_bears_from_few_sidecars_or_many(start, sidecars):
+    assert 0.0 < worst_of(start, sidecars) <= 1.0
+
+
+@pytest.mark.parametrize("sidecars", SIDECARS)
+def test_sidecars_that_are_told_of_a_higher_multiple_push_cold_servers_over(sidecars):
+    start = STARTS["three, all others lost, all sidecars killed"]
+    assert worst_of(start, sidecars, FallMultiple=100.0) > 1.0
+
+
 # --- overload -------------------------------------------------------------------------------------
 
 
