--- a/tests/test_crossings_discovery.py
+++ b/tests/test_crossings_discovery.py
@@ -8,6 +8,8 @@
 
 import asyncio
 import collections
+import contextlib
+import errno
 import functools
 import itertools
 import json
@@ -23,7 +25,8 @@
 from brassfall.sidecar.config import ServerList
 from brassfall.sidecar.driver import Answer, Result
 from brassfall.sidecar.start_times import FORGET_MS, StartTimes
-from tests.loopback import entry, listed, told
+from tests.loopback import Registry, entry, listed, loopback, running, told, until
+from tests.system_calls import BROKEN, CONNECT_ERRORS, SOCKET_ERRORS, Faults
 
 TOLD_S = 6.0  # after discovery had a change and could be reached
 SPARE_S = 0.5  # of it stays free for a loop that lags
@@ -851,3 +854,85 @@
         for n, since in enumerate([now_ms - 5.0, now_ms - 4.0])
     ]
     assert told_[0].started != told_[1].started and max(abs(e.started - now_ms) for e in told_) < 1.0
+
+
+# --- what the system says to the calls of a connection to discovery, on real sockets -------------
+
+
+def at_port(port):
+    """The ends of connections to this port."""
+
+    def met(sock):
+        try:
+            return sock.getpeername()[1] == port
+        except OSError:
+            return False
+
+    return met
+
+
+@contextlib.asynccontextmanager
+async def watching():
+    """A sidecar with an open watch, its discovery, and the faults of the system."""
+    registry = await Registry(current=True).start()
+    with Faults(seed=1) as faults:
+        async with running(registry=registry) as sidecar:
+            await until(lambda: registry.watches and sidecar.discovery.version == 41)
+            yield sidecar, registry, faults
+    registry.stop()
+
+
+async def hears(sidecar, registry, version, opened):
+    """Wait until it watches for the n-th time, and then for what is told there; how long that took."""
+    begun = now()
+    await until(lambda: len(registry.watches) >= opened)
+    registry.tell(version, entry("s9"))
+    await until(lambda: sidecar.discovery.version == version)
+    return now() - begun
+
+
+@pytest.mark.parametrize(
+    ("call", "number"),
+    [*(("socket", n) for n in SOCKET_ERRORS), *(("connect", n) for n in (*CONNECT_ERRORS, *BROKEN))],
+)
+@loopback
+async def test_a_watch_is_opened_again_in_time_though_the_system_fails_the_calls_for_it(call, number):
+    async with watching() as (sidecar, registry, faults):
+        faults.script(call, number, number)
+        registry.watches[-1].transport.abort()
+        assert await hears(sidecar, registry, 42, opened=2) <= TOLD_S - SPARE_S
+        # A connect that is interrupted goes on by itself: there is no second call.
+        assert faults.injected[call, number] == (1 if number == errno.EINTR else 2)
+
+
+@pytest.mark.parametrize("number", [*BROKEN, errno.ENOBUFS, errno.ENOMEM])
+@loopback
+async def test_a_watch_that_breaks_in_any_way_is_opened_again_in_time(number):
+    async with watching() as (sidecar, registry, faults):
+        faults.script("recv", number, on=at_port(int(registry.address.rpartition(":")[2])))
+        registry.write(b"\n")
+        assert await hears(sidecar, registry, 42, opened=2) <= TOLD_S - SPARE_S
+        assert faults.injected["recv", number] == 1
+
+
+@loopback
+async def test_lists_are_taken_in_though_each_read_and_write_takes_one_byte():
+    async with watching() as (sidecar, registry, faults):
+        to_registry = at_port(int(registry.address.rpartition(":")[2]))
+        faults.shorten("recv", 1, on=to_registry)
+        faults.shorten("send", 1, on=to_registry)
+        registry.watches[-1].transport.abort()
+        assert await hears(sidecar, registry, 42, opened=2) <= TOLD_S - SPARE_S
+        assert faults.injected["recv", 0] > 100 and faults.injected["send", 0] > 40
+
+
+@loopback
+async def test_with_15_percent_of_the_calls_failing_each_change_is_there_in_time():
+    async with watching() as (sidecar, registry, faults):
+        faults.share("connect", 0.15, (*CONNECT_ERRORS, *BROKEN))
+        faults.share("socket", 0.15, SOCKET_ERRORS)
+        for turn in range(1, 13):
+            opened = len(registry.watches) + 1
+            registry.watches[-1].transport.abort()
+            assert await hears(sidecar, registry, 41 + turn, opened) <= TOLD_S - SPARE_S
+        assert sum(faults.injected.values()) >= 3
