--- a/brassfall/cli.py
+++ b/brassfall/cli.py
@@ -220,11 +220,12 @@
 @registry.command()
 def bench(rounds: Rounds = 3, seconds: float = 3.0) -> None:
     """Measure one list service on this machine; a table in Markdown, in about a minute a round."""
-    from brassfall.controlplane.registry import bench as bench_
+
+    from brassfall.lab import registry_bench
 
     if not 0.1 <= seconds <= 600.0:
         raise UsageError("--seconds", f"{seconds:g} is not between 0.1 and 600", "Name a time in between.")
-    typer.echo(_run(bench_.run(rounds, seconds, lambda text: typer.echo(text, err=True))))
+    typer.echo(_run(registry_bench.run(rounds, seconds, lambda text: typer.echo(text, err=True))))
 
 
 @lab.command("run")
--- a/brassfall/controlplane/registry/aggregator/addresses.py
+++ b/brassfall/controlplane/registry/aggregator/addresses.py
@@ -29,8 +29,8 @@
         self._failures = 0
 
     def failed(self, retry_after_s: float = 0.0) -> float:
-        """No good answer came; how long to wait before the next call. Who is told when to come again stays
-        there, and waits no less than that."""
+        """No good answer came; how long to wait before the next call. After a `Retry-After` the address stays
+        the same, and the wait is no shorter than that."""
         chance = self._rng.random()
         if retry_after_s:
             return min(retry_after_s, RETRY_MOST_S) * (1.0 + 0.25 * chance)
--- a/brassfall/controlplane/registry/aggregator/channels.py
+++ b/brassfall/controlplane/registry/aggregator/channels.py
@@ -1,54 +1,49 @@
-"""Watches of an aggregator's children on the list: empty lines that promise no more age than there is."""
+"""Watches of an aggregator's children on the list: a heartbeat promises no less age than the list has."""
 
 from __future__ import annotations
 
-import asyncio
 from collections.abc import Callable
 
 import msgspec
 
 from brassfall.controlplane.registry import entries
 from brassfall.controlplane.registry.aggregator.mirror import Mirror
+from brassfall.controlplane.registry.channels import ListFormat, TableChannel
 from brassfall.controlplane.registry.entries import INSTANCES
-from brassfall.controlplane.registry.watches import EMPTY, SLOTS, Channel, Form, chunk
+from brassfall.controlplane.registry.watches import EMPTY, SLOTS, chunk
 
 AGE = "X-List-Age-Ms"
-FRESH_MS = 2000.0  # empty lines may be off by so much; while the list is older, lines tell its age instead
-FRESH_AGAIN = 2 * SLOTS + 1  # parts of the heartbeat in which all watches are told that it is fresh again
+FRESH_MS = 2000.0  # an empty heartbeat allows for so much; while the list is older, heartbeats have its age
+FRESH_TICKS = 2 * SLOTS + 1  # in so many, all watches get a heartbeat that says that the list is fresh
 
 _encode = msgspec.json.Encoder().encode
 
 
-class ListChannel(Channel):
+class ListChannel(TableChannel):
     """All watches on the mirrored list.
 
-    `now` tells the time in ms, as the mirror is told it. In place of an empty line a line with `age_ms` is
-    sent while the list is older than `FRESH_MS`, and once it is fresh again; it counts as an empty one."""
+    `now` is the clock of the mirror, in ms. While the list is older than `FRESH_MS`, and once more when it is
+    fresh, a line with `age_ms` is sent in place of an empty one; it counts as a heartbeat."""
 
-    def __init__(self, mirror: Mirror, now: Callable[[], float], most: int, stuck_s: float) -> None:
-        form = Form("endpoints", entries.endpoints, entries.changed)
-        super().__init__(lambda: mirror.table, INSTANCES, form, most, stuck_s)
+    def __init__(self, mirror: Mirror, now: Callable[[], float], unread_most: int, stuck_s: float) -> None:
+        form = ListFormat("endpoints", entries.endpoints, entries.changed)
+        super().__init__(lambda: mirror.table, INSTANCES, form, unread_most, stuck_s)
         self._mirror = mirror
         self._now = now
-        self._fresh_untold = 0  # parts of the heartbeat in which it is to be told that the list is fresh
+        self._fresh_ticks = 0  # ticks that are left in which heartbeats say that the list is fresh
 
     def promised_age_ms(self) -> int:
-        """For the header of a watch that is opened now: it holds for the empty lines, too."""
+        """The age for the header of a watch that is opened now; it holds for the heartbeats, too."""
         return round(max(FRESH_MS, self._mirror.age_ms(self._now())))
 
-    def moved(self) -> None:
-        """The index has grown, be it without a change: all watches are told so, in the same line."""
-        if self._flush is None:
-            self._flush = asyncio.get_running_loop().call_soon(self._tell)
-
     def heartbeat(self) -> bytes:
-        """An empty line, or one that tells how old the list is."""
+        """An empty line, or one with the list's age."""
         age = self._mirror.age_ms(self._now())
         if age > FRESH_MS:
-            self._fresh_untold = FRESH_AGAIN
+            self._fresh_ticks = FRESH_TICKS
             return self._aged(age)
-        if self._fresh_untold:
-            self._fresh_untold -= 1
+        if self._fresh_ticks:
+            self._fresh_ticks -= 1
             return self._aged(FRESH_MS)
         return EMPTY
 
--- a/brassfall/controlplane/registry/aggregator/children.py
+++ b/brassfall/controlplane/registry/aggregator/children.py
@@ -18,58 +18,59 @@
     TurnAway,
 )
 from brassfall.controlplane.registry import calls, entries
-from brassfall.controlplane.registry.callers import Connection, Elsewhere
+from brassfall.controlplane.registry.callers import Connection
 from brassfall.controlplane.registry.front import Front
+from brassfall.controlplane.registry.http_errors import AskElsewhereError
 from brassfall.controlplane.registry.reports import read_report
 from brassfall.controlplane.revisions import pace
 from brassfall.controlplane.revisions.edges import Report, ReportError
 
-STAYS_MOST = 1  # reports after one that was answered with `elsewhere`, and without a lease
+REPORTS_AFTER_REDIRECT_MOST = 1  # after one that was answered with `elsewhere`, and without a lease
 
 Step = Callable[[Event], list[Action]]
 
 _encode = msgspec.json.Encoder().encode
 
 
-class ChildAnswer(msgspec.Struct, omit_defaults=True):
+class ChildAnswer(msgspec.Struct, omit_defaults=True, kw_only=True):
     """The answer to a report. What is left out is as a sidecar takes it to be."""
 
-    edition: int
-    permission_ms: float
+    revision: int = msgspec.field(name="edition")
+    lease_ms: float = msgspec.field(name="permission_ms")
     list_index: int
-    news: bool
-    life: int | None = None  # left out where it is the one that the report named
+    has_changes: bool = msgspec.field(name="news")
+    epoch: int | None = msgspec.field(name="life", default=None)  # left out where the report named it
     pending: int = 0
     why: str = ""
     every_ms: float = pace.EVERY_MS
     spread_ms: float = pace.SPREAD_LEAST_MS
-    edges: int = 1
-    left: dict[str, dict[str, int]] = {}
+    members: int = msgspec.field(name="edges", default=1)
+    overrides_left: dict[str, dict[str, int]] = msgspec.field(name="left", default_factory=dict)
     list_overrides: bool = False
     elsewhere: bool = False  # another address may have a lease to give
 
 
 @dataclass(slots=True)
-class Figures:
-    """What has come since the start."""
+class ChildStatistics:
+    """Reports since the start."""
 
     reports: int = 0
-    refused: int = 0  # said nothing usable
+    refused: int = 0  # malformed
     granted: int = 0
-    turned_away: int = 0
+    rejected: int = 0  # newcomers over the rate, and over the limit of children
 
 
 @dataclass(slots=True)
 class Children:
-    """Takes reports, and answers them by the core. `newest` is the newest revision whose document children
-    can be told, `list_index` that of the list."""
+    """Answers reports as the core decides. `newest` is the newest revision whose document children can be
+    sent, `list_index` that of the list."""
 
     core: Aggregator
     front: Front
     step: Step
     newest: Callable[[], int]
     list_index: Callable[[], int]
-    figures: Figures = field(default_factory=Figures)
+    statistics: ChildStatistics = field(default_factory=ChildStatistics)
     _tickets: count[int] = field(default_factory=count)
 
     async def report(self, request: web.Request) -> web.Response:
@@ -78,58 +79,60 @@
         try:
             report = read_report(request, name, await self.front.body(request))
         except ReportError:
-            self.figures.refused += 1
+            self.statistics.refused += 1
             raise
-        made = self.answer(name, report)
-        if isinstance(made, AnswerChild):
-            self._send_on(request, made)
-            return self._encoded(report, made)
-        return made
+        decided = self.answer(name, report)
+        if not isinstance(decided, AnswerChild):
+            return decided
+        self._check_redirect(request, decided)
+        return self._encoded(report, decided)
 
     @staticmethod
-    def _send_on(request: web.Request, made: AnswerChild) -> None:
-        """Refuse a sidecar that stays here although it was told to ask elsewhere: one of an older version
-        does not read that, but goes to the next address after a refusal."""
+    def _check_redirect(request: web.Request, decided: AnswerChild) -> None:
+        """`AskElsewhereError` for a sidecar that stays here although it was redirected: an older version
+        does not read `elsewhere`, but goes to the next address after an error."""
         connection = request.protocol
         assert isinstance(connection, Connection)
-        connection.stayed = connection.stayed + 1 if made.elsewhere and not made.lease_ms else 0
-        if connection.stayed > STAYS_MOST:
-            connection.stayed = 0
-            raise Elsewhere("no lease", made.why)
+        redirected = decided.elsewhere and not decided.lease_ms
+        connection.reports_after_redirect = connection.reports_after_redirect + 1 if redirected else 0
+        if connection.reports_after_redirect > REPORTS_AFTER_REDIRECT_MOST:
+            connection.reports_after_redirect = 0
+            raise AskElsewhereError("no lease", decided.why)
 
     def answer(self, name: str, report: Report) -> AnswerChild | web.Response:
-        """Take a report in: the core's answer, or that of one which is told to come again; `Elsewhere` while
+        """Take a report in: the core's answer, or a rejection with `Retry-After`; `AskElsewhereError` while
         there is nothing to answer it with."""
         core = self.core
         if not core.epoch:
-            raise Elsewhere("no lease", "the list service has not answered this aggregator yet")
-        self.figures.reports += 1
+            raise AskElsewhereError("no lease", "the list service has not answered this aggregator yet")
+        self.statistics.reports += 1
         for action in self.step(ChildReported(next(self._tickets), name, report)):
             match action:
                 case AnswerChild():
                     return action
                 case TurnAway(_, retry_ms, why):
-                    self.figures.turned_away += 1
+                    self.statistics.rejected += 1
                     if len(core.membership.children) >= core.settings.children_most:
-                        raise Elsewhere("no place", f"all {core.settings.children_most} children are known")
-                    return self.front.turn_away(why, retry_ms / 1000.0)
-        raise Elsewhere("no answer", "the report was not taken in")
+                        why = f"all {core.settings.children_most} children are known"
+                        raise AskElsewhereError("no place", why)
+                    return self.front.reject(why, retry_ms / 1000.0)
+        raise AskElsewhereError("no answer", "the report was not taken in")
 
     def _encoded(self, report: Report, granted: AnswerChild) -> web.Response:
         core, index = self.core, self.list_index()
-        self.figures.granted += granted.lease_ms > 0.0
+        self.statistics.granted += granted.lease_ms > 0.0
         answer = ChildAnswer(
-            edition=granted.revision,
-            permission_ms=granted.lease_ms,
+            revision=granted.revision,
+            lease_ms=granted.lease_ms,
             list_index=index,
-            news=self.newest() > report.held or index > report.list_index,
-            life=granted.epoch if report.of != granted.epoch else None,
+            has_changes=self.newest() > report.held or index > report.list_index,
+            epoch=granted.epoch if report.of != granted.epoch else None,
             pending=granted.pending,
             why=granted.why,
             every_ms=core.every_ms(),
             spread_ms=core.spread_ms(),
-            edges=core.members,
-            left=granted.left,
+            members=core.members,
+            overrides_left=granted.left,
             list_overrides=granted.order is not None and granted.order.list_overrides,
             elsewhere=granted.elsewhere,
         )
--- /dev/null
+++ b/brassfall/controlplane/registry/aggregator/configuration.py
@@ -0,0 +1,85 @@
+"""The configuration at an aggregator: the list service's own lines, sent on as the core says."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from aiohttp import web
+
+from brassfall.controlplane.aggregation.core import Action, Event
+from brassfall.controlplane.registry import calls
+from brassfall.controlplane.registry.aggregator.state_lines import StateError, read_state
+from brassfall.controlplane.registry.aggregator.upstream import Line, Upstream, UpstreamError, WatchState
+from brassfall.controlplane.registry.calls import answer
+from brassfall.controlplane.registry.channels import StateChannel
+from brassfall.controlplane.registry.front import Front, WatchRequest
+from brassfall.controlplane.registry.http_errors import AskElsewhereError
+from brassfall.controlplane.registry.tasks import Tasks
+from brassfall.logs import logger
+
+PATH = "/rules"
+
+log = logger("aggregator")
+Step = Callable[[Event], list[Action]]
+
+
+class Configuration:
+    """What children can read of the configuration.
+
+    `step` gives the core an event. The core decides which line is published, by `publish`."""
+
+    def __init__(self, upstream: Upstream, front: Front, step: Step, tasks: Tasks) -> None:
+        self.line = b""  # as children are sent it; empty before the first
+        self.newest = 0  # the revision that it names
+        self.watch_state = WatchState(upstream.addresses[0])
+        self._upstream = upstream
+        self._front = front
+        self._step = step
+        self._tasks = tasks
+        self._fetching = False
+        limits = front.limits
+        self._channel = StateChannel(lambda: self.line, limits.watch_bytes, limits.watch_stuck_ms / 1000.0)
+
+    def start(self) -> None:
+        """Watch the list service's configuration from now on."""
+        self._front.channels[PATH] = self._channel
+        path = f"{PATH}?watch=1&from=0"
+        self._tasks.spawn(self._upstream.keep_watch(lambda: path, self._receive, self.watch_state))
+
+    def _receive(self, line: Line) -> None:
+        if line.text:
+            self._step(read_state(line.text))
+
+    def publish(self, line: bytes) -> None:
+        """Send the children this line, and newcomers from now on."""
+        self.line, self.newest = line, read_state(line).revision
+        self._channel.state_changed()
+
+    def fetch(self, address: str) -> None:
+        """Ask the list service for its state, unless a call is under way: the watch may be late."""
+        if not self._fetching:
+            self._fetching = True
+            self._tasks.spawn(self._fetch(address))
+
+    async def _fetch(self, address: str) -> None:
+        try:
+            made = await self._upstream.call(address, "GET", PATH)
+            if made.status == 200:
+                self._step(read_state(made.body))
+        except (UpstreamError, StateError) as error:
+            log.warning("state not fetched", reason=error.told)
+        finally:
+            self._fetching = False
+
+    @property
+    def missing(self) -> str:
+        """Why there is nothing to send yet; empty where there is."""
+        return "" if self.line else self.watch_state.failing or "they have not come yet"
+
+    async def read(self, request: web.Request) -> web.StreamResponse:
+        """The answer to `GET /rules`, or a watch; `AskElsewhereError` before the first line has come."""
+        if not self.line:
+            raise AskElsewhereError("no rules", self.missing)
+        if not calls.is_watch(request):
+            return answer(self.line)
+        return await self._front.watch(request, WatchRequest(0, lambda: self._channel))
--- /dev/null
+++ b/brassfall/controlplane/registry/aggregator/list_feed.py
@@ -0,0 +1,178 @@
+"""The list of servers at an aggregator: it is mirrored from the list service, and sent to the children."""
+
+from __future__ import annotations
+
+import asyncio
+import random
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from aiohttp import web
+
+from brassfall.controlplane.aggregation.messages import AggregatorLease
+from brassfall.controlplane.registry import calls
+from brassfall.controlplane.registry.aggregator.channels import AGE, ListChannel
+from brassfall.controlplane.registry.aggregator.clock import now_ms
+from brassfall.controlplane.registry.aggregator.mirror import DOUBT_MS, Mirror, parse_line
+from brassfall.controlplane.registry.aggregator.upstream import Line, Upstream, WatchState
+from brassfall.controlplane.registry.calls import answer
+from brassfall.controlplane.registry.entries import INSTANCES
+from brassfall.controlplane.registry.front import Front, WatchRequest
+from brassfall.controlplane.registry.http_errors import AskElsewhereError
+from brassfall.controlplane.registry.limits import JoinLimiter
+from brassfall.controlplane.registry.lists import HELD_INDEX
+from brassfall.controlplane.registry.tasks import Tasks
+from brassfall.logs import logger
+
+PATH = "/registry/instances"
+LATE_MS = 2000.0  # a watch that works brings a change far sooner
+
+log = logger("aggregator")
+
+
+@dataclass(frozen=True, slots=True)
+class LaterIndex:
+    """An index that a caller has, and that is later than the mirror's."""
+
+    since_ms: float
+    index: int
+
+
+class ListFeed:
+    """Mirrors the list, and answers the children's calls for it.
+
+    `confirmed` is called when the list held is known to have been the newest at a later time than before;
+    `whole_lists_per_s` bounds how often a whole list is sent."""
+
+    def __init__(
+        self,
+        mirror: Mirror,
+        upstream: Upstream,
+        front: Front,
+        tasks: Tasks,
+        confirmed: Callable[[], None],
+        whole_lists_per_s: float,
+    ) -> None:
+        self.mirror = mirror
+        self.watch_state = WatchState(upstream.addresses[0])
+        self._upstream = upstream
+        self._front = front
+        self._tasks = tasks
+        self._confirmed = confirmed
+        self._rng = random.Random()
+        self._join_limiter = JoinLimiter(whole_lists_per_s)
+        self._late_since_ms: float | None = None
+        self._later: LaterIndex | None = None
+        self._watching: asyncio.Task[None] | None = None
+        self._channel = self._new_channel()
+
+    def start(self) -> None:
+        """Watch the list service's list from now on."""
+        self._front.channels[INSTANCES] = self._channel
+        self._open_watch()
+
+    def _new_channel(self) -> ListChannel:
+        limits = self._front.limits
+        return ListChannel(self.mirror, now_ms, limits.watch_bytes, limits.watch_stuck_ms / 1000.0)
+
+    @property
+    def missing(self) -> str:
+        """Why there is no list yet; empty where there is one."""
+        return "" if self.mirror.holds_list else self.watch_state.failing or "it has not come yet"
+
+    @property
+    def age_ms(self) -> int | None:
+        """An upper bound on the list's age; None where there is none."""
+        return round(self.mirror.age_ms(now_ms())) if self.mirror.holds_list else None
+
+    # --- from the list service --------------------------------------------------------------
+
+    def _open_watch(self) -> None:
+        if self._watching is not None:
+            self._watching.cancel()
+        work = self._upstream.keep_watch(self._watch_path, self._receive, self.watch_state)
+        self._watching = self._tasks.spawn(work)
+
+    def _watch_path(self) -> str:
+        return f"{PATH}?watch=1&from={self.mirror.index}"
+
+    def _receive(self, line: Line) -> None:
+        if line.text:
+            self._take(line)
+        if line.lines:
+            self.mirror.confirmed_by_watch(line.asked, line.heard, line.empties)
+            self._confirmed()
+
+    def _take(self, line: Line) -> None:
+        taken = self.mirror.take(line.heard, parse_line(line.text), first=line.lines == 1)
+        if taken.replaced:
+            log.warning("list began anew", index=self.mirror.index)
+            self._channel.end()
+            self._channel = self._front.channels[INSTANCES] = self._new_channel()
+        for change in taken.changes:
+            self._channel.changed(change)
+        if taken.index_grew:
+            self._channel.flush_soon()
+        if self._later is not None and self._later.index <= self.mirror.index:
+            self._later = None
+
+    def answered(self, asked: float, lease: AggregatorLease) -> None:
+        """An answer to a report, sent at `asked`: it has the list's index, and shows a watch that is late."""
+        self.mirror.confirmed_by_answer(asked, lease.list_index)
+        self._confirmed()
+        if lease.list_index <= self.mirror.index:
+            self._late_since_ms = None
+        elif self._late_since_ms is None:
+            self._late_since_ms = now_ms()
+        elif now_ms() - self._late_since_ms > LATE_MS:
+            log.warning("list is late", index=self.mirror.index, above=lease.list_index)
+            self._late_since_ms = None
+            self._open_watch()
+
+    # --- to the children --------------------------------------------------------------------
+
+    async def read(self, request: web.Request) -> web.StreamResponse:
+        """The answer to `GET /registry/instances`: the whole list, or a watch on it.
+
+        `AskElsewhereError` where there is no list, or where the caller would be set back to an older one."""
+        watches = calls.is_watch(request)
+        if watches:
+            index = calls.number(request.query.get("from", "0"), "from")
+        else:
+            index = calls.number(request.headers.get(HELD_INDEX, "0"), HELD_INDEX)
+        self._check_index(index)
+        return await self._watch(request, index) if watches else self._whole()
+
+    def _check_index(self, index: int) -> None:
+        """`AskElsewhereError` where who has this index would be set back, while that may be a fault."""
+        if not self.mirror.holds_list:
+            raise AskElsewhereError("no list", self.missing)
+        if index <= self.mirror.index:
+            return
+        if self._later is None:
+            self._later = LaterIndex(now_ms(), index)
+        if now_ms() - self._later.since_ms < DOUBT_MS:
+            why = f"index {index} is held there, {self.mirror.index} here"
+            raise AskElsewhereError("no list that late", why)
+
+    async def _watch(self, request: web.Request, index: int) -> web.StreamResponse:
+        if self.mirror.table.since(INSTANCES, index) is None:
+            rejection = self._admit_whole()
+            if rejection is not None:
+                return rejection
+        channel = self._channel
+        headers = {AGE: str(channel.promised_age_ms())}
+        return await self._front.watch(request, WatchRequest(index, lambda: channel, headers=headers))
+
+    def _whole(self) -> web.Response:
+        rejection = self._admit_whole()
+        if rejection is not None:
+            return rejection
+        response = answer(self._channel.snapshot())
+        response.headers[AGE] = str(round(self.mirror.age_ms(now_ms())))
+        return response
+
+    def _admit_whole(self) -> web.Response | None:
+        """One more that takes the whole list; the answer if there are too many at once."""
+        wait_s = self._join_limiter.wait(now_ms() / 1000.0, self._rng.random())
+        return self._front.reject("too many take the whole list at once", wait_s) if wait_s else None
--- a/brassfall/controlplane/registry/aggregator/mirror.py
+++ b/brassfall/controlplane/registry/aggregator/mirror.py
@@ -1,8 +1,8 @@
-"""The list of servers as an aggregator holds it: rows and changes by the deciding service's own indices.
+"""The list of servers as an aggregator mirrors it: rows and changes by the list service's own indices.
 
-A sidecar can so go on here from an index that it was told elsewhere. The mirror never goes back: a list that
-is older than the one held, or empty, is held off for as long as that may be a fault. Pure code; times are
-milliseconds of one monotonic clock.
+A sidecar can so go on here from an index that it got at another address. The mirror never goes back: a list
+that is older than the one held, or empty, is not believed for as long as that may be a fault. Pure code;
+times are milliseconds of one monotonic clock.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 from brassfall.controlplane.store.core import Change, Record, Row, Snapshot, Table
 from brassfall.errors import Refused
 
-DOUBT_MS = 30_000.0  # how long a list that can't be right is held off
-HEARTBEAT_MS = 2000.0  # the k-th empty line of a watch comes no sooner than k times this after the call
-CLOCKS_DIFFER = 0.99  # by less than this, in their rate
+DOUBT_MS = 30_000.0  # how long a list that is empty, or goes back, is not believed
+HEARTBEAT_MS = 2000.0  # the k-th heartbeat of a watch comes no sooner than k times this after the call
+CLOCK_RATE = 0.99  # the least rate of the service's clock by this one
 LEFT = "left"
 
 
 class MirrorError(Refused):
-    """A line from above that is no list, or not believed; the list held stays."""
+    """A line of the list service that is no list, or not believed; the list held stays."""
 
     action = "Look at the list service, which lost its list or runs twice; past 30 s it is believed."
 
@@ -39,26 +39,26 @@
 @dataclass(frozen=True, slots=True)
 class Taken:
     """What a line has changed. `replaced`: the list began anew, and nobody can go on from an earlier one.
-    `moved`: the index grew, be it without a change."""
+    `index_grew`: perhaps without a change."""
 
     changes: tuple[Change, ...] = ()
-    moved: bool = False
+    index_grew: bool = False
     replaced: bool = False
 
 
 def parse_line(line: bytes) -> ListLine:
     """Read a line of the watch; `MirrorError` says what is wrong with it."""
     try:
-        made = msgspec.json.decode(line, type=ListLine)
-    except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as wrong:
-        raise MirrorError("no list", str(wrong)[:200]) from wrong
-    if not 0 < made.index < 2**53:
+        found = msgspec.json.decode(line, type=ListLine)
+    except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
+        raise MirrorError("no list", str(error)[:200]) from error
+    if not 0 < found.index < 2**53:
         raise MirrorError("no list", "index is out of range")
-    for entry in made.endpoints:
+    for entry in found.endpoints:
         name, status = entry.get("name"), entry.get("status")
         if not (isinstance(name, str) and NAME.fullmatch(name) and isinstance(status, str)):
             raise MirrorError("no list", f"an entry without name or status: {str(entry)[:100]}")
-    return made
+    return found
 
 
 class Mirror:
@@ -85,9 +85,9 @@
         """An upper bound on how long ago the list held was last the newest."""
         return max(0.0, now - self.confirmed_ms)
 
-    # --- what the service tells -------------------------------------------------------------
+    # --- lines of the service -------------------------------------------------------------
 
-    def take(self, now: float, line: ListLine, first: bool = False) -> Taken:
+    def take(self, now: float, line: ListLine, *, first: bool = False) -> Taken:
         """Take in a line of the watch, the `first` on a connection or a later one; `MirrorError` where it is
         not believed yet."""
         why = self._unbelievable(line) if line.snapshot else ""
@@ -95,7 +95,7 @@
             self._doubt(now, why)
         self._doubted_since = None
         if not line.snapshot:
-            return self._take_changes(line, first)
+            return self._take_changes(line, first=first)
         if not self.holds_list or line.index < self.index:
             return self._begin(line)
         return self._take_list(line)
@@ -120,34 +120,34 @@
         return Taken(replaced=replaced)
 
     def _take_list(self, line: ListLine) -> Taken:
-        """Whoever holds the present list, or one before it, can go on from it; nobody from between the two:
-        what came between was told by others, and may not be there any more."""
+        """Who has the present list, or one before it, can go on from it; nobody from between the two: what
+        came between was sent by others, and may not be there any more."""
         if line.index == self.index:
             return Taken()
-        records = [Record("life", line.index, 0)]
         listed = {entry["name"]: entry for entry in line.endpoints}
-        for row in self.table.rows(INSTANCES):
-            if row.key not in listed:
-                records.append(Record("delete", line.index, 0, INSTANCES, row))
+        gone = [row for row in self.table.rows(INSTANCES) if row.key not in listed]
+        records = [Record("life", line.index, 0)]
+        records += [Record("delete", line.index, 0, INSTANCES, row) for row in gone]
         for name, entry in listed.items():
-            held = self.table.get(INSTANCES, name)
-            if held is None or held.value != entry:
+            row = self.table.get(INSTANCES, name)
+            if row is None or row.value != entry:
                 records.append(Record("put", line.index, 0, INSTANCES, Row(name, line.index, entry)))
         return self._absorb(records)
 
-    def _take_changes(self, line: ListLine, first: bool) -> Taken:
+    def _take_changes(self, line: ListLine, *, first: bool) -> Taken:
         if not self.holds_list:
             raise MirrorError("no list", "changes came before a whole list")
         if line.index < self.index:
             return Taken()  # a list that came meanwhile has them
         records = []
-        moved = line.index > self.index
-        if moved and (first or not line.endpoints):
-            # A service that was started again counts from a higher index. Its disk may be an older copy: what
-            # was told between the two indices by others may be forgotten, so nobody goes on from there.
+        index_grew = line.index > self.index
+        if index_grew and (first or not line.endpoints):
+            # A restarted service counts from a higher index. Its disk may be an older copy: what others sent
+            # between the two indices may be forgotten, so nobody goes on from there.
             records.append(Record("life", line.index, 0))
         for entry in line.endpoints:
-            # What has left may be unknown here, and known to who was told elsewhere: it is told all the same.
+            # What has left may be unknown here, and known to a sidecar that comes from another address: it
+            # is sent all the same.
             row = Row(entry["name"], line.index, entry)
             gone = entry["status"] == LEFT
             records.append(Record("delete" if gone else "put", line.index, 0, INSTANCES, row))
@@ -156,7 +156,7 @@
     def _absorb(self, records: list[Record]) -> Taken:
         before = self.index
         changes = tuple(change for _, change in self.table.absorb(records))
-        return Taken(changes, moved=self.index > before)
+        return Taken(changes, index_grew=self.index > before)
 
     # --- how old it is ------------------------------------------------------------------------
 
@@ -166,10 +166,10 @@
             self.confirmed_ms = max(self.confirmed_ms, at)
 
     def confirmed_by_watch(self, asked: float, heard: float, empties: int) -> None:
-        """A line came on a watch that was opened at `asked`, after so many empty ones."""
-        self.confirmed(min(heard, asked + HEARTBEAT_MS * CLOCKS_DIFFER * empties))
+        """A line came at `heard` on a watch that was opened at `asked`, after so many heartbeats."""
+        self.confirmed(min(heard, asked + HEARTBEAT_MS * CLOCK_RATE * empties))
 
     def confirmed_by_answer(self, asked: float, index: int) -> None:
-        """An answer told the index of the service's list, at some time after `asked`."""
+        """An answer to a call made at `asked` has the index of the service's list at some time after that."""
         if index <= self.index:
             self.confirmed(asked)
--- a/brassfall/controlplane/registry/aggregator/reporter.py
+++ b/brassfall/controlplane/registry/aggregator/reporter.py
@@ -23,8 +23,8 @@
 from brassfall.logs import logger
 
 JITTER = 0.1  # of the time between two reports
-HURRY_LEAST_S = 0.01  # between two reports that decisions wait for
-FAULT_S = 0.25  # after a fault here
+URGENT_INTERVAL_S = 0.01  # between two reports that decisions wait for
+FAULT_PAUSE_S = 0.25  # after a fault here
 
 log = logger("reports")
 
@@ -46,7 +46,7 @@
     failed: int = 0
     failing: str = ""  # why the last report got no answer
     _addresses: Addresses = field(init=False)
-    _hurried: asyncio.Event = field(default_factory=asyncio.Event)
+    _urgent: asyncio.Event = field(default_factory=asyncio.Event)
 
     def __post_init__(self) -> None:
         self._addresses = self.upstream.spread()
@@ -58,24 +58,24 @@
 
     def hurry(self) -> None:
         """Report at once, or as soon as the report that is under way is answered."""
-        self._hurried.set()
+        self._urgent.set()
 
     async def run(self) -> None:
-        """Report for as long as this task runs."""
+        """Report until this task is cancelled."""
         while True:
-            wait = FAULT_S
+            wait_s = FAULT_PAUSE_S
             try:
-                wait = await self._report()
-            except Exception:  # without reports, nobody here would get a lease any more
+                wait_s = await self._report()
+            except Exception:  # without reports, no child would get a lease any more
                 log.exception("fault")
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(wait):
-                    await self._hurried.wait()
-                    await asyncio.sleep(HURRY_LEAST_S)
+                async with asyncio.timeout(wait_s):
+                    await self._urgent.wait()
+                    await asyncio.sleep(URGENT_INTERVAL_S)
 
     async def _report(self) -> float:
         """Send one report; how long until the next, in s."""
-        self._hurried.clear()
+        self._urgent.clear()
         for action in self.step(ReportDue()):
             if isinstance(action, SendReport):
                 retry_s = await self._send(action.report)
--- a/brassfall/controlplane/registry/aggregator/upstream.py
+++ b/brassfall/controlplane/registry/aggregator/upstream.py
@@ -1,4 +1,4 @@
-"""Calls of an aggregator to the deciding service: kept watches, reports, single calls; all are bounded."""
+"""Calls of an aggregator to the list service: kept watches, reports, single calls; all are bounded."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 from brassfall.controlplane.aggregation.messages import AggregatorLease, AggregatorReport
 from brassfall.controlplane.registry.aggregator.addresses import Addresses
-from brassfall.controlplane.registry.client import UNANSWERED, UNREADABLE, read_bounded, seconds
+from brassfall.controlplane.registry.client import UNANSWERED, UNREADABLE, read_bounded, retry_after_s
 from brassfall.errors import Refused, Unreachable
 from brassfall.logs import logger
 
-CALL_S = 1.0  # an answer that takes longer is of no use: a lease is counted from asking
-SILENT_S = 4.5  # a watch brings a line every 2 s
-CONNECT_S = 1.0
+CALL_TIMEOUT_S = 1.0  # an answer that takes longer is of no use: a lease is counted from asking
+SILENCE_TIMEOUT_S = 4.5  # a watch brings a line every 2 s
+CONNECT_TIMEOUT_S = 1.0
 LINE_MOST = 2**24  # bytes of a line, about 120,000 servers
 ANSWER_MOST = 2**24
-SAID_MOST = 200  # characters of what the service said
+REASON_MOST = 200  # characters
 
 log = logger("upstream")
 _encode = msgspec.json.Encoder().encode
@@ -29,7 +29,7 @@
 
 
 class UpstreamError(Unreachable):
-    """The deciding service gave no good answer; it is asked again by itself."""
+    """The list service gave no good answer; it is asked again by itself."""
 
     action = "See that the list service runs at its address; it is asked again, and what is held here serves."
 
@@ -38,7 +38,7 @@
     ) -> None:
         super().__init__(what, why, action)
         self.status = status  # 0 where no answer came
-        self.retry_s = retry_s  # as it told with `Retry-After`; 0 where it did not
+        self.retry_s = retry_s  # of its `Retry-After`; 0 where there was none
 
 
 @dataclass(frozen=True, slots=True)
@@ -77,7 +77,7 @@
 
 @dataclass(slots=True)
 class Upstream:
-    """The deciding service, at any of its addresses. `now` tells the time in ms."""
+    """The list service, at any of its addresses. `now` is the clock, in ms."""
 
     addresses: Sequence[str]
     now: Callable[[], float]
@@ -100,8 +100,8 @@
     async def call(
         self, address: str, method: str, path: str, body: bytes | None = None, **headers: str
     ) -> Answer:
-        """One call, within `CALL_S`; `UpstreamError` where no answer came."""
-        limit = aiohttp.ClientTimeout(total=CALL_S)
+        """One call, within `CALL_TIMEOUT_S`; `UpstreamError` where no answer came."""
+        limit = aiohttp.ClientTimeout(total=CALL_TIMEOUT_S)
         try:
             async with self._session.request(
                 method,
@@ -123,12 +123,12 @@
         try:
             return _lease.decode(answer.body)
         except UNREADABLE as error:
-            raise UpstreamError(address, f"its answer is none: {error}"[:SAID_MOST]) from error
+            raise UpstreamError(address, f"its answer is none: {error}"[:REASON_MOST]) from error
 
     async def keep_watch(
         self, path: Callable[[], str], take: Callable[[Line], None], state: WatchState
     ) -> None:
-        """Watch for as long as this task runs. A line that `take` refuses ends one connection only."""
+        """Watch until this task is cancelled. A line that `take` raises `Refused` for ends one connection."""
         addresses = self.spread()
         while True:
             state.at, retry_s = addresses.current, 0.0
@@ -141,7 +141,7 @@
                 state.failing = error.told
                 state.refused_lines += 1
                 log.warning("line refused", at=state.at, reason=error.told, action=error.action)
-            except Exception as error:  # a watch that is not opened again would leave the children behind
+            except Exception as error:  # without a watch the children would get no changes any more
                 state.failing = f"a fault here: {error!r}"
                 log.exception("fault")
             state.open = False
@@ -150,7 +150,7 @@
     async def _watch(
         self, addresses: Addresses, path: str, take: Callable[[Line], None], state: WatchState
     ) -> None:
-        limit = aiohttp.ClientTimeout(total=None, connect=CONNECT_S, sock_read=SILENT_S)
+        limit = aiohttp.ClientTimeout(total=None, connect=CONNECT_TIMEOUT_S, sock_read=SILENCE_TIMEOUT_S)
         address, asked, empties, lines = addresses.current, self.now(), 0, 0
         try:
             async with self._session.get(f"http://{address}{path}", timeout=limit) as answer:
@@ -171,10 +171,10 @@
 
 
 def _why(error: Exception) -> str:
-    return str(error)[:SAID_MOST] or type(error).__name__
+    return str(error)[:REASON_MOST] or type(error).__name__
 
 
 def _refused(address: str, answer: Answer) -> UpstreamError:
-    said = answer.body[:SAID_MOST].decode("utf-8", "replace")
-    retry_s = seconds(answer.headers.get("Retry-After"))
-    return UpstreamError(address, f"{answer.status}, {said}", status=answer.status, retry_s=retry_s)
+    reason = answer.body[:REASON_MOST].decode("utf-8", "replace")
+    retry_s = retry_after_s(answer.headers.get("Retry-After"))
+    return UpstreamError(address, f"{answer.status}, {reason}", status=answer.status, retry_s=retry_s)
--- a/brassfall/controlplane/registry/callers.py
+++ b/brassfall/controlplane/registry/callers.py
@@ -1,118 +1,58 @@
-"""Connections of callers: how many there may be, and how long they may stand without a call."""
+"""Connections of callers: how many there may be, and how long one may be idle."""
 
 from __future__ import annotations
 
 import asyncio
 import logging
+from dataclasses import dataclass, field
 from typing import Any
 
 from aiohttp import web
 
-from brassfall.controlplane.registry.limits import Shares
-from brassfall.errors import Conflict, Missing, Refused, Stale, TooLarge, TooOften, Unavailable
+from brassfall.controlplane.registry.http_errors import status_response
+from brassfall.controlplane.registry.limits import CallerQuotas
 from brassfall.settings import CallerLimits
 
 HEAD_BYTES = 4096  # a line of a request's head
-# aiohttp tells of every malformed request with its traceback; what callers get wrong is counted instead.
+# aiohttp logs every malformed request with its traceback; what callers get wrong is counted instead.
 QUIET = logging.getLogger("brassfall.http")
 QUIET.addHandler(logging.NullHandler())
 QUIET.propagate = False
 
 
-class NoSuchPath(Missing):
-    """The service has no such path."""
+@dataclass(frozen=True, slots=True)
+class LastReport:
+    """The last report of a sidecar on a connection, as it came: the next one may go on from it."""
 
-    action = "See docs/registry.md for the paths; a service of an earlier version lacks the newer ones."
-
-
-class WrongMethod(Refused):
-    """The path has no such method (405)."""
-
-    action = "See docs/registry.md for the methods of the path."
-    status = 405
-    slug = "method not allowed"
-
-
-class TooSlow(Refused):
-    """The body of a call did not come in time (408)."""
-
-    action = "Send the whole body at once; look at the network between the two."
-    status = 408
-    slug = "too slow"
-
-
-class Fault(Refused):
-    """A defect of the service (500)."""
-
-    action = "Report it with the traceback that the service's log has under `fault`."
-    status = 500
-    slug = "internal error"
-
-
-class Elsewhere(Refused):
-    """Not here: another address has what is asked for (503, without a time to come back here)."""
-
-    action = "Ask another aggregator, or the list service; /health/ready here says what is missing."
-    status = 503
-    slug = "unavailable"
-
-
-KINDS: dict[int, type[Refused]] = {
-    kind.status: kind
-    for kind in (
-        Refused,
-        Missing,
-        WrongMethod,
-        TooSlow,
-        Conflict,
-        Stale,
-        TooLarge,
-        TooOften,
-        Fault,
-        Unavailable,
-    )
-}
-
-
-def error(status: int, reason: str, retry_s: float | None = None) -> web.Response:
-    """An answer that says what is wrong, and by its status what can be done."""
-    return refusal(KINDS.get(status, Refused)(reason), retry_s, status)
-
-
-def refusal(told: Refused, retry_s: float | None = None, status: int | None = None) -> web.Response:
-    """The answer for an error; `retry_s` where another time than its own is told."""
-    status = told.status if status is None else status
-    body = told.wire() if status in KINDS else {**told.wire(), "error": "error"}
-    wait = told.retry_s if retry_s is None and isinstance(told, Unavailable) else retry_s
-    headers = {} if wait is None else {"Retry-After": f"{max(wait, 0.05):.2f}"}
-    return web.json_response(body, status=status, headers=headers)
+    name: str = ""
+    fields: dict[str, Any] = field(default_factory=dict)
 
 
 class Connection(web.RequestHandler):
-    """One connection; it stands idle from its start, or from its last answer, to its next call."""
+    """One connection; it is idle from its start, or from its last answer, until its next call."""
 
-    __slots__ = ("_callers", "busy", "caller", "idle_since", "report", "stayed")
+    __slots__ = ("_callers", "busy", "caller", "idle_since", "last_report", "reports_after_redirect")
 
     def __init__(self, callers: Callers, manager: web.Server, **options: Any) -> None:
         super().__init__(manager, **options)
         self._callers = callers
         self.busy = False
-        self.caller = ""
-        self.idle_since = 0.0
-        self.stayed = 0  # reports on it since its sidecar was told to ask elsewhere
-        self.report: tuple[str, dict[str, Any]] = ("", {})  # the last on it, and of whom: a next one goes on
+        self.caller = ""  # its address
+        self.idle_since = 0.0  # loop time, s
+        self.last_report = LastReport()
+        self.reports_after_redirect = 0  # reports on it since its sidecar was sent to another address
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """A caller has come."""
+        """A caller has connected."""
         super().connection_made(transport)
         peer = transport.get_extra_info("peername")
         self.caller = str(peer[0]) if peer else "?"
-        self._callers.came(self)
+        self._callers.connected(self)
 
     def connection_lost(self, exc: BaseException | None) -> None:
         """The caller is gone."""
         super().connection_lost(exc)
-        self._callers.left(self)
+        self._callers.disconnected(self)
 
     def handle_error(
         self,
@@ -121,83 +61,84 @@
         exc: BaseException | None = None,
         message: str | None = None,
     ) -> web.StreamResponse:
-        """What is no HTTP, or a fault here: said in JSON, and the connection ends."""
+        """Answer what is no HTTP, or a fault here, in JSON; the connection ends."""
         self._callers.malformed += 1
         if request.writer.output_size > 0:
             raise ConnectionError("a part of the answer has been sent")
         reason = "a fault in the service" if status >= 500 else str(message or exc or "").split("\n")[0]
-        answer = error(status, reason)
+        answer = status_response(status, reason)
         answer.force_close()
         return answer
 
 
 class Callers:
-    """All connections. Where there is no place for a newcomer, the one idle for longest makes it."""
+    """All connections. Where there is no capacity for a new one, the one idle for longest is closed."""
 
     def __init__(self, limits: CallerLimits) -> None:
         self._limits = limits
-        self._shares = Shares(limits.connections, limits.caller_share)
+        self._quotas = CallerQuotas(limits.connections, limits.caller_share)
         self._idle: dict[Connection, None] = {}  # longest idle first
-        self._known: set[Connection] = set()
-        self.refused = 0
+        self._open: set[Connection] = set()
+        self.rejected = 0
         self.malformed = 0
-        self.idled = 0
+        self.idle_closed = 0
 
     def __len__(self) -> int:
-        return len(self._known)
-
-    def came(self, connection: Connection) -> None:
-        """A newcomer gets a place, the place of an idle one, or none."""
-        why = self._shares.take(connection.caller)
-        if why:
-            if not self._make_room(connection.caller):
-                self.refused += 1
-                transport = connection.transport
-                if transport is not None:
-                    transport.abort()
+        return len(self._open)
+
+    def connected(self, connection: Connection) -> None:
+        """A new connection gets a place, the place of an idle one, or is aborted."""
+        if self._quotas.take(connection.caller):
+            if not self._close_idle(connection.caller):
+                self.rejected += 1
+                _abort(connection)
                 return
-            self._shares.take(connection.caller)
-        self._known.add(connection)
-        self.free(connection)
+            self._quotas.take(connection.caller)
+        self._open.add(connection)
+        self.idle(connection)
 
-    def left(self, connection: Connection) -> None:
+    def disconnected(self, connection: Connection) -> None:
         """A connection is gone."""
         self._idle.pop(connection, None)
-        if connection in self._known:
-            self._known.discard(connection)
-            self._shares.give(connection.caller)
+        if connection in self._open:
+            self._open.discard(connection)
+            self._quotas.give_back(connection.caller)
 
     def busy(self, connection: Connection) -> None:
         """It has a call."""
         connection.busy = True
         self._idle.pop(connection, None)
 
-    def free(self, connection: Connection) -> None:
-        """Its call is answered."""
+    def idle(self, connection: Connection) -> None:
+        """It has no call, or its call is answered."""
         connection.busy = False
-        if connection in self._known:
+        if connection in self._open:
             connection.idle_since = asyncio.get_running_loop().time()
             self._idle[connection] = None
 
     def sweep(self) -> None:
-        """Close what has stood idle for too long, also amid a head that never ends."""
+        """Close what has been idle for too long, also amid a head that never ends."""
         until = asyncio.get_running_loop().time() - self._limits.idle_ms / 1000.0
         for connection in list(self._idle):
             if connection.idle_since > until:
                 return
-            self.idled += 1
-            self._end(connection)
+            self.idle_closed += 1
+            self._close(connection)
 
-    def _make_room(self, caller: str) -> bool:
-        """End the connection that is idle for longest: the caller's own where its share is full."""
-        full = self._shares.total >= self._limits.connections
+    def _close_idle(self, caller: str) -> bool:
+        """Close the connection that is idle for longest: the caller's own where its quota is used up."""
+        full = self._quotas.total >= self._limits.connections
         for connection in self._idle:
             if full or connection.caller == caller:
-                self._end(connection)
+                self._close(connection)
                 return True
         return False
 
-    def _end(self, connection: Connection) -> None:
-        self.left(connection)
-        if connection.transport is not None:
-            connection.transport.abort()
+    def _close(self, connection: Connection) -> None:
+        self.disconnected(connection)
+        _abort(connection)
+
+
+def _abort(connection: Connection) -> None:
+    if connection.transport is not None:
+        connection.transport.abort()
--- a/brassfall/controlplane/registry/calls.py
+++ b/brassfall/controlplane/registry/calls.py
@@ -1,4 +1,4 @@
-"""What a call says in its path and headers, and how it is answered."""
+"""What a call has in its path, query and headers, and how it is answered."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from brassfall.controlplane.registry.entries import INSTANCES
 from brassfall.errors import Refused
 
-# Tables with paths of their own: what is written there is decided first.
+# Tables that are written under paths of their own, where each write is decided on first.
 OWNED = {
     INSTANCES: "/registry/instances",
     "rules": "/rules",
@@ -21,12 +21,12 @@
 
 
 class Brief(web.Response):
-    """A small answer that comes about once a second on each connection, to a program of this house: it has
-    only the header that frames it. Others say who answers, when, and in what form (120 bytes)."""
+    """A small answer that is sent about once a second on each connection, to a sidecar or an aggregator. It
+    has only the header that frames it: the others (server, date, type) would add 120 bytes."""
 
 
-async def shorten(request: web.Request, response: web.StreamResponse) -> None:
-    """Called by aiohttp before each head is sent."""
+async def shorten(_request: web.Request, response: web.StreamResponse) -> None:
+    """Drop the headers of a `Brief`; aiohttp calls this before it sends a head."""
     if isinstance(response, Brief):
         for name in ("Server", "Date", "Content-Type"):
             response.headers.popall(name, None)
@@ -37,19 +37,24 @@
     return web.Response(body=body, status=status, content_type="application/json")
 
 
-def place(request: web.Request) -> tuple[str, str]:
+def row_address(request: web.Request) -> tuple[str, str]:
     """The table and key that the path names; `Refused` if they are none."""
     return entries.name(request.match_info["table"]), entries.name(request.match_info["key"])
 
 
-def own_place(request: web.Request) -> tuple[str, str]:
-    """The same, for a write: instances have a path of their own."""
-    table, key = place(request)
+def writable_row_address(request: web.Request) -> tuple[str, str]:
+    """The same, for a write; `Refused` where the table is written under another path."""
+    table, key = row_address(request)
     if table in OWNED:
         raise Refused(f"{table} is written under {OWNED[table]}")
     return table, key
 
 
+def is_watch(request: web.Request) -> bool:
+    """Whether a call asks for a watch, and not for one answer."""
+    return request.query.get("watch", "0") not in ("0", "")
+
+
 def number(text: str, field: str) -> int:
     """A whole number; `Refused` names the field."""
     if not (text.isascii() and text.isdigit() and len(text) <= 16):
--- /dev/null
+++ b/brassfall/controlplane/registry/channels.py
@@ -0,0 +1,122 @@
+"""What watches are kept on: the rows of a table, or one small state that is always sent whole."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable, Iterable
+from dataclasses import dataclass
+from typing import Any
+
+import msgspec
+
+from brassfall.controlplane.registry.watches import Channel, chunk
+from brassfall.controlplane.store.core import Change, Row, Table
+
+CACHED_LINES = 64
+AGE_MARGIN_S = 0.1  # ages are sent as so much higher, since a list may have been encoded so long ago
+
+_encode = msgspec.json.Encoder().encode
+
+
+@dataclass(frozen=True, slots=True)
+class ListFormat:
+    """How a table is sent: the name of the list in its line, and how its rows and changes are encoded."""
+
+    list_field: str
+    rows: Callable[[Iterable[Row]], list[Any]]
+    changes: Callable[[Iterable[Change]], list[Any]]
+    has_ages: bool = False  # rows have their ages: an encoded one is good for `AGE_MARGIN_S`, not for ever
+
+
+class TableChannel(Channel):
+    """All watches on one table: `{"index", "snapshot", LIST}` lines, with whole lists or with changes.
+
+    `table` gives the store's tables, `name` is the one that is watched."""
+
+    def __init__(
+        self, table: Callable[[], Table], name: str, form: ListFormat, unread_most: int, stuck_s: float
+    ) -> None:
+        super().__init__(unread_most, stuck_s)
+        self._table = table
+        self._name = name
+        self._format = form
+        self._snapshot: tuple[int, bytes] | None = None
+        self._encoded_at = 0.0
+        self._lines: dict[tuple[int, int], bytes] = {}
+        self._changes: list[Change] = []
+
+    @property
+    def last(self) -> int:
+        """The index up to which all changes are known now."""
+        return self._table().last(self._name)
+
+    def snapshot(self) -> bytes:
+        """The whole list, encoded once for each version."""
+        index, now = self.last, asyncio.get_running_loop().time()
+        aged = self._format.has_ages and now - self._encoded_at > AGE_MARGIN_S
+        if self._snapshot is None or self._snapshot[0] != index or aged:
+            self._encoded_at = now
+            rows = self._format.rows(self._table().rows(self._name))
+            self._snapshot = (index, self._encode_line(index, rows, snapshot=True))
+            self.statistics.lists_encoded += 1
+        return self._snapshot[1]
+
+    def first_line(self, index: int) -> bytes:
+        """What changed after an index, or the whole list where the changes are not all known."""
+        changes = self._table().since(self._name, index)
+        return self.snapshot() if changes is None else self._line(index, changes)
+
+    def _line(self, after: int, changes: list[Change]) -> bytes:
+        """What changed after an index, encoded once for all who ask from there."""
+        last = self.last
+        key = (after, last)
+        if key not in self._lines or self._format.has_ages:
+            if len(self._lines) >= CACHED_LINES:
+                self._lines.clear()
+            self._lines[key] = self._encode_line(last, self._format.changes(changes), snapshot=False)
+            self.statistics.lines_encoded += 1
+        return self._lines[key]
+
+    def changed(self, change: Change) -> None:
+        """A durable change; those of one commit are sent in one line."""
+        self._changes.append(change)
+        self.flush_soon()
+
+    def _changes_chunk(self) -> bytes:
+        newest = {change.row.key: change for change in self._changes}
+        self._changes = []
+        changes = self._format.changes(newest.values())
+        return chunk(self._encode_line(self.last, changes, snapshot=False))
+
+    def _encode_line(self, index: int, rows: list[Any], *, snapshot: bool) -> bytes:
+        return _encode({"index": index, "snapshot": snapshot, self._format.list_field: rows})
+
+
+class StateChannel(Channel):
+    """Watches on one small state, which `encoded` gives: each line is the whole of it."""
+
+    def __init__(self, encoded: Callable[[], bytes], unread_most: int, stuck_s: float) -> None:
+        super().__init__(unread_most, stuck_s)
+        self._encoded = encoded
+        self._version = 1
+
+    @property
+    def last(self) -> int:
+        """How often the state has changed."""
+        return self._version
+
+    def snapshot(self) -> bytes:
+        """The state now."""
+        return self._encoded()
+
+    def first_line(self, index: int) -> bytes:
+        """The state, whatever the watcher has: it may have missed how it came about."""
+        return self._encoded()
+
+    def state_changed(self) -> None:
+        """Send the state as it is once the running callbacks are done."""
+        self._version += 1
+        self.flush_soon()
+
+    def _changes_chunk(self) -> bytes:
+        return chunk(self._encoded())
--- a/brassfall/controlplane/registry/entries.py
+++ b/brassfall/controlplane/registry/entries.py
@@ -16,7 +16,7 @@
 INSTANCES = "instances"
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._:-]{0,127}")
 TEXT = re.compile(r"[\x20-\x7e]{0,128}")
-WHOLE_MOST = 2**53  # beyond it JSON readers round
+INTEGER_MOST = 2**53  # beyond it JSON readers round
 
 
 class Registration(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -91,8 +91,8 @@
         if not TEXT.fullmatch(getattr(asked, field)):
             raise Refused(f"{field}: up to 128 printable characters are wanted")
     _weight(asked.weight)
-    _whole("since_ms", asked.since_ms)
-    _whole("group", asked.group)
+    _check_range("since_ms", asked.since_ms)
+    _check_range("group", asked.group)
     return asked, ttl(asked.ttl_ms, leases)
 
 
@@ -182,6 +182,6 @@
     return weight
 
 
-def _whole(field: str, value: int) -> None:
-    if not 0 <= value < WHOLE_MOST:
+def _check_range(field: str, value: int) -> None:
+    if not 0 <= value < INTEGER_MOST:
         raise Refused(f"{field}: {value} is not between 0 and 2^53")
--- a/brassfall/controlplane/registry/front.py
+++ b/brassfall/controlplane/registry/front.py
@@ -1,4 +1,4 @@
-"""The HTTP side that the processes of this package share: connections, limits, refusals, watches, signals."""
+"""The HTTP side that the processes of this package share: connections, limits, errors and watches."""
 
 from __future__ import annotations
 
@@ -6,36 +6,26 @@
 import contextlib
 import random
 import resource
-import signal
 import socket
-import sys
 import time
 from collections.abc import Awaitable, Callable, Iterable, Mapping
 from dataclasses import dataclass, field
-from typing import Protocol
 
 from aiohttp import web
 
 from brassfall.controlplane.registry import calls
-from brassfall.controlplane.registry.callers import (
-    HEAD_BYTES,
-    QUIET,
-    Callers,
-    Connection,
-    NoSuchPath,
-    error,
-    refusal,
-)
-from brassfall.controlplane.registry.limits import Door, Rates, Shares
-from brassfall.controlplane.registry.watches import BEAT_S, SLOTS, Channel, chunk
-from brassfall.errors import BrassfallError, CantListen, Refused, Unavailable
+from brassfall.controlplane.registry.callers import HEAD_BYTES, QUIET, Callers, Connection
+from brassfall.controlplane.registry.http_errors import UnknownPathError, error_response, status_response
+from brassfall.controlplane.registry.limits import CallerQuotas, CallRateLimiter, JoinLimiter
+from brassfall.controlplane.registry.watches import TICK_S, Channel, chunk
+from brassfall.errors import Refused, Unavailable
 from brassfall.logs import faults, logger
 from brassfall.settings import CallerLimits, address
 
-SWITCH_S = 0.0002
 BACKLOG = 4096  # a fleet connects at once
-BODY_S = 5.0  # for a body to arrive
-CLEANUP_S = 5.0  # for calls under way, when the process ends
+BODY_TIMEOUT_S = 5.0
+SHUTDOWN_TIMEOUT_S = 5.0  # for calls under way, when the process ends
+WATCH_RETRY_S = 5.0  # for one who has no place for a watch, and up to twice as long
 
 log = logger("http")
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
@@ -43,30 +33,31 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Watched:
-    """What a watch is opened on. `channel` and `held` are asked anew when they are needed."""
+class WatchRequest:
+    """What a watch is opened on. `channel` and `deferred` are called when they are needed."""
 
-    index: int  # up to which the caller has been told all
+    index: int  # up to which the caller has all changes
     channel: Callable[[], Channel]
-    held: Callable[[], bool] = lambda: False  # whether its first line waits for `Channel.release`
+    deferred: Callable[[], bool] = lambda: False  # whether its first line waits for `Channel.release`
     headers: Mapping[str, str] = field(default_factory=dict)
 
 
 class Front:
-    """Connections of one process within a running loop, and what their callers may take up.
+    """The HTTP server of one process within a running loop, and what its callers may use.
 
-    `called` is given the method, status and seconds of each call that was answered."""
+    `called` gets the method, status and seconds of each call that was answered. `channels` has what can be
+    watched, by name; the owner of the process fills it."""
 
     def __init__(self, limits: CallerLimits, called: Called) -> None:
         self.limits = limits
         self.callers = Callers(limits)
-        self.watching = Shares(limits.watches, limits.caller_share)
+        self._watches = CallerQuotas(limits.watches, limits.caller_share)
         self.channels: dict[str, Channel] = {}
-        self.turned_away = 0
+        self.rejected = 0  # calls that got 503 with `Retry-After`
         self.rng = random.Random()
         self._called = called
-        self._rates = Rates(limits.caller_calls_per_s)
-        self._door = Door(limits.joins_per_s)
+        self._rates = CallRateLimiter(limits.caller_calls_per_s)
+        self._join_limiter = JoinLimiter(limits.joins_per_s)
         self._socket: socket.socket | None = None
         self._runner: web.AppRunner | None = None
         self._server: asyncio.Server | None = None
@@ -86,15 +77,16 @@
         if self._socket is not None and self._server is None:
             self._socket.close()
 
-    async def serve(self, routes: Iterable[web.RouteDef], after_heartbeat: Callable[[], None]) -> str:
-        """Take calls; where. `after_heartbeat` is called after each round of empty lines, every 0.1 s."""
+    async def serve(self, routes: Iterable[web.RouteDef], after_tick: Callable[[], None]) -> str:
+        """Take calls; where. `after_tick` is called after each tick of the channels, every `TICK_S`."""
         app = web.Application(middlewares=[self._call], client_max_size=self.limits.body_bytes)
         app.on_response_prepare.append(calls.shorten)
         app.router.add_routes(routes)
         self._runner = web.AppRunner(app, handler_cancellation=True)
         await self._runner.setup()
         manager, sock = self._runner.server, self._socket
-        assert manager is not None and sock is not None
+        assert manager is not None
+        assert sock is not None
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             lambda: Connection(
@@ -112,7 +104,7 @@
             sock=sock,
             backlog=BACKLOG,
         )
-        self._heartbeat = loop.create_task(self._beat(after_heartbeat))
+        self._heartbeat = loop.create_task(self._tick(after_tick))
         host, port = sock.getsockname()[:2]
         return f"{host}:{port}"
 
@@ -128,15 +120,15 @@
             channel.end()
         if self._runner is not None:
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self._runner.cleanup(), CLEANUP_S)
+                await asyncio.wait_for(self._runner.cleanup(), SHUTDOWN_TIMEOUT_S)
 
-    async def _beat(self, after: Callable[[], None]) -> None:
-        """Empty lines and sweeps. A heartbeat that is late is not made up for."""
+    async def _tick(self, after: Callable[[], None]) -> None:
+        """Heartbeats of watches, and idle connections. A tick that is late is not made up for."""
         while True:
-            await asyncio.sleep(BEAT_S / SLOTS)
+            await asyncio.sleep(TICK_S)
             with faults(log):
                 for channel in self.channels.values():
-                    channel.beat()
+                    channel.tick()
                 self.callers.sweep()
                 after()
 
@@ -153,7 +145,7 @@
         try:
             wait = self._rates.wait(connection.caller, time.monotonic())
             made = (
-                error(429, f"{connection.caller} calls too often", wait)
+                status_response(429, f"{connection.caller} calls too often", wait)
                 if wait
                 else await self._handle(request, handler)
             )
@@ -161,32 +153,28 @@
             return made
         finally:
             self._called(request.method, status, time.perf_counter() - begun)
-            self.callers.free(connection)
+            self.callers.idle(connection)
 
     async def _handle(self, request: web.Request, handler: Handler) -> web.StreamResponse:
         try:
             return await handler(request)
-        except Unavailable as told:
-            return refusal(told, told.retry_s * (0.5 + self.rng.random()))
-        except Refused as told:
-            return refusal(told)
+        except Unavailable as error:
+            return error_response(error, error.retry_s * (0.5 + self.rng.random()))
+        except Refused as error:
+            return error_response(error)
         except web.HTTPNotFound:
-            return refusal(NoSuchPath("no such path", request.path[:200]))
+            return error_response(UnknownPathError("no such path", request.path[:200]))
         except web.HTTPRequestEntityTooLarge:
-            made = error(413, f"the body is larger than {self.limits.body_bytes} bytes")
-            made.force_close()
-            return made
-        except web.HTTPException as http:
-            return error(http.status, http.reason)
+            return _closing(status_response(413, f"the body is larger than {self.limits.body_bytes} bytes"))
+        except web.HTTPException as error:
+            return status_response(error.status, error.reason)
         except TimeoutError:
-            made = error(408, f"the body did not come within {BODY_S} s")
-            made.force_close()
-            return made
+            return _closing(status_response(408, f"the body did not come within {BODY_TIMEOUT_S} s"))
         except (ConnectionError, asyncio.CancelledError, web.RequestPayloadError):
             raise
         except Exception:
             log.exception("fault", path=request.path)
-            return error(500, "a fault in the service")
+            return status_response(500, "a fault in the service")
 
     async def body(self, request: web.Request) -> bytes:
         """The whole body of a call; `TimeoutError` where it does not come in time."""
@@ -194,53 +182,53 @@
             return b""
         if request.content.is_eof():
             return await request.read()  # it came with the head, as small ones do
-        async with asyncio.timeout(BODY_S):
+        async with asyncio.timeout(BODY_TIMEOUT_S):
             return await request.read()
 
     # --- whole lists and watches ----------------------------------------------
 
-    def turn_away(self, reason: str, wait: float) -> web.Response:
+    def reject(self, reason: str, retry_s: float) -> web.Response:
         """503, and when to come again, in s."""
-        self.turned_away += 1
-        return error(503, reason, wait)
+        self.rejected += 1
+        return status_response(503, reason, retry_s)
 
-    def joins(self, reason: str) -> web.Response | None:
+    def admit_join(self, reason: str) -> web.Response | None:
         """One more that takes a whole list or opens a watch; the answer if there are too many at once."""
-        wait = self._door.wait(time.monotonic(), self.rng.random())
-        return self.turn_away(reason, wait) if wait else None
+        wait_s = self._join_limiter.wait(time.monotonic(), self.rng.random())
+        return self.reject(reason, wait_s) if wait_s else None
 
-    async def watch(self, request: web.Request, watched: Watched) -> web.StreamResponse:
-        """Keep a watch until it ends."""
+    async def watch(self, request: web.Request, wanted: WatchRequest) -> web.StreamResponse:
+        """Keep a watch until it ends. Cancelling ends it: aiohttp does so when its caller is gone."""
         connection = request.protocol
         assert isinstance(connection, Connection)
-        refused = self.joins("too many open a watch at once")
-        if refused is not None:
-            return refused
-        why = self.watching.take(connection.caller)
+        rejection = self.admit_join("too many open a watch at once")
+        if rejection is not None:
+            return rejection
+        why = self._watches.take(connection.caller)
         if why:
-            return self.turn_away(why, 5.0 + 5.0 * self.rng.random())
+            return self.reject(why, WATCH_RETRY_S * (1.0 + self.rng.random()))
         try:
-            return await _tell(request, watched)
+            return await _keep_watch(request, wanted)
         finally:
-            self.watching.give(connection.caller)
+            self._watches.give_back(connection.caller)
 
 
-async def _tell(request: web.Request, watched: Watched) -> web.StreamResponse:
+async def _keep_watch(request: web.Request, wanted: WatchRequest) -> web.StreamResponse:
     """Keep a watch until it ends. Its lines are written past aiohttp's stream, to all watches alike."""
-    response = web.StreamResponse(headers={"Content-Type": "application/json", **watched.headers})
+    response = web.StreamResponse(headers={"Content-Type": "application/json", **wanted.headers})
     response.enable_chunked_encoding()
-    held = watched.held()
+    deferred = wanted.deferred()
     await response.prepare(request)
     # The head goes out with the first byte: half of the first line, or of an empty one.
-    await response.write(b" " if held else b"{")
+    await response.write(b" " if deferred else b"{")
     transport = request.transport
     ended: asyncio.Future[None] = asyncio.get_running_loop().create_future()
     if transport is None or transport.is_closing():
         return response
-    channel, index = watched.channel(), watched.index
-    if not held:
-        transport.write(chunk(channel.first(index)[1:]))
-    watch = channel.add(transport, index if held else channel.last, held, ended)
+    channel, index = wanted.channel(), wanted.index
+    if not deferred:
+        transport.write(chunk(channel.first_line(index)[1:]))
+    watch = channel.add(transport, index if deferred else channel.last, ended, deferred=deferred)
     try:
         await ended
     finally:
@@ -248,60 +236,14 @@
     return response
 
 
+def _closing(response: web.Response) -> web.Response:
+    """The same answer; its connection ends with it."""
+    response.force_close()
+    return response
+
+
 def _raise_descriptors() -> None:
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft != hard:
         with contextlib.suppress(ValueError, OSError):
             resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
-
-
-class Served(Protocol):
-    """A process that is started, and closed when it is told to end."""
-
-    async def start(self) -> str:
-        """Begin, and take calls; where. `OSError` where the address can't be had."""
-
-    async def close(self) -> None:
-        """Take no more calls, and end what was begun."""
-
-
-async def run(served: Served, listen: str, part: str, **said: str) -> int:
-    """Run until SIGTERM or SIGINT, also while it starts; the exit status. `said` goes into the log beside
-    `ready`."""
-    # Threads of a log ask for the interpreter several times in each commit, and would wait 5 ms
-    # for it each time while calls come in.
-    sys.setswitchinterval(SWITCH_S)
-    own = logger(part)
-    stop = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        asyncio.get_running_loop().add_signal_handler(number, stop.set)
-    try:
-        at = await _started(served, stop)
-    except (BrassfallError, OSError) as failed:
-        wrong = (
-            failed
-            if isinstance(failed, BrassfallError)
-            else CantListen(listen, failed.strerror or str(failed))
-        )
-        own.error("can't start", reason=wrong.told, action=wrong.action)
-        return wrong.exit_status
-    if at is not None:
-        own.info("ready", listen=at, **said)
-        await stop.wait()
-    own.info("stopping")
-    await served.close()
-    return 0
-
-
-async def _started(served: Served, stop: asyncio.Event) -> str | None:
-    """Where it listens; None where it was told to end before it had started."""
-    start = asyncio.ensure_future(served.start())
-    stopped = asyncio.ensure_future(stop.wait())
-    await asyncio.wait({start, stopped}, return_when=asyncio.FIRST_COMPLETED)
-    stopped.cancel()
-    if start.done():
-        return await start
-    start.cancel()
-    with contextlib.suppress(asyncio.CancelledError):
-        await start
-    return None
--- /dev/null
+++ b/brassfall/controlplane/registry/gathering.py
@@ -0,0 +1,49 @@
+"""Rebuilding a list that was lost with its disk: it is held back while servers register again."""
+
+from __future__ import annotations
+
+import time
+
+from brassfall.logs import logger
+
+log = logger("registry")
+
+
+class Gathering:
+    """Whether the list is known to be incomplete. The time is counted on the monotonic clock.
+
+    It is so for `duration_s` after a start with an empty store, and only where a caller has shown that there
+    was a list before: without such evidence nothing is held back."""
+
+    def __init__(self, duration_s: float) -> None:
+        self._duration_s = duration_s
+        self._until = 0.0
+        self._evidence = False
+
+    def begin(self) -> None:
+        """The process has started with an empty store."""
+        self._until = time.monotonic() + self._duration_s
+
+    @property
+    def active(self) -> bool:
+        """Whether the list has to be held back now."""
+        return self._evidence and self.left_s > 0.0
+
+    @property
+    def left_s(self) -> float:
+        """How long it goes on, in s."""
+        return self._until - time.monotonic()
+
+    def add_evidence(self) -> None:
+        """A caller knows an index of an earlier incarnation that this store has forgotten."""
+        if self._until and not self._evidence:
+            self._evidence = True
+            log.warning("gathering", reason="callers know a list that this service has lost")
+
+    def has_ended(self, instances: int) -> bool:
+        """Whether it has ended since the last call; `instances` are listed by now, for the log."""
+        if not self._until or self.left_s > 0.0:
+            return False
+        self._until = 0.0
+        log.info("gathered", instances=instances, needed=self._evidence)
+        return True
--- /dev/null
+++ b/brassfall/controlplane/registry/http_errors.py
@@ -0,0 +1,78 @@
+"""Errors as HTTP answers: each has a status, a slug for programs and a reason for people, in JSON."""
+
+from __future__ import annotations
+
+from aiohttp import web
+
+from brassfall.errors import Conflict, Missing, Refused, Stale, TooLarge, TooOften, Unavailable
+
+RETRY_LEAST_S = 0.05  # the least that `Retry-After` says
+
+
+class UnknownPathError(Missing):
+    """The service has no such path (404)."""
+
+    action = "See docs/registry.md for the paths; a service of an earlier version lacks the newer ones."
+
+
+class MethodNotAllowedError(Refused):
+    """The path has no such method (405)."""
+
+    action = "See docs/registry.md for the methods of the path."
+    status = 405
+    slug = "method not allowed"
+
+
+class BodyTimeoutError(Refused):
+    """The body of a call did not come in time (408)."""
+
+    action = "Send the whole body at once; look at the network between the two."
+    status = 408
+    slug = "too slow"
+
+
+class InternalError(Refused):
+    """A defect of the service (500)."""
+
+    action = "Report it with the traceback that the service's log has under `fault`."
+    status = 500
+    slug = "internal error"
+
+
+class AskElsewhereError(Refused):
+    """This process can't answer, and another address can (503, without a time to come back here)."""
+
+    action = "Ask another aggregator, or the list service; /health/ready here says what is missing."
+    status = 503
+    slug = "unavailable"
+
+
+BY_STATUS: dict[int, type[Refused]] = {
+    kind.status: kind
+    for kind in (
+        Refused,
+        Missing,
+        MethodNotAllowedError,
+        BodyTimeoutError,
+        Conflict,
+        Stale,
+        TooLarge,
+        TooOften,
+        InternalError,
+        Unavailable,
+    )
+}
+
+
+def status_response(status: int, reason: str, retry_s: float | None = None) -> web.Response:
+    """The answer for a status and a reason; with `Retry-After` where `retry_s` is given."""
+    return error_response(BY_STATUS.get(status, Refused)(reason), retry_s, status)
+
+
+def error_response(error: Refused, retry_s: float | None = None, status: int | None = None) -> web.Response:
+    """The answer for an error; `retry_s` and `status` where they are others than its own."""
+    status = error.status if status is None else status
+    body = error.wire() if status in BY_STATUS else {**error.wire(), "error": "error"}
+    wait_s = error.retry_s if retry_s is None and isinstance(error, Unavailable) else retry_s
+    headers = {} if wait_s is None else {"Retry-After": f"{max(wait_s, RETRY_LEAST_S):.2f}"}
+    return web.json_response(body, status=status, headers=headers)
--- /dev/null
+++ b/brassfall/controlplane/registry/instances.py
@@ -0,0 +1,82 @@
+"""The calls under `/registry/instances`: servers register, renew and leave, and are listed."""
+
+from __future__ import annotations
+
+import msgspec
+from aiohttp import web
+
+from brassfall.controlplane.registry import calls, entries
+from brassfall.controlplane.registry.calls import answer
+from brassfall.controlplane.registry.entries import INSTANCES
+from brassfall.controlplane.registry.front import Front
+from brassfall.controlplane.registry.http_errors import status_response
+from brassfall.controlplane.registry.lists import Lists
+from brassfall.controlplane.registry.writes import Writes
+from brassfall.controlplane.store.store import Store
+from brassfall.settings import LeaseSettings
+
+PATH = "/registry/instances"
+
+_encode = msgspec.json.Encoder().encode
+
+
+class InstanceCalls:
+    """Answers the calls on instances; `leases` bounds the times to live that may be asked for."""
+
+    def __init__(
+        self, store: Store, front: Front, lists: Lists, writes: Writes, leases: LeaseSettings
+    ) -> None:
+        self._store = store
+        self._front = front
+        self._lists = lists
+        self._writes = writes
+        self._leases = leases
+
+    def routes(self) -> list[web.RouteDef]:
+        """The paths."""
+        one = PATH + "/{name}"
+        return [
+            web.get(PATH, self._list),
+            web.get(one, self._get),
+            web.put(one, self._register),
+            web.post(one + "/renew", self._renew),
+            web.patch(one, self._alter),
+            web.delete(one, self._leave),
+        ]
+
+    async def _list(self, request: web.Request) -> web.StreamResponse:
+        return await self._lists.read(request, INSTANCES)
+
+    async def _get(self, request: web.Request) -> web.Response:
+        row = self._store.table.get(INSTANCES, _name(request))
+        if row is None:
+            return status_response(404, "no such instance")
+        return answer(_encode(self._lists.view(INSTANCES, row)))
+
+    async def _register(self, request: web.Request) -> web.Response:
+        key = _name(request)
+        wanted, ttl_ms = entries.registration(key, await self._front.body(request), self._leases)
+        self._writes.check_room(INSTANCES, key)
+        command = entries.register(key, wanted, ttl_ms, calls.match(request), calls.request_id(request))
+        return await self._writes.run(command)
+
+    async def _renew(self, request: web.Request) -> web.Response:
+        key = _name(request)
+        return self._writes.renew(INSTANCES, key, entries.holder(await self._front.body(request)))
+
+    async def _alter(self, request: web.Request) -> web.Response:
+        key, body = _name(request), await self._front.body(request)
+        return await self._writes.run(
+            entries.alter(key, body, calls.match(request), calls.request_id(request))
+        )
+
+    async def _leave(self, request: web.Request) -> web.Response:
+        key = _name(request)
+        fence = entries.holder(await self._front.body(request))
+        return await self._writes.run(
+            entries.leave(key, fence, calls.match(request), calls.request_id(request))
+        )
+
+
+def _name(request: web.Request) -> str:
+    return entries.name(request.match_info["name"])
--- /dev/null
+++ b/brassfall/controlplane/registry/lists.py
@@ -0,0 +1,128 @@
+"""Tables as callers read them: whole lists, and watches on their changes."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from typing import Any
+
+import msgspec
+from aiohttp import web
+
+from brassfall.controlplane.registry import calls, entries
+from brassfall.controlplane.registry.calls import answer
+from brassfall.controlplane.registry.channels import AGE_MARGIN_S, ListFormat, TableChannel
+from brassfall.controlplane.registry.entries import INSTANCES
+from brassfall.controlplane.registry.front import Front, WatchRequest
+from brassfall.controlplane.registry.gathering import Gathering
+from brassfall.controlplane.registry.watches import Channel
+from brassfall.controlplane.store.core import Change, Row
+from brassfall.controlplane.store.store import Store
+
+HELD_INDEX = "X-Held-Index"  # a caller of the whole list says here which one it has
+INCOMPLETE = "servers are coming back to a list that was lost"
+
+
+class RowView(msgspec.Struct, frozen=True):
+    """A row as it is read. `age_ms` is an upper bound; None where it was not confirmed since the start."""
+
+    key: str
+    version: int
+    value: Any
+    age_ms: int | None
+
+
+class Lists:
+    """All tables of a store, as they are read and watched."""
+
+    def __init__(self, store: Store, front: Front, gathering: Gathering) -> None:
+        self._store = store
+        self._front = front
+        self._gathering = gathering
+
+    def view(self, table: str, row: Row) -> RowView:
+        """A row with its age."""
+        age_ms = self._store.age_ms(table, row.key)
+        bound_ms = None if age_ms is None else round(age_ms + AGE_MARGIN_S * 1000.0)
+        return RowView(row.key, row.version, row.value, bound_ms)
+
+    def channel(self, table: str) -> Channel:
+        """The watches on a table; they are begun with the first that asks for it."""
+        channels = self._front.channels
+        if table not in channels:
+            limits = self._front.limits
+            channels[table] = TableChannel(
+                lambda: self._store.table,
+                table,
+                self._format(table),
+                limits.watch_bytes,
+                limits.watch_stuck_ms / 1000.0,
+            )
+        return channels[table]
+
+    def _format(self, table: str) -> ListFormat:
+        if table == INSTANCES:
+            return ListFormat("endpoints", entries.endpoints, entries.changed)
+
+        def rows(found: Iterable[Row]) -> list[RowView]:
+            return [self.view(table, row) for row in found]
+
+        def changes(found: Iterable[Change]) -> list[RowView]:
+            return [
+                RowView(change.row.key, change.index, None, 0)
+                if change.gone
+                else self.view(table, change.row)
+                for change in found
+            ]
+
+        return ListFormat("rows", rows, changes, has_ages=True)
+
+    def changed(self, table: str, change: Change) -> None:
+        """A durable change: whoever watches the table is sent it."""
+        channel = self._front.channels.get(table)
+        if isinstance(channel, TableChannel):
+            channel.changed(change)
+
+    async def read(self, request: web.Request, table: str) -> web.StreamResponse:
+        """The answer to `GET`: the whole table, or a watch on it where the query says so."""
+        if calls.is_watch(request):
+            return await self.watch(request, table)
+        if table == INSTANCES:
+            self._check_index(calls.number(request.headers.get(HELD_INDEX, "0"), HELD_INDEX))
+        return self._whole(table)
+
+    def _whole(self, table: str) -> web.Response:
+        if self._gathering.active:
+            return self._front.reject(INCOMPLETE, self._gathering.left_s + 0.5 * self._front.rng.random())
+        rejection = self._front.admit_join("too many ask for the whole list at once")
+        if rejection is not None:
+            return rejection
+        response = answer(self.channel(table).snapshot())
+        self._drop_unused(table)
+        return response
+
+    async def watch(self, request: web.Request, name: str) -> web.StreamResponse:
+        """Keep a watch on a table, or on another channel, until it ends; cancelling ends it."""
+        index = calls.number(request.query.get("from", "0"), "from")
+        wanted = WatchRequest(index, lambda: self.channel(name), lambda: self._is_deferred(name, index))
+        try:
+            return await self._front.watch(request, wanted)
+        finally:
+            self._drop_unused(name)
+
+    def _is_deferred(self, name: str, index: int) -> bool:
+        """Whether the first line of a watch waits until servers have come back to a list that was lost."""
+        if not isinstance(self.channel(name), TableChannel):
+            return False
+        self._check_index(index)
+        return self._gathering.active
+
+    def _check_index(self, index: int) -> None:
+        """An index of the instances that is unknown here is evidence of a list that was lost."""
+        if index and self._store.table.since(INSTANCES, index) is None:
+            self._gathering.add_evidence()
+
+    def _drop_unused(self, name: str) -> None:
+        """Whoever asks for tables that nobody has written leaves nothing behind."""
+        channel = self.channel(name)
+        if isinstance(channel, TableChannel) and not channel.count and name not in self._store.table.names:
+            del self._front.channels[name]
--- a/brassfall/controlplane/registry/metrics.py
+++ b/brassfall/controlplane/registry/metrics.py
@@ -1,10 +1,10 @@
-"""What the processes of this package tell Prometheus. The hot path counts in plain numbers, read at each
-scrape."""
+"""Metrics in Prometheus' form. The hot path counts in plain numbers, which are read at each scrape."""
 
 from __future__ import annotations
 
 from collections import Counter
-from collections.abc import Iterable, Mapping
+from collections.abc import Iterable
+from dataclasses import dataclass, field
 from typing import Protocol
 
 from prometheus_client import CollectorRegistry, Histogram, generate_latest
@@ -13,34 +13,52 @@
 from brassfall.controlplane.registry.front import Front
 from brassfall.controlplane.store.store import Store
 
+CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 SECONDS = (0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5)
 
-Told = Mapping[str, tuple[str, float]]  # by name: what it is, and its value
 
+@dataclass(frozen=True, slots=True)
+class Value:
+    """One metric's help text, and its value at a scrape."""
 
-class Fronted(Protocol):
-    """A process with an HTTP side, and what it measures beside."""
+    text: str
+    value: float
+
+
+Values = dict[str, Value]  # by name, without the prefix `brassfall_` and a counter's suffix `_total`
+
+
+@dataclass(frozen=True, slots=True)
+class ProcessMetrics:
+    """What one process measures beside its HTTP side."""
+
+    gauges: Values = field(default_factory=dict)
+    counters: Values = field(default_factory=dict)
+
+
+class HttpProcess(Protocol):
+    """A process with an HTTP side, and metrics of its own."""
 
     front: Front
 
-    def figures(self) -> tuple[Told, Told]:
-        """Gauges and counters of its own, each with what it tells."""
+    def process_metrics(self) -> ProcessMetrics:
+        """Gauges and counters of its own."""
 
 
-class Measured(Fronted, Protocol):
+class ListService(HttpProcess, Protocol):
     """What of a list service is measured."""
 
     store: Store
 
     @property
     def gathering(self) -> bool:
-        """Whether a lost list is coming back."""
+        """Whether a lost list is being rebuilt from its servers' registrations."""
 
 
 class HttpMetrics:
     """The metrics of one process: of its calls and watches, and what it adds."""
 
-    def __init__(self, process: Fronted) -> None:
+    def __init__(self, process: HttpProcess) -> None:
         self._process = process
         self._registry = CollectorRegistry()
         self._registry.register(self)
@@ -59,81 +77,87 @@
             self._seconds.observe(seconds)
 
     def text(self) -> bytes:
-        """All of them, in Prometheus text form."""
+        """All of them, in Prometheus' text form."""
         return generate_latest(self._registry)
 
-    def gauges(self) -> Told:
-        """What stands now."""
+    def gauges(self) -> Values:
+        """What holds now."""
         front = self._process.front
         channels = front.channels.values()
         return {
-            "watches": ("Open watches", sum(channel.count for channel in channels)),
-            "watches_behind": ("Watches that read too slowly", sum(channel.behind for channel in channels)),
-            "connections": ("Open connections", len(front.callers)),
-            **self._process.figures()[0],
+            "watches": Value("Open watches", sum(channel.count for channel in channels)),
+            "watches_behind": Value(
+                "Watches that read too slowly", sum(channel.behind for channel in channels)
+            ),
+            "connections": Value("Open connections", len(front.callers)),
+            **self._process.process_metrics().gauges,
         }
 
-    def counters(self) -> Told:
+    def counters(self) -> Values:
         """What has happened since the start."""
         front = self._process.front
-        channels = front.channels.values()
+        statistics = [channel.statistics for channel in front.channels.values()]
         return {
-            "lists_built": ("Whole lists encoded", sum(c.figures.lists_built for c in channels)),
-            "lines_built": ("Lines of watches encoded", sum(c.figures.lines_built for c in channels)),
-            "lines_sent": ("Lines written to watches", sum(c.figures.lines_sent for c in channels)),
-            "watches_merged": ("Slow watches told all at once", sum(c.figures.merged for c in channels)),
-            "watches_cut": ("Slow watches cut off", sum(c.figures.cut for c in channels)),
-            "turned_away": ("Calls told to come again", front.turned_away),
-            "connections_refused": ("Connections without a place", front.callers.refused),
-            "connections_idled": ("Connections closed for idling", front.callers.idled),
-            "malformed": ("Calls that were no HTTP", front.callers.malformed),
-            **self._process.figures()[1],
+            "lists_built": Value("Whole lists encoded", sum(each.lists_encoded for each in statistics)),
+            "lines_built": Value("Lines of watches encoded", sum(each.lines_encoded for each in statistics)),
+            "lines_sent": Value("Lines written to watches", sum(each.lines_sent for each in statistics)),
+            "watches_merged": Value(
+                "Slow watches sent in one line what they had missed", sum(each.merged for each in statistics)
+            ),
+            "watches_cut": Value("Slow watches that were aborted", sum(each.aborted for each in statistics)),
+            "turned_away": Value("Calls rejected with Retry-After", front.rejected),
+            "connections_refused": Value("Connections rejected at the limit", front.callers.rejected),
+            "connections_idled": Value("Connections closed for idling", front.callers.idle_closed),
+            "malformed": Value("Calls that were no HTTP", front.callers.malformed),
+            **self._process.process_metrics().counters,
         }
 
     def collect(self) -> Iterable[Metric]:
-        """Called at each scrape."""
+        """All metrics; called by the client library at each scrape."""
         calls = CounterMetricFamily("brassfall_calls", "Calls answered", labels=["method", "status"])
         for (method, status), number in self._calls.items():
             calls.add_metric([method, str(status)], number)
         yield calls
-        for name, (text, value) in self.gauges().items():
-            yield GaugeMetricFamily(f"brassfall_{name}", text, value)
-        for name, (text, value) in self.counters().items():
-            yield CounterMetricFamily(f"brassfall_{name}", text, value)
+        for name, gauge in self.gauges().items():
+            yield GaugeMetricFamily(f"brassfall_{name}", gauge.text, gauge.value)
+        for name, counter in self.counters().items():
+            yield CounterMetricFamily(f"brassfall_{name}", counter.text, counter.value)
 
 
-class Metrics(HttpMetrics):
+class ListServiceMetrics(HttpMetrics):
     """The metrics of one list service."""
 
-    def __init__(self, service: Measured) -> None:
+    def __init__(self, service: ListService) -> None:
         self._service = service
         self.changes = 0
         super().__init__(service)
 
-    def gauges(self) -> Told:
-        """What stands now."""
+    def gauges(self) -> Values:
+        """What holds now."""
         service, store = self._service, self._service.store
         return {
-            "index": ("The newest index", store.table.index),
-            "rows": ("Rows in all tables", sum(map(store.table.count, store.table.names))),
-            "suspects": ("Instances kept though their leases are over", len(store.suspects("instances"))),
-            "writes_waiting": ("Writes that wait for the disk", store.waiting),
-            "disk_failing": ("1 while commits fail", float(bool(store.figures.disk))),
-            "gathering": ("1 while a lost list is being gathered", float(service.gathering)),
+            "index": Value("The newest index", store.table.index),
+            "rows": Value("Rows in all tables", sum(map(store.table.count, store.table.names))),
+            "suspects": Value(
+                "Instances kept though their leases are over", len(store.suspects("instances"))
+            ),
+            "writes_waiting": Value("Writes that wait for the disk", store.waiting),
+            "disk_failing": Value("1 while commits fail", float(bool(store.figures.disk))),
+            "gathering": Value("1 while a lost list is being gathered", float(service.gathering)),
             **super().gauges(),
         }
 
-    def counters(self) -> Told:
+    def counters(self) -> Values:
         """What has happened since the start."""
-        figures = self._service.store.figures
+        store = self._service.store.figures
         return {
-            "changes": ("Changes told", self.changes),
-            "writes": ("Records put on the disk", figures.writes),
-            "commits": ("Syncs of the disk", figures.commits),
-            "commit_seconds": ("Time spent in them", figures.commit_s),
-            "commit_failures": ("Commits that failed", figures.failures),
-            "snapshots": ("Snapshots stored", figures.snapshots),
-            "expired": ("Leases that ended", figures.expired),
-            "suspected": ("Leases whose end was doubted", figures.suspected),
+            "changes": Value("Changes published to watches", self.changes),
+            "writes": Value("Records put on the disk", store.writes),
+            "commits": Value("Syncs of the disk", store.commits),
+            "commit_seconds": Value("Time spent in them", store.commit_s),
+            "commit_failures": Value("Commits that failed", store.failures),
+            "snapshots": Value("Snapshots stored", store.snapshots),
+            "expired": Value("Leases that ended", store.expired),
+            "suspected": Value("Leases whose end was doubted", store.suspected),
             **super().counters(),
         }
--- a/brassfall/controlplane/registry/reports.py
+++ b/brassfall/controlplane/registry/reports.py
@@ -1,20 +1,20 @@
-"""Reports of sidecars as they come in: whole, or going on from the one before on the same connection."""
+"""Reports of sidecars as they come in: complete, or as a difference from the last one on the connection."""
 
 from __future__ import annotations
 
 from aiohttp import web
 
-from brassfall.controlplane.registry.callers import Connection
+from brassfall.controlplane.registry.callers import Connection, LastReport
 from brassfall.controlplane.revisions.edges import Report, read
 
 
 def read_report(request: web.Request, name: str, body: bytes) -> Report:
     """The report of a sidecar; `ReportError` says what is wrong with it.
 
-    It may go on from the one before of its name, on the same connection alone."""
+    It may go on from the last report of the same name, on the same connection alone."""
     connection = request.protocol
     assert isinstance(connection, Connection)
-    (whose, before), connection.report = connection.report, ("", {})
-    report, raw = read(body, before if whose == name else None)
-    connection.report = (name, raw)
+    last, connection.last_report = connection.last_report, LastReport()
+    report, fields = read(body, last.fields if last.name == name else None)
+    connection.last_report = LastReport(name, fields)
     return report
--- a/brassfall/controlplane/registry/rules.py
+++ b/brassfall/controlplane/registry/rules.py
@@ -15,11 +15,12 @@
 from brassfall.controlplane.aggregation.directory import AggregatorNameError, Directory
 from brassfall.controlplane.registry import calls, entries, revision_state
 from brassfall.controlplane.registry.calls import answer
+from brassfall.controlplane.registry.channels import StateChannel
 from brassfall.controlplane.registry.entries import INSTANCES
 from brassfall.controlplane.registry.reports import read_report
 from brassfall.controlplane.registry.sidecar_rows import NEVER, SidecarRow, View, reported_row
 from brassfall.controlplane.registry.tasks import Tasks
-from brassfall.controlplane.registry.watches import Channel, Lines
+from brassfall.controlplane.registry.watches import Channel
 from brassfall.controlplane.revisions import core as deciding
 from brassfall.controlplane.revisions import document, pace
 from brassfall.controlplane.revisions.core import Agreement, Event, Kept, Reported, Timing
@@ -92,7 +93,7 @@
 
     host: Host
     settings: AgreementSettings
-    channel: Lines = field(init=False)
+    channel: StateChannel = field(init=False)
     core: Agreement = field(init=False)
     figures: Figures = field(default_factory=Figures)
     barred: dict[str, str] = field(default_factory=dict)  # sidecars without permission, and why
@@ -117,7 +118,7 @@
         self._started = self.now()
         self.core = Agreement(timing, self._started, kept, fleet, barred=self.barred)
         self.directory = Directory(timing.over_ms, self.settings.edges_most)
-        self.channel = Lines(self.line, watch_bytes, stuck_s)
+        self.channel = StateChannel(self.line, watch_bytes, stuck_s)
         self.host.channels[PLACE] = self.channel
         self._tasks.spawn(self._tick())
 
@@ -161,7 +162,7 @@
                     self._settle(ticket, UnwrittenError("not published", "the disk refused it"))
                 case deciding.Told():
                     self._encoded = None
-                    self.channel.poke()
+                    self.channel.state_changed()
 
     def report(
         self, name: str, report: Report, objections: Mapping[str, Objection] | None = None
--- /dev/null
+++ b/brassfall/controlplane/registry/tables.py
@@ -0,0 +1,91 @@
+"""The calls under `/tables`: rows of any table, with conditions and leases."""
+
+from __future__ import annotations
+
+import msgspec
+from aiohttp import web
+
+from brassfall.controlplane.registry import calls, entries
+from brassfall.controlplane.registry.calls import answer
+from brassfall.controlplane.registry.front import Front
+from brassfall.controlplane.registry.http_errors import status_response
+from brassfall.controlplane.registry.lists import Lists
+from brassfall.controlplane.registry.writes import Writes
+from brassfall.controlplane.store.core import Delete, Put
+from brassfall.controlplane.store.store import Store
+from brassfall.errors import Refused
+from brassfall.settings import LeaseSettings
+
+LEASE = "X-Lease"  # the time to live of a row, in ms
+
+_encode = msgspec.json.Encoder().encode
+
+
+class TableCalls:
+    """Answers the calls on tables; `leases` bounds the times to live that may be asked for."""
+
+    def __init__(
+        self, store: Store, front: Front, lists: Lists, writes: Writes, leases: LeaseSettings
+    ) -> None:
+        self._store = store
+        self._front = front
+        self._lists = lists
+        self._writes = writes
+        self._leases = leases
+
+    def routes(self) -> list[web.RouteDef]:
+        """The paths."""
+        one = "/tables/{table}/{key}"
+        return [
+            web.get("/tables/{table}", self._list),
+            web.get(one, self._get),
+            web.put(one, self._put),
+            web.delete(one, self._delete),
+            web.post(one + "/renew", self._renew),
+        ]
+
+    async def _list(self, request: web.Request) -> web.StreamResponse:
+        return await self._lists.read(request, entries.name(request.match_info["table"]))
+
+    async def _get(self, request: web.Request) -> web.Response:
+        table, key = calls.row_address(request)
+        row = self._store.table.get(table, key)
+        if row is None:
+            return status_response(404, f"{key} is not there")
+        return answer(_encode(self._lists.view(table, row)))
+
+    async def _put(self, request: web.Request) -> web.Response:
+        table, key = calls.writable_row_address(request)
+        try:
+            value = msgspec.json.decode(await self._front.body(request))
+        except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
+            raise Refused(f"the value is no JSON: {error}") from error
+        self._writes.check_room(table, key)
+        command = Put(
+            table=table,
+            key=key,
+            value=value,
+            lease_ms=self._lease_ms(request),
+            if_match=calls.match(request),
+            request_id=calls.request_id(request),
+        )
+        return await self._writes.run(command)
+
+    def _lease_ms(self, request: web.Request) -> int:
+        lease = request.headers.get(LEASE)
+        return 0 if lease is None else entries.ttl(calls.number(lease, LEASE), self._leases)
+
+    async def _delete(self, request: web.Request) -> web.Response:
+        table, key = calls.writable_row_address(request)
+        command = Delete(
+            table=table, key=key, if_match=calls.match(request), request_id=calls.request_id(request)
+        )
+        return await self._writes.run(command)
+
+    async def _renew(self, request: web.Request) -> web.Response:
+        table, key = calls.writable_row_address(request)
+        version = calls.match(request)
+        row = self._store.table.get(table, key)
+        if row is not None and version is not None and row.version != version:
+            return status_response(412, f"{key} has version {row.version}, not version {version}")
+        return self._writes.renew(table, key, None)
--- a/brassfall/controlplane/registry/tasks.py
+++ b/brassfall/controlplane/registry/tasks.py
@@ -1,4 +1,4 @@
-"""The tasks of one part of the service: held while they run, ended with it, and heard if they fail."""
+"""The tasks of one part of the service: held while they run, ended with it, and logged if they fail."""
 
 from __future__ import annotations
 
@@ -12,13 +12,14 @@
 
 
 class Tasks:
-    """The loop holds tasks weakly, and tells of a failed one only when it is collected: here, at once."""
+    """Owns tasks that no caller awaits. The loop holds tasks weakly, and logs a failed one only when it is
+    collected: here it is logged at once, and the others go on."""
 
     def __init__(self) -> None:
         self._running: set[asyncio.Task[Any]] = set()
 
     def spawn(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
-        """Do it beside the rest; the task may be cancelled, which is no failure."""
+        """Run this beside the rest; the task may be cancelled, which is no failure."""
         task = asyncio.get_running_loop().create_task(work)
         self._running.add(task)
         task.add_done_callback(self._done)
@@ -31,7 +32,7 @@
             log.error("fault", exc_info=error)
 
     async def end(self) -> None:
-        """End all that run."""
+        """Cancel all that run, and wait until they have ended."""
         running = list(self._running)
         for task in running:
             task.cancel()
--- a/brassfall/controlplane/registry/watches.py
+++ b/brassfall/controlplane/registry/watches.py
@@ -1,41 +1,24 @@
-"""Watches: each change is encoded once for all who watch, and no slow reader delays another.
+"""Watches: one channel encodes each change once for all its watchers, and no slow reader delays another.
 
-A watcher that has more unread bytes than allowed is told nothing more until it has read them; then it
-gets one line with what changed meanwhile, each entry once, or the whole list where that is too much
-for the ring. One that reads nothing for long is cut off.
+A watch is a chunked HTTP answer that never ends: a first line with the state, then a line for each change. A
+watcher with more unread bytes than allowed is sent nothing until it has read them; then it gets one line with
+what changed meanwhile, each entry once, or the whole list where that is too much for the ring of changes. One
+that reads nothing for long is aborted.
 
-Empty lines follow a fixed beat: the k-th on a watch is written no sooner than k times 2 s after the
-call came in, whatever else is told meanwhile. A reader can so compute an upper bound on the age of
-what it holds, from its own clock alone.
+Heartbeats are empty lines at fixed times: the k-th on a watch is written no sooner than k times
+`HEARTBEAT_S` after the call came in, whatever else is written meanwhile. A reader can so compute an upper
+bound on the age of what it has, from its own clock alone.
 """
 
 from __future__ import annotations
 
+import abc
 import asyncio
-from collections.abc import Callable, Iterable
 from dataclasses import dataclass
-from typing import Any
 
-import msgspec
-
-from brassfall.controlplane.store.core import Change, Row, Table
-
-BEAT_S = 2.0
-SLOTS = 20  # the beat of all watches is spread over so many parts
-CACHED_LINES = 64
-AGED_S = 0.1  # ages are told as so much higher, since a list may have been encoded so long ago
-
-_encode = msgspec.json.Encoder().encode
-
-
-@dataclass(frozen=True, slots=True)
-class Form:
-    """How a table is told: names of the list, and its rows."""
-
-    listed: str
-    rows: Callable[[Iterable[Row]], list[Any]]
-    changes: Callable[[Iterable[Change]], list[Any]]
-    ages: bool = False  # its rows tell their ages: an encoded one is good for `AGED_S`, not for ever
+HEARTBEAT_S = 2.0
+SLOTS = 20  # the heartbeats of all watches are spread evenly over so many ticks
+TICK_S = HEARTBEAT_S / SLOTS
 
 
 def chunk(line: bytes) -> bytes:
@@ -47,20 +30,20 @@
 
 
 class Watch:
-    """One open watch. `told` is the index up to which its reader has been told all."""
+    """One open watch. `sent_index` is the index up to which all changes have been sent to its reader."""
 
-    __slots__ = ("_ended", "behind_at", "held", "left", "new", "slot", "told", "transport")
+    __slots__ = ("_ended", "behind_since", "deferred", "new", "sent_index", "slot", "transport", "unread")
 
     def __init__(
-        self, transport: asyncio.Transport, told: int, slot: int, ended: asyncio.Future[None]
+        self, transport: asyncio.Transport, sent_index: int, slot: int, ended: asyncio.Future[None]
     ) -> None:
         self.transport = transport
-        self.told = told
+        self.sent_index = sent_index
         self.slot = slot
-        self.behind_at: float | None = None  # since when it has too much unread
-        self.left = 0  # unread bytes when last looked at while behind
-        self.new = True  # the next part of the beat comes too soon for it
-        self.held = False  # its first line waits for the end of the gathering
+        self.behind_since: float | None = None  # since when it has too many unread bytes; loop time, s
+        self.unread = 0  # bytes, when last looked at while behind
+        self.new = True  # the next tick of its slot comes too soon for a heartbeat
+        self.deferred = False  # its first line waits for `Channel.release`
         self._ended = ended
 
     def write(self, data: bytes) -> None:
@@ -69,97 +52,83 @@
         if not self.transport.is_closing():
             self.transport.write(data)
 
-    def cut(self) -> None:
-        """End it at once."""
+    def abort(self) -> None:
+        """End the connection at once, with what is unread."""
         self.transport.abort()
         if not self._ended.done():
             self._ended.set_result(None)
 
 
 @dataclass(slots=True)
-class Figures:
-    """What has been told so far."""
+class ChannelStatistics:
+    """What a channel has done so far."""
 
-    lists_built: int = 0
-    lines_built: int = 0
+    lists_encoded: int = 0
+    lines_encoded: int = 0
     lines_sent: int = 0
-    merged: int = 0
-    cut: int = 0
+    merged: int = 0  # slow watches that were sent in one line all that they had missed
+    aborted: int = 0  # slow watches that read nothing for too long
+
 
+class Channel(abc.ABC):
+    """All watches on one resource, which a subclass encodes.
 
-class Channel:
-    """All watches of one table."""
+    `unread_most` bytes may wait for a reader before its changes are merged; it then has `stuck_s` seconds to
+    read on. All methods are to be called in the loop's thread."""
 
-    def __init__(self, table: Callable[[], Table], name: str, form: Form, most: int, stuck_s: float) -> None:
-        self._table = table
-        self._name = name
-        self._form = form
-        self._most = most
+    def __init__(self, unread_most: int, stuck_s: float) -> None:
+        self._unread_most = unread_most
         self._stuck_s = stuck_s
         self._slots: list[dict[Watch, None]] = [{} for _ in range(SLOTS)]
         self._behind: dict[Watch, None] = {}
-        self._held: dict[Watch, None] = {}
-        self._whole: tuple[int, bytes] | None = None
-        self._built_at = 0.0
-        self._lines: dict[tuple[int, int], bytes] = {}
-        self._due: list[Change] = []
+        self._deferred: dict[Watch, None] = {}
         self._flush: asyncio.Handle | None = None
-        self._beats = 0
+        self._ticks = 0
         self.count = 0
-        self.figures = Figures()
+        self.statistics = ChannelStatistics()
+
+    # --- what is sent, by the subclass ----------------------------------------
+
+    @property
+    @abc.abstractmethod
+    def last(self) -> int:
+        """The index up to which all changes are known now."""
+
+    @abc.abstractmethod
+    def snapshot(self) -> bytes:
+        """The whole state, encoded."""
+
+    @abc.abstractmethod
+    def first_line(self, index: int) -> bytes:
+        """The line for one who has been sent all up to an index: changes, or the snapshot."""
+
+    @abc.abstractmethod
+    def _changes_chunk(self) -> bytes:
+        """The chunk for what has changed since the last call."""
+
+    def heartbeat(self) -> bytes:
+        """The chunk that each watch is sent every `HEARTBEAT_S`: all changes before it have been sent."""
+        return EMPTY
+
+    # --- watchers -------------------------------------------------------------
 
     @property
     def behind(self) -> int:
         """How many watchers read too slowly just now."""
         return len(self._behind)
 
-    def whole(self) -> bytes:
-        """The whole list, encoded once for each version."""
-        index, now = self.last, asyncio.get_running_loop().time()
-        aged = self._form.ages and now - self._built_at > AGED_S
-        if self._whole is None or self._whole[0] != index or aged:
-            self._built_at = now
-            rows = self._form.rows(self._table().rows(self._name))
-            self._whole = (index, _encode({"index": index, "snapshot": True, self._form.listed: rows}))
-            self.figures.lists_built += 1
-        return self._whole[1]
+    def add(
+        self, transport: asyncio.Transport, index: int, ended: asyncio.Future[None], *, deferred: bool = False
+    ) -> Watch:
+        """A new watcher, which has all up to an index; a `deferred` one gets its first line at `release`.
 
-    @property
-    def last(self) -> int:
-        """The index up to which all is told now."""
-        return self._table().last(self._name)
-
-    def first(self, index: int) -> bytes:
-        """The first line for one who has been told all up to an index."""
-        changes = self._table().since(self._name, index)
-        if changes is None:
-            return self.whole()
-        return self._line(index, changes)
-
-    def _line(self, after: int, changes: list[Change]) -> bytes:
-        """What changed after an index, encoded once for all who ask from there."""
-        last = self.last
-        place = (after, last)
-        if place not in self._lines or self._form.ages:
-            if len(self._lines) >= CACHED_LINES:
-                self._lines.clear()
-            told = self._form.changes(changes)
-            self._lines[place] = _encode({"index": last, "snapshot": False, self._form.listed: told})
-            self.figures.lines_built += 1
-        return self._lines[place]
-
-    # --- watchers -----------------------------------------------------------
-
-    def add(self, transport: asyncio.Transport, index: int, held: bool, ended: asyncio.Future[None]) -> Watch:
-        """A new watcher, who was told all up to an index; `held` ones get their first line at `release`.
-
-        Its first empty line comes in the second round of its part of the beat, 2 s from now or later."""
-        watch = Watch(transport, index, (self._beats + 1) % SLOTS, ended)
+        Its first heartbeat comes in the second round of its slot, `HEARTBEAT_S` from now or later."""
+        watch = Watch(transport, index, (self._ticks + 1) % SLOTS, ended)
         self._slots[watch.slot][watch] = None
         self.count += 1
-        if held:
-            watch.held = True
-            self._held[watch] = None
+        if deferred:
+            watch.deferred = True
+            self._deferred[watch] = None
         return watch
 
     def drop(self, watch: Watch) -> None:
@@ -167,122 +136,82 @@
         if self._slots[watch.slot].pop(watch, 0) is None:
             self.count -= 1
         self._behind.pop(watch, None)
-        self._held.pop(watch, None)
+        self._deferred.pop(watch, None)
 
     def release(self) -> None:
-        """The gathering is over: whoever waits for its first line gets it."""
-        for watch in list(self._held):
-            watch.held = False
-            self._send(watch, chunk(self.first(watch.told)))
-            watch.told = self.last
-        self._held.clear()
+        """Send the first line to each watcher that waits for it."""
+        for watch in list(self._deferred):
+            watch.deferred = False
+            self._send(watch, chunk(self.first_line(watch.sent_index)))
+            watch.sent_index = self.last
+        self._deferred.clear()
 
     def end(self) -> None:
-        """The service goes down: all watches end."""
+        """End all watches."""
         for slot in self._slots:
             for watch in list(slot):
-                watch.cut()
+                watch.abort()
 
-    # --- telling --------------------------------------------------------------
+    # --- sending --------------------------------------------------------------
 
-    def changed(self, change: Change) -> None:
-        """A durable change; those of one commit are told in one line."""
-        self._due.append(change)
+    def flush_soon(self) -> None:
+        """Send what has changed once the running callbacks are done: changes of one commit share a line."""
         if self._flush is None:
-            self._flush = asyncio.get_running_loop().call_soon(self._tell)
+            self._flush = asyncio.get_running_loop().call_soon(self._send_changes)
 
-    def _tell(self) -> None:
+    def _send_changes(self) -> None:
         self._flush = None
-        line, last = self._news(), self.last
-        self.figures.lines_built += 1
+        line, last = self._changes_chunk(), self.last
+        self.statistics.lines_encoded += 1
         for slot in self._slots:
             for watch in slot:
-                if watch.behind_at is None and not watch.held:
+                if watch.behind_since is None and not watch.deferred:
                     self._send(watch, line)
-                    watch.told = last
+                    watch.sent_index = last
 
-    def _news(self) -> bytes:
-        """The line for what has changed since the last one."""
-        newest = {change.row.key: change for change in self._due}
-        self._due = []
-        told = self._form.changes(newest.values())
-        return chunk(_encode({"index": self.last, "snapshot": False, self._form.listed: told}))
-
-    def beat(self) -> None:
-        """One part of the beat: an empty line for a twentieth of the watches, and a look at the slow ones."""
+    def tick(self) -> None:
+        """To be called every `TICK_S`: heartbeats for one slot of the watches, and a look at slow readers."""
         if self._flush is not None:
-            # An empty line says that all before it was told.
+            # A heartbeat says that all before it was sent.
             self._flush.cancel()
-            self._tell()
-        self._beats += 1
-        empty = self.heartbeat()
-        for watch in self._slots[self._beats % SLOTS]:
+            self._send_changes()
+        self._ticks += 1
+        heartbeat = self.heartbeat()
+        for watch in self._slots[self._ticks % SLOTS]:
             if watch.new:
                 watch.new = False
-            elif watch.behind_at is None:
-                watch.write(empty)
+            elif watch.behind_since is None:
+                watch.write(heartbeat)
         now = asyncio.get_running_loop().time()
         for watch in list(self._behind):
-            self._look(watch, now)
-
-    def heartbeat(self) -> bytes:
-        """What a watch is sent every 2 s, as a chunk: it says that all before it was told."""
-        return EMPTY
+            self._check_slow(watch, now)
 
     def _send(self, watch: Watch, data: bytes) -> None:
         watch.write(data)
-        self.figures.lines_sent += 1
-        left = watch.transport.get_write_buffer_size()
-        if left > self._most:
-            watch.behind_at = asyncio.get_running_loop().time()
-            watch.left = left
+        self.statistics.lines_sent += 1
+        unread = watch.transport.get_write_buffer_size()
+        if unread > self._unread_most:
+            watch.behind_since = asyncio.get_running_loop().time()
+            watch.unread = unread
             self._behind[watch] = None
 
-    def _look(self, watch: Watch, now: float) -> None:
-        """Whether a slow reader has read on: then it gets all it missed at once, or it is cut off."""
-        left = watch.transport.get_write_buffer_size()
-        if left <= self._most // 4:
-            watch.behind_at = None
-            del self._behind[watch]
-            last = self.last
-            if watch.told < last:
-                self.figures.merged += 1
-                self._send(watch, chunk(self.first(watch.told)))
-                watch.told = last
-        elif left < watch.left:
-            watch.behind_at, watch.left = now, left
-        elif watch.behind_at is not None and now - watch.behind_at > self._stuck_s:
-            self.figures.cut += 1
-            watch.cut()
+    def _check_slow(self, watch: Watch, now: float) -> None:
+        """Send a slow reader that has caught up all it missed, or abort one that is stuck."""
+        unread = watch.transport.get_write_buffer_size()
+        if unread <= self._unread_most // 4:
+            self._catch_up(watch)
+        elif unread < watch.unread:
+            watch.behind_since, watch.unread = now, unread
+        elif watch.behind_since is not None and now - watch.behind_since > self._stuck_s:
+            self.statistics.aborted += 1
+            watch.abort()
             self.drop(watch)
 
-
-class Lines(Channel):
-    """Watches that are told the whole of one small state, encoded by `told`, at each change of it."""
-
-    def __init__(self, told: Callable[[], bytes], most: int, stuck_s: float) -> None:
-        super().__init__(Table, "", Form("", list, list), most, stuck_s)
-        self._told = told
-        self._version = 1
-
-    @property
-    def last(self) -> int:
-        """How often the state has changed."""
-        return self._version
-
-    def whole(self) -> bytes:
-        """The state now."""
-        return self._told()
-
-    def first(self, index: int) -> bytes:
-        """Whoever comes, and whatever it holds, is told the state: it may have missed how it came about."""
-        return self._told()
-
-    def poke(self) -> None:
-        """The state has changed."""
-        self._version += 1
-        if self._flush is None:
-            self._flush = asyncio.get_running_loop().call_soon(self._tell)
-
-    def _news(self) -> bytes:
-        return chunk(self._told())
+    def _catch_up(self, watch: Watch) -> None:
+        watch.behind_since = None
+        del self._behind[watch]
+        last = self.last
+        if watch.sent_index < last:
+            self.statistics.merged += 1
+            self._send(watch, chunk(self.first_line(watch.sent_index)))
+            watch.sent_index = last
--- a/brassfall/fleet_commands.py
+++ b/brassfall/fleet_commands.py
@@ -39,7 +39,7 @@
         typer.echo(msgspec.json.encode(told).decode() if json else text())
     except (KeyError, TypeError, AttributeError, ValueError) as error:
         raise client.CallError(
-            at, f"what came is not what was asked for: {error!r}", client.ANOTHER
+            at, f"what came is not what was asked for: {error!r}", client.ANOTHER_PROGRAM
         ) from error
 
 
@@ -108,7 +108,7 @@
             await asyncio.sleep(POLL_S)
     except (KeyError, TypeError) as error:
         raise client.CallError(
-            at, f"what came is not what was asked for: {error!r}", client.ANOTHER
+            at, f"what came is not what was asked for: {error!r}", client.ANOTHER_PROGRAM
         ) from error
     return made
 
@@ -171,7 +171,7 @@
         listed = await client.call(at, "GET", "/overrides")
         now = listed.get("now_ms") if isinstance(listed, dict) else None
         if not isinstance(now, int | float):
-            raise client.CallError(at, "it does not say what time it has", client.ANOTHER)
+            raise client.CallError(at, "it does not say what time it has", client.ANOTHER_PROGRAM)
         told["until_ms"] = int(now + lasts * 1000.0)
     return await client.call(at, "PUT", f"/overrides/{name}", told)
 
--- a/brassfall/lab/real/server.py
+++ b/brassfall/lab/real/server.py
@@ -18,7 +18,7 @@
 from aiohttp import web
 
 from brassfall import logs
-from brassfall.controlplane.registry.client import Member
+from brassfall.controlplane.registry.member import Member
 from brassfall.lab import ledger
 from brassfall.lab.day import Machine
 from brassfall.lab.models.server import BROKEN, DRAINING, FULL, TAKEN, Job, Server
@@ -195,7 +195,7 @@
     await member.wish("leaving", 2.0)
     await asyncio.sleep(max(0.0, begun + drain_s - time.monotonic()))
     await member.wish("left", 2.0)
-    member.close()
+    await member.close()
 
 
 def _entry(order: Order, address: str) -> dict[str, Any]:
--- a/brassfall/controlplane/registry/bench.py
+++ b/brassfall/lab/registry_bench.py
@@ -1,7 +1,7 @@
-"""`brassfall registry bench`: what one list service bears on this machine, and what bounds it.
+"""`brassfall registry bench`: the throughput and latency of one list service on this machine.
 
-The service runs as a process of its own, and so does each party that loads it. Every figure is of one
-round; the table has the median of all rounds and their spread.
+The service runs as a process of its own, and so does each load generator. Each value is of one round; the
+table has the median of all rounds, the least and the most.
 """
 
 from __future__ import annotations
@@ -62,8 +62,8 @@
     """The table, as Markdown."""
     lines = ["| measured | median | least | most | unit |", "| --- | ---: | ---: | ---: | --- |"]
     for row in rows:
-        figures = (median(row.values), min(row.values), max(row.values))
-        lines.append(f"| {row.what} | " + " | ".join(f"{f:,.4g}" for f in figures) + f" | {row.unit} |")
+        statistics = (median(row.values), min(row.values), max(row.values))
+        lines.append(f"| {row.what} | " + " | ".join(f"{s:,.4g}" for s in statistics) + f" | {row.unit} |")
     return "\n".join(lines)
 
 
@@ -85,13 +85,13 @@
     assert process.stderr is not None
     try:
         async for line in process.stderr:
-            told = json.loads(line)
-            if told["event"] == "ready":
+            logged = json.loads(line)
+            if logged["event"] == "ready":
                 break
         else:
             raise BenchError("the service did not start")
         draining = asyncio.create_task(process.stderr.read())
-        yield told["listen"], psutil.Process(process.pid), time.monotonic() - begun
+        yield logged["listen"], psutil.Process(process.pid), time.monotonic() - begun
         draining.cancel()
     finally:
         if process.returncode is None:
@@ -129,15 +129,15 @@
 
 
 async def in_processes(kind: str, calls: Sequence[Sequence[Any]]) -> list[Any]:
-    """Run a load of this file in processes of its own, side by side; what each printed."""
+    """Run a load of this file in processes of their own, side by side; what each printed."""
 
-    async def one(words: Sequence[Any]) -> Any:
+    async def one(arguments: Sequence[Any]) -> Any:
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            "brassfall.controlplane.registry.bench",
+            "brassfall.lab.registry_bench",
             kind,
-            *map(str, words),
+            *map(str, arguments),
             stdout=asyncio.subprocess.PIPE,
         )
         try:
@@ -150,7 +150,7 @@
             raise BenchError(f"the load {kind} failed")
         return json.loads(out)
 
-    return await asyncio.gather(*(one(words) for words in calls))
+    return await asyncio.gather(*(one(arguments) for arguments in calls))
 
 
 async def writes(folder: Path, writers: int, batch: int, seconds: float) -> dict[str, float]:
@@ -159,11 +159,11 @@
         loaders = min(LOADERS, writers)
         calls = [(listen, writers // loaders, seconds, number) for number in range(loaders)]
         before, begun = process.cpu_times(), time.monotonic()
-        told = await in_processes("write", calls)
+        results = await in_processes("write", calls)
         spent = sum(process.cpu_times()[:2]) - sum(before[:2])
-        took = [value for _, values in told for value in values]
+        took = [value for _, values in results for value in values]
         return {
-            "per_s": sum(count for count, _ in told) / seconds,
+            "per_s": sum(count for count, _ in results) / seconds,
             "p50_ms": percentile(took, 0.5) * 1000.0,
             "p99_ms": percentile(took, 0.99) * 1000.0,
             "cpu": spent / (time.monotonic() - begun),
@@ -213,7 +213,7 @@
     return heard
 
 
-async def _write_until_all_watch(listen: str, watches: int, told: asyncio.Task[list[Any]]) -> list[float]:
+async def _write_until_all_watch(listen: str, watches: int, loads: asyncio.Task[list[Any]]) -> list[float]:
     """Write one row after the other while the watches open; how long each write took, ms."""
     took = []
     async with aiohttp.ClientSession() as session:
@@ -226,8 +226,8 @@
                 status = await answer.json()
             if status["watches"].get("instances", 0) >= watches:
                 return took
-            if told.done():
-                told.result()
+            if loads.done():
+                loads.result()  # raises: they end only after all watches have opened
 
 
 async def watching(folder: Path, watches: int, changes: int) -> dict[str, float]:
@@ -236,14 +236,14 @@
         loaders = min(LOADERS, max(1, watches // 100))
         empty = process.memory_info().rss
         calls = [(listen, watches // loaders, changes)] * loaders
-        told = asyncio.create_task(in_processes("watch", calls))
-        slowest = await _write_until_all_watch(listen, loaders * (watches // loaders), told)
+        loads = asyncio.create_task(in_processes("watch", calls))
+        slowest = await _write_until_all_watch(listen, loaders * (watches // loaders), loads)
         each = (process.memory_info().rss - empty) / watches
         for number in range(changes):
             await asyncio.sleep(0.3)
             body = {**VALUE, "zone": f"{time.monotonic():.6f}", "weight": 1.0 + number / 1000.0}
             await client.call(listen, "PUT", "/registry/instances/s1", body)
-        heard = [value for values in await told for value in values]
+        heard = [value for values in await loads for value in values]
         return {
             "p50_ms": percentile(heard, 0.5),
             "p99_ms": percentile(heard, 0.99),
@@ -270,55 +270,79 @@
         async with aiohttp.ClientSession() as session:
             await asyncio.gather(*(put(number) for number in range(entries)))
     async with service(folder) as (listen, _, ready_s):
-        told = await client.call(listen, "GET", "/registry/instances")
-        if len(told["endpoints"]) != entries:
+        listed = await client.call(listen, "GET", "/registry/instances")
+        if len(listed["endpoints"]) != entries:
             raise BenchError("entries are missing")
     return {"s": ready_s, "empty_s": empty_s}
 
 
-async def run(rounds: int, seconds: float, say: Callable[[str], None]) -> str:
-    """All of it; the table."""
-    rows: dict[str, Row] = {}
+class Table:
+    """The rows of the table, in the order of their first values."""
 
-    def add(what: str, unit: str, value: float) -> None:
-        rows.setdefault(what, Row(what, unit, [])).values.append(value)
+    def __init__(self) -> None:
+        self._rows: dict[str, Row] = {}
 
-    for number in range(rounds):
-        for writers in (1, 16, 64):
-            for batch in (1024, 1):
-                with _folder() as folder:
-                    told = await writes(folder, writers, batch, seconds)
-                name = f"{writers} writers" + ("" if batch > 1 else ", a sync for each write")
-                add(f"acknowledged writes, {name}", "1/s", told["per_s"])
-                add(f"p99 of a write, {name}", "ms", told["p99_ms"])
-                if batch > 1:
-                    add(f"processor time of the service, {name}", "cores", told["cpu"])
+    def add(self, what: str, unit: str, value: float) -> None:
+        """One more value of a row."""
+        self._rows.setdefault(what, Row(what, unit, [])).values.append(value)
+
+    def __str__(self) -> str:
+        return shown(list(self._rows.values()))
+
+
+async def _measure_writes(table: Table, seconds: float) -> None:
+    for writers in (1, 16, 64):
+        for batch in (1024, 1):
+            with _folder() as folder:
+                measured = await writes(folder, writers, batch, seconds)
+            name = f"{writers} writers" + ("" if batch > 1 else ", a sync for each write")
+            table.add(f"acknowledged writes, {name}", "1/s", measured["per_s"])
+            table.add(f"p99 of a write, {name}", "ms", measured["p99_ms"])
+            if batch > 1:
+                table.add(f"processor time of the service, {name}", "cores", measured["cpu"])
+    with _folder() as folder:
+        per_s = await asyncio.to_thread(syncs, folder, seconds)
+        table.add("syncs of 4 KiB on this disk, one after the other", "1/s", per_s)
+
+
+async def _measure_watches(table: Table) -> None:
+    for watches in (100, 1000, 5000):
         with _folder() as folder:
-            add("syncs of 4 KiB on this disk, one after the other", "1/s", syncs(folder, seconds))
+            measured = await watching(folder, watches, 10)
+        for key, unit, text in (
+            ("p50_ms", "ms", "from write to watcher, p50"),
+            ("p99_ms", "ms", "from write to watcher, p99"),
+            ("most_ms", "ms", "from write to the last watcher"),
+            ("kb", "KiB", "memory of each watch"),
+            ("herd_p99_ms", "ms", "a write while all watches open, p99"),
+        ):
+            table.add(f"{text}, {watches} watches", unit, measured[key])
+
+
+async def _measure_starts(table: Table) -> None:
+    measured: dict[str, float] = {}
+    for entries in (1000, 20_000):
+        with _folder() as folder:
+            measured = await restart(folder, entries)
+        table.add(f"start with {entries} entries", "s", measured["s"])
+    table.add("start with none", "s", measured["empty_s"])
+
+
+async def run(rounds: int, seconds: float, say: Callable[[str], None]) -> str:
+    """Measure everything so many times; the table. `seconds` is the length of a load of writes.
+
+    Cancelling ends the processes that it has started."""
+    table = Table()
+    for number in range(rounds):
+        await _measure_writes(table, seconds)
         say(f"round {number + 1} of {rounds}: writes done")
-        for watches in (100, 1000, 5000):
-            with _folder() as folder:
-                told = await watching(folder, watches, 10)
-            for key, unit, text in (
-                ("p50_ms", "ms", "from write to watcher, p50"),
-                ("p99_ms", "ms", "from write to watcher, p99"),
-                ("most_ms", "ms", "from write to the last watcher"),
-                ("kb", "KiB", "memory of each watch"),
-                ("herd_p99_ms", "ms", "a write while all watches open, p99"),
-            ):
-                add(f"{text}, {watches} watches", unit, told[key])
+        await _measure_watches(table)
         say(f"round {number + 1} of {rounds}: watches done")
-        for entries in (1000, 20_000):
-            with _folder() as folder:
-                told = await restart(folder, entries)
-            add(f"start with {entries} entries", "s", told["s"])
-        add("start with none", "s", told["empty_s"])
+        await _measure_starts(table)
         say(f"round {number + 1} of {rounds}: starts done")
-    cores = os.cpu_count()
-    machine = (
-        f"{cores} cores, {psutil.virtual_memory().total / 2**30:.0f} GiB, Python {sys.version.split()[0]}"
-    )
-    return f"{machine}; {rounds} rounds of {seconds:g} s\n\n{shown(list(rows.values()))}"
+    memory_gib = psutil.virtual_memory().total / 2**30
+    machine = f"{os.cpu_count()} cores, {memory_gib:.0f} GiB, Python {sys.version.split()[0]}"
+    return f"{machine}; {rounds} rounds of {seconds:g} s\n\n{table}"
 
 
 @contextlib.contextmanager
@@ -335,14 +359,14 @@
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
 
 
-def main(words: Sequence[str]) -> None:
+def main(arguments: Sequence[str]) -> None:
     """One load, in a process of its own: what it measured goes to standard output as JSON."""
-    kind, listen, *rest = words
+    kind, listen, *rest = arguments
     if kind == "write":
-        told: Any = asyncio.run(write_load(listen, int(rest[0]), float(rest[1]), int(rest[2])))
+        measured: Any = asyncio.run(write_load(listen, int(rest[0]), float(rest[1]), int(rest[2])))
     else:
-        told = asyncio.run(listen_in(listen, int(rest[0]), int(rest[1])))
-    print(json.dumps(told))
+        measured = asyncio.run(listen_in(listen, int(rest[0]), int(rest[1])))
+    print(json.dumps(measured))
 
 
 if __name__ == "__main__":
--- a/brassfall/lab/transcriber.py
+++ b/brassfall/lab/transcriber.py
@@ -18,7 +18,7 @@
 import msgspec
 from aiohttp import web
 
-from brassfall.controlplane.registry.client import Member
+from brassfall.controlplane.registry.member import Member
 from brassfall.errors import CantListen
 from brassfall.logs import logger
 from brassfall.settings import address
@@ -147,4 +147,4 @@
     await asyncio.sleep(TOLD_S)
     await server.finished()
     log.info("left", told=await member.wish("left", 2.0))
-    member.close()
+    await member.close()
--- a/tests/test_aggregator_mirror.py
+++ b/tests/test_aggregator_mirror.py
@@ -177,7 +177,7 @@
     held = taken((0, {}), above.line(0))
     above.restart(copy)
     line = above.line(mirror.index)
-    assert not line.snapshot and mirror.take(0.0, line, first=True).moved
+    assert not line.snapshot and mirror.take(0.0, line, first=True).index_grew
     assert set(taken(held, told(mirror, held[0]))[1]) == {"s0", "s1"}
 
 
@@ -265,9 +265,9 @@
     mirror, transport = Mirror(ring=50), Transport()
     channel = ListChannel(mirror, lambda: 0.0, 65536, 10.0)
     mirror.take(0.0, whole(100, "a"))
-    channel.add(transport, 100, False, asyncio.get_running_loop().create_future())
-    assert mirror.take(0.0, ListLine(200, False, []), first=True).moved
-    channel.moved()
+    channel.add(transport, 100, asyncio.get_running_loop().create_future())
+    assert mirror.take(0.0, ListLine(200, False, []), first=True).index_grew
+    channel.flush_soon()
     await until(lambda: transport.written)
     line = msgspec.json.decode(transport.written[0].split(b"\r\n")[1])
     assert line == {"index": 200, "snapshot": False, "endpoints": []}
--- a/tests/test_aggregator_shell.py
+++ b/tests/test_aggregator_shell.py
@@ -15,6 +15,7 @@
 from brassfall.controlplane.registry import client
 from brassfall.controlplane.registry.aggregator import service as aggregators
 from brassfall.controlplane.registry.aggregator.channels import AGE
+from brassfall.controlplane.registry.aggregator.clock import now_ms
 from brassfall.controlplane.registry.server import Service
 from brassfall.settings import AggregatorSettings, AgreementSettings, CallerLimits, Limits, RegistrySettings
 from brassfall.sidecar.agent.agent import Agent
@@ -242,7 +243,7 @@
         assert (await call(session, below, "POST", "/edges/n1", short))[1]["permission_ms"] > 0.0
         for bad in (b"{", b"[]", {"seq": -1}, {"seq": 9, "after": 7}, {"life": "x" * 99}):
             assert (await call(session, below, "POST", "/edges/n1", bad))[0] == 400
-        assert made.children.figures.refused == 5
+        assert made.children.statistics.refused == 5
         status, told, _ = await call(session, below, "GET", "/edges")
         assert [row["name"] for row in told["edges"]] == ["n1"] and told["permits"] == "yes"
         assert (await call(session, below, "GET", "/status"))[1]["children"]["leased"] == 1
@@ -277,12 +278,12 @@
         waits = [float(headers["Retry-After"]) for status, _, headers in told if status == 503]
         assert 5 <= 40 - len(waits) <= 5 + 10.0 * (loop.time() - begun) + 1
         assert max(waits) <= 40 / 10.0 + 0.1 and len(set(waits)) >= len(waits) // 2
-        assert made.children.figures.turned_away == len(waits)
+        assert made.children.statistics.rejected == len(waits)
         held = await report([f"old{i}" for i in range(20)], 0)
         assert {status for status, _, _ in held} == {200}
         full = [row for row in await report([f"more{i}" for i in range(60)], 0) if row[0] == 503]
         assert full and not any("Retry-After" in headers for _, _, headers in full)  # they ask elsewhere
-        assert made.core.membership.counts(aggregators.now(), made.core.leases).known <= 60
+        assert made.core.membership.counts(now_ms(), made.core.leases).known <= 60
 
 
 # --- faults -----------------------------------------------------------------------------------------
@@ -337,7 +338,7 @@
                 await until(lambda: acting(sidecar) == number)
                 while line.get("age_ms") != 2000:  # and s1 may come: that call was carried out after all
                     line = await watch.news()
-                assert made.mirror.age_ms(aggregators.now()) < 2000.0
+                assert made.mirror.age_ms(now_ms()) < 2000.0
             sidecar.close()
 
 
@@ -384,4 +385,10 @@
 
 
 def test_the_client_reads_what_retry_after_says():
-    assert [client.seconds(text) for text in (None, "x", "-1", "2.5", "900", "nan")][:5] == [0, 0, 0, 2.5, 60]
+    assert [client.retry_after_s(text) for text in (None, "x", "-1", "2.5", "900", "nan")][:5] == [
+        0,
+        0,
+        0,
+        2.5,
+        60,
+    ]
--- a/tests/test_registry_clocks.py
+++ b/tests/test_registry_clocks.py
@@ -203,8 +203,8 @@
     for off_s in (0.0, step_s, 0.0, -step_s, 0.0):
         wall.off_s = off_s
         async with Life(told) as ask:
-            for value in range(3):
-                indexes.append((await ask("PUT", "/tables/t/k", [off_s, value]))[1]["index"])
+            written = [await ask("PUT", "/tables/t/k", [off_s, value]) for value in range(3)]
+            indexes += [body["index"] for _, body, _ in written]
             _, listed, _ = await ask("GET", "/tables/t")
             assert listed["index"] == indexes[-1]
     assert indexes == sorted(set(indexes))
--- a/tests/test_registry_service.py
+++ b/tests/test_registry_service.py
@@ -15,7 +15,7 @@
 
 from brassfall import settings
 from brassfall.controlplane.registry import client
-from brassfall.controlplane.registry.client import Member
+from brassfall.controlplane.registry.member import Member
 from brassfall.controlplane.registry.membership import Place
 from tests.loopback import bounded, until
 from tests.processes import Service
@@ -159,8 +159,8 @@
     assert [row["address"] for row in told["endpoints"]] == ["127.0.0.1:7002"]
     assert await new.wish("left", 5.0)
     assert (await call(session, service, "POST", renew, {"since_ms": 200}))[0] == 404
-    old.close()
-    new.close()
+    await old.close()
+    await new.close()
 
 
 @running()
@@ -349,7 +349,7 @@
     await call(session, service, "DELETE", "/registry/instances/s1")
     await reader.readuntil(b'"left"')
     kept.close()
-    member.close()
+    await member.close()
 
 
 @running(limits={"watch_bytes": 65536, "watch_stuck_ms": 3000, "caller_calls_per_s": 0})
--- a/tests/test_registry_spread.py
+++ b/tests/test_registry_spread.py
@@ -1,4 +1,4 @@
-"""The times that callers turned away are told: the core of the door, the service, and the check itself."""
+"""The times after which rejected callers are to retry: the limiter, the service, and the check itself."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import aiohttp
 import pytest
 
-from brassfall.controlplane.registry.limits import Door
+from brassfall.controlplane.registry.limits import JoinLimiter
 from tests.loopback import bounded
 from tests.processes import Service
 from tests.spread import crowded
@@ -21,16 +21,16 @@
 
 
 @pytest.mark.parametrize("count", [0, 1, 20, 500, 1239, 1750])
-def test_draws_over_the_whole_span_pass_in_any_number_and_with_any_line(count):
+def test_samples_over_the_whole_span_pass_in_any_number_and_with_any_line(count):
     rng = random.Random(count)
     for length in (0.0, 0.3, 1.5):
         line = [length * rng.random() for _ in range(count)]
-        told = [round(at + LEAST_S + SPAN_S * rng.random(), 2) for at in line]
-        assert not crowded(told, SPAN_S)
+        retries = [round(at + LEAST_S + SPAN_S * rng.random(), 2) for at in line]
+        assert not crowded(retries, SPAN_S)
 
 
 @pytest.mark.parametrize(
-    "draw",
+    "sample",
     [
         lambda rng: LEAST_S,
         lambda rng: LEAST_S + SPAN_S / 2.0 * rng.random(),
@@ -43,30 +43,30 @@
     ids=["none", "first half", "second half", "four fifths", "two places", "three places", "uneven"],
 )
 @pytest.mark.parametrize("error_s", [0.0, 0.015])
-def test_draws_over_less_than_the_span_fail(draw, error_s):
+def test_samples_over_less_than_the_span_fail(sample, error_s):
     rng = random.Random(11)
-    told = [round(draw(rng) + error_s * rng.uniform(-1.0, 1.0), 2) for _ in range(500)]
-    assert crowded(told, SPAN_S, error_s)
+    retries = [round(sample(rng) + error_s * rng.uniform(-1.0, 1.0), 2) for _ in range(500)]
+    assert crowded(retries, SPAN_S, error_s)
 
 
 # --- the core -------------------------------------------------------------------------------------
 
 
-def test_the_door_tells_the_next_place_in_the_line_and_a_draw_over_half_a_second():
-    door, rng = Door(1000.0), random.Random(3)
-    assert [door.wait(0.0, rng.random()) for _ in range(250)] == [0.0] * 250
+def test_a_rejected_caller_gets_the_next_place_in_the_line_and_a_sample_over_half_a_second():
+    limiter, rng = JoinLimiter(1000.0), random.Random(3)
+    assert [limiter.wait(0.0, rng.random()) for _ in range(250)] == [0.0] * 250
     for place in range(1, 1751):
         chance = rng.choice([0.0, rng.random(), 1.0])
-        assert door.wait(0.0, chance) == pytest.approx(place / 1000.0 + LEAST_S + SPAN_S * chance)
+        assert limiter.wait(0.0, chance) == pytest.approx(place / 1000.0 + LEAST_S + SPAN_S * chance)
 
 
-def test_a_herd_that_does_as_told_comes_back_at_the_rate_that_is_let_in():
+def test_a_herd_that_waits_as_it_is_asked_to_comes_back_at_the_rate_that_is_admitted():
     rate, herd, rng = 1000.0, 2000, random.Random(4)
-    door, calls = Door(rate), [(0.0, number) for number in range(herd)]
+    limiter, calls = JoinLimiter(rate), [(0.0, number) for number in range(herd)]
     back, entered = [], []
     while calls:
         now, number = heapq.heappop(calls)
-        wait = door.wait(now, rng.random())
+        wait = limiter.wait(now, rng.random())
         if wait:
             back.append(now + wait)
             heapq.heappush(calls, (back[-1], number))
@@ -74,7 +74,7 @@
             entered.append(now)
     assert len(entered) == herd
     assert (herd - rate / 4.0) / rate <= max(entered) < herd / rate + 2.0 * (LEAST_S + SPAN_S)
-    expected = 0.1 * rate  # in a tenth of a second; a sum of draws has at most its mean as variance
+    expected = 0.1 * rate  # in a tenth of a second; a sum of samples has at most its mean as variance
     for tenth in range(40):
         came = sum(tenth / 10.0 <= at < (tenth + 1) / 10.0 for at in back)
         assert came <= expected + 6.0 * expected**0.5
@@ -84,24 +84,24 @@
 
 
 @bounded(60.0)
-async def test_the_service_draws_each_time_that_it_tells_over_the_whole_span(tmp_path):
+async def test_the_service_samples_each_retry_time_over_the_whole_span(tmp_path):
     # Told one after another at this rate, each is ten seconds further down the line than the one before,
     # so that the line's part is known, and what is left is the draw.
     step_s, quick_s, wanted, rounding_s = 10.0, 0.01, 500, 0.005
     limits = {"joins_per_s": 1.0 / step_s, "caller_calls_per_s": 0}
-    draws, told, earliest, latest = [], 0, 0.0, 0.0
+    samples, retries, earliest, latest = [], 0, 0.0, 0.0
     async with Service(tmp_path, limits=limits) as service, aiohttp.ClientSession() as session:
         await service.start()
-        while len(draws) < wanted:
+        while len(samples) < wanted:
             sent = time.monotonic()
             async with session.get(f"http://{service.listen}/registry/instances") as answer:
                 came, wait = time.monotonic(), answer.headers.get("Retry-After")
             if wait is None:
                 continue
-            told += 1
+            retries += 1
             earliest, latest = max(earliest, sent) + step_s, max(latest, came) + step_s
             assert came + float(wait) - earliest >= LEAST_S - rounding_s
             assert sent + float(wait) - latest <= LEAST_S + SPAN_S + rounding_s
-            if came - sent < quick_s:  # otherwise it isn't known well enough when it was told
-                draws.append((sent + came) / 2.0 + float(wait) - told * step_s)
-    assert not crowded(draws, SPAN_S, quick_s / 2.0 + 2.0 * rounding_s)
+            if came - sent < quick_s:  # otherwise it isn't known well enough when it was sent
+                samples.append((sent + came) / 2.0 + float(wait) - retries * step_s)
+    assert not crowded(samples, SPAN_S, quick_s / 2.0 + 2.0 * rounding_s)
--- a/tests/test_registry_watches.py
+++ b/tests/test_registry_watches.py
@@ -9,7 +9,8 @@
 import uvloop
 
 from brassfall.controlplane.registry import entries
-from brassfall.controlplane.registry.watches import EMPTY, SLOTS, Channel, Form
+from brassfall.controlplane.registry.channels import ListFormat, TableChannel
+from brassfall.controlplane.registry.watches import EMPTY, SLOTS
 from brassfall.controlplane.store.core import Put, Table
 
 
@@ -52,14 +53,14 @@
             near.abort()
 
 
-async def told_to_all_but_the_one_that_is_gone():
+async def sent_to_all_but_the_one_that_is_gone():
     table, ended = Table(), asyncio.get_running_loop().create_future()
-    channel = Channel(
-        lambda: table, "instances", Form("endpoints", entries.endpoints, entries.changed), 9999, 1.0
+    channel = TableChannel(
+        lambda: table, "instances", ListFormat("endpoints", entries.endpoints, entries.changed), 9999, 1.0
     )
     async with connections(3) as made:
         for near, _, _, _ in made:
-            channel.add(near, 0, False, ended)
+            channel.add(near, 0, ended)
         gone, gone_protocol, _, far = made[0]
         far.abort()
         await gone_protocol.over
@@ -72,7 +73,7 @@
         for _, change in table.absorb(stage.records):
             channel.changed(change)
         for _ in range(2 * SLOTS):
-            channel.beat()
+            channel.tick()
         for _, _, reader, _ in made[1:]:
             while not reader.came.endswith(EMPTY):
                 await asyncio.sleep(0)
@@ -82,4 +83,4 @@
 
 def test_a_reader_that_is_gone_keeps_no_other_from_lines_and_heartbeats():
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(asyncio.wait_for(told_to_all_but_the_one_that_is_gone(), 10.0))
+        runner.run(asyncio.wait_for(sent_to_all_but_the_one_that_is_gone(), 10.0))
