--- a/tests/test_standing_brink.py
+++ b/tests/test_standing_brink.py
@@ -249,7 +249,7 @@
     async with tidy(upstream, balancer=module) as sidecar:
         app = await App.connect(sidecar.address)
         app.send()
-        await until(lambda: any(it._parser._other for it in sidecar.pool._connections))
+        await until(lambda: any(it._parser._overhead for it in sidecar.pool._connections))
         app.close()
         await until(lambda: module.named("client_gone"))
         again = await App.connect(sidecar.address)
