--- a/brassfall/sidecar/client_connection.py
+++ b/brassfall/sidecar/client_connection.py
@@ -361,12 +361,16 @@
             if not self._write_answer(request):
                 return
             self._waiting.popleft()
-            self._answer_written(request)
+            request.reservation.release(self._owner.budget)
+            if request.reading and request.request is not None:
+                # Guards against an attempt that waits for ever for the rest of a body.
+                self._owner.handler.client_gone(request.request)
+            request.request = None  # which names it as its call: a circle that only the collector would free
             if request.last:
                 self._end()
                 return
             self.quiet_since = self._owner.clock.now()
-            if len(self._waiting) < MAX_WAITING:
+            if len(self._waiting) == MAX_WAITING - 1:
                 self.read_control.release(Hold.REQUESTS_WAIT)
         message = self._parser.message
         if message is not None and message.head_complete:
@@ -406,13 +410,6 @@
             return True
         return self._owner.closing and len(self._waiting) == 1 and self._parser.message is None
 
-    def _answer_written(self, request: ClientRequest) -> None:
-        request.reservation.release(self._owner.budget)
-        if request.reading and request.request is not None:
-            # Guards against an attempt that waits for ever for the rest of a body.
-            self._owner.handler.client_gone(request.request)
-        request.request = None  # which names it as its call: a circle that only the collector would free
-
     # --- the end of the connection ----------------------------------------------
 
     def _reject(self, status: int) -> None:
--- a/brassfall/sidecar/client_request.py
+++ b/brassfall/sidecar/client_request.py
@@ -91,8 +91,9 @@
         request_class = request_checks.request_class(message, names)
         self.band = request_class.band
         self.budget = request_checks.budget_ms(message)
-        request_checks.call_id(message)
-        self.tenant = request_checks.tenant(message, names)
+        request_checks.check_call_id(message)
+        if names.tenants:
+            self.tenant = request_checks.tenant(message, names)
         user = request_checks.cookie(message.header("cookie") or "", "user")
         self.key = None if user is None else stable_number(user)
         self.work = request_checks.work_ms(message)
--- a/brassfall/sidecar/inbound.py
+++ b/brassfall/sidecar/inbound.py
@@ -217,16 +217,11 @@
         message.target = framing.origin_form(message.target)
         if message.target.partition(b"?")[0] == READY_PATH:
             request.answer = (200 if self._lifecycle.ready else 503, [], b"")
-        elif self._overloaded:
+        elif len(self._connections) > self.limits.requests and self.busy_connections > self.limits.requests:
             request.refused(0.0)
         elif not request.connection.leave_if_closed():
             self._admit(request, message, read_at)
 
-    @property
-    def _overloaded(self) -> bool:
-        most = self.limits.requests
-        return len(self._connections) > most and self.busy_connections > most
-
     def _admit(self, request: ClientRequest, message: RequestMessage, read_at: float) -> None:
         try:
             self.classes.read(request, message, self._not_forwarded)
--- a/brassfall/sidecar/request_checks.py
+++ b/brassfall/sidecar/request_checks.py
@@ -33,12 +33,10 @@
     return found
 
 
-def call_id(message: RequestMessage) -> str:
-    """The id of the request: printable, without blanks, at most 128 characters."""
-    found = message.required_header("x-call-id")
-    if not CALL_ID.fullmatch(found):
+def check_call_id(message: RequestMessage) -> None:
+    """The id of the request has to be printable, without blanks, of at most 128 characters."""
+    if not CALL_ID.fullmatch(message.required_header("x-call-id")):
         raise BadRequestError(400, "X-Call-Id: not an id")
-    return found
 
 
 def budget_ms(message: RequestMessage) -> float:
@@ -53,9 +51,7 @@
 
 
 def tenant(message: RequestMessage, names: Names) -> int:
-    """The index of the client's tenant; 0 where the settings name none."""
-    if not names.tenants:
-        return 0
+    """The index of the client's tenant, where the settings name any."""
     found = names.tenants.get(message.required_header("x-caller"))
     if found is None:
         raise BadRequestError(400, "X-Caller: not known")
--- a/brassfall/sidecar/request_message.py
+++ b/brassfall/sidecar/request_message.py
@@ -69,6 +69,7 @@
         if value is None:
             raise BadRequestError(400, f"{name}: missing")
         # Guards against a server that goes by another of them than this sidecar.
-        if sum(key.lower() == name.encode() for key, _ in self.headers) > 1:
+        repeated = len(self._values) < len(self.headers)  # some header is
+        if repeated and sum(key.lower() == name.encode() for key, _ in self.headers) > 1:
             raise BadRequestError(400, f"{name}: more than once")
         return value
