--- a/brassfall/sidecar/driver.py
+++ b/brassfall/sidecar/driver.py
@@ -142,8 +142,8 @@
     def probe(self, server: str, done: Callable[[Result], None]) -> Exchange:
         """Begin a probe; `done` is called once, later, unless it is abandoned first."""
 
-    def update(self, now: float, whole: bool, news: ServerList) -> None:
-        """What discovery said of the servers."""
+    def update(self, now: float, servers: ServerList, *, complete: bool) -> None:
+        """What discovery said of the servers; a `complete` list names all that there are."""
 
     def close_idle(self, server: str) -> None:
         """Close the idle connections to a server."""
@@ -381,7 +381,7 @@
             return
         now = self._clock.now()
         news = self._starts.bounded(now, self._clock.of(news.fresh_at), news)
-        self._upstreams.update(now, form != "changes", news)
+        self._upstreams.update(now, news, complete=form != "changes")
         self._ask(None, self._balancer.server_list, form, news.entries)
 
     def peer_message(self, peer: int, data: bytes) -> None:
--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -838,7 +838,7 @@
             "server.open": sum(server.open for server in made._balancer._servers.values()),
             "server.out": sum(len(server.out) for server in made._balancer._servers.values()),
             "pool._connections": len(self.pool._connections),
-            "pool._opening": len(self.pool._opening),
+            "pool.opening": self.pool.opening,
         }
         for name, count in left.items():
             if count:
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -333,7 +333,7 @@
     """Whether every count is back at none, and each open connection is an idle one."""
     driver, pool = sidecar.driver, sidecar.pool
     idle = [connection for server in pool._servers.values() for connection in server.idle]
-    counts = [driver._open, driver._flowing, len(driver._requests), len(pool._opening)]
+    counts = [driver._open, driver._flowing, len(driver._requests), pool.opening]
     balancer = driver._balancer
     if not isinstance(balancer, Scripted):
         servers = balancer._servers.values()
--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -13,8 +13,9 @@
 
 from brassfall.balancer import Settings
 from brassfall.balancer.model import Cancel, Fail, Listing, Outcome, Refuse, Send
-from brassfall.sidecar import driver, outbound
+from brassfall.sidecar import driver, outbound, server_connection
 from brassfall.sidecar.driver import Answer, Result
+from brassfall.sidecar.exchange import Exchange
 from tests import loopback as partners
 from tests.helpers import CLASSES, arrival, balancer, of_type, raw_settings
 from tests.loopback import (
@@ -118,7 +119,7 @@
         await until(lambda: not sidecar.driver._requests)
         sidecar.pool._leave(sidecar.driver._clock.now(), "s0", "leaving")
         gate.open.set()
-        await until(lambda: upstream.writers and not sidecar.pool._opening)
+        await until(lambda: upstream.writers and not sidecar.pool.opening)
         assert not sidecar.pool._servers["s0"].idle
 
 
@@ -474,7 +475,7 @@
         server = sidecar.pool._servers["s0"]
         (connection,) = server.idle
         upstream.writers[0].write(STALE)
-        assert not connection.fresh()  # no turn of the loop since: it is only in the kernel
+        assert not connection.usable()  # no turn of the loop since: it is only in the kernel
         app.send()
         assert (await app.answer()).body == b"done"
         assert [seen.connection for seen in upstream.seen] == [0, 1]
@@ -499,7 +500,7 @@
         async def second_answer(reader, writer):
             (spoilt,) = [it for it in upstream.writers if it.get_extra_info("peername") == far]
             spoilt.write(STALE)
-            await until(lambda: newest.lost or newest not in sidecar.pool._connections)
+            await until(lambda: newest.closed or newest not in sidecar.pool._connections)
             return OK
 
         upstream.replies = [second_answer]
@@ -556,7 +557,7 @@
 @loopback
 async def test_an_answer_without_length_that_is_reset_has_not_ended(monkeypatch, passed_on):
     """Whether it is still held here or is being passed on already."""
-    monkeypatch.setattr(outbound, "HOLD_S", 0.0 if passed_on else 60.0)
+    monkeypatch.setattr(server_connection, "HOLD_S", 0.0 if passed_on else 60.0)
 
     async def reset(reader, writer):
         writer.write(b"HTTP/1.1 200 OK\r\n\r\nnot all of it")
@@ -647,7 +648,7 @@
         self.loop, self.state, self.sent = loop, state, []
 
     def send(self, server, call, expires, watcher):
-        exchange = outbound.Exchange(call.wire, expires, watcher.ended, watcher)
+        exchange = Exchange(call.wire, expires, watcher.ended, watcher)
         if self.sent:
             self.loop.call_soon(exchange.end, Result(Outcome.OK, Answer([], b"")))
         elif self.state == "waits":
@@ -660,7 +661,7 @@
     def probe(self, server, done):
         raise AssertionError("no probe is asked for")
 
-    def update(self, now, whole, news):
+    def update(self, now, servers, *, complete):
         pass
 
     def close_idle(self, server):
--- a/tests/test_crossings_discovery.py
+++ b/tests/test_crossings_discovery.py
@@ -781,7 +781,7 @@
     def __init__(self):
         self.sent = collections.Counter()
 
-    def update(self, *args):
+    def update(self, *args, **named):
         pass
 
     def close_idle(self, server):
--- a/tests/test_crossings_property.py
+++ b/tests/test_crossings_property.py
@@ -100,9 +100,9 @@
 def test_a_pool_that_knows_servers_by_name_alone_is_found(monkeypatch):
     update = outbound.Pool.update
 
-    def by_name(self, now, whole, news):
-        fresh = [entry for entry in news.entries if entry.server not in self._servers]
-        update(self, now, False, replace(news, entries=fresh))
+    def by_name(self, now, servers, *, complete):
+        fresh = [entry for entry in servers.entries if entry.server not in self._servers]
+        update(self, now, replace(servers, entries=fresh), complete=False)
 
     monkeypatch.setattr(outbound.Pool, "update", by_name)
     assert found("sent to a process that was known to have left")
@@ -188,7 +188,7 @@
 
     def news(**changes):
         row = entry("s0", upstream.address, **changes)
-        pool.update(0.0, False, parse_list(listed(42, row, snapshot=False), config_told.names))
+        pool.update(0.0, parse_list(listed(42, row, snapshot=False), config_told.names), complete=False)
 
     monkeypatch.setattr(loop, "create_connection", late)
     news()
--- a/tests/test_crossings_reload.py
+++ b/tests/test_crossings_reload.py
@@ -299,9 +299,9 @@
     loop = asyncio.get_running_loop()
     before, after = (told(Rules={"StopSendingWithin": ms}) for ms in (500.0, grace))
     pool = outbound.Pool(loop, Clock(loop), before)
-    pool.update(0.0, True, parse_list(listed(1, entry("s0"), entry("s1")), before.names))
+    pool.update(0.0, parse_list(listed(1, entry("s0"), entry("s1")), before.names), complete=True)
     leaving = listed(2, entry("s0", status="leaving"), snapshot=False)
-    pool.update(1000.0, False, parse_list(leaving, before.names))
+    pool.update(1000.0, parse_list(leaving, before.names), complete=False)
     pool.reload(copy.copy(after))
     assert pool._servers["s0"].closed_from == closed_from
     assert pool._servers["s1"].closed_from == math.inf
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -15,7 +15,7 @@
 import pytest
 
 from brassfall.balancer.model import Fail, Outcome, Send
-from brassfall.sidecar import outbound
+from brassfall.sidecar import connecting, server_connection
 from tests.loopback import (
     OK,
     App,
@@ -147,13 +147,13 @@
 @loopback
 async def test_an_attempt_that_waits_out_a_failure_of_this_machine_ends_with_its_client(monkeypatch):
     upstream = await Upstream([OK]).start()
-    monkeypatch.setattr(outbound, "LOCAL_PAUSE_S", 60.0)
-    monkeypatch.setattr(outbound, "LOCAL_PAUSE_MOST_S", 60.0)
+    monkeypatch.setattr(connecting, "LOCAL_PAUSE_S", 60.0)
+    monkeypatch.setattr(connecting, "LOCAL_PAUSE_MOST_S", 60.0)
     module = Scripted()
     async with client_of(upstream, balancer=module, **never_cancels()) as (sidecar, app, faults):
         faults.script("socket", errno.ENOMEM)
         app.send()
-        await until(lambda: faults.injected and not sidecar.pool._opening)
+        await until(lambda: faults.injected and not sidecar.pool.opening)
         assert module.outcomes() == []
         app.close()
         await until(lambda: module.outcomes())
@@ -426,7 +426,7 @@
     )
     async with tidy(first, second, balancer=module, **PARALLEL | never_cancels()) as sidecar:
         told = []
-        begin = outbound.Connection.begin
+        begin = server_connection.Connection.begin
         clock = StoppedClock(sidecar)
         arrived = clock.time
 
@@ -436,7 +436,7 @@
                 told.append((message, clock.time))
             begin(connection, exchange, message)
 
-        monkeypatch.setattr(outbound.Connection, "begin", held_up)
+        monkeypatch.setattr(server_connection.Connection, "begin", held_up)
         app = await asked(sidecar, X_Budget="4000m")
         await until(lambda: gate.waiting)
         clock.time += late_ms
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -8,7 +8,7 @@
 import pytest
 
 from brassfall.balancer.model import Arrival, Fail, Outcome, Send, Timer
-from brassfall.sidecar import body, framing, inbound, outbound
+from brassfall.sidecar import body, framing, inbound, server_connection
 from tests import loopback as partners
 from tests.helpers import balancer, of_type
 from tests.loopback import (
@@ -447,7 +447,7 @@
 
 @loopback
 async def test_a_server_that_goes_silent_within_an_answer_is_given_up(monkeypatch):
-    monkeypatch.setattr(outbound, "STALLED_S", 0.1)
+    monkeypatch.setattr(server_connection, "STALLED_S", 0.1)
 
     async def stuck(reader, writer):
         writer.write(LENGTH % len(LARGE) + LARGE[:1000])
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -67,6 +67,8 @@
 FLEET = "brassfall.sidecar.agent"
 BODY, CONFIG, DRIVER = "brassfall.sidecar.body", "brassfall.sidecar.config", "brassfall.sidecar.driver"
 FRAMING = "brassfall.sidecar.framing"
+EXCHANGE, SERVER_ANSWERS = "brassfall.sidecar.exchange", "brassfall.sidecar.server_answers"
+SERVER_CONNECTION = "brassfall.sidecar.server_connection"
 LIFECYCLE, LISTENER = "brassfall.sidecar.lifecycle", "brassfall.sidecar.listener"
 FLEET = "brassfall.sidecar.agent"
 START_TIMES = "brassfall.sidecar.start_times"
@@ -90,7 +92,24 @@
         ("listener.py", {CONFIG}),
         ("admin.py", {CONFIG, DRIVER, LIFECYCLE, LISTENER}),
         ("inbound.py", {BODY, CONFIG, DRIVER, FRAMING, LIFECYCLE, LISTENER}),
-        ("outbound.py", {BODY, CONFIG, DRIVER, FRAMING, MODEL}),
+        ("exchange.py", {BODY, DRIVER}),
+        ("health_checks.py", set()),
+        ("server_answers.py", {DRIVER, FRAMING, MODEL}),
+        ("server_connection.py", {BODY, CONFIG, DRIVER, EXCHANGE, FRAMING, MODEL, SERVER_ANSWERS}),
+        ("connecting.py", {DRIVER, EXCHANGE, MODEL, SERVER_CONNECTION}),
+        (
+            "outbound.py",
+            {
+                CONFIG,
+                DRIVER,
+                EXCHANGE,
+                MODEL,
+                SERVER_ANSWERS,
+                SERVER_CONNECTION,
+                "brassfall.sidecar.connecting",
+                "brassfall.sidecar.health_checks",
+            },
+        ),
         ("agent/lists.py", {CONFIG, MODEL}),
         ("agent/forms.py", set()),
         ("agent/lease_client.py", {FLEET, *fleet("forms")}),
--- a/tests/test_server_ends.py
+++ b/tests/test_server_ends.py
@@ -9,7 +9,8 @@
 import pytest
 
 from brassfall.balancer.model import Outcome
-from brassfall.sidecar import outbound
+from brassfall.sidecar import server_connection
+from brassfall.sidecar.exchange import Exchange
 from tests.loopback import Upstream, loopback, until
 from tests.test_sidecar_attempts import pooled
 
@@ -29,10 +30,10 @@
         end.setblocking(False)
         end.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     _, connection = await loop.create_connection(
-        lambda: outbound.Connection(pool, pool._servers["s0"]), sock=near
+        lambda: server_connection.Connection(pool, pool._servers["s0"]), sock=near
     )
     message = b"x" * 500_000
-    connection.begin(outbound.Exchange(lambda left: message, 0.0, done.append), message)
+    connection.begin(Exchange(lambda left: message, 0.0, done.append), message)
     if said:
         far.send(said)
     far.shutdown(socket.SHUT_WR)
--- a/tests/test_sidecar_attempts.py
+++ b/tests/test_sidecar_attempts.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import functools
 import gc
 import math
 import socket
@@ -11,9 +12,10 @@
 import pytest
 
 from brassfall.balancer.model import Cancel, CloseIdle, Outcome, Probe, Refuse, Send, Timer
-from brassfall.sidecar import driver, inbound, outbound
+from brassfall.sidecar import driver, inbound, outbound, server_connection
 from brassfall.sidecar.config import parse_list
 from brassfall.sidecar.driver import Clock
+from brassfall.sidecar.exchange import Exchange
 from tests.loopback import (
     OK,
     App,
@@ -127,7 +129,7 @@
 def pooled(upstream):
     loop = asyncio.get_running_loop()
     pool = outbound.Pool(loop, Clock(loop), told([upstream]))
-    pool.update(0.0, True, news(entry("s0", upstream.address)))
+    pool.update(0.0, news(entry("s0", upstream.address)), complete=True)
     return pool
 
 
@@ -142,11 +144,11 @@
         end.setblocking(False)
         end.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     _, connection = await loop.create_connection(
-        lambda: outbound.Connection(pool, pool._servers["s0"]), sock=near
+        lambda: server_connection.Connection(pool, pool._servers["s0"]), sock=near
     )
     done = []
     message = b"x" * 500_000
-    connection.begin(outbound.Exchange(lambda left: message, 0.0, done.append), message)
+    connection.begin(Exchange(lambda left: message, 0.0, done.append), message)
     read = 0
     while read < (len(message) if reads_all else 1000):
         read += len(await loop.sock_recv(far, 1000))
@@ -271,10 +273,10 @@
     async with running(upstream) as sidecar:
         await (await App.connect(sidecar.address)).ask()
         (connection,) = sidecar.pool._servers["s0"].idle
-        assert connection.fresh()
+        assert connection.usable()
         # No await from here on: the loop gets no chance to hand out the end.
         upstream.writers[0].get_extra_info("socket").shutdown(socket.SHUT_WR)
-        assert not connection.fresh()
+        assert not connection.usable()
 
 
 @loopback
@@ -299,9 +301,9 @@
     upstream, loop, done = await Upstream([OK]).start(), asyncio.get_running_loop(), []
     limits = {"MaxAttempts": 3, "ConnectTimeout": 30.0, "IdleClose": 5000.0}
     pool = outbound.Pool(loop, Clock(loop), told([upstream], PolicyLimits=limits))
-    pool.update(0.0, True, news(entry("s0", upstream.address)))
+    pool.update(0.0, news(entry("s0", upstream.address)), complete=True)
     message = b"GET / HTTP/1.1\r\n\r\n"
-    pool._begin("s0", outbound.Exchange(lambda left: message, math.inf, done.append))
+    pool._begin("s0", Exchange(lambda left: message, math.inf, done.append))
     for _ in range(turns):
         await asyncio.sleep(0)
     time.sleep(0.06)
@@ -320,12 +322,12 @@
             sock.connect_ex(full.getsockname())
         loop, done = asyncio.get_running_loop(), []
         pool = outbound.Pool(loop, Clock(loop), told(PolicyLimits={"ConnectTimeout": 30.0}))
-        pool.update(0.0, True, news(entry("s0", "{}:{}".format(*full.getsockname()))))
-        pool._begin("s0", outbound.Exchange(lambda left: b"", math.inf, done.append))
+        pool.update(0.0, news(entry("s0", "{}:{}".format(*full.getsockname()))), complete=True)
+        pool._begin("s0", Exchange(lambda left: b"", math.inf, done.append))
         begun = loop.time()
         await until(lambda: done)
         assert done[0].outcome == Outcome.CONNECT_FAILED and loop.time() - begun >= 0.03
-        await until(lambda: not pool._opening)
+        await until(lambda: not pool.opening)
         for sock in held:
             sock.close()
 
@@ -379,7 +381,7 @@
             gc.set_debug(0)
             gc.garbage.clear()
             gc.enable()
-        records = (driver.Request, driver.Attempt, inbound.Exchange, inbound.Message, outbound.Exchange)
+        records = (driver.Request, driver.Attempt, inbound.Exchange, inbound.Message, Exchange)
         assert not [kind for kind in left if kind in records]
 
 
@@ -417,15 +419,15 @@
         await app.ask()
         pool = sidecar.pool
         pool._servers = Counting(pool._servers)
-        (server,) = pool._resting
+        (server,) = pool._idle_servers
         pool._sweep()
-        assert list(pool._resting) == [server] and server.idle
+        assert list(pool._idle_servers) == [server] and server.idle
         server.idle[0].idle_since -= 1e6
         pool._sweep()
-        assert not server.idle and not pool._resting and not pool._sweeping
+        assert not server.idle and not pool._idle_servers and not pool._sweeping
         assert not pool._servers.walked
         await app.ask()
-        assert pool._sweeping and len(pool._resting) == 1
+        assert pool._sweeping and len(pool._idle_servers) == 1
 
 
 @loopback
@@ -503,7 +505,8 @@
 
         def send_then_hear(now, arrival):
             # The news comes while the attempt waits for its connection.
-            asyncio.get_running_loop().call_soon(sidecar.pool.update, now, False, leaving)
+            hear = functools.partial(sidecar.pool.update, now, leaving, complete=False)
+            asyncio.get_running_loop().call_soon(hear)
             return [Send(arrival.request, "s0", 0.0)]
 
         module.scripts["request"] = send_then_hear
@@ -519,7 +522,7 @@
     async with running(upstream, balancer=Scripted(), Rules={"StopSendingWithin": 60_000.0}) as sidecar:
         app = await App.connect(sidecar.address)
         leaving = news(entry("s0", upstream.address, status="leaving"))
-        sidecar.pool.update(sidecar.driver._clock.now(), False, leaving)
+        sidecar.pool.update(sidecar.driver._clock.now(), leaving, complete=False)
         assert (await app.ask()).body == b"done"
 
 
@@ -528,8 +531,8 @@
     upstream = await Upstream([OK]).start()
     pool = pooled(upstream)
     leaving = news(entry("s0", upstream.address, status="leaving"))
-    pool.update(1000.0, False, leaving)
-    pool.update(1400.0, False, leaving)
+    pool.update(1000.0, leaving, complete=False)
+    pool.update(1400.0, leaving, complete=False)
     assert 1000.0 < pool._servers["s0"].closed_from <= 1500.0
     upstream.stop()
 
@@ -541,7 +544,9 @@
         app = await App.connect(sidecar.address)
         await app.ask()
         # A machine that vanished reset nothing: its connections look open until they are used.
-        sidecar.pool.update(0.0, False, news(entry("s0", upstream.address, since_ms=1_790_000_000_000)))
+        sidecar.pool.update(
+            0.0, news(entry("s0", upstream.address, since_ms=1_790_000_000_000)), complete=False
+        )
         await app.ask()
         assert [seen.connection for seen in upstream.seen] == [0, 1]
 
--- a/tests/test_standing_brink.py
+++ b/tests/test_standing_brink.py
@@ -230,7 +230,7 @@
             (resting,) = sidecar.pool._servers["s0"].idle
             upstream.writers[-1].write(HALF)
             if read:
-                await until(lambda resting=resting: resting.lost)
+                await until(lambda resting=resting: resting.closed)
             # Or no turn of the loop in between: it lies there as the request comes.
             connections = len(upstream.writers)
             assert (await app.ask()).body == b"done"
@@ -249,7 +249,7 @@
     async with tidy(upstream, balancer=module) as sidecar:
         app = await App.connect(sidecar.address)
         app.send()
-        await until(lambda: any(it._parser._other for it in sidecar.pool._connections))
+        await until(lambda: any(it._parser._overhead for it in sidecar.pool._connections))
         app.close()
         await until(lambda: module.named("client_gone"))
         again = await App.connect(sidecar.address)
@@ -319,7 +319,7 @@
         await until(lambda: len(sidecar.driver._requests) == 1)  # before any connection is up
         gate.open.set()
         assert (await apps[-1].answer()).body == b"done"
-        await until(lambda: not sidecar.pool._opening)
+        await until(lambda: not sidecar.pool.opening)
         assert len(upstream.seen) == 1
         apps[-1].close()
 
