--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -69,7 +69,7 @@
         servers = balancer._endpoints.servers.values()
         counts += [balancer._endpoints.in_flight, len(balancer._requests)]
         counts += [server.in_flight for server in servers]
-        counts += [-min(0, server.idle) for server in servers]
+        counts += [-min(0, server.idle_connections) for server in servers]
     free = all(connection._exchange is None for connection in idle)
     return not any(counts) and free and set(idle) == pool._connections and len(set(idle)) == len(idle)
 
--- a/tests/test_crossings_reload.py
+++ b/tests/test_crossings_reload.py
@@ -181,7 +181,7 @@
     after = take(before, raw(Profiles=[row("a", Worth=1.0)], Prices=CROSSING))
     margins = [Balancer(0.0, c.settings, 1)._zones._margins[0] for c in (before, after.config)]
     alone = Balancer(0.0, config.parse(raw(Profiles=[row("a")], Prices=CROSSING), {}).settings, 1)
-    assert margins[0] > margins[1] == alone._margins[0]
+    assert margins[0] > margins[1] == alone._zones._margins[0]
 
 
 def test_an_open_request_of_a_class_that_is_gone_is_learned_from():
