--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -65,8 +65,9 @@
             assert module.outcomes() == [(0, Outcome.MOOT, True)]
             assert len(module.named("client_gone")) == 1 and not module.named("unsent")
         else:
-            server = sidecar.driver._balancer._servers["s0"]
-            assert (server.ill, server.strikes, sidecar.driver._balancer._connect_ill) == (0.0, 0, 0.0)
+            server = sidecar.driver._balancer._endpoints.servers["s0"]
+            assert (server.fault_share, server.consecutive_failures) == (0.0, 0)
+            assert sidecar.driver._balancer._ejector.connect_failures == 0.0
         assert (await (await App.connect(sidecar.address)).ask()).body == b"done"
         assert [seen.connection for seen in upstream.seen] == [0]
 
@@ -387,8 +388,9 @@
         gate.open.set()
         assert (await app.answer()).body == b"done"
         assert (len(old.seen), len(new.seen)) == (0, 1)
-        server = sidecar.driver._balancer._servers["s0"]
-        assert (server.ill, server.strikes, sidecar.driver._balancer._connect_ill) == (0.0, 0, 0.0)
+        server = sidecar.driver._balancer._endpoints.servers["s0"]
+        assert (server.fault_share, server.consecutive_failures) == (0.0, 0)
+        assert sidecar.driver._balancer._ejector.connect_failures == 0.0
     new.stop()
 
 
@@ -782,8 +784,9 @@
             assert sorted(hops) == list(range(len(made.request.attempts))), said
             module = made.driver._balancer
             assert (made.driver._open, made.driver._flowing, made.driver._requests) == (0, 0, {}), said
-            assert (module._open, module._requests) == (0, {}), said
-            assert all(server.open == 0 and not server.out for server in module._servers.values()), said
+            assert (module._endpoints.in_flight, module._requests) == (0, {}), said
+            servers = module._endpoints.servers.values()
+            assert all(server.in_flight == 0 and not server.outstanding for server in servers), said
             timers = (made.attempt.timeout, made.attempt.window, made.request.guard)
             assert all(timer is None or timer.cancelled() for timer in timers), said
             if made.left:  # nothing begins once the client has gone
