--- a/brassfall/sidecar/server_answers.py
+++ b/brassfall/sidecar/server_answers.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from brassfall.balancer.model import Outcome, Settings
+from brassfall.balancer.model import Outcome
+from brassfall.balancer.settings import Settings
 from brassfall.sidecar import framing
 from brassfall.sidecar.driver import Answer, Result
 
