--- a/brassfall/controlplane/registry/aggregator/channels.py
+++ b/brassfall/controlplane/registry/aggregator/channels.py
@@ -27,7 +27,7 @@
 
     def __init__(self, mirror: Mirror, now: Callable[[], float], most: int, stuck_s: float) -> None:
         form = Form("endpoints", entries.endpoints, entries.changed)
-        super().__init__(lambda: mirror.table, INSTANCES, form, most, stuck_s)
+        super().__init__(lambda: mirror.state, INSTANCES, form, most, stuck_s)
         self._mirror = mirror
         self._now = now
         self._fresh_untold = 0  # parts of the heartbeat in which it is to be told that the list is fresh
--- a/brassfall/controlplane/registry/aggregator/mirror.py
+++ b/brassfall/controlplane/registry/aggregator/mirror.py
@@ -13,7 +13,8 @@
 import msgspec
 
 from brassfall.controlplane.registry.entries import INSTANCES, NAME
-from brassfall.controlplane.store.core import Change, Record, Row, Snapshot, Table
+from brassfall.controlplane.store.records import Change, Record, RecordKind, Row, Snapshot
+from brassfall.controlplane.store.state import State
 from brassfall.errors import Refused
 
 DOUBT_MS = 30_000.0  # how long a list that can't be right is held off
@@ -65,7 +66,7 @@
     """The list held, and the last changes of it."""
 
     def __init__(self, ring: int) -> None:
-        self.table = Table(ring)
+        self.state = State(ring)
         self.holds_list = False
         self.confirmed_ms = 0.0  # when the service last had nothing newer, as far as is known
         self._ring = ring
@@ -74,12 +75,12 @@
     @property
     def index(self) -> int:
         """Of the list held; 0 before the first."""
-        return self.table.last(INSTANCES)
+        return self.state.last_index(INSTANCES)
 
     @property
     def count(self) -> int:
         """How many servers are listed."""
-        return self.table.count(INSTANCES)
+        return self.state.count(INSTANCES)
 
     def age_ms(self, now: float) -> float:
         """An upper bound on how long ago the list held was last the newest."""
@@ -115,7 +116,7 @@
     def _begin(self, line: ListLine) -> Taken:
         replaced = self.holds_list
         rows = [Row(entry["name"], line.index, entry) for entry in line.endpoints]
-        self.table = Table.load(Snapshot(line.index, 0, {INSTANCES: rows}, []), self._ring)
+        self.state = State.from_snapshot(Snapshot(line.index, 0, {INSTANCES: rows}, []), self._ring)
         self.holds_list = True
         return Taken(replaced=replaced)
 
@@ -124,15 +125,15 @@
         what came between was told by others, and may not be there any more."""
         if line.index == self.index:
             return Taken()
-        records = [Record("life", line.index, 0)]
+        records = [Record(RecordKind.INCARNATION, line.index, 0)]
         listed = {entry["name"]: entry for entry in line.endpoints}
-        for row in self.table.rows(INSTANCES):
+        for row in self.state.rows(INSTANCES):
             if row.key not in listed:
-                records.append(Record("delete", line.index, 0, INSTANCES, row))
+                records.append(Record(RecordKind.DELETE, line.index, 0, INSTANCES, row))
         for name, entry in listed.items():
-            held = self.table.get(INSTANCES, name)
+            held = self.state.get(INSTANCES, name)
             if held is None or held.value != entry:
-                records.append(Record("put", line.index, 0, INSTANCES, Row(name, line.index, entry)))
+                records.append(Record(RecordKind.PUT, line.index, 0, INSTANCES, Row(name, line.index, entry)))
         return self._absorb(records)
 
     def _take_changes(self, line: ListLine, first: bool) -> Taken:
@@ -145,17 +146,19 @@
         if moved and (first or not line.endpoints):
             # A service that was started again counts from a higher index. Its disk may be an older copy: what
             # was told between the two indices by others may be forgotten, so nobody goes on from there.
-            records.append(Record("life", line.index, 0))
+            records.append(Record(RecordKind.INCARNATION, line.index, 0))
         for entry in line.endpoints:
             # What has left may be unknown here, and known to who was told elsewhere: it is told all the same.
             row = Row(entry["name"], line.index, entry)
             gone = entry["status"] == LEFT
-            records.append(Record("delete" if gone else "put", line.index, 0, INSTANCES, row))
+            records.append(
+                Record(RecordKind.DELETE if gone else RecordKind.PUT, line.index, 0, INSTANCES, row)
+            )
         return self._absorb(records)
 
     def _absorb(self, records: list[Record]) -> Taken:
         before = self.index
-        changes = tuple(change for _, change in self.table.absorb(records))
+        changes = tuple(change for _, change in self.state.apply(records))
         return Taken(changes, moved=self.index > before)
 
     # --- how old it is ------------------------------------------------------------------------
--- a/brassfall/controlplane/registry/aggregator/service.py
+++ b/brassfall/controlplane/registry/aggregator/service.py
@@ -294,7 +294,7 @@
         return await self._watch_list(request, index) if watches else self._whole_list()
 
     async def _watch_list(self, request: web.Request, index: int) -> web.StreamResponse:
-        if self.mirror.table.since(INSTANCES, index) is None and (refused := self._joins_whole()):
+        if self.mirror.state.changes_since(INSTANCES, index) is None and (refused := self._joins_whole()):
             return refused
         channel = self._channel()
         headers = {AGE: str(channel.promised_age_ms())}
--- a/brassfall/controlplane/registry/aggregators.py
+++ b/brassfall/controlplane/registry/aggregators.py
@@ -183,7 +183,7 @@
             pending=granted.pending,
             why=granted.why,
             seq=report.seq,
-            list_index=self.host.store.table.last(INSTANCES),
+            list_index=self.host.store.state.last_index(INSTANCES),
             members=max(1, rules.sidecars()),
             moved=rules.directory.moved(process),
             resync=rules.directory.resync(rules.core.fleet.life, process),
@@ -260,7 +260,7 @@
             edges=found,
             edition=view.committed,
             permits=rules.core.may_permit(rules.now()) or "yes",
-            list=sidecar_rows.spread(found, self.host.store.table.last(INSTANCES), view.silent_ms),
+            list=sidecar_rows.spread(found, self.host.store.state.last_index(INSTANCES), view.silent_ms),
             unanswered=gathered.unanswered,
         )
 
--- a/brassfall/controlplane/registry/entries.py
+++ b/brassfall/controlplane/registry/entries.py
@@ -9,7 +9,8 @@
 
 import msgspec
 
-from brassfall.controlplane.store.core import Change, Delete, Patch, Put, Row
+from brassfall.controlplane.store.commands import Delete, Patch, Put
+from brassfall.controlplane.store.records import Change, Row
 from brassfall.errors import Refused
 from brassfall.settings import LeaseSettings, address
 
--- a/brassfall/controlplane/registry/geo.py
+++ b/brassfall/controlplane/registry/geo.py
@@ -23,7 +23,7 @@
 from brassfall.controlplane.registry.tasks import Tasks
 from brassfall.controlplane.revisions.core import Kept
 from brassfall.controlplane.revisions.edges import Report
-from brassfall.controlplane.store.core import Put
+from brassfall.controlplane.store.commands import Put
 from brassfall.controlplane.store.store import Store
 from brassfall.errors import Refused
 from brassfall.logs import logger
@@ -196,7 +196,7 @@
     def _capacity(self) -> Mapping[str, float]:
         """What each region can carry, in requests/s: by the weights of its active servers."""
         found: dict[str, float] = {}
-        for row in self.host.store.table.rows(INSTANCES):
+        for row in self.host.store.state.rows(INSTANCES):
             if row.value["status"] == "active":
                 rate = self.settings.per_weight_per_s * row.value.get("weight", 1.0)
                 found[row.value["zone"]] = found.get(row.value["zone"], 0.0) + rate
@@ -257,7 +257,7 @@
         return publisher.LeaseGranted(asked_s, version) if renewed else publisher.LeaseDenied(asked_s)
 
     def _fencing_token(self) -> int:
-        row = self.host.store.table.get(publisher.TABLE, publisher.KEY)
+        row = self.host.store.state.get(publisher.TABLE, publisher.KEY)
         return row.version if row is not None else 0
 
     def _read_newest(self) -> publisher.NewestRead:
--- a/brassfall/controlplane/registry/metrics.py
+++ b/brassfall/controlplane/registry/metrics.py
@@ -114,18 +114,18 @@
         """What stands now."""
         service, store = self._service, self._service.store
         return {
-            "index": ("The newest index", store.table.index),
-            "rows": ("Rows in all tables", sum(map(store.table.count, store.table.names))),
+            "index": ("The newest index", store.state.index),
+            "rows": ("Rows in all tables", sum(map(store.state.count, store.state.names))),
             "suspects": ("Instances kept though their leases are over", len(store.suspects("instances"))),
             "writes_waiting": ("Writes that wait for the disk", store.waiting),
-            "disk_failing": ("1 while commits fail", float(bool(store.figures.disk))),
+            "disk_failing": ("1 while commits fail", float(bool(store.statistics.disk))),
             "gathering": ("1 while a lost list is being gathered", float(service.gathering)),
             **super().gauges(),
         }
 
     def counters(self) -> Told:
         """What has happened since the start."""
-        figures = self._service.store.figures
+        figures = self._service.store.statistics
         return {
             "changes": ("Changes told", self.changes),
             "writes": ("Records put on the disk", figures.writes),
--- a/brassfall/controlplane/registry/overrides.py
+++ b/brassfall/controlplane/registry/overrides.py
@@ -29,8 +29,10 @@
 from brassfall.controlplane.registry.calls import answer
 from brassfall.controlplane.registry.tasks import Tasks
 from brassfall.controlplane.revisions.edges import Report
-from brassfall.controlplane.store.core import Command, Delete, Put
-from brassfall.controlplane.store.store import UNKNOWN_AFTER_S, OutcomeUnknownError, Store
+from brassfall.controlplane.store.commands import Command, Delete, Put
+from brassfall.controlplane.store.outcomes import OutcomeUnknownError
+from brassfall.controlplane.store.store import Store
+from brassfall.controlplane.store.writer import UNKNOWN_AFTER_S
 from brassfall.errors import Unavailable
 from brassfall.logs import faults, logger
 
@@ -99,7 +101,7 @@
         """Load what is durable; the first mark of the clock is durable before anything is answered.
 
         `Unavailable` while the disk fails: it may be called again."""
-        table = self.host.store.table
+        table = self.host.store.state
         ring = history.Ring()
         past = sorted(table.rows(history.TABLE), key=lambda row: row.key)
         ring.restore(row.key for row in past)
@@ -324,7 +326,7 @@
             await asyncio.wait({future}, timeout=UNKNOWN_AFTER_S)
             if not future.done() and self.host.store.outcome_unknown:
                 future.cancel()  # the change goes on; nobody waits for its answer
-                why = self.host.store.figures.disk
+                why = self.host.store.statistics.disk
                 raise OutcomeUnknownError("the change may have happened", why, SEND_AGAIN)
         return future.result()
 
--- a/brassfall/controlplane/registry/rules.py
+++ b/brassfall/controlplane/registry/rules.py
@@ -25,8 +25,9 @@
 from brassfall.controlplane.revisions.core import Agreement, Event, Kept, Reported, Timing
 from brassfall.controlplane.revisions.document import DocumentError, HarmfulError
 from brassfall.controlplane.revisions.edges import Fleet, Objection, Report, ReportError
-from brassfall.controlplane.store.core import Delete, Put
-from brassfall.controlplane.store.store import NotWritten, Store
+from brassfall.controlplane.store.commands import Delete, Put
+from brassfall.controlplane.store.outcomes import NotWrittenError
+from brassfall.controlplane.store.store import Store
 from brassfall.errors import Missing, Stale, Unavailable
 from brassfall.logs import faults, logger
 from brassfall.settings import AgreementSettings
@@ -110,9 +111,9 @@
     def start(self, watch_bytes: int, stuck_s: float) -> None:
         """Load what is durable, and begin a life. The store has to be loaded."""
         store = self.host.store
-        row = store.table.get(RULES, STATE)
+        row = store.state.get(RULES, STATE)
         kept = msgspec.convert(row.value, Kept) if row is not None else Kept()
-        fleet = Fleet(life=store.life, names={row.key for row in store.table.rows(ROSTER)})
+        fleet = Fleet(life=store.incarnation, names={row.key for row in store.state.rows(ROSTER)})
         timing = Timing(agree_ms=self.settings.agree_ms)
         self._started = self.now()
         self.core = Agreement(timing, self._started, kept, fleet, barred=self.barred)
@@ -194,7 +195,7 @@
         try:
             value = msgspec.to_builtins(kept)
             await self.host.store.submit(Put(table=RULES, key=STATE, value=value))
-        except NotWritten as error:
+        except NotWrittenError as error:
             log.error("not durable", reason=str(error))
             self.step(deciding.Failed())
             return
@@ -223,7 +224,7 @@
                 self.core.enrolled(name)
             else:
                 await self.host.store.submit(Delete(table=ROSTER, key=name))
-        except NotWritten as error:
+        except NotWrittenError as error:
             log.warning("roster not durable", name=name, reason=str(error))
         finally:
             self._enrolling.discard(name)
@@ -305,7 +306,7 @@
         self.figures.forced += bool(harm)
 
     def _regions(self) -> frozenset[str]:
-        rows = self.host.store.table.rows(INSTANCES)
+        rows = self.host.store.state.rows(INSTANCES)
         return frozenset(row.value["zone"] for row in rows if row.value["status"] == "active")
 
     def publish(self, **layers: Any) -> asyncio.Future[int]:
@@ -313,7 +314,7 @@
         ticket = next(self._tickets)
         future: asyncio.Future[int] = asyncio.get_running_loop().create_future()
         self._waiting[ticket] = future
-        self.step(deciding.Publish(ticket, list_index=self.host.store.table.last(INSTANCES), **layers))
+        self.step(deciding.Publish(ticket, list_index=self.host.store.state.last_index(INSTANCES), **layers))
         return future
 
     def kept(self) -> Kept:
@@ -347,7 +348,7 @@
         for rider in () if report.leaving else self.riders:  # it says nothing of what it acted on
             more |= rider.reported(name, report)
         granted = self.report(name, report)
-        kept, index = self.core.kept, self.host.store.table.last(INSTANCES)
+        kept, index = self.core.kept, self.host.store.state.last_index(INSTANCES)
         newest = kept.pending.number if kept.pending is not None else kept.committed.number
         return {
             "edition": granted.edition,
--- a/brassfall/controlplane/registry/server.py
+++ b/brassfall/controlplane/registry/server.py
@@ -22,9 +22,10 @@
 from brassfall.controlplane.registry.overrides import Overrides
 from brassfall.controlplane.registry.rules import PLACE, Rules
 from brassfall.controlplane.registry.watches import AGED_S, Channel, Form
-from brassfall.controlplane.store.core import Change, Command, Delete, Put, Result, Status
+from brassfall.controlplane.store.commands import Command, Delete, Put
 from brassfall.controlplane.store.leases import Guard
 from brassfall.controlplane.store.log import Log, LogOutcomeUnknownError, LogUnavailableError
+from brassfall.controlplane.store.records import Change, Result, Status
 from brassfall.controlplane.store.store import Options, Store
 from brassfall.errors import Refused, Unavailable
 from brassfall.logs import logger
@@ -49,7 +50,7 @@
         options = Options(
             batch=settings.batch,
             queue=limits.queue,
-            ring=settings.ring,
+            history_length=settings.ring,
             restart_grace_ms=settings.leases.restart_grace_ms,
             guard=Guard(guard.share, guard.least, guard.window_ms, guard.keep_ms),
             guarded=entries.guarded,
@@ -149,12 +150,12 @@
                 )
             )
             self.channels[table] = Channel(
-                lambda: self.store.table, table, form, limits.watch_bytes, limits.watch_stuck_ms / 1000.0
+                lambda: self.store.state, table, form, limits.watch_bytes, limits.watch_stuck_ms / 1000.0
             )
         return self.channels[table]
 
     def _row(self, table: str, row: Any) -> dict[str, Any]:
-        age = self.store.age_ms(table, row.key)
+        age = self.store.since_confirmed_ms(table, row.key)
         told = None if age is None else round(age + AGED_S * 1000.0)
         return {"key": row.key, "version": row.version, "value": row.value, "age_ms": told}
 
@@ -178,7 +179,7 @@
         """Whether the gathering is over: then what waits for it is told."""
         if self._gathering_until and time.monotonic() >= self._gathering_until:
             self._gathering_until = 0.0
-            log.info("gathered", instances=self.store.table.count(INSTANCES), needed=self._evidence)
+            log.info("gathered", instances=self.store.state.count(INSTANCES), needed=self._evidence)
             for channel in self.channels.values():
                 channel.release()
 
@@ -228,7 +229,7 @@
         return error(ANSWERED[result.status], result.reason)
 
     def _room(self, table: str, key: str) -> None:
-        store, limits = self.store.table, self.settings.limits
+        store, limits = self.store.state, self.settings.limits
         if store.get(table, key) is None and sum(map(store.count, store.names)) >= limits.rows:
             raise Unavailable("all rows are taken", str(limits.rows), MORE_ROOM, retry_s=10.0)
         names = {name for name in store.names if name not in OWNED}
@@ -241,7 +242,7 @@
         if request.query.get("watch", "0") not in ("0", ""):
             return await self.watch(request, INSTANCES)
         held = calls.number(request.headers.get(HELD, "0"), HELD)
-        if held and self.store.table.since(INSTANCES, held) is None:
+        if held and self.store.state.changes_since(INSTANCES, held) is None:
             self._earlier_life()
         return self._list(INSTANCES)
 
@@ -260,11 +261,11 @@
 
     def _forget(self, table: str) -> None:
         """Whoever asks for tables that nobody has written leaves nothing behind."""
-        if table != PLACE and not self.channel(table).count and table not in self.store.table.names:
+        if table != PLACE and not self.channel(table).count and table not in self.store.state.names:
             del self.channels[table]
 
     async def _instance(self, request: web.Request) -> web.Response:
-        row = self.store.table.get(INSTANCES, entries.name(request.match_info["name"]))
+        row = self.store.state.get(INSTANCES, entries.name(request.match_info["name"]))
         if row is None:
             return error(404, "no such instance")
         return answer(_encode(self._row(INSTANCES, row)))
@@ -306,7 +307,7 @@
 
     async def _get(self, request: web.Request) -> web.Response:
         table, key = calls.place(request)
-        row = self.store.table.get(table, key)
+        row = self.store.state.get(table, key)
         if row is None:
             return error(404, f"{key} is not there")
         return answer(_encode(self._row(table, row)))
@@ -340,7 +341,7 @@
     async def _renew_row(self, request: web.Request) -> web.Response:
         table, key = calls.own_place(request)
         version = calls.match(request)
-        row = self.store.table.get(table, key)
+        row = self.store.state.get(table, key)
         if row is not None and version is not None and row.version != version:
             return error(412, f"{key} has version {row.version}, not version {version}")
         return self._renewed(table, key, None)
@@ -358,7 +359,7 @@
 
     def _held(self, table: str, index: int) -> bool:
         """Whether the first line of a watch waits until servers have come back to a list that was lost."""
-        if index and table != PLACE and self.store.table.since(INSTANCES, index) is None:
+        if index and table != PLACE and self.store.state.changes_since(INSTANCES, index) is None:
             self._earlier_life()
         return self.gathering and table != PLACE
 
@@ -372,8 +373,8 @@
             return error(503, self._not_started, 1.0)
         if self.gathering:
             return error(503, "servers are coming back to a list that was lost", 1.0)
-        if self.store.figures.disk:
-            return error(503, self.store.figures.disk, 1.0)
+        if self.store.statistics.disk:
+            return error(503, self.store.statistics.disk, 1.0)
         return answer(b'{"ready":true}')
 
     async def _metrics(self, request: web.Request) -> web.Response:
@@ -426,15 +427,15 @@
     def status(self) -> dict[str, Any]:
         """What on-call staff ask first."""
         store = self.store
-        rows = {name: store.table.count(name) for name in store.table.names}
+        rows = {name: store.state.count(name) for name in store.state.names}
         by_status: dict[str, int] = {}
-        for row in store.table.rows(INSTANCES):
+        for row in store.state.rows(INSTANCES):
             by_status[row.value["status"]] = by_status.get(row.value["status"], 0) + 1
         return {
-            "index": store.table.index,
+            "index": store.state.index,
             "uptime_s": round(time.monotonic() - self.started, 1),
             "gathering": self.gathering,
-            "disk": store.figures.disk or "ok",
+            "disk": store.statistics.disk or "ok",
             "rows": rows,
             "instances": by_status,
             "suspects": store.suspects(INSTANCES),
--- a/brassfall/controlplane/registry/watches.py
+++ b/brassfall/controlplane/registry/watches.py
@@ -18,7 +18,8 @@
 
 import msgspec
 
-from brassfall.controlplane.store.core import Change, Row, Table
+from brassfall.controlplane.store.records import Change, Row
+from brassfall.controlplane.store.state import State
 
 BEAT_S = 2.0
 SLOTS = 20  # the beat of all watches is spread over so many parts
@@ -90,8 +91,8 @@
 class Channel:
     """All watches of one table."""
 
-    def __init__(self, table: Callable[[], Table], name: str, form: Form, most: int, stuck_s: float) -> None:
-        self._table = table
+    def __init__(self, state: Callable[[], State], name: str, form: Form, most: int, stuck_s: float) -> None:
+        self._state = state
         self._name = name
         self._form = form
         self._most = most
@@ -119,7 +120,7 @@
         aged = self._form.ages and now - self._built_at > AGED_S
         if self._whole is None or self._whole[0] != index or aged:
             self._built_at = now
-            rows = self._form.rows(self._table().rows(self._name))
+            rows = self._form.rows(self._state().rows(self._name))
             self._whole = (index, _encode({"index": index, "snapshot": True, self._form.listed: rows}))
             self.figures.lists_built += 1
         return self._whole[1]
@@ -127,11 +128,11 @@
     @property
     def last(self) -> int:
         """The index up to which all is told now."""
-        return self._table().last(self._name)
+        return self._state().last_index(self._name)
 
     def first(self, index: int) -> bytes:
         """The first line for one who has been told all up to an index."""
-        changes = self._table().since(self._name, index)
+        changes = self._state().changes_since(self._name, index)
         if changes is None:
             return self.whole()
         return self._line(index, changes)
@@ -261,7 +262,7 @@
     """Watches that are told the whole of one small state, encoded by `told`, at each change of it."""
 
     def __init__(self, told: Callable[[], bytes], most: int, stuck_s: float) -> None:
-        super().__init__(Table, "", Form("", list, list), most, stuck_s)
+        super().__init__(State, "", Form("", list, list), most, stuck_s)
         self._told = told
         self._version = 1
 
--- a/brassfall/controlplane/store/leases.py
+++ b/brassfall/controlplane/store/leases.py
@@ -1,8 +1,9 @@
-"""Leases by time to live, and the guard against taking a cut network for a mass death. Pure code.
+"""Leases by time to live, and the guard against taking a network partition for a mass death. Pure code.
 
-Time here is time served: it goes on by at most `STEP_MOST_MS` from one call to the next, so that
-a process that was stopped, or a machine that slept, finds all leases as long as it left them. Holders
-that waited for an answer meanwhile have to try again first: no lease ends for a while after a stall.
+Times are in ms. They are counted in running time, which goes on by at most `STEP_MOST_MS` from one call to
+the next: a process that was stopped, or a machine that slept, finds all leases as long as it left them.
+Holders that waited for an answer meanwhile have to be able to retry: after a stall no lease ends for
+`STALL_GRACE_MS`.
 """
 
 from __future__ import annotations
@@ -13,82 +14,85 @@
 
 STEP_MOST_MS = 500.0
 STALL_MS = 1000.0  # a longer step is a stall
-MERCY_MS = 5000.0  # after one: a call that waits in vain, a pause, and a second one
-# A holder renews at a third of its time to live: two thirds without a word is a renewal missed.
+STALL_GRACE_MS = 5000.0  # a call that waits in vain, a pause, and a second call
+# A holder renews at a third of its time to live: after two thirds in silence a renewal was missed.
 SILENT_PART = 2.0 / 3.0
 
 
 @dataclass(frozen=True, slots=True)
 class Guard:
-    """When silence of many is held to be a fault between them and us, not their death."""
+    """When the silence of many holders is taken for a fault between them and us, and not for their death."""
 
     share: float = 0.25  # of all guarded leases
-    least: int = 2  # one alone is always taken to be dead
+    least: int = 2  # a single one is always taken to be dead
     window_ms: float = 10_000.0  # how long one that has expired is counted
-    keep_ms: float = 60_000.0  # how long a suspect is kept past the end of its lease
+    keep_ms: float = 60_000.0  # how long a suspect stays past the end of its lease
 
 
 @dataclass(slots=True)
 class Lease:
-    """One lease; times are of time served, in ms."""
+    """One lease; times in running time."""
 
-    length: float
-    heard: float
-    ends: float
+    length_ms: float
+    renewed_ms: float
+    ends_ms: float
     guarded: bool
-    serial: int  # of its place among the ends; a place with another is out of date
+    serial: int = 0  # of its newest entry among the ends; other entries are out of date
     suspect: bool = False
 
 
 @dataclass(slots=True)
-class Verdict:
-    """What a look at the leases found."""
+class Check:
+    """The keys whose leases a check found over: expired ones are gone, suspected ones stay for now."""
 
     expired: list[str] = field(default_factory=list)
     suspected: list[str] = field(default_factory=list)
 
 
 class Leases:
-    """The leases of one table."""
+    """The leases of one table. `now` is monotonic time in ms."""
 
     def __init__(self, guard: Guard) -> None:
         self._guard = guard
         self._leases: dict[str, Lease] = {}
         self._ends: list[tuple[float, int, str]] = []  # a heap; the end itself may have moved on
         self._serial = 0
-        self._recent: deque[float] = deque()  # when guarded ones expired
-        self._served = 0.0
-        self._mercy = 0.0  # until then no lease ends
-        self._seen: float | None = None
+        self._expired_guarded: deque[float] = deque()  # when guarded ones expired, within the guard's window
+        self._running_ms = 0.0
+        self._stall_grace_until = 0.0
+        self._last_now: float | None = None
 
     def __len__(self) -> int:
         return len(self._leases)
 
+    def __contains__(self, key: str) -> bool:
+        return key in self._leases
+
     @property
     def suspects(self) -> list[str]:
-        """Keys that are kept although their leases are over."""
+        """Keys that stay although their leases are over."""
         return sorted(key for key, lease in self._leases.items() if lease.suspect)
 
-    def grant(self, now: float, key: str, length: float, guarded: bool, grace: float = 0.0) -> None:
-        """Begin a lease, or begin it anew; it lasts for `grace` ms at least, this first time."""
-        ends = self._time(now) + max(length, grace)
-        lease = Lease(length, ends - length, ends, guarded, 0)
+    def grant(self, now: float, key: str, length_ms: float, *, guarded: bool, grace_ms: float = 0.0) -> None:
+        """Begin a lease, or begin it anew; it lasts for at least `grace_ms`, this first time."""
+        ends = self._time(now) + max(length_ms, grace_ms)
+        lease = Lease(length_ms, ends - length_ms, ends, guarded)
         self._leases[key] = lease
-        self._place(key, lease, ends)
+        self._schedule(key, lease, ends)
 
     def renew(self, now: float, key: str) -> bool:
-        """The holder is there; whether it has a lease."""
-        served = self._time(now)
+        """Count a lease anew; False where there is none."""
+        running = self._time(now)
         lease = self._leases.get(key)
         if lease is None:
             return False
-        lease.heard, lease.ends = served, served + lease.length
+        lease.renewed_ms, lease.ends_ms = running, running + lease.length_ms
         if lease.suspect:
             lease.suspect = False
-            self._place(key, lease, lease.ends)  # sooner than the end of its time as a suspect
+            self._schedule(key, lease, lease.ends_ms)  # sooner than the end of its time as a suspect
         return True
 
-    def mark(self, key: str, guarded: bool) -> None:
+    def set_guarded(self, key: str, *, guarded: bool) -> None:
         """Whether the end of a lease may be doubted from now on."""
         lease = self._leases.get(key)
         if lease is not None:
@@ -98,67 +102,70 @@
         """The lease is over for another reason."""
         self._leases.pop(key, None)
 
-    def silence(self, now: float, key: str) -> float | None:
-        """Milliseconds since a holder was heard of, in time served."""
+    def since_renewal_ms(self, now: float, key: str) -> float | None:
+        """Running time since a lease was renewed; None where there is none."""
         lease = self._leases.get(key)
-        return None if lease is None else self._time(now) - lease.heard
+        return None if lease is None else self._time(now) - lease.renewed_ms
 
-    def look(self, now: float) -> Verdict:
-        """Which leases are over, and which of those are kept as suspect."""
-        served = self._time(now)
-        due = self._due(served)
-        verdict = Verdict()
+    def check(self, now: float) -> Check:
+        """Find leases that are over: they expire, or become suspects where too many are silent at once."""
+        running = self._time(now)
+        due = self._due(running)
+        found = Check()
         if not due:
-            return verdict
-        mass = self._mass(served)
+            return found
+        mass = self._mass_silence(running)
         for key in due:
             lease = self._leases[key]
-            if lease.guarded and mass and served < lease.ends + self._guard.keep_ms:
-                self._place(key, lease, lease.ends + self._guard.keep_ms)
+            if lease.guarded and mass and running < lease.ends_ms + self._guard.keep_ms:
+                self._schedule(key, lease, lease.ends_ms + self._guard.keep_ms)
                 if not lease.suspect:
                     lease.suspect = True
-                    verdict.suspected.append(key)
+                    found.suspected.append(key)
                 continue
             del self._leases[key]
-            verdict.expired.append(key)
+            found.expired.append(key)
             if lease.guarded and not lease.suspect:
-                self._recent.append(served)
-        return verdict
+                self._expired_guarded.append(running)
+        return found
 
-    def _due(self, served: float) -> list[str]:
+    def _due(self, running: float) -> list[str]:
         due = []
-        while self._ends and self._ends[0][0] <= served:
+        while self._ends and self._ends[0][0] <= running:
             _, serial, key = heapq.heappop(self._ends)
             lease = self._leases.get(key)
             if lease is None or lease.serial != serial:
                 continue
-            if lease.ends > served or self._mercy > served:
-                self._place(key, lease, max(lease.ends, self._mercy))
+            if lease.ends_ms > running or self._stall_grace_until > running:
+                self._schedule(key, lease, max(lease.ends_ms, self._stall_grace_until))
             else:
                 due.append(key)
         return due
 
-    def _place(self, key: str, lease: Lease, at: float) -> None:
-        """Look at a lease then, and at no other time."""
+    def _schedule(self, key: str, lease: Lease, at_ms: float) -> None:
+        """Check a lease then, and at no other time."""
         self._serial += 1
         lease.serial = self._serial
-        heapq.heappush(self._ends, (at, self._serial, key))
+        heapq.heappush(self._ends, (at_ms, self._serial, key))
 
-    def _mass(self, served: float) -> bool:
+    def _mass_silence(self, running: float) -> bool:
         """Whether too many are silent, or have just expired, for it to be their death."""
-        while self._recent and self._recent[0] < served - self._guard.window_ms:
-            self._recent.popleft()
+        expired = self._expired_guarded
+        while expired and expired[0] < running - self._guard.window_ms:
+            expired.popleft()
         guarded = [lease for lease in self._leases.values() if lease.guarded]
-        silent = sum(served - lease.heard > lease.length * SILENT_PART for lease in guarded)
-        missing = silent + len(self._recent)
-        return missing >= self._guard.least and missing > self._guard.share * (
-            len(guarded) + len(self._recent)
-        )
+        silent = sum(running - lease.renewed_ms > lease.length_ms * SILENT_PART for lease in guarded)
+        missing = silent + len(expired)
+        return missing >= self._guard.least and missing > self._guard.share * (len(guarded) + len(expired))
 
     def _time(self, now: float) -> float:
-        if self._seen is not None:
-            if now - self._seen > STALL_MS:
-                self._mercy = self._served + STEP_MOST_MS + MERCY_MS
-            self._served += min(max(0.0, now - self._seen), STEP_MOST_MS)
-        self._seen = now if self._seen is None else max(now, self._seen)
-        return self._served
+        """The running time; calls with an earlier `now` than the last one do not turn it back."""
+        if self._last_now is None:
+            self._last_now = now
+            return self._running_ms
+        step = now - self._last_now
+        if step > STALL_MS:
+            self._stall_grace_until = self._running_ms + STEP_MOST_MS + STALL_GRACE_MS
+        self._running_ms += min(max(0.0, step), STEP_MOST_MS)
+        self._last_now = max(now, self._last_now)
+        return self._running_ms
--- a/brassfall/controlplane/store/log.py
+++ b/brassfall/controlplane/store/log.py
@@ -1,4 +1,4 @@
-"""The durable log of a table: SQLite, one transaction for many records, snapshots and compaction.
+"""The durable log of a store: SQLite, one transaction for many records, snapshots and compaction.
 
 A call that returns has put its records on the disk (WAL, `synchronous=FULL`: one sync for each
 transaction). One row holds the records of one transaction, so that a torn write loses all of them
@@ -21,7 +21,8 @@
 
 import msgspec
 
-from brassfall.controlplane.store.core import Record, Snapshot, Table
+from brassfall.controlplane.store.records import Record, Snapshot
+from brassfall.controlplane.store.state import HISTORY_LENGTH, State
 from brassfall.errors import Damaged
 
 FORMAT = 1
@@ -110,7 +111,7 @@
 class Loaded:
     """What a log holds."""
 
-    table: Table
+    state: State
     records: int  # since the last snapshot
 
 
@@ -129,7 +130,7 @@
         self._since_snapshot = 0
         self._db: Connection | None = None
 
-    def load(self, ring: int | None = None) -> Loaded:
+    def load(self, history_length: int = HISTORY_LENGTH) -> Loaded:
         """Open the log and read all of it, as a start does.
 
         `LogUnavailableError` while the disk fails; `LogError` if the file is locked, foreign or damaged."""
@@ -138,7 +139,7 @@
         try:
             self._folder.mkdir(parents=True, exist_ok=True)
             db = self._open(create=True)
-            return self._read(db) if ring is None else self._read(db, ring)
+            return self._read(db, history_length)
         except (sqlite3.Error, msgspec.MsgspecError, ValueError, OSError) as error:
             self.close()
             raise self._error(error) from error
@@ -185,7 +186,7 @@
         return there
 
     def due(self, rows: int) -> bool:
-        """Whether a snapshot of a table with so many rows is worth its cost."""
+        """Whether a snapshot of a state with so many rows is worth its cost."""
         return self._since_snapshot >= max(LEAST_RECORDS, rows)
 
     def compact(self, snapshot: Snapshot) -> None:
@@ -193,7 +194,7 @@
         since stays, for watchers that come back.
 
         `LogError` if that failed. Whether it reached the file then makes no difference: the log reads to
-        the same table with the snapshot and without it."""
+        the same state with the snapshot and without it."""
         assert self._unsettled is None, "a snapshot can't stand for a row whose outcome is unknown"
         body = _encode(snapshot)
         try:
@@ -234,10 +235,11 @@
             db.execute("pragma journal_mode=wal")
             db.execute("pragma synchronous=full")
             db.execute(f"pragma wal_autocheckpoint={self._checkpoint_pages:d}")
-            held = db.execute("pragma user_version").fetchone()[0]
-            if held not in (0, FORMAT) or (held == 0 and db.execute("pragma schema_version").fetchone()[0]):
+            stored_format = db.execute("pragma user_version").fetchone()[0]
+            new = stored_format == 0 and not db.execute("pragma schema_version").fetchone()[0]
+            if not new and stored_format != FORMAT:
                 raise ValueError(f"not a table log of format {FORMAT}")
-            if held == 0:
+            if new:
                 with _transaction(db):
                     for statement in SCHEMA:
                         db.execute(statement)
@@ -257,28 +259,28 @@
             raise ValueError(f"its last record is {last} in place of {self._seq}: another process wrote it")
         return db
 
-    def _read(self, db: Connection, ring: int = 8192) -> Loaded:
+    def _read(self, db: Connection, history_length: int) -> Loaded:
         stored = db.execute("select seq, body from snapshot order by seq desc limit 1").fetchone()
-        at = stored[0] if stored else 0
-        table = Table.load(_snapshot(stored[1]), ring) if stored else Table(ring)
-        self._seq, self._since_snapshot = at, 0
+        snapshot_seq = stored[0] if stored else 0
+        state = State.from_snapshot(_snapshot(stored[1]), history_length) if stored else State(history_length)
+        self._seq, self._since_snapshot = snapshot_seq, 0
         earlier: list[Record] = []
         for seq, body in db.execute("select seq, records from log order by seq"):
             records = _records(body)
-            if seq <= at:
+            if seq <= snapshot_seq:
                 earlier += records
                 continue
             if earlier:
-                table.recall(earlier)
+                state.restore_history(earlier)
                 earlier = []
             if self._seq and seq != self._seq + 1:
                 raise ValueError(f"records {self._seq + 1} to {seq - 1} are missing")
-            table.absorb(records)
+            state.apply(records)
             self._seq = seq
             self._since_snapshot += len(records)
         if earlier:
-            table.recall(earlier)
-        return Loaded(table, self._since_snapshot)
+            state.restore_history(earlier)
+        return Loaded(state, self._since_snapshot)
 
     def _settle_after(self, error: sqlite3.Error) -> bool:
         """Settle the commit that failed just now; `LogOutcomeUnknownError` where that can't be done yet."""
--- /dev/null
+++ b/brassfall/controlplane/store/row_leases.py
@@ -0,0 +1,148 @@
+"""The leases of a store's rows: granted with a write, renewed without one, ended by a deletion.
+
+Their lengths last with the rows; the time they have left does not, and is counted anew from each start.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+
+from brassfall.controlplane.store.commands import Command, Delete, Put
+from brassfall.controlplane.store.leases import Guard, Leases
+from brassfall.controlplane.store.outcomes import Decided
+from brassfall.controlplane.store.records import Result, Row, Status
+from brassfall.controlplane.store.state import State
+from brassfall.controlplane.store.statistics import Statistics
+from brassfall.controlplane.store.transaction import newer_owner, older_owner
+from brassfall.controlplane.store.writer import Writer, monotonic_ms
+from brassfall.errors import Unavailable
+from brassfall.logs import logger
+
+CHECK_S = 0.1
+Guarded = Callable[[str, Row], bool]
+
+log = logger("table")
+
+
+class RowLeases:
+    """The leases of all tables of one writer. `guarded` says of a row whether its end may be doubted."""
+
+    def __init__(self, writer: Writer, guard: Guard, guarded: Guarded, statistics: Statistics) -> None:
+        self._writer = writer
+        self._guard = guard
+        self._guarded = guarded
+        self._statistics = statistics
+        self._tables: dict[str, Leases] = {}
+        self._ending: set[tuple[str, str]] = set()  # expired, and their deletion not decided yet
+        self._confirmed_ms: dict[tuple[str, str], float] = {}  # when a row was last confirmed, monotonic
+        self._endings: set[asyncio.Task[None]] = set()
+
+    @property
+    def _state(self) -> State:
+        return self._writer.state
+
+    def restart(self, grace_ms: float) -> None:
+        """Begin the leases of all rows that were loaded; each lasts for at least `grace_ms`."""
+        for table in self._state.names:
+            for row in self._state.rows(table):
+                self._grant(table, row, grace_ms)
+
+    def renew(self, table: str, key: str, fence: int | None) -> Result:
+        """Count the lease of a row anew for its owner. Nothing is written."""
+        row = self._state.get(table, key)
+        if row is None:
+            return Result(Status.MISSING, 0, f"{key} is not there")
+        if fence is not None and fence > row.fence:
+            return older_owner(row)
+        if fence is not None and fence < row.fence:
+            return Result(Status.CONFLICT, row.version, newer_owner(row))
+        place = (table, key)
+        self._confirmed_ms[place] = monotonic_ms()
+        if row.lease_ms and not self._leases(table).renew(monotonic_ms(), key):
+            # It has expired and its deletion is not decided yet: that is taken back.
+            self._ending.discard(place)
+            self._grant(table, row)
+        return Result(Status.DONE, row.version)
+
+    def since_confirmed_ms(self, table: str, key: str) -> float | None:
+        """An upper bound on how long ago a row was last confirmed; None where that was before the start."""
+        confirmed = self._confirmed_ms.get((table, key))
+        return None if confirmed is None else monotonic_ms() - confirmed
+
+    def suspects(self, table: str) -> list[str]:
+        """The rows that stay although their leases are over."""
+        return self._leases(table).suspects if table in self._tables else []
+
+    def applied(self, decided: list[Decided]) -> None:
+        """Durable commands grant, keep or end the leases of their rows."""
+        for one in decided:
+            if one.result.done:
+                self._applied(one.write.command, one.result)
+
+    async def run(self) -> None:
+        """Check all leases ten times a second, until it is cancelled."""
+        while True:
+            await asyncio.sleep(CHECK_S)
+            for table, leases in self._tables.items():
+                found = leases.check(monotonic_ms())
+                if found.suspected:
+                    self._statistics.suspected += len(found.suspected)
+                    log.warning("suspect", table=table, keys=found.suspected)
+                for key in found.expired:
+                    self._expire(table, key)
+
+    def _leases(self, table: str) -> Leases:
+        if table not in self._tables:
+            self._tables[table] = Leases(self._guard)
+        return self._tables[table]
+
+    def _grant(self, table: str, row: Row, grace_ms: float = 0.0) -> None:
+        if row.lease_ms:
+            guarded = self._guarded(table, row)
+            leases = self._leases(table)
+            leases.grant(monotonic_ms(), row.key, row.lease_ms, guarded=guarded, grace_ms=grace_ms)
+        elif table in self._tables:
+            self._tables[table].drop(row.key)
+
+    def _applied(self, command: Command, result: Result) -> None:
+        place = (command.table, command.key)
+        row = self._state.get(*place)
+        if row is None:
+            self._confirmed_ms.pop(place, None)
+            if command.table in self._tables:
+                self._tables[command.table].drop(command.key)
+            return
+        self._confirmed_ms[place] = monotonic_ms()
+        # Only its owner keeps a row alive: what an operator changes on it is no sign of life.
+        by_owner = isinstance(command, Put) or command.fence is not None
+        if row.version == result.index and by_owner:
+            self._grant(command.table, row)
+        elif command.table in self._tables:
+            guarded = self._guarded(command.table, row)
+            self._tables[command.table].set_guarded(command.key, guarded=guarded)
+
+    def _expire(self, table: str, key: str) -> None:
+        row = self._state.get(table, key)
+        if row is None or (table, key) in self._ending:
+            return
+        self._ending.add((table, key))
+        task = asyncio.get_running_loop().create_task(self._end(table, row))
+        self._endings.add(task)
+        task.add_done_callback(self._endings.discard)
+
+    async def _end(self, table: str, row: Row) -> None:
+        """Delete a row, as a write like any other; after a failure its lease runs once more."""
+        place = (table, row.key)
+        try:
+            if place not in self._ending:
+                return  # it was renewed meanwhile
+            command = Delete(table=table, key=row.key, if_match=row.version)
+            if (await self._writer.submit(command, until_settled=True)).done:
+                self._statistics.expired += 1
+                log.info("expired", table=table, key=row.key)
+        except Unavailable:
+            if self._state.get(table, row.key) is row:
+                self._grant(table, row)
+        finally:
+            self._ending.discard(place)
--- /dev/null
+++ b/brassfall/controlplane/store/statistics.py
@@ -0,0 +1,20 @@
+"""What a store has done since its start. Pure code."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+
+@dataclass(slots=True)
+class Statistics:
+    """Counts since the start, and the state of the disk."""
+
+    writes: int = 0  # records made durable
+    commits: int = 0
+    refused: int = 0  # writes, for want of room in the queue
+    failures: int = 0  # commits that failed
+    snapshots: int = 0
+    expired: int = 0  # leases
+    suspected: int = 0
+    commit_s: float = 0.0  # time spent in commits
+    disk: str = ""  # why the last commit failed, while none has succeeded since
--- a/brassfall/lab/agreement/program.py
+++ b/brassfall/lab/agreement/program.py
@@ -16,7 +16,7 @@
 from brassfall.controlplane.aggregation.timing import AggregatorTiming
 from brassfall.controlplane.revisions.core import Agreement, Timing
 from brassfall.controlplane.revisions.edges import Fleet
-from brassfall.controlplane.store.store import life_floor
+from brassfall.controlplane.store.incarnations import first_index
 
 lease_client: Any = importlib.import_module("brassfall.sidecar.agent.lease_client")
 sidecar_rules: Any = importlib.import_module("brassfall.sidecar.agent.rules")
@@ -24,7 +24,7 @@
 
 def life(wall_ms: float, last: int, chance: random.Random) -> int:
     """The number of a life of the service, out of the wall clock and the last index that is durable."""
-    return life_floor(wall_ms / 1000.0, last, chance.getrandbits(30))
+    return first_index(wall_ms / 1000.0, last, chance.getrandbits(30))
 
 
 def answered(held: Any, asked: float, received: float, seq: int, raw: Mapping[str, Any]) -> bool:
--- a/brassfall/lab/sim/listing.py
+++ b/brassfall/lab/sim/listing.py
@@ -10,9 +10,11 @@
 from brassfall.controlplane.registry import entries
 from brassfall.controlplane.registry.entries import INSTANCES
 from brassfall.controlplane.registry.membership import Call
-from brassfall.controlplane.store.core import Change, Command, Delete, Record, Result, Status, Table
+from brassfall.controlplane.store.commands import Command, Delete
+from brassfall.controlplane.store.incarnations import index_at
 from brassfall.controlplane.store.leases import Guard, Leases
-from brassfall.controlplane.store.store import unix_floor
+from brassfall.controlplane.store.records import Change, Record, Result, Status
+from brassfall.controlplane.store.state import State
 from brassfall.errors import Refused
 
 STATUS = {Status.DONE: 200, Status.MISSING: 404, Status.CONFLICT: 409, Status.STALE: 412}
@@ -35,13 +37,15 @@
         """Begin a life, with the disk of the last one, or without it."""
         if lost:
             self.disk = []
-        self.table = Table()
-        self.table.absorb(self.disk)
-        self._write([self.table.life(unix_floor(self._clock_s + now / 1000.0), 0)])
+        self.state = State()
+        self.state.apply(self.disk)
+        self._write([self.state.begin_incarnation(index_at(self._clock_s + now / 1000.0), 0)])
         self.leases = Leases(Guard(keep_ms=self._keep_ms))
-        for row in self.table.rows(INSTANCES):
+        for row in self.state.rows(INSTANCES):
             grace = float(self._wants.restart_grace_ms)
-            self.leases.grant(now, row.key, row.lease_ms, entries.guarded(INSTANCES, row), grace)
+            self.leases.grant(
+                now, row.key, row.lease_ms, guarded=entries.guarded(INSTANCES, row), grace_ms=grace
+            )
         # Servers of an earlier life are to come back before anybody is told a list without them.
         self.gathered_at = now + self._wants.gather_ms if lost else now
         self.up = True
@@ -57,20 +61,20 @@
 
     def _write(self, records: list[Record]) -> None:
         self.disk += records
-        self.news += [change for _, change in self.table.absorb(records)]
-        self.told.append(self.table.index)
+        self.news += [change for _, change in self.state.apply(records)]
+        self.told.append(self.state.index)
 
     def run(self, command: Command) -> Result:
         """Carry out one command."""
-        stage = self.table.stage(0)
-        result = stage.run(command)
-        if stage.records:
-            self._write(stage.records)
+        transaction = self.state.begin(0)
+        result = transaction.run(command)
+        if transaction.records:
+            self._write(transaction.records)
         return result
 
     def look(self, now: float) -> list[str]:
         """Take out whose leases are over; their names."""
-        expired = self.leases.look(now).expired
+        expired = self.leases.check(now).expired
         for key in expired:
             self.run(Delete(table=INSTANCES, key=key))
         return expired
@@ -85,11 +89,11 @@
         except Refused:
             return 400
         result = self.run(command)
-        row = self.table.get(INSTANCES, key)
+        row = self.state.get(INSTANCES, key)
         if row is None:
             self.leases.drop(key)
         elif result.done:
-            self.leases.grant(now, key, row.lease_ms, entries.guarded(INSTANCES, row))
+            self.leases.grant(now, key, row.lease_ms, guarded=entries.guarded(INSTANCES, row))
         return STATUS[result.status]
 
     def _command(self, method: str, key: str, body: bytes) -> Command:
@@ -100,7 +104,7 @@
         return entries.leave(key, entries.holder(body), None, "")
 
     def _renew(self, now: float, key: str, since: int) -> int:
-        row = self.table.get(INSTANCES, key)
+        row = self.state.get(INSTANCES, key)
         if row is None:
             return 404
         if row.fence != since:
@@ -110,11 +114,11 @@
 
     def listed(self) -> list[dict[str, Any]]:
         """The whole list."""
-        return entries.endpoints(self.table.rows(INSTANCES))
+        return entries.endpoints(self.state.rows(INSTANCES))
 
     def since(self, index: int) -> list[dict[str, Any]] | None:
         """What has changed after an index that was told, or None where only the whole list will do."""
-        changes = self.table.since(INSTANCES, index)
+        changes = self.state.changes_since(INSTANCES, index)
         return None if changes is None else entries.changed(changes)
 
     def take_news(self) -> list[dict[str, Any]]:
--- a/brassfall/lab/sim/lists.py
+++ b/brassfall/lab/sim/lists.py
@@ -42,7 +42,7 @@
         known = {row["name"]: self._listing(row) for row in self.service.listed()}
         for sidecar in world.sidecars:
             sidecar.held = dict(known)
-            sidecar.list_index = self.service.table.index
+            sidecar.list_index = self.service.state.index
             sidecar.start(0.0, world.day.apps[sidecar.number].seed)
         world.at(LOOK_MS, self._look, None)
         world.at(SAMPLE_MS, self._sample, None)
@@ -96,7 +96,7 @@
         if not self.service.news:
             return
         entries = [self._listing(row) for row in self.service.take_news()]
-        index = self.service.table.index
+        index = self.service.state.index
         for sidecar, ask in self._watchers.items():
             if self.world.network.reaches(sidecar.zone, 0):
                 self.world.at(now + self._delay(), self._news, (sidecar, ask, "changes", entries, index))
@@ -136,7 +136,7 @@
             changed = self.service.since(sidecar.list_index)
             form, rows = ("all", self.service.listed()) if changed is None else ("changes", changed)
             entries = [self._listing(row) for row in rows]
-            index = self.service.table.index
+            index = self.service.state.index
             self.world.at(now + self._delay(), self._news, (sidecar, ask, form, entries, index))
 
     def _watch_failed(self, now: float, told: tuple[Sidecar, int]) -> None:
--- a/tests/test_aggregator_mirror.py
+++ b/tests/test_aggregator_mirror.py
@@ -21,7 +21,8 @@
 )
 from brassfall.controlplane.registry.entries import INSTANCES
 from brassfall.controlplane.registry.watches import EMPTY
-from brassfall.controlplane.store.core import Delete, Put, Table
+from brassfall.controlplane.store.commands import Delete, Put
+from brassfall.controlplane.store.state import State
 from tests.loopback import bounded, until
 
 
@@ -37,25 +38,25 @@
     """The list service's table, and what it tells who asks from an index."""
 
     def __init__(self, ring):
-        self.table = Table(ring)
+        self.state = State(ring)
 
     def restart(self, copy=None):
         """Begin a life above all indices told so far, on the disk as it is or an older copy."""
-        floor = self.table.index + 1000
+        floor = self.state.index + 1000
         if copy is not None:
-            self.table = deepcopy(copy)
-        self.table.absorb([self.table.life(floor, 0)])
+            self.state = deepcopy(copy)
+        self.state.apply([self.state.begin_incarnation(floor, 0)])
 
     def write(self, *commands):
-        stage = self.table.stage(0)
+        transaction = self.state.begin(0)
         for command in commands:
-            stage.run(command)
-        self.table.absorb(stage.records)
+            transaction.run(command)
+        self.state.apply(transaction.records)
 
     def line(self, index):
-        changes = self.table.since(INSTANCES, index)
-        told = entries.endpoints(self.table.rows(INSTANCES)) if changes is None else entries.changed(changes)
-        return ListLine(self.table.last(INSTANCES), changes is None, told)
+        changes = self.state.changes_since(INSTANCES, index)
+        told = entries.endpoints(self.state.rows(INSTANCES)) if changes is None else entries.changed(changes)
+        return ListLine(self.state.last_index(INSTANCES), changes is None, told)
 
 
 def taken(held, line):
@@ -74,7 +75,7 @@
 def told(mirror, index):
     """What the mirror tells who asks from an index."""
     made = Above(1)
-    made.table = mirror.table
+    made.state = mirror.state
     return made.line(index)
 
 
@@ -90,13 +91,13 @@
     for step in range(300):
         key = f"s{rng.randrange(8)}"
         if rng.random() < 0.02:
-            copies.append(deepcopy(above.table))
+            copies.append(deepcopy(above.state))
         if rng.random() < 0.02:
             above.restart(rng.choice([None, *copies]))
             open_watches = [False, False]
         elif rng.random() < 0.6:
             above.write(Put(table=INSTANCES, key=key, value=endpoint(key, rng.random())))
-        elif above.table.count(INSTANCES) > 1:
+        elif above.state.count(INSTANCES) > 1:
             above.write(Delete(table=INSTANCES, key=key))
         above.write(Put(table="other", key="k", value=step))  # indices are of all tables
         if rng.random() < 0.5:
@@ -112,8 +113,8 @@
         wholes += line.snapshot
         held[at] = taken((index, rows), line)
         # What it holds now is the service's list at that index, from wherever it came.
-        if held[at][0] == above.table.last(INSTANCES):
-            assert held[at][1] == {row.key: row.value for row in above.table.rows(INSTANCES)}
+        if held[at][0] == above.state.last_index(INSTANCES):
+            assert held[at][1] == {row.key: row.value for row in above.state.rows(INSTANCES)}
     assert wholes < 150  # the others went on from where they were
 
 
@@ -172,7 +173,7 @@
     above.write(Put(table=INSTANCES, key="s0", value=endpoint("s0")))
     mirror.take(0.0, above.line(0), first=True)
     above.write(Put(table=INSTANCES, key="s1", value=endpoint("s1")))
-    copy = deepcopy(above.table)
+    copy = deepcopy(above.state)
     above.write(Put(table=INSTANCES, key="s2", value=endpoint("s2")))
     held = taken((0, {}), above.line(0))
     above.restart(copy)
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -15,7 +15,7 @@
 from brassfall.controlplane.revisions.core import Agreement, Durable, Enrol, Kept, Publish, Reported, Timing
 from brassfall.controlplane.revisions.document import Edition
 from brassfall.controlplane.revisions.edges import Fleet, Report
-from brassfall.controlplane.store.store import life_floor, unix_floor
+from brassfall.controlplane.store.incarnations import first_index, index_at
 from brassfall.lab.agreement import command, schedule
 from brassfall.lab.agreement.defects import DEFECTS
 
@@ -65,9 +65,9 @@
         json.loads(made.stdout)
 
 
-@pytest.mark.parametrize(("unix_s", "last"), [(1e9, 0), (1e9, unix_floor(2e9)), (1e9, unix_floor(1e9))])
+@pytest.mark.parametrize(("unix_s", "last"), [(1e9, 0), (1e9, index_at(2e9)), (1e9, index_at(1e9))])
 def test_lives_on_two_copies_of_a_table_are_apart(unix_s, last):
-    one, other = (life_floor(unix_s, last, drawn) for drawn in (5, 2**29 + 7))
+    one, other = (first_index(unix_s, last, drawn) for drawn in (5, 2**29 + 7))
     assert min(one, other) > last and one != other
 
 
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -149,8 +149,10 @@
 )
 PURE = (
     "errors.py",
-    "controlplane/store/core.py",
-    "controlplane/store/leases.py",
+    *(
+        f"controlplane/store/{name}.py"
+        for name in ("records", "commands", "transaction", "state", "leases", "incarnations", "statistics")
+    ),
     "controlplane/revisions/document.py",
     "controlplane/revisions/edges.py",
     "controlplane/revisions/core.py",
--- a/tests/test_registry_simulated.py
+++ b/tests/test_registry_simulated.py
@@ -149,7 +149,7 @@
     for seed in range(part * 500, part * 500 + 500):
         world, gone, renewed = play(seed)
         service = world.service
-        listed = {row.key: row.fence for row in service.table.rows(INSTANCES)}
+        listed = {row.key: row.fence for row in service.state.rows(INSTANCES)}
         alive = {name for name, _ in world.members} - gone
         assert set(listed) == alive, seed
         assert world.wrong == [], seed  # nobody was dropped who lived and could speak
--- a/tests/test_registry_start.py
+++ b/tests/test_registry_start.py
@@ -120,6 +120,6 @@
             document["until_ms"] = service.overrides.now() + 60_000
             async with session.put(f"http://{listen}/overrides/o", json=document) as response:
                 answered = await response.json()
-        assert service.store.table.get(CLOCK, MARK).value["mark"] >= answered["from_ms"]
+        assert service.store.state.get(CLOCK, MARK).value["mark"] >= answered["from_ms"]
     finally:
         await service.close()
--- a/tests/test_registry_watches.py
+++ b/tests/test_registry_watches.py
@@ -10,7 +10,8 @@
 
 from brassfall.controlplane.registry import entries
 from brassfall.controlplane.registry.watches import EMPTY, SLOTS, Channel, Form
-from brassfall.controlplane.store.core import Put, Table
+from brassfall.controlplane.store.commands import Put
+from brassfall.controlplane.store.state import State
 
 
 class Reader(asyncio.Protocol):
@@ -53,7 +54,7 @@
 
 
 async def told_to_all_but_the_one_that_is_gone():
-    table, ended = Table(), asyncio.get_running_loop().create_future()
+    table, ended = State(), asyncio.get_running_loop().create_future()
     channel = Channel(
         lambda: table, "instances", Form("endpoints", entries.endpoints, entries.changed), 9999, 1.0
     )
@@ -67,9 +68,9 @@
             while True:  # its end is complete a moment after it was told
                 gone.write(b" ")
                 await asyncio.sleep(0)
-        stage = table.stage(0)
+        stage = table.begin(0)
         stage.run(Put(table="instances", key="s1", value={"name": "s1"}))
-        for _, change in table.absorb(stage.records):
+        for _, change in table.apply(stage.records):
             channel.changed(change)
         for _ in range(2 * SLOTS):
             channel.beat()
--- a/tests/test_store_disk.py
+++ b/tests/test_store_disk.py
@@ -12,9 +12,11 @@
 from aiohttp.test_utils import make_mocked_request
 
 from brassfall.controlplane.registry.overrides import CLOCK, MARK, Overrides
-from brassfall.controlplane.store.core import Delete, Put, Result, Status
+from brassfall.controlplane.store.commands import Delete, Put
 from brassfall.controlplane.store.log import Log, LogError
-from brassfall.controlplane.store.store import NotWritten, Options, OutcomeUnknownError, Store
+from brassfall.controlplane.store.outcomes import NotWrittenError, OutcomeUnknownError
+from brassfall.controlplane.store.records import Result, Status
+from brassfall.controlplane.store.store import Options, Store
 from brassfall.errors import Unavailable
 from tests.disk_faults import Disk
 from tests.loopback import bounded, until
@@ -45,11 +47,11 @@
         self.disk.open = "EIO open"
 
     def rows(self):
-        return {row.key: row.version for row in self.store.table.rows("t")}
+        return {row.key: row.version for row in self.store.state.rows("t")}
 
     def after_restart(self, table="t"):
         log = Log(self.folder)
-        loaded = log.load().table
+        loaded = log.load().state
         log.close()
         return {row.key: row.version for row in loaded.rows(table)}
 
@@ -62,14 +64,14 @@
         with pytest.raises(OutcomeUnknownError, match=r"may have happened.*X-Request-Id") as unknown:
             await running.put("a", "r1")
         assert (unknown.value.status, unknown.value.slug) == (503, "outcome unknown")
-        with pytest.raises(NotWritten):
+        with pytest.raises(NotWrittenError):
             await running.put("b", "r2")
         assert not running.rows() and not running.notified and not waits.done()
-        assert "EIO open" in running.store.figures.disk
+        assert "EIO open" in running.store.statistics.disk
         running.disk.mend()
         internal = await waits
         assert running.notified == ["internal", "a"]
-        assert not running.store.figures.disk
+        assert not running.store.statistics.disk
         again = await running.put("a", "r1")
         assert again == Result(Status.DONE, running.rows()["a"])
         await running.put("b", "r2")
@@ -86,7 +88,7 @@
         with pytest.raises(OutcomeUnknownError):
             await running.put("a", "r1")
         running.disk.mend()
-        with pytest.raises(NotWritten):
+        with pytest.raises(NotWrittenError):
             await waits
         assert not running.notified and not running.rows()
         await running.put("a", "r1")
@@ -101,7 +103,7 @@
         first = await running.put("before", "r0")
         running.lose_sight("sync")
         lost = asyncio.ensure_future(running.put("a", "r1"))
-        await until(lambda: running.store.figures.disk)
+        await until(lambda: running.store.statistics.disk)
         assert await running.put("before", "r0") == first
         repeat = running.put("a", "r1", until_settled=True)
         running.disk.mend()
@@ -114,10 +116,10 @@
     async with Running(tmp_path) as running:
         running.lose_sight("sync")
         waits = running.put("a", until_settled=True)
-        await until(lambda: running.store.figures.disk)
+        await until(lambda: running.store.statistics.disk)
     with pytest.raises(OutcomeUnknownError, match="stopping"):
         await waits
-    with pytest.raises(NotWritten, match="stopping"):
+    with pytest.raises(NotWrittenError, match="stopping"):
         running.put("b")
     running.disk.mend()
     assert list(running.after_restart()) in (["a"], [])
@@ -148,7 +150,7 @@
                     told[key] = (await running.put(key, f"id-{key}")).index
                 except OutcomeUnknownError:
                     await asyncio.sleep(0.01)
-                except NotWritten:
+                except NotWrittenError:
                     if rng.random() < 0.5:
                         gave_up.add(key)
                     await asyncio.sleep(0.01)
@@ -185,11 +187,13 @@
         put = Put(table="t", key="a", value=1, lease_ms=300)
         await running.store.submit(put)
         running.lose_sight("sync")
-        await until(lambda: running.store.figures.disk)  # its deletion can't be made durable
+        await until(lambda: running.store.statistics.disk)  # its deletion can't be made durable
         assert "a" in running.rows()
         running.disk.mend()
-        await until(lambda: running.store.figures.expired)  # counted by the task that waited for the deletion
-        assert (running.store.figures.expired, running.rows()) == (1, {})
+        await until(
+            lambda: running.store.statistics.expired
+        )  # counted by the task that waited for the deletion
+        assert (running.store.statistics.expired, running.rows()) == (1, {})
         assert (await running.store.submit(Delete(table="t", key="a"))).status is Status.MISSING
     assert running.after_restart() == {}
 
@@ -246,11 +250,11 @@
         running.lose_sight("write")
         with pytest.raises(Unavailable):
             await overrides.start()
-        assert running.store.table.get(CLOCK, MARK) is None
+        assert running.store.state.get(CLOCK, MARK) is None
         running.disk.mend()
-        await until(lambda: not running.store.figures.disk)
+        await until(lambda: not running.store.statistics.disk)
         await overrides.start()
-        assert running.store.table.get(CLOCK, MARK) is not None
+        assert running.store.state.get(CLOCK, MARK) is not None
 
 
 @bounded(30.0)
@@ -264,5 +268,5 @@
         running.disk.mend()
         await until(lambda: overrides.book.get("o", overrides.now()))
         assert (await call_override(overrides, "PUT", document)).status == 200
-        assert running.store.table.count("overrides") == 1
+        assert running.store.state.count("overrides") == 1
     assert "o" in running.after_restart("overrides")
--- a/tests/test_log_disk.py
+++ b/tests/test_store_log_disk.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from brassfall.controlplane.store.core import Put
+from brassfall.controlplane.store.commands import Put
 from brassfall.controlplane.store.log import (
     FILE,
     Log,
@@ -26,31 +26,31 @@
         self.disk = Disk()
         self.folder = folder
         self.log = Log(folder, connect=self.disk.connect, **options)
-        self.table = self.log.load().table
+        self.state = self.log.load().state
         self.staged = None
 
     def put(self, key, size=0):
         """Write a row; `settle` goes on where the outcome is unknown."""
-        stage = self.table.stage(0)
+        stage = self.state.begin(0)
         stage.run(Put(table="t", key=key, value=key + "x" * size))
         self.staged = stage.records
         self.log.append(stage.records)
-        self.table.absorb(stage.records)
+        self.state.apply(stage.records)
 
     def settle(self):
         there = self.log.settle()
         if there:
-            self.table.absorb(self.staged)
+            self.state.apply(self.staged)
         return there
 
     def keys(self):
-        return [row.key for row in self.table.rows("t")]
+        return [row.key for row in self.state.rows("t")]
 
     def after_restart(self):
         """The keys that a start reads from the folder, by the standard library's SQLite."""
         self.log.close()
         again = Log(self.folder)
-        table = again.load().table
+        table = again.load().state
         again.close()
         return [row.key for row in table.rows("t")]
 
@@ -169,8 +169,8 @@
             for name, content in image_at(base, steps, count, torn).items():
                 (folder / name).write_bytes(content)
             again = Log(folder)
-            table = again.load().table
-            again.append([table.life(0, 0)])
+            table = again.load().state
+            again.append([table.begin_incarnation(0, 0)])
             again.close()
             found = [row.key for row in table.rows("t")]
             sure = max((known for known in acknowledged if known[0] < count or not known[0]), key=len_of)
@@ -192,7 +192,7 @@
     journal.disk.after, journal.disk.open = after, "EIO open"
     wanted = journal.keys()
     try:
-        journal.log.compact(journal.table.dump())
+        journal.log.compact(journal.state.snapshot())
     except LogUnavailableError:
         assert journal.disk.failed
     journal.disk.mend()
@@ -254,5 +254,5 @@
         with pytest.raises(LogUnavailableError, match=r"table\.sqlite3"):
             log.load()
     disk.mend()
-    assert log.load().table.index == 0
+    assert log.load().state.index == 0
     log.close()
--- a/tests/test_stored_data.py
+++ b/tests/test_store_stored_data.py
@@ -40,8 +40,8 @@
     log = Log(folder)
     loaded = log.load()
     log.close()
-    table = loaded.table
-    assert (table.index, table.at) == (EXPECTED["index"], EXPECTED["at"])
+    table = loaded.state
+    assert (table.index, table.time_ms) == (EXPECTED["index"], EXPECTED["at"])
     assert loaded.records == EXPECTED["records_since_snapshot"]
     rows = {name: [msgspec.to_builtins(row) for row in table.rows(name)] for name in table.names}
     assert rows == EXPECTED["rows"]
@@ -49,7 +49,7 @@
     assert answers == EXPECTED["answers"]
     changes = {}
     for name in table.names:
-        found = table.since(name, EXPECTED["changes_after"])
+        found = table.changes_since(name, EXPECTED["changes_after"])
         changes[name] = found and [
             [change.row.key, change.row.version, change.index, change.gone] for change in found
         ]
@@ -58,7 +58,7 @@
 
 def test_overrides_and_their_history_are_in_force_as_they_were(folder):
     log = Log(folder)
-    table = log.load().table
+    table = log.load().state
     log.close()
     marked = table.get("overrides-clock", "mark").value["mark"]
     book = books.Book(Ring())
