--- a/brassfall/controlplane/registry/lists.py
+++ b/brassfall/controlplane/registry/lists.py
@@ -15,7 +15,7 @@
 from brassfall.controlplane.registry.front import Front, WatchRequest
 from brassfall.controlplane.registry.gathering import Gathering
 from brassfall.controlplane.registry.watches import Channel
-from brassfall.controlplane.store.core import Change, Row
+from brassfall.controlplane.store.records import Change, Row
 from brassfall.controlplane.store.store import Store
 
 HELD_INDEX = "X-Held-Index"  # a caller of the whole list says here which one it has
@@ -41,7 +41,7 @@
 
     def view(self, table: str, row: Row) -> RowView:
         """A row with its age."""
-        age_ms = self._store.age_ms(table, row.key)
+        age_ms = self._store.since_confirmed_ms(table, row.key)
         bound_ms = None if age_ms is None else round(age_ms + AGE_MARGIN_S * 1000.0)
         return RowView(row.key, row.version, row.value, bound_ms)
 
@@ -51,7 +51,7 @@
         if table not in channels:
             limits = self._front.limits
             channels[table] = TableChannel(
-                lambda: self._store.table,
+                lambda: self._store.state,
                 table,
                 self._format(table),
                 limits.watch_bytes,
@@ -118,11 +118,11 @@
 
     def _check_index(self, index: int) -> None:
         """An index of the instances that is unknown here is evidence of a list that was lost."""
-        if index and self._store.table.since(INSTANCES, index) is None:
+        if index and self._store.state.changes_since(INSTANCES, index) is None:
             self._gathering.add_evidence()
 
     def _drop_unused(self, name: str) -> None:
         """Whoever asks for tables that nobody has written leaves nothing behind."""
         channel = self.channel(name)
-        if isinstance(channel, TableChannel) and not channel.count and name not in self._store.table.names:
+        if isinstance(channel, TableChannel) and not channel.count and name not in self._store.state.names:
             del self._front.channels[name]
--- a/brassfall/controlplane/registry/metrics.py
+++ b/brassfall/controlplane/registry/metrics.py
@@ -136,20 +136,20 @@
         """What holds now."""
         service, store = self._service, self._service.store
         return {
-            "index": Value("The newest index", store.table.index),
-            "rows": Value("Rows in all tables", sum(map(store.table.count, store.table.names))),
+            "index": Value("The newest index", store.state.index),
+            "rows": Value("Rows in all tables", sum(map(store.state.count, store.state.names))),
             "suspects": Value(
                 "Instances kept though their leases are over", len(store.suspects("instances"))
             ),
             "writes_waiting": Value("Writes that wait for the disk", store.waiting),
-            "disk_failing": Value("1 while commits fail", float(bool(store.figures.disk))),
+            "disk_failing": Value("1 while commits fail", float(bool(store.statistics.disk))),
             "gathering": Value("1 while a lost list is being gathered", float(service.gathering)),
             **super().gauges(),
         }
 
     def counters(self) -> Values:
         """What has happened since the start."""
-        store = self._service.store.figures
+        store = self._service.store.statistics
         return {
             "changes": Value("Changes published to watches", self.changes),
             "writes": Value("Records put on the disk", store.writes),
