--- a/brassfall/controlplane/registry/aggregator/list_feed.py
+++ b/brassfall/controlplane/registry/aggregator/list_feed.py
@@ -20,7 +20,7 @@
 from brassfall.controlplane.registry.front import Front, WatchRequest
 from brassfall.controlplane.registry.http_errors import AskElsewhereError
 from brassfall.controlplane.registry.limits import JoinLimiter
-from brassfall.controlplane.registry.lists import HELD_INDEX
+from brassfall.controlplane.registry.lists import KNOWN_INDEX
 from brassfall.controlplane.registry.tasks import Tasks
 from brassfall.logs import logger
 
@@ -42,7 +42,7 @@
     """Mirrors the list, and answers the children's calls for it.
 
     `confirmed` is called when the list held is known to have been the newest at a later time than before;
-    `whole_lists_per_s` bounds how often a whole list is sent."""
+    `lists_per_s` bounds how often a whole list is sent."""
 
     def __init__(
         self,
@@ -51,7 +51,7 @@
         front: Front,
         tasks: Tasks,
         confirmed: Callable[[], None],
-        whole_lists_per_s: float,
+        lists_per_s: float,
     ) -> None:
         self.mirror = mirror
         self.watch_state = WatchState(upstream.addresses[0])
@@ -60,7 +60,7 @@
         self._tasks = tasks
         self._confirmed = confirmed
         self._rng = random.Random()
-        self._join_limiter = JoinLimiter(whole_lists_per_s)
+        self._join_limiter = JoinLimiter(lists_per_s)
         self._late_since_ms: float | None = None
         self._later: LaterIndex | None = None
         self._watching: asyncio.Task[None] | None = None
@@ -139,9 +139,9 @@
         if watches:
             index = calls.number(request.query.get("from", "0"), "from")
         else:
-            index = calls.number(request.headers.get(HELD_INDEX, "0"), HELD_INDEX)
+            index = calls.number(request.headers.get(KNOWN_INDEX, "0"), KNOWN_INDEX)
         self._check_index(index)
-        return await self._watch(request, index) if watches else self._whole()
+        return await self._watch(request, index) if watches else self._complete_list()
 
     def _check_index(self, index: int) -> None:
         """`AskElsewhereError` where who has this index would be set back, while that may be a fault."""
@@ -157,22 +157,22 @@
 
     async def _watch(self, request: web.Request, index: int) -> web.StreamResponse:
         if self.mirror.table.since(INSTANCES, index) is None:
-            rejection = self._admit_whole()
+            rejection = self._admit_complete_list()
             if rejection is not None:
                 return rejection
         channel = self._channel
         headers = {AGE: str(channel.promised_age_ms())}
         return await self._front.watch(request, WatchRequest(index, lambda: channel, headers=headers))
 
-    def _whole(self) -> web.Response:
-        rejection = self._admit_whole()
+    def _complete_list(self) -> web.Response:
+        rejection = self._admit_complete_list()
         if rejection is not None:
             return rejection
         response = answer(self._channel.snapshot())
         response.headers[AGE] = str(round(self.mirror.age_ms(now_ms())))
         return response
 
-    def _admit_whole(self) -> web.Response | None:
+    def _admit_complete_list(self) -> web.Response | None:
         """One more that takes the whole list; the answer if there are too many at once."""
         wait_s = self._join_limiter.wait(now_ms() / 1000.0, self._rng.random())
         return self._front.reject("too many take the whole list at once", wait_s) if wait_s else None
--- a/brassfall/controlplane/registry/aggregator/status.py
+++ b/brassfall/controlplane/registry/aggregator/status.py
@@ -92,7 +92,7 @@
     members: int
     reports: int
     reports_refused: int
-    turned_away: int
+    rejected: int = msgspec.field(name="turned_away")
     connections: int
     watches: dict[str, int]
 
@@ -129,7 +129,7 @@
         members=core.members,
         reports=statistics.reports,
         reports_refused=statistics.refused + core.membership.stale,
-        turned_away=front.rejected,
+        rejected=front.rejected,
         connections=len(front.callers),
         watches={name: channel.count for name, channel in front.channels.items()},
     )
--- a/brassfall/controlplane/registry/channels.py
+++ b/brassfall/controlplane/registry/channels.py
@@ -109,7 +109,7 @@
         """The state now."""
         return self._encoded()
 
-    def first_line(self, index: int) -> bytes:
+    def first_line(self, _index: int) -> bytes:
         """The state, whatever the watcher has: it may have missed how it came about."""
         return self._encoded()
 
--- a/brassfall/controlplane/registry/lists.py
+++ b/brassfall/controlplane/registry/lists.py
@@ -18,7 +18,7 @@
 from brassfall.controlplane.store.core import Change, Row
 from brassfall.controlplane.store.store import Store
 
-HELD_INDEX = "X-Held-Index"  # a caller of the whole list says here which one it has
+KNOWN_INDEX = "X-Held-Index"  # a caller of the whole list says here which one it has
 INCOMPLETE = "servers are coming back to a list that was lost"
 
 
@@ -87,10 +87,10 @@
         if calls.is_watch(request):
             return await self.watch(request, table)
         if table == INSTANCES:
-            self._check_index(calls.number(request.headers.get(HELD_INDEX, "0"), HELD_INDEX))
-        return self._whole(table)
+            self._check_index(calls.number(request.headers.get(KNOWN_INDEX, "0"), KNOWN_INDEX))
+        return self._complete_list(table)
 
-    def _whole(self, table: str) -> web.Response:
+    def _complete_list(self, table: str) -> web.Response:
         if self._gathering.active:
             return self._front.reject(INCOMPLETE, self._gathering.left_s + 0.5 * self._front.rng.random())
         rejection = self._front.admit_join("too many ask for the whole list at once")
--- a/brassfall/controlplane/registry/status.py
+++ b/brassfall/controlplane/registry/status.py
@@ -50,7 +50,7 @@
     watches_behind: int
     connections: int
     writes_waiting: int
-    turned_away: int
+    rejected: int = msgspec.field(name="turned_away")
     rules: dict[str, Any]
     aggregators: dict[str, Any]
 
@@ -71,7 +71,7 @@
         watches_behind=sum(channel.behind for channel in channels.values()),
         connections=len(front.callers),
         writes_waiting=store.waiting,
-        turned_away=front.rejected,
+        rejected=front.rejected,
         rules=parts.rules.status(),
         aggregators=parts.aggregators.status(),
     )
--- a/brassfall/fleet_commands.py
+++ b/brassfall/fleet_commands.py
@@ -1,4 +1,4 @@
-"""The commands of editions, overrides and geo: `rules`, `override`, `geo`."""
+"""The commands on what a fleet acts on together: `rules`, `override` and `geo`."""
 
 from __future__ import annotations
 
@@ -6,17 +6,21 @@
 from collections.abc import Callable
 from pathlib import Path
 from typing import Annotated, Any
+from urllib.parse import urlencode
 
 import msgspec
 import typer
 
 from brassfall import settings
+from brassfall.commands import At, Json, address, run
 from brassfall.errors import BrassfallError, UsageError
 
-At = Annotated[str, typer.Option(help="HOST:PORT of the list service.")]
-Json = Annotated[bool, typer.Option("--json", help="JSON instead of text.")]
-Run = Callable[[Any], Any]
 POLL_S = 0.1
+OVERRIDE_MOST_S = 86_400
+
+revisions = typer.Typer(no_args_is_help=True, help="Editions that all sidecars act on together.")
+overrides = typer.Typer(no_args_is_help=True, help="Temporary overrides, which end by themselves.")
+geo = typer.Typer(no_args_is_help=True, help="Delays from client groups to regions.")
 
 
 class HaltedError(BrassfallError):
@@ -31,169 +35,237 @@
     action = "Name the override's `id` in the file; docs/overrides.md has the form of the rest."
 
 
-def _show(at: str, told: Any, json: bool, text: Callable[[], str]) -> None:
-    """What came, as JSON or as text; another program may have answered."""
-    from brassfall.controlplane.registry import client
+# --- answers, as far as they are shown -----------------------------------------------------------
+
+
+class PublishAnswer(msgspec.Struct, frozen=True):
+    """The answer to a publication."""
+
+    revision: int = msgspec.field(name="edition")
+
+
+class ObjectionRow(msgspec.Struct, frozen=True):
+    """Why one sidecar can't act on a revision."""
+
+    sidecar: str = msgspec.field(name="edge")
+    reason: str
+
+
+class RevisionState(msgspec.Struct, frozen=True):
+    """How far a revision is."""
+
+    revision: int = msgspec.field(name="edition")
+    state: str
+    objections: list[ObjectionRow]
+
+
+class SidecarRow(msgspec.Struct, frozen=True):
+    """What one sidecar acts on."""
+
+    name: str
+    newest: int | None = msgspec.field(name="held")
+    acting: int | str | None
+    behind: str
+
+
+class SidecarListing(msgspec.Struct, frozen=True):
+    """All sidecars."""
+
+    sidecars: list[SidecarRow] = msgspec.field(name="edges")
+
+
+class OverrideRow(msgspec.Struct, frozen=True):
+    """One override in force."""
+
+    id: str
+    left_ms: float
+    by: str
+    why: str
+
+
+class OverrideListing(msgspec.Struct, frozen=True):
+    """All overrides in force, and what is wrong with sidecars, by name."""
+
+    overrides: list[OverrideRow]
+    findings: dict[str, list[str]]
+
+
+class TimeLeft(msgspec.Struct, frozen=True):
+    """How long an override lasts."""
+
+    left_ms: float
+
 
-    try:
-        typer.echo(msgspec.json.encode(told).decode() if json else text())
-    except (KeyError, TypeError, AttributeError, ValueError) as error:
-        raise client.CallError(
-            at, f"what came is not what was asked for: {error!r}", client.ANOTHER_PROGRAM
-        ) from error
+class ServiceTime(msgspec.Struct, frozen=True):
+    """The time by which the service ends overrides, Unix ms."""
 
+    now_ms: float
 
-def add(app: typer.Typer, run: Run, address: Callable[[str], str]) -> None:
-    """Add the commands; `run` runs a coroutine as the other commands do, `address` checks an `--at`."""
-    app.add_typer(_rules(run, address), name="rules")
-    app.add_typer(_overrides(run, address), name="override")
-    app.add_typer(_geo(run, address), name="geo")
 
+class DelayRow(msgspec.Struct, frozen=True):
+    """The delay from one group to one region, and its interval of 90%."""
 
-def _rules(run: Run, address: Callable[[str], str]) -> typer.Typer:
-    rules = typer.Typer(no_args_is_help=True, help="Editions that all sidecars act on together.")
+    group: str
+    region: str
+    delay_ms: float
+    low_ms: float
+    high_ms: float
+    tried: bool
+    sidecars: int = msgspec.field(name="edges")
 
-    @rules.command()
-    def publish(
-        file: Annotated[Path, typer.Argument(help="Settings, as TOML.")],
-        at: At,
-        wait: Annotated[bool, typer.Option("--wait", help="Until it is committed or halted.")] = False,
-        force: Annotated[bool, typer.Option("--force", help="Although it does harm.")] = False,
-        follows: Annotated[int | None, typer.Option(help="Only after this edition.")] = None,
-        json: Json = False,
-    ) -> None:
-        """Publish settings as the next edition."""
-        told = run(_publish(address(at), settings.read_toml(file), wait, force, follows))
-        _show(at, told, json, lambda: f"edition {told['edition']}: {told.get('state', 'durable')}")
 
-    @rules.command()
-    def show(at: At, json: Json = False) -> None:
-        """The edition that matters most now, and what each sidecar acts on."""
-        from brassfall.controlplane.registry import client
+class DelayListing(msgspec.Struct, frozen=True):
+    """All delays that are known."""
 
-        async def both() -> tuple[Any, Any]:
-            return await client.call(address(at), "GET", "/rules"), await client.call(
-                address(at), "GET", "/edges"
-            )
+    pairs: list[DelayRow]
 
-        told, edges = run(both())
 
-        def text() -> str:
-            lines = [f"edition {told['edition']}: {told['state']}"]
-            lines += [f"  {row['edge']} objects: {row['reason']}" for row in told["objections"]]
-            lines += [
-                f"  {row['name']:<24} held {row['held']} acting {row['acting']} {row['behind']}"
-                for row in edges["edges"]
-            ]
-            return "\n".join(lines)
+def _show(raw: Any, text: Callable[[], str], *, json: bool) -> None:
+    """An answer, as it came or as text."""
+    typer.echo(msgspec.json.encode(raw).decode() if json else text())
 
-        _show(at, {**told, **edges}, json, text)
 
-    return rules
+# --- rules ---------------------------------------------------------------------------------------
 
 
-async def _publish(at: str, told: dict[str, Any], wait: bool, force: bool, follows: int | None) -> Any:
+@revisions.command()
+def publish(
+    *,
+    file: Annotated[Path, typer.Argument(help="Settings, as TOML.")],
+    at: At,
+    wait: Annotated[bool, typer.Option("--wait", help="Until it is committed or halted.")] = False,
+    force: Annotated[bool, typer.Option("--force", help="Although it does harm.")] = False,
+    follows: Annotated[int | None, typer.Option(help="Only after this edition.")] = None,
+    json: Json = False,
+) -> None:
+    """Publish settings as the next edition."""
+    headers = {"X-Force": "1"} if force else {}
+    if follows is not None:
+        headers["If-Match"] = str(follows)
+    raw, state = run(_publish(address(at), settings.read_toml(file), headers, wait=wait))
+    _show(raw, lambda: f"edition {raw['edition']}: {state}", json=json)
+
+
+async def _publish(at: str, body: dict[str, Any], headers: dict[str, str], *, wait: bool) -> tuple[Any, str]:
+    """The answer, and how far the revision is when this returns; `HaltedError` where it was halted."""
+    from brassfall.controlplane.registry import client
+
+    raw = await client.call(at, "PUT", "/rules", body, headers)
+    revision = client.read(at, PublishAnswer, raw).revision
+    while wait:
+        found = client.read(at, RevisionState, await client.call(at, "GET", f"/rules?edition={revision}"))
+        if found.state == "halted":
+            why = "; ".join(f"{row.sidecar}: {row.reason}".strip(": ") for row in found.objections)
+            raise HaltedError(f"edition {revision} was halted", why)
+        if found.state == "committed":
+            return {**raw, "state": "committed"}, "committed"
+        await asyncio.sleep(POLL_S)
+    return raw, "durable"
+
+
+@revisions.command("show")
+def show_revision(*, at: At, json: Json = False) -> None:
+    """The edition that matters most now, and what each sidecar acts on."""
+    from brassfall.controlplane.registry import client
+
+    async def both() -> tuple[Any, Any]:
+        state = await client.call(address(at), "GET", "/rules")
+        return state, await client.call(address(at), "GET", "/edges")
+
+    raw_state, raw_sidecars = run(both())
+    state = client.read(at, RevisionState, raw_state)
+    listing = client.read(at, SidecarListing, raw_sidecars)
+
+    def text() -> str:
+        lines = [f"edition {state.revision}: {state.state}"]
+        lines += [f"  {row.sidecar} objects: {row.reason}" for row in state.objections]
+        lines += [
+            f"  {row.name:<24} held {row.newest} acting {row.acting} {row.behind}" for row in listing.sidecars
+        ]
+        return "\n".join(lines)
+
+    _show({**raw_state, **raw_sidecars}, text, json=json)
+
+
+# --- override ------------------------------------------------------------------------------------
+
+
+@overrides.command("add")
+def add_override(
+    *, file: Annotated[Path, typer.Argument(help="One override, as TOML.")], at: At, json: Json = False
+) -> None:
+    """Start or extend an override. The file may have `for_s` in place of `until_ms`."""
     from brassfall.controlplane.registry import client
 
-    headers = ({"X-Force": "1"} if force else {}) | ({} if follows is None else {"If-Match": str(follows)})
-    made = await client.call(at, "PUT", "/rules", told, headers)
-    try:
-        while wait:
-            state = await client.call(at, "GET", f"/rules?edition={made['edition']}")
-            if state["state"] == "halted":
-                why = "; ".join(f"{row['edge']}: {row['reason']}".strip(": ") for row in state["objections"])
-                raise HaltedError(f"edition {made['edition']} was halted", why)
-            if state["state"] == "committed":
-                return {**made, "state": "committed"}
-            await asyncio.sleep(POLL_S)
-    except (KeyError, TypeError) as error:
-        raise client.CallError(
-            at, f"what came is not what was asked for: {error!r}", client.ANOTHER_PROGRAM
-        ) from error
-    return made
-
-
-def _overrides(run: Run, address: Callable[[str], str]) -> typer.Typer:
-    override = typer.Typer(no_args_is_help=True, help="Temporary overrides, which end by themselves.")
-
-    @override.command("add")
-    def add_(
-        file: Annotated[Path, typer.Argument(help="One override, as TOML.")], at: At, json: Json = False
-    ) -> None:
-        """Start or extend an override. The file may have `for_s` in place of `until_ms`."""
-        told = settings.read_toml(file)
-        name = told.pop("id", None)
-        if not isinstance(name, str) or not name:
-            raise OverrideFileError(f"{file}", "id: a name is wanted")
-        lasts = told.pop("for_s", None)
-        number = isinstance(lasts, int | float) and not isinstance(lasts, bool)
-        if lasts is not None and not (number and 0 < lasts <= 86_400):
-            raise OverrideFileError(f"{file}", "for_s: seconds, up to a day, are wanted")
-        made = run(_add(address(at), name, told, lasts))
-        _show(at, made, json, lambda: f"override {name}: {made['left_ms'] / 1000.0:.1f} s left")
-
-    @override.command()
-    def end(name: str, at: At, by: str = "", why: str = "", json: Json = False) -> None:
-        """End an override now."""
-        from urllib.parse import urlencode
-
-        from brassfall.controlplane.registry import client
-
-        query = urlencode({"by": by, "why": why})
-        made = run(client.call(address(at), "DELETE", f"/overrides/{name}?{query}"))
-        _show(at, made, json, lambda: f"override {name}: ended")
-
-    @override.command("list")
-    def list_(at: At, json: Json = False) -> None:
-        """All overrides in force, and what is wrong with sidecars."""
-        from brassfall.controlplane.registry import client
-
-        told = run(client.call(address(at), "GET", "/overrides"))
-
-        def text() -> str:
-            lines = [
-                f"{row['id']:<24} {row['left_ms'] / 1000.0:>9.1f} s left  by {row['by']}: {row['why']}"
-                for row in told["overrides"]
-            ]
-            lines += [f"{name}: {line}" for name, found in told["findings"].items() for line in found]
-            return "\n".join(lines) or "no override is in force"
-
-        _show(at, told, json, text)
-
-    return override
-
-
-async def _add(at: str, name: str, told: dict[str, Any], lasts: float | None) -> Any:
+    body = settings.read_toml(file)
+    name = body.pop("id", None)
+    if not isinstance(name, str) or not name:
+        raise OverrideFileError(f"{file}", "id: a name is wanted")
+    duration_s = body.pop("for_s", None)
+    is_number = isinstance(duration_s, int | float) and not isinstance(duration_s, bool)
+    if duration_s is not None and not (is_number and 0 < duration_s <= OVERRIDE_MOST_S):
+        raise OverrideFileError(f"{file}", "for_s: seconds, up to a day, are wanted")
+    raw = run(_add(address(at), name, body, duration_s))
+    left_s = client.read(at, TimeLeft, raw).left_ms / 1000.0
+    _show(raw, lambda: f"override {name}: {left_s:.1f} s left", json=json)
+
+
+async def _add(at: str, name: str, body: dict[str, Any], duration_s: float | None) -> Any:
     from brassfall.controlplane.registry import client
 
-    if lasts is not None:
+    if duration_s is not None:
         # Counted by the service's clock, which says when it ends: the one here may be wrong by hours.
-        listed = await client.call(at, "GET", "/overrides")
-        now = listed.get("now_ms") if isinstance(listed, dict) else None
-        if not isinstance(now, int | float):
-            raise client.CallError(at, "it does not say what time it has", client.ANOTHER_PROGRAM)
-        told["until_ms"] = int(now + lasts * 1000.0)
-    return await client.call(at, "PUT", f"/overrides/{name}", told)
+        now_ms = client.read(at, ServiceTime, await client.call(at, "GET", "/overrides")).now_ms
+        body["until_ms"] = int(now_ms + duration_s * 1000.0)
+    return await client.call(at, "PUT", f"/overrides/{name}", body)
 
 
-def _geo(run: Run, address: Callable[[str], str]) -> typer.Typer:
-    geo = typer.Typer(no_args_is_help=True, help="Delays from client groups to regions.")
+@overrides.command("end")
+def end_override(*, name: str, at: At, by: str = "", why: str = "", json: Json = False) -> None:
+    """End an override now."""
+    from brassfall.controlplane.registry import client
+
+    query = urlencode({"by": by, "why": why})
+    raw = run(client.call(address(at), "DELETE", f"/overrides/{name}?{query}"))
+    _show(raw, lambda: f"override {name}: ended", json=json)
+
+
+@overrides.command("list")
+def list_overrides(*, at: At, json: Json = False) -> None:
+    """All overrides in force, and what is wrong with sidecars."""
+    from brassfall.controlplane.registry import client
 
-    @geo.command()
-    def show(at: At, json: Json = False) -> None:
-        """Each pair's estimate, its interval of 90%, and its age."""
-        from brassfall.controlplane.registry import client
+    raw = run(client.call(address(at), "GET", "/overrides"))
+    listing = client.read(at, OverrideListing, raw)
 
-        told = run(client.call(address(at), "GET", "/geo"))
+    def text() -> str:
+        lines = [
+            f"{row.id:<24} {row.left_ms / 1000.0:>9.1f} s left  by {row.by}: {row.why}"
+            for row in listing.overrides
+        ]
+        lines += [f"{name}: {line}" for name, found in listing.findings.items() for line in found]
+        return "\n".join(lines) or "no override is in force"
+
+    _show(raw, text, json=json)
+
+
+# --- geo -----------------------------------------------------------------------------------------
+
+
+@geo.command("show")
+def show_delays(*, at: At, json: Json = False) -> None:
+    """Each pair's estimate, its interval of 90%, and its age."""
+    from brassfall.controlplane.registry import client
 
-        def text() -> str:
-            lines = [
-                f"{p['group']:<16} {p['region']:<16} {p['delay_ms']:>8.1f} ms ({p['low_ms']:.1f} to "
-                f"{p['high_ms']:.1f}) {'tried' if p['tried'] else 'guessed'}, {p['edges']} sidecars"
-                for p in told["pairs"]
-            ]
-            return "\n".join(lines) or "nothing was measured yet"
+    raw = run(client.call(address(at), "GET", "/geo"))
+    listing = client.read(at, DelayListing, raw)
 
-        _show(at, told, json, text)
+    def text() -> str:
+        lines = [
+            f"{row.group:<16} {row.region:<16} {row.delay_ms:>8.1f} ms ({row.low_ms:.1f} to "
+            f"{row.high_ms:.1f}) {'tried' if row.tried else 'guessed'}, {row.sidecars} sidecars"
+            for row in listing.pairs
+        ]
+        return "\n".join(lines) or "nothing was measured yet"
 
-    return geo
+    _show(raw, text, json=json)
--- /dev/null
+++ b/brassfall/registry_commands.py
@@ -0,0 +1,131 @@
+"""The commands `registry ...`: the list service, aggregators, and calls to them."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Coroutine
+from pathlib import Path
+from typing import Annotated, Any
+
+import msgspec
+import typer
+
+from brassfall import logs, settings
+from brassfall.commands import At, Json, Rounds, address, instance_name, progress, run
+from brassfall.errors import UsageError
+
+Config = Annotated[Path, typer.Option(help="A TOML file.")]
+ROW = "{name:<24} {status:<8} {address:<22} {zone:<8} {type:<8} {weight:>6g} {since_ms}"
+BENCH_LEAST_S, BENCH_MOST_S = 0.1, 600.0
+
+app = typer.Typer(no_args_is_help=True, help="The list service and its callers.")
+
+
+class WriteAnswer(msgspec.Struct, frozen=True):
+    """The answer to a write."""
+
+    index: int
+
+
+@app.command()
+def serve(config: Config) -> None:
+    """Run one list service, until SIGTERM."""
+    from brassfall.controlplane.registry import server
+
+    _serve(server.serve(settings.load(config)))
+
+
+@app.command()
+def aggregate(config: Config) -> None:
+    """Run one aggregator between sidecars and the list service that decides, until SIGTERM."""
+    from brassfall.controlplane.registry.aggregator import service
+
+    _serve(service.serve(settings.load_aggregator(config)))
+
+
+def _serve(work: Coroutine[Any, Any, int]) -> None:
+    """Run a process of the registry, until SIGTERM; ends the command with its exit status."""
+    import uvloop
+
+    logs.set_up()
+    with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
+        raise typer.Exit(runner.run(work))
+
+
+@app.command("list")
+def list_(*, at: At, json: Json = False) -> None:
+    """The instances that are listed now."""
+    from brassfall.controlplane.registry import client, entries
+
+    raw = run(client.call(address(at), "GET", "/registry/instances"))
+    listed = client.read(at, entries.Listed, raw)
+    if json:
+        typer.echo(msgspec.json.encode(raw).decode())
+        return
+    typer.echo(f"index {listed.index}, {len(listed.endpoints)} instances")
+    for row in listed.endpoints:
+        typer.echo(ROW.format_map(msgspec.structs.asdict(row)))
+
+
+@app.command()
+def watch(*, at: At, from_: Annotated[int, typer.Option("--from")] = 0, json: Json = False) -> None:
+    """Each change of the list as it is told, until Ctrl-C or the end of the watch."""
+    run(_watch(address(at), from_, json=json))
+
+
+async def _watch(at: str, index: int, *, json: bool) -> None:
+    from brassfall.controlplane.registry import client, entries
+
+    async for line in client.watch(at, "/registry/instances", index):
+        if line and json:
+            typer.echo(line.decode())
+        elif line:
+            listed = client.read(at, entries.Listed, line)
+            typer.echo(f"index {listed.index}, {'whole list' if listed.snapshot else 'changes'}")
+            for row in listed.endpoints:
+                typer.echo("  " + ROW.format_map(msgspec.structs.asdict(row)))
+
+
+@app.command()
+def register(
+    *,
+    at: At,
+    name: str,
+    server_address: Annotated[str, typer.Argument(metavar="address")],
+    zone: str = "",
+    type_: Annotated[str, typer.Option("--type")] = "",
+    group: int = 0,
+    weight: float = 1.0,
+    since_ms: int = 0,
+    ttl_ms: Annotated[int, typer.Option(help="0: until it is taken out.")] = 0,
+    json: Json = False,
+) -> None:
+    """Put one instance into the list, by hand; without --ttl-ms it stays until `leave`."""
+    body = {"address": server_address, "zone": zone, "type": type_, "group": group, "weight": weight}
+    body |= {"since_ms": since_ms, "ttl_ms": ttl_ms}
+    _write(at, "PUT", name, body, done="registered", json=json)
+
+
+@app.command()
+def leave(*, at: At, name: str, json: Json = False) -> None:
+    """Take one instance out of the list; every watch is told that it has left."""
+    _write(at, "DELETE", name, None, done="left", json=json)
+
+
+def _write(at: str, method: str, name: str, body: dict[str, Any] | None, *, done: str, json: bool) -> None:
+    from brassfall.controlplane.registry import client
+
+    path = f"/registry/instances/{instance_name(name)}"
+    raw = run(client.call(address(at), method, path, body))
+    index = client.read(at, WriteAnswer, raw).index
+    typer.echo(msgspec.json.encode(raw).decode() if json else f"{name}: {done}, index {index}")
+
+
+@app.command()
+def bench(rounds: Rounds = 3, seconds: float = 3.0) -> None:
+    """Measure one list service on this machine; a table in Markdown, in about a minute a round."""
+    from brassfall.lab import registry_bench
+
+    if not BENCH_LEAST_S <= seconds <= BENCH_MOST_S:
+        raise UsageError("--seconds", f"{seconds:g} is not between 0.1 and 600", "Name a time in between.")
+    typer.echo(run(registry_bench.run(rounds, seconds, progress)))
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -144,7 +144,10 @@
     "brassfall.controlplane.aggregation",
     "brassfall.controlplane.registry",
     "brassfall.lab",
+    "brassfall.commands",
+    "brassfall.registry_commands",
     "brassfall.fleet_commands",
+    "brassfall.lab_commands",
     "brassfall.cli",
 )
 PURE = (
