--- a/brassfall/controlplane/registry/aggregator/service.py
+++ b/brassfall/controlplane/registry/aggregator/service.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import os
 import random
 import time
@@ -58,7 +59,7 @@
             self.front,
             self._tasks,
             self._list_confirmed,
-            settings.whole_lists_per_s,
+            settings.lists_per_s,
         )
         self.children = Children(
             self.core,
@@ -72,12 +73,14 @@
             self._upstream, self.front, settings.writes_at_once, settings.writes_waiting
         )
         self._started_at = time.monotonic()
+        self._leaving = False
+        self._leases_ended = asyncio.Event()
 
     # --- start and shutdown -----------------------------------------------------------------
 
     async def start(self) -> str:
         """Take calls, and ask the list service from now on; where. `OSError` if that can't be done."""
-        self.front.bind(self.settings.listen)
+        await self.front.bind(self.settings.listen)
         self._upstream.open()
         at = await self.front.serve(self._routes(), lambda: None)
         if not self.settings.advertise:
@@ -90,10 +93,12 @@
 
     async def close(self) -> None:
         """Grant nothing more, wait until no granted lease runs, notify the service, and end."""
+        self._leaving = True
         self.step(deciding.Leave())
-        deadline = time.monotonic() + LEASES_END_S
-        while not self.core.may_end(now_ms()) and time.monotonic() < deadline:
-            await asyncio.sleep(TICK_S)
+        if not self.core.may_end(now_ms()):
+            with contextlib.suppress(TimeoutError):
+                async with asyncio.timeout(LEASES_END_S):
+                    await self._leases_ended.wait()
         await self._tasks.end()
         await self.front.close()
         await self._upstream.close()
@@ -103,6 +108,8 @@
             await asyncio.sleep(TICK_S)
             with faults(log):
                 self.step(deciding.Tick())
+                if self._leaving and self.core.may_end(now_ms()):
+                    self._leases_ended.set()
 
     # --- the core ---------------------------------------------------------------------------
 
--- a/brassfall/controlplane/registry/front.py
+++ b/brassfall/controlplane/registry/front.py
@@ -4,6 +4,7 @@
 
 import asyncio
 import contextlib
+import errno
 import random
 import resource
 import socket
@@ -23,6 +24,9 @@
 from brassfall.settings import CallerLimits, address
 
 BACKLOG = 4096  # a fleet connects at once
+BIND_RETRY_S, BIND_PAUSE_S = 3.0, 0.1
+# Failures of the machine that pass: for want of memory, of buffers or of descriptors.
+MOMENTARY = frozenset({errno.EINTR, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
 BODY_TIMEOUT_S = 5.0
 SHUTDOWN_TIMEOUT_S = 5.0  # for calls under way, when the process ends
 WATCH_RETRY_S = 5.0  # for one who has no place for a watch, and up to twice as long
@@ -65,10 +69,12 @@
 
     # --- start and end ------------------------------------------------------
 
-    def bind(self, listen: str) -> None:
-        """Take the address, before anything else is begun; `OSError` where it can't be had."""
+    async def bind(self, listen: str) -> None:
+        """Take the address, before anything else is begun; `OSError` where it can't be had.
+
+        What fails for want of memory or descriptors is tried again for `BIND_RETRY_S`."""
         _raise_descriptors()
-        self._socket = socket.create_server(address(listen), backlog=BACKLOG)
+        self._socket = await _create_server(address(listen))
         # Else the kernel holds megabytes for each slow reader, unseen by the bound on its watch.
         self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, self.limits.watch_bytes // 2)
 
@@ -236,6 +242,17 @@
     return response
 
 
+async def _create_server(at: tuple[str, int]) -> socket.socket:
+    deadline = time.monotonic() + BIND_RETRY_S
+    while True:
+        try:
+            return socket.create_server(at, backlog=BACKLOG)
+        except OSError as error:
+            if error.errno not in MOMENTARY or time.monotonic() >= deadline:
+                raise
+        await asyncio.sleep(BIND_PAUSE_S)
+
+
 def _closing(response: web.Response) -> web.Response:
     """The same answer; its connection ends with it."""
     response.force_close()
--- a/brassfall/controlplane/registry/geo.py
+++ b/brassfall/controlplane/registry/geo.py
@@ -278,10 +278,10 @@
             pairs=pairs,
             demand=self._demand_by_group(now_s),
             capacity=self._ramped_capacity(now_s),
-            prices={(p.group, p.region): settings.crossing_ms for p in pairs if p.group != p.region},
+            prices={(p.group, p.region): settings.foreign_penalty_ms for p in pairs if p.group != p.region},
             closed=self.editions.kept().committed.settings.get("regions", {}).get("held", []),
         )
-        policy = PlanPolicy(settings.floor, settings.most_moved, settings.look)
+        policy = PlanPolicy(settings.least_elsewhere, settings.migration_most, settings.exploration)
         compute = partial(make_plan, inputs, policy, before)
         return await asyncio.get_running_loop().run_in_executor(self._executor, compute)
 
--- a/brassfall/controlplane/registry/rules.py
+++ b/brassfall/controlplane/registry/rules.py
@@ -117,7 +117,7 @@
         timing = Timing(agree_ms=self.settings.agree_ms)
         self._started = self.now()
         self.core = Agreement(timing, self._started, kept, fleet, barred=self.barred)
-        self.directory = Directory(timing.over_ms, self.settings.edges_most)
+        self.directory = Directory(timing.over_ms, self.settings.members_most)
         self.channel = StateChannel(self.line, watch_bytes, stuck_s)
         self.host.channels[PLACE] = self.channel
         self._tasks.spawn(self._tick())
@@ -338,9 +338,11 @@
         if self.directory.live(self.now(), name):
             self.figures.refused_reports += 1
             raise AggregatorNameError(f"sidecar {name}", "an aggregator has this name")
-        if name not in self.core.fleet.edges and len(self.core.fleet.edges) >= self.settings.edges_most:
+        if name not in self.core.fleet.edges and len(self.core.fleet.edges) >= self.settings.members_most:
             self.figures.refused_reports += 1
-            raise Unavailable("no place", f"all {self.settings.edges_most} sidecars are known", retry_s=10.0)
+            raise Unavailable(
+                "no place", f"all {self.settings.members_most} sidecars are known", retry_s=10.0
+            )
         return calls.Brief(body=_encode(self._permission(name, report)))
 
     def _permission(self, name: str, report: Report) -> dict[str, Any]:
--- a/brassfall/controlplane/registry/server.py
+++ b/brassfall/controlplane/registry/server.py
@@ -76,7 +76,7 @@
 
         While the disk fails it goes on trying, and `/health/ready` says why. `LogError` where only an
         operator can help, `OSError` where the address can't be had. Cancelling gives the address back."""
-        self.front.bind(self.settings.listen)
+        await self.front.bind(self.settings.listen)
         try:
             await self._until_disk_works(self.store.start)
             limits = self.settings.limits
--- a/brassfall/settings.py
+++ b/brassfall/settings.py
@@ -20,10 +20,11 @@
 
 LABEL = re.compile(r"[A-Za-z0-9][A-Za-z0-9._:-]{0,63}")
 UPSTREAM_MOST = 16
+MOST = 1e12  # of any number in a file
 Kind = TypeVar("Kind")
 
-# Figures that may be 0; all others are more.
-ZERO = ("caller_calls_per_s", "gather_ms", "per_weight_per_s", "crossing_ms", "floor", "look")
+# Keys whose values may be 0; all others are more.
+MAY_BE_ZERO = ("caller_calls_per_s", "gather_ms", "per_weight_per_s", "crossing_ms", "floor", "look")
 
 
 class SettingsError(UsageError):
@@ -33,7 +34,7 @@
 
 
 class CallerLimits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What callers of any process may take up."""
+    """What callers of any process may use."""
 
     body_bytes: int = 65_536
     connections: int = 8192
@@ -42,7 +43,7 @@
     caller_calls_per_s: float = 2000.0  # from one address; 0 is without limit
     joins_per_s: float = 1000.0  # whole lists and new watches, from all together
     watch_bytes: int = 262_144  # unread by a slow watcher, before its changes are merged
-    watch_stuck_ms: int = 10_000  # how long it may read nothing, before it is cut off
+    watch_stuck_ms: int = 10_000  # how long it may read nothing, before it is aborted
     idle_ms: int = 15_000  # a connection without a call
 
 
@@ -70,14 +71,14 @@
     least_ms: int = 500
     most_ms: int = 600_000
     restart_grace_ms: int = 5000  # the least that each lease lasts after a start
-    gather_ms: int = 3000  # after a start with an empty disk, where callers know of an earlier life
+    gather_ms: int = 3000  # after a start with an empty disk, where callers know of an earlier incarnation
 
 
 class AgreementSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Editions that all sidecars act on together."""
+    """Configuration revisions that all sidecars act on together."""
 
-    agree_ms: float = 3000.0  # no two sidecars act on contradicting rules for longer
-    edges_most: int = 10_000  # sidecars that may report
+    agree_ms: float = 3000.0  # no two sidecars act on contradicting revisions for longer
+    members_most: int = msgspec.field(name="edges_most", default=10_000)  # sidecars that may report
     forget_ms: float = 86_400_000.0  # without a report: then it counts no more
 
 
@@ -85,10 +86,14 @@
     """Steering by measured delays; delays are always measured, plans are published only on demand."""
 
     per_weight_per_s: float = 0.0  # requests/s that a server of weight 1 can carry; 0: no plans
-    crossing_ms: float = 0.0  # what a region other than the group's own counts as farther
-    floor: float = 0.05  # of each group goes elsewhere than to its best region
-    most_moved: float = 0.2  # of a group's requests, an edition
-    look: float = 0.01  # of repeatable requests may look at regions without a share
+    # What a region other than the group's own counts as farther.
+    foreign_penalty_ms: float = msgspec.field(name="crossing_ms", default=0.0)
+    # The part of each group's requests that goes elsewhere than to its best region.
+    least_elsewhere: float = msgspec.field(name="floor", default=0.05)
+    # The most of a group's requests that one revision migrates.
+    migration_most: float = msgspec.field(name="most_moved", default=0.2)
+    # The part of idempotent requests that may explore regions without a share.
+    exploration: float = msgspec.field(name="look", default=0.01)
 
 
 class Cluster(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -132,8 +137,9 @@
     newcomers_burst: int = 100  # of them at once, after a quiet time
     agree_ms: float = 3000.0  # as the deciding service has it
     ring: int = 8192  # changes of the list that watchers can go on from
-    whole_lists_per_s: float = 200.0  # to all children together; changes since an index are not counted
-    writes_at_once: int = 32  # that are passed up
+    # Whole lists to all children together; changes since an index are not counted.
+    lists_per_s: float = msgspec.field(name="whole_lists_per_s", default=200.0)
+    writes_at_once: int = 32  # that are forwarded
     writes_waiting: int = 256  # for those; more get 503
     limits: CallerLimits = CallerLimits()
 
@@ -218,7 +224,7 @@
             except ValueError as error:
                 raise ValueError(f"aggregator.{key}: {error}") from error
     _positive("aggregator.", settings, zero=("newcomers_burst",))
-    _positive("aggregator.limits.", settings.limits, zero=ZERO)
+    _positive("aggregator.limits.", settings.limits, zero=MAY_BE_ZERO)
     if settings.limits.caller_share > 1.0:
         raise ValueError(
             f"aggregator.limits.caller_share: {settings.limits.caller_share} is more than all, 1.0"
@@ -234,7 +240,7 @@
     if settings.cluster is not None:
         raise ValueError("registry.cluster: this version runs one list service, without replicas")
     for part in ("limits", "guard", "leases", "agreement", "geo"):
-        _positive(f"registry.{part}.", getattr(settings, part), zero=ZERO)
+        _positive(f"registry.{part}.", getattr(settings, part), zero=MAY_BE_ZERO)
     _positive("registry.", settings)
     for name, share in (
         ("limits.caller_share", settings.limits.caller_share),
@@ -249,7 +255,8 @@
 
 
 def _positive(at: str, part: Any, zero: tuple[str, ...] = ()) -> None:
-    for name in part.__struct_fields__:
+    """Check the numbers of one part; `at` is its place in the file, with a dot at the end."""
+    for name, key in zip(part.__struct_fields__, part.__struct_encode_fields__, strict=True):
         value = getattr(part, name)
-        if isinstance(value, int | float) and not (0 < value < 1e12 or (name in zero and value == 0)):
-            raise ValueError(f"{at}{name}: {value} is out of range")
+        if isinstance(value, int | float) and not (0 < value < MOST or (key in zero and value == 0)):
+            raise ValueError(f"{at}{key}: {value} is out of range")
--- a/tests/test_aggregator_shell.py
+++ b/tests/test_aggregator_shell.py
@@ -180,7 +180,7 @@
 
 @bounded(30.0)
 async def test_lists_watches_and_writes_go_through_it(tmp_path):
-    async with tier(tmp_path, ring=4, whole_lists_per_s=20.0, agree_ms=SOON_MS) as (_, at, below, session):
+    async with tier(tmp_path, ring=4, lists_per_s=20.0, agree_ms=SOON_MS) as (_, at, below, session):
         async with Watch(session, below, f"{LIST}?watch=1&from=0") as watch:
             first = await watch.news()
             assert first["snapshot"] and watch.answer.headers[AGE] == "2000"
