--- a/brassfall/lab/arrivals.py
+++ b/brassfall/lab/arrivals.py
@@ -44,9 +44,9 @@
     return rows
 
 
-def experiment(path: Path) -> tuple[spec.Experiment, list[tuple[float, str, int, float]]]:
+def load_experiment(path: Path) -> tuple[spec.Experiment, list[tuple[float, str, int, float]]]:
     """The experiment of a file, and the rows of its arrivals file, if it names one."""
-    told = spec.load(path)
-    if told.load.replay is None:
-        return told, []
-    return told, load(path.parent / told.load.replay)
+    experiment = spec.load(path)
+    if experiment.load.replay is None:
+        return experiment, []
+    return experiment, load(path.parent / experiment.load.replay)
--- a/brassfall/lab/bench.py
+++ b/brassfall/lab/bench.py
@@ -77,7 +77,7 @@
 
 
 def _row(sidecars: int, servers: int, workers: int, results: Sequence[Result], took: float) -> str:
-    asked = [float(r.judgement.figures.requests) for r in results if r.judgement]
+    asked = [float(r.judgement.statistics.requests) for r in results if r.judgement]
     rates = [number / r.cost["play_s"] for number, r in zip(asked, results, strict=True)]
     cells = [
         spread(asked, ".0f"),
--- a/brassfall/lab/capacity/datapath/scene.py
+++ b/brassfall/lab/capacity/datapath/scene.py
@@ -116,7 +116,7 @@
         """Start a list service with so many entries, which stand for the addresses in rotation."""
         experiment = self._folder / "experiment.toml"
         experiment.write_text(EXPERIMENT, encoding="utf-8")
-        self._experiment, _ = arrivals.experiment(experiment)
+        self._experiment, _ = arrivals.load_experiment(experiment)
         config = self._folder / "registry.toml"
         config.write_text(
             f'[registry]\nlisten = "127.0.0.1:0"\ndata = "{self._folder / "registry"}"\n'
--- a/brassfall/lab/compare.py
+++ b/brassfall/lab/compare.py
@@ -12,7 +12,7 @@
 from brassfall.lab.play import Result
 from brassfall.settings import SettingsError, read_toml
 
-FIGURES = ("service", "worst_window", "worst_class", "goal")
+STATISTICS = ("service", "worst_window", "worst_class", "goal")
 RESAMPLES = 10_000
 CONFIDENCE = 95.0
 PAIRS_LEAST = 3
@@ -64,7 +64,9 @@
 def difference(figure: str, base: Side, other: Side) -> Difference:
     """One figure of two sides."""
     seeds = sorted(base.results.keys() & other.results.keys())
-    pairs = [(_figure(base.results[seed], figure), _figure(other.results[seed], figure)) for seed in seeds]
+    pairs = [
+        (_statistic(base.results[seed], figure), _statistic(other.results[seed], figure)) for seed in seeds
+    ]
     apart = [theirs - ours for ours, theirs in pairs]
     low = high = None
     if len(apart) >= PAIRS_LEAST:
@@ -81,10 +83,10 @@
     )
 
 
-def _figure(result: Result, figure: str) -> float:
+def _statistic(result: Result, figure: str) -> float:
     assert result.judgement is not None
-    figures = result.judgement.figures
-    return figures.spans[figure] if figure in figures.spans else float(getattr(figures, figure))
+    statistics = result.judgement.statistics
+    return statistics.spans[figure] if figure in statistics.spans else float(getattr(statistics, figure))
 
 
 def sides(folders: Sequence[Path]) -> list[Side]:
@@ -119,9 +121,11 @@
 
 def _day(experiment: dict[str, object]) -> dict[str, object]:
     """What of an experiment decides its days."""
-    told = experiment.get("experiment")
+    head_table = experiment.get("experiment")
     head = (
-        {key: value for key, value in told.items() if key not in FREE_HEAD} if isinstance(told, dict) else {}
+        {key: value for key, value in head_table.items() if key not in FREE_HEAD}
+        if isinstance(head_table, dict)
+        else {}
     )
     return {**{key: value for key, value in experiment.items() if key not in FREE}, "experiment": head}
 
@@ -138,7 +142,7 @@
             for finding in result.judgement.findings if result.judgement else ():
                 rules[finding.rule] = rules.get(finding.rule, 0) + 1
         spans = next(iter(base.results.values())).judgement
-        names = [*FIGURES, *(spans.figures.spans if spans is not None else ())]
+        names = [*STATISTICS, *(spans.statistics.spans if spans is not None else ())]
         differences = [difference(figure, base, other) for figure in names]
         made.append(Comparison(base.name, other.name, differences, rules))
     return made
--- a/brassfall/lab/compiled.py
+++ b/brassfall/lab/compiled.py
@@ -22,7 +22,7 @@
     "brassfall/lab/models/client.py",
     "brassfall/lab/models/network.py",
     "brassfall/lab/models/server.py",
-    "brassfall/lab/sim/flaws.py",
+    "brassfall/lab/sim/defects.py",
     "brassfall/lab/sim/lists.py",
     "brassfall/lab/sim/parts.py",
     "brassfall/lab/sim/sidecar.py",
--- a/brassfall/lab/day.py
+++ b/brassfall/lab/day.py
@@ -21,10 +21,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Crowded:
+class Overload:
     """When one server turns slow, and stays so."""
 
-    held: float  # requests, from which it is crowded
+    in_flight: float  # requests, from which it is crowded
     after: float
     slower: float
     rest_below: float
@@ -43,8 +43,8 @@
     speed: float
     slots: int
     queue: int
-    cold_from: float
-    cold_ms: float
+    warmup_start: float
+    warmup_ms: float
     error_rate: float
     report_every: float
     report_late: float
@@ -55,7 +55,7 @@
     full_tax: float
     fall_multiple: float
     fall_after: float
-    crowded: Crowded | None
+    overload: Overload | None
     seed: int
 
     @property
@@ -77,7 +77,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ways:
+class NetworkDelays:
     """Delays one way from groups of sidecars to zones, in ms, and in which zone each group stands."""
 
     between: geography.Delays
@@ -96,7 +96,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Trouble:
+class ScheduledFault:
     """One thing that goes wrong, with its targets named. Times are ms from the start."""
 
     kind: str
@@ -131,10 +131,10 @@
     apps: tuple[Application, ...]
     classes: tuple[RequestClass, ...]
     noise: tuple[float, ...]  # by class
-    ways: Ways
+    delays: NetworkDelays
     routes: tuple[tuple[float, geography.Delays], ...]  # `ways.between` from each time on
     habits: Habits
-    troubles: tuple[Trouble, ...]
+    faults: tuple[ScheduledFault, ...]
     arrivals: Arrivals
     list_delay: tuple[float, float]
     ttl: float
@@ -146,55 +146,59 @@
     action = "Mend the experiment there, or the arrivals file that it names."
 
 
-def draw(told: Experiment, seed: int, recorded: Sequence[tuple[float, str, int, float]] = ()) -> Day:
+def sample_day(
+    experiment: Experiment, seed: int, recorded: Sequence[tuple[float, str, int, float]] = ()
+) -> Day:
     """The day of a seed. `recorded` holds the rows of an arrivals file, if the load is a replay."""
     # Each part has a source of its own, so that a change to one leaves the others as they were.
     fleet, load, luck, clients = (np.random.default_rng([seed, part]) for part in range(4))
-    servers = tuple(_machines(told, fleet))
-    apps = tuple(_applications(told, clients))
+    servers = tuple(_machines(experiment, fleet))
+    apps = tuple(_applications(experiment, clients))
     habits = Habits(
-        int(told.clients.retries.at(clients.random())),
-        told.clients.try_share.at(clients.random()),
-        told.clients.backoff.at(clients.random()),
-        told.clients.honour.at(clients.random()),
+        int(experiment.clients.retries.at(clients.random())),
+        experiment.clients.try_share.at(clients.random()),
+        experiment.clients.backoff.at(clients.random()),
+        experiment.clients.honour.at(clients.random()),
     )
     classes, cvs = [], []
-    for row in told.classes:
+    for row in experiment.classes:
         mean = row.work.at(load.random())
         classes.append(mean)
         cvs.append(row.cv.at(load.random()))
-    noise = tuple(row.noise.at(load.random()) for row in told.classes)
+    noise = tuple(row.noise.at(load.random()) for row in experiment.classes)
     if recorded:
-        arrivals = _replayed(told, recorded, classes)
+        arrivals = _replayed(experiment, recorded, classes)
     else:
-        arrivals = _arrivals(told, load, servers, apps, classes, cvs)
-    ways = _ways(told, clients)
-    routes = [(0.0, ways.between)]
-    if told.geography is not None:
-        routes = geography.routes(told, told.geography, np.random.default_rng([seed, 4]))
-        ways = replace(ways, between=routes[0][1])
+        arrivals = _arrivals(experiment, load, servers, apps, classes, cvs)
+    delays = _network_delays(experiment, clients)
+    routes = [(0.0, delays.between)]
+    if experiment.geography is not None:
+        routes = geography.routes(experiment, experiment.geography, np.random.default_rng([seed, 4]))
+        delays = replace(delays, between=routes[0][1])
     return Day(
         seed=seed,
-        lasts=float(told.experiment.lasts),
+        lasts=float(experiment.head.lasts),
         servers=servers,
         apps=apps,
-        classes=tuple(told.classes),
+        classes=tuple(experiment.classes),
         noise=noise,
-        ways=ways,
+        delays=delays,
         routes=tuple(routes),
         habits=habits,
-        troubles=tuple(sorted(_troubles(told, luck, servers, apps), key=lambda t: (t.at, t.kind))),
+        faults=tuple(
+            sorted(_scheduled_faults(experiment, luck, servers, apps), key=lambda t: (t.at, t.kind))
+        ),
         arrivals=arrivals,
-        list_delay=told.lists.delay,
-        ttl=float(told.lists.ttl),
+        list_delay=experiment.lists.delay,
+        ttl=float(experiment.lists.ttl),
     )
 
 
-def _machines(told: Experiment, rng: np.random.Generator) -> list[Machine]:
+def _machines(experiment: Experiment, rng: np.random.Generator) -> list[Machine]:
     """Servers of each kind by its share, spread over zones."""
-    fleet = told.fleet
-    crowding, links, report = fleet.crowding, fleet.connections, fleet.report
-    chokes = rng.random() < crowding.servers
+    fleet = experiment.fleet
+    overload_settings, links, report = fleet.overload, fleet.connections, fleet.report
+    chokes = rng.random() < overload_settings.servers
     round_trips, tax = links.round_trips.at(rng.random()), links.full_tax.at(rng.random())
     handshake = links.handshake.at(rng.random())
     per_kind = {kind.name: _per_kind(kind, rng) for kind in fleet.kinds}
@@ -202,14 +206,14 @@
     for number in range(fleet.servers):
         index = _by_share([kind.share for kind in fleet.kinds], number, fleet.servers)
         kind = fleet.kinds[index]
-        slots, queue, cold_from, cold_ms, speed, errors = per_kind[kind.name]
-        crowded = Crowded(
-            crowding.held_per_core.at(rng.random()) * kind.cores,
-            crowding.after.at(rng.random()),
-            crowding.slower.at(rng.random()),
-            crowding.rest_below.at(rng.random()) * kind.cores,
-            crowding.rest.at(rng.random()),
-            crowding.most.at(rng.random()),
+        slots, queue, warmup_start, warmup_ms, speed, errors = per_kind[kind.name]
+        overload = Overload(
+            overload_settings.in_flight_per_core.at(rng.random()) * kind.cores,
+            overload_settings.after.at(rng.random()),
+            overload_settings.slower.at(rng.random()),
+            overload_settings.rest_below.at(rng.random()) * kind.cores,
+            overload_settings.rest.at(rng.random()),
+            overload_settings.most.at(rng.random()),
         )
         made.append(
             Machine(
@@ -220,8 +224,8 @@
                 speed=speed * float(rng.uniform(0.9, 1.1)),
                 slots=max(kind.cores, round(slots * kind.cores)),
                 queue=max(1, round(queue * kind.cores)),
-                cold_from=cold_from,
-                cold_ms=cold_ms,
+                warmup_start=warmup_start,
+                warmup_ms=warmup_ms,
                 error_rate=errors,
                 report_every=report.every.at(rng.random()),
                 report_late=report.late.at(rng.random()),
@@ -232,7 +236,7 @@
                 full_tax=tax,
                 fall_multiple=fleet.fall_multiple,
                 fall_after=float(fleet.fall_after),
-                crowded=crowded if chokes else None,
+                overload=overload if chokes else None,
                 seed=int(rng.integers(2**32)),
             )
         )
@@ -243,8 +247,8 @@
     return (
         kind.slots_per_core.at(rng.random()),
         kind.queue_per_core.at(rng.random()),
-        kind.cold_from.at(rng.random()),
-        kind.cold.at(rng.random()),
+        kind.warmup_start.at(rng.random()),
+        kind.warmup.at(rng.random()),
         kind.speed.at(rng.random()),
         kind.error_rate.at(rng.random()),
     )
@@ -260,10 +264,10 @@
     return len(shares) - 1
 
 
-def _applications(told: Experiment, rng: np.random.Generator) -> list[Application]:
-    count, zones, homes = told.fleet.sidecars, len(told.fleet.zones), geography.homes(told)
-    cv = told.clients.uneven.at(rng.random())
-    skew = told.clients.zone_skew.at(rng.random())
+def _applications(experiment: Experiment, rng: np.random.Generator) -> list[Application]:
+    count, zones, homes = experiment.fleet.sidecars, len(experiment.fleet.zones), geography.homes(experiment)
+    cv = experiment.clients.uneven.at(rng.random())
+    skew = experiment.clients.zone_skew.at(rng.random())
     sigma = math.sqrt(math.log1p(cv * cv))
     loads = rng.lognormal(-sigma * sigma / 2.0, sigma, count)
     loads *= [1.0 + skew * (1.0 if n % zones == 0 else -1.0 / max(1, zones - 1)) for n in range(count)]
@@ -274,26 +278,26 @@
             homes[n % len(homes)],
             n % len(homes),
             float(loads[n]),
-            told.network.client.at(rng.random()),
+            experiment.network.client.at(rng.random()),
             int(rng.integers(2**32)),
         )
         for n in range(count)
     ]
 
 
-def _ways(told: Experiment, rng: np.random.Generator) -> Ways:
-    zones = range(len(told.fleet.zones))
-    same, cross = told.network.same.at(rng.random()), told.network.cross.at(rng.random())
+def _network_delays(experiment: Experiment, rng: np.random.Generator) -> NetworkDelays:
+    zones = range(len(experiment.fleet.zones))
+    same, cross = experiment.network.same.at(rng.random()), experiment.network.cross.at(rng.random())
     between = tuple(tuple(same if a == b else cross for b in zones) for a in zones)
-    return Ways(between, told.network.jitter.at(rng.random()), geography.homes(told))
+    return NetworkDelays(between, experiment.network.jitter.at(rng.random()), geography.homes(experiment))
 
 
 # --- load --------------------------------------------------------------------------------------
 
 
-def _level(told: Experiment, rng: np.random.Generator) -> np.ndarray[Any, np.dtype[np.float64]]:
+def _level(experiment: Experiment, rng: np.random.Generator) -> np.ndarray[Any, np.dtype[np.float64]]:
     """The load on a grid of `GRID_MS`, as a multiple of the usual."""
-    load, lasts = told.load, told.experiment.lasts
+    load, lasts = experiment.load, experiment.head.lasts
     at = np.arange(0.0, lasts, GRID_MS)
     swing, phase = load.swing.at(rng.random()), rng.random()
     level = 1.0 + swing * np.sin(2.0 * np.pi * (at / load.wave + phase))
@@ -309,7 +313,7 @@
 
 
 def _arrivals(
-    told: Experiment,
+    experiment: Experiment,
     rng: np.random.Generator,
     servers: Sequence[Machine],
     apps: Sequence[Application],
@@ -317,18 +321,18 @@
     cvs: Sequence[float],
 ) -> Arrivals:
     """Open-loop arrivals: a Poisson stream whose rate follows the level, whatever is answered."""
-    shares = np.array([row.share for row in told.classes])
+    shares = np.array([row.share for row in experiment.classes])
     shares = shares / shares.sum()
-    if told.load.rate is not None:
-        usual = told.load.rate / 1000.0
+    if experiment.load.rate is not None:
+        usual = experiment.load.rate / 1000.0
     else:
-        assert told.load.share is not None
+        assert experiment.load.share is not None
         capacity = sum(server.capacity for server in servers)
-        usual = told.load.share.at(rng.random()) * capacity / float(shares @ np.array(works))
-    expected = np.concatenate(([0.0], np.cumsum(_level(told, rng) * usual * GRID_MS)))
+        usual = experiment.load.share.at(rng.random()) * capacity / float(shares @ np.array(works))
+    expected = np.concatenate(([0.0], np.cumsum(_level(experiment, rng) * usual * GRID_MS)))
     count = int(rng.poisson(expected[-1]))
     at = np.interp(np.sort(rng.random(count)) * expected[-1], expected, np.arange(len(expected)) * GRID_MS)
-    at = np.minimum(at, told.experiment.lasts)
+    at = np.minimum(at, experiment.head.lasts)
     app = rng.choice(len(apps), size=count, p=[a.share for a in apps])
     cls = rng.choice(len(shares), size=count, p=shares)
     work = np.empty(count)
@@ -339,46 +343,48 @@
 
 
 def _replayed(
-    told: Experiment, rows: Sequence[tuple[float, str, int, float]], works: Sequence[float]
+    experiment: Experiment, rows: Sequence[tuple[float, str, int, float]], works: Sequence[float]
 ) -> Arrivals:
-    names = {row.name: index for index, row in enumerate(told.classes)}
-    lasts = told.experiment.lasts
-    kept = sorted((row for row in rows if row[0] < lasts), key=lambda row: row[0])
-    for at, name, _, _ in kept:
+    names = {row.name: index for index, row in enumerate(experiment.classes)}
+    lasts = experiment.head.lasts
+    rows_played = sorted((row for row in rows if row[0] < lasts), key=lambda row: row[0])
+    for at, name, _, _ in rows_played:
         if name not in names:
             raise DayError("load.replay", f"class {name!r} at {at:g} ms is none of {', '.join(names)}")
-    cls = np.array([names[row[1]] for row in kept], dtype=np.int64)
+    cls = np.array([names[row[1]] for row in rows_played], dtype=np.int64)
     return Arrivals(
-        np.array([row[0] for row in kept], dtype=np.float64),
-        np.array([row[2] % told.fleet.sidecars for row in kept], dtype=np.int64),
+        np.array([row[0] for row in rows_played], dtype=np.float64),
+        np.array([row[2] % experiment.fleet.sidecars for row in rows_played], dtype=np.int64),
         cls,
-        np.array([row[3] or works[int(c)] for row, c in zip(kept, cls, strict=True)], dtype=np.float64),
+        np.array(
+            [row[3] or works[int(c)] for row, c in zip(rows_played, cls, strict=True)], dtype=np.float64
+        ),
     )
 
 
 # --- troubles ----------------------------------------------------------------------------------
 
 
-def _troubles(
-    told: Experiment, rng: np.random.Generator, servers: Sequence[Machine], apps: Sequence[Application]
-) -> list[Trouble]:
-    faults = list(told.faults)
-    if told.drawn is not None:
-        lasts = told.experiment.lasts
-        for _ in range(round(told.drawn.count.at(rng.random()))):
-            kind = told.drawn.kinds[int(rng.integers(len(told.drawn.kinds)))]
+def _scheduled_faults(
+    experiment: Experiment, rng: np.random.Generator, servers: Sequence[Machine], apps: Sequence[Application]
+) -> list[ScheduledFault]:
+    faults = list(experiment.faults)
+    if experiment.sampled_faults is not None:
+        lasts = experiment.head.lasts
+        for _ in range(round(experiment.sampled_faults.count.at(rng.random()))):
+            kind = experiment.sampled_faults.kinds[int(rng.integers(len(experiment.sampled_faults.kinds)))]
             at = lasts * (0.05 + 0.65 * rng.random())
             faults.append(Fault(kind=kind, at=Span((at, at)), **BRIEF[kind]))
-    return [_trouble(told, fault, rng, servers, apps) for fault in faults]
+    return [_scheduled(experiment, fault, rng, servers, apps) for fault in faults]
 
 
-def _trouble(
-    told: Experiment,
+def _scheduled(
+    experiment: Experiment,
     fault: Fault,
     rng: np.random.Generator,
     servers: Sequence[Machine],
     apps: Sequence[Application],
-) -> Trouble:
+) -> ScheduledFault:
     at = fault.at.at(rng.random())
     until = at + fault.lasts.at(rng.random())
     size = fault.size.at(rng.random()) if fault.size is not None else 0.0
@@ -387,19 +393,19 @@
     if fault.servers is not None:
         targets = tuple(fault.servers)
     elif SERVERS in NEEDS[fault.kind] and fault.zone is not None:
-        zone = told.fleet.zones.index(fault.zone)
+        zone = experiment.fleet.zones.index(fault.zone)
         targets = tuple(server.name for server in servers if server.zone == zone)
     elif SERVERS in NEEDS[fault.kind] or ANYONE in NEEDS[fault.kind]:
         names = [x.name for x in (apps if ANYONE in NEEDS[fault.kind] else servers)]
         chosen = rng.choice(len(names), size=max(1, round(part * len(names))), replace=False)
         targets = tuple(names[int(index)] for index in chosen)
-    return Trouble(
+    return ScheduledFault(
         kind=fault.kind,
         at=at,
         until=until,
         targets=targets,
         size=size,
-        zone=told.fleet.zones.index(fault.zone) if fault.zone is not None else -1,
+        zone=experiment.fleet.zones.index(fault.zone) if fault.zone is not None else -1,
         batch=max(1, round(fault.batch.at(rng.random()) * len(servers))),
         drain=fault.drain.at(rng.random()),
         swing=fault.swing.at(rng.random()),
@@ -407,18 +413,18 @@
     )
 
 
-def wire_settings(told: Experiment, me: int, overlay: dict[str, Any]) -> dict[str, Any]:
+def wire_settings(experiment: Experiment, me: int, overlay: dict[str, Any]) -> dict[str, Any]:
     """What a sidecar is told of the site, in the form of the wire's `Setup`."""
     effects = {"safe": "pure", "keyed": "token", "unsafe": "side_effect"}
-    links, homes = told.fleet.connections, geography.homes(told)
+    links, homes = experiment.fleet.connections, geography.homes(experiment)
     settings: dict[str, Any] = {
-        "Balancers": told.fleet.sidecars,
+        "Balancers": experiment.fleet.sidecars,
         "Clients": {"MarksRetry": True},
         "Discovery": "subscribe",
         "Domain": {"WarmKeys": False},
-        "FailureDomains": told.fleet.zones,
+        "FailureDomains": experiment.fleet.zones,
         "Goal": {"Whole": 0.75, "WorstClass": 0.2, "WorstTenant": 0.0, "WorstWindow": 0.05},
-        "Kinds": [kind.name for kind in told.fleet.kinds],
+        "Kinds": [kind.name for kind in experiment.fleet.kinds],
         "Locality": homes[me % len(homes)],
         "Me": me,
         "OverShareWorth": 0.1,
@@ -443,22 +449,22 @@
                 "Deadline": row.deadline,
                 "Semantics": effects[row.effect],
                 "Group": "all",
-                "KeyTtl": row.key_life,
+                "KeyTtl": row.key_ttl,
                 "LateWorth": 0.0,
                 "Streaming": False,
-                "Worth": row.worth,
+                "Worth": row.weight,
             }
-            for row in told.classes
+            for row in experiment.classes
         ],
         "Report": {"Fields": ["inflight"], "How": "inline"},
         "Rules": {
             "AnswerSlack": 20.0,
             "AskWithin": 10_000.0,
-            "ColdFrom": min(kind.cold_from[0] for kind in told.fleet.kinds),
-            "FallMultiple": told.fleet.fall_multiple,
-            "OverloadFor": told.fleet.fall_after,
+            "ColdFrom": min(kind.warmup_start[0] for kind in experiment.fleet.kinds),
+            "FallMultiple": experiment.fleet.fall_multiple,
+            "OverloadFor": experiment.fleet.fall_after,
             "StopSendingWithin": 500.0,
-            "WarmUp": max(kind.cold[1] for kind in told.fleet.kinds),
+            "WarmUp": max(kind.warmup[1] for kind in experiment.fleet.kinds),
         },
         "Tenants": [],
         "Tick": 5.0,
--- a/brassfall/lab/geography.py
+++ b/brassfall/lab/geography.py
@@ -11,17 +11,19 @@
 Delays = tuple[tuple[float, ...], ...]  # ms one way, by group and zone
 
 
-def homes(told: Experiment) -> tuple[int, ...]:
+def homes(experiment: Experiment) -> tuple[int, ...]:
     """The zone in which each group's sidecars stand; without a geography each zone has its group."""
-    zones = told.fleet.zones
-    if told.geography is None:
+    zones = experiment.fleet.zones
+    if experiment.geography is None:
         return tuple(range(len(zones)))
-    return tuple(zones.index(group.zone) for group in told.geography.groups)
+    return tuple(zones.index(group.zone) for group in experiment.geography.groups)
 
 
-def routes(told: Experiment, geography: Geography, rng: np.random.Generator) -> list[tuple[float, Delays]]:
+def routes(
+    experiment: Experiment, geography: Geography, rng: np.random.Generator
+) -> list[tuple[float, Delays]]:
     """The delays from each time on (ms from the start), the first from 0."""
-    zones = told.fleet.zones
+    zones = experiment.fleet.zones
     now = [[group.delays[zone].at(rng.random()) for zone in zones] for group in geography.groups]
     found = [(0.0, _frozen(now))]
     names = [group.name for group in geography.groups]
--- a/brassfall/lab/judge.py
+++ b/brassfall/lab/judge.py
@@ -15,19 +15,19 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from brassfall.lab.ledger import Answer, Attempt, Life, News
+from brassfall.lab.ledger import Answer, Attempt, Incarnation, ListEvent
 from brassfall.lab.models.client import BROKEN, FAILED, REFUSED, SERVED, SILENT, UNREACHED
 from brassfall.lab.spec import Measure, RequestClass
 
 DRAIN_MS = 500.0
-TOLD_SHARE = 2.0 / 3.0  # of what toppled a cold server: from sidecars that had been told of its start
+NOTIFIED_SHARE = 2.0 / 3.0  # of what toppled a cold server: from sidecars that had been told of its start
 CHANCE_SLACK = 1.05
 WINDOW_S = 10
 HISTOGRAM_MOST_US = 120_000_000
 PERCENTILES = (50.0, 90.0, 99.0, 99.9)
 # Points taken off, each times its share of first tries, of the work asked for, or of the worth.
 CROSS_PRICE, WASTE_PRICE, LATE_PRICE, REFUSED_LATE_PRICE = 0.03, 0.015, 0.05, 0.3
-GOAL_WHOLE, GOAL_WINDOW, GOAL_CLASS = 0.75, 0.05, 0.2
+GOAL_SERVICE, GOAL_WINDOW, GOAL_CLASS = 0.75, 0.05, 0.2
 
 RULES = {
     "lost": "a request was taken and never answered whole",
@@ -51,7 +51,7 @@
     first: str
 
 
-class Figures(msgspec.Struct):
+class Statistics(msgspec.Struct):
     """What one play was worth, between 0 and 1 where no unit is given."""
 
     requests: int
@@ -74,7 +74,7 @@
 class Judgement(msgspec.Struct):
     """All that a ledger says."""
 
-    figures: Figures
+    statistics: Statistics = msgspec.field(name="figures")
     findings: list[Finding]
 
 
@@ -91,17 +91,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Book:
+class Records:
     """The rows of one play."""
 
     answers: Sequence[Answer]
     attempts: Sequence[Attempt]
-    news: Sequence[News]
-    lives: Sequence[Life]
+    events: Sequence[ListEvent]
+    incarnations: Sequence[Incarnation]
 
 
 def judge(
-    book: Book,
+    records: Records,
     classes: Sequence[RequestClass],
     lasts: float,
     slack: float,
@@ -115,19 +115,19 @@
     """
     rows = {row.name: row for row in classes}
     by_id: dict[str, list[Attempt]] = defaultdict(list)
-    for attempt in book.attempts:
+    for attempt in records.attempts:
         by_id[attempt.id].append(attempt)
     findings = Findings()
-    _answers(findings, book.answers, by_id, rows, slack)
-    known = {answer.id: answer for answer in book.answers}
-    for attempt in book.attempts:
+    _answers(findings, records.answers, by_id, rows, slack)
+    known = {answer.id: answer for answer in records.answers}
+    for attempt in records.attempts:
         if attempt.id not in known:
             findings.add("unknown", f"{attempt.id} at {attempt.server}, {attempt.at:.0f} ms")
-    _drains(findings, book, known, slack)
-    _cold(findings, book, known, fall)
-    figures = _figures(book, by_id, rows, lasts)
-    figures.spans = {measure.name: _span(book, rows, measure) for measure in measures}
-    return Judgement(figures, [findings.found[rule] for rule in RULES if rule in findings.found])
+    _drains(findings, records, known, slack)
+    _warming_up(findings, records, known, fall)
+    statistics = _statistics(records, by_id, rows, lasts)
+    statistics.spans = {measure.name: _span(records, rows, measure) for measure in measures}
+    return Judgement(statistics, [findings.found[rule] for rule in RULES if rule in findings.found])
 
 
 # --- rules -------------------------------------------------------------------------------------
@@ -154,7 +154,7 @@
         ran = [attempt for attempt in attempts if attempt.ran]
         if row.effect == "unsafe" and len(ran) > 1:
             findings.add("ran twice", f"{case}: at {ran[0].server} and {ran[1].server}")
-        if row.effect == "keyed" and ran and ran[-1].sent > ran[0].sent + row.key_life + slack:
+        if row.effect == "keyed" and ran and ran[-1].sent > ran[0].sent + row.key_ttl + slack:
             findings.add("ran twice", f"{case}: {ran[-1].sent - ran[0].sent:.0f} ms apart")
         if row.effect == "unsafe" and answer.status == REFUSED and ran:
             findings.add("refused after it ran", f"{case}: at {ran[0].server}")
@@ -174,18 +174,22 @@
         findings.add("unanswered", case)
 
 
-def _drains(findings: Findings, book: Book, known: dict[str, Answer], slack: float) -> None:
+def _drains(findings: Findings, records: Records, known: dict[str, Answer], slack: float) -> None:
     """Nothing new to a server later than 500 ms after its sidecar was told that it drains or is gone,
     unless it was told meanwhile that it is there again: a list that was lost fills up anew."""
-    told: dict[tuple[str, str, int], list[tuple[float, bool]]] = defaultdict(list)
-    for news in sorted(book.news, key=lambda news: news.at):
-        told[news.sidecar, news.server, news.life].append((news.at, news.state == "active"))
-    for attempt in book.attempts:
+    notified: dict[tuple[str, str, int], list[tuple[float, bool]]] = defaultdict(list)
+    for event in sorted(records.events, key=lambda event: event.at):
+        notified[event.sidecar, event.server, event.incarnation].append((event.at, event.state == "active"))
+    for attempt in records.attempts:
         answer = known.get(attempt.id)
-        news_of_it = told.get((answer.sidecar, attempt.server, attempt.life)) if answer is not None else None
-        if answer is None or not news_of_it:
+        events = (
+            notified.get((answer.sidecar, attempt.server, attempt.incarnation))
+            if answer is not None
+            else None
+        )
+        if answer is None or not events:
             continue
-        before = news_of_it[: bisect_right(news_of_it, (attempt.sent, True))]
+        before = events[: bisect_right(events, (attempt.sent, True))]
         gone_at = math.inf
         for at, active in before:
             gone_at = math.inf if active else min(gone_at, at)
@@ -194,20 +198,26 @@
             findings.add("drain", f"{answer.sidecar} to {attempt.server}, {late:.0f} ms after it was told")
 
 
-def _cold(findings: Findings, book: Book, known: dict[str, Answer], fall: tuple[float, float]) -> None:
+def _warming_up(
+    findings: Findings, records: Records, known: dict[str, Answer], fall: tuple[float, float]
+) -> None:
     """What was sent to a server while it was cold, against what it could take at each moment."""
     multiple, span = fall
     sent: dict[tuple[str, int], list[Attempt]] = defaultdict(list)
-    cold = {(life.server, life.life): life for life in book.lives if life.cold_from < 1.0}
-    told: dict[tuple[str, str, int], float] = {}
-    for news in book.news:
-        if news.state == "active":
-            told.setdefault((news.sidecar, news.server, news.life), news.at)
-    for attempt in book.attempts:
-        if (attempt.server, attempt.life) in cold:
-            sent[attempt.server, attempt.life].append(attempt)
+    warming_up = {
+        (incarnation.server, incarnation.incarnation): incarnation
+        for incarnation in records.incarnations
+        if incarnation.warmup_start < 1.0
+    }
+    notified: dict[tuple[str, str, int], float] = {}
+    for event in records.events:
+        if event.state == "active":
+            notified.setdefault((event.sidecar, event.server, event.incarnation), event.at)
+    for attempt in records.attempts:
+        if (attempt.server, attempt.incarnation) in warming_up:
+            sent[attempt.server, attempt.incarnation].append(attempt)
     for place, attempts in sent.items():
-        life = cold[place]
+        incarnation = warming_up[place]
         attempts.sort(key=lambda attempt: attempt.at)
         first, total = 0, 0.0
         for number, attempt in enumerate(attempts):
@@ -215,30 +225,35 @@
             while attempts[first].at <= attempt.at - span:
                 total -= attempts[first].work
                 first += 1
-            age = min(1.0, (attempt.at - life.begun) / life.cold_ms)
-            able = life.capacity * (life.cold_from + (1.0 - life.cold_from) * age) * span * multiple
+            age = min(1.0, (attempt.at - incarnation.begun) / incarnation.warmup_ms)
+            able = (
+                incarnation.capacity
+                * (incarnation.warmup_start + (1.0 - incarnation.warmup_start) * age)
+                * span
+                * multiple
+            )
             if total <= able * CHANCE_SLACK:
                 continue
             window = attempts[first : number + 1]
-            knew = sum(a.work for a in window if _knew(known.get(a.id), a, told))
-            if knew >= TOLD_SHARE * total:
+            knew = sum(a.work for a in window if _knew(known.get(a.id), a, notified))
+            if knew >= NOTIFIED_SHARE * total:
                 findings.add("cold server", f"{place[0]}: {total:.0f} ms of work, {able:.0f} at the most")
                 break
 
 
-def _knew(answer: Answer | None, attempt: Attempt, told: dict[tuple[str, str, int], float]) -> bool:
-    at = told.get((answer.sidecar, attempt.server, attempt.life)) if answer is not None else None
+def _knew(answer: Answer | None, attempt: Attempt, notified: dict[tuple[str, str, int], float]) -> bool:
+    at = notified.get((answer.sidecar, attempt.server, attempt.incarnation)) if answer is not None else None
     return at is not None and at <= attempt.sent
 
 
 # --- service -----------------------------------------------------------------------------------
 
 
-def _figures(
-    book: Book, by_id: dict[str, list[Attempt]], rows: dict[str, RequestClass], lasts: float
-) -> Figures:
+def _statistics(
+    records: Records, by_id: dict[str, list[Attempt]], rows: dict[str, RequestClass], lasts: float
+) -> Statistics:
     chains: dict[str, list[Answer]] = defaultdict(list)
-    for answer in book.answers:
+    for answer in records.answers:
         chains[answer.first].append(answer)
     seconds = max(1, math.ceil(lasts / 1000.0))
     asked_by_second, got_by_second = [0.0] * seconds, [0.0] * seconds
@@ -246,7 +261,7 @@
     got: dict[str, float] = dict.fromkeys(rows, 0.0)
     statuses: dict[str, int] = dict.fromkeys((SERVED, REFUSED, FAILED, SILENT, BROKEN, UNREACHED), 0)
     histogram = HdrHistogram(1, HISTOGRAM_MOST_US, 3)
-    late_worth, refused_late, late_cost = 0.0, 0, 0.0
+    late_weight, refused_late, late_cost = 0.0, 0, 0.0
     for tries in chains.values():
         last = max(tries, key=lambda answer: answer.hop)
         row = rows[last.cls]
@@ -254,35 +269,35 @@
         took = last.end - last.due
         second = min(seconds - 1, int(last.due / 1000.0))
         in_time = last.status == SERVED and took <= row.wanted
-        asked[row.name] += row.worth
-        asked_by_second[second] += row.worth
+        asked[row.name] += row.weight
+        asked_by_second[second] += row.weight
         if last.status == SERVED:
             histogram.record_value(min(HISTOGRAM_MOST_US, max(1, round(took * 1000.0))))
         if in_time:
-            got[row.name] += row.worth
-            got_by_second[second] += row.worth
+            got[row.name] += row.weight
+            got_by_second[second] += row.weight
         elif took > row.wanted:
-            late_worth += row.worth
+            late_weight += row.weight
         if any(_refused_late(answer, by_id) for answer in tries):
             refused_late += 1
-            late_cost += REFUSED_LATE_PRICE * row.worth
-    whole = sum(asked.values())
-    service = sum(got.values()) / whole if whole else 1.0
+            late_cost += REFUSED_LATE_PRICE * row.weight
+    total_weight = sum(asked.values())
+    service = sum(got.values()) / total_weight if total_weight else 1.0
     classes = {name: got[name] / asked[name] for name in rows if asked[name]}
-    useful = {(a.id, a.by) for a in book.answers if a.status == SERVED}
-    work = sum(a.work for a in book.attempts if a.ran)
-    wasted = sum(a.work for a in book.attempts if a.ran and (a.id, a.server) not in useful)
-    cross = sum(a.cross for a in book.attempts) / max(1, len(chains))
+    useful = {(a.id, a.by) for a in records.answers if a.status == SERVED}
+    work = sum(a.work for a in records.attempts if a.ran)
+    wasted = sum(a.work for a in records.attempts if a.ran and (a.id, a.server) not in useful)
+    cross = sum(a.cross for a in records.attempts) / max(1, len(chains))
     waste = wasted / work if work else 0.0
     window = _worst(got_by_second, asked_by_second)
     worst = min(classes.values(), default=1.0)
-    goal = GOAL_WHOLE * service + GOAL_WINDOW * window + GOAL_CLASS * worst
+    goal = GOAL_SERVICE * service + GOAL_WINDOW * window + GOAL_CLASS * worst
     goal -= CROSS_PRICE * min(1.0, cross) + WASTE_PRICE * waste
-    goal -= (LATE_PRICE * late_worth + late_cost) / whole if whole else 0.0
-    return Figures(
+    goal -= (LATE_PRICE * late_weight + late_cost) / total_weight if total_weight else 0.0
+    return Statistics(
         requests=len(chains),
-        tries=len(book.answers),
-        attempts=len(book.attempts),
+        tries=len(records.answers),
+        attempts=len(records.attempts),
         service=round(service, 5),
         worst_window=round(window, 5),
         worst_class=round(worst, 5),
@@ -302,15 +317,15 @@
     )
 
 
-def _span(book: Book, rows: dict[str, RequestClass], measure: Measure) -> float:
+def _span(records: Records, rows: dict[str, RequestClass], measure: Measure) -> float:
     """The service of what was due in a span of time."""
     asked = got = 0.0
-    for answer in book.answers:
+    for answer in records.answers:
         if not measure.begin <= answer.due < measure.end or measure.cls not in (None, answer.cls):
             continue
         row = rows[answer.cls]
-        asked += row.worth if answer.hop == 0 else 0.0
-        got += row.worth if answer.status == SERVED and answer.end - answer.due <= row.wanted else 0.0
+        asked += row.weight if answer.hop == 0 else 0.0
+        got += row.weight if answer.status == SERVED and answer.end - answer.due <= row.wanted else 0.0
     return round(got / asked, 5) if asked else 1.0
 
 
@@ -324,7 +339,7 @@
     """The service of the worst ten seconds."""
     worst = 1.0
     for first in range(max(1, len(asked) - WINDOW_S + 1)):
-        whole = sum(asked[first : first + WINDOW_S])
-        if whole:
-            worst = min(worst, sum(got[first : first + WINDOW_S]) / whole)
+        total_weight = sum(asked[first : first + WINDOW_S])
+        if total_weight:
+            worst = min(worst, sum(got[first : first + WINDOW_S]) / total_weight)
     return worst
--- a/brassfall/lab/ledger.py
+++ b/brassfall/lab/ledger.py
@@ -48,7 +48,7 @@
 
     id: str
     server: str
-    life: int
+    incarnation: int = msgspec.field(name="life")
     sent: float  # when its first byte came onto the network
     at: float  # when its last byte was there
     end: float
@@ -64,25 +64,25 @@
         return self.outcome not in ("full", "draining")
 
 
-class News(Row):
+class ListEvent(Row):
     """A sidecar was told of a change in the list."""
 
     sidecar: str
     server: str
-    life: int
+    incarnation: int = msgspec.field(name="life")
     state: str
     at: float
 
 
-class Life(Row):
+class Incarnation(Row):
     """One life of one server."""
 
     server: str
-    life: int
+    incarnation: int = msgspec.field(name="life")
     begun: float
     capacity: float  # ms of work in a ms, when warm
-    cold_from: float = 1.0
-    cold_ms: float = 0.0
+    warmup_start: float = msgspec.field(name="cold_from", default=1.0)
+    warmup_ms: float = msgspec.field(name="cold_ms", default=0.0)
     end: float = -1.0
     why: str = ""
 
@@ -108,8 +108,8 @@
 KINDS: dict[str, type[Row]] = {
     "answers": Answer,
     "attempts": Attempt,
-    "news": News,
-    "lives": Life,
+    "news": ListEvent,
+    "lives": Incarnation,
     "events": Event,
     "ages": Age,
 }
@@ -117,7 +117,7 @@
 R = TypeVar("R", bound=Row)
 
 
-class Book:
+class LedgerWriter:
     """Writes the rows of one play into a folder."""
 
     def __init__(
--- a/brassfall/lab/models/client.py
+++ b/brassfall/lab/models/client.py
@@ -46,6 +46,6 @@
         return None
     if row.effect == "unsafe" and status not in NEVER_RAN:
         return None
-    if row.effect == "keyed" and status not in NEVER_RAN and since_sent + pause >= row.key_life:
+    if row.effect == "keyed" and status not in NEVER_RAN and since_sent + pause >= row.key_ttl:
         return None
     return pause
--- a/brassfall/lab/models/network.py
+++ b/brassfall/lab/models/network.py
@@ -5,38 +5,38 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from brassfall.lab.day import Ways
+from brassfall.lab.day import NetworkDelays
 
 
 @dataclass(slots=True)
 class Network:
     """Delays one way in ms; None where nothing comes through and nothing is said."""
 
-    ways: Ways
+    delays: NetworkDelays
     chance: Callable[[], float]
-    cut: set[int] = field(default_factory=set)  # zones that nothing leaves or reaches
-    holes: set[str] = field(default_factory=set)  # servers that are reached by nothing
-    deaf: set[str] = field(default_factory=set)  # servers whose answers are lost
+    partitioned: set[int] = field(default_factory=set)  # zones that nothing leaves or reaches
+    unreachable: set[str] = field(default_factory=set)  # servers that are reached by nothing
+    answers_lost: set[str] = field(default_factory=set)  # servers whose answers are lost
     slow: dict[str, float] = field(default_factory=dict)  # ms more, by server
 
-    def _way(self, group: int, there: int) -> float | None:
-        if not self.reaches(self.ways.homes[group], there):
+    def _one_way_ms(self, group: int, there: int) -> float | None:
+        if not self.reaches(self.delays.homes[group], there):
             return None
-        return self.ways.between[group][there] * (1.0 + self.ways.jitter * self.chance())
+        return self.delays.between[group][there] * (1.0 + self.delays.jitter * self.chance())
 
     def to_server(self, group: int, server: str, there: int) -> float | None:
         """From a sidecar of a group to a server in a zone."""
-        if server in self.holes:
+        if server in self.unreachable:
             return None
-        way = self._way(group, there)
-        return way if way is None or not self.slow else way + self.slow.get(server, 0.0)
+        delay_ms = self._one_way_ms(group, there)
+        return delay_ms if delay_ms is None or not self.slow else delay_ms + self.slow.get(server, 0.0)
 
     def to_sidecar(self, server: str, there: int, group: int) -> float | None:
         """An answer's way back."""
-        if server in self.deaf:
+        if server in self.answers_lost:
             return None
         return self.to_server(group, server, there)
 
     def reaches(self, here: int, there: int) -> bool:
         """Whether two zones hear of each other."""
-        return here == there or not (here in self.cut or there in self.cut)
+        return here == there or not (here in self.partitioned or there in self.partitioned)
--- a/brassfall/lab/models/server.py
+++ b/brassfall/lab/models/server.py
@@ -13,15 +13,15 @@
 from collections.abc import Callable
 from typing import Any
 
-from brassfall.lab.day import Crowded, Machine
+from brassfall.lab.day import Machine, Overload
 
-COLD_STEP_MS = 250.0  # while a server warms up, its speed is looked at anew after so long
+WARMUP_STEP_MS = 250.0  # while a server warms up, its speed is looked at anew after so long
 CHANCE_SLACK = 1.05  # of the budget of a cold server
 ERROR_WORK_MS = 0.5  # what a server spends on an answer that is an error at once
 REFUSED_FROM_MS = 1000.0  # a server that drains turns away what still comes after so long
 ROUNDING = 1e-7
 
-TAKEN, FULL, DRAINING, BROKEN = "taken", "full", "draining", "error"
+ACCEPTED, FULL, DRAINING, BROKEN = "taken", "full", "draining", "error"
 
 
 class Job:
@@ -39,16 +39,16 @@
 class Server:
     """One life of one server, from its start to its end."""
 
-    def __init__(self, machine: Machine, now: float, cold: bool, chance: Callable[[], float]) -> None:
+    def __init__(self, machine: Machine, now: float, warming_up: bool, chance: Callable[[], float]) -> None:
         self.machine = machine
         self.begun = now
-        self.warm_at = now + machine.cold_ms if cold else -math.inf
+        self.warm_at = now + machine.warmup_ms if warming_up else -math.inf
         self.fallen = False  # pushed over while cold: it stays down
         self.leaving_at: float | None = None
         self.connections = 0
         self.errors = 0.0  # share of requests that it answers at once with an error
         self.stopped = False  # its process stands still
-        self.crowded = False
+        self.overloaded = False
         self.slow = 1.0  # times slower
         self.taken = 0.0  # share of the machine that another program has
         self._chance = chance
@@ -59,19 +59,19 @@
         self._queue: deque[Job] = deque()
         self._offered: deque[tuple[float, float]] = deque()
         self._offered_sum = 0.0
-        self._crowd_since: float | None = None
-        self._rest_since: float | None = None
-        self._crowded_at = 0.0
-        self._shown = 0
-        self._coming: deque[tuple[float, int]] = deque()
+        self._overloaded_since: float | None = None
+        self._idle_since: float | None = None
+        self._overload_began = 0.0
+        self._reported = 0
+        self._pending_reports: deque[tuple[float, int]] = deque()
         self._refresh = now + machine.report_every * chance()
         self._speed = machine.speed
-        self._reckon()
+        self._update_speed()
 
     # --- what it can do -------------------------------------------------------
 
     @property
-    def held(self) -> int:
+    def in_flight(self) -> int:
         """Requests in work or waiting."""
         return len(self._work) + len(self._queue)
 
@@ -79,25 +79,25 @@
         """The share of its capacity that a start has left it by now."""
         if now >= self.warm_at:
             return 1.0
-        cold = self.machine.cold_from
-        return cold + (1.0 - cold) * (1.0 - (self.warm_at - now) / self.machine.cold_ms)
+        warming_up = self.machine.warmup_start
+        return warming_up + (1.0 - warming_up) * (1.0 - (self.warm_at - now) / self.machine.warmup_ms)
 
     def burden(self, *, slow: float | None = None, taken: float | None = None) -> None:
         """It runs so many times slower, or another program has this share of its machine."""
         self.slow = self.slow if slow is None else slow
         self.taken = self.taken if taken is None else taken
-        self._reckon()
+        self._update_speed()
 
     def stop(self, stopped: bool) -> None:
         """Its process stands still, or goes on."""
         self.stopped = stopped
-        self._reckon()
+        self._update_speed()
 
-    def _reckon(self) -> None:
+    def _update_speed(self) -> None:
         machine = self.machine
         speed = machine.speed * (1.0 - self.taken) / self.slow
-        if self.crowded and machine.crowded is not None:
-            speed /= machine.crowded.slower
+        if self.overloaded and machine.overload is not None:
+            speed /= machine.overload.slower
         self._speed = 0.0 if self.stopped else speed
 
     def _rate(self, now: float) -> float:
@@ -115,7 +115,7 @@
         if fresh:
             job.work += self.machine.handshake
         if now < self.warm_at:
-            self._press(now, job.work)
+            self._note_offered_work(now, job.work)
         if self.leaving_at is not None and now - self.leaving_at > REFUSED_FROM_MS:
             return DRAINING
         if self.errors and self._chance() < self.errors:
@@ -128,14 +128,14 @@
         else:
             return FULL
         job.failed = machine.error_rate > 0.0 and self._chance() < machine.error_rate
-        return TAKEN
+        return ACCEPTED
 
     def _begin(self, job: Job) -> None:
         job.end = self._v + job.work
         self._order += 1
         heapq.heappush(self._work, (job.end, self._order, job))
 
-    def _press(self, now: float, work: float) -> None:
+    def _note_offered_work(self, now: float, work: float) -> None:
         """What is sent to a cold server counts against what it can do at that moment."""
         span = self.machine.fall_after
         self._offered.append((now, work))
@@ -157,12 +157,12 @@
             return math.inf
         need = (self._work[0][0] - self._v) / self._rate(self._t)
         if self._t < self.warm_at:
-            need = min(need, COLD_STEP_MS)
+            need = min(need, WARMUP_STEP_MS)
         return self._t + need
 
     def advance(self, now: float) -> list[Job]:
         """Work until now; what is finished, in order."""
-        held, since = len(self._work) + len(self._queue), self._t
+        in_flight, since = len(self._work) + len(self._queue), self._t
         done: list[Job] = []
         work = self._work
         while work and self._speed:
@@ -181,9 +181,9 @@
         if not work:
             self._v = 0.0
         if self._refresh <= now:
-            self._show(now, held)
-        if self.machine.crowded is not None:
-            self._crowd(self.machine.crowded, now, held, since)
+            self._sample_load(now, in_flight)
+        if self.machine.overload is not None:
+            self._update_overload(self.machine.overload, now, in_flight, since)
         return done
 
     def jobs(self) -> list[Job]:
@@ -199,36 +199,36 @@
 
     # --- crowding, reports ----------------------------------------------------
 
-    def _crowd(self, limits: Crowded, now: float, held: int, since: float) -> None:
+    def _update_overload(self, limits: Overload, now: float, in_flight: int, since: float) -> None:
         """What it held since the last event has consequences."""
-        if not self.crowded:
-            if held < limits.held:
-                self._crowd_since = None
-            elif self._crowd_since is None:
-                self._crowd_since = now
-            elif now - self._crowd_since >= limits.after:
-                self.crowded, self._crowded_at, self._rest_since = True, now, None
-                self._reckon()
+        if not self.overloaded:
+            if in_flight < limits.in_flight:
+                self._overloaded_since = None
+            elif self._overloaded_since is None:
+                self._overloaded_since = now
+            elif now - self._overloaded_since >= limits.after:
+                self.overloaded, self._overload_began, self._idle_since = True, now, None
+                self._update_speed()
             return
-        if held > limits.rest_below:
-            self._rest_since = None
-        elif self._rest_since is None:
-            self._rest_since = since
-        rested = self._rest_since is not None and now - self._rest_since >= limits.rest
-        if rested or now - self._crowded_at >= limits.most:
-            self.crowded, self._crowd_since = False, None
-            self._reckon()
-
-    def _show(self, now: float, held: int) -> None:
+        if in_flight > limits.rest_below:
+            self._idle_since = None
+        elif self._idle_since is None:
+            self._idle_since = since
+        rested = self._idle_since is not None and now - self._idle_since >= limits.rest
+        if rested or now - self._overload_began >= limits.most:
+            self.overloaded, self._overloaded_since = False, None
+            self._update_speed()
+
+    def _sample_load(self, now: float, in_flight: int) -> None:
         machine = self.machine
         missed = int((now - self._refresh) / machine.report_every)
         self._refresh += missed * machine.report_every
-        self._coming.append((self._refresh + machine.report_late, held))
+        self._pending_reports.append((self._refresh + machine.report_late, in_flight))
         self._refresh += machine.report_every
 
     def report(self, now: float) -> float:
         """The `inflight` that an answer tells now: refreshed now and then, late, a little noisy."""
-        while self._coming and self._coming[0][0] <= now:
-            self._shown = self._coming.popleft()[1]
+        while self._pending_reports and self._pending_reports[0][0] <= now:
+            self._reported = self._pending_reports.popleft()[1]
         noise = self.machine.report_noise
-        return float(round(self._shown * (1.0 + noise * (2.0 * self._chance() - 1.0))))
+        return float(round(self._reported * (1.0 + noise * (2.0 * self._chance() - 1.0))))
--- a/brassfall/lab/play.py
+++ b/brassfall/lab/play.py
@@ -16,12 +16,13 @@
 import time
 from collections.abc import Callable
 from pathlib import Path
+from typing import Any
 
 import msgspec
 
 from brassfall.errors import BrassfallError
-from brassfall.lab import day, judge, ledger, spec, steers
-from brassfall.lab.arrivals import experiment
+from brassfall.lab import day, judge, ledger, spec, steering
+from brassfall.lab.arrivals import load_experiment
 from brassfall.settings import SettingsError
 
 PACKAGE, EARLIER_PACKAGE = "brassfall.balancer", "poppypulley"
@@ -75,44 +76,50 @@
     setattr(sys.modules["brassfall"], PACKAGE.rpartition(".")[2], module)
 
 
-def judged(folder: Path, told: spec.Experiment) -> judge.Judgement:
+def judged(folder: Path, experiment: spec.Experiment) -> judge.Judgement:
     """Hold the ledger in a folder against the rules."""
-    book = judge.Book(
+    ledger_writer = judge.Records(
         list(ledger.read(folder, ledger.Answer)),
         list(ledger.read(folder, ledger.Attempt)),
-        list(ledger.read(folder, ledger.News)),
-        list(ledger.read(folder, ledger.Life)),
+        list(ledger.read(folder, ledger.ListEvent)),
+        list(ledger.read(folder, ledger.Incarnation)),
+    )
+    slack = SLACK_MS[experiment.head.mode]
+    fall = (experiment.fleet.fall_multiple, float(experiment.fleet.fall_after))
+    return judge.judge(
+        ledger_writer, experiment.classes, experiment.head.lasts, slack, fall, experiment.measure
     )
-    slack = SLACK_MS[told.experiment.mode]
-    fall = (told.fleet.fall_multiple, float(told.fleet.fall_after))
-    return judge.judge(book, told.classes, told.experiment.lasts, slack, fall, told.measure)
 
 
 def simulate(order: Order) -> Result:
     """Play a day under simulated time."""
-    told, recorded = experiment(Path(order.experiment))
-    version = next(version for version in told.versions if version.name == order.version)
+    experiment, recorded = load_experiment(Path(order.experiment))
+    version = next(version for version in experiment.versions if version.name == order.version)
     if order.code:
         install(Path(order.code))
+    from brassfall.lab.sim.defects import DEFECTS
     from brassfall.lab.sim.faults import Faults
-    from brassfall.lab.sim.flaws import FLAWS
     from brassfall.lab.sim.sidecar import Sidecar
     from brassfall.lab.sim.world import World
 
-    drawn = day.draw(told, order.seed, recorded)
+    sampled_day = day.sample_day(experiment, order.seed, recorded)
     folder = Path(order.folder)
-    book = ledger.Book(folder)
+    ledger_writer = ledger.LedgerWriter(folder)
     begun = time.process_time()
-    kind = FLAWS[version.flaw][0] if version.flaw else Sidecar
-    steering = steers.steers(told, version, drawn)
-    world = World(drawn, lambda me: day.wire_settings(told, me, version.settings), book, kind, steering)
+    kind = DEFECTS[version.defect][0] if version.defect else Sidecar
+    steering_events = steering.steering_events(experiment, version, sampled_day)
+
+    def settings(number: int) -> dict[str, Any]:
+        return day.wire_settings(experiment, number, version.settings)
+
+    world = World(sampled_day, settings, ledger_writer, kind, steering_events)
     Faults(world).set()
     world.begin()
     ready = time.process_time()
     world.run(_progress(order))
-    book.close()
+    ledger_writer.close()
     played = time.process_time()
-    judgement = judged(folder, told)
+    judgement = judged(folder, experiment)
     cost = {
         "start_s": ready - begun,
         "play_s": played - ready,
@@ -129,9 +136,9 @@
     from brassfall.lab.real.controller import run_play
     from brassfall.lab.real.process_group import ROOT
 
-    told, recorded = experiment(Path(order.experiment))
-    version = next(version for version in told.versions if version.name == order.version)
-    drawn = day.draw(told, order.seed, recorded)
+    experiment, recorded = load_experiment(Path(order.experiment))
+    version = next(version for version in experiment.versions if version.name == order.version)
+    sampled_day = day.sample_day(experiment, order.seed, recorded)
     folder = Path(order.folder)
     code = Path(order.code) if order.code else ROOT
 
@@ -139,19 +146,21 @@
         task = asyncio.current_task()
         assert task is not None
         asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
-        return await run_play(told, version, drawn, folder, code, order.experiment, _progress(order))
+        return await run_play(
+            experiment, version, sampled_day, folder, code, order.experiment, _progress(order)
+        )
 
     why, crashes, cost, events = asyncio.run(work())
-    judgement = judged(folder, told)
+    judgement = judged(folder, experiment)
     judgement.findings += [judge.Finding("crashed", 1, crash) for crash in crashes]
     return Result(order.version, order.seed, not why, why, judgement, events, cost)
 
 
 def _progress(order: Order) -> Callable[[float], None]:
-    def told(now: float) -> None:
+    def report_progress(now: float) -> None:
         print(f"{order.version} {order.seed} {now / 1000.0:.0f}", flush=True)
 
-    return told
+    return report_progress
 
 
 def _end_with(source: int) -> None:
@@ -171,7 +180,7 @@
     order = msgspec.json.decode(line, type=Order)
     _end_with(sys.stdin.fileno())
     try:
-        real = spec.load(Path(order.experiment)).experiment.mode == "real"
+        real = spec.load(Path(order.experiment)).head.mode == "real"
         result = perform(order) if real else simulate(order)
     except BrassfallError as error:
         print(error, file=sys.stderr)
--- a/brassfall/lab/plots.py
+++ b/brassfall/lab/plots.py
@@ -15,21 +15,21 @@
 SAMPLE_MS = 500.0
 
 
-def write(told: spec.Experiment, results: Sequence[Result], out: Path) -> list[str]:
+def write(experiment: spec.Experiment, results: Sequence[Result], out: Path) -> list[str]:
     """Draw them all into a folder; the names of the files."""
     import matplotlib
 
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
-    drawn = []
-    for name, draw in (("service", _service), ("latency", _latency), ("load", _load), ("ages", _ages)):
+    written = []
+    for name, plot in (("service", _service), ("latency", _latency), ("load", _load), ("ages", _ages)):
         figure, axes = pyplot.subplots(figsize=SIZE, layout="constrained")
-        if draw(axes, told, results, out):
+        if plot(axes, experiment, results, out):
             figure.savefig(out / f"{name}.png", dpi=110)
-            drawn.append(f"{name}.png")
+            written.append(f"{name}.png")
         pyplot.close(figure)
-    return drawn
+    return written
 
 
 def _of(results: Sequence[Result], version: str) -> list[Result]:
@@ -44,13 +44,13 @@
         axes.text(begin, 0.02, event.kind, rotation=90, fontsize=7, transform=axes.get_xaxis_transform())
 
 
-def _service(axes: Any, told: spec.Experiment, results: Sequence[Result], out: Path) -> bool:
+def _service(axes: Any, experiment: spec.Experiment, results: Sequence[Result], out: Path) -> bool:
     shown = False
-    for number, version in enumerate(told.versions):
+    for number, version in enumerate(experiment.versions):
         mine = _of(results, version.name)
         if not mine:
             continue
-        rows = np.array([r.judgement.figures.by_second for r in mine if r.judgement])
+        rows = np.array([r.judgement.statistics.by_second for r in mine if r.judgement])
         at = np.arange(rows.shape[1]) + 0.5
         axes.plot(at, rows.mean(axis=0), color=f"C{number}", label=version.name)
         axes.fill_between(at, rows.min(axis=0), rows.max(axis=0), color=f"C{number}", alpha=0.15, linewidth=0)
@@ -63,12 +63,12 @@
     return shown
 
 
-def _latency(axes: Any, told: spec.Experiment, results: Sequence[Result], out: Path) -> bool:
+def _latency(axes: Any, experiment: spec.Experiment, results: Sequence[Result], out: Path) -> bool:
     names = ["p50", "p90", "p99", "p99.9"]
     shown = False
-    for version in told.versions:
+    for version in experiment.versions:
         rows = [
-            [r.judgement.figures.latency_ms[n] for n in names]
+            [r.judgement.statistics.latency_ms[n] for n in names]
             for r in _of(results, version.name)
             if r.judgement
         ]
@@ -81,48 +81,55 @@
     return shown
 
 
-def _first_folder(told: spec.Experiment, results: Sequence[Result], out: Path) -> tuple[Result, Path] | None:
-    for version in told.versions:
+def _first_folder(
+    experiment: spec.Experiment, results: Sequence[Result], out: Path
+) -> tuple[Result, Path] | None:
+    for version in experiment.versions:
         for result in _of(results, version.name):
             return result, out / "plays" / f"{result.version}-{result.seed}"
     return None
 
 
-def _load(axes: Any, told: spec.Experiment, results: Sequence[Result], out: Path) -> bool:
-    found = _first_folder(told, results, out)
+def _load(axes: Any, experiment: spec.Experiment, results: Sequence[Result], out: Path) -> bool:
+    found = _first_folder(experiment, results, out)
     if found is None:
         return False
-    held = _held(found[1], told.experiment.lasts)
-    most, end = len(held), told.experiment.lasts / 1000.0
+    in_flight = _in_flight(found[1], experiment.head.lasts)
+    most, end = len(in_flight), experiment.head.lasts / 1000.0
     if not most:
         return False
     shown = axes.imshow(
-        held, aspect="auto", origin="lower", extent=(0.0, end, 0.0, most), interpolation="nearest"
+        in_flight, aspect="auto", origin="lower", extent=(0.0, end, 0.0, most), interpolation="nearest"
     )
     axes.figure.colorbar(shown, label="requests held")
     axes.set(xlabel="s", ylabel="server", title=f"load by server: {found[0].version}, seed {found[0].seed}")
     return True
 
 
-def _held(folder: Path, lasts: float) -> np.ndarray[Any, np.dtype[np.float64]]:
+def _in_flight(folder: Path, lasts: float) -> np.ndarray[Any, np.dtype[np.float64]]:
     """Requests that each server held, a column every half second: from its attempts, nan where it was not."""
-    lives = list(ledger.read(folder, ledger.Life))
-    names = list(dict.fromkeys(life.server for life in sorted(lives, key=lambda life: life.begun)))
+    incarnations = list(ledger.read(folder, ledger.Incarnation))
+    names = list(
+        dict.fromkeys(
+            incarnation.server
+            for incarnation in sorted(incarnations, key=lambda incarnation: incarnation.begun)
+        )
+    )
     at = np.arange(0.0, lasts, SAMPLE_MS)
-    held = np.full((len(names), len(at)), np.nan)
-    for life in lives:
-        end = life.end if life.end >= 0.0 else np.inf
-        held[names.index(life.server), (at >= life.begun) & (at < end)] = 0.0
+    in_flight = np.full((len(names), len(at)), np.nan)
+    for incarnation in incarnations:
+        end = incarnation.end if incarnation.end >= 0.0 else np.inf
+        in_flight[names.index(incarnation.server), (at >= incarnation.begun) & (at < end)] = 0.0
     for attempt in ledger.read(folder, ledger.Attempt):
         if attempt.ran and attempt.server in names:
             end = attempt.end if attempt.end >= 0.0 else lasts
             first, last = np.searchsorted(at, (attempt.at, end))
-            held[names.index(attempt.server), first:last] += 1.0
-    return held
+            in_flight[names.index(attempt.server), first:last] += 1.0
+    return in_flight
 
 
-def _ages(axes: Any, told: spec.Experiment, results: Sequence[Result], out: Path) -> bool:
-    found = _first_folder(told, results, out)
+def _ages(axes: Any, experiment: spec.Experiment, results: Sequence[Result], out: Path) -> bool:
+    found = _first_folder(experiment, results, out)
     rows = list(ledger.read(found[1], ledger.Age)) if found else []
     if found is None or not rows:
         return False
--- a/brassfall/lab/quantities.py
+++ b/brassfall/lab/quantities.py
@@ -29,29 +29,29 @@
     """A duration in milliseconds, written as `"250 ms"` or `"12 s"`."""
 
     @classmethod
-    def read(cls, told: Any) -> Self:
+    def read(cls, text: Any) -> Self:
         """From a file; `ValueError` says what is wrong."""
-        return cls(_written(told, UNITS_MS, "250 ms"))
+        return cls(_written(text, UNITS_MS, "250 ms"))
 
 
 class Rate(float):
     """So many a second, written as `"260 /s"`."""
 
     @classmethod
-    def read(cls, told: Any) -> Self:
+    def read(cls, text: Any) -> Self:
         """From a file; `ValueError` says what is wrong."""
-        return cls(_written(told, {"/s": 1.0, "/min": 1.0 / 60.0}, "260 /s"))
+        return cls(_written(text, {"/s": 1.0, "/min": 1.0 / 60.0}, "260 /s"))
 
 
 class Spread(tuple[float, float]):
     """A range of plain numbers from which a day draws: one number, or the least and the most."""
 
     @classmethod
-    def read(cls, told: Any) -> Self:
+    def read(cls, text: Any) -> Self:
         """From a file; `ValueError` says what is wrong."""
-        ends = told if isinstance(told, list) else [told, told]
+        ends = text if isinstance(text, list) else [text, text]
         if len(ends) != 2 or not all(_plain(end) for end in ends):
-            raise ValueError(f"{told!r} is neither a number of 0 or more nor a pair of them")
+            raise ValueError(f"{text!r} is neither a number of 0 or more nor a pair of them")
         return cls((float(ends[0]), float(ends[1])))
 
     def __new__(cls, ends: tuple[float, float]) -> Self:
@@ -68,11 +68,11 @@
     """A range of durations in milliseconds."""
 
     @classmethod
-    def read(cls, told: Any) -> Self:
+    def read(cls, text: Any) -> Self:
         """From a file; `ValueError` says what is wrong."""
-        ends = told if isinstance(told, list) else [told, told]
+        ends = text if isinstance(text, list) else [text, text]
         if len(ends) != 2:
-            raise ValueError(f"{told!r} is neither a duration nor a pair of them")
+            raise ValueError(f"{text!r} is neither a duration nor a pair of them")
         return cls((Ms.read(ends[0]), Ms.read(ends[1])))
 
 
@@ -81,8 +81,8 @@
     return number and math.isfinite(value) and value >= 0.0
 
 
-def read(kind: type, told: Any) -> Any:
+def read(kind: type, text: Any) -> Any:
     """The hook by which msgspec reads these types."""
     if issubclass(kind, Ms | Rate | Spread):
-        return kind.read(told)
+        return kind.read(text)
     raise NotImplementedError(f"no figure of type {kind}")
--- a/brassfall/lab/real/clients.py
+++ b/brassfall/lab/real/clients.py
@@ -13,8 +13,8 @@
 import msgspec
 
 from brassfall.lab import ledger
-from brassfall.lab.arrivals import experiment
-from brassfall.lab.day import Day, draw
+from brassfall.lab.arrivals import load_experiment
+from brassfall.lab.day import Day, sample_day
 from brassfall.lab.models import client
 from brassfall.lab.models.client import BROKEN, FAILED, REFUSED, SERVED, SILENT, UNREACHED
 from brassfall.lab.real import child
@@ -35,7 +35,7 @@
 class Clients:
     """The clients of some sidecars."""
 
-    def __init__(self, order: Order, day: Day, ledger_writer: ledger.Book) -> None:
+    def __init__(self, order: Order, day: Day, ledger_writer: ledger.LedgerWriter) -> None:
         self.order = order
         self.day = day
         self.ledger_writer = ledger_writer
@@ -172,9 +172,9 @@
 async def work(raw: dict[str, Any], commands: child.Commands, lateness: child.Lateness) -> None:
     """Be ready, and play when told."""
     order = msgspec.convert(raw, Order)
-    declared, recorded = experiment(Path(order.experiment))
-    ledger_writer = ledger.Book(Path(order.folder), kinds=(ledger.Answer,))
-    clients = Clients(order, draw(declared, order.seed, recorded), ledger_writer)
+    declared, recorded = load_experiment(Path(order.experiment))
+    ledger_writer = ledger.LedgerWriter(Path(order.folder), kinds=(ledger.Answer,))
+    clients = Clients(order, sample_day(declared, order.seed, recorded), ledger_writer)
     child.say("ready")
     clients.t0 = (await commands.next())["t0"]
 
--- a/brassfall/lab/real/controller.py
+++ b/brassfall/lab/real/controller.py
@@ -31,8 +31,10 @@
     for member in senders:
         member.send(t0=environment.t0)
     faults = Faults(environment)
-    troubles = [asyncio.create_task(faults.play(trouble)) for trouble in environment.day.troubles]
-    troubles += [asyncio.create_task(_reroute(environment, *route)) for route in environment.day.routes[1:]]
+    fault_tasks = [asyncio.create_task(faults.play(fault)) for fault in environment.day.faults]
+    fault_tasks += [
+        asyncio.create_task(_reroute(environment, *route)) for route in environment.day.routes[1:]
+    ]
     telling = asyncio.create_task(_tell(environment))
     sampling = asyncio.create_task(_watch_sidecars(environment))
     try:
@@ -43,9 +45,9 @@
     except TimeoutError:
         raise PlayError("the clients did not come to an end") from None
     finally:
-        for task in (*troubles, telling, sampling):
+        for task in (*fault_tasks, telling, sampling):
             task.cancel()
-    failed = [task.exception() for task in troubles if task.done() and not task.cancelled()]
+    failed = [task.exception() for task in fault_tasks if task.done() and not task.cancelled()]
     for error in failed:
         if error is not None:
             raise PlayError(f"a fault could not be played: {error!r}")
--- a/brassfall/lab/real/environment.py
+++ b/brassfall/lab/real/environment.py
@@ -17,7 +17,7 @@
 
 from brassfall.controlplane.registry import client
 from brassfall.lab import ledger
-from brassfall.lab.day import Day, Machine, Trouble, wire_settings
+from brassfall.lab.day import Day, Machine, ScheduledFault, wire_settings
 from brassfall.lab.real import clients, network, server
 from brassfall.lab.real.child import clock
 from brassfall.lab.real.process_group import (
@@ -62,7 +62,7 @@
     networks: list[MemberProcess] = field(default_factory=list)
     sidecars: dict[str, MemberProcess] = field(default_factory=dict)
     events: list[ledger.Event] = field(default_factory=list)
-    incarnations: list[ledger.Life] = field(default_factory=list)
+    incarnations: list[ledger.Incarnation] = field(default_factory=list)
     crashes: list[str] = field(default_factory=list)
     taps: dict[str, str] = field(default_factory=dict)
     list_addresses: dict[int, str] = field(default_factory=dict)  # by zone
@@ -114,20 +114,20 @@
 
     async def _start_networks(self) -> None:
         zones = self.experiment.fleet.zones
-        for group, zone in enumerate(self.day.ways.homes):
+        for group, zone in enumerate(self.day.delays.homes):
             mine = [app.name for app in self.day.apps if app.group == group]
             order = network.Order(
                 zone,
                 group,
                 zones,
-                self.day.ways,
+                self.day.delays,
                 self._list_at,
                 mine,
                 str(self.folder / "parts" / f"network-{group}"),
             )
             name = f"network {zones[zone]} {group}"
             self.networks.append(await self.group.own(name, "lab", "network", order))
-        for member, zone in zip(self.networks, self.day.ways.homes, strict=True):
+        for member, zone in zip(self.networks, self.day.delays.homes, strict=True):
             ready = await member.report("ready")
             self.taps |= ready["taps"]
             self.list_addresses.setdefault(zone, ready["registry"])
@@ -159,7 +159,9 @@
         """When a server has ended, tell the network that nobody is there any more."""
         status = await member.wait()
         why = host.ends or ("fallen" if status == server.FELL else "crashed")
-        self.incarnations.append(ledger.Life(host.name, incarnation, 0.0, 0.0, end=self.now(), why=why))
+        self.incarnations.append(
+            ledger.Incarnation(host.name, incarnation, 0.0, 0.0, end=self.now(), why=why)
+        )
         for zone in self.networks:
             zone.send(do="down", names=[host.name])
         if why == "crashed":
@@ -240,11 +242,9 @@
         """Wait until a time of the play."""
         await asyncio.sleep(max(0.0, at - self.now()) / 1000.0)
 
-    def begin(self, trouble: Trouble) -> ledger.Event:
+    def begin(self, fault: ScheduledFault) -> ledger.Event:
         """Note that a trouble begins."""
-        event = ledger.Event(
-            trouble.kind, round(self.now(), 3), round(trouble.until, 3), list(trouble.targets)
-        )
+        event = ledger.Event(fault.kind, round(self.now(), 3), round(fault.until, 3), list(fault.targets))
         self.events.append(event)
         return event
 
--- a/brassfall/lab/real/gather.py
+++ b/brassfall/lab/real/gather.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from brassfall.lab import ledger
-from brassfall.lab.ledger import Answer, Attempt, Life, News
+from brassfall.lab.ledger import Answer, Attempt, Incarnation, ListEvent
 from brassfall.lab.real.environment import Environment
 
 READ_ON_MS = 500.0  # how long after it goes on a stopped server reads what came meanwhile
@@ -18,7 +18,7 @@
     parts = sorted((folder / "parts").glob("*"))
     t0, apps = environment.t0, {app.name: app.zone for app in environment.day.apps}
     zones = {host.name: host.machine.zone for host in environment.hosts.values()}
-    ledger_writer = ledger.Book(folder)
+    ledger_writer = ledger.LedgerWriter(folder)
     answers = [row for part in parts for row in ledger.read(part, Answer)]
     sidecar_of = {answer.id: answer.sidecar for answer in answers}
     away = [event for event in environment.events if event.kind == "sidecar-kill"]
@@ -34,16 +34,20 @@
         there, here = zones.get(attempt.server, 0), apps.get(sidecar_of.get(attempt.id, ""), 0)
         attempt.cross = here != there
         ledger_writer.add(attempt)
-    for news in sorted((r for p in parts for r in ledger.read(p, News)), key=lambda row: row.at):
+    for news in sorted((r for p in parts for r in ledger.read(p, ListEvent)), key=lambda row: row.at):
         news.at = round(news.at - t0, 3)
-        news.life = environment.since.get((news.server, news.life), -1)
+        news.incarnation = environment.since.get((news.server, news.incarnation), -1)
         ledger_writer.add(news)
-    ends = {(life.server, life.life): life for life in environment.incarnations}
-    for life in (row for part in parts for row in ledger.read(part, Life)):
-        ended = ends.get((life.server, life.life))
-        life.begun = round(life.begun - t0, 3)
-        life.end, life.why = (round(ended.end, 3), ended.why) if ended is not None else (-1.0, "")
-        ledger_writer.add(life)
+    ends = {
+        (incarnation.server, incarnation.incarnation): incarnation for incarnation in environment.incarnations
+    }
+    for incarnation in (row for part in parts for row in ledger.read(part, Incarnation)):
+        ended = ends.get((incarnation.server, incarnation.incarnation))
+        incarnation.begun = round(incarnation.begun - t0, 3)
+        incarnation.end, incarnation.why = (
+            (round(ended.end, 3), ended.why) if ended is not None else (-1.0, "")
+        )
+        ledger_writer.add(incarnation)
     for event in environment.events:
         ledger_writer.add(event)
     ledger_writer.close()
@@ -54,12 +58,12 @@
     t0 = environment.t0
     stops: dict[str, list[tuple[float, float]]] = defaultdict(list)
     slow: dict[str, list[tuple[float, float, float]]] = defaultdict(list)
-    for trouble in environment.day.troubles:
-        for name in trouble.targets:
-            if trouble.kind == "stop":
-                stops[name].append((trouble.at, trouble.until))
-            if trouble.kind == "slow-link":
-                slow[name].append((trouble.at, trouble.until, trouble.size))
+    for fault in environment.day.faults:
+        for name in fault.targets:
+            if fault.kind == "stop":
+                stops[name].append((fault.at, fault.until))
+            if fault.kind == "slow-link":
+                slow[name].append((fault.at, fault.until, fault.size))
     found: list[Attempt] = []
     for part in parts:
         rows: dict[tuple[str, float], Attempt] = {}
--- a/brassfall/lab/real/network.py
+++ b/brassfall/lab/real/network.py
@@ -20,7 +20,7 @@
 
 from brassfall.controlplane.registry import client
 from brassfall.lab import ledger
-from brassfall.lab.day import Ways
+from brassfall.lab.day import NetworkDelays
 from brassfall.lab.models.network import Network
 from brassfall.lab.real import child
 
@@ -34,7 +34,7 @@
     zone: int
     group: int
     zones: list[str]
-    connections: Ways
+    connections: NetworkDelays
     registry: str
     sidecars: list[str]
     folder: str
@@ -201,7 +201,7 @@
 class Zone:
     """All gates of one zone, and what its sidecars are told of the list."""
 
-    def __init__(self, order: Order, ledger_writer: ledger.Book) -> None:
+    def __init__(self, order: Order, ledger_writer: ledger.LedgerWriter) -> None:
         import random
 
         self.order = order
@@ -222,12 +222,14 @@
         if news["snapshot"]:
             named = {row["name"] for row in news["endpoints"]}
             for name in [name for name in listening if name not in named]:
-                self.ledger_writer.add(ledger.News(sidecar, name, listening.pop(name)[1], "left", now))
+                self.ledger_writer.add(ledger.ListEvent(sidecar, name, listening.pop(name)[1], "left", now))
         for row in news["endpoints"]:
             place = (row["status"], row["since_ms"])
             if listening.get(row["name"]) != place:
                 # The life is found by its start, when the ledger is put together.
-                self.ledger_writer.add(ledger.News(sidecar, row["name"], row["since_ms"], row["status"], now))
+                self.ledger_writer.add(
+                    ledger.ListEvent(sidecar, row["name"], row["since_ms"], row["status"], now)
+                )
             listening[row["name"]] = place
             row["address"] = f"127.0.0.1:{await self.gate(row)}"
         return msgspec.json.encode(news)
@@ -284,20 +286,20 @@
         names = set(message.get("names", ()))
         match message["do"]:
             case "cut":
-                self.network.cut.add(message["zone"])
+                self.network.partitioned.add(message["zone"])
             case "mend":
-                self.network.cut.discard(message["zone"])
+                self.network.partitioned.discard(message["zone"])
             case "route":
                 between = tuple(tuple(row) for row in message["between"])
-                self.network.ways = replace(self.network.ways, between=between)
+                self.network.delays = replace(self.network.delays, between=between)
             case "hole":
-                self.network.holes |= names
+                self.network.unreachable |= names
             case "no-hole":
-                self.network.holes -= names
+                self.network.unreachable -= names
             case "deaf":
-                self.network.deaf |= names
+                self.network.answers_lost |= names
             case "no-deaf":
-                self.network.deaf -= names
+                self.network.answers_lost -= names
             case "slow":
                 self.network.slow |= dict.fromkeys(names, message["ms"])
             case "no-slow":
@@ -332,7 +334,7 @@
 async def work(raw: dict[str, Any], commands: child.Commands, lateness: child.Lateness) -> None:
     """Be the network of one zone until told to end."""
     order = msgspec.convert(raw, Order)
-    ledger_writer = ledger.Book(Path(order.folder), buffered=False, kinds=(ledger.News,))
+    ledger_writer = ledger.LedgerWriter(Path(order.folder), buffered=False, kinds=(ledger.ListEvent,))
     zone = Zone(order, ledger_writer)
     taps, runners = {}, []
     for name in order.sidecars:
--- a/brassfall/lab/real/server.py
+++ b/brassfall/lab/real/server.py
@@ -21,7 +21,7 @@
 from brassfall.controlplane.registry.member import Member
 from brassfall.lab import ledger
 from brassfall.lab.day import Machine
-from brassfall.lab.models.server import BROKEN, DRAINING, FULL, TAKEN, Job, Server
+from brassfall.lab.models.server import ACCEPTED, BROKEN, DRAINING, FULL, Job, Server
 from brassfall.lab.real import child
 
 FELL = 9  # the exit status of a server that was pushed over
@@ -47,7 +47,7 @@
 class Host:
     """The model behind a listening socket."""
 
-    def __init__(self, order: Order, ledger_writer: ledger.Book) -> None:
+    def __init__(self, order: Order, ledger_writer: ledger.LedgerWriter) -> None:
         self.order = order
         self.core = Server(order.machine, child.clock(), order.warming_up, random.random)
         self._ledger = ledger_writer
@@ -94,7 +94,7 @@
         if self.core.fallen:
             self._ledger.flush()
             os._exit(FELL)
-        if reason == TAKEN:
+        if reason == ACCEPTED:
             self._arm()
             await job.data
         return self._answer(row, job, reason)
@@ -104,7 +104,7 @@
         row.work = round(job.work, 3)
         row.outcome = NAMED.get(reason) or ("error" if job.failed else "ok")
         self._ledger.add(row)
-        if not self.core.held:
+        if not self.core.in_flight:
             self.idle.set()
         headers = self._report()
         if row.outcome == "ok":
@@ -157,7 +157,9 @@
     """Serve until it is told to drain, or its starter is gone."""
     logs.set_up()
     order = msgspec.convert(raw, Order)
-    ledger_writer = ledger.Book(Path(order.folder), buffered=False, kinds=(ledger.Attempt, ledger.Life))
+    ledger_writer = ledger.LedgerWriter(
+        Path(order.folder), buffered=False, kinds=(ledger.Attempt, ledger.Incarnation)
+    )
     host = Host(order, ledger_writer)
     runner = web.ServerRunner(web.Server(host.serve, access_log=None, keepalive_timeout=60.0))
     await runner.setup()
@@ -166,13 +168,13 @@
     address = f"127.0.0.1:{runner.addresses[0][1]}"
     machine = order.machine
     ledger_writer.add(
-        ledger.Life(
+        ledger.Incarnation(
             order.name,
             order.incarnation,
             round(host.core.begun, 3),
             round(machine.capacity, 4),
-            machine.cold_from if order.warming_up else 1.0,
-            machine.cold_ms if order.warming_up else 0.0,
+            machine.warmup_start if order.warming_up else 1.0,
+            machine.warmup_ms if order.warming_up else 0.0,
         )
     )
     member = Member([order.registry], _entry(order, address), order.ttl_ms)
--- a/brassfall/lab/report.py
+++ b/brassfall/lab/report.py
@@ -11,33 +11,39 @@
 from brassfall.lab import plots, spec
 from brassfall.lab.play import Result
 
-FIGURES = ("service", "worst_window", "worst_class", "goal")
+STATISTICS = ("service", "worst_window", "worst_class", "goal")
 
 
-def write(told: spec.Experiment, results: Sequence[Result], out: Path) -> None:
+def write(experiment: spec.Experiment, results: Sequence[Result], out: Path) -> None:
     """Write everything into the folder of an experiment."""
     rows = [msgspec.structs.replace(result, cost={}) for result in results]
     (out / "plays.jsonl").write_bytes(msgspec.json.Encoder().encode_lines(rows))
-    pictures = plots.write(told, results, out)
-    (out / "report.md").write_text(summary(told, results, pictures), encoding="utf-8")
+    pictures = plots.write(experiment, results, out)
+    (out / "report.md").write_text(summary(experiment, results, pictures), encoding="utf-8")
 
 
-def summary(told: spec.Experiment, results: Sequence[Result], pictures: Sequence[str] = ()) -> str:
+def summary(experiment: spec.Experiment, results: Sequence[Result], pictures: Sequence[str] = ()) -> str:
     """The report as Markdown."""
-    head = told.experiment
+    head = experiment.head
     lines = [f"# {head.name}", ""]
+    sidecars, servers = experiment.fleet.sidecars, experiment.fleet.servers
     lines += [
-        f"{head.mode.capitalize()}, {head.lasts / 1000.0:g} s a play, {told.fleet.sidecars} sidecars and "
-        f"{told.fleet.servers} servers, {head.repeats} seeds from {head.first_seed} on."
+        f"{head.mode.capitalize()}, {head.lasts / 1000.0:g} s a play, {sidecars} sidecars and "
+        f"{servers} servers, {head.repeats} seeds from {head.first_seed} on."
     ]
     bad = [result for result in results if not result.valid]
     lines += ["", *(_does_not_count(result) for result in bad)] if bad else []
-    lines += ["", "## Service", "", *_service(told, results)]
-    if told.measure:
-        lines += ["", "## Spans", "", *_spans(told, results)]
-    lines += ["", "## Classes", "", *_classes(told, results)]
-    lines += ["", "## Latency of served requests from when they were due, ms", "", *_latency(told, results)]
-    lines += ["", "## Rules", "", *_rules(told, results)]
+    lines += ["", "## Service", "", *_service(experiment, results)]
+    if experiment.measure:
+        lines += ["", "## Spans", "", *_spans(experiment, results)]
+    lines += ["", "## Classes", "", *_classes(experiment, results)]
+    lines += [
+        "",
+        "## Latency of served requests from when they were due, ms",
+        "",
+        *_latency(experiment, results),
+    ]
+    lines += ["", "## Rules", "", *_rules(experiment, results)]
     lines += ["", "## What went wrong", "", *_events(results)]
     for picture in pictures:
         lines += ["", f"![{picture}]({picture})"]
@@ -63,51 +69,53 @@
     return f"{mean:{form}} ({min(values):{form}} to {max(values):{form}})"
 
 
-def _service(told: spec.Experiment, results: Sequence[Result]) -> list[str]:
+def _service(experiment: spec.Experiment, results: Sequence[Result]) -> list[str]:
     lines = ["| version | plays | requests | service | worst 10 s | worst class | goal |"]
     lines += ["| --- | --- | --- | --- | --- | --- | --- |"]
-    for version in told.versions:
-        figures = [r.judgement.figures for r in valid(results, version.name) if r.judgement]
-        cells = [spread([getattr(f, name) for f in figures]) for name in FIGURES]
-        asked = spread([float(f.requests) for f in figures], ".0f")
-        lines.append(f"| {version.name} | {len(figures)} | {asked} | {' | '.join(cells)} |")
+    for version in experiment.versions:
+        statistics = [r.judgement.statistics for r in valid(results, version.name) if r.judgement]
+        cells = [spread([getattr(f, name) for f in statistics]) for name in STATISTICS]
+        asked = spread([float(f.requests) for f in statistics], ".0f")
+        lines.append(f"| {version.name} | {len(statistics)} | {asked} | {' | '.join(cells)} |")
     return lines
 
 
-def _classes(told: spec.Experiment, results: Sequence[Result]) -> list[str]:
-    names = [row.name for row in told.classes]
+def _classes(experiment: spec.Experiment, results: Sequence[Result]) -> list[str]:
+    names = [row.name for row in experiment.classes]
     lines = [f"| version | {' | '.join(names)} |", f"| --- |{' --- |' * len(names)}"]
-    for version in told.versions:
-        figures = [r.judgement.figures for r in valid(results, version.name) if r.judgement]
-        cells = [spread([f.classes[name] for f in figures if name in f.classes]) for name in names]
+    for version in experiment.versions:
+        statistics = [r.judgement.statistics for r in valid(results, version.name) if r.judgement]
+        cells = [spread([f.classes[name] for f in statistics if name in f.classes]) for name in names]
         lines.append(f"| {version.name} | {' | '.join(cells)} |")
     return lines
 
 
-def _spans(told: spec.Experiment, results: Sequence[Result]) -> list[str]:
+def _spans(experiment: spec.Experiment, results: Sequence[Result]) -> list[str]:
     lines = ["| version | span | service |", "| --- | --- | --- |"]
-    for version in told.versions:
-        figures = [r.judgement.figures for r in valid(results, version.name) if r.judgement]
-        for measure in told.measure:
+    for version in experiment.versions:
+        statistics = [r.judgement.statistics for r in valid(results, version.name) if r.judgement]
+        for measure in experiment.measure:
             which = f"{measure.name}, {measure.begin / 1000.0:g} to {measure.end / 1000.0:g} s"
             which += f", {measure.cls}" if measure.cls else ""
-            lines.append(f"| {version.name} | {which} | {spread([f.spans[measure.name] for f in figures])} |")
+            lines.append(
+                f"| {version.name} | {which} | {spread([f.spans[measure.name] for f in statistics])} |"
+            )
     return lines
 
 
-def _latency(told: spec.Experiment, results: Sequence[Result]) -> list[str]:
+def _latency(experiment: spec.Experiment, results: Sequence[Result]) -> list[str]:
     names = ["p50", "p90", "p99", "p99.9"]
     lines = [f"| version | {' | '.join(names)} |", f"| --- |{' --- |' * len(names)}"]
-    for version in told.versions:
-        figures = [r.judgement.figures for r in valid(results, version.name) if r.judgement]
-        cells = [spread([f.latency_ms[name] for f in figures], ".0f") for name in names]
+    for version in experiment.versions:
+        statistics = [r.judgement.statistics for r in valid(results, version.name) if r.judgement]
+        cells = [spread([f.latency_ms[name] for f in statistics], ".0f") for name in names]
         lines.append(f"| {version.name} | {' | '.join(cells)} |")
     return lines
 
 
-def _rules(told: spec.Experiment, results: Sequence[Result]) -> list[str]:
+def _rules(experiment: spec.Experiment, results: Sequence[Result]) -> list[str]:
     lines = []
-    for version in told.versions:
+    for version in experiment.versions:
         for result in valid(results, version.name):
             for finding in result.judgement.findings if result.judgement else ():
                 lines.append(
@@ -122,10 +130,10 @@
     lines = []
     first = {result.seed: result for result in results if result.valid}
     for seed, result in sorted(first.items()):
-        told = [
+        descriptions = [
             f"{event.kind} {event.at / 1000.0:.1f} to {event.until / 1000.0:.1f} s"
             + (f" ({len(event.targets)})" if event.targets else "")
             for event in result.events
         ]
-        lines.append(f"- seed {seed}: {'; '.join(told) or 'nothing'}")
+        lines.append(f"- seed {seed}: {'; '.join(descriptions) or 'nothing'}")
     return lines
--- a/brassfall/lab/runner.py
+++ b/brassfall/lab/runner.py
@@ -23,11 +23,11 @@
 
 from brassfall.balancer import model
 from brassfall.lab import compiled, day, report, spec
-from brassfall.lab.arrivals import experiment
+from brassfall.lab.arrivals import load_experiment
 from brassfall.lab.play import Order, Result
 from brassfall.lab.revision_chaos import command
 from brassfall.lab.revision_chaos import spec as editions
-from brassfall.lab.sim.flaws import FLAWS
+from brassfall.lab.sim.defects import DEFECTS
 from brassfall.settings import SettingsError, read_toml
 
 ROOT = Path(__file__).resolve().parent.parent.parent
@@ -56,7 +56,7 @@
 class Run:
     """One experiment."""
 
-    told: spec.Experiment
+    experiment: spec.Experiment
     file: Path
     out: Path
     say: Say
@@ -64,7 +64,7 @@
 
     async def go(self) -> list[Result]:
         """Play all that has not been played; the results, in order."""
-        head = self.told.experiment
+        head = self.experiment.head
         waiting = [play for play in self.plays if play.result is None]
         done = len(self.plays) - len(waiting)
         if done:
@@ -86,7 +86,7 @@
         async with room:
             shutil.rmtree(play.folder, ignore_errors=True)
             play.folder.mkdir(parents=True)
-            in_tree = self.told.experiment.compiled
+            in_tree = self.experiment.head.compiled
             order = Order(
                 str(self.file), play.version, play.seed, str(play.folder), "" if in_tree else play.code
             )
@@ -117,7 +117,7 @@
             self.say(f"{play.version}, seed {play.seed}: failed: {why}")
 
     async def _tell(self) -> None:
-        lasts = self.told.experiment.lasts / 1000.0
+        lasts = self.experiment.head.lasts / 1000.0
         while True:
             await asyncio.sleep(TELL_EVERY_S)
             done = sum(play.result is not None for play in self.plays)
@@ -155,20 +155,20 @@
 
 def prepare(file: Path, out: Path, say: Say) -> Run:
     """Check everything before anything starts; `SettingsError` says what is wrong."""
-    told, recorded = experiment(file)
-    commits = _commits(file, told)
+    experiment, recorded = load_experiment(file)
+    commits = _commits(file, experiment)
     try:
-        day.draw(told, told.experiment.first_seed, recorded)
+        day.sample_day(experiment, experiment.head.first_seed, recorded)
     except day.DayError as error:
         raise SettingsError(str(file), error.told) from error
-    _lay_out(file, told, out)
-    run = Run(told, file.resolve(), out, say)
-    for version in told.versions:
+    _lay_out(file, experiment, out)
+    run = Run(experiment, file.resolve(), out, say)
+    for version in experiment.versions:
         commit = commits.get(version.name)
         code = _checked_out(commit, out, say) if commit is not None else ""
-        if told.experiment.compiled:
+        if experiment.head.compiled:
             code = str(compiled.tree(ROOT, Path(code) if code else ROOT, say))
-        for seed in range(told.experiment.first_seed, told.experiment.first_seed + told.experiment.repeats):
+        for seed in range(experiment.head.first_seed, experiment.head.first_seed + experiment.head.repeats):
             folder = (out / "plays" / f"{version.name}-{seed}").resolve()
             play = Play(version.name, seed, folder, code)
             path = folder / "result.json"
@@ -178,19 +178,19 @@
     return run
 
 
-def _commits(file: Path, told: spec.Experiment) -> dict[str, str]:
+def _commits(file: Path, experiment: spec.Experiment) -> dict[str, str]:
     """The commits of the versions that name a revision."""
     commits = {}
-    for number, version in enumerate(told.versions):
+    for number, version in enumerate(experiment.versions):
         at = f"{file}: versions[{number}]"
-        if version.flaw is not None and version.flaw not in FLAWS:
-            raise SettingsError(f"{at}.flaw: {version.flaw!r} is none of {', '.join(FLAWS)}")
-        if version.flaw is not None and told.experiment.mode == "real":
+        if version.defect is not None and version.defect not in DEFECTS:
+            raise SettingsError(f"{at}.flaw: {version.defect!r} is none of {', '.join(DEFECTS)}")
+        if version.defect is not None and experiment.head.mode == "real":
             raise SettingsError(f"{at}.flaw: flaws are for simulated experiments")
-        if told.experiment.compiled and told.experiment.mode == "real":
+        if experiment.head.compiled and experiment.head.mode == "real":
             raise SettingsError(f"{file}: experiment.compiled: only simulated experiments are compiled")
         if version.revision is None:
-            _check_settings(f"{at}.settings", told, version)
+            _check_settings(f"{at}.settings", experiment, version)
             continue
         named = ["git", "-C", str(ROOT), "rev-parse", "--verify", "--quiet", f"{version.revision}^{{commit}}"]
         found = None if "\0" in version.revision else subprocess.run(named, capture_output=True, text=True)
@@ -200,27 +200,27 @@
     return commits
 
 
-def _check_settings(at: str, told: spec.Experiment, version: spec.Version) -> None:
+def _check_settings(at: str, experiment: spec.Experiment, version: spec.Version) -> None:
     """Whether the decision module that stands here takes the settings of a version."""
     try:
-        model.Settings.parse(day.wire_settings(told, 0, version.settings))
+        model.Settings.parse(day.wire_settings(experiment, 0, version.settings))
     except (ValueError, TypeError, KeyError, AttributeError, OverflowError) as error:
         raise SettingsError(at, f"the decision module does not take them: {error!r}") from error
 
 
-def _lay_out(file: Path, told: spec.Experiment, out: Path) -> None:
+def _lay_out(file: Path, experiment: spec.Experiment, out: Path) -> None:
     """The folder of the results, with the experiment in it."""
     text = file.read_text(encoding="utf-8")
-    kept = out / "experiment.toml"
-    if kept.exists() and read_toml(kept) != tomllib.loads(text):
+    stored = out / "experiment.toml"
+    if stored.exists() and read_toml(stored) != tomllib.loads(text):
         raise SettingsError(str(out), "holds another experiment, or one that was changed since", ELSEWHERE)
-    if out.exists() and not kept.exists() and (not out.is_dir() or any(out.iterdir())):
+    if out.exists() and not stored.exists() and (not out.is_dir() or any(out.iterdir())):
         raise SettingsError(str(out), "is not an empty folder, and holds no experiment", ELSEWHERE)
     try:
         out.mkdir(parents=True, exist_ok=True)
-        kept.write_text(text, encoding="utf-8")
-        if told.load.replay is not None:
-            shutil.copyfile(file.parent / told.load.replay, out / Path(told.load.replay).name)
+        stored.write_text(text, encoding="utf-8")
+        if experiment.load.replay is not None:
+            shutil.copyfile(file.parent / experiment.load.replay, out / Path(experiment.load.replay).name)
     except OSError as error:
         raise SettingsError(str(out), error.strerror or str(error), ELSEWHERE) from error
 
@@ -245,7 +245,7 @@
         return await command.run(file, out, say)
     prepared = prepare(file, out, say)
     results = await prepared.go()
-    report.write(prepared.told, results, out)
+    report.write(prepared.experiment, results, out)
     say(f"report in {out / 'report.md'}")
     played = {result.version for result in results if result.valid}
-    return 0 if all(version.name in played for version in prepared.told.versions) else 1
+    return 0 if all(version.name in played for version in prepared.experiment.versions) else 1
--- a/brassfall/lab/sim/flaws.py
+++ b/brassfall/lab/sim/defects.py
@@ -14,7 +14,7 @@
 
     _seen = 0
 
-    def strikes(self) -> bool:
+    def is_due(self) -> bool:
         """Whether this is the one in so many."""
         self._seen += 1
         return self._seen % EVERY == 0
@@ -27,10 +27,10 @@
         """Begin an attempt, and sometimes another one."""
         super().send(now, action)
         request = self.requests.get(action.request)
-        if request is None or not request.attempts or not self.strikes():
+        if request is None or not request.attempts or not self.is_due():
             return
-        if self.world.day.classes[request.tried.chain.cls].effect == "unsafe":
-            others = [name for name in self.held if name != action.server]
+        if self.world.day.classes[request.call.client_request.cls].effect == "unsafe":
+            others = [name for name in self.endpoints if name != action.server]
             super().send(now, action._replace(server=others[request.number % len(others)]))
 
 
@@ -39,8 +39,8 @@
 
     def served(self, now: float, request: Request, attempt: Attempt) -> None:
         """The final answer: sometimes none."""
-        if self.strikes():
-            self.world.answered(now, request.tried, BROKEN)
+        if self.is_due():
+            self.world.answered(now, request.call, BROKEN)
         else:
             super().served(now, request, attempt)
 
@@ -50,22 +50,22 @@
 
     def served(self, now: float, request: Request, attempt: Attempt) -> None:
         """The final answer: sometimes far too late."""
-        if self.strikes():
-            self.world.at(now + 2.0 * request.tried.budget, self._at_last, (request, attempt))
+        if self.is_due():
+            self.world.at(now + 2.0 * request.call.budget, self._at_last, (request, attempt))
         else:
             super().served(now, request, attempt)
 
-    def _at_last(self, now: float, told: tuple[Request, Attempt]) -> None:
-        super().served(now, *told)
+    def _at_last(self, now: float, list_received: tuple[Request, Attempt]) -> None:
+        super().served(now, *list_received)
 
 
 class IgnoresDrain(Sidecar):
     """Goes on sending to servers that drain or are gone."""
 
-    def told(self, now: float, form: str, entries: list[Listing], index: int) -> None:
+    def list_received(self, now: float, form: str, entries: list[Listing], index: int) -> None:
         """News of the list, all of it good."""
-        kept = [entry._replace(state="active") for entry in entries]
-        super().told(now, form, kept, index)
+        as_active = [entry._replace(state="active") for entry in entries]
+        super().list_received(now, form, as_active, index)
 
 
 class CrossesKeys(_Counting):
@@ -76,15 +76,15 @@
     def send(self, now: float, action: Send) -> None:
         """Begin an attempt, sometimes with a key that is another's."""
         request = self.requests.get(action.request)
-        if request is None or not request.tried.key:
+        if request is None or not request.call.key:
             super().send(now, action)
             return
-        mine, key = request.tried.key, self._last_key
+        mine, key = request.call.key, self._last_key
         self._last_key = mine
-        if key and self.strikes():
-            request.tried.key = key
+        if key and self.is_due():
+            request.call.key = key
         super().send(now, action)
-        request.tried.key = mine
+        request.call.key = mine
 
 
 class CrossesAnswers(_Counting):
@@ -96,8 +96,8 @@
         """The final answer, sometimes another request's."""
         by, of = self._last
         self._last = (attempt.server.name, attempt.of)
-        if of and self.strikes():
-            self.world.answered(now, request.tried, SERVED, by=by, of=of)
+        if of and self.is_due():
+            self.world.answered(now, request.call, SERVED, by=by, of=of)
         else:
             super().served(now, request, attempt)
 
@@ -109,23 +109,23 @@
         """The outcome of an attempt."""
         if status == RESET and not attempt.over and not attempt.request.ended:
             attempt.request.ended = True
-            self.world.answered(now, attempt.request.tried, BROKEN)
+            self.world.answered(now, attempt.request.call, BROKEN)
         super().ended(now, attempt, status, report)
 
 
-class FloodsCold(Sidecar):
+class FloodsWarmingUp(Sidecar):
     """Sends everything to the server that has started last, for some seconds."""
 
     _newest = ""
     _until = 0.0
 
-    def told(self, now: float, form: str, entries: list[Listing], index: int) -> None:
+    def list_received(self, now: float, form: str, entries: list[Listing], index: int) -> None:
         """News of the list."""
         started = [entry for entry in entries if entry.state == "active" and entry.started > 0.0]
         if started:
             self._newest = max(started, key=lambda entry: entry.started).server
             self._until = now + 4000.0
-        super().told(now, form, entries, index)
+        super().list_received(now, form, entries, index)
 
     def send(self, now: float, action: Send) -> None:
         """Begin an attempt, at the newest server."""
@@ -139,11 +139,11 @@
     def refused(self, now: float, request: Request, retry_after: float) -> None:
         """The final answer, which it does not mean."""
         super().refused(now, request, retry_after)
-        if self.strikes():
+        if self.is_due():
             self.world.at(now + 60.0, self._send_on, request)
 
     def _send_on(self, now: float, request: Request) -> None:
-        host = self.world.servers[next(iter(self.held))]
+        host = self.world.servers[next(iter(self.endpoints))]
         attempt = Attempt(self, request, len(request.attempts), host, now)
         attempt.over = True
         self.world.carry(now, self, attempt)
@@ -154,8 +154,8 @@
 
     def refused(self, now: float, request: Request, retry_after: float) -> None:
         """The final answer: sometimes a kind lie."""
-        if self.strikes():
-            self.world.answered(now, request.tried, SERVED)
+        if self.is_due():
+            self.world.answered(now, request.call, SERVED)
         else:
             super().refused(now, request, retry_after)
 
@@ -165,14 +165,14 @@
 
     def served(self, now: float, request: Request, attempt: Attempt) -> None:
         """The final answer: sometimes a refusal."""
-        if self.strikes():
+        if self.is_due():
             self.refused(now, request, 0.0)
         else:
             super().served(now, request, attempt)
 
 
 # Each flaw, and the rule that the ledger has to name for it.
-FLAWS: dict[str, tuple[type[Sidecar], str]] = {
+DEFECTS: dict[str, tuple[type[Sidecar], str]] = {
     "notice-twice": (NoticeTwice, "ran twice"),
     "drops-answer": (DropsAnswer, "lost"),
     "answers-late": (AnswersLate, "unanswered"),
@@ -180,7 +180,7 @@
     "crosses-keys": (CrossesKeys, "altered"),
     "crosses-answers": (CrossesAnswers, "invented"),
     "loses-on-reset": (LosesOnReset, "lost"),
-    "floods-cold": (FloodsCold, "cold server"),
+    "floods-cold": (FloodsWarmingUp, "cold server"),
     "goes-on": (GoesOn, "sent after its answer"),
     "invents": (Invents, "invented"),
     "refuses-what-ran": (RefusesWhatRan, "refused after it ran"),
--- a/brassfall/lab/sim/listing.py
+++ b/brassfall/lab/sim/listing.py
@@ -23,8 +23,8 @@
 
     def __init__(self, clock_s: float = 1000.0, keep_ms: float | None = None) -> None:
         self.disk: list[Record] = []
-        self.told: list[int] = []  # every index, in the order in which it was told
-        self.news: list[Change] = []
+        self.announced: list[int] = []  # every index, in the order in which it was told
+        self.changes: list[Change] = []
         self.up = self.stalled = False
         self.gathered_at = 0.0
         self._clock_s = clock_s  # wall time at time 0
@@ -53,12 +53,12 @@
     def stop(self) -> None:
         """End its life."""
         self.up = False
-        self.news.clear()
+        self.changes.clear()
 
     def _write(self, records: list[Record]) -> None:
         self.disk += records
-        self.news += [change for _, change in self.table.absorb(records)]
-        self.told.append(self.table.index)
+        self.changes += [change for _, change in self.table.absorb(records)]
+        self.announced.append(self.table.index)
 
     def run(self, command: Command) -> Result:
         """Carry out one command."""
@@ -117,8 +117,8 @@
         changes = self.table.since(INSTANCES, index)
         return None if changes is None else entries.changed(changes)
 
-    def take_news(self) -> list[dict[str, Any]]:
+    def take_changes(self) -> list[dict[str, Any]]:
         """The changes since it was last asked for them, as a watch tells them."""
-        told = entries.changed(self.news)
-        self.news.clear()
-        return told
+        announced = entries.changed(self.changes)
+        self.changes.clear()
+        return announced
--- a/brassfall/lab/sim/parts.py
+++ b/brassfall/lab/sim/parts.py
@@ -17,7 +17,7 @@
         self.name = name
         self.machine = machine
         self.zone = machine.zone
-        self.life = -1
+        self.incarnation = -1
         self.link = 0  # counts generations of connections: a death or a reset ends one
         self.up = False
         self.leaving = False
@@ -27,10 +27,10 @@
         self.wakes_at = math.inf
 
 
-class Chain:
+class ClientRequest:
     """A request, through all its client's tries."""
 
-    __slots__ = ("first", "cls", "app", "due", "work", "tries")
+    __slots__ = ("first", "cls", "app", "due", "work", "calls")
 
     def __init__(self, first: str, cls: int, app: int, due: float, work: float) -> None:
         self.first = first
@@ -38,22 +38,35 @@
         self.app = app
         self.due = due
         self.work = work
-        self.tries = 0
+        self.calls = 0
 
 
-class Try:
+class Call:
     """One try of a client."""
 
-    __slots__ = ("id", "chain", "hop", "sent", "budget", "key", "over", "request", "keyed_or_unsafe", "life")
+    __slots__ = (
+        "id",
+        "client_request",
+        "hop",
+        "sent",
+        "budget",
+        "key",
+        "over",
+        "request",
+        "keyed_or_unsafe",
+        "incarnation",
+    )
 
-    def __init__(self, id_: str, chain: Chain, sent: float, budget: float, key: str, writes: bool) -> None:
+    def __init__(
+        self, id_: str, client_request: ClientRequest, sent: float, budget: float, key: str, writes: bool
+    ) -> None:
         self.id = id_
-        self.chain = chain
-        self.hop = chain.tries
+        self.client_request = client_request
+        self.hop = client_request.calls
         self.sent = sent
         self.budget = budget
         self.key = key
         self.over = False
         self.request: Any = None
         self.keyed_or_unsafe = writes
-        self.life = 0
+        self.incarnation = 0
--- a/brassfall/lab/sim/sidecar.py
+++ b/brassfall/lab/sim/sidecar.py
@@ -25,14 +25,14 @@
     Watch,
 )
 from brassfall.lab.day import Day
-from brassfall.lab.ledger import Book
+from brassfall.lab.ledger import LedgerWriter
 from brassfall.lab.models.client import FAILED, REFUSED, SERVED
 from brassfall.lab.models.network import Network
-from brassfall.lab.sim.parts import Host, Try
+from brassfall.lab.sim.parts import Call, Host
 
 Handler = Callable[[float, Any], None]
 
-OK, ERROR, FULL, TIMEOUT, CONNECT_FAILED, RESET, CANCELLED, MOOT = map(int, model.Outcome)
+OK, ERROR, FULL, TIMEOUT, CONNECT_FAILED, RESET, CANCELLED, ABANDONED = map(int, model.Outcome)
 MARGIN_MS = 8.0  # what the real driver keeps between its deadline and the client's
 PROBE_TIMEOUT_MS = 1000.0
 
@@ -40,11 +40,11 @@
 class Request:
     """A request taken, until its final answer and its last outcome."""
 
-    __slots__ = ("number", "tried", "give_up_at", "ended", "attempts", "out")
+    __slots__ = ("number", "call", "give_up_at", "ended", "attempts", "out")
 
-    def __init__(self, number: int, tried: Try, give_up_at: float) -> None:
+    def __init__(self, number: int, call: Call, give_up_at: float) -> None:
         self.number = number
-        self.tried = tried
+        self.call = call
         self.give_up_at = give_up_at
         self.ended = False
         self.attempts: list[Attempt] = []
@@ -66,8 +66,8 @@
         self.link = -1  # which of the server's generations of connections it went by; -1 before one
         self.cross = sidecar.zone != server.zone
         self.fresh = False
-        self.of = request.tried.id
-        self.key = request.tried.key
+        self.of = request.call.id
+        self.key = request.call.key
 
 
 class Pool:
@@ -84,7 +84,7 @@
     """The world of a play as its sidecars and its list see it."""
 
     day: Day
-    book: Book
+    ledger_writer: LedgerWriter
     network: Network
     servers: dict[str, Host]
     sidecars: list[Sidecar]
@@ -101,7 +101,7 @@
     def answered(
         self,
         now: float,
-        tried: Try,
+        call: Call,
         status: str,
         retry_after: float = 0.0,
         by: str = "",
@@ -127,7 +127,7 @@
         """A sidecar asks for the list, and for all changes from then on."""
 
     @abstractmethod
-    def begin_host(self, host: Host, now: float, cold: bool) -> None:
+    def begin_host(self, host: Host, now: float, warming_up: bool) -> None:
         """A life of a server begins; whoever calls this sees to its place in the list."""
 
 
@@ -146,13 +146,13 @@
         self.settings = model.Settings.parse(settings)
         self.idle_ms = self.settings.idle_close
         self.max_attempts = self.settings.max_attempts
-        self.life = -1
+        self.incarnation = -1
         self.up = False
         self.watching = False
         self.watch_asked = 0  # counts asks, so that an answer to an older one is void
         self.list_index = 0
         self.list_heard = 0.0  # when what it holds was last known to be true
-        self.held: dict[str, Listing] = {}
+        self.endpoints: dict[str, Listing] = {}
         self.requests: dict[int, Request] = {}
         self.pools: dict[str, Pool] = {}
         self._balancer: Balancer
@@ -174,13 +174,13 @@
 
     def start(self, now: float, seed: int) -> None:
         """Begin anew, with nothing but the list that it last had."""
-        self.life += 1
+        self.incarnation += 1
         self.up, self.watching = True, False
         self.watch_asked += 1
         self.requests, self.pools = {}, {}
         self._next = seed % 2**32
         self._balancer = Balancer(now, self.settings, seed)
-        self.do(now, self._balancer.server_list(now, "remembered", list(self.held.values())))
+        self.do(now, self._balancer.server_list(now, "remembered", list(self.endpoints.values())))
         if self.steer is not None:
             self.steered(now, self.steer)
 
@@ -190,31 +190,38 @@
         if self.up:
             self.do(now, self._balancer.steer(now, steer))
 
-    def kill(self, now: float) -> list[Try]:
+    def kill(self, now: float) -> list[Call]:
         """Its process dies; the tries that it had not answered."""
         self.up, self.watching = False, False
-        open_tries = [request.tried for request in self.requests.values() if not request.ended]
+        open_calls = [request.call for request in self.requests.values() if not request.ended]
         for pool_name, pool in self.pools.items():
             self.world.disconnect(pool_name, pool, len(pool.idle))
         for request in self.requests.values():
             for attempt in request.attempts:
                 attempt.over = True
         self.requests, self.pools = {}, {}
-        return open_tries
+        return open_calls
 
     # --- events ---------------------------------------------------------------
 
-    def arrive(self, now: float, tried: Try) -> None:
+    def arrive(self, now: float, call: Call) -> None:
         """A client's request."""
         number = self._next
         while number in self.requests:
             number = (number + 1) % 2**32
         self._next = (number + 1) % 2**32
-        request = Request(number, tried, now + tried.budget - MARGIN_MS)
+        request = Request(number, call, now + call.budget - MARGIN_MS)
         self.requests[number] = request
-        tried.request = request
+        call.request = request
         arrival = model.Arrival(
-            number, tried.chain.cls, request.give_up_at, 0, None, None, tried.hop > 0, tried.keyed_or_unsafe
+            number,
+            call.client_request.cls,
+            request.give_up_at,
+            0,
+            None,
+            None,
+            call.hop > 0,
+            call.keyed_or_unsafe,
         )
         self.do(now, self._balancer.request(now, arrival))
 
@@ -236,9 +243,12 @@
         if status == OK and self._end(request):
             self.served(now, request, attempt)
         spent = now - attempt.sent
-        told = None if report is None else {"inflight": report}
+        list_received = None if report is None else {"inflight": report}
         balancer = self._balancer
-        self.do(now, balancer.outcome(now, request.number, attempt.hop, status, spent, request.ended, told))
+        self.do(
+            now,
+            balancer.outcome(now, request.number, attempt.hop, status, spent, request.ended, list_received),
+        )
         self._forget(request)
 
     def expire(self, now: float, attempt: Attempt) -> None:
@@ -249,18 +259,18 @@
 
     def timer(self, now: float, token: tuple[int, str]) -> None:
         """A timer of the module has come due."""
-        if token[0] == self.life and self.up:
+        if token[0] == self.incarnation and self.up:
             self.do(now, self._balancer.timer(now, token[1]))
 
-    def told(self, now: float, form: str, entries: list[Listing], index: int) -> None:
+    def list_received(self, now: float, form: str, entries: list[Listing], index: int) -> None:
         """News of the list."""
         if form == "all":
-            self.held = {entry.server: entry for entry in entries}
+            self.endpoints = {entry.server: entry for entry in entries}
         for entry in entries if form == "changes" else ():
             if entry.state == "left":
-                self.held.pop(entry.server, None)
+                self.endpoints.pop(entry.server, None)
             else:
-                self.held[entry.server] = entry
+                self.endpoints[entry.server] = entry
         self.list_index = max(self.list_index, index)
         self.do(now, self._balancer.server_list(now, form, entries))
 
@@ -269,10 +279,10 @@
         self.watching = False
         self.do(now, self._balancer.server_list(now, "refused", ()))
 
-    def probed(self, now: float, told: tuple[int, str, int, float]) -> None:
+    def probed(self, now: float, list_received: tuple[int, str, int, float]) -> None:
         """What a probe has found."""
-        life, server, status, spent = told
-        if life == self.life and self.up:
+        incarnation, server, status, spent = list_received
+        if incarnation == self.incarnation and self.up:
             self.do(now, self._balancer.probe_result(now, server, status, spent))
 
     # --- actions --------------------------------------------------------------
@@ -294,18 +304,18 @@
         request.out += 1
         left = request.give_up_at - now
         wait = min(action.timeout, left) if action.timeout > 0.0 else left
-        moot = request.ended or left <= 0.0 or action.timeout < 0.0 or attempt.hop >= self.max_attempts
-        if moot:
-            self.world.at(now, self._moot, attempt)
+        abandoned = request.ended or left <= 0.0 or action.timeout < 0.0 or attempt.hop >= self.max_attempts
+        if abandoned:
+            self.world.at(now, self._abandon, attempt)
             return
         self.world.unless_over(now + wait, self.expire, attempt)
         self.world.carry(now, self, attempt)
 
-    def _moot(self, now: float, attempt: Attempt) -> None:
-        self.ended(now, attempt, MOOT)
+    def _abandon(self, now: float, attempt: Attempt) -> None:
+        self.ended(now, attempt, ABANDONED)
 
     def _set_timer(self, now: float, action: Timer) -> None:
-        self.world.at(now + max(0.0, action.delay), self.timer, (self.life, action.token))
+        self.world.at(now + max(0.0, action.delay), self.timer, (self.incarnation, action.token))
 
     def _refuse(self, now: float, action: Refuse) -> None:
         request = self.requests.get(action.request)
@@ -316,16 +326,16 @@
     def _fail(self, now: float, action: Fail) -> None:
         request = self.requests.get(action.request)
         if request is not None and self._end(request):
-            self.world.answered(now, request.tried, FAILED)
+            self.world.answered(now, request.call, FAILED)
             self._forget(request)
 
     def served(self, now: float, request: Request, attempt: Attempt) -> None:
         """The final answer: a server's."""
-        self.world.answered(now, request.tried, SERVED, by=attempt.server.name, of=attempt.of)
+        self.world.answered(now, request.call, SERVED, by=attempt.server.name, of=attempt.of)
 
     def refused(self, now: float, request: Request, retry_after: float) -> None:
         """The final answer: refused."""
-        self.world.answered(now, request.tried, REFUSED, retry_after)
+        self.world.answered(now, request.call, REFUSED, retry_after)
 
     def _cancel(self, now: float, action: Cancel) -> None:
         request = self.requests.get(action.request)
@@ -399,4 +409,4 @@
         if request.ended and request.out == 0:
             self.requests.pop(request.number, None)
             # No cycles: what is over is given back at once, without a look for it.
-            request.attempts, request.tried.request = [], None
+            request.attempts, request.call.request = [], None
--- a/brassfall/lab/sim/world.py
+++ b/brassfall/lab/sim/world.py
@@ -21,15 +21,15 @@
 from brassfall.lab import ledger
 from brassfall.lab.day import Day
 from brassfall.lab.geography import Delays
-from brassfall.lab.ledger import Book
+from brassfall.lab.ledger import LedgerWriter
 from brassfall.lab.models import client
 from brassfall.lab.models.client import BROKEN, SILENT, UNREACHED
 from brassfall.lab.models.network import Network
+from brassfall.lab.models.server import ACCEPTED, Job, Server
 from brassfall.lab.models.server import BROKEN as ERROR_AT_ONCE
 from brassfall.lab.models.server import FULL as ROOM_FULL
-from brassfall.lab.models.server import TAKEN, Job, Server
 from brassfall.lab.sim.lists import Lists
-from brassfall.lab.sim.parts import Chain, Host, Try
+from brassfall.lab.sim.parts import Call, ClientRequest, Host
 from brassfall.lab.sim.sidecar import (
     CONNECT_FAILED,
     ERROR,
@@ -59,12 +59,12 @@
         self,
         day: Day,
         settings: Callable[[int], dict[str, Any]],
-        book: Book,
+        ledger_writer: LedgerWriter,
         sidecar: type[Sidecar] = Sidecar,
         steers: Sequence[tuple[float, int, model.Steer]] = (),
     ) -> None:
         self.day = day
-        self.book = book
+        self.ledger_writer = ledger_writer
         self.events = 0
         self._steers = steers
         self._heap: list[tuple[float, int, Handler, Any]] = []
@@ -73,13 +73,13 @@
         self.rng = random.Random(day.seed * 7919 + 1)  # the network's and the servers'
         self._client_rng = random.Random(day.seed * 7919 + 2)
         self.lists = Lists(self, day.seed * 7919 + 3)
-        self.network = Network(day.ways, self.rng.random)
+        self.network = Network(day.delays, self.rng.random)
         self.servers = {m.name: Host(m.name, m) for m in day.servers}
         self.sidecars = [
             sidecar(self, number, app.name, app.zone, app.group, settings(number))
             for number, app in enumerate(day.apps)
         ]
-        self._held_back: defaultdict[str, list[Attempt]] = defaultdict(list)  # by a server that stands still
+        self._unread: defaultdict[str, list[Attempt]] = defaultdict(list)  # by a server that stands still
         self._parked: dict[int, list[tuple[float, int, Handler, Any]]] = {}
         self._end = day.lasts + max(row.deadline for row in day.classes) + AFTER_MS
         self._works: list[tuple[float, float]] = [
@@ -127,7 +127,7 @@
         columns = arrivals.app.tolist(), arrivals.cls.tolist(), arrivals.work.tolist()
         rows = [*zip(*columns, strict=True)]
         heap, pop, arrive = self._heap, heapq.heappop, self._arrive
-        end, next_at, told, events = self._end, 0, 1000.0, 0
+        end, next_at, message, events = self._end, 0, 1000.0, 0
         while True:
             due = times[next_at]
             if due <= heap[0][0]:
@@ -142,8 +142,8 @@
                     break
                 what(now, arg)
             events += 1
-            if now >= told:
-                told += 1000.0
+            if now >= message:
+                message += 1000.0
                 progress(now)
         self.events = events
 
@@ -156,19 +156,19 @@
             self.at(at, self._steer, (group, steer))
 
     def _reroute(self, now: float, between: Delays) -> None:
-        self.network.ways = replace(self.network.ways, between=between)
+        self.network.delays = replace(self.network.delays, between=between)
 
-    def _steer(self, now: float, told: tuple[int, model.Steer]) -> None:
+    def _steer(self, now: float, message: tuple[int, model.Steer]) -> None:
         for sidecar in self.sidecars:
-            if sidecar.group == told[0]:
-                sidecar.steered(now, told[1])
+            if sidecar.group == message[0]:
+                sidecar.steered(now, message[1])
 
     def _close(self) -> None:
         for host in self.servers.values():
             if host.up:
                 for job in host.core.abandon():
                     self._note(host, job.data, self._end, "unfinished", job.work)
-                self._note_life(host, -1.0, "")
+                self._note_incarnation(host, -1.0, "")
 
     # --- clients --------------------------------------------------------------
 
@@ -177,38 +177,38 @@
 
     def _arrive(self, now: float, row: tuple[int, int, float]) -> None:
         app, cls, work = row
-        chain = Chain("", cls, app, now, work)
-        self._try(now, chain)
+        client_request = ClientRequest("", cls, app, now, work)
+        self._begin_call(now, client_request)
 
-    def _try(self, now: float, chain: Chain) -> None:
-        row = self.day.classes[chain.cls]
-        budget = client.budget(self.day.habits, row, chain.due + row.deadline - now)
+    def _begin_call(self, now: float, client_request: ClientRequest) -> None:
+        row = self.day.classes[client_request.cls]
+        budget = client.budget(self.day.habits, row, client_request.due + row.deadline - now)
         id_ = self._id()
-        if not chain.tries:
-            chain.first = id_
-        key = f"k{chain.first}" if row.effect == "keyed" else ""
-        tried = Try(id_, chain, now, budget, key, row.effect != "safe")
-        chain.tries += 1
-        sidecar = self.sidecars[chain.app]
+        if not client_request.calls:
+            client_request.first = id_
+        key = f"k{client_request.first}" if row.effect == "keyed" else ""
+        call = Call(id_, client_request, now, budget, key, row.effect != "safe")
+        client_request.calls += 1
+        sidecar = self.sidecars[client_request.app]
         if not sidecar.up:
-            self.answered(now, tried, UNREACHED, excused=True)
+            self.answered(now, call, UNREACHED, excused=True)
             return
-        tried.life = sidecar.life
-        self.unless_over(now + budget + ANSWER_SLACK_MS, self._give_up, tried)
-        sidecar.arrive(now, tried)
+        call.incarnation = sidecar.incarnation
+        self.unless_over(now + budget + ANSWER_SLACK_MS, self._give_up, call)
+        sidecar.arrive(now, call)
 
-    def _give_up(self, now: float, tried: Try) -> None:
-        if tried.over:
+    def _give_up(self, now: float, call: Call) -> None:
+        if call.over:
             return
-        self.answered(now, tried, SILENT)
-        sidecar = self.sidecars[tried.chain.app]
-        if sidecar.up and sidecar.life == tried.life and tried.request is not None:
-            sidecar.client_gone(now, tried.request)
+        self.answered(now, call, SILENT)
+        sidecar = self.sidecars[call.client_request.app]
+        if sidecar.up and sidecar.incarnation == call.incarnation and call.request is not None:
+            sidecar.client_gone(now, call.request)
 
     def answered(
         self,
         now: float,
-        tried: Try,
+        call: Call,
         status: str,
         retry_after: float = 0.0,
         by: str = "",
@@ -216,24 +216,24 @@
         excused: bool = False,
     ) -> None:
         """A client has its answer, or has given up waiting for it."""
-        if tried.over:
+        if call.over:
             return
-        tried.over = True
-        chain = tried.chain
-        app = self.day.apps[chain.app]
-        self.book.add(
+        call.over = True
+        client_request = call.client_request
+        app = self.day.apps[client_request.app]
+        self.ledger_writer.add(
             ledger.Answer(
-                tried.id,
-                self.day.classes[chain.cls].name,
+                call.id,
+                self.day.classes[client_request.cls].name,
                 app.name,
-                chain.first,
-                tried.hop,
-                ledger.ms(chain.due),
-                ledger.ms(tried.sent),
-                ledger.ms(tried.budget),
+                client_request.first,
+                call.hop,
+                ledger.ms(client_request.due),
+                ledger.ms(call.sent),
+                ledger.ms(call.budget),
                 ledger.ms(now + 2.0 * app.client_ms),
                 status,
-                tried.key,
+                call.key,
                 by,
                 of,
                 excused,
@@ -241,41 +241,41 @@
         )
         if status == client.SERVED:
             return
-        row = self.day.classes[chain.cls]
+        row = self.day.classes[client_request.cls]
         wait = client.wait(
             self.day.habits,
             row,
             status,
-            chain.tries,
-            now - chain.due,
-            now - chain.due,
+            client_request.calls,
+            now - client_request.due,
+            now - client_request.due,
             retry_after,
             self._client_rng.random(),
         )
         if wait is not None:
-            self.at(now + wait, self._try, chain)
+            self.at(now + wait, self._begin_call, client_request)
 
     # --- attempts -------------------------------------------------------------
 
     def carry(self, now: float, sidecar: Sidecar, attempt: Attempt) -> None:
         """Bring an attempt to its server, over an idle connection or a new one."""
         host = attempt.server
-        way = self.network.to_server(sidecar.group, host.name, host.zone)
+        delay_ms = self.network.to_server(sidecar.group, host.name, host.zone)
         if sidecar.connection(now, host):
             attempt.link = host.link
-            if way is not None:
-                self.at(now + way, self._reach, attempt)
+            if delay_ms is not None:
+                self.at(now + delay_ms, self._reach, attempt)
             return
-        if way is None:
+        if delay_ms is None:
             self.at(now + sidecar.settings.connect_timeout, self._no_connection, attempt)
         elif not host.up or host.core.connections >= host.machine.connections:
-            self.at(now + 2.0 * way, self._no_connection, attempt)
+            self.at(now + 2.0 * delay_ms, self._no_connection, attempt)
         else:
             attempt.fresh = True
             attempt.link = host.link
             host.core.connections += 1
             trips = 1.0 + 2.0 * host.machine.round_trips
-            self.at(now + way * trips, self._reach, attempt)
+            self.at(now + delay_ms * trips, self._reach, attempt)
 
     def _no_connection(self, now: float, attempt: Attempt) -> None:
         attempt.sidecar.ended(now, attempt, CONNECT_FAILED)
@@ -286,22 +286,22 @@
         if attempt.link != host.link or not host.up:
             self._outcome_later(now, attempt, RESET, None)
         elif host.core.stopped:
-            self._held_back[host.name].append(attempt)
+            self._unread[host.name].append(attempt)
         else:
             self.offer(now, host, attempt)
 
     def offer(self, now: float, host: Host, attempt: Attempt) -> None:
         """A server reads a request."""
         core = host.core
-        chain = attempt.request.tried.chain
-        mu, sigma = self._works[chain.cls]
-        job = Job(chain.work * self.rng.lognormvariate(mu, sigma), (attempt, now))
+        client_request = attempt.request.call.client_request
+        mu, sigma = self._works[client_request.cls]
+        job = Job(client_request.work * self.rng.lognormvariate(mu, sigma), (attempt, now))
         self.settle(now, host)
         reason = core.offer(now, job, attempt.fresh)
         if core.fallen:
             self._note(host, job.data, now, "lost", job.work)
             self.die(now, host, "fallen")
-        elif reason == TAKEN:
+        elif reason == ACCEPTED:
             self.wake(host)
         else:
             at_once = reason == ERROR_AT_ONCE
@@ -314,11 +314,11 @@
         due = host.core.due
         if due < host.wakes_at:
             host.wakes_at = due
-            self.at(due, self._woken, (host, host.life, due))
+            self.at(due, self._woken, (host, host.incarnation, due))
 
-    def _woken(self, now: float, told: tuple[Host, int, float]) -> None:
-        host, life, due = told
-        if host.life != life or host.wakes_at != due or not host.up:
+    def _woken(self, now: float, message: tuple[Host, int, float]) -> None:
+        host, incarnation, due = message
+        if host.incarnation != incarnation or host.wakes_at != due or not host.up:
             return
         host.wakes_at = math.inf
         self.settle(now, host)
@@ -333,12 +333,12 @@
         host = attempt.server
         if status != RESET and attempt.link != host.link:
             return
-        way = self.network.to_sidecar(host.name, host.zone, attempt.sidecar.group)
-        if way is not None and not attempt.over:
-            self.at(now + way, self._outcome, (attempt, status, report))
+        delay_ms = self.network.to_sidecar(host.name, host.zone, attempt.sidecar.group)
+        if delay_ms is not None and not attempt.over:
+            self.at(now + delay_ms, self._outcome, (attempt, status, report))
 
-    def _outcome(self, now: float, told: tuple[Attempt, int, float | None]) -> None:
-        attempt, status, report = told
+    def _outcome(self, now: float, message: tuple[Attempt, int, float | None]) -> None:
+        attempt, status, report = message
         attempt.sidecar.ended(now, attempt, status, report)
 
     def disconnect(self, name: str, pool: Pool, closed: int) -> None:
@@ -350,12 +350,12 @@
     def probe(self, now: float, sidecar: Sidecar, name: str) -> None:
         """Look whether a server is alive."""
         host = self.servers[name]
-        way = self.network.to_server(sidecar.group, name, host.zone)
-        if way is None or (host.up and host.core.stopped):
-            told = (sidecar.life, name, TIMEOUT, PROBE_TIMEOUT_MS)
+        delay_ms = self.network.to_server(sidecar.group, name, host.zone)
+        if delay_ms is None or (host.up and host.core.stopped):
+            message = (sidecar.incarnation, name, TIMEOUT, PROBE_TIMEOUT_MS)
         else:
-            told = (sidecar.life, name, OK if host.up else CONNECT_FAILED, 2.0 * way)
-        self.at(now + told[3], sidecar.probed, told)
+            message = (sidecar.incarnation, name, OK if host.up else CONNECT_FAILED, 2.0 * delay_ms)
+        self.at(now + message[3], sidecar.probed, message)
 
     def watch(self, now: float, sidecar: Sidecar, ask: int) -> None:
         """A sidecar asks for the list, and for all changes from then on."""
@@ -363,18 +363,18 @@
 
     # --- servers --------------------------------------------------------------
 
-    def begin_host(self, host: Host, now: float, cold: bool) -> None:
+    def begin_host(self, host: Host, now: float, warming_up: bool) -> None:
         """A life of a server begins; whoever calls this sees to its place in the list."""
-        host.life += 1
+        host.incarnation += 1
         host.link += 1
         host.up, host.leaving = True, False
         host.wakes_at = math.inf
-        host.core = Server(host.machine, now, cold, self.rng.random)
+        host.core = Server(host.machine, now, warming_up, self.rng.random)
         since = math.ceil(now)
-        self.lists.lives[host.name, since] = host.life
+        self.lists.incarnations[host.name, since] = host.incarnation
         entry = {
             "name": host.name,
-            "address": f"127.0.0.1:{10_000 + len(self.lists.lives) % 50_000}",
+            "address": f"127.0.0.1:{10_000 + len(self.lists.incarnations) % 50_000}",
             "zone": str(host.zone),
             "type": str(host.machine.kind),
             "group": 0,
@@ -387,7 +387,7 @@
 
     def start(self, now: float, host: Host) -> None:
         """A server starts, cold, and registers itself."""
-        self.begin_host(host, now, cold=True)
+        self.begin_host(host, now, warming_up=True)
         self.lists.speak(now, (host, host.speaking))
 
     def successor(self, now: float, host: Host) -> None:
@@ -402,9 +402,9 @@
         for job in host.core.abandon():
             self._note(host, job.data, now, "lost", job.work)
             self._outcome_later(now, job.data[0], RESET, None)
-        for attempt in self._held_back.pop(host.name, ()):
+        for attempt in self._unread.pop(host.name, ()):
             self._outcome_later(now, attempt, RESET, None)
-        self._note_life(host, now, why)
+        self._note_incarnation(host, now, why)
         host.up = False
         host.link += 1
         host.speaking += 1
@@ -445,7 +445,7 @@
         host.core.stop(stopped)
         if stopped:
             return
-        for attempt in self._held_back.pop(host.name, ()):
+        for attempt in self._unread.pop(host.name, ()):
             if host.up:
                 self._reach(now, attempt)
         if host.up:
@@ -455,34 +455,34 @@
 
     def _note(self, host: Host, data: tuple[Attempt, float], end: float, outcome: str, work: float) -> None:
         attempt, at = data
-        tried = attempt.request.tried
-        self.book.add(
+        call = attempt.request.call
+        self.ledger_writer.add(
             ledger.Attempt(
                 attempt.of,
                 host.name,
-                host.life,
+                host.incarnation,
                 ledger.ms(attempt.sent),
                 ledger.ms(at),
                 ledger.ms(end),
                 outcome,
-                self.day.classes[tried.chain.cls].name,
+                self.day.classes[call.client_request.cls].name,
                 attempt.key,
                 ledger.ms(work),
                 attempt.cross,
             )
         )
 
-    def _note_life(self, host: Host, end: float, why: str) -> None:
+    def _note_incarnation(self, host: Host, end: float, why: str) -> None:
         machine, core = host.machine, host.core
-        cold = core.warm_at > 0.0
-        self.book.add(
-            ledger.Life(
+        warming_up = core.warm_at > 0.0
+        self.ledger_writer.add(
+            ledger.Incarnation(
                 host.name,
-                host.life,
+                host.incarnation,
                 ledger.ms(core.begun),
                 round(machine.capacity, 4),
-                round(machine.cold_from, 4) if cold else 1.0,
-                ledger.ms(machine.cold_ms) if cold else 0.0,
+                round(machine.warmup_start, 4) if warming_up else 1.0,
+                ledger.ms(machine.warmup_ms) if warming_up else 0.0,
                 ledger.ms(end),
                 why,
             )
@@ -491,8 +491,8 @@
     def kill_sidecar(self, now: float, sidecar: Sidecar) -> None:
         """A sidecar's process dies: its clients' connections are reset."""
         self.lists.leave(sidecar)
-        for tried in sidecar.kill(now):
-            self.answered(now, tried, BROKEN, excused=True)
+        for call in sidecar.kill(now):
+            self.answered(now, call, BROKEN, excused=True)
 
     def start_sidecar(self, now: float, sidecar: Sidecar, seed: int) -> None:
         """It is back, with the list that it had."""
--- a/brassfall/lab/spec.py
+++ b/brassfall/lab/spec.py
@@ -20,11 +20,11 @@
 Name = Annotated[str, msgspec.Meta(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$")]
 
 
-class Told(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class Table(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """A table of an experiment file."""
 
 
-class Kind(Told, frozen=True, kw_only=True):
+class Kind(Table, frozen=True, kw_only=True):
     """One kind of machine."""
 
     name: Name
@@ -33,16 +33,18 @@
     speed: Spread = Spread((0.85, 1.1))  # work of a standard core that each core does in its time
     slots_per_core: Spread = Spread((2.0, 6.0))  # requests in work at once
     queue_per_core: Spread = Spread((1.0, 4.0))  # requests that wait; beyond them all are turned away
-    cold_from: Spread = Spread((0.12, 0.35))  # share of its capacity after a start
-    cold: Span = Span((10_000.0, 22_000.0))  # until it has all of it
+    warmup_start: Spread = msgspec.field(
+        name="cold_from", default=Spread((0.12, 0.35))
+    )  # share of its capacity after a start
+    warmup: Span = msgspec.field(name="cold", default=Span((10_000.0, 22_000.0)))  # until it has all of it
     error_rate: Spread = Spread((0.0, 0.002))
 
 
-class Crowding(Told, frozen=True, kw_only=True):
+class OverloadSettings(Table, frozen=True, kw_only=True):
     """When a crowded server turns slow, and stays so."""
 
     servers: Part = 0.6  # of days; 0 for never
-    held_per_core: Spread = Spread((4.0, 7.0))
+    in_flight_per_core: Spread = msgspec.field(name="held_per_core", default=Spread((4.0, 7.0)))
     after: Span = Span((1500.0, 2500.0))
     slower: Spread = Spread((2.2, 3.4))
     rest_below: Spread = Spread((0.25, 0.4))  # held per core: mostly idle
@@ -50,7 +52,7 @@
     most: Span = Span((16_000.0, 34_000.0))
 
 
-class Report(Told, frozen=True, kw_only=True):
+class Report(Table, frozen=True, kw_only=True):
     """The load reports in answers."""
 
     every: Span = Span((460.0, 1200.0))
@@ -58,7 +60,7 @@
     noise: Spread = Spread((0.0072, 0.072))
 
 
-class Connections(Told, frozen=True, kw_only=True):
+class Connections(Table, frozen=True, kw_only=True):
     """What connections between sidecars and servers cost."""
 
     handshake: Span = Span((2.2, 4.0))  # work of the server
@@ -69,7 +71,7 @@
     timeout: Ms = Ms(200.0)
 
 
-class Fleet(Told, frozen=True, kw_only=True):
+class Fleet(Table, frozen=True, kw_only=True):
     """Who there is."""
 
     sidecars: Some = 4
@@ -81,14 +83,14 @@
             Kind(name="std-box", share=0.48),
         ]
     )
-    crowding: Crowding = Crowding()
+    overload: OverloadSettings = msgspec.field(name="crowding", default=OverloadSettings())
     report: Report = Report()
     connections: Connections = Connections()
     fall_multiple: float = 4.0  # of its present capacity, sent to a cold server
     fall_after: Ms = Ms(2000.0)
 
 
-class Network(Told, frozen=True, kw_only=True):
+class Network(Table, frozen=True, kw_only=True):
     """Delays one way."""
 
     same: Span = Span((0.2, 0.34))
@@ -97,7 +99,7 @@
     jitter: Spread = Spread((0.13, 0.33))
 
 
-class Group(Told, frozen=True, kw_only=True):
+class Group(Table, frozen=True, kw_only=True):
     """The applications of one site."""
 
     name: Name
@@ -105,7 +107,7 @@
     delays: dict[str, Span]  # one way, to the servers of each zone
 
 
-class Change(Told, frozen=True, kw_only=True):
+class Change(Table, frozen=True, kw_only=True):
     """From a time on a group has other delays to some zones."""
 
     at: Ms
@@ -113,17 +115,19 @@
     delays: dict[str, Span]
 
 
-class Geography(Told, frozen=True, kw_only=True):
+class Geography(Table, frozen=True, kw_only=True):
     """How far each group of applications is from each zone, in place of `network.same` and `cross`."""
 
     groups: list[Group]
     changes: list[Change] = []
     lag: Ms = Ms(3000.0)  # until a plan by the true delays follows a change
     fill: Part = 0.65  # of a zone's capacity, that such a plan may use
-    floor: Part = 0.02  # of every group, that it leaves to each zone
+    min_spread: Part = msgspec.field(
+        name="floor", default=0.02
+    )  # of every group, that it leaves to each zone
 
 
-class Clients(Told, frozen=True, kw_only=True):
+class Clients(Table, frozen=True, kw_only=True):
     """What applications do."""
 
     retries: Spread = Spread((2.0, 3.99))
@@ -134,7 +138,7 @@
     zone_skew: Spread = Spread((0.15, 0.45))
 
 
-class RequestClass(Told, frozen=True, kw_only=True):
+class RequestClass(Table, frozen=True, kw_only=True):
     """One class of requests."""
 
     name: Name
@@ -142,9 +146,9 @@
     work: Span
     wanted: Ms
     deadline: Ms
-    worth: Annotated[float, msgspec.Meta(gt=0.0)]
+    weight: Annotated[float, msgspec.Meta(gt=0.0)] = msgspec.field(name="worth")
     effect: Literal["safe", "keyed", "unsafe"]
-    key_life: Ms = Ms(0.0)
+    key_ttl: Ms = msgspec.field(name="key_life", default=Ms(0.0))
     cv: Spread = Spread((0.75, 1.5))  # of its work
     noise: Spread = Spread((0.1, 0.56))  # of the work from one attempt to the next
 
@@ -158,23 +162,23 @@
 
 
 CLASSES = (
-    _class("get-transcript", 0.31, (61.0, 110.0), (400.0, 1200.0), worth=2.0, effect="safe"),
-    _class("save-correction", 0.27, (65.0, 120.0), (400.0, 1000.0), worth=2.0, effect="safe"),
-    _class("send-notice", 0.27, (110.0, 210.0), (800.0, 2500.0), worth=10.0, effect="unsafe"),
+    _class("get-transcript", 0.31, (61.0, 110.0), (400.0, 1200.0), weight=2.0, effect="safe"),
+    _class("save-correction", 0.27, (65.0, 120.0), (400.0, 1000.0), weight=2.0, effect="safe"),
+    _class("send-notice", 0.27, (110.0, 210.0), (800.0, 2500.0), weight=10.0, effect="unsafe"),
     _class(
-        "new-message", 0.15, (120.0, 210.0), (600.0, 1200.0), worth=8.0, effect="keyed", key_life=Ms(750.0)
+        "new-message", 0.15, (120.0, 210.0), (600.0, 1200.0), weight=8.0, effect="keyed", key_ttl=Ms(750.0)
     ),
 )
 
 
-class Step(Told, frozen=True, kw_only=True):
+class Step(Table, frozen=True, kw_only=True):
     """From a time on the load is so many times the usual."""
 
     at: Ms
     times: Annotated[float, msgspec.Meta(ge=0.0)]
 
 
-class Burst(Told, frozen=True, kw_only=True):
+class Burst(Table, frozen=True, kw_only=True):
     """For a time the load is so many times the usual."""
 
     at: Ms
@@ -182,14 +186,14 @@
     times: Annotated[float, msgspec.Meta(ge=0.0)]
 
 
-class Wander(Told, frozen=True, kw_only=True):
+class Wander(Table, frozen=True, kw_only=True):
     """The load moves at random between these shares of the usual."""
 
     between: Spread = Spread((0.9, 1.1))
     every: Ms = Ms(4000.0)
 
 
-class Load(Told, frozen=True, kw_only=True):
+class Load(Table, frozen=True, kw_only=True):
     """What applications ask for."""
 
     share: Spread | None = None  # of what the fleet can do
@@ -202,14 +206,14 @@
     replay: str | None = None  # an arrivals file, beside the experiment
 
 
-class ListService(Told, frozen=True, kw_only=True):
+class ListService(Table, frozen=True, kw_only=True):
     """How servers stand in the list."""
 
     ttl: Ms = Ms(6000.0)
     delay: Span = Span((1.0, 3.0))  # of a call to it and of what it tells
 
 
-class Fault(Told, frozen=True, kw_only=True):
+class Fault(Table, frozen=True, kw_only=True):
     """One thing that goes wrong, on the timetable."""
 
     kind: str
@@ -242,14 +246,14 @@
 }
 
 
-class Drawn(Told, frozen=True, kw_only=True):
+class SampledFaults(Table, frozen=True, kw_only=True):
     """Faults drawn from the seed, with the figures of the operators' brief."""
 
     count: Spread = Spread((2.0, 4.0))
     kinds: list[str] = msgspec.field(default_factory=lambda: list(BRIEF))
 
 
-class Measure(Told, frozen=True, kw_only=True):
+class Measure(Table, frozen=True, kw_only=True):
     """A span of time, all classes or one, whose service is told by itself."""
 
     name: Name
@@ -258,7 +262,7 @@
     cls: str | None = msgspec.field(name="class", default=None)
 
 
-class Hold(Told, frozen=True, kw_only=True):
+class Hold(Table, frozen=True, kw_only=True):
     """A zone that sidecars are told to hold off for a time."""
 
     zone: Name
@@ -266,20 +270,20 @@
     end: Ms = msgspec.field(name="to")
 
 
-class Version(Told, frozen=True, kw_only=True):
+class Version(Table, frozen=True, kw_only=True):
     """One of the programs to compare: a revision, other settings, a seeded flaw, or steered otherwise."""
 
     name: Name
     revision: str | None = None
     settings: dict[str, Any] = {}  # laid over what sidecars are told
-    flaw: str | None = None
+    defect: str | None = msgspec.field(name="flaw", default=None)
     steer: Literal["off", "true", "fixed"] = "off"  # by the true delays, or by the shares given here
     shares: dict[str, dict[str, float]] = {}  # by group and zone
     look: Part = 0.0
     holds: list[Hold] = []
 
 
-class Head(Told, frozen=True, kw_only=True):
+class Head(Table, frozen=True, kw_only=True):
     """What is played."""
 
     name: Annotated[str, msgspec.Meta(pattern=r"^[^\r\n]{1,120}$")]
@@ -291,10 +295,10 @@
     compiled: bool = False  # a simulated one in machine code, with the same results
 
 
-class Experiment(Told, frozen=True, kw_only=True):
+class Experiment(Table, frozen=True, kw_only=True):
     """A whole file."""
 
-    experiment: Head
+    head: Head = msgspec.field(name="experiment")
     load: Load
     fleet: Fleet = Fleet()
     network: Network = Network()
@@ -303,7 +307,7 @@
     lists: ListService = ListService()
     classes: list[RequestClass] = msgspec.field(default_factory=lambda: list(CLASSES))
     faults: list[Fault] = []
-    drawn: Drawn | None = None
+    sampled_faults: SampledFaults | None = msgspec.field(name="drawn", default=None)
     measure: list[Measure] = []
     versions: list[Version] = msgspec.field(default_factory=lambda: [Version(name="now")])
 
@@ -341,44 +345,46 @@
         raise SettingsError(str(path), str(error)) from error
 
 
-def check(told: Experiment) -> Experiment:
+def check(experiment: Experiment) -> Experiment:
     """The same experiment, if its values make sense together; `ValueError` names the first that does not."""
-    if told.experiment.lasts <= 0.0:
+    if experiment.head.lasts <= 0.0:
         raise ValueError("experiment.for: nothing is played in no time")
-    if told.experiment.lasts > LASTS_MOST_MS:
+    if experiment.head.lasts > LASTS_MOST_MS:
         raise ValueError("experiment.for: a day is the most")
-    if (told.load.share is None) + (told.load.rate is None) + (told.load.replay is None) != 2:
+    if (experiment.load.share is None) + (experiment.load.rate is None) + (
+        experiment.load.replay is None
+    ) != 2:
         raise ValueError("load: one of share, rate and replay is wanted")
-    if told.load.rate is not None and told.load.rate > 1e6:
-        raise ValueError(f"load.rate: {told.load.rate:g} a second is out of range")
-    if told.load.share is not None and not 0.0 < told.load.share[1] <= 20.0:
-        raise ValueError(f"load.share: {told.load.share[1]:g} is not above 0 and up to 20")
-    for part, rows in (("fleet.kinds", told.fleet.kinds), ("classes", told.classes)):
-        whole = sum(row.share for row in rows)
-        if not 0.99 <= whole <= 1.01:
-            raise ValueError(f"{part}: the shares sum to {whole:g}, not to 1")
+    if experiment.load.rate is not None and experiment.load.rate > 1e6:
+        raise ValueError(f"load.rate: {experiment.load.rate:g} a second is out of range")
+    if experiment.load.share is not None and not 0.0 < experiment.load.share[1] <= 20.0:
+        raise ValueError(f"load.share: {experiment.load.share[1]:g} is not above 0 and up to 20")
+    for part, rows in (("fleet.kinds", experiment.fleet.kinds), ("classes", experiment.classes)):
+        total = sum(row.share for row in rows)
+        if not 0.99 <= total <= 1.01:
+            raise ValueError(f"{part}: the shares sum to {total:g}, not to 1")
     for part, names in (
-        ("fleet.zones", told.fleet.zones),
-        ("fleet.kinds", [kind.name for kind in told.fleet.kinds]),
-        ("classes", [row.name for row in told.classes]),
-        ("versions", [version.name for version in told.versions]),
-        ("measure", ["all", *(measure.name for measure in told.measure)]),
+        ("fleet.zones", experiment.fleet.zones),
+        ("fleet.kinds", [kind.name for kind in experiment.fleet.kinds]),
+        ("classes", [row.name for row in experiment.classes]),
+        ("versions", [version.name for version in experiment.versions]),
+        ("measure", ["all", *(measure.name for measure in experiment.measure)]),
     ):
         if not names or len(set(names)) != len(names):
             raise ValueError(f"{part}: names are wanted, each once")
-    _check_geography(told)
-    for number, measure in enumerate(told.measure):
-        _check_measure(f"measure[{number}]", measure, told)
-    for number, fault in enumerate(told.faults):
-        _check_fault(f"faults[{number}]", fault, told)
-    for kind in told.drawn.kinds if told.drawn is not None else ():
+    _check_geography(experiment)
+    for number, measure in enumerate(experiment.measure):
+        _check_measure(f"measure[{number}]", measure, experiment)
+    for number, fault in enumerate(experiment.faults):
+        _check_fault(f"faults[{number}]", fault, experiment)
+    for kind in experiment.sampled_faults.kinds if experiment.sampled_faults is not None else ():
         if kind not in BRIEF:
             raise ValueError(f"drawn.kinds: {kind!r} is none of {', '.join(BRIEF)}")
-    return told
+    return experiment
 
 
-def _check_geography(told: Experiment) -> None:
-    zones, place = set(told.fleet.zones), told.geography
+def _check_geography(experiment: Experiment) -> None:
+    zones, place = set(experiment.fleet.zones), experiment.geography
     groups = [group.name for group in place.groups] if place is not None else []
     if place is not None and (not groups or len(set(groups)) != len(groups)):
         raise ValueError("geography.groups: names are wanted, each once")
@@ -387,35 +393,35 @@
             raise ValueError(
                 f"geography.groups[{number}]: a zone and delays to {', '.join(zones)} are wanted"
             )
-    if place is not None and told.experiment.mode == "real" and {g.zone for g in place.groups} != zones:
+    if place is not None and experiment.head.mode == "real" and {g.zone for g in place.groups} != zones:
         raise ValueError("geography.groups: in real mode a group stands in each zone")
     for number, change in enumerate(place.changes if place is not None else ()):
         if change.group not in groups or not set(change.delays) <= zones or change.at <= 0.0:
             raise ValueError(f"geography.changes[{number}]: a time, a group and delays to zones are wanted")
-    for number, version in enumerate(told.versions):
+    for number, version in enumerate(experiment.versions):
         at, steered = f"versions[{number}]", version.steer != "off" or version.holds
-        if steered and (place is None or told.experiment.mode == "real" or version.revision is not None):
+        if steered and (place is None or experiment.head.mode == "real" or version.revision is not None):
             raise ValueError(f"{at}: steered are simulated plays of this program that have a geography")
         named = {zone for row in version.shares.values() for zone in row} | {h.zone for h in version.holds}
         if not named <= zones or not set(version.shares) <= set(groups):
             raise ValueError(f"{at}: shares and holds name groups and zones that there are")
 
 
-def _check_measure(at: str, measure: Measure, told: Experiment) -> None:
-    if not measure.begin < measure.end <= told.experiment.lasts:
-        lasts = told.experiment.lasts / 1000.0
+def _check_measure(at: str, measure: Measure, experiment: Experiment) -> None:
+    if not measure.begin < measure.end <= experiment.head.lasts:
+        lasts = experiment.head.lasts / 1000.0
         raise ValueError(f"{at}: from and to are no span within the {lasts:g} s played")
-    if measure.cls not in (None, *(row.name for row in told.classes)):
+    if measure.cls not in (None, *(row.name for row in experiment.classes)):
         raise ValueError(f"{at}.class: {measure.cls!r} is none of the classes")
 
 
-def _check_fault(at: str, fault: Fault, told: Experiment) -> None:
+def _check_fault(at: str, fault: Fault, experiment: Experiment) -> None:
     needs = NEEDS.get(fault.kind)
     if needs is None:
         raise ValueError(f"{at}.kind: {fault.kind!r} is none of {', '.join(NEEDS)}")
-    if fault.at[1] >= told.experiment.lasts:
+    if fault.at[1] >= experiment.head.lasts:
         raise ValueError(
-            f"{at}.at: {fault.at[1] / 1000.0:g} s is after the end, {told.experiment.lasts / 1000.0:g} s"
+            f"{at}.at: {fault.at[1] / 1000.0:g} s is after the end, {experiment.head.lasts / 1000.0:g} s"
         )
     struck = [part for part in (fault.part, fault.servers, fault.zone) if part is not None]
     if SERVERS in needs and len(struck) != 1:
@@ -424,15 +430,15 @@
         raise ValueError(f"{at}.part: {fault.kind} wants the part of the sidecars that it strikes")
     if fault.part is not None and fault.part[1] > 1.0:
         raise ValueError(f"{at}.part: {fault.part[1]:g} is more than all, 1.0")
-    if fault.zone is not None and fault.zone not in told.fleet.zones:
-        raise ValueError(f"{at}.zone: {fault.zone!r} is none of {', '.join(told.fleet.zones)}")
+    if fault.zone is not None and fault.zone not in experiment.fleet.zones:
+        raise ValueError(f"{at}.zone: {fault.zone!r} is none of {', '.join(experiment.fleet.zones)}")
     if ZONE in needs and fault.zone is None:
         raise ValueError(f"{at}.zone: {fault.kind} wants the zone that it strikes")
     if LENGTH in needs and fault.lasts[0] <= 0.0:
         raise ValueError(f"{at}.for: {fault.kind} wants to last for some time")
     if SIZE in needs and fault.size is None:
         raise ValueError(f"{at}.size: {fault.kind} wants a size")
-    known = {f"s{number}" for number in range(told.fleet.servers)}
+    known = {f"s{number}" for number in range(experiment.fleet.servers)}
     for name in fault.servers or ():
         if name not in known:
-            raise ValueError(f"{at}.servers: {name!r} is not between s0 and s{told.fleet.servers - 1}")
+            raise ValueError(f"{at}.servers: {name!r} is not between s0 and s{experiment.fleet.servers - 1}")
--- a/brassfall/lab/steers.py
+++ b/brassfall/lab/steering.py
@@ -17,8 +17,8 @@
 from brassfall.lab.spec import Experiment, Version
 
 
-def plan(
-    delays: Delays, loads: Sequence[float], rooms: Sequence[float], floor: float
+def ideal_shares(
+    delays: Delays, loads: Sequence[float], rooms: Sequence[float], min_spread: float
 ) -> list[dict[int, float]]:
     """Shares of each group over the zones by least delay, where zones have so much room.
 
@@ -28,32 +28,36 @@
     load, room = np.array(loads) / sum(loads), np.array(rooms) / sum(loads)
     cost = (np.array(delays) * load[:, None]).ravel()
     each = np.kron(np.eye(groups), np.ones(zones))
-    held = np.kron(load, np.eye(zones))
-    least = [(floor if some > 0.0 else 0.0, 1.0) for some in rooms] * groups
-    found = linprog(cost, held, room, each, np.ones(groups), bounds=least, method="highs")
+    held_zones = np.kron(load, np.eye(zones))
+    least = [(min_spread if some > 0.0 else 0.0, 1.0) for some in rooms] * groups
+    found = linprog(cost, held_zones, room, each, np.ones(groups), bounds=least, method="highs")
     shares = np.tile(room / room.sum(), (groups, 1)) if found.x is None else found.x.reshape(groups, zones)
     return [{zone: float(share) for zone, share in enumerate(row) if share > 1e-6} for row in shares]
 
 
-def steers(told: Experiment, version: Version, day: Day) -> list[tuple[float, int, model.Steer]]:
+def steering_events(
+    experiment: Experiment, version: Version, day: Day
+) -> list[tuple[float, int, model.Steer]]:
     """What each group's sidecars are told, and when: (ms from the start, group, what)."""
-    if told.geography is None or not (version.steer != "off" or version.holds):
+    if experiment.geography is None or not (version.steer != "off" or version.holds):
         return []
-    geography, zones = told.geography, told.fleet.zones
+    geography, zones = experiment.geography, experiment.fleet.zones
     times = {0.0}
     times |= {at + geography.lag for at, _ in day.routes[1:]} if version.steer == "true" else set()
     times |= {float(end) for hold in version.holds for end in (hold.begin, hold.end)}
     made = []
     for now in sorted(times):
-        held = frozenset(zones.index(hold.zone) for hold in version.holds if hold.begin <= now < hold.end)
-        for group, shares in enumerate(_shares(told, version, day, now)):
-            made.append((now, group, model.Steer(shares=shares, held_zones=held, look=version.look)))
+        held_zones = frozenset(
+            zones.index(hold.zone) for hold in version.holds if hold.begin <= now < hold.end
+        )
+        for group, shares in enumerate(_shares(experiment, version, day, now)):
+            made.append((now, group, model.Steer(shares=shares, held_zones=held_zones, look=version.look)))
     return made
 
 
-def _shares(told: Experiment, version: Version, day: Day, now: float) -> list[dict[int, float]]:
-    assert told.geography is not None
-    geography, zones = told.geography, told.fleet.zones
+def _shares(experiment: Experiment, version: Version, day: Day, now: float) -> list[dict[int, float]]:
+    assert experiment.geography is not None
+    geography, zones = experiment.geography, experiment.fleet.zones
     if version.steer == "off":
         return [{} for _ in geography.groups]
     if version.steer == "fixed":
@@ -66,4 +70,4 @@
     # Where all is fuller than a plan may fill a zone, it spreads load nearly as capacity lies.
     fill = max(geography.fill / used, 1.1) if used else 1.1
     rooms = [fill * part / sum(capacity) for part in capacity]
-    return plan(known[-1], loads, rooms, geography.floor)
+    return ideal_shares(known[-1], loads, rooms, geography.min_spread)
--- a/tests/compare_lab.py
+++ b/tests/compare_lab.py
@@ -2,10 +2,10 @@
 
     python tests/compare_lab.py BEFORE [AFTER] [--geo]
 
-Each revision is unpacked into a folder of its own (AFTER is the working tree where it isn't named) and plays
-the experiments below with its own `lab run`: every kind of fault, every injected defect, and steering over far
-zones. All rows, verdicts and reports are compared byte by byte; with `--geo` those of `lab geo` for one seed as
-well, which takes some minutes. Exit status 1 where anything differs.
+Each revision is unpacked into a folder of its own (AFTER is the working tree where it isn't named) and
+plays the experiments below with its own `lab run`: every kind of fault, every injected defect, and steering
+over far zones. All rows, verdicts and reports are compared byte by byte; with `--geo` those of `lab geo`
+for one seed as well, which takes some minutes. Exit status 1 where anything differs.
 """
 
 from __future__ import annotations
--- a/tests/test_geography.py
+++ b/tests/test_geography.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from brassfall.lab import day, ledger, play, runner, spec, steers
+from brassfall.lab import day, ledger, play, runner, spec, steering
 from brassfall.lab.play import Order
 from brassfall.settings import SettingsError
 from tests.processes import ROOT
@@ -65,7 +65,7 @@
     ],
 )
 def test_a_plan_takes_the_least_delay_that_there_is_room_for(loads, rooms, wanted):
-    made = steers.plan(((1.0, 50.0), (50.0, 1.0)), loads, rooms, 0.02)
+    made = steering.ideal_shares(((1.0, 50.0), (50.0, 1.0)), loads, rooms, 0.02)
     assert made == [pytest.approx(row, abs=0.005) for row in wanted]
 
 
@@ -89,9 +89,9 @@
 
 def test_without_a_geography_a_group_is_a_zone(tmp_path):
     (tmp_path / "e.toml").write_text(HEAD)
-    drawn = day.draw(spec.load(tmp_path / "e.toml"), 1)
+    drawn = day.sample_day(spec.load(tmp_path / "e.toml"), 1)
     assert [app.group for app in drawn.apps] == [app.zone for app in drawn.apps] == [0, 1, 0, 1]
-    assert drawn.routes == ((0.0, drawn.ways.between),) and drawn.ways.homes == (0, 1)
+    assert drawn.routes == ((0.0, drawn.delays.between),) and drawn.delays.homes == (0, 1)
 
 
 def test_a_real_network_takes_as_long(tmp_path):
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -15,10 +15,10 @@
 import pytest
 
 from brassfall.lab import compare, day, judge, ledger, play, runner, spec
-from brassfall.lab.models.server import FULL, TAKEN, Job, Server
+from brassfall.lab.models.server import ACCEPTED, FULL, Job, Server
 from brassfall.lab.real import controller
+from brassfall.lab.sim.defects import DEFECTS
 from brassfall.lab.sim.faults import Faults
-from brassfall.lab.sim.flaws import FLAWS
 from brassfall.lab.sim.sidecar import Sidecar
 from brassfall.lab.sim.world import World
 from brassfall.settings import SettingsError
@@ -46,8 +46,10 @@
 
 def played(experiment, folder, seed=1, kind=Sidecar):
     """Play a day here; its judgement."""
-    book = ledger.Book(folder)
-    world = World(day.draw(experiment, seed), lambda me: day.wire_settings(experiment, me, {}), book, kind)
+    book = ledger.LedgerWriter(folder)
+    world = World(
+        day.sample_day(experiment, seed), lambda me: day.wire_settings(experiment, me, {}), book, kind
+    )
     Faults(world).set()
     world.begin()
     world.run()
@@ -67,8 +69,8 @@
 def test_a_sound_sidecar_breaks_no_rule_and_the_ledger_names_each_flaw(tmp_path):
     experiment = told(tmp_path, TROUBLED)
     sound = played(experiment, tmp_path / "sound")
-    assert sound.findings == [] and sound.figures.requests > 3000 and sound.figures.service > 0.5
-    for name, (kind, rule) in FLAWS.items():
+    assert sound.findings == [] and sound.statistics.requests > 3000 and sound.statistics.service > 0.5
+    for name, (kind, rule) in DEFECTS.items():
         # Whether a cold server falls on one day depends on how many requests come while it is the newest.
         seeds = (1, 2, 3) if rule == "cold server" else (1,)
         found = Counter()
@@ -85,10 +87,10 @@
     )
     sent = ledger.Attempt("a", "s1", 0, 2000.0, 2001.0, 2100.0, "ok", "send-notice", "", 9.0)
     gone, back = (
-        ledger.News("n0", "s1", 0, state, at) for state, at in (("left", 1000.0), ("active", 1800.0))
+        ledger.ListEvent("n0", "s1", 0, state, at) for state, at in (("left", 1000.0), ("active", 1800.0))
     )
     for news, found in (([gone], ["drain"]), ([gone, back], []), ([back], [])):
-        book = judge.Book([answer], [sent], news, [])
+        book = judge.Records([answer], [sent], news, [])
         rules = judge.judge(book, experiment.classes, 5000.0, 30.0, (4.0, 2000.0)).findings
         assert [finding.rule for finding in rules] == found
 
@@ -99,23 +101,23 @@
         {"at_ms": 10, "class": "new-message"},
     ]
     (tmp_path / "day.jsonl").write_text("".join(json.dumps(line) + "\n" for line in lines))
-    _, rows = play.experiment(written(tmp_path, HEAD.format(s=5) + '[load]\nreplay = "day.jsonl"\n'))
-    drawn = day.draw(spec.load(tmp_path / "e.toml"), 1, rows).arrivals
-    assert [column.tolist() for column in (drawn.at, drawn.app, drawn.cls)] == [
+    _, rows = play.load_experiment(written(tmp_path, HEAD.format(s=5) + '[load]\nreplay = "day.jsonl"\n'))
+    sampled = day.sample_day(spec.load(tmp_path / "e.toml"), 1, rows).arrivals
+    assert [column.tolist() for column in (sampled.at, sampled.app, sampled.cls)] == [
         [10.0, 4000.0],
         [0, 1],
         [3, 2],
     ]
-    assert drawn.work[1] == 7.0 and 120.0 <= drawn.work[0] <= 210.0
+    assert sampled.work[1] == 7.0 and 120.0 <= sampled.work[0] <= 210.0
     (tmp_path / "day.jsonl").write_text('{"at_ms": 1, "class": "a"}\n{"at_ms": -1, "class": "a"}\n')
     with pytest.raises(SettingsError, match=r"day.jsonl: line 2: .*at_ms"):
-        play.experiment(tmp_path / "e.toml")
+        play.load_experiment(tmp_path / "e.toml")
     shaped = (
         HEAD.format(s=40)
         + '[load]\nrate = "400 /s"\nsteps = [{ at = "10 s", times = 2.0 }]\n'
         + 'bursts = [{ at = "20 s", for = "5 s", times = 3.0 }]\nwander = { between = [0.5, 0.6] }\n'
     )
-    at = day.draw(told(tmp_path, shaped), 1).arrivals.at
+    at = day.sample_day(told(tmp_path, shaped), 1).arrivals.at
     rates = [sum((at >= low) & (at < low + 5000.0)) / 5.0 for low in (0.0, 10_000.0, 20_000.0, 30_000.0)]
     for rate, times in zip(rates, (1.0, 2.0, 6.0, 2.0), strict=True):
         assert 400.0 * times * 0.47 < rate < 400.0 * times * 0.63
@@ -125,8 +127,10 @@
     def side(name, shifts):
         def judged(shift):
             spans = {"m": 0.4 + shift}
-            figures = judge.Figures(1, 1, 1, 0.5 + shift, 0.5, 0.5, 0.5, {}, {}, 0, 0.0, 0.0, {}, [], spans)
-            return judge.Judgement(figures, [])
+            statistics = judge.Statistics(
+                1, 1, 1, 0.5 + shift, 0.5, 0.5, 0.5, {}, {}, 0, 0.0, 0.0, {}, [], spans
+            )
+            return judge.Judgement(statistics, [])
 
         rows = {seed: play.Result(name, seed, True, "", judged(shift)) for seed, shift in enumerate(shifts)}
         return compare.Side(name, rows)
@@ -163,7 +167,7 @@
     answers = list(ledger.read(tmp_path / "p", ledger.Answer))
     waited = [answer for answer in answers if answer.end - answer.due > 500.0]
     assert 15 <= len(waited) <= 40  # of about 25 that were due in the first half of that second
-    assert judgement.figures.latency_ms["p99"] > 700.0
+    assert judgement.statistics.latency_ms["p99"] > 700.0
 
 
 @pytest.mark.parametrize(
@@ -222,14 +226,14 @@
 
 def test_a_server_shares_its_cores_and_turns_away_what_has_no_room():
     machine = day.Machine(
-        "s0", 0, 0, 2, 1.0, slots=3, queue=1, cold_from=0.1, cold_ms=1000.0, error_rate=0.0,
+        "s0", 0, 0, 2, 1.0, slots=3, queue=1, warmup_start=0.1, warmup_ms=1000.0, error_rate=0.0,
         report_every=100.0, report_late=50.0, report_noise=0.0, handshake=2.0, round_trips=1.0,
         connections=100, full_tax=0.0, fall_multiple=4.0, fall_after=100.0,
-        crowded=day.Crowded(4.0, 50.0, 2.0, 0.0, 100.0, 1e6), seed=1,
+        overload=day.Overload(4.0, 50.0, 2.0, 0.0, 100.0, 1e6), seed=1,
     )  # fmt: skip
     server = Server(machine, 0.0, False, lambda: 0.5)
     jobs = [Job(30.0, number) for number in range(5)]
-    assert [server.offer(0.0, job, False) for job in jobs] == [TAKEN] * 4 + [FULL]
+    assert [server.offer(0.0, job, False) for job in jobs] == [ACCEPTED] * 4 + [FULL]
     # Three share two cores: done at 45; the fourth begins then, and has a core for itself.
     assert server.due == pytest.approx(45.0)
     assert [job.data for job in server.advance(46.0)] == [0, 1, 2]
@@ -242,7 +246,7 @@
         server.offer(100.0, job, False)
     server.advance(110.0)
     server.advance(170.0)
-    assert server.crowded and server.due == pytest.approx(170.0 + (300.0 - 70.0 * 2 / 3) * 3.0)
+    assert server.overloaded and server.due == pytest.approx(170.0 + (300.0 - 70.0 * 2 / 3) * 3.0)
     # A cold one falls over, once it has been sent four times what it can do.
     cold = Server(machine, 0.0, True, lambda: 0.5)
     fallen = [cold.offer(0.0, Job(10.0, None), False) and cold.fallen for _ in range(12)]
@@ -264,16 +268,19 @@
     done = brassfall("lab", "run", str(file), "--out", str(out))
     assert done.returncode in (0, 1), done.stderr
     [row] = [json.loads(line) for line in (out / "plays.jsonl").read_bytes().splitlines()]
-    figures = row["judgement"]["figures"]
-    asked = len(day.draw(spec.load(file), 1).arrivals.at)
+    statistics = row["judgement"]["figures"]
+    asked = len(day.sample_day(spec.load(file), 1).arrivals.at)
     # A machine that is busy with other things makes the lab late, and the play says so itself.
     assert row["valid"] == (done.returncode == 0) and (row["valid"] or "ran late" in row["why"])
-    assert figures["requests"] == asked > 300 and figures["statuses"]["served"] > 0.5 * asked
+    assert statistics["requests"] == asked > 300 and statistics["statuses"]["served"] > 0.5 * asked
     assert {finding["rule"] for finding in row["judgement"]["findings"]} <= {"unanswered", "drain"}
     folder = out / "plays" / "now-1"
-    lives = [(life.server, life.life, life.why) for life in ledger.read(folder, ledger.Life)]
-    assert ("s0", 0, "killed") in lives and ("s0", 1, "") in lives and len(lives) == 5
-    assert {("s0", 1)} <= {(news.server, news.life) for news in ledger.read(folder, ledger.News)}
+    incarnations = [
+        (incarnation.server, incarnation.incarnation, incarnation.why)
+        for incarnation in ledger.read(folder, ledger.Incarnation)
+    ]
+    assert ("s0", 0, "killed") in incarnations and ("s0", 1, "") in incarnations and len(incarnations) == 5
+    assert {("s0", 1)} <= {(news.server, news.incarnation) for news in ledger.read(folder, ledger.ListEvent)}
     attempts = list(ledger.read(folder, ledger.Attempt))
     assert len({attempt.server for attempt in attempts}) == 4
     assert any(attempt.outcome == "unfinished" and attempt.server == "s0" for attempt in attempts)
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -190,7 +190,7 @@
     "lab/sim/parts.py",
     "lab/sim/sidecar.py",
     "lab/sim/faults.py",
-    "lab/sim/flaws.py",
+    "lab/sim/defects.py",
 )
 
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -49,8 +49,8 @@
     file = tmp_path / "e.toml"
     file.write_text(BURST)
     told = spec.load(file)
-    book = ledger.Book(tmp_path / "play")
-    world = World(day.draw(told, seed), lambda me: day.wire_settings(told, me, {}), book, Sidecar)
+    book = ledger.LedgerWriter(tmp_path / "play")
+    world = World(day.sample_day(told, seed), lambda me: day.wire_settings(told, me, {}), book, Sidecar)
     world.begin()
     world.run()
     book.close()
