--- a/brassfall/controlplane/registry/geo.py
+++ b/brassfall/controlplane/registry/geo.py
@@ -23,7 +23,7 @@
 from brassfall.controlplane.registry.tasks import Tasks
 from brassfall.controlplane.revisions.core import Kept
 from brassfall.controlplane.revisions.edges import Report
-from brassfall.controlplane.store.core import Put
+from brassfall.controlplane.store.commands import Put
 from brassfall.controlplane.store.store import Store
 from brassfall.errors import Refused
 from brassfall.logs import logger
@@ -196,7 +196,7 @@
     def _capacity(self) -> Mapping[str, float]:
         """What each region can carry, in requests/s: by the weights of its active servers."""
         found: dict[str, float] = {}
-        for row in self.host.store.table.rows(INSTANCES):
+        for row in self.host.store.state.rows(INSTANCES):
             if row.value["status"] == "active":
                 rate = self.settings.per_weight_per_s * row.value.get("weight", 1.0)
                 found[row.value["zone"]] = found.get(row.value["zone"], 0.0) + rate
@@ -257,7 +257,7 @@
         return publisher.LeaseGranted(asked_s, version) if renewed else publisher.LeaseDenied(asked_s)
 
     def _fencing_token(self) -> int:
-        row = self.host.store.table.get(publisher.TABLE, publisher.KEY)
+        row = self.host.store.state.get(publisher.TABLE, publisher.KEY)
         return row.version if row is not None else 0
 
     def _read_newest(self) -> publisher.NewestRead:
@@ -278,10 +278,10 @@
             pairs=pairs,
             demand=self._demand_by_group(now_s),
             capacity=self._ramped_capacity(now_s),
-            prices={(p.group, p.region): settings.crossing_ms for p in pairs if p.group != p.region},
+            prices={(p.group, p.region): settings.foreign_penalty_ms for p in pairs if p.group != p.region},
             closed=self.editions.kept().committed.settings.get("regions", {}).get("held", []),
         )
-        policy = PlanPolicy(settings.floor, settings.most_moved, settings.look)
+        policy = PlanPolicy(settings.least_elsewhere, settings.migration_most, settings.exploration)
         compute = partial(make_plan, inputs, policy, before)
         return await asyncio.get_running_loop().run_in_executor(self._executor, compute)
 
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -8,7 +8,7 @@
 import pytest
 
 from brassfall.balancer.model import Arrival, Fail, Outcome, Send, Timer
-from brassfall.sidecar import body, client_connection, framing, outbound
+from brassfall.sidecar import body, client_connection, framing, server_connection
 from brassfall.sidecar.read_control import Hold
 from tests import loopback as partners
 from tests.helpers import balancer, of_type
@@ -448,7 +448,7 @@
 
 @loopback
 async def test_a_server_that_goes_silent_within_an_answer_is_given_up(monkeypatch):
-    monkeypatch.setattr(outbound, "STALLED_S", 0.1)
+    monkeypatch.setattr(server_connection, "STALLED_S", 0.1)
 
     async def stuck(reader, writer):
         writer.write(LENGTH % len(LARGE) + LARGE[:1000])
@@ -532,7 +532,7 @@
         for refused in (whole, partners.request("POST", "/pay", LARGE)):
             app = await App.connect(sidecar.address)
             app.writer.write(refused)
-            assert (await app.answer()).start.split(" ")[1] == "503"
+            assert (await app.answer()).status == 503
         for app in apps[:4]:
             app.writer.write(whole[-1:])
             assert (await app.answer()).body == b"done"
@@ -639,9 +639,9 @@
     (due,) = of_type(made.request(0.0, Arrival(2, 0, 1000.0)), Timer)
     made.answer_started(100.0, 2, 0)
     made.timer(due.delay, due.token)
-    (server,) = made._servers.values()
-    assert server.ill == 0.0 and made._shed.level(200.0) == 0.0 and not server.out
-    assert server.open == 2
+    (server,) = made._endpoints.servers.values()
+    assert server.fault_share == 0.0 and made._shedder.probability(200.0) == 0.0 and not server.outstanding
+    assert server.in_flight == 2
     made.outcome(5000.0, 2, 0, Outcome.OK, 100.0, True)
     made.outcome(5000.0, 1, 0, Outcome.OK, 100.0, True)
-    assert server.open == 0 and not made._requests
+    assert server.in_flight == 0 and not made._requests
--- a/tests/test_registry_clocks.py
+++ b/tests/test_registry_clocks.py
@@ -17,7 +17,7 @@
 
 from brassfall import settings
 from brassfall.controlplane.registry.server import Service as InProcess
-from brassfall.controlplane.store import store as stores
+from brassfall.controlplane.store.incarnations import first_index
 from tests.loopback import bounded
 from tests.processes import Service
 from tests.test_registry_service import ENTRY, call
@@ -257,5 +257,5 @@
 def test_a_life_on_a_kept_table_begins_above_it_whatever_the_clock_says(step_s):
     now = 1_800_000_000.0
     for drawn in (0, 1023, 2**30 - 1):
-        last = stores.life_floor(now, 0, drawn) + 5
-        assert last < stores.life_floor(now + step_s, last, drawn) < 2**53
+        last = first_index(now, 0, drawn) + 5
+        assert last < first_index(now + step_s, last, drawn) < 2**53
