--- a/brassfall/sidecar/__main__.py
+++ b/brassfall/sidecar/__main__.py
@@ -13,9 +13,11 @@
 from brassfall.balancer.model import Steer
 from brassfall.sidecar import config
 from brassfall.sidecar.admin import Door
+from brassfall.sidecar.clock import Clock
 from brassfall.sidecar.config import Address, Config, ConfigError, ServerList
+from brassfall.sidecar.console import log
 from brassfall.sidecar.discovery import Discovery
-from brassfall.sidecar.driver import Clock, Driver, log
+from brassfall.sidecar.driver import Driver
 from brassfall.sidecar.handover import Seat
 from brassfall.sidecar.inbound import Inbound
 from brassfall.sidecar.lifecycle import Lifecycle, State
@@ -74,7 +76,7 @@
         member.agent.report_extensions.append(self.discovery.told)
         if told.agreement is not None and told.agreement.group:
             self.pool.delays = member.delays
-        self.driver.before = self.pool.stamp = member.stamp_at(self._loop)
+        self.driver.revision_stamp = self.pool.stamp = member.stamp_at(self._loop)
         self.door.add("RULES", lambda: member.agent.state)
         return member
 
@@ -108,7 +110,7 @@
     @property
     def busy(self) -> set[int]:
         """The slots of classes that requests or clients still name."""
-        return self.driver.bands | self.inbound.bands
+        return self.driver.request_classes | self.inbound.request_classes
 
     async def start(self) -> Address:
         """Be ready: the known list is taken in before the first request; where it listens."""
@@ -179,8 +181,8 @@
 
     def _longest(self) -> float:
         """The longest deadline of the classes that there are."""
-        named = {kind.band for kind in self._told.names.classes.values()}
-        return max(self._told.settings.profiles[band].deadline for band in named)
+        named = {kind.slot for kind in self._told.names.classes.values()}
+        return max(self._told.settings.profiles[slot].deadline for slot in named)
 
     async def drain(self) -> None:
         """Stop listening, finish what was taken, close connections between requests."""
@@ -209,7 +211,7 @@
 
     def close(self) -> None:
         """Close what is left."""
-        log(f"closing, with {self.driver.held or 'nothing'} still open")
+        log(f"closing, with {self.driver.in_flight or 'nothing'} still open")
         self.door.close()
         self.inbound.close()
         self.pool.close()
--- a/brassfall/sidecar/admin.py
+++ b/brassfall/sidecar/admin.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from brassfall.sidecar.config import DOOR_CALLERS, Address
-from brassfall.sidecar.driver import log
+from brassfall.sidecar.console import log
 from brassfall.sidecar.lifecycle import Impossible, Lifecycle
 from brassfall.sidecar.listener import Listener, bound
 
--- a/brassfall/sidecar/agent/agent.py
+++ b/brassfall/sidecar/agent/agent.py
@@ -16,8 +16,8 @@
 from brassfall.sidecar.agent.lease_client import ActiveConfiguration, LeaseClient, Revision
 from brassfall.sidecar.agent.lists import RETRY_SPREAD, Sources
 from brassfall.sidecar.config import Address, Agreement
+from brassfall.sidecar.console import log
 from brassfall.sidecar.discovery import CLOCK_STEP_S, SILENT_S, Channel
-from brassfall.sidecar.driver import log
 
 EVERY_MS, EVERY_MOST_MS = 750.0, 10_000.0
 SPREAD_MS, SPREAD_MOST_MS = 100.0, 10_000.0  # a report that a revision calls for comes within this
--- a/brassfall/sidecar/agent/member.py
+++ b/brassfall/sidecar/agent/member.py
@@ -18,7 +18,7 @@
 from brassfall.sidecar.agent.lists import HeldList
 from brassfall.sidecar.agent.steering import NEUTRAL, Inputs, Steering
 from brassfall.sidecar.config import Config, ConfigError
-from brassfall.sidecar.driver import log
+from brassfall.sidecar.console import log
 
 LIST_LATE_S = 2.0  # changes of the list take far less on a watch that works
 
--- a/brassfall/sidecar/agent/steering.py
+++ b/brassfall/sidecar/agent/steering.py
@@ -160,7 +160,7 @@
         steer = Steer(
             shares=_by_zone(found.shares, zones),
             class_shares={
-                names.classes[name].band: _by_zone(shares, zones)
+                names.classes[name].slot: _by_zone(shares, zones)
                 for name, shares in found.class_shares.items()
                 if name in names.classes
             },
@@ -175,7 +175,7 @@
             held_zones=frozenset(zones[name] for name in found.held_regions if name in zones),
             held_servers=frozenset(held | found.held_servers),
             caps={
-                names.classes[name].band: rate for name, rate in found.caps.items() if name in names.classes
+                names.classes[name].slot: rate for name, rate in found.caps.items() if name in names.classes
             },
             weight=self._weight(active.revision, now),
             look=_share((active.revision.plan or {}).get("look")),
--- a/brassfall/sidecar/config.py
+++ b/brassfall/sidecar/config.py
@@ -57,7 +57,7 @@
 class RequestClass:
     """A class as requests name it: its place in the settings and the method that it asks for."""
 
-    band: int
+    slot: int
     method: str
     keyed: bool
 
@@ -296,7 +296,7 @@
     gone = (replace(profile, worth=min(profile.worth, most)) for profile in running.settings.profiles)
     profiles = dict(enumerate(gone))
     for name, kind in told.names.classes.items():
-        profiles[classes[name].band] = told.settings.profiles[kind.band]
+        profiles[classes[name].slot] = told.settings.profiles[kind.slot]
     fixed = {name: getattr(running.settings, name) for name in FIXED_SETTINGS}
     differ = [name for name in FIXED_SETTINGS if getattr(told.settings, name) != fixed[name]]
     differ += [name for name in FIXED if getattr(told, name) != getattr(running, name)]
@@ -327,16 +327,16 @@
     """Where each class goes: to its old slot if it is the same, else to one that is free."""
     before = running.names.classes
     same = {
-        name: replace(kind, band=before[name].band)
+        name: replace(kind, slot=before[name].slot)
         for name, kind in told.names.classes.items()
         if name in before and (before[name].method, before[name].keyed) == (kind.method, kind.keyed)
     }
-    kept = frozenset(kind.band for kind in same.values())
+    kept = frozenset(kind.slot for kind in same.values())
     # Clients go on naming the classes before for a while: their slots are taken later.
-    taken = {*kept, *busy, *(kind.band for kind in before.values())}
+    taken = {*kept, *busy, *(kind.slot for kind in before.values())}
     free = (slot for slot in count() if slot not in taken)
     placed = {
-        name: same.get(name) or replace(kind, band=next(free)) for name, kind in told.names.classes.items()
+        name: same.get(name) or replace(kind, slot=next(free)) for name, kind in told.names.classes.items()
     }
     return placed, kept
 
@@ -406,9 +406,9 @@
     )
 
 
-def _request_class(band: int, row: Mapping[str, Any]) -> RequestClass:
+def _request_class(slot: int, row: Mapping[str, Any]) -> RequestClass:
     semantics = row["Semantics"]
-    return RequestClass(band, "GET" if semantics == "pure" else "POST", semantics == "token")
+    return RequestClass(slot, "GET" if semantics == "pure" else "POST", semantics == "token")
 
 
 def _indices(names: Any) -> dict[str, int]:
--- a/brassfall/sidecar/discovery.py
+++ b/brassfall/sidecar/discovery.py
@@ -16,7 +16,7 @@
 from brassfall.balancer.model import ASK_MOST_MS, CALL_MS, SPARE_MS, TOLD_MS
 from brassfall.sidecar.agent.lists import Age, Doubt, HeldList, Sources
 from brassfall.sidecar.config import Address, Config, ServerList, parse_list
-from brassfall.sidecar.driver import log
+from brassfall.sidecar.console import log
 
 PATH = "/registry/instances"
 # What a change may take to arrive: all waits and limits here are parts of it.
@@ -301,7 +301,7 @@
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(self._called.wait(), limit)
 
-    def watch(self, on: bool) -> None:
+    def watch(self, *, on: bool) -> None:
         """The module asks for changes, or for no more of them. A call under way, such as one after a move,
         is not given up for another: it would lose its turn, and cost as much as one that is served."""
         if self._pushed or (on and self._watching is not None):
--- a/brassfall/sidecar/driver.py
+++ b/brassfall/sidecar/driver.py
@@ -1,30 +1,30 @@
-"""The only caller of the decision module: events in, actions out.
+"""The only caller of the balancer: events in, actions out.
 
-Owns the timers, the requests and their attempts, and knows no sockets: what carries
-requests, lists and messages is handed in, behind the protocols below.
+The driver owns the timers, the requests and their attempts, and knows no sockets: what carries requests,
+lists and messages is handed in, behind the protocols of `interfaces`. All runs on one event loop, without
+awaiting. Times and spans are in ms of the sidecar's clock where no other unit is named.
 """
 
 from __future__ import annotations
 
 import asyncio
-import contextlib
 import math
-import sys
-import time
 import traceback
 from collections.abc import Callable, Iterable
-from dataclasses import dataclass, field
-from typing import Any, Protocol, cast
+from typing import Any
 
 from brassfall.balancer import Balancer, model
 from brassfall.balancer.model import Outcome
-from brassfall.sidecar.body import Body
+from brassfall.sidecar.attempts import FORGOTTEN, Attempt, Request
+from brassfall.sidecar.clock import Clock
 from brassfall.sidecar.config import Config, ServerList
+from brassfall.sidecar.console import log
+from brassfall.sidecar.interfaces import Answer, Call, Flow, Gossip, Registry, Result, Upstreams
 from brassfall.sidecar.start_times import StartTimes
 
 # The client counts from its send and we from the read: transit, and what the loop lags.
 DEADLINE_MARGIN_MS = 8.0
-# The module answers at the deadline; what it left unanswered for so long is failed for it.
+# The balancer answers at the deadline; what it left unanswered for so long is failed in its place.
 GUARD_MS = 25.0
 # This process may be held up for so long between reading its clock and writing.
 HOLD_UP_MS = 150.0
@@ -34,222 +34,10 @@
 PROBE_TIMEOUT_MS = 1000.0
 
 
-@dataclass(slots=True)
-class Answer:
-    """What a server answered, for the client; of a large one the beginning."""
-
-    headers: list[tuple[bytes, bytes]]
-    body: bytes
-    length: int | None = None  # of a large one, where it was told
-
-
-@dataclass(slots=True)
-class Result:
-    """How an attempt or a probe ended."""
-
-    outcome: Outcome
-    answer: Answer | None = None
-    report: dict[str, float] | None = None
-
-
-class Call(Protocol):
-    """A request as the application sent it."""
-
-    band: int
-    tenant: int
-    key: int | None
-    work: float | None
-    again: bool
-    mutates: bool
-    budget: float
-    body: Body | None  # of a large one
-
-    @property
-    def reading(self) -> bool:
-        """Whether its body is still coming."""
-
-    def wire(self, left: float) -> bytes:
-        """The request for a server that has `left` milliseconds."""
-
-    def served(self, answer: Answer) -> None:
-        """The final answer: a server's."""
-
-    def refused(self, retry_after: float) -> None:
-        """The final answer: refused."""
-
-    def failed(self, late: bool) -> None:
-        """The final answer: failed."""
-
-    def begun(self, answer: Answer, flow: Flow) -> None:
-        """The final answer: a server's, of which more is to come."""
-
-    def more(self, data: bytes) -> None:
-        """A part of it."""
-
-    def finished(self) -> None:
-        """It is whole."""
-
-    def broken(self) -> None:
-        """It can't be finished."""
-
-
-class Flow(Protocol):
-    """The server's side of an answer that is passed on as it comes."""
-
-    def pause(self) -> None:
-        """The client does not take it so fast."""
-
-    def resume(self) -> None:
-        """The client has read on."""
-
-
-class Watcher(Protocol):
-    """Is told what becomes of an exchange."""
-
-    stamp: bytes  # the edition under which its server was picked; empty where there are none
-
-    def may_write(self) -> bool:
-        """Asked as its bytes are due: whether they are still wanted. If not, nothing more is told of it."""
-
-    def written(self) -> None:
-        """A large request has been written whole."""
-
-    def begun(self, answer: Answer, flow: Flow) -> Callable[[bytes], None]:
-        """A large answer begins; what takes the rest of it."""
-
-    def ended(self, result: Result) -> None:
-        """It is over: told once, unless it was abandoned first."""
-
-
-class Exchange(Protocol):
-    """One attempt or probe on its way."""
-
-    failed_here: bool  # this machine can't open its connection: it is not sent, and no server was silent
-
-    def abandon(self) -> None:
-        """Stop waiting: its connection is closed, and nothing more comes of it."""
-
-    def drop(self) -> bool:
-        """Give it up unless it is written whole, so that no server ever has it; whether it was."""
-
-
-class Upstreams(Protocol):
-    """The servers, seen as somewhere to send."""
-
-    def send(self, server: str, call: Call, expires: float, watcher: Watcher) -> Exchange:
-        """Begin an attempt; its watcher is told later, never from within."""
-
-    def probe(self, server: str, done: Callable[[Result], None]) -> Exchange:
-        """Begin a probe; `done` is called once, later, unless it is abandoned first."""
-
-    def update(self, now: float, whole: bool, news: ServerList) -> None:
-        """What discovery said of the servers."""
-
-    def close_idle(self, server: str) -> None:
-        """Close the idle connections to a server."""
-
-
-class Registry(Protocol):
-    """Discovery, seen as something to ask."""
-
-    def watch(self, on: bool) -> None:
-        """Ask for changes from now on, or stop."""
-
-    def fetch(self) -> None:
-        """Ask for the whole list once."""
-
-
-class Gossip(Protocol):
-    """The way to other sidecars."""
-
-    def tell(self, peer: int | None, data: bytes) -> None:
-        """Send a message to one peer, or to all."""
-
-
-class Clock:
-    """Monotonic milliseconds plus one fixed offset to Unix time, so that `since_ms` compares.
-
-    The wall clock is read once, at the start: where it is stepped later, no span changes. What a wrong one
-    means for the starts of servers is bounded in `start_times`."""
-
-    def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
-        self._loop = loop
-        self._offset = time.time() * 1000.0 - loop.time() * 1000.0
-
-    def now(self) -> float:
-        """The time in milliseconds; it never steps back."""
-        return self._loop.time() * 1000.0 + self._offset
-
-    def at(self, now: float) -> float:
-        """The loop's own time for a time of this clock."""
-        return (now - self._offset) / 1000.0
-
-    def of(self, at: float) -> float:
-        """This clock's time for a time of the loop."""
-        return at * 1000.0 + self._offset
-
-
-@dataclass(slots=True, eq=False)
-class Attempt:
-    """One `Send`, until its outcome."""
-
-    driver: Driver
-    request: Request
-    hop: int
-    sent: float
-    wait: float  # for an answer, once all is written
-    stamp: bytes = b""  # the edition under which its server was picked, where there are any
-    write_by: float = math.inf  # when its key's window is over
-    out: bool = True
-    exchange: Exchange | None = None
-    timeout: asyncio.TimerHandle | None = None
-    window: asyncio.TimerHandle | None = None  # of a repeat under a key
-    filling: bool = False  # whether its time is yet to run, since it is large and not written
-    begun_at: float | None = None  # when its answer began to be passed on
-
-    def may_write(self) -> bool:
-        """Whether it is still wanted, now that its connection is there."""
-        return self.driver.attempt_due(self)
-
-    def written(self) -> None:
-        """All of a large request is on its way: from here the server's time runs."""
-        self.driver.attempt_written(self)
-
-    def begun(self, answer: Answer, flow: Flow) -> Callable[[bytes], None]:
-        """A large answer begins."""
-        return self.driver.attempt_begun(self, answer, flow)
-
-    def ended(self, result: Result) -> None:
-        """Its one outcome."""
-        if result.outcome == Outcome.MOOT:
-            self.driver.attempt_unsent(self)
-        self.driver.attempt_ended(self, result)
-
-
-@dataclass(slots=True, eq=False)
-class Request:
-    """A request taken, until its final answer and its last outcome."""
-
-    id: int
-    call: Call
-    give_up_at: float
-    max_attempts: int  # as allowed at its arrival
-    read_at: float  # when its last byte was read; before that, when it arrived
-    ended: bool = False
-    attempts: list[Attempt] = field(default_factory=list)
-    out: int = 0
-    guard: asyncio.TimerHandle | None = None
-    timers: list[asyncio.TimerHandle] = field(default_factory=list)  # the module's, about this request
-
-
-# In place of a request that is over and forgotten: ended, and held by nobody.
-FORGOTTEN = Request(-1, cast(Call, None), -math.inf, 0, -math.inf, ended=True)
-
-
 class Driver:
-    """Runs one balancer."""
+    """Runs one balancer: passes each event to it and carries out the actions that it returns."""
 
-    before: Callable[[], bytes] | None = None  # asked before each decision: the stamp of what to act on
+    revision_stamp: Callable[[], bytes] | None = None  # asked before each decision: what is acted on
 
     def __init__(self, loop: asyncio.AbstractEventLoop, clock: Clock, config: Config) -> None:
         self._loop = loop
@@ -257,11 +45,11 @@
         self._settings = config.settings
         self._max_open = config.max_open
         self._requests: dict[int, Request] = {}
-        self._open = 0
+        self._open = 0  # requests without a final answer
         self._flowing = 0  # answers that are passed on as they come
         self._last_answer = math.inf  # by when all has to be answered, once the process ends
         self._decided = b""  # the stamp of the decision that is carried out
-        self._turned_off = 0  # for want of room for one more
+        self._rejected_full = 0  # requests rejected since too many were open
         self._next_id = config.seed % 2**32
         self._starts = StartTimes()
         self._balancer = Balancer(clock.now(), config.settings, config.seed)
@@ -275,41 +63,44 @@
 
     @property
     def idle(self) -> bool:
-        """Whether nothing taken is unanswered."""
+        """Whether every request taken has its complete answer."""
         return self._open == 0 and self._flowing == 0
 
     @property
-    def held(self) -> int:
-        """How many requests have no whole answer."""
+    def in_flight(self) -> int:
+        """How many requests have no complete answer."""
         return self._open + self._flowing
 
     @property
     def refusals(self) -> str:
         """How many requests got an answer that no server gave, by reason, since the start."""
-        counts = {**self._balancer.given_up, "full": self._turned_off}
+        counts = {**self._balancer.given_up, "full": self._rejected_full}
         return " ".join(f"{why}={count}" for why, count in counts.items())
 
     @property
-    def bands(self) -> set[int]:
-        """The classes of the requests held."""
-        return {request.call.band for request in self._requests.values()}
+    def request_classes(self) -> set[int]:
+        """The slots of the classes that open requests name."""
+        return {request.call.request_class for request in self._requests.values()}
 
     # --- events -----------------------------------------------------------
 
-    def reload(self, config: Config, kept: frozenset[int]) -> None:
-        """Other settings for the requests that come from now on."""
+    def reload(self, config: Config, unchanged: frozenset[int]) -> None:
+        """Use other settings for the requests that come from now on; `unchanged` are the slots of classes
+        that are the same as before."""
         self._settings, self._max_open = config.settings, config.max_open
-        self._ask(None, self._balancer.reload, config.settings, kept)
+        self._ask(None, self._balancer.reload, config.settings, unchanged)
 
     def steer(self, steer: model.Steer) -> None:
-        """Another steering plan and other overrides from now on."""
+        """Use another steering plan and other overrides from now on."""
         self._ask(None, self._balancer.steer, steer)
 
     def arrive(self, call: Call, now: float) -> Request | None:
-        """Take a request; its `call` gets one final answer. Its time runs from its last byte, which was
-        read at `now`, or of which `body_read` tells."""
+        """Take a request; its `call` gets one final answer.
+
+        Its time runs from its last byte, which was read at `now`, or of which `body_read` tells. Return what
+        the driver keeps of it, or None where it was rejected since too many requests are open."""
         if self._open >= self._max_open:
-            self._turned_off += 1
+            self._rejected_full += 1
             call.refused(0.0)
             return None
         reading = call.reading
@@ -322,12 +113,12 @@
             self._guard(request)
         arrival = model.Arrival(
             request.id,
-            call.band,
+            call.request_class,
             give_up_at,
             call.tenant,
             call.key,
             call.work,
-            call.again,
+            call.client_retry,
             call.mutates,
             reading,
         )
@@ -338,12 +129,12 @@
         return min(now + call.budget - DEADLINE_MARGIN_MS, self._last_answer)
 
     def _guard(self, request: Request) -> None:
-        """Guards against a module that forgets a request: a safety net, not a decision."""
-        at = self._clock.at(request.give_up_at + GUARD_MS)
+        """Guard against a balancer that forgets a request: a safety net, not a decision."""
+        at = self._clock.to_loop(request.give_up_at + GUARD_MS)
         request.guard = self._loop.call_at(at, self._overdue, request)
 
     def body_gone(self, request: Request) -> None:
-        """More of its body has flowed on than is held."""
+        """More of its body has flowed on than is buffered: it can't be sent again."""
         self._ask(request, self._balancer.body_gone, request.id)
 
     def body_read(self, request: Request, now: float) -> None:
@@ -353,15 +144,15 @@
             request.give_up_at = self._give_up_at(request.call, now)
             self._guard(request)
             for attempt in request.attempts:
-                # One that is not written has no other end: its connection may be yet to come up.
+                # An attempt that is not written has no other end: its connection may be yet to come up.
                 if attempt.out and attempt.begun_at is None:
                     self._expire_at(attempt, request.give_up_at)
             if now >= request.give_up_at and self._end(request):  # so late only while the process ends
-                request.call.failed(True)
+                request.call.failed(late=True)
                 self._ask(request, self._balancer.client_gone, request.id)
 
     def stopping(self, until: float) -> None:
-        """The process ends: all that is taken from now on is answered by then."""
+        """The process ends: answer all that is taken from now on by then."""
         self._last_answer = until
 
     def client_gone(self, request: Request) -> None:
@@ -370,22 +161,25 @@
         if self._end(request) or flowing:
             self._ask(request, self._balancer.client_gone, request.id)
         if request.call.reading or flowing:
-            # Half of it is nothing that a server could answer, or that anybody reads.
+            # No server can answer half a request, and nobody reads the rest of an answer.
             for hop in range(len(request.attempts)):
                 self._cancel(request.id, hop)
 
-    def server_list(self, form: str, news: ServerList | None) -> None:
-        """Discovery's news, or its refusal."""
-        if news is None:
+    def server_list(self, form: str, update: ServerList | None) -> None:
+        """Take in what discovery says: an endpoint list, or None where it was refused.
+
+        `form` is "remembered" for the list from the configuration, "all" or "changes" for one from discovery,
+        and "refused"."""
+        if update is None:
             self._ask(None, self._balancer.server_list, form, ())
             return
         now = self._clock.now()
-        news = self._starts.bounded(now, self._clock.of(news.fresh_at), news)
-        self._upstreams.update(now, form != "changes", news)
-        self._ask(None, self._balancer.server_list, form, news.entries)
+        update = self._starts.bounded(now, self._clock.from_loop(update.fresh_at), update)
+        self._upstreams.update(now, form != "changes", update)
+        self._ask(None, self._balancer.server_list, form, update.entries)
 
     def peer_message(self, peer: int, data: bytes) -> None:
-        """A message of another sidecar."""
+        """Take a message of another sidecar."""
         self._ask(None, self._balancer.peer_message, peer, data)
 
     def _new_id(self) -> int:
@@ -398,12 +192,14 @@
     def _overdue(self, request: Request) -> None:
         if self._end(request):
             log(f"request {request.id}: no answer at its deadline; report it")
-            request.call.failed(True)
+            request.call.failed(late=True)
             self._ask(request, self._balancer.client_gone, request.id)
 
     def attempt_due(self, attempt: Attempt) -> bool:
-        """Its bytes are due: a connection that came up late, or a body that came slowly, may find that
-        nobody wants it any more or that its time is over, though the timer for that is yet to run."""
+        """Return whether an attempt whose bytes are due is still wanted.
+
+        A connection that came up late, or a body that came slowly, may find that nobody wants it any more or
+        that its time is over, though the timer for that is yet to run."""
         request, timeout = attempt.request, attempt.timeout
         if attempt.begun_at is not None:
             return True  # its answer has begun already
@@ -415,18 +211,18 @@
         return False
 
     def attempt_written(self, attempt: Attempt) -> None:
-        """All of a large request is written."""
+        """All of a large request is written: from here its server's time runs."""
         if attempt.out and attempt.filling and attempt.begun_at is None:
             self._expire_at(attempt, min(self._clock.now() + attempt.wait, attempt.request.give_up_at))
             attempt.filling = False
 
     def attempt_begun(self, attempt: Attempt, answer: Answer, flow: Flow) -> Callable[[bytes], None]:
-        """A large answer begins: it is passed on as it comes, and nothing here ends it any more."""
+        """Begin to pass a large answer on as it comes: nothing here ends it any more."""
         request = attempt.request
         if not self._end(request, attempt):
-            # Another answer was first: this one has nobody to read it.
+            # Another answer was first: nobody reads this one.
             self._loop.call_soon(self._cancel, request.id, attempt.hop)
-            return lambda data: None
+            return _discard
         attempt.begun_at = self._clock.now()
         self._flowing += 1
         if attempt.timeout is not None:
@@ -436,14 +232,14 @@
         return request.call.more
 
     def attempt_unsent(self, attempt: Attempt) -> None:
-        """The rules or its server changed before it was written: it is none of those that its request
-        may have."""
+        """An attempt was abandoned before it was sent, since the revision or its server changed: it does not
+        count against those that its request may have."""
         if attempt.out:
             attempt.request.max_attempts += 1
             self._ask(None, self._balancer.unsent, attempt.request.id, attempt.hop)
 
     def attempt_ended(self, attempt: Attempt, result: Result) -> None:
-        """The one outcome of an attempt; the first OK answers its request."""
+        """Take the one outcome of an attempt; the first OK answers its request."""
         if not attempt.out:
             return
         request = attempt.request
@@ -477,7 +273,7 @@
         self._forget(request)
 
     def _expire_at(self, attempt: Attempt, until: float) -> None:
-        at, timeout = self._clock.at(until), attempt.timeout
+        at, timeout = self._clock.to_loop(until), attempt.timeout
         if timeout is not None:
             timeout.cancel()
             at = at if attempt.filling else min(at, timeout.when())
@@ -500,18 +296,18 @@
     # --- actions ------------------------------------------------------------
 
     def _ask(self, request: Request | None, event: Callable[..., Iterable[model.Action]], *args: Any) -> None:
-        """Give the module an event and carry out what it decides.
+        """Give the balancer an event and carry out what it decides.
 
         Guards against a fault in it: that fails the request at hand, never the process."""
-        decided = b"" if self.before is None else self.before()
+        decided = b"" if self.revision_stamp is None else self.revision_stamp()
         try:
             for action in event(self._clock.now(), *args):
-                self._decided = decided  # a send may have had other rules taken meanwhile
+                self._decided = decided  # a send may have taken up another revision meanwhile
                 self._act(action)
         except Exception:
             log(traceback.format_exc())
             if request is not None and self._end(request):
-                request.call.failed(False)
+                request.call.failed(late=False)
                 self._ask(None, self._balancer.client_gone, request.id)
         if request is not None:
             self._forget(request)
@@ -530,7 +326,7 @@
             case model.Fail(number):
                 request = self._requests.get(number)
                 if request is not None and self._end(request):
-                    request.call.failed(self._clock.now() >= request.give_up_at)
+                    request.call.failed(late=self._clock.now() >= request.give_up_at)
                     self._forget_soon(request)
             case model.Cancel(number, hop):
                 self._cancel(number, hop)
@@ -542,7 +338,7 @@
     def _act_rarely(self, action: model.Action) -> None:
         match action:
             case model.Watch(on):
-                self._registry.watch(on)
+                self._registry.watch(on=on)
             case model.Fetch():
                 self._registry.fetch()
             case model.Probe(server):
@@ -558,6 +354,7 @@
             request.timers.append(timer)
 
     def _send(self, action: model.Send) -> None:
+        """Begin an attempt, unless its request or its time is over by now."""
         request = self._requests.get(action.request)
         if request is None:
             log(f"a send for request {action.request}, which is not held; report it")
@@ -579,7 +376,7 @@
         if not attempt.filling:
             self._expire_at(attempt, expires)
         if write_by < math.inf:
-            attempt.window = self._loop.call_at(self._clock.at(write_by), self._drop, attempt)
+            attempt.window = self._loop.call_at(self._clock.to_loop(write_by), self._drop, attempt)
         attempt.exchange = self._upstreams.send(action.server, request.call, expires, attempt)
 
     def _cancel(self, number: int, hop: int) -> None:
@@ -590,12 +387,13 @@
         if attempt.exchange is not None:
             attempt.exchange.abandon()
             attempt.exchange = None
-            # Later: the module hears of nothing while it is being asked.
+            # Later: the balancer hears of nothing while it is being asked.
             self._loop.call_soon(self.attempt_ended, attempt, Result(Outcome.CANCELLED))
 
     def _drop(self, attempt: Attempt) -> None:
-        """Nobody wants it any more, or its key's window is over. What no server has can be given up
-        whatever the settings say of cancelling: no work is stopped."""
+        """Drop an attempt that nobody wants any more, or whose key's window is over.
+
+        What no server has can be dropped whatever the settings say of cancelling: no work is stopped."""
         exchange = attempt.exchange if attempt.begun_at is None else None
         if exchange is not None and exchange.drop():
             self._never_sent(attempt)
@@ -619,7 +417,7 @@
         limit = self._loop.call_later(PROBE_TIMEOUT_MS / 1000.0, expire)
 
     def _end(self, request: Request, by: Attempt | None = None) -> bool:
-        """Mark a request as answered, `by` an attempt or without; whether it was not before."""
+        """Mark a request as answered, `by` an attempt or without; return whether it was not before."""
         if request.ended:
             return False
         request.ended = True
@@ -632,10 +430,12 @@
         return True
 
     def _forget_soon(self, request: Request) -> None:
-        """A timer may have answered it, or another request's end. Later: an action for it may follow."""
+        """Forget a request that a timer or another request's end may have answered. Later: an action for it
+        may follow."""
         self._loop.call_soon(self._forget, request)
 
     def _forget(self, request: Request) -> None:
+        """Forget a request that has its answer and no attempt out."""
         if request.ended and request.out == 0 and self._requests.pop(request.id, None) is not None:
             # Each would wake the process for nothing, half a second after most requests are over.
             for timer in request.timers:
@@ -645,7 +445,5 @@
                 attempt.request = FORGOTTEN
 
 
-def log(text: str) -> None:
-    """A line for on-call staff; where nobody takes it any more, what is served goes on."""
-    with contextlib.suppress(OSError):
-        print(text.rstrip(), file=sys.stderr, flush=True)
+def _discard(data: bytes) -> None:
+    """Take a part of an answer that nobody reads."""
--- a/brassfall/sidecar/handover.py
+++ b/brassfall/sidecar/handover.py
@@ -6,7 +6,7 @@
 import os
 
 from brassfall.sidecar.config import stable_number
-from brassfall.sidecar.driver import log
+from brassfall.sidecar.console import log
 
 SERVES, COMES = "lock", "next"
 # The name of earlier versions: during an upgrade, processes of both look at the same files.
--- a/brassfall/sidecar/inbound.py
+++ b/brassfall/sidecar/inbound.py
@@ -12,9 +12,11 @@
 import httptools
 
 from brassfall.sidecar import framing
+from brassfall.sidecar.attempts import Request
 from brassfall.sidecar.body import FLOW_MOST, HELD_MOST, Body, Budget
+from brassfall.sidecar.clock import Clock
 from brassfall.sidecar.config import Address, Config, Names, RequestClass, stable_number
-from brassfall.sidecar.driver import Answer, Clock, Flow, Request
+from brassfall.sidecar.interfaces import Answer, Flow
 from brassfall.sidecar.lifecycle import Lifecycle
 from brassfall.sidecar.listener import Listener, bound, inherited
 
@@ -96,10 +98,10 @@
         self.body: Body | None = None  # in place of a whole body
         self.old = False  # HTTP/1.0: knows no chunks
         self.room = Room()
-        self.band = self.tenant = 0
+        self.request_class = self.tenant = 0
         self.key: int | None = None
         self.work: float | None = None
-        self.again = self.mutates = False
+        self.client_retry = self.mutates = False
         self.budget = 0.0
         self._head = b""
         self._body = b""
@@ -112,7 +114,7 @@
     def read(self, message: Message, names: Names, kept_back: frozenset[bytes]) -> None:
         """Take in a request for servers, without some headers; `BadRequest` says what is wrong with it."""
         kind = _class_of(message, names)
-        self.band = kind.band
+        self.request_class = kind.slot
         self.budget = _budget(message.needed("x-budget"))
         if not CALL_ID.fullmatch(message.needed("x-call-id")):
             raise BadRequest(400, "X-Call-Id: not an id")
@@ -125,7 +127,7 @@
         self.key = None if user is None else stable_number(user)
         cost = message.text("x-call-cost")
         self.work = None if cost is None else _cost(cost)
-        self.again = message.text("x-again") == "1"
+        self.client_retry = message.text("x-again") == "1"
         self.mutates = "Mutates=1" in (message.text("x-call-info") or "").split(",")
         self._body = b"" if self.body is not None else bytes(message.body)
         headers = framing.end_to_end(message.headers, kept_back)
@@ -184,7 +186,7 @@
             self.connection.abort()
         else:
             self.passing = None
-            self.failed(False)
+            self.failed(late=False)
 
     def _finish(self, status: int, headers: framing.Headers, body: bytes) -> None:
         if self.answer is None and self.passing is None:
@@ -865,7 +867,7 @@
         until = self._begun_at + HALF_SENT_S + size / BODY_BYTES_PER_S
         if self._message is not None and not self.readable:
             # More time comes with each byte to a client that goes on sending, and not to one that stopped.
-            heard_at = max(self._inbound.clock.at(self._read_at), self._resumed_at)
+            heard_at = max(self._inbound.clock.to_loop(self._read_at), self._resumed_at)
             stopped = heard_at + STILL_COMING_MS / 1000.0
             until = min(until, max(stopped, self._begun_at + HALF_SENT_S))
         if self._holds_back:
@@ -953,10 +955,10 @@
         self._forgets = [timer for timer in self._forgets if timer.when() > self.loop.time()]
 
     @property
-    def bands(self) -> set[int]:
+    def request_classes(self) -> set[int]:
         """The classes that clients may name."""
         known = (self._names, *self._before)
-        return {kind.band for names in known for kind in names.classes.values()}
+        return {kind.slot for names in known for kind in names.classes.values()}
 
     def _read(self, exchange: Exchange, message: Message) -> None:
         try:
--- a/brassfall/sidecar/outbound.py
+++ b/brassfall/sidecar/outbound.py
@@ -19,8 +19,9 @@
 from brassfall.balancer.model import Listing, Outcome
 from brassfall.sidecar import framing
 from brassfall.sidecar.body import HELD_MOST, Body
+from brassfall.sidecar.clock import Clock
 from brassfall.sidecar.config import Address, Config, ServerList
-from brassfall.sidecar.driver import Answer, Call, Clock, Result, Watcher
+from brassfall.sidecar.interfaces import Answer, Call, Result, Watcher
 
 # A server closes what has stood idle for the time in the settings at the latest, as it counts:
 # what we write must be there before. A tenth covers transit, lag and the sweep.
--- a/brassfall/sidecar/peers.py
+++ b/brassfall/sidecar/peers.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from brassfall.sidecar.config import Address, Config
-from brassfall.sidecar.driver import log
+from brassfall.sidecar.console import log
 
 MESSAGE_MOST = 256
 
--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -16,7 +16,7 @@
 from unittest import mock
 
 from brassfall.balancer.model import Listing, Steer
-from brassfall.sidecar import config, driver, framing, outbound
+from brassfall.sidecar import clock, config, driver, framing, outbound
 from brassfall.sidecar.body import Body
 from brassfall.sidecar.config import Address, ServerList
 
@@ -74,7 +74,7 @@
         return await self.connect(factory, port)
 
 
-class Clock(driver.Clock):
+class Clock(clock.Clock):
     """The loop's time itself."""
 
     def __init__(self, loop):
@@ -242,11 +242,11 @@
 class Call:
     """A request, and what the oracle knows of it."""
 
-    again = mutates = False
+    client_retry = mutates = False
     work = None
 
-    def __init__(self, world, number, name, band, row, limits, budget, body):
-        self.world, self.number, self.name, self.band = world, number, name, band
+    def __init__(self, world, number, name, request_class, row, limits, budget, body):
+        self.world, self.number, self.name, self.request_class = world, number, name, request_class
         self.row, self.limits, self.budget, self.body = row, limits, budget, body
         self.arrived = world.now
         self.sent = bytearray() if body is None else bytearray(body._held)
@@ -378,7 +378,7 @@
         self.pool = outbound.Pool(self.loop, self.clock, self.running)
         self.driver.connect(Recorder(self.pool, self), self, self)
         if self.rng.random() < 0.25:
-            self.driver.before = self.pool.stamp = lambda: self.stamp
+            self.driver.revision_stamp = self.pool.stamp = lambda: self.stamp
 
     @property
     def now(self):
@@ -459,8 +459,8 @@
 
     def reload(self):
         raw = self.settings()
-        bands = {kind.band for names, _ in self.told_names for kind in names.classes.values()}
-        news = config.successor(self.running, self.parse(raw), self.driver.bands | bands)
+        slots = {kind.slot for names, _ in self.told_names for kind in names.classes.values()}
+        news = config.successor(self.running, self.parse(raw), self.driver.request_classes | slots)
         self.say(f"reload {[(row['Name'], row['Semantics']) for row in raw['Profiles']]}")
         self.raw, self.running = raw, news.config
         self.told_names.insert(0, (news.config.names, raw))
@@ -552,7 +552,7 @@
         if rng.random() < 0.25:
             parts = rng.randrange(4)
             body = Body(Source(), b"part0", 5 * (parts + 1) if rng.random() < 0.5 else None)
-        call = self.calls[number] = Call(self, number, row["Name"], kind.band, row, limits, budget, body)
+        call = self.calls[number] = Call(self, number, row["Name"], kind.slot, row, limits, budget, body)
         call.budget += driver.DEADLINE_MARGIN_MS  # so that its end lies on the grid
         large = "" if body is None else " large"
         self.say(f"arrive {number} {row['Name']} {row['Semantics']} {row['Group']} {budget}{large}")
--- a/tests/test_agreement_agent.py
+++ b/tests/test_agreement_agent.py
@@ -165,7 +165,7 @@
     assert asyncio.run(_left())["leaving"]
 
 
-NAMES = SimpleNamespace(zones={"a": 0}, classes={"c": SimpleNamespace(band=0)}, tenants={"t": 0})
+NAMES = SimpleNamespace(zones={"a": 0}, classes={"c": SimpleNamespace(slot=0)}, tenants={"t": 0})
 STRANGE = [
     {"settings": {key: value}}
     for key, value in [
--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -14,7 +14,8 @@
 from brassfall.balancer import Settings
 from brassfall.balancer.model import Cancel, Fail, Listing, Outcome, Refuse, Send
 from brassfall.sidecar import driver, outbound
-from brassfall.sidecar.driver import Answer, Result
+from brassfall.sidecar.clock import Clock
+from brassfall.sidecar.interfaces import Answer, Result
 from tests import loopback as partners
 from tests.helpers import CLASSES, arrival, balancer, of_type, raw_settings
 from tests.loopback import (
@@ -600,7 +601,7 @@
 class Client:
     """A request's client: it keeps every final answer that it is given."""
 
-    band, tenant, key, work, again, mutates, budget = 0, 0, None, None, False, False, 4000.0
+    request_class, tenant, key, work, client_retry, mutates, budget = 0, 0, None, None, False, False, 4000.0
 
     def __init__(self, large):
         self.reading, self.body, self.given = large, None, []
@@ -688,7 +689,7 @@
         loop = asyncio.get_running_loop()
         limits = {"MaxAttempts": 3, "MayCancel": cancels, "ConnectTimeout": 250.0}
         config = told([Upstream(address=f"127.0.0.1:{port}") for port in (9, 10, 11)], PolicyLimits=limits)
-        self.driver = driver.Driver(loop, driver.Clock(loop), config)
+        self.driver = driver.Driver(loop, Clock(loop), config)
         self.carriers = Carriers(loop, state)
         self.driver.connect(self.carriers, None, None)
         self.outcomes = []
--- a/tests/test_crossings_discovery.py
+++ b/tests/test_crossings_discovery.py
@@ -23,7 +23,7 @@
 from brassfall.sidecar import config, discovery
 from brassfall.sidecar.__main__ import Sidecar
 from brassfall.sidecar.config import ServerList
-from brassfall.sidecar.driver import Answer, Result
+from brassfall.sidecar.interfaces import Answer, Result
 from brassfall.sidecar.start_times import FORGET_MS, StartTimes
 from tests.loopback import Registry, entry, listed, loopback, running, told, until
 from tests.system_calls import BROKEN, CONNECT_ERRORS, SOCKET_ERRORS, Faults
@@ -800,9 +800,9 @@
 class Asked:
     """A small request that may be repeated."""
 
-    band = tenant = 0
+    request_class = tenant = 0
     key = work = body = None
-    again = mutates = reading = False
+    client_retry = mutates = reading = False
     budget = 4000.0
 
     def __init__(self):
--- a/tests/test_crossings_property.py
+++ b/tests/test_crossings_property.py
@@ -13,8 +13,9 @@
 from brassfall.balancer.model import Fail, Outcome, Refuse, Timer
 from brassfall.sidecar import outbound
 from brassfall.sidecar.body import Body
+from brassfall.sidecar.clock import Clock
 from brassfall.sidecar.config import parse_list
-from brassfall.sidecar.driver import Clock, Driver
+from brassfall.sidecar.driver import Driver
 from tests.crossings import Call, Source, World, play
 from tests.loopback import Scripted, Upstream, entry, listed, loopback, told
 
@@ -148,7 +149,7 @@
     call = Call(world, 1, "a", 0, world.raw["Profiles"][0], {}, 300.0, None)
     made.arrive(call, world.now)
     world.loop.run_until_complete(asyncio.sleep(1.0))
-    assert call.final and not made._requests and not made.bands
+    assert call.final and not made._requests and not made.request_classes
     world.loop.close()
 
 
--- a/tests/test_crossings_reload.py
+++ b/tests/test_crossings_reload.py
@@ -13,8 +13,8 @@
 from brassfall.balancer import Balancer, Settings
 from brassfall.balancer.model import Arrival, CloseIdle, Listing, Outcome, Send, Timer
 from brassfall.sidecar import config, inbound, outbound
+from brassfall.sidecar.clock import Clock
 from brassfall.sidecar.config import parse_list
-from brassfall.sidecar.driver import Clock
 from brassfall.sidecar.lifecycle import Lifecycle
 from tests.helpers import arrival, balancer, listing, of_type, raw_settings
 from tests.loopback import OK, App, Upstream, entry, listed, loopback, running, told
@@ -190,7 +190,7 @@
         news = take(before, raw(Profiles=[row(name) for name in names], Prices=CROSSING), busy={1})
         before = news.config
         made.reload(1.0, before.settings, news.kept)
-        assert all(kind.band != 1 for kind in before.names.classes.values())
+        assert all(kind.slot != 1 for kind in before.names.classes.values())
     assert not made.outcome(5.0, 1, 0, Outcome.OK, 5.0, last=True) and not made._requests
 
 
@@ -248,7 +248,7 @@
     made = inbound.Inbound(Still(), Still(), running, None, Lifecycle())
     for _ in range(300):
         profiles = [row(name, rng.choice(EFFECTS)) for name in rng.sample("abcdef", 3)]
-        running = take(running, raw(Profiles=profiles), made.bands).config
+        running = take(running, raw(Profiles=profiles), made.request_classes).config
         made.reload(running.names)
         while len(made._before) > rng.randrange(1, 4):
             made._forget_classes(made._before[-1])  # after their 4 s
@@ -256,8 +256,8 @@
         for names in (made._names, *made._before):
             for name, kind in names.classes.items():
                 this = (name, kind.method, kind.keyed)
-                assert named.setdefault(kind.band, this) == this
-                effect = running.settings.profiles[kind.band].semantics
+                assert named.setdefault(kind.slot, this) == this
+                effect = running.settings.profiles[kind.slot].semantics
                 assert this[1:] == ("GET" if effect == "pure" else "POST", effect == "token")
     assert len(running.settings.profiles) <= 15
 
--- a/tests/test_crossings_wall_clock.py
+++ b/tests/test_crossings_wall_clock.py
@@ -54,7 +54,7 @@
                 owner = node.value
                 if isinstance(owner, ast.Name) and owner.id in ("time", "datetime", "date"):
                     met.append((path.name, node.attr))
-    assert met == [("driver.py", "time")]
+    assert met == [("clock.py", "time")]
 
 
 @pytest.mark.parametrize("step_s", STEPS_S)
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -65,10 +65,12 @@
 
 
 FLEET = "brassfall.sidecar.agent"
-BODY, CONFIG, DRIVER = "brassfall.sidecar.body", "brassfall.sidecar.config", "brassfall.sidecar.driver"
+BODY, CONFIG = "brassfall.sidecar.body", "brassfall.sidecar.config"
 FRAMING = "brassfall.sidecar.framing"
 LIFECYCLE, LISTENER = "brassfall.sidecar.lifecycle", "brassfall.sidecar.listener"
 FLEET = "brassfall.sidecar.agent"
+ATTEMPTS, CLOCK = "brassfall.sidecar.attempts", "brassfall.sidecar.clock"
+CONSOLE, INTERFACES = "brassfall.sidecar.console", "brassfall.sidecar.interfaces"
 START_TIMES = "brassfall.sidecar.start_times"
 MODEL, MODULE = "brassfall.balancer.model", "brassfall.balancer.Balancer"
 
@@ -83,14 +85,18 @@
         ("config.py", {MODEL}),
         ("framing.py", {BODY}),
         ("body.py", set()),
-        ("driver.py", {BODY, CONFIG, MODEL, MODULE, START_TIMES}),
+        ("console.py", set()),
+        ("clock.py", set()),
+        ("interfaces.py", {BODY, CONFIG, MODEL}),
+        ("attempts.py", {INTERFACES, MODEL}),
+        ("driver.py", {ATTEMPTS, CLOCK, CONFIG, CONSOLE, INTERFACES, MODEL, MODULE, START_TIMES}),
         ("start_times.py", {CONFIG, MODEL}),
         ("lifecycle.py", set()),
-        ("handover.py", {CONFIG, DRIVER}),
+        ("handover.py", {CONFIG, CONSOLE}),
         ("listener.py", {CONFIG}),
-        ("admin.py", {CONFIG, DRIVER, LIFECYCLE, LISTENER}),
-        ("inbound.py", {BODY, CONFIG, DRIVER, FRAMING, LIFECYCLE, LISTENER}),
-        ("outbound.py", {BODY, CONFIG, DRIVER, FRAMING, MODEL}),
+        ("admin.py", {CONFIG, CONSOLE, LIFECYCLE, LISTENER}),
+        ("inbound.py", {ATTEMPTS, BODY, CLOCK, CONFIG, FRAMING, INTERFACES, LIFECYCLE, LISTENER}),
+        ("outbound.py", {BODY, CLOCK, CONFIG, FRAMING, INTERFACES, MODEL}),
         ("agent/lists.py", {CONFIG, MODEL}),
         ("agent/forms.py", set()),
         ("agent/lease_client.py", {FLEET, *fleet("forms")}),
@@ -98,7 +104,7 @@
         ("agent/calls.py", {CONFIG}),
         (
             "agent/agent.py",
-            {CONFIG, DRIVER, "brassfall.sidecar.discovery", *fleet("calls", "lease_client", "lists")},
+            {CONFIG, CONSOLE, "brassfall.sidecar.discovery", *fleet("calls", "lease_client", "lists")},
         ),
         ("agent/deadlines.py", set()),
         ("agent/overrides.py", {"brassfall.sidecar.agent.deadlines"}),
@@ -111,15 +117,15 @@
             "agent/member.py",
             {
                 CONFIG,
-                DRIVER,
+                CONSOLE,
                 MODEL,
                 FLEET,
                 "brassfall.sidecar.config",
                 *fleet("agent", "delays", "lease_client", "lists", "rules", "steering"),
             },
         ),
-        ("discovery.py", {CONFIG, DRIVER, MODEL, "brassfall.sidecar.agent.lists"}),
-        ("peers.py", {CONFIG, DRIVER}),
+        ("discovery.py", {CONFIG, CONSOLE, MODEL, "brassfall.sidecar.agent.lists"}),
+        ("peers.py", {CONFIG, CONSOLE}),
     ],
 )
 def test_imports_run_from_sockets_to_driver_to_module(name, allowed):
@@ -127,8 +133,9 @@
 
 
 def test_the_driver_knows_no_sockets():
-    tree = ast.parse((SIDECAR / "driver.py").read_text())
-    met = {alias.name for node in ast.walk(tree) if isinstance(node, ast.Import) for alias in node.names}
+    trees = [ast.parse((SIDECAR / f"{name}.py").read_text()) for name in ("driver", "attempts", "interfaces")]
+    nodes = [node for tree in trees for node in ast.walk(tree)]
+    met = {alias.name for node in nodes if isinstance(node, ast.Import) for alias in node.names}
     assert not met & {"socket", "select", "ssl", "httptools"}
 
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -43,12 +43,12 @@
 def test_classes_keep_their_slots_and_slots_are_used_again():
     first = config.parse(raw(Profiles=[row("a"), row("b"), row("c")]), {})
     second = take(first, raw(Profiles=[row("c"), row("d"), row("b", "side_effect")]))
-    assert {name: kind.band for name, kind in second.config.names.classes.items()} == {"c": 2, "d": 3, "b": 4}
+    assert {name: kind.slot for name, kind in second.config.names.classes.items()} == {"c": 2, "d": 3, "b": 4}
     assert second.kept == {2}
     assert [p.semantics for p in second.config.settings.profiles] == ["pure"] * 4 + ["side_effect"]
     # Clients name "a" and the old "b" no more, but a request of "a" is still open.
     third = take(second.config, raw(Profiles=[row("c"), row("e")]), busy={0})
-    assert {name: kind.band for name, kind in third.config.names.classes.items()} == {"c": 2, "e": 1}
+    assert {name: kind.slot for name, kind in third.config.names.classes.items()} == {"c": 2, "e": 1}
 
 
 def test_tables_do_not_grow_with_the_number_of_reloads():
@@ -163,13 +163,17 @@
     new = [row("view"), row("book", "side_effect")]
     async with running(upstream) as made:
         app = await App.connect(made.address)
-        news = take(told([upstream]), raw(Profiles=new), made.driver.bands | made.inbound.bands)
+        news = take(
+            told([upstream]), raw(Profiles=new), made.driver.request_classes | made.inbound.request_classes
+        )
         made.driver.reload(news.config, news.kept)
         made.inbound.reload(news.config.names)
         for target, method in (("/view", "GET"), ("/look", "GET"), ("/book", "POST")):
             assert (await app.ask(method, target)).body == b"done"
         assert (await app.ask("POST", "/book", Idempotency_Key=None)).body == b"done"
-        await until(lambda: made.inbound.bands == {kind.band for kind in news.config.names.classes.values()})
+        await until(
+            lambda: made.inbound.request_classes == {kind.slot for kind in news.config.names.classes.values()}
+        )
         assert (await app.ask("GET", "/look")).start.split(" ")[1] == "400"
         assert (await app.ask("GET", "/view")).body == b"done"
 
--- a/tests/test_sidecar_attempts.py
+++ b/tests/test_sidecar_attempts.py
@@ -12,8 +12,8 @@
 
 from brassfall.balancer.model import Cancel, CloseIdle, Outcome, Probe, Refuse, Send, Timer
 from brassfall.sidecar import driver, inbound, outbound
+from brassfall.sidecar.clock import Clock
 from brassfall.sidecar.config import parse_list
-from brassfall.sidecar.driver import Clock
 from tests.loopback import (
     OK,
     App,
--- a/tests/test_sidecar_requests.py
+++ b/tests/test_sidecar_requests.py
@@ -10,7 +10,7 @@
 
 from brassfall.balancer.model import Fail, Refuse, Timer
 from brassfall.sidecar import config, framing, inbound
-from brassfall.sidecar.driver import Clock
+from brassfall.sidecar.clock import Clock
 from tests import loopback as partners
 from tests.loopback import (
     OK,
