--- a/brassfall/lab/capacity/hollow.py
+++ b/brassfall/lab/capacity/hollow.py
@@ -1,6 +1,6 @@
 """Hollow sidecars, some hundreds in one process: `python -m brassfall.lab.capacity.hollow SOURCE`.
 
-Each is the sidecar's own control code (`sidecar.agent`, and the watch of `sidecar.discovery`) on
+Each is the sidecar's own control code (`sidecar.agent`, and `sidecar.discovery` with its watch) on
 connections of its own, with its own configuration and list; what is missing is the data path. Connections go
 out from the address SOURCE. Commands come as JSON lines on standard input, answers go to standard output; the
 process ends when its input does.
@@ -139,7 +139,7 @@
         self.discovery = discovery_module.Discovery(loop, config, self._list_changed)
         self.member = member_module.FleetMember(loop, self, {})
         agent = self.member.agent
-        agent.report_extensions.append(self.discovery.told)
+        agent.report_extensions.append(self.discovery.report)
         agent.answer_listeners.append(self._answered)
         agent.refresh = self._observed(agent.refresh)
 
@@ -212,7 +212,7 @@
 
     def listings(self) -> Iterable[Any]:
         """The servers on the list held."""
-        listed: Iterable[Any] = self.discovery.listings()
+        listed: Iterable[Any] = self.discovery.endpoints()
         return listed
 
     @property
--- a/brassfall/sidecar/__main__.py
+++ b/brassfall/sidecar/__main__.py
@@ -26,7 +26,7 @@
 from brassfall.sidecar.peers import Peers
 
 if TYPE_CHECKING:
-    from brassfall.sidecar.agent.lists import HeldList
+    from brassfall.sidecar.agent.lists import EndpointList
     from brassfall.sidecar.agent.member import FleetMember
 
 # New connections go on coming for up to 0.4 s after SIGTERM; SIGKILL comes no sooner than the
@@ -73,7 +73,7 @@
         from brassfall.sidecar.agent.member import FleetMember
 
         member = FleetMember(self._loop, self, os.environ)
-        member.agent.report_extensions.append(self.discovery.told)
+        member.agent.report_extensions.append(self.discovery.report)
         if told.agreement is not None and told.agreement.group:
             self.pool.delays = member.delays
         self.driver.revision_stamp = self.pool.stamp = member.stamp_at(self._loop)
@@ -89,9 +89,11 @@
         """Pick servers so from now on."""
         self.driver.steer(steer)
 
-    def listings(self) -> HeldList:
-        """The list held."""
-        return self.discovery.listings()
+    def listings(self) -> EndpointList:
+        """The list held; there is one wherever this process is a member of a fleet."""
+        endpoints = self.discovery.endpoints()
+        assert endpoints is not None
+        return endpoints
 
     @property
     def list_version(self) -> int:
@@ -100,7 +102,7 @@
 
     def ask_for_list(self) -> None:
         """Ask for the list anew: what tells of changes has fallen behind."""
-        self.discovery.again()
+        self.discovery.reopen()
 
     @property
     def running(self) -> Config:
--- a/brassfall/sidecar/agent/agent.py
+++ b/brassfall/sidecar/agent/agent.py
@@ -12,12 +12,12 @@
 from collections.abc import Awaitable, Callable, Mapping
 from typing import Any
 
-from brassfall.sidecar.agent.calls import Caller, CallFailed
+from brassfall.sidecar.agent.calls import Caller, CallError
 from brassfall.sidecar.agent.lease_client import ActiveConfiguration, LeaseClient, Revision
 from brassfall.sidecar.agent.lists import RETRY_SPREAD, Sources
 from brassfall.sidecar.config import Address, Agreement
 from brassfall.sidecar.console import log
-from brassfall.sidecar.discovery import CLOCK_STEP_S, SILENT_S, Channel
+from brassfall.sidecar.registry_channel import SILENT_S, Channel
 
 EVERY_MS, EVERY_MOST_MS = 750.0, 10_000.0
 SPREAD_MS, SPREAD_MOST_MS = 100.0, 10_000.0  # a report that a revision calls for comes within this
@@ -85,7 +85,7 @@
         body: dict[str, Any] = self.lease_client.report(self._loop.time()) | {"leaving": True}
         try:
             await self._caller.call(self._sources.current, "POST", f"/edges/{self._name}", LEAVE_S, body)
-        except CallFailed as error:
+        except CallError as error:
             log(f"agreement: the end was not told: {error}")
         self._caller.close()
 
@@ -151,7 +151,7 @@
                 self._sources.worked()
                 self._note_failure("")
                 pause = self._pause
-            except CallFailed as error:
+            except CallError as error:
                 self._note_failure(str(error))
                 wait = self._wait_after(error)
             except Exception as error:  # without reports, this sidecar would be on the fallback for good
@@ -159,7 +159,7 @@
                 wait = min(wait, self._sources.failed())
             await pause(wait)
 
-    def _wait_after(self, error: CallFailed) -> float:
+    def _wait_after(self, error: CallError) -> float:
         """How long until the next report after one that failed, in seconds; it may go to the next address.
 
         A wait that the service names is kept where the lease lasts for it and for one more call, and where
@@ -205,7 +205,7 @@
                 min(most, self._agreement.agree_ms) if isinstance(most, int | float) else most
             )
         if not self.lease_client.receive_answer(asked, seq, answer):
-            raise CallFailed("an earlier life of the service answers there")
+            raise CallError("an earlier life of the service answers there")
         for listener in self.answer_listeners:
             listener(asked, self._loop.time(), answer)
         if answer.get("elsewhere") is True:
@@ -232,7 +232,7 @@
 
     def _note_failure(self, why: str) -> None:
         if bool(why) != bool(self._failing):
-            line = f"reports fail: {why}; {CallFailed.action}" if why else "reports are answered again"
+            line = f"reports fail: {why}; {CallError.action}" if why else "reports are answered again"
             log(f"agreement: {line}")
         self._failing = why
 
@@ -250,7 +250,7 @@
             try:
                 channel = await self._watch_once(sources.current)
                 retry_after = channel.retry_after
-                if channel.taken:
+                if channel.accepted:
                     sources.worked()
                     why = ""
             except Exception as error:  # one that ends would never be opened again
@@ -270,10 +270,7 @@
                 lambda: Channel(request.encode(), self._line, called), host, port
             )
         try:
-            while (left := channel.due_at - self._loop.time()) > CLOCK_STEP_S:
-                await asyncio.wait((channel.broken,), timeout=left)
-                if channel.broken.done():
-                    break
+            await channel.wait_for_end()
         finally:
             channel.close()
         return channel
--- a/brassfall/sidecar/agent/calls.py
+++ b/brassfall/sidecar/agent/calls.py
@@ -14,7 +14,7 @@
 RETRY_MOST_S = 60.0
 
 
-class CallFailed(Exception):
+class CallError(Exception):
     """A call got no good answer; its text is one line. The caller asks again, elsewhere or later."""
 
     action = "see that a list service runs at that address; without one this sidecar acts on safe rules"
@@ -125,25 +125,25 @@
         return self._read_bytes + (self._connection.read_bytes if self._connection is not None else 0)
 
     async def call(self, address: Address, method: str, path: str, limit: float, body: Any = None) -> Any:
-        """The JSON of a 200 answer; `CallFailed` where there is none within `limit` seconds."""
+        """The JSON of a 200 answer; `CallError` where there is none within `limit` seconds."""
         try:
             async with asyncio.timeout(limit):
                 status, content = await self._ask(address, method, path, body)
         except (OSError, httptools.HttpParserError, EOFError) as error:  # a time-out is an OSError
             self.close()
-            raise CallFailed(f"{address.host}:{address.port}: {error!r}") from error
+            raise CallError(f"{address.host}:{address.port}: {error!r}") from error
         except asyncio.CancelledError:
             self.close()
             raise
         if status != 200:
             retry_after = self._connection.retry_after if self._connection is not None else 0.0
             self.close()
-            raise CallFailed(f"status {status}: {content[:200]!r}", status, retry_after)
+            raise CallError(f"status {status}: {content[:200]!r}", status, retry_after)
         try:
             return json.loads(content)
         except (ValueError, RecursionError) as error:
             self.close()
-            raise CallFailed(f"{address.host}:{address.port} answers no JSON") from error
+            raise CallError(f"{address.host}:{address.port} answers no JSON") from error
 
     def holds(self, address: Address) -> bool:
         """Whether the next call goes out on the connection of the last one."""
--- a/brassfall/sidecar/agent/lists.py
+++ b/brassfall/sidecar/agent/lists.py
@@ -23,7 +23,7 @@
 CLOCKS_DIFFER = 0.99  # by less than this, in their rate
 DOUBT_S = 30.0  # how long a list that can't be right is held off
 AGES_S = (5.0, 30.0, 300.0)  # each is logged when the list grows older
-NO_LIST = ServerList(0, True, [], {})
+NO_LIST = ServerList(0, whole=True, entries=[], addresses={})
 
 
 class Sources:
@@ -81,20 +81,20 @@
         self._at = (self._at + 1) % len(self._addresses)
 
 
-class Age:
+class ListAge:
     """An upper bound on the age of the list held: how long ago it can last have been the newest."""
 
     def __init__(self) -> None:
         self._confirmed: float | None = None
         self._passed = 0
 
-    def confirmed(self, asked: float, received: float, empties: int, stated: float = 0.0) -> None:
-        """A list came, or an empty line: who sent it had nothing newer then, and an aggregator that did had
+    def confirmed(self, asked: float, received: float, heartbeats: int, stated: float = 0.0) -> None:
+        """A list came, or a heartbeat: who sent it had nothing newer then, and an aggregator that did had
         heard so from the service at most `stated` seconds before.
 
-        It was sent after the call, and the k-th empty line k heartbeats after it; that is known however
+        It was sent after the call, and the k-th heartbeat k intervals after it; that is known however
         long the answer took, and nothing later is."""
-        sent = min(received, asked + HEARTBEAT_S * CLOCKS_DIFFER * empties) - stated
+        sent = min(received, asked + HEARTBEAT_S * CLOCKS_DIFFER * heartbeats) - stated
         self._confirmed = sent if self._confirmed is None else max(self._confirmed, sent)
 
     def bound(self, now: float) -> float | None:
@@ -111,17 +111,19 @@
         return "the list is fresh again" if before and not passed else None
 
 
-class Doubt:
+class ListDoubt:
     """Holds off a whole list that can't be right, for as long as that may be a fault."""
 
     def __init__(self) -> None:
         self._since: float | None = None
 
-    def of(self, update: ServerList, version: int, held: int, now: float) -> str | None:
-        """Why this list is not believed yet; None where it is, or where it has come for too long."""
+    def reason(self, update: ServerList, version: int, known: int, now: float) -> str | None:
+        """Return why a list is not believed yet, where `known` servers are held at `version`.
+
+        None where it is believed, or where such lists have come for too long to be a fault."""
         why = None
-        if update.whole and held and not update.entries:
-            why = f"a list without servers, where {held} are known"
+        if update.whole and known and not update.entries:
+            why = f"a list without servers, where {known} are known"
         elif update.whole and update.version < version:
             why = f"version {update.version}, where {version} is held"
         if why is None:
@@ -137,7 +139,7 @@
         return self._since is None
 
 
-class HeldList:
+class EndpointList:
     """The last good entry of each server, and what is asked for often of all of them: kept up with each
     change, at a cost that does not grow with the list."""
 
@@ -212,3 +214,18 @@
             if address is not None:
                 addresses[name] = address
         return ServerList(update.version, update.whole, entries, addresses)
+
+
+class FleetList:
+    """What a sidecar of a fleet keeps beside its watch: where it asks, the list, its age, and any doubt."""
+
+    def __init__(self, addresses: Sequence[Address], known: ServerList, rng: random.Random) -> None:
+        self._rng = rng
+        self.sources = Sources(addresses, rng)
+        self.endpoints = EndpointList(known)
+        self.age = ListAge()
+        self.doubt = ListDoubt()
+
+    def move(self, addresses: Sequence[Address]) -> None:
+        """Ask at other addresses from now on."""
+        self.sources = Sources(addresses, self._rng)
--- a/brassfall/sidecar/agent/member.py
+++ b/brassfall/sidecar/agent/member.py
@@ -15,7 +15,7 @@
 from brassfall.sidecar.agent.agent import Agent
 from brassfall.sidecar.agent.delays import Delays
 from brassfall.sidecar.agent.lease_client import ActiveConfiguration, Revision
-from brassfall.sidecar.agent.lists import HeldList
+from brassfall.sidecar.agent.lists import EndpointList
 from brassfall.sidecar.agent.steering import NEUTRAL, Inputs, Steering
 from brassfall.sidecar.config import Config, ConfigError
 from brassfall.sidecar.console import log
@@ -40,7 +40,7 @@
     def steer(self, steer: Steer) -> None:
         """Pick servers so from now on."""
 
-    def listings(self) -> HeldList:
+    def listings(self) -> EndpointList:
         """The list held."""
 
     @property
--- a/brassfall/sidecar/agent/steering.py
+++ b/brassfall/sidecar/agent/steering.py
@@ -10,7 +10,7 @@
 from brassfall.sidecar.agent import overrides, rules
 from brassfall.sidecar.agent.deadlines import Deadlines, digest
 from brassfall.sidecar.agent.lease_client import ActiveConfiguration, Revision
-from brassfall.sidecar.agent.lists import HeldList
+from brassfall.sidecar.agent.lists import EndpointList
 from brassfall.sidecar.agent.overrides import Effective, Override, Place
 from brassfall.sidecar.config import Agreement, Names
 
@@ -34,7 +34,7 @@
     """Holds the times left of overrides, and makes a `Steer` of what holds now."""
 
     def __init__(
-        self, agreement: Agreement, names: Callable[[], Names], listings: Callable[[], HeldList]
+        self, agreement: Agreement, names: Callable[[], Names], listings: Callable[[], EndpointList]
     ) -> None:
         self._place = Place(agreement.group, agreement.region)
         self._names = names
--- a/brassfall/sidecar/inbound.py
+++ b/brassfall/sidecar/inbound.py
@@ -572,7 +572,7 @@
         """Whether its client is gone by now; if so, the requests here are told of it in the next turn."""
         if self._lost:
             return True
-        gone = framing.hung_up(self._transport)
+        gone = framing.peer_closed(self._transport)
         if gone and not self._deaf:
             self._inbound.loop.call_soon(self._leave_unless_lost)
         return gone
--- a/tests/test_agreement_agent.py
+++ b/tests/test_agreement_agent.py
@@ -16,7 +16,7 @@
 from brassfall.sidecar.agent import rules
 from brassfall.sidecar.agent.agent import Agent
 from brassfall.sidecar.agent.lease_client import ActiveConfiguration, LeaseClient
-from brassfall.sidecar.agent.lists import HeldList
+from brassfall.sidecar.agent.lists import EndpointList
 from brassfall.sidecar.agent.member import FleetMember
 from brassfall.sidecar.agent.steering import Steering
 from brassfall.sidecar.config import Address, Agreement, ConfigError, ServerList
@@ -189,7 +189,7 @@
     client = LeaseClient("l", rules.unknown)
     client.receive_update({"edition": 5, "state": "prepared", "committed": {"edition": 4}, **strange})
     assert "does not know this form" in client.report(0.0)["objection"]["reason"]
-    steering = Steering(Agreement(3000.0, "g", "a", {}), lambda: NAMES, HeldList)
+    steering = Steering(Agreement(3000.0, "g", "a", {}), lambda: NAMES, EndpointList)
     (_, odd), now = client.active(0.0).concurrent, 1.0
     for fallback in (True, False):
         for active in (
@@ -206,7 +206,7 @@
     def __init__(self):
         self.now, self.busy, self.list_version, self.steers = 0.0, (), 0, []
         self.running = told(raw={"fleet": {"registry": ["127.0.0.1:9"], "agreement": {"agree_ms": 3000}}})
-        self.listed = HeldList()
+        self.listed = EndpointList()
 
     def time(self):
         return self.now
--- a/tests/test_crossings_discovery.py
+++ b/tests/test_crossings_discovery.py
@@ -20,7 +20,7 @@
 import pytest
 
 from brassfall.balancer.model import Listing, Outcome, Watch
-from brassfall.sidecar import config, discovery
+from brassfall.sidecar import config, registry_channel
 from brassfall.sidecar.__main__ import Sidecar
 from brassfall.sidecar.config import ServerList
 from brassfall.sidecar.interfaces import Answer, Result
@@ -193,14 +193,14 @@
         if balancer is not None:
             self.sidecar.driver._balancer = balancer
         self.discovery = self.sidecar.discovery
-        self._tell, self.discovery._news = self.discovery._news, self._news
+        self._tell, self.discovery._listener = self.discovery._listener, self._heard
         self._there, self.heard = asyncio.Event(), []
         self.sidecar.driver.connect(self.sidecar.pool, self.discovery, self.sidecar.peers)
         self.discovery.start()
 
-    def _news(self, form, news):
-        self._tell(form, news)
-        self.heard.append(news and news.version)
+    def _heard(self, form, update):
+        self._tell(form, update)
+        self.heard.append(update and update.version)
         self._there.set()
 
     async def _connect(self, factory, host, port, **_):
@@ -322,7 +322,7 @@
     async def slowly(wire):
         rows = [entry(f"s{i:06}") for i in range(20_000)]
         data = HEAD + chunk(json.dumps(listed(50, *rows)).encode() + b"\n")
-        assert len(data) < discovery.LINE_MOST
+        assert len(data) < registry_channel.LINE_MOST
         for at in range(0, len(data), 65_536):
             await asyncio.sleep(0.12)
             wire.feed(data[at : at + 65_536])
@@ -333,7 +333,7 @@
     async with asyncio.timeout(60.0):
         while started.discovery.version != 50:
             await asyncio.sleep(0.1)
-    assert discovery.SILENT_S + 1.0 < now() - begun < 10.0
+    assert registry_channel.SILENT_S + 1.0 < now() - begun < 10.0
     assert len(place.calls) == 1
     started.close()
 
@@ -357,7 +357,7 @@
     started = Started(place, "automatic")
     await asyncio.sleep(0.01)
     assert len(place.calls) == 1
-    assert fed < discovery.LINE_MOST + 3 * 65_536
+    assert fed < registry_channel.LINE_MOST + 3 * 65_536
     assert "discovery: a line is too long" in capsys.readouterr().err
     started.close()
 
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -4,6 +4,8 @@
 
 import ast
 import graphlib
+import subprocess
+import sys
 import tomllib
 from pathlib import Path
 
@@ -71,6 +73,7 @@
 FLEET = "brassfall.sidecar.agent"
 ATTEMPTS, CLOCK = "brassfall.sidecar.attempts", "brassfall.sidecar.clock"
 CONSOLE, INTERFACES = "brassfall.sidecar.console", "brassfall.sidecar.interfaces"
+CHANNEL = "brassfall.sidecar.registry_channel"
 START_TIMES = "brassfall.sidecar.start_times"
 MODEL, MODULE = "brassfall.balancer.model", "brassfall.balancer.Balancer"
 
@@ -104,7 +107,7 @@
         ("agent/calls.py", {CONFIG}),
         (
             "agent/agent.py",
-            {CONFIG, CONSOLE, "brassfall.sidecar.discovery", *fleet("calls", "lease_client", "lists")},
+            {CHANNEL, CONFIG, CONSOLE, *fleet("calls", "lease_client", "lists")},
         ),
         ("agent/deadlines.py", set()),
         ("agent/overrides.py", {"brassfall.sidecar.agent.deadlines"}),
@@ -124,7 +127,8 @@
                 *fleet("agent", "delays", "lease_client", "lists", "rules", "steering"),
             },
         ),
-        ("discovery.py", {CONFIG, CONSOLE, MODEL, "brassfall.sidecar.agent.lists"}),
+        ("registry_channel.py", {CONSOLE, MODEL}),
+        ("discovery.py", {CHANNEL, CONFIG, CONSOLE, MODEL, "brassfall.sidecar.agent.lists"}),
         ("peers.py", {CONFIG, CONSOLE}),
     ],
 )
@@ -257,3 +261,17 @@
     met = {alias.name for node in ast.walk(tree) if isinstance(node, ast.Import) for alias in node.names}
     met |= {node.module or "" for node in ast.walk(tree) if isinstance(node, ast.ImportFrom)}
     assert not met & {"time", "random", "socket", "os", "asyncio", "sqlite3", "pathlib", "aiohttp", "secrets"}
+
+
+def test_a_sidecar_outside_of_a_fleet_loads_nothing_of_the_agent():
+    """It pays for no code of the control plane's client."""
+    program = (
+        "import asyncio, sys; from tests.loopback import told; "
+        "from brassfall.sidecar.__main__ import Sidecar; "
+        "asyncio.set_event_loop(loop := asyncio.new_event_loop()); Sidecar(loop, told()); "
+        "print([name for name in sys.modules if name.startswith('brassfall.sidecar.agent')])"
+    )
+    made = subprocess.run(
+        [sys.executable, "-c", program], capture_output=True, text=True, cwd=ROOT, check=True
+    )
+    assert made.stdout.strip() == "[]"
--- a/tests/test_overrides_parts.py
+++ b/tests/test_overrides_parts.py
@@ -20,7 +20,7 @@
 from brassfall.sidecar.agent import deadlines, lease_client, rules, steering
 from brassfall.sidecar.agent import overrides as edge
 from brassfall.sidecar.agent.deadlines import Deadlines
-from brassfall.sidecar.agent.lists import HeldList
+from brassfall.sidecar.agent.lists import EndpointList
 
 NOW = 1_800_000_000_000
 HOUR = 3_600_000
@@ -568,7 +568,9 @@
         return lease_client.Revision(number, {"regions": {"held": list(names)}}, None, ())
 
     names = config.Names({}, {}, {"a": 0, "b": 1, "c": 2, "empty": 3}, {})
-    listed = HeldList(config.ServerList(1, True, [model.Listing(f"s{zone}", zone) for zone in range(3)], {}))
+    listed = EndpointList(
+        config.ServerList(1, True, [model.Listing(f"s{zone}", zone) for zone in range(3)], {})
+    )
     agreement = config.Agreement(3000.0, "", "", {})
     made = steering.Steering(agreement, lambda: names, lambda: listed)
     active = lease_client.ActiveConfiguration(
--- a/tests/test_sidecar_lists.py
+++ b/tests/test_sidecar_lists.py
@@ -13,7 +13,7 @@
 
 from brassfall.balancer import model
 from brassfall.balancer.model import Fetch, Tell, Watch
-from brassfall.sidecar import config, discovery
+from brassfall.sidecar import config, discovery, registry_channel
 from brassfall.sidecar.agent import lists as fleet
 from tests.loopback import Registry, Scripted, Upstream, entry, listed, loopback, running, told, until
 
@@ -80,7 +80,7 @@
 async def test_a_watch_that_breaks_is_opened_again_where_lists_are_pushed(how, monkeypatch):
     monkeypatch.setattr(discovery, "BACKOFF_S", 0.01)
     if how == "silent":
-        monkeypatch.setattr(discovery, "SILENT_S", 1.0)
+        monkeypatch.setattr(registry_channel, "SILENT_S", 1.0)
     registry = await Registry().start()
     module = Scripted()
     async with running(balancer=module, registry=registry):
@@ -215,7 +215,7 @@
             registry.watches[-1].write(b"0\r\n\r\n")  # the end of the answer
             registry.watches[-1].close()
         await until(lambda: len(registry.watches) >= 3)
-        assert sorted(sidecar.discovery._held._entries) == held
+        assert sorted(sidecar.discovery.endpoints().servers) == held
         assert sorted(sidecar.pool._servers) == sorted(held)
         lines = [text for text in capsys.readouterr().err.splitlines() if said in text]
         assert len(lines) == (1 if "without" in said or "version" in said else 2), lines
@@ -284,7 +284,7 @@
     ],
 )
 def test_the_age_of_a_list_is_never_stated_too_low(heard, now, bound):
-    age = fleet.Age()
+    age = fleet.ListAge()
     for at, empties in heard:
         age.confirmed(0.0, at, empties)
     assert age.bound(now) == (None if bound is None else pytest.approx(bound))
@@ -300,7 +300,7 @@
     async with running(balancer=module, registry=registry, raw=raw) as sidecar:
 
         def age():
-            return sidecar.discovery._age.bound(asyncio.get_running_loop().time())
+            return sidecar.discovery._fleet.age.bound(asyncio.get_running_loop().time())
 
         await until(lambda: age() is not None)
         least = float(stated) / 1000.0 if stated.isdigit() else float("inf")  # none that can be read: any age
@@ -337,7 +337,7 @@
         behind.tell(45, entry("s1"))
         behind.tell(45, entry("s4"), snapshot=True)  # asked for whole, it is no older for that
         await until(lambda: len(behind.watches) == 4)
-        assert sorted(sidecar.pool._servers) == ["s5"] and sidecar.discovery.told()["list_index"] == 50
+        assert sorted(sidecar.pool._servers) == ["s5"] and sidecar.discovery.report()["list_index"] == 50
         behind.tell(51, entry("s6"))
         await until(lambda: sorted(sidecar.pool._servers) == ["s5", "s6"])
 
@@ -351,13 +351,13 @@
     }
     async with running(balancer=Scripted(), registry=registries[0], raw=raw) as sidecar:
         await until(lambda: sum(len(each.watches) for each in registries) == 1)
-        sidecar.discovery.again()
+        sidecar.discovery.reopen()
         await until(lambda: [len(each.watches) for each in registries] == [1, 1])
     registries[1].stop()
 
 
 def test_the_age_of_a_list_is_logged_as_it_passes_bounds_and_not_again():
-    age = fleet.Age()
+    age = fleet.ListAge()
     age.confirmed(0.0, 0.1, 0)
     said = [text for now in range(0, 400) if (text := age.passed(float(now)))]
     age.confirmed(400.0, 400.1, 0)
@@ -370,12 +370,12 @@
 
 
 def test_a_list_that_cannot_be_right_is_believed_in_the_end():
-    doubt, empty = fleet.Doubt(), config.ServerList(50, True, [], {})
-    assert "without servers" in doubt.of(empty, 41, 3, 0.0)
-    assert doubt.of(empty, 41, 3, fleet.DOUBT_S - 1.0)
-    assert doubt.of(empty, 41, 3, fleet.DOUBT_S) is None
-    assert doubt.of(empty, 41, 0, 0.0) is None  # nothing is lost by it
-    assert "version 50" in doubt.of(empty, 60, 0, 0.0)
+    doubt, empty = fleet.ListDoubt(), config.ServerList(50, True, [], {})
+    assert "without servers" in doubt.reason(empty, 41, 3, 0.0)
+    assert doubt.reason(empty, 41, 3, fleet.DOUBT_S - 1.0)
+    assert doubt.reason(empty, 41, 3, fleet.DOUBT_S) is None
+    assert doubt.reason(empty, 41, 0, 0.0) is None  # nothing is lost by it
+    assert "version 50" in doubt.reason(empty, 60, 0, 0.0)
 
 
 ENTRIES = st.builds(
@@ -389,7 +389,7 @@
 
 @given(st.lists(st.tuples(st.booleans(), st.lists(ENTRIES, max_size=4)), max_size=12))
 def test_what_is_kept_of_the_list_with_each_change_is_what_the_whole_list_says(updates):
-    held, plain = fleet.HeldList(), {}
+    held, plain = fleet.EndpointList(), {}
     for whole, entries in updates:
         held.apply(config.ServerList(1, whole, entries, {}))
         plain = {} if whole else plain
