--- a/brassfall/lab/capacity/hollow.py
+++ b/brassfall/lab/capacity/hollow.py
@@ -27,6 +27,7 @@
 from brassfall.lab.capacity import control
 
 config_module: Any = importlib.import_module("brassfall.sidecar.config")
+reload_module: Any = importlib.import_module("brassfall.sidecar.reload")
 discovery_module: Any = importlib.import_module("brassfall.sidecar.discovery")
 member_module: Any = importlib.import_module("brassfall.sidecar.agent.member")
 
@@ -204,7 +205,7 @@
 
     def adopt(self, config: Any) -> None:
         """Take another configuration: checked as a sidecar checks it."""
-        self._config = config_module.successor(self._config, config, self.busy).config
+        self._config = reload_module.successor(self._config, config, self.busy).config
         self.discovery.move(self._config.discovery, self._config.registry)
 
     def steer(self, steer: Any) -> None:
--- a/brassfall/sidecar/__main__.py
+++ b/brassfall/sidecar/__main__.py
@@ -11,13 +11,15 @@
 from typing import TYPE_CHECKING
 
 from brassfall.balancer.model import Steer
-from brassfall.sidecar import config
+from brassfall.sidecar import config, reload
 from brassfall.sidecar.admin import Door
 from brassfall.sidecar.clock import Clock
-from brassfall.sidecar.config import Address, Config, ConfigError, ServerList
+from brassfall.sidecar.config import Config, ConfigError
+from brassfall.sidecar.config_values import Address
 from brassfall.sidecar.console import log
 from brassfall.sidecar.discovery import Discovery
 from brassfall.sidecar.driver import Driver
+from brassfall.sidecar.endpoint_list import ServerList
 from brassfall.sidecar.handover import Seat
 from brassfall.sidecar.inbound import Inbound
 from brassfall.sidecar.lifecycle import Lifecycle, State
@@ -172,11 +174,11 @@
 
     def adopt(self, told: Config) -> None:
         """Run on another configuration from now on; `ConfigError` if it can't take this one's place."""
-        news = config.successor(self._told, told, self.busy)
-        for name in news.unchanged:
+        news = reload.successor(self._told, told, self.busy)
+        for name in news.pending_restart:
             log(f"reload: {name} stays as it was until a restart")
         longest, self._told = self._longest(), news.config
-        self.driver.reload(news.config, news.kept)
+        self.driver.reload(news.config, news.same_classes)
         self.pool.reload(news.config)
         self.inbound.reload(news.config.names, longest)
         self.discovery.move(news.config.discovery, news.config.registry)
--- a/brassfall/sidecar/admin.py
+++ b/brassfall/sidecar/admin.py
@@ -5,7 +5,8 @@
 import asyncio
 from collections.abc import Callable
 
-from brassfall.sidecar.config import DOOR_CALLERS, Address
+from brassfall.sidecar.config import DOOR_CALLERS
+from brassfall.sidecar.config_values import Address
 from brassfall.sidecar.console import log
 from brassfall.sidecar.lifecycle import Impossible, Lifecycle
 from brassfall.sidecar.listener import Listener, bound
--- a/brassfall/sidecar/agent/agent.py
+++ b/brassfall/sidecar/agent/agent.py
@@ -15,7 +15,8 @@
 from brassfall.sidecar.agent.calls import Caller, CallError
 from brassfall.sidecar.agent.lease_client import ActiveConfiguration, LeaseClient, Revision
 from brassfall.sidecar.agent.lists import RETRY_SPREAD, Sources
-from brassfall.sidecar.config import Address, Agreement
+from brassfall.sidecar.config import Agreement
+from brassfall.sidecar.config_values import Address
 from brassfall.sidecar.console import log
 from brassfall.sidecar.registry_channel import SILENT_S, Channel
 
--- a/brassfall/sidecar/agent/calls.py
+++ b/brassfall/sidecar/agent/calls.py
@@ -8,7 +8,7 @@
 
 import httptools
 
-from brassfall.sidecar.config import Address
+from brassfall.sidecar.config_values import Address
 
 ANSWER_MOST = 4 * 1024 * 1024
 RETRY_MOST_S = 60.0
--- a/brassfall/sidecar/agent/member.py
+++ b/brassfall/sidecar/agent/member.py
@@ -10,7 +10,7 @@
 from typing import Any, Protocol
 
 from brassfall.balancer.model import Steer
-from brassfall.sidecar import config
+from brassfall.sidecar import config, reload
 from brassfall.sidecar.agent import rules
 from brassfall.sidecar.agent.agent import Agent
 from brassfall.sidecar.agent.delays import Delays
@@ -138,7 +138,7 @@
             return why
         try:
             laid = rules.laid(revision.settings)
-            config.successor(self._process.running, self._over(self._file, laid), self._process.busy)
+            reload.successor(self._process.running, self._over(self._file, laid), self._process.busy)
         except ConfigError as error:
             return str(error)
         except Exception as error:
--- a/brassfall/sidecar/agent/steering.py
+++ b/brassfall/sidecar/agent/steering.py
@@ -12,7 +12,8 @@
 from brassfall.sidecar.agent.lease_client import ActiveConfiguration, Revision
 from brassfall.sidecar.agent.lists import EndpointList
 from brassfall.sidecar.agent.overrides import Effective, Override, Place
-from brassfall.sidecar.config import Agreement, Names
+from brassfall.sidecar.config import Agreement
+from brassfall.sidecar.config_values import Names
 
 NEUTRAL = Steer()
 PLAN_AGE_MS = 15_000.0  # a plan counts whole up to its limit, then evenly less, and not at twice the limit
--- a/brassfall/sidecar/discovery.py
+++ b/brassfall/sidecar/discovery.py
@@ -12,8 +12,10 @@
 from typing import TYPE_CHECKING, Any
 
 from brassfall.balancer.model import ASK_MOST_MS
-from brassfall.sidecar.config import Address, Config, ServerList, parse_list
+from brassfall.sidecar.config import Config
+from brassfall.sidecar.config_values import Address
 from brassfall.sidecar.console import log
+from brassfall.sidecar.endpoint_list import ServerList, parse_list
 from brassfall.sidecar.registry_channel import (
     BACKOFF_S,
     CALL_S,
--- a/brassfall/sidecar/driver.py
+++ b/brassfall/sidecar/driver.py
@@ -17,8 +17,9 @@
 from brassfall.balancer.model import Outcome
 from brassfall.sidecar.attempts import FORGOTTEN, Attempt, Request
 from brassfall.sidecar.clock import Clock
-from brassfall.sidecar.config import Config, ServerList
+from brassfall.sidecar.config import Config
 from brassfall.sidecar.console import log
+from brassfall.sidecar.endpoint_list import ServerList
 from brassfall.sidecar.interfaces import Answer, Call, Flow, Gossip, Registry, Result, Upstreams
 from brassfall.sidecar.start_times import StartTimes
 
--- a/brassfall/sidecar/handover.py
+++ b/brassfall/sidecar/handover.py
@@ -5,7 +5,7 @@
 import fcntl
 import os
 
-from brassfall.sidecar.config import stable_number
+from brassfall.sidecar.config_values import stable_number
 from brassfall.sidecar.console import log
 
 SERVES, COMES = "lock", "next"
--- a/brassfall/sidecar/inbound.py
+++ b/brassfall/sidecar/inbound.py
@@ -15,7 +15,8 @@
 from brassfall.sidecar.attempts import Request
 from brassfall.sidecar.body import MAX_BUFFERED, MAX_FLOWING, Body, Budget
 from brassfall.sidecar.clock import Clock
-from brassfall.sidecar.config import Address, Config, Names, RequestClass, stable_number
+from brassfall.sidecar.config import Config
+from brassfall.sidecar.config_values import Address, Names, RequestClass, stable_number
 from brassfall.sidecar.interfaces import Answer, Flow
 from brassfall.sidecar.lifecycle import Lifecycle
 from brassfall.sidecar.listener import Listener, bound, inherited
--- a/brassfall/sidecar/listener.py
+++ b/brassfall/sidecar/listener.py
@@ -10,7 +10,7 @@
 from enum import Enum, auto
 from typing import TypeVar
 
-from brassfall.sidecar.config import Address
+from brassfall.sidecar.config_values import Address
 
 BACKLOG = 2048
 # asyncio's own server accepts as many as the backlog in one turn, and stands still for a second
--- a/brassfall/sidecar/outbound.py
+++ b/brassfall/sidecar/outbound.py
@@ -20,7 +20,9 @@
 from brassfall.sidecar import framing
 from brassfall.sidecar.body import MAX_BUFFERED, Body
 from brassfall.sidecar.clock import Clock
-from brassfall.sidecar.config import Address, Config, ServerList
+from brassfall.sidecar.config import Config
+from brassfall.sidecar.config_values import Address
+from brassfall.sidecar.endpoint_list import ServerList
 from brassfall.sidecar.interfaces import Answer, Call, Result, Watcher
 
 # A server closes what has stood idle for the time in the settings at the latest, as it counts:
--- a/brassfall/sidecar/peers.py
+++ b/brassfall/sidecar/peers.py
@@ -6,7 +6,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from brassfall.sidecar.config import Address, Config
+from brassfall.sidecar.config import Config
+from brassfall.sidecar.config_values import Address
 from brassfall.sidecar.console import log
 
 MESSAGE_MOST = 256
--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -16,9 +16,10 @@
 from unittest import mock
 
 from brassfall.balancer.model import Listing, Steer
-from brassfall.sidecar import clock, config, driver, framing, outbound
+from brassfall.sidecar import clock, config, driver, framing, outbound, reload
 from brassfall.sidecar.body import Body
-from brassfall.sidecar.config import Address, ServerList
+from brassfall.sidecar.config_values import Address
+from brassfall.sidecar.endpoint_list import ServerList
 
 GRID_S = 0.01
 DAY_S, REST_S = 2.0, 45.0  # the rest outlasts each guard against what has stalled
@@ -460,11 +461,11 @@
     def reload(self):
         raw = self.settings()
         slots = {kind.slot for names, _ in self.told_names for kind in names.classes.values()}
-        news = config.successor(self.running, self.parse(raw), self.driver.request_classes | slots)
+        news = reload.successor(self.running, self.parse(raw), self.driver.request_classes | slots)
         self.say(f"reload {[(row['Name'], row['Semantics']) for row in raw['Profiles']]}")
         self.raw, self.running = raw, news.config
         self.told_names.insert(0, (news.config.names, raw))
-        self.driver.reload(news.config, news.kept)
+        self.driver.reload(news.config, news.same_classes)
         self.pool.reload(news.config)
 
     def list_news(self, form, entries):
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 
 from brassfall.balancer.model import Fail, Send
-from brassfall.sidecar import config
+from brassfall.sidecar import config, endpoint_list
 from brassfall.sidecar.__main__ import Sidecar
 
 PATIENCE_S = 15.0
@@ -382,7 +382,7 @@
 def hear(sidecar, *entries):
     """News of discovery."""
     sidecar.driver.server_list(
-        "changes", config.parse_list(listed(42, *entries, snapshot=False), told().names)
+        "changes", endpoint_list.parse_list(listed(42, *entries, snapshot=False), told().names)
     )
 
 
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 from brassfall.controlplane.registry import client
-from brassfall.sidecar.config import Address
+from brassfall.sidecar.config_values import Address
 from tests.loopback import PATIENCE_S, SETTINGS, App, entry, listed, until
 
 LOCAL_PORTS = Path("/proc/sys/net/ipv4/ip_local_port_range")
--- a/tests/test_aggregator_shell.py
+++ b/tests/test_aggregator_shell.py
@@ -19,7 +19,8 @@
 from brassfall.controlplane.registry.server import Service
 from brassfall.settings import AggregatorSettings, AgreementSettings, CallerLimits, Limits, RegistrySettings
 from brassfall.sidecar.agent.agent import Agent
-from brassfall.sidecar.config import Address, Agreement
+from brassfall.sidecar.config import Agreement
+from brassfall.sidecar.config_values import Address
 from tests.loopback import bounded, until
 from tests.processes import Logged, free_port
 from tests.processes import Service as ServiceProcess
--- a/tests/test_agreement_agent.py
+++ b/tests/test_agreement_agent.py
@@ -19,7 +19,9 @@
 from brassfall.sidecar.agent.lists import EndpointList
 from brassfall.sidecar.agent.member import FleetMember
 from brassfall.sidecar.agent.steering import Steering
-from brassfall.sidecar.config import Address, Agreement, ConfigError, ServerList
+from brassfall.sidecar.config import Agreement, ConfigError
+from brassfall.sidecar.config_values import Address
+from brassfall.sidecar.endpoint_list import ServerList
 from tests.loopback import told
 
 RARELY_MS, SOON_S = 9_000.0, 3.0  # a report in time would come after 6 s or more
--- a/tests/test_crossings_configuration.py
+++ b/tests/test_crossings_configuration.py
@@ -11,7 +11,7 @@
 import pytest
 
 from brassfall.sidecar import __main__ as main
-from brassfall.sidecar import config
+from brassfall.sidecar import config, reload
 from tests.loopback import SETTINGS, entry, listed, loopback
 from tests.processes import environment, start_fails
 
@@ -67,7 +67,7 @@
     for value in VALUES:
         try:
             news = load(tmp_path, json.dumps(put(at, value)))
-            config.successor(running, news, ())
+            reload.successor(running, news, ())
         except config.ConfigError as error:
             assert len(str(error).splitlines()) == 1  # noqa: PT017 - most files are taken
 
--- a/tests/test_crossings_discovery.py
+++ b/tests/test_crossings_discovery.py
@@ -20,9 +20,9 @@
 import pytest
 
 from brassfall.balancer.model import Listing, Outcome, Watch
-from brassfall.sidecar import config, registry_channel
+from brassfall.sidecar import config_values, registry_channel
 from brassfall.sidecar.__main__ import Sidecar
-from brassfall.sidecar.config import ServerList
+from brassfall.sidecar.endpoint_list import ServerList
 from brassfall.sidecar.interfaces import Answer, Result
 from brassfall.sidecar.start_times import FORGET_MS, StartTimes
 from tests.loopback import Registry, entry, listed, loopback, running, told, until
@@ -211,7 +211,7 @@
 
     def move(self, place):
         """SIGHUP: discovery is at another address from now on."""
-        address = config.Address("127.0.0.1", 10 + len(self.places))
+        address = config_values.Address("127.0.0.1", 10 + len(self.places))
         self.places[address.port] = place
         self.discovery.move(address)
 
--- a/tests/test_crossings_property.py
+++ b/tests/test_crossings_property.py
@@ -14,8 +14,8 @@
 from brassfall.sidecar import outbound
 from brassfall.sidecar.body import Body
 from brassfall.sidecar.clock import Clock
-from brassfall.sidecar.config import parse_list
 from brassfall.sidecar.driver import Driver
+from brassfall.sidecar.endpoint_list import parse_list
 from tests.crossings import Call, Source, World, play
 from tests.loopback import Scripted, Upstream, entry, listed, loopback, told
 
--- a/tests/test_crossings_reload.py
+++ b/tests/test_crossings_reload.py
@@ -12,9 +12,9 @@
 
 from brassfall.balancer import Balancer, Settings
 from brassfall.balancer.model import Arrival, CloseIdle, Listing, Outcome, Send, Timer
-from brassfall.sidecar import config, inbound, outbound
+from brassfall.sidecar import config, inbound, outbound, reload
 from brassfall.sidecar.clock import Clock
-from brassfall.sidecar.config import parse_list
+from brassfall.sidecar.endpoint_list import parse_list
 from brassfall.sidecar.lifecycle import Lifecycle
 from tests.helpers import arrival, balancer, listing, of_type, raw_settings
 from tests.loopback import OK, App, Upstream, entry, listed, loopback, running, told
@@ -76,12 +76,12 @@
         report_fields=("queue",),
         allowances=(1.0,),
     )
-    after = config.successor(before, replace(before, settings=other), ())
-    waits = {name for name in after.unchanged if name in config.FIXED_SETTINGS}
+    after = reload.successor(before, replace(before, settings=other), ())
+    waits = {name for name in after.pending_restart if name in reload.FIXED_SETTINGS}
     for field in fields(Settings):
         kept = before.settings if field.name in waits else other
         assert getattr(after.config.settings, field.name) == getattr(kept, field.name), field.name
-    assert waits == set(config.FIXED_SETTINGS)
+    assert waits == set(reload.FIXED_SETTINGS)
 
 
 def test_connections_that_may_rest_for_longer_are_not_closed_by_the_time_of_before():
@@ -189,7 +189,7 @@
     for names in ("ac", "ad", "ae"):
         news = take(before, raw(Profiles=[row(name) for name in names], Prices=CROSSING), busy={1})
         before = news.config
-        made.reload(1.0, before.settings, news.kept)
+        made.reload(1.0, before.settings, news.same_classes)
         assert all(kind.slot != 1 for kind in before.names.classes.values())
     assert not made.outcome(5.0, 1, 0, Outcome.OK, 5.0, last=True) and not made._requests
 
@@ -206,7 +206,7 @@
     with pytest.raises(config.ConfigError, match=r"Profiles\.KeyTtl is missing"):
         take(before, raw(Profiles=[row("a"), lame]))
     # One that had no keyed class can't lack what binds those.
-    assert take(config.parse(raw(Profiles=[row("a")]), {}), raw(Profiles=[lame])).kept == frozenset()
+    assert take(config.parse(raw(Profiles=[row("a")]), {}), raw(Profiles=[lame])).same_classes == frozenset()
 
 
 def test_zones_that_wait_for_a_restart_are_not_taken_for_one():
@@ -214,7 +214,7 @@
     classes = [row("book", "token", Group="zone", KeyTtl=4000.0)]
     before = config.parse(raw(Profiles=classes, **zones), {})
     after = take(before, raw(Profiles=classes, FailureDomains=["north", "south"]))
-    assert "zones" in after.unchanged
+    assert "zones" in after.pending_restart
     rows = [entry(f"s{i}", zone=zone) for i, zone in enumerate(("north", "south", "north", "east"))]
     entries = parse_list(listed(1, *rows), after.config.names).entries
     zones_of = {listing.server: listing.zone for listing in entries}
--- a/tests/test_crossings_shutdown.py
+++ b/tests/test_crossings_shutdown.py
@@ -20,7 +20,7 @@
 from brassfall.balancer.model import Fail
 from brassfall.sidecar import __main__ as main
 from brassfall.sidecar import inbound, listener
-from brassfall.sidecar.config import parse_address
+from brassfall.sidecar.config_values import parse_address
 from tests.loopback import (
     OK,
     PATIENCE_S,
--- a/tests/test_crossings_wall_clock.py
+++ b/tests/test_crossings_wall_clock.py
@@ -11,7 +11,9 @@
 
 from brassfall.balancer.model import Fail, Send
 from brassfall.sidecar.agent.agent import Agent
-from brassfall.sidecar.config import Address, Agreement, parse_list
+from brassfall.sidecar.config import Agreement
+from brassfall.sidecar.config_values import Address
+from brassfall.sidecar.endpoint_list import parse_list
 from tests.loopback import (
     OK,
     App,
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -73,6 +73,7 @@
 FLEET = "brassfall.sidecar.agent"
 ATTEMPTS, CLOCK = "brassfall.sidecar.attempts", "brassfall.sidecar.clock"
 CONSOLE, INTERFACES = "brassfall.sidecar.console", "brassfall.sidecar.interfaces"
+LIST, VALUES = "brassfall.sidecar.endpoint_list", "brassfall.sidecar.config_values"
 CHANNEL = "brassfall.sidecar.registry_channel"
 START_TIMES = "brassfall.sidecar.start_times"
 MODEL, MODULE = "brassfall.balancer.model", "brassfall.balancer.Balancer"
@@ -85,36 +86,45 @@
 @pytest.mark.parametrize(
     ("name", "allowed"),
     [
-        ("config.py", {MODEL}),
+        ("config_values.py", set()),
+        ("endpoint_list.py", {MODEL, VALUES}),
+        ("config.py", {LIST, MODEL, VALUES}),
+        ("reload.py", {CONFIG, MODEL, VALUES}),
         ("framing.py", {BODY}),
         ("body.py", set()),
         ("console.py", set()),
         ("clock.py", set()),
-        ("interfaces.py", {BODY, CONFIG, MODEL}),
+        ("interfaces.py", {BODY, LIST, MODEL}),
         ("attempts.py", {INTERFACES, MODEL}),
-        ("driver.py", {ATTEMPTS, CLOCK, CONFIG, CONSOLE, INTERFACES, MODEL, MODULE, START_TIMES}),
-        ("start_times.py", {CONFIG, MODEL}),
+        ("driver.py", {ATTEMPTS, CLOCK, CONFIG, CONSOLE, INTERFACES, LIST, MODEL, MODULE, START_TIMES}),
+        ("start_times.py", {LIST, MODEL}),
         ("lifecycle.py", set()),
-        ("handover.py", {CONFIG, CONSOLE}),
-        ("listener.py", {CONFIG}),
-        ("admin.py", {CONFIG, CONSOLE, LIFECYCLE, LISTENER}),
-        ("inbound.py", {ATTEMPTS, BODY, CLOCK, CONFIG, FRAMING, INTERFACES, LIFECYCLE, LISTENER}),
-        ("outbound.py", {BODY, CLOCK, CONFIG, FRAMING, INTERFACES, MODEL}),
-        ("agent/lists.py", {CONFIG, MODEL}),
+        ("handover.py", {CONSOLE, VALUES}),
+        ("listener.py", {VALUES}),
+        ("admin.py", {CONFIG, CONSOLE, LIFECYCLE, LISTENER, VALUES}),
+        ("inbound.py", {ATTEMPTS, BODY, CLOCK, CONFIG, FRAMING, INTERFACES, LIFECYCLE, LISTENER, VALUES}),
+        ("outbound.py", {BODY, CLOCK, CONFIG, FRAMING, INTERFACES, LIST, MODEL, VALUES}),
+        ("agent/lists.py", {LIST, MODEL, VALUES}),
         ("agent/forms.py", set()),
         ("agent/lease_client.py", {FLEET, *fleet("forms")}),
         ("agent/rules.py", {"brassfall.sidecar.agent.lease_client"}),
-        ("agent/calls.py", {CONFIG}),
+        ("agent/calls.py", {VALUES}),
         (
             "agent/agent.py",
-            {CHANNEL, CONFIG, CONSOLE, *fleet("calls", "lease_client", "lists")},
+            {CHANNEL, CONFIG, CONSOLE, VALUES, *fleet("calls", "lease_client", "lists")},
         ),
         ("agent/deadlines.py", set()),
         ("agent/overrides.py", {"brassfall.sidecar.agent.deadlines"}),
         ("agent/delays.py", set()),
         (
             "agent/steering.py",
-            {CONFIG, MODEL, FLEET, *fleet("deadlines", "lease_client", "lists", "overrides", "rules")},
+            {
+                CONFIG,
+                MODEL,
+                FLEET,
+                VALUES,
+                *fleet("deadlines", "lease_client", "lists", "overrides", "rules"),
+            },
         ),
         (
             "agent/member.py",
@@ -123,13 +133,13 @@
                 CONSOLE,
                 MODEL,
                 FLEET,
-                "brassfall.sidecar.config",
+                "brassfall.sidecar.reload",
                 *fleet("agent", "delays", "lease_client", "lists", "rules", "steering"),
             },
         ),
         ("registry_channel.py", {CONSOLE, MODEL}),
-        ("discovery.py", {CHANNEL, CONFIG, CONSOLE, MODEL, "brassfall.sidecar.agent.lists"}),
-        ("peers.py", {CONFIG, CONSOLE}),
+        ("discovery.py", {CHANNEL, CONFIG, CONSOLE, LIST, MODEL, VALUES, "brassfall.sidecar.agent.lists"}),
+        ("peers.py", {CONFIG, CONSOLE, VALUES}),
     ],
 )
 def test_imports_run_from_sockets_to_driver_to_module(name, allowed):
--- a/tests/test_operation_process.py
+++ b/tests/test_operation_process.py
@@ -8,7 +8,7 @@
 import signal
 from pathlib import Path
 
-from brassfall.sidecar.config import Address
+from brassfall.sidecar.config_values import Address
 from tests import loopback as partners
 from tests.loopback import OK, App, Upstream, loopback, until
 from tests.processes import Load, Process, ask_door, free_port, yes
--- a/tests/test_overrides_parts.py
+++ b/tests/test_overrides_parts.py
@@ -16,7 +16,7 @@
 from brassfall.controlplane.overrides.document import BadOverride, layer, listed, parse, times
 from brassfall.controlplane.overrides.history import History, Ring
 from brassfall.lab.overrides.judge import expected
-from brassfall.sidecar import config
+from brassfall.sidecar import config, config_values, endpoint_list
 from brassfall.sidecar.agent import deadlines, lease_client, rules, steering
 from brassfall.sidecar.agent import overrides as edge
 from brassfall.sidecar.agent.deadlines import Deadlines
@@ -567,9 +567,9 @@
     def revision(number, names):
         return lease_client.Revision(number, {"regions": {"held": list(names)}}, None, ())
 
-    names = config.Names({}, {}, {"a": 0, "b": 1, "c": 2, "empty": 3}, {})
+    names = config_values.Names({}, {}, {"a": 0, "b": 1, "c": 2, "empty": 3}, {})
     listed = EndpointList(
-        config.ServerList(1, True, [model.Listing(f"s{zone}", zone) for zone in range(3)], {})
+        endpoint_list.ServerList(1, True, [model.Listing(f"s{zone}", zone) for zone in range(3)], {})
     )
     agreement = config.Agreement(3000.0, "", "", {})
     made = steering.Steering(agreement, lambda: names, lambda: listed)
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -13,7 +13,7 @@
 
 from brassfall.balancer import Settings
 from brassfall.balancer.model import Arrival, Fail, Outcome, Refuse, Send
-from brassfall.sidecar import config, inbound
+from brassfall.sidecar import config, inbound, reload
 from tests.helpers import balancer, of_type, raw_settings
 from tests.loopback import OK, SETTINGS, App, Registry, Upstream, listed, loopback, running, told, until
 from tests.processes import Process
@@ -37,14 +37,14 @@
 
 
 def take(running_config, new, busy=()):
-    return config.successor(running_config, config.parse(new, {}), busy)
+    return reload.successor(running_config, config.parse(new, {}), busy)
 
 
 def test_classes_keep_their_slots_and_slots_are_used_again():
     first = config.parse(raw(Profiles=[row("a"), row("b"), row("c")]), {})
     second = take(first, raw(Profiles=[row("c"), row("d"), row("b", "side_effect")]))
     assert {name: kind.slot for name, kind in second.config.names.classes.items()} == {"c": 2, "d": 3, "b": 4}
-    assert second.kept == {2}
+    assert second.same_classes == {2}
     assert [p.semantics for p in second.config.settings.profiles] == ["pure"] * 4 + ["side_effect"]
     # Clients name "a" and the old "b" no more, but a request of "a" is still open.
     third = take(second.config, raw(Profiles=[row("c"), row("e")]), busy={0})
@@ -102,7 +102,7 @@
     path.write_text(text)
     before = config.parse(raw(), {})
     with pytest.raises(config.ConfigError) as caught:
-        config.successor(before, config.load({"NODE_CONFIG": str(path)}), ())
+        reload.successor(before, config.load({"NODE_CONFIG": str(path)}), ())
     assert len(str(caught.value).splitlines()) == 1 and str(caught.value)
 
 
@@ -117,7 +117,7 @@
     new["listen"] = "127.0.0.1:4242"
     new["limits"]["sockets"] = 512
     after = take(before, new)
-    assert after.unchanged == ("me", "kinds", "listen", "limits")
+    assert after.pending_restart == ("me", "kinds", "listen", "limits")
     assert after.config.listen == before.listen and after.config.settings.me == before.settings.me
 
 
@@ -166,7 +166,7 @@
         news = take(
             told([upstream]), raw(Profiles=new), made.driver.request_classes | made.inbound.request_classes
         )
-        made.driver.reload(news.config, news.kept)
+        made.driver.reload(news.config, news.same_classes)
         made.inbound.reload(news.config.names)
         for target, method in (("/view", "GET"), ("/look", "GET"), ("/book", "POST")):
             assert (await app.ask(method, target)).body == b"done"
--- a/tests/test_sidecar_attempts.py
+++ b/tests/test_sidecar_attempts.py
@@ -13,7 +13,7 @@
 from brassfall.balancer.model import Cancel, CloseIdle, Outcome, Probe, Refuse, Send, Timer
 from brassfall.sidecar import driver, inbound, outbound
 from brassfall.sidecar.clock import Clock
-from brassfall.sidecar.config import parse_list
+from brassfall.sidecar.endpoint_list import parse_list
 from tests.loopback import (
     OK,
     App,
--- a/tests/test_sidecar_lists.py
+++ b/tests/test_sidecar_lists.py
@@ -13,7 +13,7 @@
 
 from brassfall.balancer import model
 from brassfall.balancer.model import Fetch, Tell, Watch
-from brassfall.sidecar import config, discovery, registry_channel
+from brassfall.sidecar import config_values, discovery, endpoint_list, registry_channel
 from brassfall.sidecar.agent import lists as fleet
 from tests.loopback import Registry, Scripted, Upstream, entry, listed, loopback, running, told, until
 
@@ -128,7 +128,7 @@
         await until(lambda: old.watches)
         old.tell(44, entry("s1"))
         await until(lambda: len(told_of(module)) == 2)
-        sidecar.discovery.move(config.parse_address(new.address))
+        sidecar.discovery.move(config_values.parse_address(new.address))
         await until(lambda: new.watches)
         assert new.asked == ["/registry/instances?watch=1&from=44"]
         new.tell(45, entry("s2"))
@@ -146,7 +146,7 @@
     async with running(balancer=module, registry=gone, Discovery="subscribe") as sidecar:
         sidecar.driver._act(Watch(True))
         await until(lambda: ("refused", []) in told_of(module))
-        sidecar.discovery.move(config.parse_address(new.address))
+        sidecar.discovery.move(config_values.parse_address(new.address))
         await until(lambda: new.watches)
     new.stop()
 
@@ -244,13 +244,15 @@
             await until(lambda number=number: f"version={50 + number}" in sidecar.discovery.state)
             assert good.address in sidecar.discovery.state
             good.watches[-1].close()
-        sidecar.discovery.move(config.parse_address(full.address), (config.parse_address(full.address),))
+        sidecar.discovery.move(
+            config_values.parse_address(full.address), (config_values.parse_address(full.address),)
+        )
         await until(lambda: turned_away > 2)
         assert sorted(sidecar.pool._servers) == ["s0"]
 
 
 def test_where_to_ask_is_spread_and_waits_grow():
-    addresses = [config.Address("127.0.0.1", port) for port in (1, 2, 3)]
+    addresses = [config_values.Address("127.0.0.1", port) for port in (1, 2, 3)]
     made = [fleet.Sources(addresses, random.Random(seed)) for seed in range(300)]
     starts = [source.current.port for source in made]
     assert min(starts.count(port) for port in (1, 2, 3)) > 70
@@ -321,11 +323,15 @@
     module = Scripted()
     raw = {"known": listed(41, entry("s0")), "fleet": {"registry": [ahead.address, behind.address]}}
     async with running(balancer=module, registry=ahead, raw=raw) as sidecar:
-        sidecar.discovery.move(config.parse_address(ahead.address), (config.parse_address(ahead.address),))
+        sidecar.discovery.move(
+            config_values.parse_address(ahead.address), (config_values.parse_address(ahead.address),)
+        )
         await until(lambda: ahead.watches)
         ahead.tell(50, entry("s5"), snapshot=True)
         await until(lambda: sidecar.discovery.version == 50)
-        sidecar.discovery.move(config.parse_address(behind.address), (config.parse_address(behind.address),))
+        sidecar.discovery.move(
+            config_values.parse_address(behind.address), (config_values.parse_address(behind.address),)
+        )
         await until(lambda: len(behind.watches) == 1)
         assert behind.asked[-1].endswith("from=50")
         behind.tell(45, entry("s1", status="leaving"))  # changes that were heard of before
@@ -370,7 +376,7 @@
 
 
 def test_a_list_that_cannot_be_right_is_believed_in_the_end():
-    doubt, empty = fleet.ListDoubt(), config.ServerList(50, True, [], {})
+    doubt, empty = fleet.ListDoubt(), endpoint_list.ServerList(50, True, [], {})
     assert "without servers" in doubt.reason(empty, 41, 3, 0.0)
     assert doubt.reason(empty, 41, 3, fleet.DOUBT_S - 1.0)
     assert doubt.reason(empty, 41, 3, fleet.DOUBT_S) is None
@@ -391,7 +397,7 @@
 def test_what_is_kept_of_the_list_with_each_change_is_what_the_whole_list_says(updates):
     held, plain = fleet.EndpointList(), {}
     for whole, entries in updates:
-        held.apply(config.ServerList(1, whole, entries, {}))
+        held.apply(endpoint_list.ServerList(1, whole, entries, {}))
         plain = {} if whole else plain
         for row in entries:
             plain[row.server] = row
--- a/tests/test_sidecar_requests.py
+++ b/tests/test_sidecar_requests.py
@@ -9,7 +9,7 @@
 import pytest
 
 from brassfall.balancer.model import Fail, Refuse, Timer
-from brassfall.sidecar import config, framing, inbound
+from brassfall.sidecar import config_values, endpoint_list, framing, inbound
 from brassfall.sidecar.clock import Clock
 from tests import loopback as partners
 from tests.loopback import (
@@ -40,13 +40,13 @@
     clock = Clock(asyncio.get_running_loop())
     assert abs(clock.now() - time.time() * 1000.0) < 1000.0
     rows = listed(1, entry("old"), entry("new", since_ms=1_790_000_000_000))
-    news = config.parse_list(rows, told().names)
+    news = endpoint_list.parse_list(rows, told().names)
     assert [row.started for row in news.entries] == [0.0, 1_790_000_000_000.0]
 
 
 def test_a_user_is_the_same_key_in_every_process():
-    assert config.stable_number("7f3a9c21e0b4d655") == 3267690693392718
-    assert all(config.stable_number(str(i)) < 2**53 for i in range(200))
+    assert config_values.stable_number("7f3a9c21e0b4d655") == 3267690693392718
+    assert all(config_values.stable_number(str(i)) < 2**53 for i in range(200))
 
 
 @loopback
@@ -62,7 +62,7 @@
         (row,) = module.named("server_list")[0][1]
     assert (arrival.band, arrival.tenant, arrival.work) == (2, 1, 2.5)
     assert (arrival.again, arrival.mutates) == (True, False)
-    assert arrival.key == config.stable_number("u1")
+    assert arrival.key == config_values.stable_number("u1")
     assert 0 <= arrival.request < 2**32
     assert before + 700.0 < arrival.give_up_at < sidecar_now(arrival, before) + 800.0
     assert (row.zone, row.kind, row.cell) == (1, 1, 3)
--- a/tests/test_sidecar_tier.py
+++ b/tests/test_sidecar_tier.py
@@ -13,7 +13,8 @@
 
 from brassfall.sidecar.agent import agent as agents
 from brassfall.sidecar.agent.agent import Agent
-from brassfall.sidecar.config import Address, Agreement
+from brassfall.sidecar.config import Agreement
+from brassfall.sidecar.config_values import Address
 
 LEASE_S, EPOCH, REVISION = 2.7, 7, 5
 LONGEST_PAUSE_S = 1.0  # between two reports, at the usual interval
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -16,7 +16,7 @@
 import pytest
 
 from brassfall.balancer.model import Fetch
-from brassfall.sidecar import config
+from brassfall.sidecar import config_values
 from tests.loopback import (
     OK,
     App,
@@ -122,7 +122,7 @@
     """Refused, or lost on the way: a connection that does not come up is given up within a second."""
     for seed in range(8):
         agent = await Agent().start()
-        address = config.parse_address(agent.address)
+        address = config_values.parse_address(agent.address)
         if down == "refused":
             agent.stop()
         else:
@@ -180,7 +180,7 @@
         async with running(registry=old, raw={"seed": str(seed)}, Discovery=how, **RULES) as sidecar:
             await asyncio.sleep(40.0 + 0.37 * seed)  # failures in a row: whoever asks has become patient
             moved = now()
-            sidecar.discovery.move(config.parse_address(new.address))
+            sidecar.discovery.move(config_values.parse_address(new.address))
             assert await told(sidecar) - moved < bound
         new.stop()
 
