--- a/brassfall/sidecar/driver.py
+++ b/brassfall/sidecar/driver.py
@@ -176,7 +176,7 @@
             return
         now = self._clock.now()
         update = self._starts.bounded(now, self._clock.from_loop(update.fresh_at), update)
-        self._upstreams.update(now, form != "changes", update)
+        self._upstreams.update(now, update, complete=form != "changes")
         self._ask(None, self._balancer.server_list, form, update.entries)
 
     def peer_message(self, peer: int, data: bytes) -> None:
--- a/brassfall/sidecar/interfaces.py
+++ b/brassfall/sidecar/interfaces.py
@@ -128,8 +128,8 @@
     def probe(self, server: str, done: Callable[[Result], None]) -> Exchange:
         """Begin a health check; `done` is called once, later, unless it is abandoned first."""
 
-    def update(self, now: float, whole: bool, news: ServerList) -> None:
-        """Take in an endpoint list; a `whole` one names all servers that there are."""
+    def update(self, now: float, servers: ServerList, *, complete: bool) -> None:
+        """Take in an endpoint list; a `complete` one names all servers that there are."""
 
     def close_idle(self, server: str) -> None:
         """Close the idle connections to a server."""
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -69,6 +69,8 @@
 FLEET = "brassfall.sidecar.agent"
 BODY, CONFIG = "brassfall.sidecar.body", "brassfall.sidecar.config"
 FRAMING = "brassfall.sidecar.framing"
+EXCHANGE, SERVER_ANSWERS = "brassfall.sidecar.exchange", "brassfall.sidecar.server_answers"
+SERVER_CONNECTION = "brassfall.sidecar.server_connection"
 LIFECYCLE, LISTENER = "brassfall.sidecar.lifecycle", "brassfall.sidecar.listener"
 FLEET = "brassfall.sidecar.agent"
 ATTEMPTS, CLOCK = "brassfall.sidecar.attempts", "brassfall.sidecar.clock"
@@ -103,7 +105,27 @@
         ("listener.py", {VALUES}),
         ("admin.py", {CONFIG, CONSOLE, LIFECYCLE, LISTENER, VALUES}),
         ("inbound.py", {ATTEMPTS, BODY, CLOCK, CONFIG, FRAMING, INTERFACES, LIFECYCLE, LISTENER, VALUES}),
-        ("outbound.py", {BODY, CLOCK, CONFIG, FRAMING, INTERFACES, LIST, MODEL, VALUES}),
+        ("exchange.py", {BODY, INTERFACES}),
+        ("health_checks.py", set()),
+        ("server_answers.py", {FRAMING, INTERFACES, MODEL}),
+        ("server_connection.py", {BODY, EXCHANGE, FRAMING, INTERFACES, MODEL, SERVER_ANSWERS, VALUES}),
+        ("connecting.py", {EXCHANGE, INTERFACES, MODEL, SERVER_CONNECTION}),
+        (
+            "outbound.py",
+            {
+                CLOCK,
+                CONFIG,
+                EXCHANGE,
+                INTERFACES,
+                LIST,
+                MODEL,
+                SERVER_ANSWERS,
+                SERVER_CONNECTION,
+                VALUES,
+                "brassfall.sidecar.connecting",
+                "brassfall.sidecar.health_checks",
+            },
+        ),
         ("agent/lists.py", {LIST, MODEL, VALUES}),
         ("agent/forms.py", set()),
         ("agent/lease_client.py", {FLEET, *fleet("forms")}),
