--- a/brassfall/sidecar/clock.py
+++ b/brassfall/sidecar/clock.py
@@ -5,6 +5,9 @@
 import asyncio
 import time
 
+# This process may be held up for so long between reading its clock and writing.
+HOLD_UP_MS = 150.0
+
 
 class Clock:
     """Monotonic milliseconds plus one fixed offset to Unix time, so that `since_ms` compares.
--- a/brassfall/sidecar/driver.py
+++ b/brassfall/sidecar/driver.py
@@ -16,7 +16,7 @@
 from brassfall.balancer import Balancer, model
 from brassfall.balancer.model import Outcome
 from brassfall.sidecar.attempts import FORGOTTEN, Attempt, Request
-from brassfall.sidecar.clock import Clock
+from brassfall.sidecar.clock import HOLD_UP_MS, Clock
 from brassfall.sidecar.config import Config
 from brassfall.sidecar.console import log
 from brassfall.sidecar.endpoint_list import ServerList
@@ -27,10 +27,8 @@
 DEADLINE_MARGIN_MS = 8.0
 # The balancer answers at the deadline; what it left unanswered for so long is failed in its place.
 GUARD_MS = 25.0
-# This process may be held up for so long between reading its clock and writing.
-HOLD_UP_MS = 150.0
-# A retry under an idempotency key has to have reached its server within the key's window, also then. Its
-# transit is covered by the 50 ms that the protocol adds to each limit.
+# A retry under an idempotency key has to have reached its server within the key's window, also where this
+# process is held up. Its transit is covered by the 50 ms that the protocol adds to each limit.
 KEY_MARGIN_MS = HOLD_UP_MS
 PROBE_TIMEOUT_MS = 1000.0
 
--- a/brassfall/sidecar/outbound.py
+++ b/brassfall/sidecar/outbound.py
@@ -12,7 +12,7 @@
 
 from brassfall.balancer.model import Listing, Outcome
 from brassfall.sidecar import health_checks
-from brassfall.sidecar.clock import Clock
+from brassfall.sidecar.clock import HOLD_UP_MS, Clock
 from brassfall.sidecar.config import Config
 from brassfall.sidecar.config_values import Address
 from brassfall.sidecar.connecting import Connector
@@ -28,8 +28,8 @@
 SWEEP_MS = 200.0
 # A second answer may follow the first by some milliseconds, and is seen as one while the connection is idle.
 REST_MS = 20.0
-# A request that is begun so close to the end of a drain's grace might be seen past it.
-GRACE_MARGIN_MS = 50.0
+# A request that is begun so close to the end of a drain's grace might be written past it.
+GRACE_MARGIN_MS = HOLD_UP_MS
 POOL_SHARE = 0.5  # of the descriptors that this process may hold
 
 
--- a/tests/test_crossings_hold_up.py
+++ b/tests/test_crossings_hold_up.py
@@ -3,6 +3,7 @@
 
 from __future__ import annotations
 
+import asyncio
 import re
 from asyncio import selector_events
 from dataclasses import dataclass
@@ -11,13 +12,16 @@
 
 from brassfall.balancer.model import Fail, Send, Timer
 from brassfall.sidecar import driver
+from brassfall.sidecar.endpoint_list import parse_list
 from tests.loopback import (
     OK,
     App,
     Scripted,
     Upstream,
     break_off,
+    entry,
     hang,
+    listed,
     loopback,
     running,
     until,
@@ -127,3 +131,36 @@
     written = before_ms > HOLD_UP_MS
     assert len(held.writes) == 1 + written
     assert answer.start.split(" ")[1] == ("200" if written else "502")
+
+
+@pytest.mark.parametrize("before_ms", [400.0, 160.0, 140.0, 60.0])
+@loopback
+async def test_nothing_is_begun_past_the_grace_of_a_server_that_drains(monkeypatch, before_ms):
+    """Its connection comes up so long before the end of the grace."""
+    grace_ms, gate, loop = 3000.0, asyncio.Event(), asyncio.get_running_loop()
+    connect = loop.create_connection
+
+    async def late(*args, **kwargs):
+        await gate.wait()
+        return await connect(*args, **kwargs)
+
+    upstream = await Upstream([OK]).start()
+    module = Scripted(
+        outcome=lambda now, number, hop, status, spent, last, report: [] if last else [Fail(number)]
+    )
+    async with running(upstream, balancer=module, Rules={"StopSendingWithin": grace_ms}) as sidecar:
+        held = HeldUp(monkeypatch, sidecar)
+        app = await App.connect(sidecar.address)
+        monkeypatch.setattr(loop, "create_connection", late)
+        app.send()
+        await until(lambda: module.named("request"))
+        row = entry("s0", upstream.address, status="leaving")
+        news = parse_list(listed(42, row, snapshot=False), sidecar.running.names)
+        ends = held.clock.now() + grace_ms
+        sidecar.driver.server_list("changes", news)
+        held.on(ends - before_ms - held.clock.now())
+        gate.set()
+        answer = await app.answer()
+        app.close()
+    assert all(write.at <= ends for write in held.writes)
+    assert answer.start.split(" ")[1] == ("200" if before_ms > HOLD_UP_MS else "502")
