--- a/brassfall/sidecar/config.py
+++ b/brassfall/sidecar/config.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from brassfall.balancer import model
+from brassfall.balancer import Settings
 from brassfall.sidecar.config_values import (
     MALFORMED,
     Address,
@@ -77,7 +77,7 @@
     peers: tuple[Address, ...]
     peers_all: Address | None
     known: ServerList
-    settings: model.Settings
+    settings: Settings
     names: Names
     max_open: int
     drain_grace: float
@@ -129,7 +129,7 @@
     with named("peers"):
         peers = tuple(own_address(peer) for peer in raw.get("peers") or ())
     with named("settings"):
-        parsed = model.Settings.parse(settings)
+        parsed = Settings.parse(settings)
         max_open = int(count(limits.get("MaxOpen", 2**31), "PolicyLimits.MaxOpen", 0))
         with named("Rules.StopSendingWithin"):
             drain_grace = amount(rules.get("StopSendingWithin", 0.0))
--- a/brassfall/sidecar/reload.py
+++ b/brassfall/sidecar/reload.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, replace
 from itertools import count
 
-from brassfall.balancer import model
+from brassfall.balancer.settings import Profile
 from brassfall.sidecar.config import OF_KEYED, Config, ConfigError
 from brassfall.sidecar.config_values import Names, RequestClass
 
@@ -86,7 +86,7 @@
 
 def _profiles(
     running: Config, found: Config, classes: Mapping[str, RequestClass]
-) -> tuple[model.Profile, ...]:
+) -> tuple[Profile, ...]:
     """The profiles by slot: of the classes in the file, and of those that are gone but may still be named."""
     # What is gone weighs no more than what there is: the class of most worth sets what a crossing costs.
     most = max(profile.worth for profile in found.settings.profiles)
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -32,38 +32,102 @@
     return met
 
 
+# Each module that decides, and the modules of its package that it may import.
+DECISIONS: dict[str, set[str]] = {
+    "affinity": set(),
+    "balancer": {
+        "affinity",
+        "connections",
+        "ejection",
+        "endpoints",
+        "load_shedding",
+        "model",
+        "overload",
+        "pace",
+        "rates",
+        "records",
+        "retries",
+        "selection",
+        "settings",
+        "slow_start",
+        "steering",
+        "throttle",
+        "zones",
+    },
+    "connections": {"records", "settings"},
+    "ejection": {"endpoints", "load_shedding", "pace", "records"},
+    "endpoints": {"model", "pace", "records", "settings"},
+    "load_shedding": {"settings"},
+    "overload": {"load_shedding", "rates", "records", "settings"},
+    "pace": set(),
+    "rates": set(),
+    "records": {"model", "pace", "settings"},
+    "retries": {"overload", "records", "settings"},
+    "selection": {
+        "affinity",
+        "ejection",
+        "endpoints",
+        "overload",
+        "pace",
+        "records",
+        "retries",
+        "settings",
+        "slow_start",
+        "steering",
+        "zones",
+    },
+    "slow_start": {"endpoints", "rates", "records", "settings", "steering", "zones"},
+    "steering": {"model"},
+    "throttle": set(),
+    "zones": {"settings"},
+}
+# The interface: values without decisions.
+INTERFACE: dict[str, set[str]] = {"model": set(), "settings": set()}
+
+
 def test_the_deploy_file_lists_every_module_that_decides():
     files = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
-    assert files == [
-        f"brassfall/balancer/{name}.py" for name in ("balancer", "records", "shedding", "steering")
-    ]
+    assert files == [f"brassfall/balancer/{name}.py" for name in sorted(DECISIONS)]
     modules = {path.stem for path in PACKAGE.glob("*.py")}
-    assert modules == {"balancer", "records", "shedding", "steering", "__init__", "model"}
+    assert modules == {"__init__", *DECISIONS, *INTERFACE}
     for file in files:
         assert max(map(len, (ROOT / file).read_text().splitlines())) <= 110, file
 
 
-@pytest.mark.parametrize(
-    ("name", "allowed"),
-    [
-        ("model.py", set()),
-        ("records.py", {"brassfall.balancer.model"}),
-        ("shedding.py", {"brassfall.balancer.model"}),
-        ("steering.py", {"brassfall.balancer.model"}),
-        (
-            "balancer.py",
-            {
-                "brassfall.balancer.model",
-                "brassfall.balancer.records",
-                "brassfall.balancer.shedding",
-                "brassfall.balancer.steering",
-            },
-        ),
-        ("../simulator.py", {"brassfall.balancer.model", "brassfall.balancer.balancer"}),
-    ],
-)
-def test_imports_run_from_adapter_to_module_to_interface(name, allowed):
-    assert imported(name) <= allowed
+@pytest.mark.parametrize(("name", "allowed"), [*DECISIONS.items(), *INTERFACE.items()])
+def test_a_decision_module_imports_only_what_it_is_listed_with(name, allowed):
+    assert imported(f"{name}.py") == {f"brassfall.balancer.{module}" for module in allowed}
+
+
+@pytest.mark.parametrize("name", [*DECISIONS, *INTERFACE])
+def test_a_decision_module_has_no_clock_socket_or_file_and_its_chance_is_seeded(name):
+    tree = ast.parse((PACKAGE / f"{name}.py").read_text())
+    met = {alias.name for node in ast.walk(tree) if isinstance(node, ast.Import) for alias in node.names}
+    met |= {node.module or "" for node in ast.walk(tree) if isinstance(node, ast.ImportFrom)}
+    outside = {module.partition(".")[0] for module in met} - {"brassfall"}
+    assert outside <= {
+        "__future__",
+        "collections",
+        "dataclasses",
+        "enum",
+        "hashlib",
+        "math",
+        "random",
+        "types",
+        "typing",
+    }
+    # Numbers are drawn from an instance's own generator, which has the seed of its events.
+    drawn = {
+        node.attr
+        for node in ast.walk(tree)
+        if isinstance(node, ast.Attribute) and isinstance(node.value, ast.Name) and node.value.id == "random"
+    }
+    assert drawn <= {"Random"}
+
+
+def test_the_wire_adapter_imports_the_interface_of_the_decisions_alone():
+    names = {"Balancer", "Settings", "model"}
+    assert imported("../simulator.py") <= {f"brassfall.balancer.{name}" for name in names}
 
 
 FLEET = "brassfall.sidecar.agent"
@@ -71,6 +135,12 @@
 FRAMING = "brassfall.sidecar.framing"
 EXCHANGE, SERVER_ANSWERS = "brassfall.sidecar.exchange", "brassfall.sidecar.server_answers"
 SERVER_CONNECTION = "brassfall.sidecar.server_connection"
+INBOUND = "brassfall.sidecar.inbound"
+CLIENT_CONNECTION, CLIENT_REQUEST = "brassfall.sidecar.client_connection", "brassfall.sidecar.client_request"
+CONNECTION_LIMITS, KNOWN_CLASSES = "brassfall.sidecar.connection_limits", "brassfall.sidecar.known_classes"
+READ_CONTROL, STREAMED_ANSWER = "brassfall.sidecar.read_control", "brassfall.sidecar.streamed_answer"
+REQUEST_CHECKS, REQUEST_MESSAGE = "brassfall.sidecar.request_checks", "brassfall.sidecar.request_message"
+REQUEST_PARSER = "brassfall.sidecar.request_parser"
 LIFECYCLE, LISTENER = "brassfall.sidecar.lifecycle", "brassfall.sidecar.listener"
 FLEET = "brassfall.sidecar.agent"
 ATTEMPTS, CLOCK = "brassfall.sidecar.attempts", "brassfall.sidecar.clock"
@@ -79,6 +149,7 @@
 CHANNEL = "brassfall.sidecar.registry_channel"
 START_TIMES = "brassfall.sidecar.start_times"
 MODEL, MODULE = "brassfall.balancer.model", "brassfall.balancer.Balancer"
+SETTINGS = "brassfall.balancer.Settings"
 
 
 def fleet(*names: str) -> set[str]:
@@ -90,8 +161,8 @@
     [
         ("config_values.py", set()),
         ("endpoint_list.py", {MODEL, VALUES}),
-        ("config.py", {LIST, MODEL, VALUES}),
-        ("reload.py", {CONFIG, MODEL, VALUES}),
+        ("config.py", {LIST, SETTINGS, VALUES}),
+        ("reload.py", {CONFIG, VALUES, "brassfall.balancer.settings"}),
         ("framing.py", {BODY}),
         ("body.py", set()),
         ("console.py", set()),
@@ -104,10 +175,9 @@
         ("handover.py", {CONSOLE, VALUES}),
         ("listener.py", {VALUES}),
         ("admin.py", {CONFIG, CONSOLE, LIFECYCLE, LISTENER, VALUES}),
-        ("inbound.py", {ATTEMPTS, BODY, CLOCK, CONFIG, FRAMING, INTERFACES, LIFECYCLE, LISTENER, VALUES}),
         ("exchange.py", {BODY, INTERFACES}),
         ("health_checks.py", set()),
-        ("server_answers.py", {FRAMING, INTERFACES, MODEL}),
+        ("server_answers.py", {FRAMING, INTERFACES, MODEL, "brassfall.balancer.settings"}),
         ("server_connection.py", {BODY, EXCHANGE, FRAMING, INTERFACES, MODEL, SERVER_ANSWERS, VALUES}),
         ("connecting.py", {EXCHANGE, INTERFACES, MODEL, SERVER_CONNECTION}),
         (
@@ -126,6 +196,48 @@
                 "brassfall.sidecar.health_checks",
             },
         ),
+        ("request_message.py", {BODY, FRAMING}),
+        ("request_checks.py", {REQUEST_MESSAGE, VALUES}),
+        ("request_parser.py", {BODY, FRAMING, REQUEST_CHECKS, REQUEST_MESSAGE}),
+        ("streamed_answer.py", {INTERFACES, FRAMING}),
+        (
+            "client_request.py",
+            {ATTEMPTS, BODY, VALUES, INTERFACES, FRAMING, REQUEST_CHECKS, REQUEST_MESSAGE, STREAMED_ANSWER},
+        ),
+        ("read_control.py", {FRAMING}),
+        (
+            "client_connection.py",
+            {
+                BODY,
+                CLIENT_REQUEST,
+                CLOCK,
+                FRAMING,
+                READ_CONTROL,
+                REQUEST_MESSAGE,
+                REQUEST_PARSER,
+                STREAMED_ANSWER,
+            },
+        ),
+        ("connection_limits.py", {CLIENT_CONNECTION, CONFIG}),
+        ("known_classes.py", {CLIENT_REQUEST, REQUEST_MESSAGE, VALUES}),
+        (
+            "inbound.py",
+            {
+                BODY,
+                CLIENT_CONNECTION,
+                CLIENT_REQUEST,
+                CONFIG,
+                CONNECTION_LIMITS,
+                CLOCK,
+                FRAMING,
+                KNOWN_CLASSES,
+                LIFECYCLE,
+                LISTENER,
+                REQUEST_MESSAGE,
+                VALUES,
+            },
+        ),
+        ("shutdown.py", {CLOCK, INBOUND, "brassfall.sidecar.driver"}),
         ("agent/lists.py", {LIST, MODEL, VALUES}),
         ("agent/forms.py", set()),
         ("agent/lease_client.py", {FLEET, *fleet("forms")}),
@@ -192,8 +304,10 @@
 )
 PURE = (
     "errors.py",
-    "controlplane/store/core.py",
-    "controlplane/store/leases.py",
+    *(
+        f"controlplane/store/{name}.py"
+        for name in ("records", "commands", "transaction", "state", "leases", "incarnations", "statistics")
+    ),
     "controlplane/revisions/document.py",
     "controlplane/revisions/edges.py",
     "controlplane/revisions/core.py",
