--- a/brassfall/sidecar/driver.py
+++ b/brassfall/sidecar/driver.py
@@ -30,6 +30,9 @@
 # A retry under an idempotency key has to have reached its server within the key's window, also where this
 # process is held up. Its transit is covered by the 50 ms that the protocol adds to each limit.
 KEY_MARGIN_MS = HOLD_UP_MS
+# An attempt that is due so long after its request was read looks for its client's leaving first: the process
+# may have stood still meanwhile, with the end of the client's connection not read yet.
+LOOK_AFTER_MS = 10.0
 PROBE_TIMEOUT_MS = 1000.0
 
 
@@ -203,9 +206,12 @@
         if attempt.begun_at is not None:
             return True  # its answer has begun already
         over = timeout is not None and timeout.when() <= self._loop.time()
-        over = over or self._clock.now() >= min(attempt.write_by, request.give_up_at)
+        now = self._clock.now()
+        over = over or now >= min(attempt.write_by, request.give_up_at)
         if attempt.out and not request.ended and not over:
-            return True
+            late = now - request.read_at >= LOOK_AFTER_MS and not request.call.reading
+            if not (late and request.call.client_left()):
+                return True
         self._never_sent(attempt)
         return False
 
--- a/brassfall/sidecar/interfaces.py
+++ b/brassfall/sidecar/interfaces.py
@@ -53,6 +53,11 @@
     def reading(self) -> bool:
         """Whether its body is still coming."""
 
+    def client_left(self) -> bool:
+        """Return whether its client has closed its connection, by a look at the socket.
+
+        The driver's `client_gone` follows soon where it has."""
+
     def wire(self, left: float) -> bytes:
         """Return the request's bytes for a server that has `left` ms."""
 
--- a/brassfall/sidecar/reload.py
+++ b/brassfall/sidecar/reload.py
@@ -84,9 +84,7 @@
     return tuple(dict.fromkeys(differ))
 
 
-def _profiles(
-    running: Config, found: Config, classes: Mapping[str, RequestClass]
-) -> tuple[Profile, ...]:
+def _profiles(running: Config, found: Config, classes: Mapping[str, RequestClass]) -> tuple[Profile, ...]:
     """The profiles by slot: of the classes in the file, and of those that are gone but may still be named."""
     # What is gone weighs no more than what there is: the class of most worth sets what a crossing costs.
     most = max(profile.worth for profile in found.settings.profiles)
--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -26,6 +26,8 @@
 ROUNDING_MS = 1e-3
 HOLD_UPS_S = (0.02, 0.08, 0.15)  # between reading the clock and writing
 HOLD_UPS_APART_S = 0.1
+UNREAD_S = (0.05, 0.13, 0.2)
+BEGIN_MOST_MS = 100.0  # after its client has closed, until an attempt begins
 BUDGET_SLACK_MS = 150.0
 TURNS_MOST = 50_000
 STEP_S, STILL_MOST = 1e-6, 100
@@ -257,6 +259,7 @@
         self.request = None
         self.final: str | None = None
         self.flow_over = self.gone = False
+        self.closed_at = None  # when its client closed, of which the program may be told later
         self.flow = None
         self.passed = 0
         self.writes: list[Write] = []
@@ -270,6 +273,9 @@
     def give_up_at(self):
         return min(self.read_at + self.budget - driver.DEADLINE_MARGIN_MS, self.until)
 
+    def client_left(self):
+        return self.closed_at is not None
+
     def wire(self, left):
         framing_of = b"" if self.body is None else self.body.header
         return b"POST /x HTTP/1.1\r\nX-Id: %d\r\nX-Left: %.3f\r\n%b\r\n" % (
@@ -587,7 +593,21 @@
             self.leave(call)
 
     def leave(self, call):
-        if call.gone or call.request is None or call.flow_over or call.final not in (None, "begun"):
+        if call.closed_at is not None or not self.open(call):
+            return
+        self.say(f"closed {call.number}")
+        call.closed_at = self.now
+        if self.held_up and self.hold_ups.random() < 0.5:
+            # The end of its connection lies unread for as long as the process may stand still.
+            self.loop.call_later(self.hold_ups.choice(UNREAD_S), self.gone, call)
+        else:
+            self.gone(call)
+
+    def open(self, call):
+        return call.request is not None and not call.flow_over and call.final in (None, "begun")
+
+    def gone(self, call):
+        if call.gone or not self.open(call):
             return
         self.say(f"gone {call.number}")
         call.gone = True
@@ -633,6 +653,8 @@
         what = f"request {number}"
         if call.gone:
             self.breach(f"{what}: written after its client had gone")
+        if call.closed_at is not None and self.now - held_ms > call.closed_at + BEGIN_MOST_MS + ROUNDING_MS:
+            self.breach(f"{what}: begun long after its client had closed")
         if call.final is not None:
             self.breach(f"{what}: written after its final answer")
         if call.ended and self.now - held_ms >= call.give_up_at + ROUNDING_MS:
--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -612,6 +612,9 @@
     def wire(self, left):
         return b""
 
+    def client_left(self):
+        return False
+
     def served(self, answer):
         self.given.append("served")
 
--- a/tests/test_crossings_discovery.py
+++ b/tests/test_crossings_discovery.py
@@ -805,6 +805,9 @@
     client_retry = mutates = reading = False
     budget = 4000.0
 
+    def client_left(self):
+        return False
+
     def __init__(self):
         self.served = self.refused = self.failed = lambda *told: None
 
--- a/tests/test_crossings_hold_up.py
+++ b/tests/test_crossings_hold_up.py
@@ -5,12 +5,14 @@
 
 import asyncio
 import re
+import socket
+import time
 from asyncio import selector_events
 from dataclasses import dataclass
 
 import pytest
 
-from brassfall.balancer.model import Fail, Send, Timer
+from brassfall.balancer.model import Fail, Outcome, Send, Timer
 from brassfall.sidecar import driver
 from brassfall.sidecar.endpoint_list import parse_list
 from tests.loopback import (
@@ -164,3 +166,29 @@
         app.close()
     assert all(write.at <= ends for write in held.writes)
     assert answer.start.split(" ")[1] == ("200" if before_ms > HOLD_UP_MS else "502")
+
+
+@pytest.mark.parametrize("late", ["a retry", "a hedged request"])
+@loopback
+async def test_no_attempt_begins_for_a_client_that_closed_while_the_process_stood_still(late):
+    """Its end lies unread when the next attempt is due on a connection that is ready: the loop runs what is
+    due before it reads."""
+    first, second = await Upstream([hang]).start(), await Upstream([OK]).start()
+    targets = iter(["s1", "s0"])
+    module = Scripted(request=lambda now, arrival: [Send(arrival.request, next(targets), 0.0)])
+    async with running(first, second, balancer=module) as sidecar:
+        await (await App.connect(sidecar.address)).ask()  # a connection to s1 is idle from now on
+        app = await App.connect(sidecar.address)
+        app.send()
+        await until(lambda: first.seen)
+        await asyncio.sleep(0.03)
+        number = module.named("request")[1][0].request
+        app.writer.get_extra_info("socket").shutdown(socket.SHUT_RDWR)  # at once, not in the next turn
+        time.sleep(0.15)
+        if late == "a retry":
+            first.writers[0].transport.abort()
+        sidecar.driver._act(Send(number, "s1", 0.0))
+        await until(lambda: module.named("client_gone"))
+        await asyncio.sleep(0.05)
+        assert len(second.seen) == 1
+        assert [number, 1, Outcome.MOOT] in [row[:3] for row in module.named("outcome")]
