--- a/brassfall/sidecar/agent/member.py
+++ b/brassfall/sidecar/agent/member.py
@@ -10,15 +10,15 @@
 from typing import Any, Protocol
 
 from brassfall.balancer.model import Steer
-from brassfall.sidecar import config
+from brassfall.sidecar import config, reload
 from brassfall.sidecar.agent import rules
 from brassfall.sidecar.agent.agent import Agent
 from brassfall.sidecar.agent.delays import Delays
 from brassfall.sidecar.agent.lease_client import ActiveConfiguration, Revision
-from brassfall.sidecar.agent.lists import HeldList
+from brassfall.sidecar.agent.lists import EndpointList
 from brassfall.sidecar.agent.steering import NEUTRAL, Inputs, Steering
 from brassfall.sidecar.config import Config, ConfigError
-from brassfall.sidecar.driver import log
+from brassfall.sidecar.console import log
 
 LIST_LATE_S = 2.0  # changes of the list take far less on a watch that works
 
@@ -40,7 +40,7 @@
     def steer(self, steer: Steer) -> None:
         """Pick servers so from now on."""
 
-    def listings(self) -> HeldList:
+    def listings(self) -> EndpointList:
         """The list held."""
 
     @property
@@ -138,7 +138,7 @@
             return why
         try:
             laid = rules.laid(revision.settings)
-            config.successor(self._process.running, self._over(self._file, laid), self._process.busy)
+            reload.successor(self._process.running, self._over(self._file, laid), self._process.busy)
         except ConfigError as error:
             return str(error)
         except Exception as error:
--- a/brassfall/sidecar/client_connection.py
+++ b/brassfall/sidecar/client_connection.py
@@ -13,7 +13,7 @@
 from brassfall.sidecar import framing
 from brassfall.sidecar.body import MAX_BUFFERED, MAX_FLOWING, Body, Budget
 from brassfall.sidecar.client_request import ClientRequest, RequestHandler
-from brassfall.sidecar.driver import Clock
+from brassfall.sidecar.clock import Clock
 from brassfall.sidecar.read_control import Hold, ReadControl
 from brassfall.sidecar.request_message import BadRequestError, RequestMessage, Reservation
 from brassfall.sidecar.request_parser import RequestParser
@@ -486,7 +486,7 @@
             more = message.size / BODY_BYTES_PER_S
             if not self.readable:
                 # More time comes with each byte to a client that goes on sending, not to one that stopped.
-                heard_at = max(self._owner.clock.at(self._read_at), self.read_control.resumed_at)
+                heard_at = max(self._owner.clock.to_loop(self._read_at), self.read_control.resumed_at)
                 more = min(more, max(0.0, heard_at + STOPPED_MS / 1000.0 - until))
             until += more
         return until + RESUME_S if self.read_control.held else until
--- a/brassfall/sidecar/inbound.py
+++ b/brassfall/sidecar/inbound.py
@@ -8,9 +8,10 @@
 from brassfall.sidecar.body import Budget
 from brassfall.sidecar.client_connection import ClientConnection
 from brassfall.sidecar.client_request import ClientRequest, RequestHandler
-from brassfall.sidecar.config import Address, Config, Names
+from brassfall.sidecar.clock import Clock
+from brassfall.sidecar.config import Config
+from brassfall.sidecar.config_values import Address, Names
 from brassfall.sidecar.connection_limits import RESERVED, ConnectionLimits, by_least_progress
-from brassfall.sidecar.driver import Clock
 from brassfall.sidecar.known_classes import KnownClasses
 from brassfall.sidecar.lifecycle import Lifecycle
 from brassfall.sidecar.listener import Listener, bound, inherited
@@ -82,7 +83,7 @@
         self.classes.replace(names, deadline_ms)
 
     @property
-    def bands(self) -> set[int]:
+    def request_classes(self) -> set[int]:
         """The classes that clients may name."""
         return self.classes.slots
 
--- a/brassfall/sidecar/request_checks.py
+++ b/brassfall/sidecar/request_checks.py
@@ -7,7 +7,7 @@
 import math
 import re
 
-from brassfall.sidecar.config import Names, RequestClass
+from brassfall.sidecar.config_values import Names, RequestClass
 from brassfall.sidecar.request_message import BadRequestError, RequestMessage
 
 BUDGET = re.compile(r"(\d{1,12}(?:\.\d{1,6})?)([mu])")  # in milliseconds or microseconds
--- a/tests/test_agreement_agent.py
+++ b/tests/test_agreement_agent.py
@@ -16,10 +16,12 @@
 from brassfall.sidecar.agent import rules
 from brassfall.sidecar.agent.agent import Agent
 from brassfall.sidecar.agent.lease_client import ActiveConfiguration, LeaseClient
-from brassfall.sidecar.agent.lists import HeldList
+from brassfall.sidecar.agent.lists import EndpointList
 from brassfall.sidecar.agent.member import FleetMember
 from brassfall.sidecar.agent.steering import Steering
-from brassfall.sidecar.config import Address, Agreement, ConfigError, ServerList
+from brassfall.sidecar.config import Agreement, ConfigError
+from brassfall.sidecar.config_values import Address
+from brassfall.sidecar.endpoint_list import ServerList
 from tests.loopback import told
 
 RARELY_MS, SOON_S = 9_000.0, 3.0  # a report in time would come after 6 s or more
@@ -165,7 +167,7 @@
     assert asyncio.run(_left())["leaving"]
 
 
-NAMES = SimpleNamespace(zones={"a": 0}, classes={"c": SimpleNamespace(band=0)}, tenants={"t": 0})
+NAMES = SimpleNamespace(zones={"a": 0}, classes={"c": SimpleNamespace(slot=0)}, tenants={"t": 0})
 STRANGE = [
     {"settings": {key: value}}
     for key, value in [
@@ -189,7 +191,7 @@
     client = LeaseClient("l", rules.unknown)
     client.receive_update({"edition": 5, "state": "prepared", "committed": {"edition": 4}, **strange})
     assert "does not know this form" in client.report(0.0)["objection"]["reason"]
-    steering = Steering(Agreement(3000.0, "g", "a", {}), lambda: NAMES, HeldList)
+    steering = Steering(Agreement(3000.0, "g", "a", {}), lambda: NAMES, EndpointList)
     (_, odd), now = client.active(0.0).concurrent, 1.0
     for fallback in (True, False):
         for active in (
@@ -206,7 +208,7 @@
     def __init__(self):
         self.now, self.busy, self.list_version, self.steers = 0.0, (), 0, []
         self.running = told(raw={"fleet": {"registry": ["127.0.0.1:9"], "agreement": {"agree_ms": 3000}}})
-        self.listed = HeldList()
+        self.listed = EndpointList()
 
     def time(self):
         return self.now
--- a/tests/test_crossings_shutdown.py
+++ b/tests/test_crossings_shutdown.py
@@ -28,7 +28,7 @@
     listener,
     shutdown,
 )
-from brassfall.sidecar.config import parse_address
+from brassfall.sidecar.config_values import parse_address
 from tests.loopback import (
     OK,
     PATIENCE_S,
--- a/tests/test_sidecar_attempts.py
+++ b/tests/test_sidecar_attempts.py
@@ -13,8 +13,8 @@
 
 from brassfall.balancer.model import Cancel, CloseIdle, Outcome, Probe, Refuse, Send, Timer
 from brassfall.sidecar import client_request, driver, outbound, request_message, server_connection
-from brassfall.sidecar.config import parse_list
-from brassfall.sidecar.driver import Clock
+from brassfall.sidecar.clock import Clock
+from brassfall.sidecar.endpoint_list import parse_list
 from brassfall.sidecar.exchange import Exchange
 from tests.loopback import (
     OK,
