--- a/brassfall/sidecar/config.py
+++ b/brassfall/sidecar/config.py
@@ -26,7 +26,7 @@
 from brassfall.sidecar.endpoint_list import ServerList, parse_list
 
 RESERVED = 24  # descriptors for the log, the loop, discovery, peers and what opens for a moment
-DOOR_CALLERS = 8  # operators at the door at once; where there is a door, their descriptors are kept free
+MAX_ADMIN_CONNECTIONS = 8  # at once; where there is an admin endpoint, their descriptors are kept free
 FILE_MOST = 4 * 1024 * 1024
 AGREE_MS, AGREE_LEAST_MS, AGREE_MOST_MS = 3000.0, 100.0, 600_000.0
 OF_KEYED = frozenset(("KeyTtl", "Group"))  # the keys of a class that bind keyed ones alone
@@ -145,7 +145,7 @@
         else _needed_address(raw, "discovery", environment.get("NODE_DISCOVERY")),
         registry=registry,
         seed=seed,
-        limits=_limits(_object(raw, "limits"), RESERVED + (DOOR_CALLERS + 1 if operator else 0)),
+        limits=_limits(_object(raw, "limits"), RESERVED + (MAX_ADMIN_CONNECTIONS + 1 if operator else 0)),
         peer_listen=_address_in(raw, "peer_listen"),
         peers=peers,
         peers_all=_address_in(raw, "peers_all"),
--- a/brassfall/sidecar/handover.py
+++ b/brassfall/sidecar/handover.py
@@ -8,21 +8,24 @@
 from brassfall.sidecar.config_values import stable_number
 from brassfall.sidecar.console import log
 
-SERVES, COMES = "lock", "next"
+SERVING_SUFFIX, NEXT_SUFFIX = "lock", "next"
 # The name of earlier versions: during an upgrade, processes of both look at the same files.
 LOCK_PREFIX = "fordtrestle-"
+DEFAULT_FOLDER = "/tmp"
 
 
-class Lock:
-    """A file's lock; the system frees it when its holder ends, however that is."""
+class FileLock:
+    """An exclusive lock on a file; the system frees it when its owner ends, however that is."""
 
     def __init__(self, path: str) -> None:
+        """A lock on the file at `path`, which is not acquired yet."""
+        self.owned = False
         self._path = path
         self._file: int | None = None
-        self.held = False
 
-    def take(self) -> bool:
-        """Whether it is held from now on. Where that can't be told, this process is taken to be alone."""
+    def acquire(self) -> bool:
+        """Whether this process owns it from now on; never waits. Where that can't be told, this process is
+        taken to be alone."""
         try:
             if self._file is None:
                 self._file = os.open(self._path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
@@ -30,41 +33,42 @@
         except BlockingIOError:
             return False
         except OSError as error:
-            if not self.held:
+            if not self.owned:
                 log(f"handover: {self._path}: {error.strerror}; name a TMPDIR that can be written")
-        self.held = True
+        self.owned = True
         return True
 
-    def leave(self) -> None:
+    def release(self) -> None:
         """Free it."""
-        self.held = False
+        self.owned = False
         if self._file is not None:
             os.close(self._file)
             self._file = None
 
 
-class Seat:
-    """The place of the process that serves, and that of the one which is to replace it."""
+class Handover:
+    """The lock of the process that serves, and that of the one which is to replace it."""
 
     def __init__(self, folder: str | None, name: str) -> None:
+        """Look in this folder for other processes of the sidecar of this name."""
         # Where the folder is everybody's, another sidecar's processes are no concern of this one's.
-        path = os.path.join(folder or "/tmp", f"{LOCK_PREFIX}{stable_number(name):x}.")
-        self._serves = Lock(path + SERVES)
-        self._comes = Lock(path + COMES)
+        path = os.path.join(folder or DEFAULT_FOLDER, f"{LOCK_PREFIX}{stable_number(name):x}.")
+        self._serving = FileLock(path + SERVING_SUFFIX)
+        self._next = FileLock(path + NEXT_SUFFIX)
 
-    def shared(self) -> bool:
+    def other_process_lives(self) -> bool:
         """Whether another process of this sidecar lives. Looks again each time it is asked."""
-        if not self._serves.held:
-            if not self._serves.take():
-                self._comes.take()
+        if not self._serving.owned:
+            if not self._serving.acquire():
+                self._next.acquire()
                 return True
-            self._comes.leave()
-        free = self._comes.take()
-        if free:
-            self._comes.leave()
-        return not free
+            self._next.release()
+        alone = self._next.acquire()
+        if alone:
+            self._next.release()
+        return not alone
 
-    def leave(self) -> None:
-        """Give the place up at the end."""
-        self._serves.leave()
-        self._comes.leave()
+    def release(self) -> None:
+        """Free both locks at the end."""
+        self._serving.release()
+        self._next.release()
--- a/brassfall/sidecar/inbound.py
+++ b/brassfall/sidecar/inbound.py
@@ -14,7 +14,7 @@
 from brassfall.sidecar.connection_limits import RESERVED, ConnectionLimits, by_least_progress
 from brassfall.sidecar.known_classes import KnownClasses
 from brassfall.sidecar.lifecycle import Lifecycle
-from brassfall.sidecar.listener import Listener, bound, inherited
+from brassfall.sidecar.listener import Listener, inherited_socket, listening_socket
 from brassfall.sidecar.request_message import BadRequestError, RequestMessage
 
 READY_PATH = b"/health/ready"
@@ -56,7 +56,7 @@
         self._machine_limits = config.limits
         self.limits: ConnectionLimits
         self.share(1.0)
-        self._listener: Listener | None = None
+        self.listener: Listener | None = None
         self._own = True  # the listening socket, which no other process has
         self._ending = False
 
@@ -65,11 +65,11 @@
 
         Raises `OSError` if the address can't be had."""
         self._own = descriptor is None
-        sock = bound(address) if descriptor is None else inherited(descriptor)
-        self._listener = Listener(
+        sock = listening_socket(address) if descriptor is None else inherited_socket(descriptor)
+        self.listener = Listener(
             self.loop, sock, lambda: ClientConnection(self), self._capacity, lambda: self.make_room(1)
         )
-        return self._listener.address
+        return self.listener.address
 
     def share(self, part: float) -> None:
         """Hold no more than what a process with this part of all memory and descriptors may."""
@@ -97,12 +97,12 @@
         """Take no new connection but those that the system has accepted for this process alone; each
         answer from now on is the last on its own."""
         self.last_answers()
-        if self._listener is None:
+        if self.listener is None:
             return
         if self._own:
-            self._listener.finish()
+            self.listener.finish()
         else:
-            self._listener.close()
+            self.listener.close()
 
     @property
     def closing(self) -> bool:
@@ -135,20 +135,20 @@
     @property
     def empty(self) -> bool:
         """Whether all connections are closed, those included that are only just accepted."""
-        return not (self._accepting_rest or self._connections or self._leaving or self._settling)
+        return not (self._accepting_rest or self._connections or self._leaving or self._opening)
 
     @property
     def _accepting_rest(self) -> bool:
-        return self._listener is not None and self._listener.finishing
+        return self.listener is not None and self.listener.finishing
 
     @property
-    def _settling(self) -> int:
-        return 0 if self._listener is None else self._listener.settling
+    def _opening(self) -> int:
+        return 0 if self.listener is None else self.listener.opening
 
     def close(self) -> None:
         """Close all at the end."""
-        if self._listener is not None:
-            self._listener.close()
+        if self.listener is not None:
+            self.listener.close()
         self.classes.close()
         if self._sweep is not None:
             self._sweep.cancel()
@@ -172,7 +172,7 @@
         """A new connection is up; in a crowd one that makes no progress gives way to it."""
         now = connection.quiet_since = self.clock.now()
         if len(self._connections) >= self.limits.open:
-            self.make_room(max(1, self._settling))  # for those too that came with it: one look is dear
+            self.make_room(max(1, self._opening))  # for those too that came with it: one look is dear
         elif (
             len(self._connections) >= self.limits.crowded and now >= self._look_from and not self.make_room(1)
         ):
--- /dev/null
+++ b/brassfall/sidecar/sidecar.py
@@ -0,0 +1,215 @@
+"""All parts of one sidecar, wired together: it starts, is ready, reloads, drains and closes."""
+
+from __future__ import annotations
+
+import asyncio
+import os
+from collections.abc import Mapping
+from typing import TYPE_CHECKING
+
+from brassfall.balancer.model import Steer
+from brassfall.sidecar import config, reload, shutdown
+from brassfall.sidecar.admin import AdminEndpoint
+from brassfall.sidecar.clock import Clock
+from brassfall.sidecar.config import Config, ConfigError
+from brassfall.sidecar.config_values import Address
+from brassfall.sidecar.console import log
+from brassfall.sidecar.discovery import Discovery
+from brassfall.sidecar.driver import Driver
+from brassfall.sidecar.endpoint_list import ServerList
+from brassfall.sidecar.handover import Handover
+from brassfall.sidecar.inbound import Inbound
+from brassfall.sidecar.lifecycle import Lifecycle, State
+from brassfall.sidecar.listener import retry_while_exhausted
+from brassfall.sidecar.outbound import Pool
+from brassfall.sidecar.peers import Peers
+
+if TYPE_CHECKING:
+    from brassfall.sidecar.agent.lists import EndpointList
+    from brassfall.sidecar.agent.member import FleetMember
+
+HANDOVER_POLL_S = 0.25  # for another process of this sidecar, which takes longer to start
+# A process that replaces another says yes within 6 s; the balancer asks discovery within 2.5 s.
+FIRST_LIST_S = 4.0
+FIRST_CALL_S = 1.0  # for an agent that takes the call and says nothing
+
+
+class Sidecar:
+    """One sidecar in this process; all of it runs on one event loop."""
+
+    def __init__(self, loop: asyncio.AbstractEventLoop, configuration: Config) -> None:
+        """Wire the parts; nothing is listened on, and nobody called, before `start`."""
+        self._loop = loop
+        self._running = configuration
+        self._clock = Clock(loop)
+        self.lifecycle = Lifecycle()
+        self._shares_machine = False  # with another process of this sidecar
+        self._reload_due = False  # the file was replaced while this process was starting
+        self._handover_timer: asyncio.TimerHandle | None = None
+        inherits = configuration.inherited is not None
+        self.handover = Handover(os.environ.get("TMPDIR"), configuration.name) if inherits else None
+        self.admin = AdminEndpoint(loop, self.lifecycle)
+        self.driver = Driver(loop, self._clock, configuration)
+        self.admin.add_command("REFUSALS", lambda: self.driver.refusals)
+        self.pool = Pool(loop, self._clock, configuration)
+        self.discovery = Discovery(loop, configuration, self._server_list)
+        if configuration.registry:
+            self.admin.add_command("LIST", lambda: self.discovery.state)
+        self.inbound = Inbound(loop, self._clock, configuration, self.driver, self.lifecycle)
+        self.peers = Peers(configuration, self.driver.peer_message)
+        self.member = self._member() if configuration.agreement is not None else None
+
+    def _member(self) -> FleetMember:
+        """This process as a member of the fleet, where it is one; the code is loaded only then."""
+        from brassfall.sidecar.agent.member import FleetMember
+
+        member = FleetMember(self._loop, self, os.environ)
+        member.agent.report_extensions.append(self.discovery.report)
+        if self._running.agreement is not None and self._running.agreement.group:
+            self.pool.delays = member.delays
+        self.driver.revision_stamp = self.pool.stamp = member.stamp_at(self._loop)
+        self.admin.add_command("RULES", lambda: member.agent.state)
+        return member
+
+    def _server_list(self, form: str, servers: ServerList | None) -> None:
+        self.driver.server_list(form, servers)
+        if self.member is not None:
+            self.member.listed(self._loop.time())
+
+    # --- what the member of a fleet asks (agent.member.Process) -------------------
+
+    def steer(self, steer: Steer) -> None:
+        """Pick servers by this plan from now on."""
+        self.driver.steer(steer)
+
+    def listings(self) -> EndpointList:
+        """The endpoint list; there is one wherever this process is a member of a fleet."""
+        endpoints = self.discovery.endpoints()
+        assert endpoints is not None
+        return endpoints
+
+    @property
+    def list_version(self) -> int:
+        """The version of the endpoint list."""
+        return self.discovery.version
+
+    def ask_for_list(self) -> None:
+        """Ask for the endpoint list anew: what tells of changes has fallen behind."""
+        self.discovery.reopen()
+
+    @property
+    def running(self) -> Config:
+        """What this process runs on."""
+        return self._running
+
+    @property
+    def busy(self) -> set[int]:
+        """The slots of classes that requests or clients still name."""
+        return self.driver.request_classes | self.inbound.request_classes
+
+    def adopt(self, configuration: Config) -> None:
+        """Run on another configuration from now on; raises `ConfigError` if it can't replace this one."""
+        successor = reload.successor(self._running, configuration, self.busy)
+        for name in successor.pending_restart:
+            log(f"reload: {name} stays as it was until a restart")
+        longest_ms, self._running = self._longest_deadline_ms(), successor.config
+        self.driver.reload(self._running, successor.same_classes)
+        self.pool.reload(self._running)
+        self.inbound.reload(self._running.names, longest_ms)
+        self.discovery.move(self._running.discovery, self._running.registry)
+
+    # --- start, reload and end ------------------------------------------------------
+
+    async def start(self) -> Address:
+        """Be ready: the known list is taken in before the first request; where it listens.
+
+        Raises `OSError` if an address can't be had. Cancelling leaves what is open to `close`."""
+        await retry_while_exhausted(self._listen_to_operators)
+        await retry_while_exhausted(lambda: self.peers.listen(self._loop))
+        self.driver.connect(self.pool, self.discovery, self.peers)
+        self.discovery.start()
+        if self.member is not None:
+            self.member.agent.start()
+        if self._share_machine():
+            log("another process of this sidecar serves: waiting for the list before taking clients")
+            # The other one sees this one at its next look, and makes room then.
+            await asyncio.gather(self.discovery.first_answer(FIRST_LIST_S), asyncio.sleep(HANDOVER_POLL_S))
+        else:
+            await self.discovery.first_call(FIRST_CALL_S)
+        address = await retry_while_exhausted(self._listen_to_clients)
+        self.lifecycle.serve()
+        if self._reload_due:
+            self.reload(os.environ)
+        return address
+
+    async def _listen_to_operators(self) -> None:
+        if self._running.operator is not None:
+            self.admin.listen(self._running.operator)
+
+    async def _listen_to_clients(self) -> Address:
+        return self.inbound.listen(self._running.listen, self._running.inherited)
+
+    def _share_machine(self) -> bool:
+        """Hold half of all while another process of this sidecar lives; whether one does."""
+        if self.handover is None:
+            return False
+        shares = self.handover.other_process_lives()
+        if shares != self._shares_machine:
+            self._shares_machine = shares
+            part = 0.5 if shares else 1.0
+            self.pool.share(part)
+            self.inbound.share(part)
+        self._handover_timer = self._loop.call_later(HANDOVER_POLL_S, self._share_machine)
+        return shares
+
+    def reload(self, environment: Mapping[str, str]) -> None:
+        """The configuration file was replaced: it is taken whole, or not at all.
+
+        The file has the last word on discovery, since the environment is still that of the start."""
+        if self.lifecycle.state is State.STARTING:
+            self._reload_due = True  # looked at once all parts are there
+            return
+        try:
+            file = config.load({**environment, "NODE_DISCOVERY": ""})
+            self.adopt(file if self.member is None else self.member.over(file))
+        except ConfigError as error:
+            log(f"reload: {error}; nothing is changed; mend the file and send SIGHUP again")
+            return
+        if self.member is not None:
+            self.member.file_read(file)
+        log(f"reload: done, classes {', '.join(self._running.names.classes)}")
+
+    def _longest_deadline_ms(self) -> float:
+        """The longest deadline of the classes that there are now: slots of classes that a reload left out are
+        no longer counted by whoever ends the process."""
+        slots = {found.slot for found in self._running.names.classes.values()}
+        return max(self._running.settings.profiles[slot].deadline for slot in slots)
+
+    async def drain(self) -> None:
+        """Stop listening, finish what was taken, close connections between requests.
+
+        Cancelling leaves the rest to `close`."""
+        self.lifecycle.stop()
+        log("stopping: finishing what was taken")
+        await shutdown.drain(
+            self._clock,
+            self.inbound,
+            self.driver,
+            longest_deadline_ms=self._longest_deadline_ms(),
+            inherited=self._running.inherited is not None,
+        )
+
+    def close(self) -> None:
+        """Close what is left."""
+        log(f"closing, with {self.driver.in_flight or 'nothing'} still open")
+        self.admin.close()
+        self.inbound.close()
+        self.pool.close()
+        self.discovery.close()
+        if self.member is not None:
+            self.member.agent.close()
+        self.peers.close()
+        if self._handover_timer is not None:
+            self._handover_timer.cancel()
+        if self.handover is not None:
+            self.handover.release()
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -11,7 +11,7 @@
 
 from brassfall.balancer.model import Fail, Send
 from brassfall.sidecar import config, endpoint_list
-from brassfall.sidecar.__main__ import Sidecar
+from brassfall.sidecar.sidecar import Sidecar
 
 PATIENCE_S = 15.0
 BUDGET = "4000m"
--- a/tests/test_door.py
+++ b/tests/test_admin.py
@@ -1,4 +1,4 @@
-"""The operators' door and the drain that it starts, on a sidecar in this process."""
+"""The admin endpoint and the drain that it starts, on a sidecar in this process."""
 
 from __future__ import annotations
 
@@ -9,16 +9,17 @@
 
 from brassfall.balancer.balancer import REASONS
 from brassfall.sidecar import admin, inbound
-from brassfall.sidecar.config import DOOR_CALLERS
-from brassfall.sidecar.lifecycle import Impossible, Lifecycle, State
+from brassfall.sidecar.config import MAX_ADMIN_CONNECTIONS
+from brassfall.sidecar.lifecycle import InvalidTransitionError, Lifecycle, State
 from tests.loopback import OK, PATIENCE_S, App, Upstream, loopback, running, until
+from tests.system_calls import ACCEPT_ERRORS, Faults
 
-DOOR = {"operator": "127.0.0.1:0"}
+ADMIN = {"operator": "127.0.0.1:0"}
 
 
 async def call(made, line):
-    """What the door answers to these bytes, until it closes."""
-    reader, writer = await asyncio.open_connection(*made.door.address)
+    """What the endpoint answers to these bytes, until it closes."""
+    reader, writer = await asyncio.open_connection(*made.admin.address)
     try:
         writer.write(line)
         async with asyncio.timeout(PATIENCE_S):
@@ -39,7 +40,7 @@
     life, seen = Lifecycle(), []
     life.on_change(lambda: seen.append(life.state))
     for change in (life.drain, life.rejoin):
-        with pytest.raises(Impossible, match="starting"):
+        with pytest.raises(InvalidTransitionError, match="starting"):
             change()
     life.serve()
     life.drain()
@@ -48,27 +49,27 @@
     life.rejoin()
     life.stop()
     for change in (life.drain, life.rejoin):
-        with pytest.raises(Impossible, match="stopping"):
+        with pytest.raises(InvalidTransitionError, match="stopping"):
             change()
     life.serve()  # the end of a start that was stopped meanwhile
     assert seen == [State.SERVING, State.LAME_DUCK, State.SERVING, State.STOPPING]
-    assert not life.ready and not life.taking
+    assert not life.ready and not life.accepting
 
 
 @loopback
 async def test_each_call_gets_one_line():
-    async with running(raw=DOOR) as made:
+    async with running(raw=ADMIN) as made:
         for line in (b"PING\n", b"PING\r\n", b"PING\nLAMEDUCK\n"):
             assert await call(made, line) == b"done serving\n"
         for line in (b"NONSENSE\n", b"\n", b"ping\n", b"\xff\xfe\n", b"PING PING\n", b"x" * 5000):
             answer = await call(made, line)
             assert answer.startswith(b"error ") and answer.count(b"\n") == 1, line
-        assert made.life.ready
+        assert made.lifecycle.ready
 
 
 @loopback
 async def test_refusals_are_told_by_reason():
-    async with running(raw=DOOR) as made:
+    async with running(raw=ADMIN) as made:
         app = await App.connect(made.address)
         assert (await app.ask()).start.split(" ")[1] in ("429", "503")  # no server is known
         told = (await call(made, b"REFUSALS\n")).decode().split()
@@ -78,40 +79,51 @@
 
 @loopback
 async def test_half_a_line_is_no_call():
-    async with running(raw=DOOR) as made:
-        reader, writer = await asyncio.open_connection(*made.door.address)
+    async with running(raw=ADMIN) as made:
+        reader, writer = await asyncio.open_connection(*made.admin.address)
         writer.write(b"LAMEDUCK")
         writer.write_eof()
         assert (await reader.read()).startswith(b"error")
-        assert made.life.ready
+        assert made.lifecycle.ready
         writer.close()
 
 
 @loopback
 async def test_callers_that_finish_nothing_hold_up_nobody():
-    async with running(raw=DOOR) as made:
-        silent = [await asyncio.open_connection(*made.door.address) for _ in range(3 * DOOR_CALLERS)]
+    async with running(raw=ADMIN) as made:
+        silent = [
+            await asyncio.open_connection(*made.admin.address) for _ in range(3 * MAX_ADMIN_CONNECTIONS)
+        ]
         for _, writer in silent[::2]:
             writer.write(b"PI")
         assert await call(made, b"PING\n") == b"done serving\n"
         assert (await silent[0][0].read()).startswith(b"error")  # the oldest made room
-        assert len(made.door._callers) <= DOOR_CALLERS
+        assert made.admin.connections <= MAX_ADMIN_CONNECTIONS
         for _, writer in silent:
             writer.transport.abort()
-        await until(lambda: not made.door._callers)
+        await until(lambda: not made.admin.connections)
 
 
 @loopback
 async def test_a_caller_that_says_nothing_is_let_go(monkeypatch):
-    monkeypatch.setattr(admin, "PATIENCE_S", 0.05)
-    async with running(raw=DOOR) as made:
+    monkeypatch.setattr(admin, "COMMAND_S", 0.05)
+    async with running(raw=ADMIN) as made:
         assert (await call(made, b"")).startswith(b"error")
 
 
 @loopback
-async def test_without_an_address_there_is_no_door():
+async def test_a_failed_accept_costs_no_command():
+    async with running(raw=ADMIN) as made:
+        with Faults() as faults:
+            faults.script("accept", *ACCEPT_ERRORS, on=lambda sock: sock.getsockname() == made.admin.address)
+            assert await call(made, b"PING\n") == b"done serving\n"
+        assert faults.injected.total() == len(ACCEPT_ERRORS)
+
+
+@loopback
+async def test_without_an_address_there_is_no_admin_endpoint():
     async with running() as made:
-        assert made.door.address is None
+        assert made.admin.address is None
 
 
 @loopback
@@ -124,7 +136,7 @@
         return OK
 
     upstream = await Upstream([wait, OK]).start()
-    async with running(upstream, raw=DOOR) as made:
+    async with running(upstream, raw=ADMIN) as made:
         busy, idle, used = [await App.connect(made.address) for _ in range(3)]
         busy.send()
         await until(lambda: upstream.seen)
@@ -153,7 +165,7 @@
 @loopback
 async def test_a_rejoin_in_the_middle_keeps_connections(monkeypatch):
     monkeypatch.setattr(inbound, "SENT_AWAY_S", 0.1)
-    async with running(raw=DOOR) as made:
+    async with running(raw=ADMIN) as made:
         idle = await App.connect(made.address)
         await until(lambda: not made.inbound.empty)
         await call(made, b"LAMEDUCK\n")
@@ -165,10 +177,10 @@
 
 @loopback
 async def test_there_is_no_way_back_from_a_stop():
-    async with running(raw=DOOR) as made:
+    async with running(raw=ADMIN) as made:
         await call(made, b"LAMEDUCK\n")
         stopping = asyncio.create_task(made.drain())
-        await until(lambda: made.life.state is State.STOPPING)
+        await until(lambda: made.lifecycle.state is State.STOPPING)
         for line in (b"REJOIN\n", b"LAMEDUCK\n", b"PING\n"):
             assert await call(made, line) == b"error the process is stopping\n"
         assert await health(made) == "503"
--- a/tests/test_crossings_configuration.py
+++ b/tests/test_crossings_configuration.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from brassfall.sidecar import __main__ as main
 from brassfall.sidecar import config, reload
+from brassfall.sidecar.sidecar import Sidecar
 from tests.loopback import SETTINGS, entry, listed, loopback
 from tests.processes import environment, start_fails
 
@@ -167,8 +167,8 @@
 
 @loopback
 async def test_at_a_reload_nothing_is_changed_and_the_line_says_what_to_mend(tmp_path, capsys):
-    made = main.Sidecar(asyncio.get_running_loop(), config.parse(WHOLE, {}))
-    made.life.serve()
+    made = Sidecar(asyncio.get_running_loop(), config.parse(WHOLE, {}))
+    made.lifecycle.serve()
     before = made.running
     path = tmp_path / "config.json"
     for at, value in (
--- a/tests/test_crossings_discovery.py
+++ b/tests/test_crossings_discovery.py
@@ -21,9 +21,9 @@
 
 from brassfall.balancer.model import Listing, Outcome, Watch
 from brassfall.sidecar import config_values, registry_channel
-from brassfall.sidecar.__main__ import Sidecar
 from brassfall.sidecar.endpoint_list import ServerList
 from brassfall.sidecar.interfaces import Answer, Result
+from brassfall.sidecar.sidecar import Sidecar
 from brassfall.sidecar.start_times import FORGET_MS, StartTimes
 from tests.loopback import Registry, entry, listed, loopback, running, told, until
 from tests.system_calls import BROKEN, CONNECT_ERRORS, SOCKET_ERRORS, Faults
--- a/tests/test_crossings_inbound.py
+++ b/tests/test_crossings_inbound.py
@@ -227,10 +227,9 @@
 @contextlib.asynccontextmanager
 async def not_accepting(sidecar):
     """Connections wait in the kernel meanwhile."""
-    loop, listener = asyncio.get_running_loop(), sidecar.inbound._listener
-    loop.remove_reader(listener._sock.fileno())
+    sidecar.inbound.listener.pause(PATIENCE_S)
     yield
-    loop.add_reader(listener._sock.fileno(), listener._accept)
+    sidecar.inbound.listener.resume()
 
 
 @LEAVE
--- a/tests/test_crossings_shutdown.py
+++ b/tests/test_crossings_shutdown.py
@@ -18,7 +18,6 @@
 import pytest
 
 from brassfall.balancer.model import Fail
-from brassfall.sidecar import __main__ as main
 from brassfall.sidecar import (
     client_connection,
     client_request,
@@ -29,6 +28,7 @@
     shutdown,
 )
 from brassfall.sidecar.config_values import parse_address
+from brassfall.sidecar.sidecar import Sidecar
 from tests.loopback import (
     OK,
     PATIENCE_S,
@@ -198,7 +198,7 @@
 async def test_what_only_the_system_has_accepted_is_answered_before_the_end(at_once):
     upstream = await Upstream([OK]).start()
     async with running(upstream) as made:
-        made.inbound._listener._rest(PATIENCE_S)  # it accepts nothing by itself
+        made.inbound.listener.pause(PATIENCE_S)  # it accepts nothing by itself
         crossed = connected(made.address, 3)
         for sock in crossed:
             sock.sendall(request())
@@ -222,7 +222,7 @@
     # One failed accept had the listening socket closed, and all that waited behind it was reset.
     upstream = await Upstream([OK]).start()
     async with running(upstream) as made:
-        made.inbound._listener._rest(PATIENCE_S)  # it accepts nothing by itself
+        made.inbound.listener.pause(PATIENCE_S)  # it accepts nothing by itself
         crossed = connected(made.address, 4)
         for sock in crossed:
             sock.sendall(request())
@@ -246,8 +246,8 @@
 
     upstream = await Upstream([wait]).start()
     async with running(upstream) as made:
-        made.inbound._listener._room = lambda: 3 - len(held(made))
-        made.inbound._listener._rest(PATIENCE_S)
+        made.inbound.listener._capacity = lambda: 3 - len(held(made))
+        made.inbound.listener.pause(PATIENCE_S)
         crossed = connected(made.address, 5)
         for sock in crossed:
             sock.sendall(request())
@@ -291,7 +291,7 @@
 
 @loopback
 async def test_while_it_serves_failed_accepts_lose_nobody(monkeypatch):
-    monkeypatch.setattr(listener, "AGAIN_S", 0.001)
+    monkeypatch.setattr(listener, "EXHAUSTED_PAUSE_S", 0.001)
     upstream = await Upstream([OK]).start()
     async with running(upstream) as made:
         with Faults(seed=7) as faults:
@@ -328,7 +328,7 @@
         made.inbound.stop_listening()
         listening = socket.create_server(("127.0.0.1", 0))
         address = made.inbound.listen(made.address, os.dup(listening.fileno()))
-        made.inbound._listener._rest(PATIENCE_S)
+        made.inbound.listener.pause(PATIENCE_S)
         (waits,) = connected(address, 1)
         made.inbound.stop_listening()
         assert made.inbound.empty
@@ -497,7 +497,7 @@
 @loopback
 async def test_a_file_that_is_replaced_while_it_starts_is_taken_once_it_has(tmp_path, monkeypatch):
     old, new = await Registry(current=True).start(), await Registry(current=True).start()
-    made = main.Sidecar(asyncio.get_running_loop(), told(registry=old.address))
+    made = Sidecar(asyncio.get_running_loop(), told(registry=old.address))
     raw = json.loads(Path(environment(tmp_path, discovery=new.address)["NODE_CONFIG"]).read_text())
     (tmp_path / "config.json").write_text(json.dumps(raw))
     monkeypatch.setenv("NODE_CONFIG", str(tmp_path / "config.json"))
@@ -720,7 +720,7 @@
     for _ in range(2):
         one = told(registry=registry.address)
         one = replace(one, inherited=os.dup(listening.fileno()))
-        made.append(main.Sidecar(asyncio.get_running_loop(), one))
+        made.append(Sidecar(asyncio.get_running_loop(), one))
     old, new = made
     await old.start()
     whole = old.inbound.limits.open
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -311,7 +311,7 @@
         head = await app.reader.readuntil(b"\r\n\r\n")
         assert head.startswith(b"HTTP/1.1 200")
         await asyncio.sleep(0.4)  # past the client's time
-        sidecar.life.drain()
+        sidecar.lifecycle.drain()
         more.set()
         app.reader._buffer[:0] = head  # whole again, for the one that reads it
         assert await answer_of(app) == (200, LARGE)
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -152,6 +152,10 @@
 SETTINGS = "brassfall.balancer.Settings"
 
 
+def own(*names: str) -> set[str]:
+    return {f"brassfall.sidecar.{name}" for name in names}
+
+
 def fleet(*names: str) -> set[str]:
     return {f"{FLEET}.{name}" for name in names}
 
@@ -237,6 +241,16 @@
                 VALUES,
             },
         ),
+        (
+            "sidecar.py",
+            {
+                *own("admin", "agent.lists", "agent.member", "clock", "config", "config_values", "console"),
+                *own("discovery", "driver", "endpoint_list", "handover", "inbound", "lifecycle", "listener"),
+                *own("outbound", "peers", "reload", "shutdown"),
+                MODEL,
+            },
+        ),
+        ("__main__.py", own("config", "console", "sidecar")),
         ("shutdown.py", {CLOCK, INBOUND, "brassfall.sidecar.driver"}),
         ("agent/lists.py", {LIST, MODEL, VALUES}),
         ("agent/forms.py", set()),
@@ -416,7 +430,7 @@
     """It pays for no code of the control plane's client."""
     program = (
         "import asyncio, sys; from tests.loopback import told; "
-        "from brassfall.sidecar.__main__ import Sidecar; "
+        "from brassfall.sidecar.sidecar import Sidecar; "
         "asyncio.set_event_loop(loop := asyncio.new_event_loop()); Sidecar(loop, told()); "
         "print([name for name in sys.modules if name.startswith('brassfall.sidecar.agent')])"
     )
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -9,8 +9,8 @@
 import socket
 
 from brassfall.sidecar import config
-from brassfall.sidecar.__main__ import Sidecar
-from brassfall.sidecar.handover import Seat
+from brassfall.sidecar.handover import Handover
+from brassfall.sidecar.sidecar import Sidecar
 from tests.loopback import OK, SETTINGS, Registry, Upstream, entry, listed, loopback, until
 from tests.processes import Load, Platform, ping, yes
 
@@ -19,20 +19,20 @@
 async def test_a_second_process_takes_over_under_load_and_no_request_is_lost(tmp_path):
     upstream = await Upstream([OK]).start()
     platform = Platform(tmp_path, known=listed(1, entry("s0", upstream.address)))
-    old, door = await platform.start()
-    await yes(door)
+    old, admin = await platform.start()
+    await yes(admin)
     load = Load(platform.address)
     clients = [asyncio.create_task(load.client()) for _ in range(8)]
     await until(lambda: load.answered > 100)
 
     registry = await Registry().start()
     platform._changes["discovery"] = registry.address
-    new, door = await platform.start()
+    new, admin = await platform.start()
     await until(lambda: registry.watches)
     # It is there, and sees that another serves: it takes nobody before it has its list.
-    assert (await ping(door)).startswith(b"error")
+    assert (await ping(admin)).startswith(b"error")
     registry.tell(2, entry("s0", upstream.address), snapshot=True)
-    await yes(door)
+    await yes(admin)
     old.send_signal(signal.SIGTERM)
     _, said = await old.communicate()
     assert old.returncode == 0
@@ -57,12 +57,12 @@
 async def test_a_process_that_follows_a_killed_one_waits_for_nothing(tmp_path):
     # The old one's lock file stays, discovery can't be reached.
     platform = Platform(tmp_path)
-    old, door = await platform.start()
-    await yes(door)
+    old, admin = await platform.start()
+    await yes(admin)
     old.kill()
     await old.wait()
-    new, door = await platform.start()
-    await yes(door)
+    new, admin = await platform.start()
+    await yes(admin)
     new.terminate()
     _, said = await new.communicate()
     assert b"another process" not in said
@@ -70,24 +70,24 @@
 
 
 def test_two_processes_know_of_each_other(tmp_path):
-    old, new = Seat(str(tmp_path), "n0"), Seat(str(tmp_path), "n0")
-    assert not old.shared()
-    assert new.shared() and old.shared()
-    assert new.shared() and old.shared()
-    old.leave()
-    assert not new.shared()
-    third = Seat(str(tmp_path), "n0")
-    assert third.shared() and new.shared()
-    third.leave()  # it did not come to serve
-    assert not new.shared()
-    other = Seat(str(tmp_path), "n1")
-    assert not other.shared() and not new.shared()
-    other.leave()
-    new.leave()
+    old, new = Handover(str(tmp_path), "n0"), Handover(str(tmp_path), "n0")
+    assert not old.other_process_lives()
+    assert new.other_process_lives() and old.other_process_lives()
+    assert new.other_process_lives() and old.other_process_lives()
+    old.release()
+    assert not new.other_process_lives()
+    third = Handover(str(tmp_path), "n0")
+    assert third.other_process_lives() and new.other_process_lives()
+    third.release()  # it did not come to serve
+    assert not new.other_process_lives()
+    other = Handover(str(tmp_path), "n1")
+    assert not other.other_process_lives() and not new.other_process_lives()
+    other.release()
+    new.release()
 
 
 def test_a_folder_that_can_not_be_written_stops_no_start(tmp_path, capsys):
-    assert not Seat(str(tmp_path / "missing"), "n0").shared()
+    assert not Handover(str(tmp_path / "missing"), "n0").other_process_lives()
     assert "handover" in capsys.readouterr().err
 
 
@@ -106,9 +106,9 @@
     await old.start()
     whole = old.inbound.limits.open, old.inbound.budget.limit
     assert whole[1] == 10 * 2**20
-    monkeypatch.setattr("brassfall.sidecar.__main__.FIRST_LIST_S", 0.0)
+    monkeypatch.setattr("brassfall.sidecar.sidecar.FIRST_LIST_S", 0.0)
     await new.start()
-    await until(lambda: old._shared)
+    await until(lambda: old.inbound.limits.open < whole[0])
     held = 2 * 24
     for one in made:
         held += one.inbound.limits.open + one.pool._most
@@ -121,11 +121,11 @@
 
 
 def test_what_a_lock_file_holds_is_nobodys_concern(tmp_path):
-    old = Seat(str(tmp_path), "n0")
-    old.shared()
-    old.leave()
+    old = Handover(str(tmp_path), "n0")
+    old.other_process_lives()
+    old.release()
     for path in tmp_path.iterdir():
         path.write_text(json.dumps({"version": 99})[:-3])
-    seat = Seat(str(tmp_path), "n0")
-    assert not seat.shared()
-    seat.leave()
+    handover = Handover(str(tmp_path), "n0")
+    assert not handover.other_process_lives()
+    handover.release()
