--- a/brassfall/lab/models/delays.py
+++ b/brassfall/lab/models/delays.py
@@ -20,7 +20,7 @@
 class Sketch(Protocol):
     """What a sidecar gathers in."""
 
-    def handshake(self, region: str, ms: float, cold: bool) -> None: ...
+    def handshake(self, region: str, ms: float, *, cold: bool) -> None: ...
 
     def first_byte(self, region: str, ms: float, spent_ms: float) -> None: ...
 
@@ -127,7 +127,7 @@
             "same": (20 * size, 20 * size),
         }[kind]
     if rng.random() < terms.shakes:
-        world.sketches[edge].handshake(region, float(shake), False)
+        world.sketches[edge].handshake(region, float(shake), cold=False)
     world.sketches[edge].first_byte(region, float(way + spent), float(spent) if world.tells[region] else 0.0)
 
 
--- a/brassfall/sidecar/__main__.py
+++ b/brassfall/sidecar/__main__.py
@@ -163,9 +163,9 @@
             self.member.file_read(told)
         log(f"reload: done, classes {', '.join(self._told.names.classes)}")
 
-    def adopt(self, told: Config) -> None:
+    def adopt(self, found: Config) -> None:
         """Run on another configuration from now on; `ConfigError` if it can't take this one's place."""
-        news = reload.successor(self._told, told, self.busy)
+        news = reload.successor(self._told, found, self.busy)
         for name in news.pending_restart:
             log(f"reload: {name} stays as it was until a restart")
         longest, self._told = self._longest(), news.config
--- a/brassfall/sidecar/agent/agent.py
+++ b/brassfall/sidecar/agent/agent.py
@@ -116,7 +116,7 @@
             self.stamp = f"X-Edition: {active.acting}\r\n".encode()
         try:
             until = self._act(active, now)
-        except Exception:  # asked before each decision: a fault here would fail every request
+        except Exception:  # asked before each decision: a fault would fail every request
             log(f"agreement: {traceback.format_exc()}what was acted on before stays; report it")
             until = now + FAULT_S
         self.valid_until = min(self.valid_until, until)
@@ -155,7 +155,7 @@
             except CallError as error:
                 self._note_failure(str(error))
                 wait = self._wait_after(error)
-            except Exception as error:  # without reports, this sidecar would be on the fallback for good
+            except Exception as error:  # without reports it would stay on the fallback
                 self._note_failure(f"an answer that is none: {error!r}")
                 wait = min(wait, self._sources.failed())
             await pause(wait)
--- a/brassfall/sidecar/agent/deadlines.py
+++ b/brassfall/sidecar/agent/deadlines.py
@@ -97,16 +97,16 @@
         return tuple(bad)
 
     def _take(self, key: str, new: _Bounds, now_s: float) -> bool:
-        held = self._bounds.get(key)
-        if held is None and len(self._bounds) >= OVERRIDES_MOST:
+        known = self._bounds.get(key)
+        if known is None and len(self._bounds) >= OVERRIDES_MOST:
             self._forget(now_s)
             if len(self._bounds) >= OVERRIDES_MOST:
                 return False
         self.newest = max(self.newest, new.rev)
-        if held is None or new.rev > held[0].rev:
-            self._bounds[key] = [new, *(held or [])[: REVISIONS_MOST - 1]]
-        elif new.rev == held[0].rev:
-            old = held[0]
+        if known is None or new.rev > known[0].rev:
+            self._bounds[key] = [new, *(known or [])[: REVISIONS_MOST - 1]]
+        elif new.rev == known[0].rev:
+            old = known[0]
             if new.low_s > old.high_s:
                 return False  # a service that begins it anew, or one with another clock, prolongs nothing
             old.bound(max(old.low_s, new.low_s), min(old.high_s, new.high_s))
@@ -152,7 +152,7 @@
 
     def next_end(self, now_s: float) -> float | None:
         """When the phase of an override ends next, or None."""
-        rows = (bounds for held in self._bounds.values() for bounds in held)
+        rows = (bounds for known in self._bounds.values() for bounds in known)
         ends = (end for bounds in rows for end in (bounds.end_s, bounds.over_s))
         return min((end for end in ends if end > now_s), default=None)
 
@@ -168,7 +168,7 @@
         raise ValueError("no object")
     rev = row.get("rev")
     same_from = row.get("same_from", rev)
-    if not (whole(rev) and whole(same_from) and 0 < same_from <= rev):
+    if not (is_whole_number(rev) and is_whole_number(same_from) and 0 < same_from <= rev):
         raise ValueError("no revision")
     left_ms, slack_ms = row.get("left_ms"), row.get("slack_ms", 0)
     if not (_duration(left_ms) and _duration(slack_ms)) or slack_ms < 0:
@@ -181,6 +181,6 @@
     return number and -math.inf < value <= LONGEST_MS
 
 
-def whole(value: Any) -> TypeGuard[int]:
+def is_whole_number(value: Any) -> TypeGuard[int]:
     """Whether a value is a whole number, as JSON has them."""
     return isinstance(value, int) and not isinstance(value, bool)
--- a/brassfall/sidecar/agent/delays.py
+++ b/brassfall/sidecar/agent/delays.py
@@ -16,10 +16,8 @@
 LEAST_MS, MOST_MS = 0.05, 60_000.0
 BUCKETS = 1 + int(log(MOST_MS / LEAST_MS) / log(WIDTH))
 REGIONS_MOST = 64
-FIRST_SPAN_S, SPAN_MOST_MS = (
-    1.0,
-    3_600_000,
-)  # of a window: one whose start nobody timed, and the longest reported
+# The span of a window whose start nobody timed, and the longest that is reported.
+FIRST_SPAN_S, SPAN_MOST_MS = 1.0, 3_600_000
 REPORT_BYTES = 400  # rows beyond it wait, with what they have gathered, for the next report
 EVERY_S = 2.5  # a region's row comes no sooner after the one before: one with more figures costs as much
 # A sketch is reported as one point for each of these parts of its counts: fine where readers look.
@@ -87,22 +85,22 @@
         self._window = 0
         self._opened: float | None = None  # when the last report was; a clock's zero says nothing
 
-    def handshake(self, region: str, ms: float, cold: bool) -> None:
+    def handshake(self, region: str, ms: float, *, cold: bool) -> None:
         """A connection was opened in `ms`; a `cold` server (just started) tells of itself, not of the way."""
         if not cold and LEAST_MS <= ms < MOST_MS:
-            held = self._regions.get(region) or self._begin(region)
-            if held is not None:
+            sketches = self._regions.get(region) or self._begin(region)
+            if sketches is not None:
                 k = int(log(ms) * _SCALE + _SHIFT)
-                held.shake[k] = held.shake.get(k, 0) + 1
+                sketches.shake[k] = sketches.shake.get(k, 0) + 1
 
     def first_byte(self, region: str, ms: float, spent_ms: float = 0.0) -> None:
         """An answer's first byte came after `ms`; the server says it spent `spent_ms` (0: does not say)."""
         ms -= spent_ms
         if LEAST_MS <= ms < MOST_MS:  # not so for NaN, nor for a server that spent longer than it took
-            held = self._regions.get(region) or self._begin(region)
-            if held is not None:
+            sketches = self._regions.get(region) or self._begin(region)
+            if sketches is not None:
                 k = int(log(ms) * _SCALE + _SHIFT)
-                held.first[k] = held.first.get(k, 0) + 1
+                sketches.first[k] = sketches.first.get(k, 0) + 1
 
     def take(self, now_s: float) -> list[dict[str, object]]:
         """The rows of the next report, and a new window for their regions.
@@ -124,11 +122,11 @@
 
     def _rows(self, now_s: float) -> Iterator[tuple[str, dict[str, object]]]:
         due = [item for item in self._regions.items() if now_s - _waiting(item) >= EVERY_S]
-        for region, held in sorted(due, key=_waiting):
+        for region, sketches in sorted(due, key=_waiting):
             row: dict[str, object] = {"region": region, "window": self._window}
-            span_s = FIRST_SPAN_S if held.since is None else now_s - held.since
+            span_s = FIRST_SPAN_S if sketches.since is None else now_s - sketches.since
             row["span_ms"] = min(SPAN_MOST_MS, max(1, round(span_s * 1000.0)))
-            for name, counts in (("shake", held.shake), ("first", held.first)):
+            for name, counts in (("shake", sketches.shake), ("first", sketches.first)):
                 if counts:
                     row[name] = thinned(counts)
             yield region, row
@@ -136,5 +134,5 @@
     def _begin(self, region: str) -> _Region | None:
         if len(self._regions) >= REGIONS_MOST:
             return None
-        held = self._regions[region] = _Region(self._opened)
-        return held
+        sketches = self._regions[region] = _Region(self._opened)
+        return sketches
--- a/brassfall/sidecar/agent/forms.py
+++ b/brassfall/sidecar/agent/forms.py
@@ -25,15 +25,15 @@
 
 
 def _regions(value: Any) -> bool:
-    held = value.get("held", []) if isinstance(value, Mapping) else None
-    return isinstance(held, list) and all(map(_text, held))
+    names = value.get("held", []) if isinstance(value, Mapping) else None
+    return isinstance(names, list) and all(map(_text, names))
 
 
 _shares = _table(_table(_amount))
 _EXCLUSIVE: Mapping[str, Callable[[Any], bool]] = {"regions": _regions, "tenants": _table(_text)}
 
 
-def _floor(value: Any) -> bool:
+def _fallback(value: Any) -> bool:
     return isinstance(value, Mapping) and all(
         good(value[key]) for key, good in _EXCLUSIVE.items() if key in value
     )
@@ -43,7 +43,7 @@
     **_EXCLUSIVE,
     "shares": _shares,
     "caps": _table(_amount),
-    "floor": _floor,
+    "floor": _fallback,
 }
 
 
--- a/brassfall/sidecar/agent/lease_client.py
+++ b/brassfall/sidecar/agent/lease_client.py
@@ -60,7 +60,7 @@
     """One revision as the service sends it; `ValueError` says what is wrong."""
     if not isinstance(raw, Mapping):
         raise ValueError("an edition is an object")
-    number = whole(raw, "edition")
+    number = whole_number(raw, "edition")
     settings, plan, overrides = raw.get("settings", {}), raw.get("plan"), raw.get("overrides", [])
     if not isinstance(settings, Mapping) or not isinstance(plan, Mapping | None):
         raise ValueError("settings and plan are objects")
@@ -71,10 +71,12 @@
     if plan and not forms.plan_readable(plan):
         plan, unknown = None, unknown | {"plan"}
     unreadable = ", ".join(sorted(unknown))
-    return Revision(number, settings, plan or None, tuple(overrides), whole(raw, "plan_edition"), unreadable)
+    return Revision(
+        number, settings, plan or None, tuple(overrides), whole_number(raw, "plan_edition"), unreadable
+    )
 
 
-def whole(raw: Mapping[str, Any], name: str) -> int:
+def whole_number(raw: Mapping[str, Any], name: str) -> int:
     """A whole number from 0 up; `ValueError` names the field."""
     value = raw.get(name, 0)
     if isinstance(value, bool) or not isinstance(value, int) or not 0 <= value < 2**53:
@@ -111,7 +113,7 @@
         received = read(raw)
         beside = raw.get("committed")
         committed = read(beside) if isinstance(beside, Mapping) else None
-        epoch = whole(raw, "life")
+        epoch = whole_number(raw, "life")
         if epoch < self._epoch:
             return  # of a service that another has followed: its numbers may be used again
         for revision in (committed, received):
@@ -187,7 +189,7 @@
         `ValueError` says what is wrong with it, and changes nothing."""
         if not isinstance(raw, Mapping):
             raise ValueError("an answer is an object")
-        revision, pending, epoch = (whole(raw, name) for name in ("edition", "pending", "life"))
+        revision, pending, epoch = (whole_number(raw, name) for name in ("edition", "pending", "life"))
         lease_ms = raw.get("permission_ms", 0.0)
         if isinstance(lease_ms, bool) or not isinstance(lease_ms, int | float) or not 0.0 <= lease_ms < 1e7:
             raise ValueError("permission_ms: an amount is wanted")
@@ -240,7 +242,7 @@
 
     def lacks(self, raw: Mapping[str, Any]) -> bool:
         """Whether an answer names a revision that is not held."""
-        return not {whole(raw, "edition"), whole(raw, "pending")} <= self._revisions.keys()
+        return not {whole_number(raw, "edition"), whole_number(raw, "pending")} <= self._revisions.keys()
 
     @property
     def held(self) -> int:
--- a/brassfall/sidecar/agent/member.py
+++ b/brassfall/sidecar/agent/member.py
@@ -34,7 +34,7 @@
     def running(self) -> Config:
         """What it runs on."""
 
-    def adopt(self, told: Config) -> None:
+    def adopt(self, found: Config) -> None:
         """Run on another configuration from now on; `ConfigError` if it can't take the place."""
 
     def steer(self, steer: Steer) -> None:
@@ -141,7 +141,7 @@
             reload.successor(self._process.running, self._over(self._file, laid), self._process.busy)
         except ConfigError as error:
             return str(error)
-        except Exception as error:
+        except Exception as error:  # any fault must be told as an objection
             # Reported, it halts the revision; unreported, every sidecar would act on the fallback.
             return f"a fault in this program, report it: {error!r}"
         return ""
--- a/brassfall/sidecar/agent/overrides.py
+++ b/brassfall/sidecar/agent/overrides.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field, replace
 from typing import Any, NamedTuple
 
-from brassfall.sidecar.agent.deadlines import Deadlines, Phase, whole
+from brassfall.sidecar.agent.deadlines import Deadlines, Phase, is_whole_number
 
 KINDS = ("shift", "hold", "cap", "pin", "freeze")
 NOBODY = ""  # the region of a tenant that nobody may be sure to serve
@@ -64,7 +64,7 @@
     ):
         if not set(has) <= known:
             raise ValueError(f"this version knows no {name} by {', '.join(sorted(set(has) - known))}")
-    if not all(whole(row[name]) for name in ("rev", "from_ms", "priority")):
+    if not all(is_whole_number(row[name]) for name in ("rev", "from_ms", "priority")):
         raise ValueError("its numbers are none")
     spec = _spec(kinds[0], action[kinds[0]])
     groups, regions = (frozenset(map(str, places.get(name, ()))) for name in ("groups", "regions"))
--- a/brassfall/sidecar/discovery.py
+++ b/brassfall/sidecar/discovery.py
@@ -211,7 +211,7 @@
             channel = None
             try:
                 channel = await self._watch()
-            except Exception as error:
+            except Exception as error:  # a dead watch would go on sending to draining servers
                 log_failure(error)
             self._called.set()
             if self._fleet is not None:
@@ -232,7 +232,7 @@
         """Watch until the balancer has to hear that it is over."""
         try:
             await self._watch_until(until)
-        except Exception as error:
+        except Exception as error:  # a balancer that hears nothing would never ask again
             log_failure(error)
         self._watching = None
         self._listener("refused", None)
--- a/brassfall/sidecar/driver.py
+++ b/brassfall/sidecar/driver.py
@@ -309,7 +309,7 @@
             for action in event(self._clock.now(), *args):
                 self._decided = decided  # a send may have taken up another revision meanwhile
                 self._act(action)
-        except Exception:
+        except Exception:  # whatever it raises, the other requests go on
             log(traceback.format_exc())
             if request is not None and self._end(request):
                 request.call.failed(late=False)
--- a/brassfall/sidecar/registry_channel.py
+++ b/brassfall/sidecar/registry_channel.py
@@ -137,7 +137,7 @@
         """The answer is over."""
         return False
 
-    def connection_lost(self, error: Exception | None) -> None:
+    def connection_lost(self, error: Exception | None) -> None:  # called by the loop
         """The connection is gone."""
         self._done()
 
--- a/tests/test_rules_service.py
+++ b/tests/test_rules_service.py
@@ -316,7 +316,7 @@
         await ask("PUT", f"/registry/instances/{name}", {**ENTRY, "zone": zone, "ttl_ms": 0})
     edge = Delays("west")
     for _ in range(200):
-        edge.handshake("a", 20.0, False)
+        edge.handshake("a", 20.0, cold=False)
         edge.first_byte("a", 20.5)
     status, _, _ = await ask(
         "POST",
