--- a/brassfall/controlplane/registry/aggregator/channels.py
+++ b/brassfall/controlplane/registry/aggregator/channels.py
@@ -27,7 +27,7 @@
 
     def __init__(self, mirror: Mirror, now: Callable[[], float], unread_most: int, stuck_s: float) -> None:
         form = ListFormat("endpoints", entries.endpoints, entries.changed)
-        super().__init__(lambda: mirror.table, INSTANCES, form, unread_most, stuck_s)
+        super().__init__(lambda: mirror.state, INSTANCES, form, unread_most, stuck_s)
         self._mirror = mirror
         self._now = now
         self._fresh_ticks = 0  # ticks that are left in which heartbeats say that the list is fresh
--- a/brassfall/controlplane/registry/aggregator/list_feed.py
+++ b/brassfall/controlplane/registry/aggregator/list_feed.py
@@ -156,7 +156,7 @@
             raise AskElsewhereError("no list that late", why)
 
     async def _watch(self, request: web.Request, index: int) -> web.StreamResponse:
-        if self.mirror.table.since(INSTANCES, index) is None:
+        if self.mirror.state.changes_since(INSTANCES, index) is None:
             rejection = self._admit_whole()
             if rejection is not None:
                 return rejection
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -341,9 +341,10 @@
     counts = [driver._open, driver._flowing, len(driver._requests), pool.opening]
     balancer = driver._balancer
     if not isinstance(balancer, Scripted):
-        servers = balancer._servers.values()
-        counts += [balancer._open, len(balancer._requests), *(server.open for server in servers)]
-        counts += [-min(0, server.idle) for server in servers]
+        servers = balancer._endpoints.servers.values()
+        counts += [balancer._endpoints.in_flight, len(balancer._requests)]
+        counts += [server.in_flight for server in servers]
+        counts += [-min(0, server.idle_connections) for server in servers]
     free = all(connection._exchange is None for connection in idle)
     return not any(counts) and free and set(idle) == pool._connections and len(set(idle)) == len(idle)
 
--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -49,8 +49,9 @@
 def blame_of(sidecar, name):
     """What the decisions hold against a server, and against new connections."""
     module = sidecar.driver._balancer
-    server = module._servers[name]
-    return [fault for fault in (server.ill, server.strikes, module._connect_ill) if fault != 0]
+    server = module._endpoints.servers[name]
+    faults = (server.fault_share, server.consecutive_failures, module._ejector.connect_failures)
+    return [fault for fault in faults if fault != 0]
 
 
 # --- nobody wants it any more -----------------------------------------------------------
@@ -777,8 +778,9 @@
             assert sorted(hops) == list(range(len(made.request.attempts))), said
             module = made.driver._balancer
             assert (made.driver._open, made.driver._flowing, made.driver._requests) == (0, 0, {}), said
-            assert (module._open, module._requests) == (0, {}), said
-            assert all(server.open == 0 and not server.out for server in module._servers.values()), said
+            assert (module._endpoints.in_flight, module._requests) == (0, {}), said
+            servers = module._endpoints.servers.values()
+            assert all(server.in_flight == 0 and not server.outstanding for server in servers), said
             timers = (made.attempt.timeout, made.attempt.window, made.request.guard)
             assert all(timer is None or timer.cancelled() for timer in timers), said
             if made.left:  # nothing begins once the client has gone
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -74,8 +74,10 @@
 def blamed(sidecar):
     """All that the decisions hold against servers, or count towards refusals."""
     module = sidecar.driver._balancer
-    of_servers = [(server.ill, server.strikes, server.rest_until) for server in module._servers.values()]
-    return [*of_servers, module._connect_ill, module._missed, module._throttle.drop_chance(0.0)]
+    servers = module._endpoints.servers.values()
+    of_servers = [(it.fault_share, it.consecutive_failures, it.ejected_until) for it in servers]
+    ejector = module._ejector
+    return [*of_servers, ejector.connect_failures, ejector.not_accepted, module._throttle.drop_chance(0.0)]
 
 
 # --- failures of this machine -------------------------------------------------------------
@@ -173,8 +175,8 @@
             if len(joining.seen) >= 8:
                 break
         assert faults.injected[call, error] == failures
-        server = sidecar.driver._balancer._servers["s1"]
-        assert (server.ill, server.strikes, server.rest_until) == (0.0, 0, 0.0)
+        server = sidecar.driver._balancer._endpoints.servers["s1"]
+        assert (server.fault_share, server.consecutive_failures, server.ejected_until) == (0.0, 0, 0.0)
         assert len(joining.seen) >= 8
     joining.stop()
 
@@ -193,8 +195,9 @@
         assert await ask(app, target) == status
         sent = sum(len(upstream.seen) for upstream in upstreams)
         assert (faults.injected["recv", error], sent) == (1, 2 if status == 200 else 1)
-        (ill,) = [server.ill for server in sidecar.driver._balancer._servers.values() if server.ill]
-        assert ill > 0.0
+        servers = sidecar.driver._balancer._endpoints.servers.values()
+        (fault_share,) = [server.fault_share for server in servers if server.fault_share]
+        assert fault_share > 0.0
 
 
 @pytest.mark.parametrize("error", [*BROKEN, errno.ECONNRESET, errno.EPIPE])
@@ -363,7 +366,7 @@
             assert status == 200
             assert sent <= 3 if how == "forgotten" else sent == 1
         assert await ask(app, "/look") == 200
-        assert all(server.open == 0 for server in sidecar.driver._balancer._servers.values())
+        assert all(it.in_flight == 0 for it in sidecar.driver._balancer._endpoints.servers.values())
 
 
 @pytest.mark.parametrize("limits", [{}, PARALLEL], ids=["one at a time", "hedged"])
--- a/tests/test_sidecar_attempts.py
+++ b/tests/test_sidecar_attempts.py
@@ -12,7 +12,7 @@
 import pytest
 
 from brassfall.balancer.model import Cancel, CloseIdle, Outcome, Probe, Refuse, Send, Timer
-from brassfall.sidecar import driver, inbound, outbound, server_connection
+from brassfall.sidecar import client_request, driver, outbound, request_message, server_connection
 from brassfall.sidecar.config import parse_list
 from brassfall.sidecar.driver import Clock
 from brassfall.sidecar.exchange import Exchange
@@ -353,9 +353,9 @@
         await until(lambda: not sidecar.driver._requests)
         assert len(armed) >= 5  # the repeat after an error has one only where it follows within 1 ms
         assert timers_of(sidecar.driver) == before
-        level = balancer._shed._level
+        level = balancer._shedder._level
         assert not any(balancer.timer(sidecar.driver._clock.now(), token) for token in armed)
-        assert balancer._shed._level == level, "a timer that was left out would have changed something"
+        assert balancer._shedder._level == level, "a timer that was left out would have changed something"
 
 
 @pytest.mark.parametrize("replies", [[OK], [ERROR, OK], [FULL], [*[OK] * 5, hang]])
@@ -381,7 +381,13 @@
             gc.set_debug(0)
             gc.garbage.clear()
             gc.enable()
-        records = (driver.Request, driver.Attempt, inbound.Exchange, inbound.Message, Exchange)
+        records = (
+            driver.Request,
+            driver.Attempt,
+            client_request.ClientRequest,
+            request_message.RequestMessage,
+            Exchange,
+        )
         assert not [kind for kind in left if kind in records]
 
 
