--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -322,10 +322,10 @@
         self.waiting = 0
         loop = asyncio.get_running_loop()
         connect = loop.create_connection
-        held = {upstream.address for upstream in upstreams}
+        gated = {upstream.address for upstream in upstreams}
 
         async def late(factory, host=None, port=None, **more):
-            if f"{host}:{port}" in held:
+            if f"{host}:{port}" in gated:
                 self.waiting += 1
                 if self.waiting > free:
                     await self.open.wait()
@@ -379,9 +379,9 @@
 async def asked(sidecar, target="/look", method="GET", **headers):
     """A client whose request has been taken."""
     app = await App.connect(sidecar.address)
-    held = len(sidecar.driver._requests)
+    before = len(sidecar.driver._requests)
     app.send(method, target, **headers)
-    await until(lambda: len(sidecar.driver._requests) > held)
+    await until(lambda: len(sidecar.driver._requests) > before)
     return app
 
 
--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -140,7 +140,7 @@
 
 
 @loopback
-async def test_what_the_kernel_has_not_taken_whole_is_dropped_when_the_client_has_gone(monkeypatch):
+async def test_what_the_kernel_has_not_taken_completely_is_dropped_when_the_client_has_gone(monkeypatch):
     upstream = await Upstream([hang]).start()
     module = Scripted()
     async with tidy(upstream, balancer=module, **never_cancels()) as sidecar:
@@ -154,7 +154,7 @@
 
 
 @loopback
-async def test_what_is_written_whole_goes_on_where_cancelling_is_not_allowed():
+async def test_what_is_written_completely_goes_on_where_cancelling_is_not_allowed():
     go_on = asyncio.Event()
 
     async def wait(reader, writer):
@@ -255,11 +255,11 @@
     )
     async with tidy(upstream, balancer=module, **never_cancels()) as sidecar:
         app = await App.connect(sidecar.address)
-        whole = partners.request("POST", "/book", LARGE)
-        app.writer.write(whole[:-1])
+        message = partners.request("POST", "/book", LARGE)
+        app.writer.write(message[:-1])
         await until(lambda: module.named("body_gone") and upstream.writers)
         Hands(sidecar).on(9000.0)  # its timer has not run
-        app.writer.write(whole[-1:])
+        app.writer.write(message[-1:])
         assert (await app.answer()).status == 502
         assert module.outcomes() == [(0, Outcome.MOOT, False)]
         assert upstream.seen == []
@@ -298,14 +298,14 @@
         assert waiting.upstream.seen == []
 
 
-def test_a_repeat_is_told_by_when_it_has_to_be_written_and_nothing_else_is():
+def test_a_retry_under_a_key_has_a_time_by_which_to_be_written_and_nothing_else_has():
     made = balancer(
         Profiles=[{**CLASSES["keyed"], "Group": "zone"}, dict(CLASSES["safe"]), dict(CLASSES["unsafe"])]
     )
     (send,) = of_type(made.request(100.0, arrival(1, 100.0)), Send)
     assert send.write_by == float("inf")
-    (again,) = of_type(made.outcome(110.0, 1, 0, Outcome.CONNECT_FAILED), Send)
-    assert again.write_by == float("inf")  # nothing has run: its window has not begun
+    (retry,) = of_type(made.outcome(110.0, 1, 0, Outcome.CONNECT_FAILED), Send)
+    assert retry.write_by == float("inf")  # nothing has run: its window has not begun
     (third,) = of_type(made.outcome(120.0, 1, 1, Outcome.RESET), Send)
     assert third.write_by == 110.0 + 500.0
     (fourth,) = of_type(made.outcome(130.0, 1, 2, Outcome.RESET), Send)
@@ -352,8 +352,8 @@
     made.request(0.0, arrival(1))
     profile = {**CLASSES["keyed"], "KeyTtl": 60_000.0}
     made.reload(5.0, Settings.parse(raw_settings(Profiles=[profile])), {0})
-    (again,) = of_type(made.outcome(10.0, 1, 0, Outcome.RESET), Send)
-    assert again.write_by == 500.0
+    (retry,) = of_type(made.outcome(10.0, 1, 0, Outcome.RESET), Send)
+    assert retry.write_by == 500.0
 
 
 # --- incarnations of a server -------------------------------------------------------------
@@ -368,7 +368,7 @@
     back = Listing(send.server, cell=7, started=1.0, state=state)
     made.server_list(1.0, "changes", [back, Listing("s9", cell=7)])
     sends = of_type(made.outcome(2.0, 1, 0, Outcome.RESET), Send)
-    assert [int(again.server[1:]) // 2 for again in sends] == [group]
+    assert [int(retry.server[1:]) // 2 for retry in sends] == [group]
 
 
 @pytest.mark.parametrize("drained", [False, True])
@@ -390,7 +390,7 @@
 
 @pytest.mark.parametrize("changes", [{"address": True}, {"since_ms": 1_790_000_000_000}])
 @loopback
-async def test_a_busy_connection_to_what_stood_there_before_is_not_kept_for_what_came_back(changes):
+async def test_a_busy_connection_to_what_stood_there_before_is_not_reused_for_what_came_back(changes):
     go_on = asyncio.Event()
 
     async def wait(reader, writer):
@@ -413,7 +413,7 @@
 
 
 @loopback
-async def test_a_drain_stays_with_the_one_that_was_told_to_and_the_next_of_its_name_has_none():
+async def test_a_drain_stays_with_the_server_that_drains_and_the_next_of_its_name_has_none():
     old, new = await Upstream([OK]).start(), await Upstream([OK]).start()
     async with tidy(old, balancer=Scripted(), **never_cancels()) as sidecar:
         before = sidecar.pool._servers["s0"]
@@ -431,14 +431,14 @@
 
 
 @loopback
-async def test_a_second_answer_that_comes_before_the_next_request_is_whole_is_not_taken_for_its_answer():
+async def test_a_second_answer_that_comes_before_the_next_request_is_complete_is_not_taken_for_its_answer():
     upstream = await Upstream([OK]).start()
     module = Scripted(outcome=failing)
     async with tidy(upstream, balancer=module, **never_cancels()) as sidecar:
         app = await App.connect(sidecar.address)
         assert (await app.ask()).body == b"done"
-        whole = partners.request("POST", "/book", LARGE)
-        app.writer.write(whole[:-1])
+        message = partners.request("POST", "/book", LARGE)
+        app.writer.write(message[:-1])
         await until(lambda: module.named("body_gone"))
         upstream.writers[0].write(STALE)
         assert (await app.answer()).status == 502
@@ -447,7 +447,7 @@
 
 
 @loopback
-async def test_an_answer_that_turns_away_may_come_before_the_request_is_whole():
+async def test_an_answer_that_rejects_may_come_before_the_request_is_complete():
     upstream = await Upstream([OK]).start()
     module = Scripted(outcome=failing)
     async with tidy(upstream, balancer=module, **never_cancels()) as sidecar:
@@ -557,9 +557,9 @@
 
     async def reset(reader, writer):
         writer.write(b"HTTP/1.1 200 OK\r\n\r\nnot all of it")
-        await until(lambda: any(it._parser.status for it in held.pool._connections))
+        await until(lambda: any(it._parser.status for it in sidecar.pool._connections))
         if passed_on:
-            await until(lambda: held.driver._flowing)
+            await until(lambda: sidecar.driver._flowing)
         writer.transport.get_extra_info("socket").setsockopt(
             socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
         )
@@ -567,8 +567,8 @@
 
     upstream = await Upstream([reset]).start()
     module = Scripted(outcome=failing)
-    async with tidy(upstream, balancer=module, **never_cancels()) as held:
-        app = await App.connect(held.address)
+    async with tidy(upstream, balancer=module, **never_cancels()) as sidecar:
+        app = await App.connect(sidecar.address)
         app.send()
         got = b""
         with contextlib.suppress(ConnectionError):
@@ -765,7 +765,7 @@
     for first, second in pairs():
         for between in (0, 1):
             made = AttemptRace(state, cancels)
-            said = f"{first}, {second}, {between} between"
+            scene = f"{first}, {second}, {between} between"
             made.happen(first)
             await turns(between)
             made.happen(second)
@@ -773,18 +773,18 @@
             if not made.request.ended or made.request.out:
                 made.answer()  # what nothing has ended goes on, and ends in the usual way
                 await turns()
-            assert len(made.finals()) == (0 if made.left and not made.finals() else 1), said
+            assert len(made.finals()) == (0 if made.left and not made.finals() else 1), scene
             hops = [hop for _, hop in made.outcomes]
-            assert sorted(hops) == list(range(len(made.request.attempts))), said
+            assert sorted(hops) == list(range(len(made.request.attempts))), scene
             module = made.driver._balancer
-            assert (made.driver._open, made.driver._flowing, made.driver._requests) == (0, 0, {}), said
-            assert (module._endpoints.in_flight, module._requests) == (0, {}), said
+            assert (made.driver._open, made.driver._flowing, made.driver._requests) == (0, 0, {}), scene
+            assert (module._endpoints.in_flight, module._requests) == (0, {}), scene
             servers = module._endpoints.servers.values()
-            assert all(server.in_flight == 0 and not server.outstanding for server in servers), said
+            assert all(server.in_flight == 0 and not server.outstanding for server in servers), scene
             timers = (made.attempt.timeout, made.attempt.window, made.request.guard)
-            assert all(timer is None or timer.cancelled() for timer in timers), said
+            assert all(timer is None or timer.cancelled() for timer in timers), scene
             if made.left:  # nothing begins once the client has gone
-                assert len(made.carriers.sent) <= made.sent_then, said
+                assert len(made.carriers.sent) <= made.sent_then, scene
 
 
 def descriptors():
@@ -798,7 +798,7 @@
     """On real sockets, where opening, writing and reading each take turns of the loop."""
     upstream = await Upstream([OK]).start()
     async with tidy(upstream, balancer=Scripted(outcome=failing), **never_cancels()) as sidecar:
-        held = sidecar.driver
+        driving = sidecar.driver
         await (await App.connect(sidecar.address)).ask()
         before = descriptors()
         sent = asyncio.Event()
@@ -816,19 +816,19 @@
             app = await App.connect(sidecar.address)
             app.send()
             await sent.wait()
-            (request,) = held._requests.values()
+            (request,) = driving._requests.values()
             await turns(after)
             match event:
                 case "gone":
-                    held.client_gone(request)
+                    driving.client_gone(request)
                 case "cancel":
-                    held._act(Cancel(request.id, len(request.attempts) - 1))
+                    driving._act(Cancel(request.id, len(request.attempts) - 1))
                 case "expire":
-                    held._expire(request.attempts[-1])
+                    driving._expire(request.attempts[-1])
                 case "overdue":
-                    held._overdue(request)
+                    driving._overdue(request)
                 case "window":
-                    held._drop(request.attempts[-1])
+                    driving._drop(request.attempts[-1])
                 case "restart":
                     hear(sidecar, entry("s0", upstream.address, since_ms=1 + after))
                 case "close_idle":
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -412,35 +412,35 @@
     first = await Upstream([break_off if kind == "retry" else hang]).start()
     second = await Upstream([OK]).start()
     gate = Gate(monkeypatch, [second])
-    again = [lambda number: Send(number, "s1", 0.0)]
+    retries = [lambda number: Send(number, "s1", 0.0)]
     module = Scripted(
         request=lambda now, arrival: [
             Send(arrival.request, "s0", 0.0),
             *(Send(arrival.request, "s1", 0.0) for _ in range(kind == "hedge")),
         ],
         outcome=lambda now, number, hop, status, spent, last, report: (
-            [] if last else [again.pop()(number)] if again and kind == "retry" else [Fail(number)]
+            [] if last else [retries.pop()(number)] if retries and kind == "retry" else [Fail(number)]
         ),
     )
     async with tidy(first, second, balancer=module, **PARALLEL | never_cancels()) as sidecar:
-        told = []
+        writes = []
         begin = server_connection.Connection.begin
         clock = StoppedClock(sidecar)
         arrived = clock.time
 
-        def held_up(connection, exchange, message):
+        def delayed(connection, exchange, message):
             if connection.server.name == "s1":
                 clock.time += 150.0
-                told.append((message, clock.time))
+                writes.append((message, clock.time))
             begin(connection, exchange, message)
 
-        monkeypatch.setattr(server_connection.Connection, "begin", held_up)
+        monkeypatch.setattr(server_connection.Connection, "begin", delayed)
         app = await asked(sidecar, X_Budget="4000m")
         await until(lambda: gate.waiting)
         clock.time += late_ms
         gate.open.set()
         assert (await app.answer()).status == 200
-        ((message, written),) = told
+        ((message, written),) = writes
         (line,) = [line for line in message.split(b"\r\n") if line.lower().startswith(b"x-budget")]
         budget_ms = float(line.partition(b":")[2].strip().removesuffix(b"u")) / 1000.0
         left_ms = arrived + 4000.0 - written
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -82,7 +82,7 @@
 
 @pytest.mark.parametrize("framed", ["length", "chunks"])
 @loopback
-async def test_a_large_request_reaches_a_server_whole_and_its_connection_goes_on(framed):
+async def test_a_large_request_reaches_a_server_complete_and_its_connection_goes_on(framed):
     upstream = await Server([OK]).start()
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
@@ -129,10 +129,10 @@
     upstream = await Server([OK]).start()
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
-        whole = partners.request("POST", "/pay", LARGE, X_Budget="300m")
-        app.writer.write(whole[:-1])
+        message = partners.request("POST", "/pay", LARGE, X_Budget="300m")
+        app.writer.write(message[:-1])
         await asyncio.sleep(0.5)
-        app.writer.write(whole[-1:])
+        app.writer.write(message[-1:])
         assert await answer_of(app) == (200, b"done")
 
 
@@ -151,7 +151,7 @@
 
 
 @loopback
-async def test_what_is_held_can_be_sent_again_and_what_has_flowed_on_can_not():
+async def test_a_buffered_body_can_be_resent_and_one_that_has_flowed_on_can_not():
     upstream = await Server([OK]).start()
     gone = await Server([OK]).start()
     gone.stop()  # refuses connections
@@ -190,7 +190,7 @@
 
 
 @loopback
-async def test_a_client_that_stops_within_a_large_request_is_told_so_and_frees_the_server(monkeypatch):
+async def test_a_client_that_stops_within_a_large_request_gets_an_error_and_frees_the_server(monkeypatch):
     monkeypatch.setattr(client_connection, "INCOMPLETE_S", 0.1)
     monkeypatch.setattr(client_connection, "BODY_BYTES_PER_S", 10_000_000)
     upstream = await Server([OK]).start()
@@ -207,14 +207,14 @@
     module = Scripted(request=lambda now, arrival: [Fail(arrival.request)])
     async with running(balancer=module) as sidecar:
         app = await App.connect(sidecar.address)
-        whole = partners.request("POST", "/pay", LARGE)
-        app.writer.write(whole[:200_000])
+        message = partners.request("POST", "/pay", LARGE)
+        app.writer.write(message[:200_000])
         assert (await answer_of(app))[0] == 502
-        app.writer.write(whole[200_000:])  # is read and dropped
+        app.writer.write(message[200_000:])  # is read and dropped
         assert await app.reader.read() == b""
 
 
-def test_a_body_that_ends_before_a_server_takes_it_is_whole_there():
+def test_a_body_that_ends_before_a_server_takes_it_is_complete_there():
     class Source:
         def pause(self):
             pass
@@ -280,7 +280,7 @@
 
 @pytest.mark.parametrize("reply", [LENGTH % len(LARGE) + LARGE, CHUNKED + chunks(LARGE), till_end])
 @loopback
-async def test_a_large_answer_comes_whole_in_any_framing(reply):
+async def test_a_large_answer_comes_complete_in_any_framing(reply):
     upstream = await Server([reply]).start()
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
@@ -400,8 +400,8 @@
         app.send()
         await until(lambda: sidecar.inbound.connections and sidecar.inbound.connections[0].read_control.held)
         (connection,) = sidecar.inbound.connections
-        held = connection.transport.get_write_buffer_size()
-        assert held <= client_connection.MAX_UNSENT + 2 * body.MAX_BUFFERED
+        buffered = connection.transport.get_write_buffer_size()
+        assert buffered <= client_connection.MAX_UNSENT + 2 * body.MAX_BUFFERED
         (server,) = sidecar.pool._connections
         assert not server._transport.is_reading()
         enough.set()
@@ -428,7 +428,7 @@
 
 
 @loopback
-async def test_a_client_that_reads_nothing_is_let_go(monkeypatch):
+async def test_a_client_that_reads_nothing_is_closed(monkeypatch):
     monkeypatch.setattr(client_connection, "UNREAD_S", 0.1)
 
     async def endless(reader, writer):
@@ -525,19 +525,19 @@
         budget = sidecar.inbound.budget
         assert budget.limit == 2**18
         apps = [await App.connect(sidecar.address) for _ in range(5)]
-        whole = partners.request("POST", "/pay", b"x" * 60_000)
+        message = partners.request("POST", "/pay", b"x" * 60_000)
         for app in apps[:4]:
-            app.writer.write(whole[:-1])
+            app.writer.write(message[:-1])
         await until(lambda: budget.used > 4 * 50_000)
-        for refused in (whole, partners.request("POST", "/pay", LARGE)):
+        for refused in (message, partners.request("POST", "/pay", LARGE)):
             app = await App.connect(sidecar.address)
             app.writer.write(refused)
             assert (await app.answer()).status == 503
         for app in apps[:4]:
-            app.writer.write(whole[-1:])
+            app.writer.write(message[-1:])
             assert (await app.answer()).body == b"done"
         assert budget.used == 0
-        apps[4].writer.write(whole[:-1])
+        apps[4].writer.write(message[:-1])
         await until(lambda: budget.used)
         apps[4].close()
         await until(lambda: not budget.used)
@@ -579,8 +579,8 @@
     upstream = await Upstream([OK.replace(b"queue=0", b"queue=0 \t")]).start()
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
-        whole = partners.request("POST", "/pay", b"hello").replace(b"\r\n", b" \t\r\n")
-        app.writer.write(whole.replace(b"HTTP/1.1 \t", b"HTTP/1.1", 1).replace(b"\r\n \t\r\n", b"\r\n\r\n"))
+        message = partners.request("POST", "/pay", b"hello").replace(b"\r\n", b" \t\r\n")
+        app.writer.write(message.replace(b"HTTP/1.1 \t", b"HTTP/1.1", 1).replace(b"\r\n \t\r\n", b"\r\n\r\n"))
         assert (await app.answer()).body == b"done"
         assert upstream.seen[0].headers["x-call-id"] == "9b1f03aa5c7e2d41"
 
@@ -600,7 +600,7 @@
 
 
 @loopback
-async def test_who_asks_to_go_on_is_told_when_its_turn_comes():
+async def test_who_expects_to_continue_is_answered_when_its_turn_comes():
     release = asyncio.Event()
 
     async def wait(reader, writer):
@@ -611,20 +611,20 @@
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
         app.send()
-        whole = partners.request("POST", "/pay", b"hello", Expect="100-Continue")
-        app.writer.write(whole[:-5])
+        message = partners.request("POST", "/pay", b"hello", Expect="100-Continue")
+        app.writer.write(message[:-5])
         await until(lambda: upstream.seen)
         release.set()
         assert (await app.answer()).body == b"done"
         assert (await app.answer()).start.startswith("HTTP/1.1 100")
-        app.writer.write(whole[-5:])
+        app.writer.write(message[-5:])
         assert (await app.answer()).body == b"done"
 
 
 # --- the module ---------------------------------------------------------------------------
 
 
-def test_the_module_sends_no_body_again_that_has_flowed_on():
+def test_the_decisions_resend_no_body_that_has_flowed_on():
     made = balancer("safe")
     (send, *_) = of_type(made.request(0.0, Arrival(1, 0, 1000.0, large=True)), Send)
     assert of_type(made.outcome(1.0, 1, 0, Outcome.CONNECT_FAILED, 1.0), Send)
--- a/tests/test_sidecar_attempts.py
+++ b/tests/test_sidecar_attempts.py
@@ -40,7 +40,7 @@
 INTERIM = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
-async def cut_short(reader, writer):
+async def end_early(reader, writer):
     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\nhalf")
 
 
@@ -59,7 +59,7 @@
         (FULL, Outcome.FULL, "502"),
         (OVER, Outcome.FULL, "502"),
         (break_off, Outcome.RESET, "502"),
-        (cut_short, Outcome.RESET, "502"),
+        (end_early, Outcome.RESET, "502"),
         (b"no HTTP at all\r\n\r\n", Outcome.RESET, "502"),
     ],
 )
@@ -122,14 +122,14 @@
         assert module.outcomes() == [(0, Outcome.CONNECT_FAILED, False)]
 
 
-def news(*entries):
+def servers_of(*entries):
     return parse_list(listed(42, *entries, snapshot=False), told().names)
 
 
 def pooled(upstream):
     loop = asyncio.get_running_loop()
     pool = outbound.Pool(loop, Clock(loop), told([upstream]))
-    pool.update(0.0, news(entry("s0", upstream.address)), complete=True)
+    pool.update(0.0, servers_of(entry("s0", upstream.address)), complete=True)
     return pool
 
 
@@ -208,15 +208,15 @@
 
 
 @loopback
-async def test_past_the_most_attempts_and_after_the_answer_a_send_is_moot():
+async def test_past_the_most_attempts_and_after_the_answer_a_send_is_abandoned():
     upstream = await Upstream([FULL, FULL, FULL, OK]).start()
 
-    def again(now, number, hop, status, spent, last, report):
+    def retry(now, number, hop, status, spent, last, report):
         if status == Outcome.FULL:
             return [Send(number, "s0", 0.0)]
         return [Refuse(number, 0.0), Send(number, "s0", 0.0)] if hop == 3 else []
 
-    module = Scripted(outcome=again)
+    module = Scripted(outcome=retry)
     async with running(upstream, balancer=module) as sidecar:
         await (await App.connect(sidecar.address)).ask()
         await until(lambda: len(module.outcomes()) == 5)
@@ -301,7 +301,7 @@
     upstream, loop, done = await Upstream([OK]).start(), asyncio.get_running_loop(), []
     limits = {"MaxAttempts": 3, "ConnectTimeout": 30.0, "IdleClose": 5000.0}
     pool = outbound.Pool(loop, Clock(loop), told([upstream], PolicyLimits=limits))
-    pool.update(0.0, news(entry("s0", upstream.address)), complete=True)
+    pool.update(0.0, servers_of(entry("s0", upstream.address)), complete=True)
     message = b"GET / HTTP/1.1\r\n\r\n"
     pool._begin("s0", Exchange(lambda left: message, math.inf, done.append))
     for _ in range(turns):
@@ -316,19 +316,19 @@
 @loopback
 async def test_a_connection_that_never_comes_up_is_given_up_in_time():
     with socket.create_server(("127.0.0.1", 0), backlog=0) as full:
-        held = [socket.socket() for _ in range(3)]
-        for sock in held:
+        filling = [socket.socket() for _ in range(3)]
+        for sock in filling:
             sock.setblocking(False)
             sock.connect_ex(full.getsockname())
         loop, done = asyncio.get_running_loop(), []
         pool = outbound.Pool(loop, Clock(loop), told(PolicyLimits={"ConnectTimeout": 30.0}))
-        pool.update(0.0, news(entry("s0", "{}:{}".format(*full.getsockname()))), complete=True)
+        pool.update(0.0, servers_of(entry("s0", "{}:{}".format(*full.getsockname()))), complete=True)
         pool._begin("s0", Exchange(lambda left: b"", math.inf, done.append))
         begun = loop.time()
         await until(lambda: done)
         assert done[0].outcome == Outcome.CONNECT_FAILED and loop.time() - begun >= 0.03
         await until(lambda: not pool.opening)
-        for sock in held:
+        for sock in filling:
             sock.close()
 
 
@@ -437,7 +437,7 @@
 
 
 @loopback
-async def test_a_request_on_a_dropped_connection_is_reset_and_never_sent_again_by_itself():
+async def test_a_request_on_a_dropped_connection_is_reset_and_never_resent_by_itself():
     upstream = await Upstream([OK, break_off]).start()
     module = Scripted(outcome=failing)
     async with running(upstream, balancer=module) as sidecar:
@@ -493,9 +493,9 @@
             app.send()
         for app in apps:
             await app.answer()
-        held = len(sidecar.pool._connections)
+        before = len(sidecar.pool._connections)
         sidecar.pool.share(0.5)
-        assert len(sidecar.pool._connections) == min(held, sidecar.pool._most) < held
+        assert len(sidecar.pool._connections) == min(before, sidecar.pool._most) < before
 
 
 # --- drains -----------------------------------------------------------------------
@@ -506,7 +506,7 @@
 async def test_nothing_is_first_written_past_the_grace_even_if_it_connects_already(state):
     upstream = await Upstream([OK]).start()
     module = Scripted(outcome=failing)
-    leaving = news(entry("s0", upstream.address, status=state))
+    leaving = servers_of(entry("s0", upstream.address, status=state))
     async with running(upstream, balancer=module, Rules={"StopSendingWithin": 0.0}) as sidecar:
 
         def send_then_hear(now, arrival):
@@ -527,16 +527,16 @@
     upstream = await Upstream([OK]).start()
     async with running(upstream, balancer=Scripted(), Rules={"StopSendingWithin": 60_000.0}) as sidecar:
         app = await App.connect(sidecar.address)
-        leaving = news(entry("s0", upstream.address, status="leaving"))
+        leaving = servers_of(entry("s0", upstream.address, status="leaving"))
         sidecar.pool.update(sidecar.driver._clock.now(), leaving, complete=False)
         assert (await app.ask()).body == b"done"
 
 
 @loopback
-async def test_repeated_news_does_not_prolong_the_grace():
+async def test_a_repeated_watch_event_does_not_prolong_the_grace():
     upstream = await Upstream([OK]).start()
     pool = pooled(upstream)
-    leaving = news(entry("s0", upstream.address, status="leaving"))
+    leaving = servers_of(entry("s0", upstream.address, status="leaving"))
     pool.update(1000.0, leaving, complete=False)
     pool.update(1400.0, leaving, complete=False)
     assert 1000.0 < pool._servers["s0"].closed_from <= 1500.0
@@ -544,14 +544,14 @@
 
 
 @loopback
-async def test_connections_from_before_a_restart_are_not_used_again():
+async def test_connections_from_before_a_restart_are_not_reused():
     upstream = await Upstream([OK]).start()
     async with running(upstream, balancer=Scripted()) as sidecar:
         app = await App.connect(sidecar.address)
         await app.ask()
         # A machine that vanished reset nothing: its connections look open until they are used.
         sidecar.pool.update(
-            0.0, news(entry("s0", upstream.address, since_ms=1_790_000_000_000)), complete=False
+            0.0, servers_of(entry("s0", upstream.address, since_ms=1_790_000_000_000)), complete=False
         )
         await app.ask()
         assert [seen.connection for seen in upstream.seen] == [0, 1]
