--- a/tests/test_endurance.py
+++ b/tests/test_endurance.py
@@ -16,14 +16,14 @@
 from brassfall.balancer.slow_start import SlowStart
 from tests.helpers import listing, of_type, raw_settings
 
-COLD_FROM, WARM_UP, SPAN, MULTIPLE = 0.3, 8000.0, 1000.0, 2.5
+START_SHARE, WARM_UP, SPAN, MULTIPLE = 0.3, 8000.0, 1000.0, 2.5
 
 
-def cold_load(warm_keys, sidecars=60, servers=12, rate=500.0, seed=3):
+def slow_start_load(warm_keys, sidecars=60, servers=12, rate=500.0, seed=3):
     """Sends a second to one server that starts cold, from all sidecars together, as a
     multiple of a warm server's even share; the worst span after the start."""
     rng = random.Random(seed)
-    rules = {"ColdFrom": COLD_FROM, "WarmUp": WARM_UP, "FallMultiple": MULTIPLE, "OverloadFor": SPAN}
+    rules = {"ColdFrom": START_SHARE, "WarmUp": WARM_UP, "FallMultiple": MULTIPLE, "OverloadFor": SPAN}
     made = []
     for me in range(sidecars):
         raw = raw_settings("safe", Me=me, Balancers=sidecars, Rules=rules)
@@ -34,11 +34,11 @@
     now, number, hits = 0.0, 0, []
     pending = []
     started = 5000.0
-    told = False
+    listed = False
     while now < started + WARM_UP:
         now += 1000.0 / rate
-        if not told and now >= started:
-            told = True
+        if not listed and now >= started:
+            listed = True
             for one in made:
                 one.server_list(now, "changes", [Listing("s0", started=started)])
         while pending and pending[0][0] <= now:
@@ -55,23 +55,23 @@
     even = rate / servers
     worst = 0.0
     for at in hits:
-        cap = min(1.0, COLD_FROM + (1.0 - COLD_FROM) * (at - started) / WARM_UP)
+        cap = min(1.0, START_SHARE + (1.0 - START_SHARE) * (at - started) / WARM_UP)
         sent = sum(1 for other in hits if at <= other < at + SPAN)
         worst = max(worst, sent / (even * cap * SPAN / 1000.0))
     return worst
 
 
 @pytest.mark.parametrize("warm_keys", [False, True])
-def test_many_sidecars_together_do_not_push_a_cold_server_over(warm_keys):
+def test_many_sidecars_together_do_not_overload_a_server_in_slow_start(warm_keys):
     # The load is a multiple of the even share, so this holds with every server fully
     # loaded, a fifth to spare, whatever the traffic's skew over sidecars.
-    assert 0.0 < cold_load(warm_keys) < 0.8 * MULTIPLE
+    assert 0.0 < slow_start_load(warm_keys) < 0.8 * MULTIPLE
 
 
-def test_the_cold_oracle_can_fail(monkeypatch):
+def test_the_slow_start_oracle_can_fail(monkeypatch):
     monkeypatch.setattr(SlowStart, "warmth", lambda self, now, server: 4.0)
     monkeypatch.setattr(Selector, "load", lambda self, now, server: 0.0 if server.name == "s0" else 1.0)
-    assert cold_load(False) > MULTIPLE
+    assert slow_start_load(False) > MULTIPLE
 
 
 def test_servers_that_are_gone_are_forgotten_in_the_end():
@@ -120,7 +120,7 @@
 
 
 def test_the_library_acts_alike_under_any_hash_seed():
-    told = set()
+    traces = set()
     for seed in ("0", "1", "77"):
         done = subprocess.run(
             [sys.executable, "-c", SCRIPT],
@@ -131,5 +131,5 @@
             env={**os.environ, "PYTHONHASHSEED": seed},
             timeout=60,
         )
-        told.add(done.stdout)
-    assert len(told) == 1 and len(told.pop()) > 5000
+        traces.add(done.stdout)
+    assert len(traces) == 1 and len(traces.pop()) > 5000
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -85,7 +85,7 @@
     assert 1 <= closings <= 4 and now > 700.0
 
 
-def test_the_only_server_known_is_not_pushed_over_while_cold():
+def test_the_only_server_known_is_not_overloaded_in_slow_start():
     rules = {"ColdFrom": 0.2, "WarmUp": 20_000.0, "FallMultiple": 2.0, "OverloadFor": 1000.0}
     sent, number = 0, 0
     for me in range(100):
@@ -115,7 +115,7 @@
     return made
 
 
-def crossings(made, count, near_status, now=0.0):
+def cross_zone_share(made, count, near_status, now=0.0):
     """The share of sends that cross, the near zone answering with one outcome."""
     met = Counter()
     for number in range(count):
@@ -128,11 +128,11 @@
     return met[False] / max(1, sum(met.values()))
 
 
-def test_sends_stay_near_where_a_crossing_is_dear_and_spill_when_the_near_zone_fails():
+def test_sends_stay_near_where_other_zones_are_priced_and_spill_when_the_near_zone_fails():
     # Found on a site with 22 points a crossing: half of all sends crossed.
     made = zoned()
-    assert crossings(made, 100, lambda n: Outcome.OK) == 0.0
-    assert crossings(made, 300, lambda n: Outcome.ERROR if n % 2 else Outcome.OK, now=50_000.0) > 0.2
+    assert cross_zone_share(made, 100, lambda n: Outcome.OK) == 0.0
+    assert cross_zone_share(made, 300, lambda n: Outcome.ERROR if n % 2 else Outcome.OK, now=50_000.0) > 0.2
 
 
 def test_lost_answers_do_not_shed_while_answers_are_quick():
@@ -197,9 +197,9 @@
     made.request(2000.0, arrival(2, 2000.0))
     actions = made.outcome(2001.0, 2, 0, Outcome.RESET, 1.0)
     assert made._endpoints.servers["s0"].fault_share == 0.0
-    (again,) = of_type(actions, Send)  # over a new connection
+    (retry,) = of_type(actions, Send)  # over a new connection
     made.outcome(2020.0, 2, 1, Outcome.OK, 20.0, last=True)
-    assert again.server == "s0"
+    assert retry.server == "s0"
     soon = made.request(2500.0, arrival(3, 2500.0))
     assert of_type(soon, Send) and not of_type(soon, CloseIdle)
     made.outcome(2520.0, 3, 0, Outcome.OK, 20.0, last=True)
@@ -213,9 +213,9 @@
     for seed in range(20):
         made = balancer("keyed", servers=60, seed=seed)
         (send,) = of_type(made.request(0.0, arrival(1)), Send)
-        again = of_type(made.outcome(5.0, 1, 0, Outcome.ERROR, 5.0), Send)
-        assert all(int(a.server[1:]) // 2 == int(send.server[1:]) // 2 for a in again)
-        found += len(again)
+        retries = of_type(made.outcome(5.0, 1, 0, Outcome.ERROR, 5.0), Send)
+        assert all(int(a.server[1:]) // 2 == int(send.server[1:]) // 2 for a in retries)
+        found += len(retries)
     assert found == 20
 
 
@@ -256,7 +256,7 @@
     assert full["s0"] < 20
 
 
-def test_own_faults_break_ties_among_the_drawn():
+def test_own_faults_break_ties_among_the_candidates():
     made = balancer("safe", servers=3)
     made._endpoints.servers["s0"].fault_share = made._endpoints.servers["s1"].fault_share = 0.3
     sends = []
@@ -267,12 +267,12 @@
     assert sends.count("s2") >= 8
 
 
-def test_a_repeat_may_go_to_a_cold_server_that_has_room():
+def test_a_retry_may_go_to_a_server_in_slow_start_that_has_capacity():
     # Found on incident iaad8f8: after a mass restart repeats crowded the few warm servers.
     rules = {"ColdFrom": 0.2, "WarmUp": 60_000.0, "FallMultiple": 3.0, "OverloadFor": 1000.0}
     made = balancer("safe", servers=0, now=0.0, Rules=rules)
     made.server_list(0.0, "all", [Listing("warm"), *[Listing(f"c{i}", started=1.0) for i in range(5)]])
-    again = 0
+    retries = 0
     for number in range(100):
         now = 10_000.0 + 500.0 * number
         made._endpoints.servers["warm"].consecutive_rejections = 0
@@ -281,9 +281,9 @@
         for first in of_type(made.request(now, arrival(number, now)), Send):
             ok = first.server != "warm"
             status = Outcome.OK if ok else Outcome.FULL
-            again += len(of_type(made.outcome(now + 2.0, number, 0, status, 2.0, last=ok), Send))
+            retries += len(of_type(made.outcome(now + 2.0, number, 0, status, 2.0, last=ok), Send))
             made.outcome(now + 20.0, number, 1, Outcome.OK, 18.0, last=True)
-    assert again > 0
+    assert retries > 0
 
 
 def test_a_busy_sidecar_is_strained_by_the_mean_of_reports_not_their_sum():
@@ -301,8 +301,8 @@
     assert levels[1] < 2.0 * levels[0] and levels[1] < 0.5
 
 
-@pytest.mark.parametrize(("held", "strained"), [(0.0, False), (20.0, True)])
-def test_rejections_by_servers_that_hold_little_are_no_strain(held, strained):
+@pytest.mark.parametrize(("in_flight", "strained"), [(0.0, False), (20.0, True)])
+def test_rejections_by_servers_that_hold_little_are_no_strain(in_flight, strained):
     # Found on sev6922: four servers turned one class away while they held nothing, and the sidecar
     # refused two thirds of all requests for it.
     made = balancer("unsafe", servers=8, Report={"How": "inline", "Fields": ["inflight"]})
@@ -311,16 +311,16 @@
         now = 10.0 * number
         actions, hop = made.request(now, arrival(number, now)), 0
         while sends := of_type(actions, Send):
-            turned = hop == 0 and sends[0].server in ("s0", "s1")
-            status, report = (Outcome.FULL, held) if turned else (Outcome.OK, 1.0)
-            actions = made.outcome(now + 5.0, number, hop, status, 5.0, not turned, {"inflight": report})
+            rejects = hop == 0 and sends[0].server in ("s0", "s1")
+            status, report = (Outcome.FULL, in_flight) if rejects else (Outcome.OK, 1.0)
+            actions = made.outcome(now + 5.0, number, hop, status, 5.0, not rejects, {"inflight": report})
             hop += 1
         most = max(most, made._shedder.probability(now))
     assert most > 0.1 if strained else most == 0.0
 
 
 @pytest.mark.parametrize("answers", [True, False])
-def test_a_time_out_is_held_against_a_server_only_if_it_was_silent_since(answers):
+def test_a_time_out_blames_a_server_only_if_it_was_silent_since(answers):
     # Found on day 1: a burst of long work ejected four of nine servers that went on answering.
     made = balancer("unsafe", servers=1)
     for number in range(0, 20, 2):
@@ -358,22 +358,22 @@
     for quiet in (0, 40):  # ten sends a second; the old sidecar has sent for four seconds before
         made = balancer("safe", servers=8, Report={"How": "inline", "Fields": ["inflight"]})
         for step in range(quiet + 20):
-            now, held = 100.0 * step, 0.0 if step < quiet else 4.5
+            now, in_flight = 100.0 * step, 0.0 if step < quiet else 4.5
             if of_type(made.request(now, arrival(step, now)), Send):
-                made.outcome(now + 20.0, step, 0, Outcome.OK, 20.0, True, {"inflight": held})
+                made.outcome(now + 20.0, step, 0, Outcome.OK, 20.0, True, {"inflight": in_flight})
         levels.append(made._shedder.probability(now))
     assert levels[0] < 1.5 * levels[1]
     assert max(levels) < 0.5  # the mean of what is reported: (4.5 - 3) / 3
 
 
-def test_a_fleet_that_is_mostly_cold_is_used_but_not_toppled():
+def test_a_fleet_that_is_mostly_in_slow_start_is_used_but_not_overloaded():
     # Found on join+vast: each budget was counted over all sidecars, though each server is in few
     # subsets: servers that had just joined held nothing while the warm ones were crowded.
     rules = {"ColdFrom": 0.12, "WarmUp": 22_000.0, "FallMultiple": 4.0, "OverloadFor": 2000.0}
-    sidecars, servers, cold = 40, 60, 36
+    sidecars, servers, joiners = 40, 60, 36
     reports = {"How": "inline", "Fields": ["inflight"]}
     names = [f"s{i}" for i in range(servers)]
-    joined = set(random.Random(3).sample(names, cold))
+    joined = set(random.Random(3).sample(names, joiners))
     sent: Counter[tuple[str, int]] = Counter()
     for me in range(sidecars):
         raw = raw_settings("safe", Me=me, Balancers=sidecars, Rules=rules, Report=reports)
@@ -385,12 +385,12 @@
                 made.server_list(now, "changes", [Listing(name, started=10_000.0) for name in joined])
             for send in of_type(made.request(now, arrival(step, now)), Send):
                 sent[send.server, int(now // 1000.0)] += 1
-                held = 1.0 if send.server in joined and step >= 200 else 2.5
-                made.outcome(now + 20.0, step, 0, Outcome.OK, 20.0, True, {"inflight": held})
+                in_flight = 1.0 if send.server in joined and step >= 200 else 2.5
+                made.outcome(now + 20.0, step, 0, Outcome.OK, 20.0, True, {"inflight": in_flight})
     # Between 2 s and 4 s after the start each has a fifth to a quarter of a warm server's capacity.
     window = {name: sent[name, 12] + sent[name, 13] for name in names}
-    warm = sum(window[name] for name in names if name not in joined) / (servers - cold)
-    mean = sum(window[name] for name in joined) / cold
+    warm = sum(window[name] for name in names if name not in joined) / (servers - joiners)
+    mean = sum(window[name] for name in joined) / joiners
     assert mean > 0.17 * warm
     full = 2 * sidecars * 20 / servers  # what a server carries in two seconds while all are warm
     assert max(window[name] for name in joined) < 4.0 * 0.2 * full
