--- /dev/null
+++ b/tests/wire_scenario.py
@@ -0,0 +1,333 @@
+"""One small deployment of the control plane, played through, with every message on its wire recorded.
+
+A service, an aggregator below it, two sidecars' agents (one reports to the service itself, one to the
+aggregator) and an operator. What passes is recorded by forwarding proxies between them, so the record says
+nothing of the program's own names.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import json
+from collections.abc import AsyncIterator
+from contextlib import asynccontextmanager, suppress
+from typing import Any
+
+import aiohttp
+from aiohttp import web
+
+from brassfall.sidecar.agent.agent import Agent
+from brassfall.sidecar.config import Address, Agreement
+from tests.loopback import until
+from tests.test_aggregator_shell import SOON_MS, above, aggregator, started
+
+Message = Any  # as JSON has it
+KEYED = {"left", "objections", "acted"}  # fields whose value is a map from ids or names
+DELAYS = [{"region": "east", "window": 1, "span_ms": 2500, "shake": {"40": 3}, "first": {"44": 5}}]
+
+# A report and a merged report with every field that today's programs may fill.
+FULL_REPORT = {
+    "life": "p9",
+    "seq": 1,
+    "of": 0,
+    "held": 0,
+    "prepared": 0,
+    "acting": "safe",
+    "objection": {"edition": 3, "reason": "no class 'b' is known here"},
+    "list_index": 5,
+    "list_age_ms": 12.5,
+    "overrides": ["west-off"],
+    "digest": "1-0a0b0c0d",
+    "told": 4,
+    "retell": True,
+    "acted": {"west-off": 4},
+    "group": "west-1",
+    "region": "east",
+    "measures": {"delays": DELAYS},
+}
+FULL_AGGREGATOR_REPORT = {
+    "life": "q1",
+    "seq": 1,
+    "region": "west",
+    "listen": "127.0.0.1:9",
+    "epoch": 0,
+    "held": 7,
+    "acknowledged": 7,
+    "prepared": 6,
+    "list_index": 5,
+    "list_age_ms": 3.5,
+    "children": {
+        "known": 2,
+        "leased": 1,
+        "lagging": 1,
+        "fallback": 1,
+        "oldest_list_index": 4,
+        "oldest_list_age_ms": 17.0,
+    },
+    "joined": [{"name": "c1", "life": "r1"}, {"name": "c2", "life": "r2"}],
+    "departed": [{"name": "c3", "life": "r3"}],
+    "lagging": ["c2"],
+    "objections": {"c2": "no class 'b' is known here"},
+    "exceptions": [
+        {
+            "name": "c1",
+            "life": "r1",
+            "place": {"group": "west-1", "region": "west"},
+            "digest": "1-0a0b0c0d",
+            "acted": {"west-off": 4},
+        }
+    ],
+    "places": [{"group": "west-1", "region": "west"}],
+    "measures": {"delays": [{**DELAYS[0], "group": "west-1", "children": 2, "answers": 5}]},
+    "told": 4,
+}
+
+
+class Recorder:
+    """What passed, by kind of message; of each form the first."""
+
+    def __init__(self) -> None:
+        self.messages: dict[str, list[Message]] = {}
+        self._forms: set[tuple[str, frozenset[str]]] = set()
+
+    def add(self, kind: str, raw: bytes | Message) -> None:
+        """Record one message of a kind, if none of its form was recorded before."""
+        message = json.loads(raw) if isinstance(raw, bytes) else raw
+        form = (kind, forms(message))
+        if form not in self._forms:
+            self._forms.add(form)
+            self.messages.setdefault(kind, []).append(message)
+
+
+def forms(message: Message, path: str = "") -> frozenset[str]:
+    """Each field's path in a message, with the JSON type of its value; a key that is data is a `*`."""
+    if isinstance(message, dict):
+        keyed = path.rpartition(".")[2] in KEYED
+        parts = [forms(value, f"{path}.{'*' if keyed else name}") for name, value in message.items()]
+        return frozenset({f"{path}: object"}).union(*parts)
+    if isinstance(message, list):
+        return frozenset({f"{path}: list"}).union(*(forms(part, f"{path}[]") for part in message))
+    types = {bool: "boolean", int: "number", float: "number", str: "string", type(None): "null"}
+    return frozenset({f"{path}: {types[type(message)]}"})
+
+
+@asynccontextmanager
+async def proxy(upstream: str, recorder: Recorder, who: str) -> AsyncIterator[str]:
+    """Forward one client's calls to `upstream`, and record them; where it listens.
+
+    Calls go out on one connection, as the client made them: a report may go on from the one before on its
+    connection. Watches have a connection each."""
+
+    async def forward(request: web.Request) -> web.StreamResponse:
+        body = await request.read()
+        kind = f"{request.method} {request.path.rpartition('/')[0] or request.path}"
+        session = streams if "watch" in request.query else calls
+        headers = {name: value for name, value in request.headers.items() if name.startswith("X-")}
+        url = f"http://{upstream}{request.path_qs}"
+        async with session.request(request.method, url, data=body, headers=headers) as answer:
+            if "watch" in request.query:
+                return await stream(request, answer)
+            content = await answer.read()
+        if body:
+            recorder.add(f"{who} {kind} call", body)
+        if answer.status == 200:
+            recorder.add(f"{who} {kind} answer", content)
+        return web.Response(status=answer.status, body=content, content_type="application/json")
+
+    async def stream(request: web.Request, answer: aiohttp.ClientResponse) -> web.StreamResponse:
+        made = web.StreamResponse()
+        await made.prepare(request)
+        rest = b""
+        with suppress(aiohttp.ClientError, ConnectionError):
+            async for part in answer.content.iter_any():
+                *lines, rest = (rest + part).split(b"\n")
+                for line in filter(None, lines):
+                    recorder.add(f"{who} watch {request.path}", line)
+                await made.write(part)
+        return made
+
+    one = aiohttp.TCPConnector(limit=1)
+    async with aiohttp.ClientSession(connector=one) as calls, aiohttp.ClientSession() as streams:
+        app = web.Application()
+        app.router.add_route("*", "/{path:.*}", forward)
+        runner = web.AppRunner(app, handler_cancellation=True, shutdown_timeout=0.1)
+        await runner.setup()
+        site = web.TCPSite(runner, "127.0.0.1", 0)
+        await site.start()
+        try:
+            assert site._server is not None
+            host, port = site._server.sockets[0].getsockname()[:2]
+            yield f"{host}:{port}"
+        finally:
+            await runner.cleanup()
+
+
+@asynccontextmanager
+async def agent(name: str, address: str) -> AsyncIterator[Agent]:
+    """A sidecar's agent without a data path, which objects to caps of the class `b`."""
+
+    def check(revision: Any) -> str:
+        return "no class 'b' is known here" if "b" in revision.settings.get("caps", {}) else ""
+
+    host, port = address.split(":")
+    stands = Agreement(SOON_MS, "west-1", "east", {})
+    made = Agent(
+        asyncio.get_running_loop(),
+        name,
+        stands,
+        (Address(host, int(port)),),
+        check,
+        lambda *_: float("inf"),
+        1,
+    )
+    made.report_extensions.append(lambda: {"overrides": [], "digest": "0-00000000", "told": 0})
+    made.start()
+    try:
+        yield made
+    finally:
+        await made.leave()
+
+
+class Operator:
+    """Calls the service, and records what it sends and gets."""
+
+    def __init__(self, session: aiohttp.ClientSession, recorder: Recorder, at: str, who: str) -> None:
+        self._session, self._recorder, self._at, self._who = session, recorder, at, who
+
+    async def call(self, method: str, path: str, body: Message = None, kind: str = "") -> Any:
+        """One call that has to succeed; its answer."""
+        kind = f"{self._who} {method} {kind or path}"
+        data = None if body is None else json.dumps(body)
+        async with self._session.request(method, f"http://{self._at}{path}", data=data) as answer:
+            content = await answer.read()
+            assert answer.status == 200, content
+        if body is not None:
+            self._recorder.add(f"{kind} call", body)
+        self._recorder.add(f"{kind} answer", content)
+        return json.loads(content)
+
+    async def decided(self, revision: int) -> str:
+        """What became of a revision."""
+        async with asyncio.timeout(15.0):
+            while True:
+                found = await self.call("GET", f"/rules?edition={revision}", kind="/rules?edition=N")
+                if found["state"] != "prepared":
+                    return str(found["state"])
+                await asyncio.sleep(0.02)
+
+
+def acting(made: Agent) -> Any:
+    """What an agent acts on."""
+    return json.loads(made.state)["acting"]
+
+
+async def play(tmp_path: Any) -> dict[str, list[Message]]:
+    """Play the deployment; the messages by kind."""
+    recorder = Recorder()
+    async with (
+        started(above(tmp_path, agree_ms=SOON_MS)) as (service,),
+        proxy(service, recorder, "aggregator") as between,
+        started(aggregator(between, agree_ms=SOON_MS)) as (below,),
+        proxy(service, recorder, "sidecar") as direct,
+        proxy(below, recorder, "child") as behind,
+        aiohttp.ClientSession() as session,
+    ):
+        operator = Operator(session, recorder, service, "operator")
+        await _list_servers(operator)
+        async with agent("n0", direct) as n0, agent("n1", behind) as n1:
+            await until(lambda: acting(n0) == acting(n1) == 0)
+            await _publish(operator, n0, n1)
+            await _override(operator)
+            await _report_all(Operator(session, recorder, service, "service"))
+            await _list_all(operator, Operator(session, recorder, below, "aggregator"))
+    return recorder.messages
+
+
+async def _list_servers(operator: Operator) -> None:
+    entry = {
+        "address": "127.0.0.1:7001",
+        "zone": "east",
+        "type": "m2",
+        "group": 3,
+        "weight": 1.0,
+        "ttl_ms": 0,
+    }
+    one = "/registry/instances/s1"
+    await operator.call("PUT", one, {**entry, "since_ms": 5})
+    await operator.call(
+        "PUT", "/registry/instances/s2", {**entry, "address": "127.0.0.1:7002", "zone": "west"}
+    )
+    await operator.call("POST", f"{one}/renew", {"since_ms": 5})
+    await operator.call("PATCH", one, {"weight": 2.0, "since_ms": 5})
+    await operator.call("GET", one)
+    await operator.call("GET", "/registry/instances")
+
+
+async def _publish(operator: Operator, *agents: Agent) -> None:
+    settings = {
+        "caps": {"look": 7},
+        "regions": {"held": ["west"]},
+        "tenants": {"acme": "east"},
+        "shares": {"west-1": {"east": 1.0}},
+        "floor": {"regions": {"held": []}},
+    }
+    committed = (await operator.call("PUT", "/rules", settings))["edition"]
+    await until(lambda: all(acting(each) == committed for each in agents))
+    halted = (await operator.call("PUT", "/rules", {**settings, "caps": {"b": 7}}))["edition"]
+    assert await operator.decided(halted) == "halted"
+    await operator.call("GET", "/rules", kind="/rules when halted")
+
+
+async def _override(operator: Operator) -> None:
+    now_ms = (await operator.call("GET", "/overrides", kind="/overrides when empty"))["now_ms"]
+    held = {
+        "action": {"hold": {"region": "west"}},
+        "places": {"groups": ["west-1"], "regions": ["east"]},
+        "by": "ana",
+        "why": "drill",
+        "until_ms": now_ms + 600_000,
+        "priority": 3,
+    }
+    await operator.call("PUT", "/overrides/west-off", held)
+    capped = {
+        "action": {"cap": {"per_s": 9.0}},
+        "match": {"class": "look"},
+        "by": "ana",
+        "why": "drill",
+        "until_ms": now_ms + 600_000,
+    }
+    await operator.call("PUT", "/overrides/look-9", capped)
+    await operator.call("GET", "/overrides/west-off")
+    await operator.call("GET", "/overrides")
+    async with asyncio.timeout(15.0):
+        while not (await operator.call("GET", "/rules", kind="/rules with overrides"))["overrides"]:
+            await asyncio.sleep(0.02)
+    await operator.call("DELETE", "/overrides/look-9")
+
+
+async def _report_all(service: Operator) -> None:
+    """Reports with every field; the second, a shorter one, goes on from the first."""
+    kind = "/edges full"
+    answer = await service.call("POST", "/edges/n9", FULL_REPORT, kind=kind)
+    await service.call("POST", "/edges/n9", {**FULL_REPORT, "seq": 2, "of": answer["life"]}, kind=kind)
+    await service.call("POST", "/edges/n9", {"life": "p9", "seq": 3, "leaving": True}, kind="/edges leaving")
+    kind = "/aggregators full"
+    answer = await service.call("POST", "/aggregators/a9", FULL_AGGREGATOR_REPORT, kind=kind)
+    again = {**FULL_AGGREGATOR_REPORT, "seq": 2, "epoch": answer["epoch"]}
+    await service.call("POST", "/aggregators/a9", again, kind=kind)
+    leaving = {"life": "q1", "seq": 3, "region": "west", "leaving": True}
+    await service.call("POST", "/aggregators/a9", leaving, kind="/aggregators leaving")
+
+
+async def _list_all(operator: Operator, below: Operator) -> None:
+    await operator.call("GET", "/edges")
+    await operator.call("GET", "/aggregators")
+    await operator.call("GET", "/geo")
+    await operator.call("GET", "/status")
+    for table in ("rules", "edges", "overrides", "overrides-history"):
+        await operator.call("GET", f"/tables/{table}", kind=f"/tables/{table}, as stored")
+    await below.call("GET", "/edges")
+    await below.call("GET", "/status")
+    await below.call("GET", "/registry/instances")
+    await operator.call("DELETE", "/registry/instances/s2")
+    await operator.call("DELETE", "/edges/n0")
