--- a/brassfall/controlplane/aggregation/children.py
+++ b/brassfall/controlplane/aggregation/children.py
@@ -12,7 +12,7 @@
 from typing import NamedTuple
 
 from brassfall.controlplane.aggregation.messages import ChildCounts, Member
-from brassfall.controlplane.revisions.edges import Report
+from brassfall.controlplane.revisions.reports import Report
 
 FALLBACK = "safe"  # as a report says that its process acts on the fallback configuration
 
--- a/brassfall/controlplane/aggregation/core.py
+++ b/brassfall/controlplane/aggregation/core.py
@@ -19,7 +19,7 @@
 from brassfall.controlplane.aggregation.children import FALLBACK, Child, ChildKey, ChildLeases, Membership
 from brassfall.controlplane.aggregation.endings import Endings
 from brassfall.controlplane.aggregation.exceptions import OverrideExceptions
-from brassfall.controlplane.aggregation.lease import UpstreamLease, expiry_bound_ms
+from brassfall.controlplane.aggregation.lease import UpstreamLease
 from brassfall.controlplane.aggregation.merging import MergedDelays
 from brassfall.controlplane.aggregation.messages import (
     LAGGING_MOST,
@@ -34,7 +34,8 @@
 from brassfall.controlplane.aggregation.revisions import RevisionView
 from brassfall.controlplane.aggregation.timing import AggregatorTiming
 from brassfall.controlplane.revisions import pace
-from brassfall.controlplane.revisions.edges import Objection, Report
+from brassfall.controlplane.revisions.reports import Objection, Report
+from brassfall.controlplane.revisions.timing import expiry_bound_ms
 
 EPOCH_GONE_MS = 12_000.0  # more than twice the time that a service needs to count a majority
 FETCH_EVERY_MS = 250.0
@@ -284,7 +285,7 @@
     # --- children ---------------------------------------------------------------------------
 
     def _child_reported(self, now: float, event: ChildReported) -> list[Action]:
-        key, report = ChildKey(event.name, event.report.life), event.report
+        key, report = ChildKey(event.name, event.report.process_id), event.report
         if report.leaving:
             self._child_leaves(key)
             return [self._answer(now, event, "it is leaving"), *self._decided(now)]
@@ -317,13 +318,13 @@
         self.delays.add(now, key.name, report.group, report.measures)
         self.exceptions.heard(now, child)
         objection = report.objection
-        if objection is not None and objection.edition == self.pending != 0:
+        if objection is not None and objection.revision == self.pending != 0:
             self._object(key.name, objection)
 
     def _object(self, name: str, objection: Objection) -> None:
         """Keep an objection to what is pending, also where the service is another one meanwhile."""
-        if self._objected != objection.edition:
-            self._objected, self._objections = objection.edition, {}
+        if self._objected != objection.revision:
+            self._objected, self._objections = objection.revision, {}
         self._objects_untold |= not self._objections
         self._objections[name] = objection.reason[:TEXT_MOST]
 
@@ -338,7 +339,7 @@
         if order is not None and order.barred:
             return order.barred
         objection = report.objection
-        if objection is not None and objection.edition == self.committed:
+        if objection is not None and objection.revision == self.committed:
             return f"it objects to this edition: {objection.reason}"
         if self.pending and report.prepared != self.pending:
             return "it has not acknowledged the edition that is prepared"
@@ -346,9 +347,11 @@
 
     def _ahead(self, report: Report) -> bool:
         """Whether a child knows of what is not known here yet: an answer could make it forget that."""
-        if (report.of or 0) > self.epoch or self._promises_unknown(report):
+        if (report.epoch or 0) > self.epoch or self._promises_unknown(report):
             return True
-        return report.of == self.epoch and isinstance(report.acting, int) and report.acting > self.committed
+        return (
+            report.epoch == self.epoch and isinstance(report.acting, int) and report.acting > self.committed
+        )
 
     def _promised(self, report: Report) -> int:
         """The revision that a child has acknowledged and goes on promising after its answer: that is what is
@@ -365,7 +368,7 @@
 
     def _sends_on(self, now: float, report: Report) -> bool:
         """Whether a child had better ask another aggregator."""
-        if self._leaving or self.lease.stale(now) or (report.of or 0) > self.epoch:
+        if self._leaving or self.lease.stale(now) or (report.epoch or 0) > self.epoch:
             return True
         if self._caught_up() and not self._ahead(report):
             return self.lease.left_ms(now) <= 0.0
@@ -376,7 +379,7 @@
 
     def _notice_lag(self, now: float, report: Report) -> list[Action]:
         """Ask for the state, where a child knows what this aggregator has missed."""
-        if not self._ahead(report) or (report.of or 0) > self.epoch:
+        if not self._ahead(report) or (report.epoch or 0) > self.epoch:
             return []
         return self._fetch(now)
 
@@ -390,7 +393,7 @@
         if self._promises_unknown(report):
             pending = report.prepared  # its promise goes on: nothing is known here that ended it
         order = self.exceptions.order(event.name)
-        anew = report.retell or (order is not None and order.retell)
+        anew = report.refresh_times or (order is not None and order.retell)
         made = AnswerChild(
             event.ticket,
             self.epoch,
@@ -400,9 +403,9 @@
             why,
             elsewhere=self._sends_on(now, report),
             order=order,
-            left=self.endings.for_child(now, 0 if anew else report.told),
+            left=self.endings.for_child(now, 0 if anew else report.known_override_revision),
         )
-        self.exceptions.carried_out(event.name, report.acted is not None)
+        self.exceptions.carried_out(event.name, report.acted_overrides is not None)
         return made
 
     # --- the deciding service -----------------------------------------------------------------
@@ -553,7 +556,7 @@
     def _tick(self, now: float) -> list[Action]:
         if now - self._swept_ms >= SWEEP_MS:
             self._swept_ms = now
-            for key in self.membership.silent(now, self.settings.over_ms):
+            for key in self.membership.silent(now, self.settings.expiry_bound_ms):
                 self.membership.depart(key)
                 self.exceptions.gone(key)
         return [*self._release_line(now), *self._decided(now)]
--- a/brassfall/controlplane/aggregation/exceptions.py
+++ b/brassfall/controlplane/aggregation/exceptions.py
@@ -121,4 +121,4 @@
 def _row(child: Child) -> ChildException:
     report = child.report
     place = Place(report.group, report.region)
-    return ChildException(child.key.name, child.key.life, place, _digest(child), report.acted)
+    return ChildException(child.key.name, child.key.life, place, _digest(child), report.acted_overrides)
--- a/brassfall/controlplane/aggregation/lease.py
+++ b/brassfall/controlplane/aggregation/lease.py
@@ -29,7 +29,7 @@
     def take(self, asked: float, revision: int, length_ms: float) -> None:
         """Hold a lease on a revision for so long from the asking; never longer than a lease can be."""
         self.revision = revision
-        self.until_ms = asked + min(length_ms, self.timing.permission_ms)
+        self.until_ms = asked + min(length_ms, self.timing.lease_ms)
         self.renewed_ms = asked
 
     def drop(self) -> None:
@@ -42,13 +42,8 @@
 
     def child_lease_ms(self, now: float) -> float:
         """How long a lease that is granted now may be: it never ends after this one."""
-        return min(self.timing.permission_ms, self.left_ms(now))
+        return min(self.timing.lease_ms, self.left_ms(now))
 
     def stale(self, now: float) -> bool:
         """Whether answers from above have stopped, so that children had better ask elsewhere in time."""
         return now - self.renewed_ms > self.timing.elsewhere_after_ms
-
-
-def expiry_bound_ms(length_ms: float, drift: float) -> float:
-    """How long the granter of a lease waits, on its own clock, until the lease is over on the other's."""
-    return length_ms * (1.0 + drift) / (1.0 - drift)
--- a/brassfall/controlplane/aggregation/timing.py
+++ b/brassfall/controlplane/aggregation/timing.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from brassfall.controlplane.revisions.core import Timing
+from brassfall.controlplane.revisions.timing import LeaseTiming
 
 
-class AggregatorTiming(Timing, frozen=True):
+class AggregatorTiming(LeaseTiming, frozen=True):
     """Durations in ms. `agree_ms` and `drift` have to be the deciding service's."""
 
     children_most: int = 2000  # child processes known at once
--- a/brassfall/controlplane/registry/aggregator/children.py
+++ b/brassfall/controlplane/registry/aggregator/children.py
@@ -22,7 +22,7 @@
 from brassfall.controlplane.registry.front import Front
 from brassfall.controlplane.registry.reports import read_report
 from brassfall.controlplane.revisions import pace
-from brassfall.controlplane.revisions.edges import Report, ReportError
+from brassfall.controlplane.revisions.reports import Report, ReportError
 
 STAYS_MOST = 1  # reports after one that was answered with `elsewhere`, and without a lease
 
@@ -123,7 +123,7 @@
             permission_ms=granted.lease_ms,
             list_index=index,
             news=self.newest() > report.held or index > report.list_index,
-            life=granted.epoch if report.of != granted.epoch else None,
+            life=granted.epoch if report.epoch != granted.epoch else None,
             pending=granted.pending,
             why=granted.why,
             every_ms=core.every_ms(),
--- a/brassfall/controlplane/registry/aggregators.py
+++ b/brassfall/controlplane/registry/aggregators.py
@@ -28,7 +28,7 @@
 from brassfall.controlplane.registry.rules import Host, Rules
 from brassfall.controlplane.registry.sidecar_rows import SidecarRow
 from brassfall.controlplane.registry.tasks import Tasks
-from brassfall.controlplane.revisions.edges import Objection, Report
+from brassfall.controlplane.revisions.reports import Objection, Report
 from brassfall.logs import faults, logger
 
 SWEEP_S = 1.0
@@ -148,10 +148,10 @@
     def reported(self, name: str, report: AggregatorReport) -> AggregatorLease:
         """Take in a report of an aggregator; its lease, and what else it is told."""
         now, rules = self.rules.now(), self.rules
-        edge, live_ms = rules.core.fleet.edges.get(name), rules.core.timing.over_ms
-        if edge is not None and not rules.directory.knows(name) and now - edge.last_ms <= live_ms:
+        edge, live_ms = rules.core.membership.nodes.get(name), rules.core.timing.expiry_bound_ms
+        if edge is not None and not rules.directory.knows(name) and now - edge.reported_ms <= live_ms:
             raise AggregatorNameError(f"aggregator {name}", "a sidecar that reports here has this name")
-        heard = rules.directory.heard(now, rules.core.fleet.life, name, report)
+        heard = rules.directory.heard(now, rules.core.epoch, name, report)
         self.figures.reports += 1
         if heard.superseded:
             self.figures.superseded += 1
@@ -165,7 +165,7 @@
     def _replaced(self, report: AggregatorReport) -> AggregatorLease:
         """The answer to a process that another of its name has followed. It names what is pending: else it
         would take that for decided, and end what its children have promised under leases that still run."""
-        kept, epoch = self.rules.core.kept, self.rules.core.fleet.life
+        kept, epoch = self.rules.core.state, self.rules.core.epoch
         pending = kept.pending.number if kept.pending is not None else 0
         return AggregatorLease(epoch, kept.committed.number, pending=pending, seq=report.seq, why=REPLACED)
 
@@ -177,16 +177,16 @@
         owned = [row for row in rows if rules.directory.owner(row.name) == name]
         told = self.overrides.merged(now, owned, report, orders)
         return AggregatorLease(
-            epoch=rules.core.fleet.life,
-            revision=granted.edition,
-            lease_ms=granted.permission_ms,
+            epoch=rules.core.epoch,
+            revision=granted.revision,
+            lease_ms=granted.lease_ms,
             pending=granted.pending,
             why=granted.why,
             seq=report.seq,
             list_index=self.host.store.table.last(INSTANCES),
             members=max(1, rules.sidecars()),
             moved=rules.directory.moved(process),
-            resync=rules.directory.resync(rules.core.fleet.life, process),
+            resync=rules.directory.resync(rules.core.epoch, process),
             left=told.left,
             digests=told.digests,
             orders=told.orders,
@@ -230,15 +230,17 @@
 
     def _behind(self, now: float, name: str, process: AggregatorProcess) -> str:
         report, core = process.report, self.rules.core
-        if now - process.heard_ms > core.timing.over_ms:
+        if now - process.heard_ms > core.timing.expiry_bound_ms:
             return "silent: its children act on safe rules, or have moved"
-        older = sum(now - each.heard_ms <= core.timing.over_ms for each in self.rules.directory.former(name))
+        older = sum(
+            now - each.heard_ms <= core.timing.expiry_bound_ms for each in self.rules.directory.former(name)
+        )
         if older:
             return f"{older} older processes of its name still report; they get no lease"
-        if report.epoch not in (None, 0, core.fleet.life):
+        if report.epoch not in (None, 0, core.epoch):
             return f"follows another epoch of the service, {report.epoch}"
-        if report.held < core.kept.committed.number:
-            return f"does not hold revision {core.kept.committed.number}"
+        if report.held < core.state.committed.number:
+            return f"does not hold revision {core.state.committed.number}"
         if report.list_age_ms is not None and report.list_age_ms > sidecar_rows.LIST_OLD_MS:
             return f"its list may be {report.list_age_ms / 1000.0:.1f} s old: it keeps it, and asks on"
         if report.children.lagging:
@@ -259,7 +261,7 @@
         return Listing(
             edges=found,
             edition=view.committed,
-            permits=rules.core.may_permit(rules.now()) or "yes",
+            permits=rules.core.grant_refusal(rules.now()) or "yes",
             list=sidecar_rows.spread(found, self.host.store.table.last(INSTANCES), view.silent_ms),
             unanswered=gathered.unanswered,
         )
@@ -284,7 +286,7 @@
         for name, rows in gathered.rows.items():
             for row in rows:
                 has = directory.owner(row.name)
-                if has == name or (has is None and row.name not in self.rules.core.fleet.edges):
+                if has == name or (has is None and row.name not in self.rules.core.membership.nodes):
                     made[row.name] = row
         return made
 
@@ -306,9 +308,9 @@
 def _as_member(report: AggregatorReport) -> Report:
     """An aggregator as one member of the agreement."""
     return Report(
-        life=report.life,
+        process_id=report.life,
         seq=report.seq,
-        of=report.epoch,
+        epoch=report.epoch,
         held=report.held,
         prepared=report.prepared,
         acknowledged=report.acknowledged,
--- a/brassfall/controlplane/registry/children_listing.py
+++ b/brassfall/controlplane/registry/children_listing.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from brassfall.controlplane.registry.sidecar_rows import SidecarRow, View, behind
-from brassfall.controlplane.revisions.edges import Objection
+from brassfall.controlplane.revisions.reports import Objection
 
 ASK_S = 1.0
 AT_ONCE = 8
--- a/brassfall/controlplane/registry/geo.py
+++ b/brassfall/controlplane/registry/geo.py
@@ -19,8 +19,8 @@
 from brassfall.controlplane.registry.calls import answer
 from brassfall.controlplane.registry.entries import INSTANCES
 from brassfall.controlplane.registry.tasks import Tasks
-from brassfall.controlplane.revisions.core import Kept
-from brassfall.controlplane.revisions.edges import Report
+from brassfall.controlplane.revisions.reports import Report
+from brassfall.controlplane.revisions.state import DurableState
 from brassfall.controlplane.store.core import Put
 from brassfall.controlplane.store.store import Store
 from brassfall.errors import Refused
@@ -46,7 +46,7 @@
 class Editions(Protocol):
     """The agreement, as far as plans go through it."""
 
-    def kept(self) -> Kept:
+    def kept(self) -> DurableState:
         """What is durable of the editions."""
 
     def publish(self, **layers: Any) -> asyncio.Future[int]:
@@ -93,7 +93,7 @@
         rows = report.measures.get("delays")
         if rows:
             now = time.monotonic()
-            sifted = self._hear(name, report.life, report.group, rows, now)
+            sifted = self._hear(name, report.process_id, report.group, rows, now)
             answers = sum(evidence.count(first) for _, _, _, first in sifted.rows)
             _, _, before = self._demand.get(name, ("", 0.0, now - 1.0))
             self._demand[name] = (report.group, answers / max(0.25, now - before), now)
@@ -164,7 +164,7 @@
         pairs = [asdict(pair) for pair in found.pairs]
         return answer(
             _encode(
-                {"pairs": pairs, "plan_edition": kept.committed.plan_edition, "plan": kept.committed.plan}
+                {"pairs": pairs, "plan_edition": kept.committed.plan_revision, "plan": kept.committed.plan}
             )
         )
 
--- a/brassfall/controlplane/registry/overrides.py
+++ b/brassfall/controlplane/registry/overrides.py
@@ -28,7 +28,7 @@
 from brassfall.controlplane.registry import entries
 from brassfall.controlplane.registry.calls import answer
 from brassfall.controlplane.registry.tasks import Tasks
-from brassfall.controlplane.revisions.edges import Report
+from brassfall.controlplane.revisions.reports import Report
 from brassfall.controlplane.store.core import Command, Delete, Put
 from brassfall.controlplane.store.store import Store
 from brassfall.errors import Unavailable
@@ -242,13 +242,15 @@
         """A sidecar's report: what its answer tells of overrides. To be asked before its permission is."""
         digest = report.digest if report.overrides is not None else None
         place = (report.group, report.region)
-        self._compare(comparing.Reported(name, report.life, *place, digest))
-        if report.acted is not None:
-            self._compare(comparing.Details(name, report.acted))
+        self._compare(comparing.Reported(name, report.process_id, *place, digest))
+        if report.acted_overrides is not None:
+            self._compare(comparing.Details(name, report.acted_overrides))
         told: dict[str, Any] = {}
-        anew = report.retell or name in self._tell
+        anew = report.refresh_times or name in self._tell
         self._tell.discard(name)
-        times = document.times(self.book.active(self.now()), self.now(), 0 if anew else report.told)
+        times = document.times(
+            self.book.active(self.now()), self.now(), 0 if anew else report.known_override_revision
+        )
         if times:
             told["left"] = times
         if name in self._ask:
--- a/brassfall/controlplane/registry/reports.py
+++ b/brassfall/controlplane/registry/reports.py
@@ -5,7 +5,7 @@
 from aiohttp import web
 
 from brassfall.controlplane.registry.callers import Connection
-from brassfall.controlplane.revisions.edges import Report, read
+from brassfall.controlplane.revisions.reports import Report, parse_delta
 
 
 def read_report(request: web.Request, name: str, body: bytes) -> Report:
@@ -15,6 +15,6 @@
     connection = request.protocol
     assert isinstance(connection, Connection)
     (whose, before), connection.report = connection.report, ("", {})
-    report, raw = read(body, before if whose == name else None)
+    report, raw = parse_delta(body, before if whose == name else None)
     connection.report = (name, raw)
     return report
--- a/brassfall/controlplane/registry/rules.py
+++ b/brassfall/controlplane/registry/rules.py
@@ -20,11 +20,14 @@
 from brassfall.controlplane.registry.sidecar_rows import NEVER, SidecarRow, View, reported_row
 from brassfall.controlplane.registry.tasks import Tasks
 from brassfall.controlplane.registry.watches import Channel, Lines
-from brassfall.controlplane.revisions import core as deciding
-from brassfall.controlplane.revisions import document, pace
-from brassfall.controlplane.revisions.core import Agreement, Event, Kept, Reported, Timing
-from brassfall.controlplane.revisions.document import DocumentError, HarmfulError
-from brassfall.controlplane.revisions.edges import Fleet, Objection, Report, ReportError
+from brassfall.controlplane.revisions import messages, pace, validation
+from brassfall.controlplane.revisions.coordinator import RevisionCoordinator
+from brassfall.controlplane.revisions.membership import Membership
+from brassfall.controlplane.revisions.messages import Event, ReportReceived
+from brassfall.controlplane.revisions.reports import Objection, Report, ReportError
+from brassfall.controlplane.revisions.state import DurableState
+from brassfall.controlplane.revisions.timing import LeaseTiming
+from brassfall.controlplane.revisions.validation import DocumentError, HarmfulError
 from brassfall.controlplane.store.core import Delete, Put
 from brassfall.controlplane.store.store import NotWritten, Store
 from brassfall.errors import Missing, Stale, Unavailable
@@ -93,7 +96,7 @@
     host: Host
     settings: AgreementSettings
     channel: Lines = field(init=False)
-    core: Agreement = field(init=False)
+    core: RevisionCoordinator = field(init=False)
     figures: Figures = field(default_factory=Figures)
     barred: dict[str, str] = field(default_factory=dict)  # sidecars without permission, and why
     riders: list[Rider] = field(default_factory=list)  # what else reports carry
@@ -101,7 +104,7 @@
     _counted: tuple[float, int] = (float("-inf"), 0)  # sidecars, when they were counted last
     _tickets: count[int] = field(default_factory=count)
     _waiting: dict[int, asyncio.Future[int]] = field(default_factory=dict)
-    _granted: dict[int, deciding.Granted] = field(default_factory=dict)
+    _granted: dict[int, messages.LeaseAnswer] = field(default_factory=dict)
     _enrolling: set[str] = field(default_factory=set)
     _tasks: Tasks = field(default_factory=Tasks)
     _encoded: tuple[Any, bytes] | None = None
@@ -111,12 +114,12 @@
         """Load what is durable, and begin a life. The store has to be loaded."""
         store = self.host.store
         row = store.table.get(RULES, STATE)
-        kept = msgspec.convert(row.value, Kept) if row is not None else Kept()
-        fleet = Fleet(life=store.life, names={row.key for row in store.table.rows(ROSTER)})
-        timing = Timing(agree_ms=self.settings.agree_ms)
+        state = msgspec.convert(row.value, DurableState) if row is not None else DurableState()
+        membership = Membership(epoch=store.life, names={row.key for row in store.table.rows(ROSTER)})
+        timing = LeaseTiming(agree_ms=self.settings.agree_ms)
         self._started = self.now()
-        self.core = Agreement(timing, self._started, kept, fleet, barred=self.barred)
-        self.directory = Directory(timing.over_ms, self.settings.edges_most)
+        self.core = RevisionCoordinator(timing, self._started, state, membership, blocked=self.barred)
+        self.directory = Directory(timing.expiry_bound_ms, self.settings.edges_most)
         self.channel = Lines(self.line, watch_bytes, stuck_s)
         self.host.channels[PLACE] = self.channel
         self._tasks.spawn(self._tick())
@@ -145,33 +148,33 @@
         """Give the core an event, and do what it says."""
         for action in self.core.step(self.now(), event):
             match action:
-                case deciding.Persist(kept):
-                    self._tasks.spawn(self._persist(kept))
-                case deciding.Enrol(name, on):
+                case messages.Persist(state):
+                    self._tasks.spawn(self._persist(state))
+                case messages.PersistMember(name, on):
                     self._enrol(name, on)
                     if not on:
                         self._gone(name)
-                case deciding.Granted(ticket):
+                case messages.LeaseAnswer(ticket):
                     self._granted[ticket] = action
-                case deciding.Published(ticket, edition):
-                    self._settle(ticket, edition)
-                case deciding.Conflict(ticket, newest):
+                case messages.Published(ticket, revision):
+                    self._settle(ticket, revision)
+                case messages.PublishConflict(ticket, newest):
                     self._settle(ticket, Stale("not published", f"the newest edition is {newest}"))
-                case deciding.Unwritten(ticket):
+                case messages.PublishFailed(ticket):
                     self._settle(ticket, UnwrittenError("not published", "the disk refused it"))
-                case deciding.Told():
+                case messages.NotifyWatches():
                     self._encoded = None
                     self.channel.poke()
 
     def report(
         self, name: str, report: Report, objections: Mapping[str, Objection] | None = None
-    ) -> deciding.Granted:
+    ) -> messages.LeaseAnswer:
         """Have the core decide on a report; `objections` are those of an aggregator's children."""
         ticket = next(self._tickets)
-        self.step(Reported(ticket, name, report, objections or {}))
+        self.step(ReportReceived(ticket, name, report, objections or {}))
         granted = self._granted.pop(ticket)
         self.figures.reports += 1
-        self.figures.granted += granted.permission_ms > 0.0
+        self.figures.granted += granted.lease_ms > 0.0
         return granted
 
     def _gone(self, name: str) -> None:
@@ -189,24 +192,24 @@
         else:
             future.set_exception(result)
 
-    async def _persist(self, kept: Kept) -> None:
-        before = self.core.kept
+    async def _persist(self, state: DurableState) -> None:
+        before = self.core.state
         try:
-            value = msgspec.to_builtins(kept)
+            value = msgspec.to_builtins(state)
             await self.host.store.submit(Put(table=RULES, key=STATE, value=value))
         except NotWritten as error:
             log.error("not durable", reason=str(error))
-            self.step(deciding.Failed())
+            self.step(messages.PersistFailed())
             return
-        self.step(deciding.Durable())
-        self._say(before, kept)
+        self.step(messages.Persisted())
+        self._say(before, state)
 
     @staticmethod
-    def _say(before: Kept, kept: Kept) -> None:
+    def _say(before: DurableState, kept: DurableState) -> None:
         if kept.committed.number != before.committed.number:
             log.info("committed", edition=kept.committed.number)
         if kept.halted is not None and kept.halted != before.halted:
-            log.warning("halted", edition=kept.halted.edition.number, objections=kept.halted.objections)
+            log.warning("halted", edition=kept.halted.revision.number, objections=kept.halted.objections)
         if kept.pending is not None and kept.pending != before.pending:
             log.info("prepared", edition=kept.pending.number, layers=kept.pending.layers)
 
@@ -220,7 +223,7 @@
         try:
             if on:
                 await self.host.store.submit(Put(table=ROSTER, key=name, value={}, quiet=True))
-                self.core.enrolled(name)
+                self.core.member_added(name)
             else:
                 await self.host.store.submit(Delete(table=ROSTER, key=name))
         except NotWritten as error:
@@ -233,7 +236,7 @@
         while True:
             await asyncio.sleep(TICK_S)
             with faults(log):
-                self.step(deciding.Tick())
+                self.step(messages.Tick())
                 if self.now() - swept > SWEEP_S * 1000.0:
                     swept = self.now()
                     self._sweep(swept)
@@ -243,29 +246,29 @@
         each takes a place among those that may report.
 
         Names of the roster only where it may permit: else a minority would make itself a majority."""
-        alone = not self.core.may_permit(now)
-        fleet, limit = self.core.fleet, now - self.settings.forget_ms
-        fleet.holding(now)  # drops what is over: a life each report must not add up between two editions
-        for name in [*fleet.edges.keys() | fleet.names]:
+        alone = not self.core.grant_refusal(now)
+        fleet, limit = self.core.membership, now - self.settings.forget_ms
+        self.core.leases.active(now)  # forgets what is over, also while nothing is decided
+        for name in [*fleet.nodes.keys() | fleet.names]:
             if name in fleet.names and not alone:
                 continue
-            edge = fleet.edges.get(name)
-            if (edge.last_ms if edge is not None else self._started) < limit:
+            edge = fleet.nodes.get(name)
+            if (edge.reported_ms if edge is not None else self._started) < limit:
                 log.warning("forgotten", name=name, reason="no report for too long")
-                self.step(deciding.Forget(name))
+                self.step(messages.RemoveMember(name))
                 self._gone(name)
 
     # --- /rules -----------------------------------------------------------------------
 
     def line(self) -> bytes:
         """The state as it is told: the edition that matters most now, and the one in force beside it."""
-        if self._encoded is None or self._encoded[0] is not self.core.kept:
-            self._encoded = (self.core.kept, _encode(self.state()))
+        if self._encoded is None or self._encoded[0] is not self.core.state:
+            self._encoded = (self.core.state, _encode(self.state()))
         return self._encoded[1]
 
     def state(self) -> dict[str, Any]:
         """The same as plain values."""
-        return revision_state.current_state(self.core.kept, self.core.fleet.life)
+        return revision_state.current_state(self.core.state, self.core.epoch)
 
     async def _get(self, request: web.Request) -> web.StreamResponse:
         if request.query.get("watch", "0") not in ("0", ""):
@@ -275,14 +278,14 @@
             return answer(self.line())
         core = self.core
         number = calls.number(asked, "edition")
-        return answer(_encode(revision_state.state_of(core.kept, core.fleet.life, core.outcomes, number)))
+        return answer(_encode(revision_state.state_of(core.state, core.epoch, core.outcomes, number)))
 
     async def _put(self, request: web.Request) -> web.Response:
         try:
             settings = msgspec.json.decode(await self.host.body(request))
         except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as wrong:
             raise DocumentError("settings are no JSON", str(wrong)) from wrong
-        found = document.faults(settings)
+        found = validation.form_fault(settings)
         if found:
             raise DocumentError("settings refused", found)
         forced = request.headers.get("X-Force", "0") not in ("0", "")
@@ -297,8 +300,8 @@
         return answer(_encode({"edition": number}))
 
     def _harmless(self, settings: dict[str, Any], forced: bool) -> None:
-        others = [edition.settings for edition in self.core.current(self.now())]
-        harm = document.harm(settings, self._regions(), others)
+        others = [edition.settings for edition in self.core.actable_revisions(self.now())]
+        harm = validation.harm(settings, self._regions(), others)
         if harm and not forced:
             self.figures.harmful += 1
             raise HarmfulError("edition refused", harm)
@@ -313,16 +316,16 @@
         ticket = next(self._tickets)
         future: asyncio.Future[int] = asyncio.get_running_loop().create_future()
         self._waiting[ticket] = future
-        self.step(deciding.Publish(ticket, list_index=self.host.store.table.last(INSTANCES), **layers))
+        self.step(messages.Publish(ticket, list_index=self.host.store.table.last(INSTANCES), **layers))
         return future
 
-    def kept(self) -> Kept:
+    def kept(self) -> DurableState:
         """What is durable of the editions."""
-        return self.core.kept
+        return self.core.state
 
     def layer(self) -> list[dict[str, Any]] | None:
         """The overrides of the newest edition; None while one is on its way."""
-        kept = self.core.kept
+        kept = self.core.state
         return None if kept.pending is not None else kept.committed.overrides
 
     # --- /edges -----------------------------------------------------------------------
@@ -337,7 +340,10 @@
         if self.directory.live(self.now(), name):
             self.figures.refused_reports += 1
             raise AggregatorNameError(f"sidecar {name}", "an aggregator has this name")
-        if name not in self.core.fleet.edges and len(self.core.fleet.edges) >= self.settings.edges_most:
+        if (
+            name not in self.core.membership.nodes
+            and len(self.core.membership.nodes) >= self.settings.edges_most
+        ):
             self.figures.refused_reports += 1
             raise Unavailable("no place", f"all {self.settings.edges_most} sidecars are known", retry_s=10.0)
         return calls.Brief(body=_encode(self._permission(name, report)))
@@ -347,35 +353,45 @@
         for rider in () if report.leaving else self.riders:  # it says nothing of what it acted on
             more |= rider.reported(name, report)
         granted = self.report(name, report)
-        kept, index = self.core.kept, self.host.store.table.last(INSTANCES)
+        kept, index = self.core.state, self.host.store.table.last(INSTANCES)
         newest = kept.pending.number if kept.pending is not None else kept.committed.number
         return {
-            "edition": granted.edition,
-            "permission_ms": granted.permission_ms,
+            "edition": granted.revision,
+            "permission_ms": granted.lease_ms,
             "list_index": index,
             "news": newest > report.held or index > report.list_index,
             # The rest is left out where it is as a sidecar takes it to be.
-            **({"life": self.core.fleet.life} if report.of != self.core.fleet.life else {}),
+            **({"life": self.core.epoch} if report.epoch != self.core.epoch else {}),
             **({"pending": granted.pending} if granted.pending else {}),
             **({"why": granted.why} if granted.why else {}),
-            **pace.told(len(self.core.fleet.edges), self.sidecars()),
+            **self._paces(),
             **more,
         }
 
+    def _paces(self) -> dict[str, float]:
+        nodes = len(self.core.membership.nodes)
+        found = {
+            "every_ms": pace.every_ms(nodes),
+            "spread_ms": pace.spread_ms(nodes),
+            "edges": max(1, self.sidecars()),
+        }
+        usual = {"every_ms": pace.EVERY_MS, "spread_ms": pace.SPREAD_LEAST_MS, "edges": 1}
+        return {name: value for name, value in found.items() if value != usual[name]}
+
     async def _forget(self, request: web.Request) -> web.Response:
         name = entries.name(request.match_info["name"])
-        if name not in self.core.fleet.names and name not in self.core.fleet.edges:
+        if name not in self.core.membership.names and name not in self.core.membership.nodes:
             via = self.directory.owner(name)
             why = f"reports to aggregator {via}: end it there" if via else "has not reported to this service"
             raise Missing("no such member", f"{name} {why}")
-        self.step(deciding.Forget(name))
+        self.step(messages.RemoveMember(name))
         self._gone(name)
         return answer(_encode({"name": name}))
 
     def sidecars(self) -> int:
         """How many sidecars there are in the whole fleet, each counted once: those on the roster, and the
         children of aggregators."""
-        now, names = self.now(), self.core.fleet.names
+        now, names = self.now(), self.core.membership.names
         if not self.directory.aggregators:
             return len(names)
         if now - self._counted[0] > COUNTED_MS:
@@ -387,23 +403,23 @@
         """Take off the roster who reports to an aggregator by now: its vote would be missed for good.
 
         Only the service that permits may do so, as with all that leave."""
-        now, fleet = self.now(), self.core.fleet
-        if self.core.may_permit(now):
+        now, fleet = self.now(), self.core.membership
+        if self.core.grant_refusal(now):
             return
         for name in [name for name in fleet.names if name in self.directory]:
-            edge = fleet.edges.get(name)
-            if edge is None or now - edge.last_ms > self.core.timing.season_ms:
-                self.step(deciding.Forget(name))
+            edge = fleet.nodes.get(name)
+            if edge is None or now - edge.reported_ms > self.core.timing.epoch_wait_ms:
+                self.step(messages.RemoveMember(name))
 
     def view(self) -> View:
         """What the listing of sidecars is compared with."""
-        return View(self.core.kept.committed.number, self.core.fleet.life, self.core.timing.over_ms)
+        return View(self.core.state.committed.number, self.core.epoch, self.core.timing.expiry_bound_ms)
 
     def rows(self) -> list[SidecarRow]:
         """Every sidecar that reports here itself, or did, by its newest report."""
-        now, fleet, view = self.now(), self.core.fleet, self.view()
-        names = sorted(fleet.edges.keys() | fleet.names)
-        reported = {name: reported_row(edge, now, view) for name, edge in fleet.edges.items()}
+        now, fleet, view = self.now(), self.core.membership, self.view()
+        names = sorted(fleet.nodes.keys() | fleet.names)
+        reported = {name: reported_row(edge, now, view) for name, edge in fleet.nodes.items()}
         return [
             reported.get(name) or SidecarRow(name=name, behind=NEVER)
             for name in names
@@ -412,16 +428,16 @@
 
     def status(self) -> dict[str, Any]:
         """For `/status`."""
-        kept, now = self.core.kept, self.now()
+        kept, now = self.core.state, self.now()
         return {
             "edition": kept.committed.number,
             "prepared": kept.pending.number if kept.pending is not None else 0,
-            "permits": self.core.may_permit(now) or "yes",
-            "edges": len(self.core.fleet.names),
+            "permits": self.core.grant_refusal(now) or "yes",
+            "edges": len(self.core.membership.names),
             "sidecars": self.sidecars(),
-            "may_act": len(self.core.fleet.holding(now)),
+            "may_act": len(self.core.leases.active(now)),
             "reports": self.figures.reports,
-            "reports_refused": self.figures.refused_reports + self.core.fleet.stale,
+            "reports_refused": self.figures.refused_reports + self.core.membership.stale_reports,
             "harmful_refused": self.figures.harmful,
             "harmful_forced": self.figures.forced,
         }
--- a/brassfall/controlplane/registry/sidecar_rows.py
+++ b/brassfall/controlplane/registry/sidecar_rows.py
@@ -8,7 +8,8 @@
 import msgspec
 from msgspec import UNSET, UnsetType
 
-from brassfall.controlplane.revisions.edges import Edge, Objection
+from brassfall.controlplane.revisions.membership import Node
+from brassfall.controlplane.revisions.reports import Objection
 
 LIST_OLD_MS = 10_000.0  # a watch brings a word every 2 s, and is opened anew after 4.5 s of silence
 FALLBACK = "safe"  # as a report says that its process acts on the fallback configuration
@@ -50,22 +51,22 @@
     silent_ms: float
 
 
-def reported_row(edge: Edge, now: float, view: View) -> SidecarRow:
+def reported_row(node: Node, now: float, view: View) -> SidecarRow:
     """The row of a sidecar that reports to the service itself."""
-    report = edge.report
+    report = node.report
     row = SidecarRow(
-        name=edge.name,
+        name=node.name,
         held=report.held,
         prepared=report.prepared,
         acting=report.acting,
-        age_ms=round(now - edge.last_ms),
+        age_ms=round(now - node.reported_ms),
         list_index=report.list_index,
         list_age_ms=report.list_age_ms,
         overrides=report.overrides or [],
         group=report.group,
         region=report.region,
     )
-    row.behind = behind(row, view, report.objection, report.of)
+    row.behind = behind(row, view, report.objection, report.epoch)
     return row
 
 
@@ -77,8 +78,8 @@
         return NEVER
     if row.age_ms > view.silent_ms:
         return "silent: it acts on safe rules, or is gone"
-    if objection is not None and objection.edition >= view.committed:
-        return f"objects to edition {objection.edition}: {objection.reason}"
+    if objection is not None and objection.revision >= view.committed:
+        return f"objects to edition {objection.revision}: {objection.reason}"
     if (row.held or 0) < view.committed:
         return f"does not hold edition {view.committed}"
     if follows not in (None, 0, view.epoch):
--- /dev/null
+++ b/brassfall/controlplane/revisions/membership.py
@@ -0,0 +1,98 @@
+"""The nodes: who reports, since when each follows this service, and who counts towards its majority. Pure.
+
+Times are ms of the service's monotonic clock. A node is *following* when its reports name this service's
+epoch, *stranded* while it reports here although it follows a later epoch.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+
+from brassfall.controlplane.revisions.reports import Report
+
+# Epochs are numbered by wall clocks that may be an hour wrong either way (Unix ms shifted by 10 bits): one
+# that is further ahead than this is not believed.
+EPOCHS_APART = 3 * 3_600_000 << 10
+
+
+@dataclass(slots=True)
+class Node:
+    """One process of a node, by its newest report."""
+
+    name: str
+    reported_ms: float
+    report: Report
+    following_since_ms: float | None  # None: it does not follow this epoch, as far as is known
+    stranded_since_ms: float | None = None  # None: it follows no later epoch
+
+
+@dataclass(slots=True)
+class Membership:
+    """All nodes known to one epoch of the service."""
+
+    epoch: int
+    names: set[str] = field(default_factory=set)  # the durable members, whose majority counts
+    nodes: dict[str, Node] = field(default_factory=dict)  # by name; also those that are no members yet
+    stale_reports: int = 0  # repeated or overtaken
+
+    def receive_report(self, now: float, name: str, report: Report, gap_ms: float = 0.0) -> bool:
+        """Take in a report; returns whether it is the newest of its process.
+
+        One that is repeated, or comes after a later one, changes nothing: an acknowledgement in it may have
+        been followed by a process that knows nothing of it. A process that reports within `gap_ms` after
+        another of its name goes on following since when that one did: in less than the epoch wait no other
+        service can have come to count the name, and so a rolling restart costs no majority."""
+        before = self.nodes.get(name)
+        same = before is not None and before.report.process_id == report.process_id
+        if before is not None and same and report.process_id and report.seq <= before.report.seq:
+            self.stale_reports += 1
+            return False
+        recent = before is not None and now - before.reported_ms <= gap_ms
+        following = self._following_since(now, report, before if same or recent else None)
+        stranded = self._stranded_since(now, report, before if recent else None)
+        self.nodes[name] = Node(name, now, report, following, stranded)
+        return True
+
+    def _following_since(self, now: float, report: Report, before: Node | None) -> float | None:
+        since = before.following_since_ms if before is not None else None
+        if report.epoch not in (None, 0, self.epoch):
+            return None
+        # A node that had no answer yet follows nobody, and may report to two services.
+        return now if since is None and report.epoch != 0 else since
+
+    def _stranded_since(self, now: float, report: Report, before: Node | None) -> float | None:
+        if (report.epoch or 0) <= self.epoch:
+            return None
+        if before is not None and before.stranded_since_ms is not None:
+            return before.stranded_since_ms
+        return now
+
+    def later_epoch_of_majority(self, now: float, span_ms: float, fresh_ms: float) -> int:
+        """The highest epoch or revision known to the nodes that have been stranded here for `span_ms` and
+        reported within `fresh_ms`, where these are more than half; else 0."""
+        known_to = [
+            max(node.report.epoch or 0, node.report.held)
+            for node in self.nodes.values()
+            if node.stranded_since_ms is not None
+            and now - node.stranded_since_ms >= span_ms
+            and now - node.reported_ms <= fresh_ms
+        ]
+        # Half of the members, or of all that report where these are more: an empty disk has no members.
+        total = max(len(self.names), len(self.nodes))
+        believed = [epoch for epoch in known_to if epoch <= self.epoch + EPOCHS_APART]
+        return max(believed, default=0) if total and 2 * len(believed) > total else 0
+
+    def count_ahead(self, newest: int) -> int:
+        """How many nodes hold a revision later than `newest`, the newest that this service knows."""
+        return sum(node.report.held > newest for node in self.nodes.values())
+
+    def count_following(self, now: float, wait_ms: float, fresh_ms: float) -> int:
+        """How many members have followed this epoch for `wait_ms`, and reported within `fresh_ms`."""
+        return sum(
+            node.following_since_ms is not None
+            and node.report.epoch in (None, self.epoch)  # a version without epochs follows whoever answers
+            and node.name in self.names
+            and now - node.following_since_ms >= wait_ms
+            and now - node.reported_ms <= fresh_ms
+            for node in self.nodes.values()
+        )
--- /dev/null
+++ b/brassfall/controlplane/revisions/transitions.py
@@ -0,0 +1,86 @@
+"""Changes of the durable state, as pure functions: from the state before to the state to be persisted."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from typing import Any
+
+import msgspec
+
+from brassfall.controlplane.revisions.document import LAYERS, Revision
+from brassfall.controlplane.revisions.messages import Publish
+from brassfall.controlplane.revisions.state import DurableState, HaltedRevision
+
+REQUESTS_MOST = 64  # request ids that are remembered
+
+
+def with_draft(state: DurableState, draft: Publish, epoch: int) -> DurableState:
+    """Add a new revision: pending, or waiting until the one that is pending is decided."""
+    revision = _numbered(state, draft, epoch)
+    requests = state.requests
+    if draft.request_id:
+        requests = {**requests, draft.request_id: revision.number}
+    if len(requests) > REQUESTS_MOST:
+        del requests[next(iter(requests))]
+    state = msgspec.structs.replace(state, newest=revision.number, requests=requests)
+    if state.pending is None:
+        return msgspec.structs.replace(state, pending=revision)
+    return msgspec.structs.replace(state, waiting=revision)
+
+
+def _numbered(state: DurableState, draft: Publish, epoch: int) -> Revision:
+    stated: dict[str, Any] = {
+        name: getattr(draft, name) for name in LAYERS if getattr(draft, name) is not None
+    }
+    # Numbers start at the epoch's, above all of earlier epochs: one that was told by a service whose disk
+    # was lost afterwards stands for no other revision.
+    number = max(state.newest + 1, epoch)
+    base = state.latest
+    of_waiting = state.waiting.layers if state.waiting is not None else ()
+    return msgspec.structs.replace(
+        base,
+        number=number,
+        epoch=epoch,
+        follows=state.newest,
+        list_index=draft.list_index,
+        forced=draft.forced,
+        layers=sorted({*stated, *of_waiting}),
+        plan_revision=number if "plan" in stated else base.plan_revision,
+        **stated,
+    )
+
+
+def with_pending_committed(state: DurableState) -> DurableState:
+    """Put the pending revision in force; the waiting one is pending from then on."""
+    if state.pending is None:
+        return state
+    return msgspec.structs.replace(state, committed=state.pending, pending=state.waiting, waiting=None)
+
+
+def with_pending_halted(state: DurableState, objections: Mapping[str, str]) -> DurableState:
+    """Halt the pending revision; the waiting one is pending from then on, without the layers that it took
+    over from the halted one."""
+    if state.pending is None:
+        return state
+    pending = _without_layers_of_pending(state, state.waiting) if state.waiting is not None else None
+    halted = HaltedRevision(state.pending, dict(objections))
+    return msgspec.structs.replace(state, pending=pending, waiting=None, halted=halted)
+
+
+def _without_layers_of_pending(state: DurableState, waiting: Revision) -> Revision:
+    """The waiting revision, with each layer that it does not state itself as it is in force."""
+    layers = {name: getattr(state.committed, name) for name in LAYERS if name not in waiting.layers}
+    if "plan" in layers:
+        layers["plan_revision"] = state.committed.plan_revision
+    return msgspec.structs.replace(waiting, **layers)
+
+
+def with_later_epoch(state: DurableState, epoch: int) -> DurableState:
+    """Publish what is known anew, under an epoch and a number above those that sidecars follow and act on:
+    they ignore whatever is lower."""
+    latest = state.latest
+    state = msgspec.structs.replace(state, epoch=epoch)
+    if not latest.number:
+        return state
+    again = msgspec.structs.replace(latest, number=epoch, epoch=epoch, follows=state.newest)
+    return msgspec.structs.replace(state, pending=again, waiting=None, newest=epoch)
--- a/brassfall/lab/agreement/aggregator.py
+++ b/brassfall/lab/agreement/aggregator.py
@@ -10,9 +10,9 @@
 
 from brassfall.controlplane.aggregation import core
 from brassfall.controlplane.aggregation.messages import AggregatorLease, AggregatorReport
-from brassfall.controlplane.revisions.edges import ReportError, parse
+from brassfall.controlplane.revisions.reports import ReportError, parse_report
 from brassfall.lab.agreement.base import Clock, Kernel
-from brassfall.lab.agreement.rules import SLACK_MS, Broken
+from brassfall.lab.agreement.rules import SLACK_MS, RuleError
 from brassfall.lab.agreement.service import TICK_MS, Service
 from brassfall.lab.agreement.watching import SILENT_MS, Watch
 
@@ -32,7 +32,7 @@
         self.services = services
         self.clock: Clock = kernel.clock()
         self.processes: list[Process] = []  # those that run or are stopped, newest last
-        self._lives = 0
+        self._started = 0
 
     @property
     def up(self) -> bool:
@@ -45,19 +45,19 @@
         return self.processes[-1]
 
     @property
-    def life(self) -> int:
-        """Of the service whose word is told there."""
+    def epoch(self) -> int:
+        """Of the service that it follows."""
         return self.newest.core.epoch if self.processes else 0
 
     @property
     def pending(self) -> int:
-        """The edition that is prepared, as is known there."""
+        """The revision that is pending, as is known there."""
         return self.newest.core.pending if self.processes else 0
 
     def start(self) -> None:
         """A process begins; one that is there is left beside it."""
-        self._lives += 1
-        self.processes.append(Process(self, f"{self.name}-{self._lives}"))
+        self._started += 1
+        self.processes.append(Process(self, f"{self.name}-{self._started}"))
         self.newest.start()
 
     def crash(self) -> None:
@@ -90,24 +90,24 @@
         return True
 
     def state(self) -> dict[str, Any] | None:
-        """What children are told that ask now."""
-        return self.newest.told if self.processes and not self.newest.stopped else None
+        """What children that ask now are answered."""
+        return self.newest.line if self.processes and not self.newest.stopped else None
 
 
 class Process:
     """One process of an aggregator: the real core, and a shell around it."""
 
-    def __init__(self, home: Aggregator, life: str) -> None:
+    def __init__(self, home: Aggregator, process_id: str) -> None:
         self.home, self.kernel, self.clock = home, home.kernel, home.clock
-        self.name, self.life = home.name, life
+        self.name, self.process_id = home.name, process_id
         program = self.kernel.program
         now = self.now()
         self.core = program.aggregator(
-            program.aggregator_timing, life, home.name, home.region, f"{home.name}:1", now
+            program.aggregator_timing, process_id, home.name, home.region, f"{home.name}:1", now
         )
         self.dead = self.stopped = False
         self.stops_in_grant = 0.0  # with the next grant made and not yet sent, it is stopped for so long
-        self.told: dict[str, Any] | None = None
+        self.line: dict[str, Any] | None = None
         self.watchers: dict[int, tuple[Any, float]] = {}
         self._watch = Watch(self.kernel, self.name, home.services, self.do, self._line)
         self._service_at = self.kernel.random.randrange(len(home.services))
@@ -223,7 +223,7 @@
     def child_reported(self, name: str, body: bytes, answer: Answer) -> None:
         """A child's report."""
         try:
-            report = parse(body)
+            report = parse_report(body)
         except ReportError:
             self.kernel.met["malformed reports"] += 1
             return
@@ -258,19 +258,19 @@
         over = kernel.now + length / (1.0 - kernel.judge.drift)
         if length and over > self._lease_over + SLACK_MS:
             late = over - self._lease_over
-            what = f"{self.life} grants a lease that may end {late:.1f} ms after its own"
-            raise Broken("S3 chain", kernel.now, what)
+            what = f"{self.process_id} grants a lease that may end {late:.1f} ms after its own"
+            raise RuleError("S3 chain", kernel.now, what)
 
     def watched(self, connection: int, watcher: Any) -> None:
         """A child opens a watch."""
         self.watchers[connection] = (watcher, 0.0)
         if self.stopped:
             self.kernel.after(SILENT_MS[0], self._silent, [connection])
-        elif self.told is not None:
-            self._send_line(connection, self.told)
+        elif self.line is not None:
+            self._send_line(connection, self.line)
 
     def _tell(self, raw: dict[str, Any]) -> None:
-        self.told = raw
+        self.line = raw
         for connection in list(self.watchers):
             self._send_line(connection, raw)
 
@@ -341,7 +341,7 @@
     def _answered(self, seq: int, asked: float, lease: AggregatorLease) -> None:
         lease = msgspec.json.decode(msgspec.json.encode(lease), type=AggregatorLease)
         if lease.lease_ms and seq in self._asked_true:
-            length = self.kernel.program.timing.permission_ms
+            length = self.kernel.program.timing.lease_ms
             over = self._asked_true[seq] + length / (1.0 - self.kernel.judge.drift)
             self._lease_over = max(self._lease_over, over)
         lower = lease.epoch < self.core.epoch
--- a/brassfall/lab/agreement/base.py
+++ b/brassfall/lab/agreement/base.py
@@ -44,7 +44,7 @@
 class Net:
     """How the network is just now."""
 
-    cuts: set[tuple[str, int, str]] = field(default_factory=set)  # sidecar, service, kind
+    partitions: set[tuple[str, int, str]] = field(default_factory=set)  # sidecar, service, kind
     loss: float = 0.0
     slow: float = 0.0  # part of the messages that take up to `slow_ms`
     slow_ms: float = 900.0
@@ -52,7 +52,7 @@
 
 
 class Kernel:
-    """Events in the order of true time; everything drawn comes from one seed."""
+    """Events in the order of true time; all random numbers come from one seed."""
 
     def __init__(self, seed: int, program: Program, judge: Judge) -> None:
         self.now = 0.0
@@ -99,6 +99,6 @@
 
     def lost(self, kind: str, sidecar: str, service: int) -> bool:
         """Whether a message of one kind gets nowhere."""
-        if (sidecar, service, kind) in self.net.cuts:
+        if (sidecar, service, kind) in self.net.partitions:
             return True
         return bool(self.net.loss) and self.random.random() < self.net.loss
--- a/brassfall/lab/agreement/command.py
+++ b/brassfall/lab/agreement/command.py
@@ -15,7 +15,7 @@
 from brassfall.errors import UsageError
 from brassfall.lab.agreement import schedule
 from brassfall.lab.agreement.defects import DEFECTS, REAL
-from brassfall.lab.agreement.rules import Broken
+from brassfall.lab.agreement.rules import RuleError
 from brassfall.lab.agreement.tier import TIER, TierWorld
 from brassfall.lab.agreement.tier_defects import TIER_DEFECTS
 from brassfall.lab.agreement.world import World
@@ -76,15 +76,17 @@
     return world, faults
 
 
-def _broken(world: World) -> Broken | None:
+def _broken(world: World) -> RuleError | None:
     try:
         world.run()
-    except Broken as broken:
+    except RuleError as broken:
         return broken
     return None
 
 
-def shrink(task: Task, faults: list[schedule.Fault], broken: Broken) -> tuple[list[schedule.Fault], Broken]:
+def shrink(
+    task: Task, faults: list[schedule.Fault], broken: RuleError
+) -> tuple[list[schedule.Fault], RuleError]:
     """Take faults away, one at a time, as long as the same rule breaks."""
     for fault in list(faults):
         fewer = [other for other in faults if other is not fault]
--- a/brassfall/lab/agreement/defects.py
+++ b/brassfall/lab/agreement/defects.py
@@ -10,18 +10,21 @@
 
 import msgspec
 
-from brassfall.controlplane.revisions.core import (
+from brassfall.controlplane.revisions.authority import EARLIER_EPOCH, GrantAuthority
+from brassfall.controlplane.revisions.coordinator import NOT_ACKNOWLEDGED, RevisionCoordinator
+from brassfall.controlplane.revisions.leases import NodeLeases
+from brassfall.controlplane.revisions.membership import Membership
+from brassfall.controlplane.revisions.messages import (
     Action,
-    Agreement,
-    Enrol,
-    Kept,
+    NotifyWatches,
     Persist,
+    PersistMember,
     Publish,
-    Reported,
-    Timing,
-    Told,
+    ReportReceived,
 )
-from brassfall.controlplane.revisions.edges import Fleet, Report
+from brassfall.controlplane.revisions.reports import Report
+from brassfall.controlplane.revisions.state import DurableState
+from brassfall.controlplane.revisions.timing import LeaseTiming
 from brassfall.lab.agreement.program import Program, lease_client, sidecar_rules
 
 RealLeaseClient: Any = lease_client.LeaseClient
@@ -31,172 +34,177 @@
 # --- the service ---------------------------------------------------------------------------------
 
 
-class LeavesOutAbsent(Agreement):
+class LeavesOutAbsent(RevisionCoordinator):
     """Commits once all that report have acknowledged: who is silent is not waited for."""
 
-    def _agreed(self, now: float, number: int) -> bool:
-        if self._alone(now):
+    def _all_acknowledged(self, now: float, number: int) -> bool:
+        if self.authority.possible_rival(now):
             return False
-        heard = {name for name, edge in self.fleet.edges.items() if now - edge.last_ms < SILENT_MS}
-        holding = self.fleet.holding(now)
-        return all(holder.prepared == number for (name, _), holder in holding.items() if name in heard)
+        nodes = self.membership.nodes.items()
+        recent = {name for name, node in nodes if now - node.reported_ms < SILENT_MS}
+        leases = self.leases.active(now)
+        return all(lease.prepared == number for key, lease in leases.items() if key.name in recent)
 
 
-class ReusesNumbers(Agreement):
+class ReusesNumbers(RevisionCoordinator):
     """Numbers go on from what the disk has: after a lost one they begin anew."""
 
-    def _published(self, kept: Kept, draft: Publish) -> Kept:
-        life, self.fleet.life = self.fleet.life, 0
-        made = super()._published(kept, draft)
-        self.fleet.life = life
+    def _with_draft(self, state: DurableState, draft: Publish) -> DurableState:
+        epoch, self.membership.epoch = self.membership.epoch, 0
+        made = super()._with_draft(state, draft)
+        self.membership.epoch = epoch
         return made
 
 
-class NeedsNoQuorum(Agreement):
-    """Permits whatever it has, whoever takes its word."""
+class NeedsNoQuorum(GrantAuthority):
+    """Grants whatever it has, whoever follows it."""
 
-    def _alone(self, now: float) -> str:
-        wait = now - self.started < self.timing.over_ms
-        return "what an earlier life of the service permitted may not be over" if wait else ""
+    def possible_rival(self, now: float) -> str:
+        """Only an earlier epoch is waited for."""
+        return EARLIER_EPOCH if now - self.started_ms < self.timing.expiry_bound_ms else ""
 
 
-class GrantsUnacknowledged(Agreement):
-    """Permits the edition in force to whoever asks, whatever it has acknowledged."""
+class GrantsUnacknowledged(RevisionCoordinator):
+    """Grants the revision in force to whoever asks, whatever it has acknowledged."""
 
-    def _refusal(self, now: float, event: Reported) -> str:
+    def _refusal(self, now: float, event: ReportReceived) -> str:
         why = super()._refusal(now, event)
-        return "" if why.startswith("it has not acknowledged") else why
+        return "" if why == NOT_ACKNOWLEDGED else why
 
-    def _agreed(self, now: float, number: int) -> bool:
-        edges = self.fleet.edges.values()
-        return not self._alone(now) and 2 * sum(e.report.prepared == number for e in edges) > len(edges)
+    def _all_acknowledged(self, now: float, number: int) -> bool:
+        nodes = self.membership.nodes.values()
+        acknowledged = sum(node.report.prepared == number for node in nodes)
+        return not self.authority.possible_rival(now) and 2 * acknowledged > len(nodes)
 
 
-class NeverWaits(Agreement):
-    """Permits at once after a start, on the majority that an earlier life had."""
+class NeverWaits(GrantAuthority):
+    """Grants at once after a start, on the majority that an earlier epoch had."""
 
-    def _alone(self, now: float) -> str:
+    def possible_rival(self, now: float) -> str:
+        """Nobody is taken for one."""
         return ""
 
 
-class CountsAtOnce(Agreement):
+class CountsAtOnce(GrantAuthority):
     """A majority counts from its first reports on, though it may count elsewhere still."""
 
-    def _alone(self, now: float) -> str:
-        if now - self.started < self.timing.over_ms:
-            return "what an earlier life of the service permitted may not be over"
-        fresh = self.timing.over_ms
-        counted, known = self.fleet.counted(now, 0.0, fresh), len(self.fleet.names)
-        return "no majority" if known and 2 * counted <= known else ""
+    def possible_rival(self, now: float) -> str:
+        """Members are counted without the epoch wait."""
+        if now - self.started_ms < self.timing.expiry_bound_ms:
+            return EARLIER_EPOCH
+        fresh = self.timing.expiry_bound_ms
+        following, members = self.membership.count_following(now, 0.0, fresh), len(self.membership.names)
+        return "no majority" if members and 2 * following <= members else ""
 
 
-class HastyWrites(Agreement):
+class HastyWrites(RevisionCoordinator):
     """Acts on a decision while its write is under way."""
 
     def _decide(self, now: float) -> list[Action]:
         made = super()._decide(now)
         for action in made:
             if isinstance(action, Persist):
-                self.kept = action.kept
-                return [*made, Told()]
+                self.state = action.state
+                return [*made, NotifyWatches()]
         return made
 
 
-class CommitsHalted(Agreement):
+class CommitsHalted(RevisionCoordinator):
     """Takes an objection down, and commits all the same."""
 
-    def _moved(self, now: float, kept: Kept) -> Kept:
-        made = super()._moved(now, kept)
-        if made.halted is not None and made.halted is not kept.halted:
-            return msgspec.structs.replace(made, committed=made.halted.edition)
+    def _advance(self, now: float, state: DurableState) -> DurableState:
+        made = super()._advance(now, state)
+        if made.halted is not None and made.halted is not state.halted:
+            return msgspec.structs.replace(made, committed=made.halted.revision)
         return made
 
 
-class KeepsHaltedLayers(Agreement):
-    """What waits behind a halted edition keeps the layers that it took over from it."""
+class KeepsHaltedLayers(RevisionCoordinator):
+    """What waits behind a halted revision keeps the layers that it took over from it."""
 
-    def _moved(self, now: float, kept: Kept) -> Kept:
-        made = super()._moved(now, kept)
-        if made.halted is not None and made.halted is not kept.halted:
-            return msgspec.structs.replace(made, pending=kept.waiting)
+    def _advance(self, now: float, state: DurableState) -> DurableState:
+        made = super()._advance(now, state)
+        if made.halted is not None and made.halted is not state.halted:
+            return msgspec.structs.replace(made, pending=state.waiting)
         return made
 
 
-class EnrolsAnybody(Agreement):
-    """Whoever reports is on the roster from then on, whether or not this service may permit."""
+class EnrolsAnybody(RevisionCoordinator):
+    """Whoever reports is a member from then on, whether or not this service may grant."""
 
-    def _enrol(self, now: float, name: str) -> list[Action]:
-        return [] if name in self.fleet.names else [Enrol(name)]
+    def _enroll(self, now: float, name: str) -> list[Action]:
+        return [] if name in self.membership.names else [PersistMember(name)]
 
 
-class LetsGo(Agreement):
+class LetsGo(RevisionCoordinator):
     """A process that leaves takes its name along."""
 
-    def _reported(self, now: float, event: Reported) -> list[Action]:
-        made = super()._reported(now, event)
-        return [*made, *self._forget(event.name)] if event.report.leaving else made
+    def _receive_report(self, now: float, event: ReportReceived) -> list[Action]:
+        made = super()._receive_report(now, event)
+        return [*made, *self._remove(event.name)] if event.report.leaving else made
 
 
-class PermitsNothing(Agreement):
-    """Permits what each one's own file says without being sure, since that was never published."""
+class GrantsNothing(GrantAuthority):
+    """Grants what each one's own file says without being sure, since that was never published."""
 
-    def _count(self, now: float) -> str:
-        why = super()._count(now)
-        return "" if self.kept.committed.number == 0 and not why.startswith("2") else why
+    def refusal(self, now: float, state: DurableState) -> str:
+        """No rival matters while nothing is committed."""
+        why = super().refusal(now, state)
+        return "" if state.committed.number == 0 and not why.startswith("2") else why
 
 
-class ForgetsObjections(Agreement):
-    """An objection counts for the write under way alone, not for the one after it."""
+class ForgetsObjections(RevisionCoordinator):
+    """Takes an objection to a revision for its acknowledgement."""
 
-    def _reported(self, now: float, event: Reported) -> list[Action]:
-        report = event.report
-        made = super()._reported(now, Reported(event.ticket, event.name, _without_objection(report)))
-        return made
+    def _receive_report(self, now: float, event: ReportReceived) -> list[Action]:
+        report = _without_objection(event.report)
+        return super()._receive_report(now, ReportReceived(event.ticket, event.name, report))
 
 
 def _without_objection(report: Report) -> Report:
-    prepared = report.objection.edition if report.objection is not None else report.prepared
+    prepared = report.objection.revision if report.objection is not None else report.prepared
     return msgspec.structs.replace(report, objection=None, prepared=prepared)
 
 
-class TakesStale(Fleet):
-    """Takes each report for news, whenever it was made."""
+class TakesStale(Membership):
+    """Takes each report for the newest of its process, whenever it was made."""
 
-    def heard(self, now: float, name: str, report: Report, brief: float = 0.0) -> bool:
+    def receive_report(self, now: float, name: str, report: Report, gap_ms: float = 0.0) -> bool:
         """Take in a report, as if it were the newest."""
-        edge = self.edges.get(name)
-        if edge is not None and edge.report.life == report.life and report.seq <= edge.report.seq:
-            report = msgspec.structs.replace(report, seq=edge.report.seq + 1)
-        super().heard(now, name, report, brief)
+        node = self.nodes.get(name)
+        same = node is not None and node.report.process_id == report.process_id
+        if node is not None and same and report.seq <= node.report.seq:
+            report = msgspec.structs.replace(report, seq=node.report.seq + 1)
+        super().receive_report(now, name, report, gap_ms)
         return True
 
 
-class SharesEntries(Fleet):
+class SharesEntries(NodeLeases):
     """One entry for a name: a second process of it hides the first."""
 
-    def grant(self, name: str, report: Report, edition: int, until: float) -> None:
-        """A process may act on an edition; what another of its name may is forgotten."""
-        super().grant(name, msgspec.structs.replace(report, life=""), edition, until)
+    def grant(self, name: str, report: Report, revision: int, until_ms: float) -> None:
+        """A process may act on a revision; what another of its name may is forgotten."""
+        super().grant(name, msgspec.structs.replace(report, process_id=""), revision, until_ms)
 
 
-class CountsAnybody(Fleet):
-    """Takes whoever reports for one that takes this service's word."""
+class CountsAnybody(Membership):
+    """Takes whoever reports for one that follows this service."""
 
-    def heard(self, now: float, name: str, report: Report, brief: float = 0.0) -> bool:
-        """Take in a report, with this service's life in it."""
-        return super().heard(now, name, msgspec.structs.replace(report, of=self.life), brief)
+    def receive_report(self, now: float, name: str, report: Report, gap_ms: float = 0.0) -> bool:
+        """Take in a report, with this service's epoch in it."""
+        return super().receive_report(now, name, msgspec.structs.replace(report, epoch=self.epoch), gap_ms)
 
 
-class Tight(Timing, frozen=True):
-    """A permission as long as the bound itself, and no account of clocks."""
+class Tight(LeaseTiming, frozen=True):
+    """A lease as long as the bound itself, and no account of clocks."""
 
     @property
-    def permission_ms(self) -> float:
+    def lease_ms(self) -> float:
         """As long as two may differ."""
         return self.agree_ms
 
     @property
-    def over_ms(self) -> float:
+    def expiry_bound_ms(self) -> float:
         """The same on any clock."""
         return self.agree_ms
 
@@ -204,9 +212,9 @@
 # --- the sidecar ----------------------------------------------------------------------------------
 
 
-def from_the_answer(held: Any, asked: float, received: float, seq: int, raw: Mapping[str, Any]) -> bool:
-    """A permission counts from when its answer came."""
-    return bool(held.receive_answer(received, seq, raw))
+def from_the_answer(client: Any, asked: float, received: float, seq: int, raw: Mapping[str, Any]) -> bool:
+    """A lease counts from when its answer came."""
+    return bool(client.receive_answer(received, seq, raw))
 
 
 class _LeaseClient(RealLeaseClient):  # type: ignore[misc]
@@ -218,17 +226,17 @@
 
 
 class ClearsPromises(_LeaseClient):
-    """Any answer that does not name the promised edition ends the promise."""
+    """Any answer that does not name the promised revision ends the promise."""
 
     def receive_answer(self, asked: float, seq: int, raw: Any) -> bool:
-        """Take an answer as news of everything before it, whenever its report was sent."""
+        """Take an answer for the end of everything before it, whenever its report was sent."""
         self._acknowledged_by = 0
-        self._concurrent = {number: (edition, 0) for number, (edition, _) in self._concurrent.items()}
+        self._concurrent = {number: (revision, 0) for number, (revision, _) in self._concurrent.items()}
         return bool(super().receive_answer(asked, seq, raw))
 
 
-class OneTold(_LeaseClient):
-    """Keeps the last edition told alone: a promise before it is forgotten."""
+class KeepsLastRevision(_LeaseClient):
+    """Keeps the last revision received alone: a promise before it is forgotten."""
 
     def receive_update(self, raw: Any) -> None:
         """A line of the watch."""
@@ -236,19 +244,19 @@
         self._concurrent = {number: self._concurrent[number] for number in list(self._concurrent)[-1:]}
 
 
-class TakesOldLives(_LeaseClient):
-    """Takes the word of a service that another has followed."""
+class FollowsOldEpochs(_LeaseClient):
+    """Follows a service that another has followed."""
 
     def receive_answer(self, asked: float, seq: int, raw: Any) -> bool:
         """Take any answer for one of the service that counts."""
         return bool(super().receive_answer(asked, seq, {**raw, "life": max(raw["life"], self._epoch)}))
 
 
-class KeepsPermission(_LeaseClient):
-    """Acts on what one service permitted while it takes another one's word."""
+class KeepsLease(_LeaseClient):
+    """Acts on what one service granted while it follows another one."""
 
     def receive_answer(self, asked: float, seq: int, raw: Any) -> bool:
-        """Take an answer; the permission stays as it was."""
+        """Take an answer; the lease stays as it was."""
         until = self._lease_end
         made = bool(super().receive_answer(asked, seq, raw))
         self._lease_end = max(until, self._lease_end)
@@ -256,17 +264,17 @@
 
 
 class GoesBack(_LeaseClient):
-    """Acts on whatever is permitted, be it older than what it acted on."""
+    """Acts on whatever is granted, be it older than what it acted on."""
 
     def receive_answer(self, asked: float, seq: int, raw: Any) -> bool:
-        """Take an answer; the edition permitted before counts for nothing."""
+        """Take an answer; the revision granted before counts for nothing."""
         if raw["permission_ms"] and raw["edition"] in self._revisions:
             self._granted = min(self._granted, raw["edition"])
         return bool(super().receive_answer(asked, seq, raw))
 
 
 class LooksByTimer(RealLeaseClient):  # type: ignore[misc]
-    """Ends a permission when it next does something about reports, not at each decision."""
+    """Ends a lease when it next does something about reports, not at each decision."""
 
     _looked = -math.inf
 
@@ -281,7 +289,7 @@
 
 
 class TakesUnsound(_LeaseClient):
-    """Acts on a told edition as soon as it is told, without a permission for it."""
+    """Acts on a revision as soon as it is received, without a lease on it."""
 
     def receive_update(self, raw: Any) -> None:
         """A line of the watch."""
@@ -295,21 +303,21 @@
     return dict(sidecar_rules.effective(active if active.fallback else active._replace(concurrent=())))
 
 
-def pins_when_safe(active: Any) -> dict[str, Any]:
-    """Safe rules that go on with everything."""
+def keeps_pins_in_fallback(active: Any) -> dict[str, Any]:
+    """A fallback configuration that goes on with everything."""
     return dict(sidecar_rules.effective(active._replace(fallback=False, concurrent=())))
 
 
-def open_when_safe(active: Any) -> dict[str, Any]:
-    """Safe rules that forget what an edition held."""
+def opens_in_fallback(active: Any) -> dict[str, Any]:
+    """A fallback configuration that forgets what a revision held."""
     made = dict(sidecar_rules.effective(active))
     if active.fallback:
         made.pop("regions", None)
     return made
 
 
-def life_after_last(wall_ms: float, last: int, chance: random.Random) -> int:
-    """A life numbered by the wall clock, or by the next index where that is behind."""
+def epoch_after_last(wall_ms: float, last: int, chance: random.Random) -> int:
+    """An epoch numbered by the wall clock, or by the next index where that is behind."""
     return max(int(wall_ms) << 10, last + 1)
 
 
@@ -326,8 +334,12 @@
 REAL = Program()
 
 
-def _service(agreement: type[Agreement]) -> Program:
-    return replace(REAL, agreement=agreement)
+def _coordinator(kind: type[RevisionCoordinator]) -> Program:
+    return replace(REAL, coordinator=kind)
+
+
+def _authority(kind: type[GrantAuthority]) -> Program:
+    return replace(REAL, authority=kind)
 
 
 def _sidecar(kind: Any) -> Program:
@@ -338,25 +350,25 @@
 BACK, DURABLE, OBJECTED = "S4 back", "S5 durable", "S5 objected"
 DEFECTS: dict[str, InjectedDefect] = {
     "from-the-answer": InjectedDefect(
-        "a permission is counted from the answer", replace(REAL, answered=from_the_answer), ("rough",), (S3,)
+        "a lease is counted from the answer", replace(REAL, answered=from_the_answer), ("rough",), (S3,)
     ),
     "absent-left-out": InjectedDefect(
-        "commit without waiting for the absent one", _service(LeavesOutAbsent), ("cut",), (S1, S2)
+        "commit without waiting for the absent one", _coordinator(LeavesOutAbsent), ("cut",), (S1, S2)
     ),
     "numbers-reused": InjectedDefect(
-        "numbers do not come from the life", _service(ReusesNumbers), ("lost disk", "older copy"), (S4,)
+        "numbers do not come from the epoch", _coordinator(ReusesNumbers), ("lost disk", "older copy"), (S4,)
     ),
     "no-quorum": InjectedDefect(
-        "a permission without a majority", _service(NeedsNoQuorum), ("twin",), (S1, S2, BACK)
+        "a lease without a majority", _authority(NeedsNoQuorum), ("twin",), (S1, S2, BACK)
     ),
     "counted-at-once": InjectedDefect(
-        "a majority counts without its season", _service(CountsAtOnce), ("twin",), (S1, S2)
+        "a majority counts without the epoch wait", _authority(CountsAtOnce), ("twin",), (S1, S2)
     ),
     "counts-anybody": InjectedDefect(
-        "whoever reports counts as taking this word", replace(REAL, fleet=CountsAnybody), ("twin",), (S1, S2)
+        "whoever reports counts as following", replace(REAL, membership=CountsAnybody), ("twin",), (S1, S2)
     ),
     "unacknowledged": InjectedDefect(
-        "a permission for one that has not acknowledged", _service(GrantsUnacknowledged), ("cut",), (S1, S2)
+        "a lease for one that has not acknowledged", _coordinator(GrantsUnacknowledged), ("cut",), (S1, S2)
     ),
     "no-meet": InjectedDefect(
         "an acknowledgement not followed by the meet", replace(REAL, effective=without_meet), (), (S1,)
@@ -364,71 +376,78 @@
     "promise-cleared": InjectedDefect(
         "an early answer clears a promise", _sidecar(ClearsPromises), ("rough", "burst"), (S1,)
     ),
-    "one-promise": InjectedDefect("a promise forgotten over the next", _sidecar(OneTold), ("burst",), (S1,)),
+    "one-promise": InjectedDefect(
+        "a promise forgotten over the next", _sidecar(KeepsLastRevision), ("burst",), (S1,)
+    ),
     "no-wait": InjectedDefect(
-        "no wait after a restart", _service(NeverWaits), ("older copy", "cut"), (S1, S2, BACK)
+        "no wait after a restart", _authority(NeverWaits), ("older copy", "cut"), (S1, S2, BACK)
     ),
     "no-drift": InjectedDefect(
         "rates of clocks left out", replace(REAL, timing=Tight()), ("drift",), (S1, S2)
     ),
     "stale-taken": InjectedDefect(
-        "an overtaken report taken for news", replace(REAL, fleet=TakesStale), ("twin", "replay"), (S1, S2)
+        "an overtaken report taken for the newest",
+        replace(REAL, membership=TakesStale),
+        ("twin", "replay"),
+        (S1, S2),
     ),
     "old-life-taken": InjectedDefect(
-        "an answer of an old life taken", _sidecar(TakesOldLives), ("twin",), (S1, S2, S3, BACK)
+        "an answer of an old epoch taken", _sidecar(FollowsOldEpochs), ("twin",), (S1, S2, S3, BACK)
     ),
     "permission-kept": InjectedDefect(
-        "a permission kept over a change of life", _sidecar(KeepsPermission), ("twin",), (S3,)
+        "a lease kept over a change of epoch", _sidecar(KeepsLease), ("twin",), (S3,)
     ),
     "hasty-write": InjectedDefect(
-        "acted on before it is durable", _service(HastyWrites), ("disk", "burst"), (DURABLE,)
+        "acted on before it is durable", _coordinator(HastyWrites), ("disk", "burst"), (DURABLE,)
     ),
     "halted-committed": InjectedDefect(
-        "a halted edition committed", _service(CommitsHalted), (), (S5, OBJECTED)
+        "a halted revision committed", _coordinator(CommitsHalted), (), (S5, OBJECTED)
     ),
     "halted-layer": InjectedDefect(
-        "what waits keeps a halted layer", _service(KeepsHaltedLayers), ("burst",), (S5,)
+        "what waits keeps a halted layer", _coordinator(KeepsHaltedLayers), ("burst",), (S5,)
     ),
     "objection-unheard": InjectedDefect(
-        "an objection taken for an acknowledgement", _service(ForgetsObjections), (), (OBJECTED,)
+        "an objection taken for an acknowledgement", _coordinator(ForgetsObjections), (), (OBJECTED,)
     ),
     "shared-entry": InjectedDefect(
-        "two processes of one name share an entry", replace(REAL, fleet=SharesEntries), ("beside",), (S1, S2)
+        "two processes of one name share an entry", replace(REAL, leases=SharesEntries), ("beside",), (S1, S2)
     ),
     "goes-back": InjectedDefect(
-        "a permission for an older edition taken", _sidecar(GoesBack), ("lost disk",), (BACK,)
+        "a lease on an older revision taken", _sidecar(GoesBack), ("lost disk",), (BACK,)
     ),
     "looked-by-timer": InjectedDefect(
-        "the end of a permission seen by a timer", _sidecar(LooksByTimer), ("stop",), (S3,)
+        "the end of a lease seen by a timer", _sidecar(LooksByTimer), ("stop",), (S3,)
     ),
     "wall-clock": InjectedDefect(
-        "a permission counted on the wall clock", replace(REAL, wall_clock=True), ("wall clock",), (S3,)
+        "a lease counted on the wall clock", replace(REAL, wall_clock=True), ("wall clock",), (S3,)
     ),
     "told-is-enough": InjectedDefect(
-        "acted on as soon as told", _sidecar(TakesUnsound), (), (S1, S3, DURABLE)
+        "acted on as soon as received", _sidecar(TakesUnsound), (), (S1, S3, DURABLE)
     ),
     "safe-goes-on": InjectedDefect(
-        "safe rules go on with pins", replace(REAL, effective=pins_when_safe), ("cut",), (S1,)
+        "the fallback goes on with pins", replace(REAL, effective=keeps_pins_in_fallback), ("cut",), (S1,)
     ),
     "safe-opens": InjectedDefect(
-        "safe rules open what is held", replace(REAL, effective=open_when_safe), ("cut",), (S1,)
+        "the fallback opens what is held", replace(REAL, effective=opens_in_fallback), ("cut",), (S1,)
     ),
     "enrols-anybody": InjectedDefect(
         "newcomers of a second service make its majority",
-        _service(EnrolsAnybody),
+        _coordinator(EnrolsAnybody),
         ("crowd",),
         (S1, S2),
     ),
-    "lets-go": InjectedDefect("who leaves shrinks the roster", _service(LetsGo), ("exodus",), (S1, S2)),
+    "lets-go": InjectedDefect(
+        "who leaves shrinks the membership", _coordinator(LetsGo), ("exodus",), (S1, S2)
+    ),
     "permits-zero": InjectedDefect(
-        "edition 0 permitted unasked",
-        _service(PermitsNothing),
+        "revision 0 granted unasked",
+        _authority(GrantsNothing),
         ("older copy", "lost disk", "restart"),
         (S1, S2),
     ),
     "life-after-last": InjectedDefect(
-        "a life numbered by the last index",
-        replace(REAL, life=life_after_last),
+        "an epoch numbered by the last index",
+        replace(REAL, epoch=epoch_after_last),
         ("twin", "burst"),
         (S4, S1, S2, S5),
     ),
--- a/brassfall/lab/agreement/program.py
+++ b/brassfall/lab/agreement/program.py
@@ -1,7 +1,7 @@
-"""What is under test: the service's core and the sidecar's, and the few choices that their shells make.
+"""The parts under test: the service's coordinator, the sidecar's lease client, and what their hosts choose.
 
-The sidecar's part is loaded by its name, as the program under test: nothing of the house is built on it, and
-the layout test keeps it so.
+The sidecar's part is loaded by its name, as the program under test: no other package imports it, and the
+layout test holds that.
 """
 
 from __future__ import annotations
@@ -14,36 +14,41 @@
 
 from brassfall.controlplane.aggregation.core import Aggregator
 from brassfall.controlplane.aggregation.timing import AggregatorTiming
-from brassfall.controlplane.revisions.core import Agreement, Timing
-from brassfall.controlplane.revisions.edges import Fleet
+from brassfall.controlplane.revisions.authority import GrantAuthority
+from brassfall.controlplane.revisions.coordinator import RevisionCoordinator
+from brassfall.controlplane.revisions.leases import NodeLeases
+from brassfall.controlplane.revisions.membership import Membership
+from brassfall.controlplane.revisions.timing import LeaseTiming
 from brassfall.controlplane.store.store import life_floor
 
 lease_client: Any = importlib.import_module("brassfall.sidecar.agent.lease_client")
 sidecar_rules: Any = importlib.import_module("brassfall.sidecar.agent.rules")
 
 
-def life(wall_ms: float, last: int, chance: random.Random) -> int:
-    """The number of a life of the service, out of the wall clock and the last index that is durable."""
+def epoch(wall_ms: float, last: int, chance: random.Random) -> int:
+    """The number of an epoch of the service, out of the wall clock and the last index that is durable."""
     return life_floor(wall_ms / 1000.0, last, chance.getrandbits(30))
 
 
-def answered(held: Any, asked: float, received: float, seq: int, raw: Mapping[str, Any]) -> bool:
-    """Hand an answer to the sidecar's core; times in seconds of its own clock."""
-    return bool(held.receive_answer(asked, seq, raw))
+def answered(client: Any, asked: float, received: float, seq: int, raw: Mapping[str, Any]) -> bool:
+    """Hand an answer to the sidecar's lease client; times in seconds of its own clock."""
+    return bool(client.receive_answer(asked, seq, raw))
 
 
 @dataclass(frozen=True)
 class Program:
     """The parts that a defect may replace."""
 
-    timing: Timing = field(default_factory=Timing)
-    agreement: type[Agreement] = Agreement
-    fleet: type[Fleet] = Fleet
+    timing: LeaseTiming = field(default_factory=LeaseTiming)
+    coordinator: type[RevisionCoordinator] = RevisionCoordinator
+    authority: type[GrantAuthority] = GrantAuthority
+    membership: type[Membership] = Membership
+    leases: type[NodeLeases] = NodeLeases
     aggregator: type[Aggregator] = Aggregator
     aggregator_timing: AggregatorTiming = field(default_factory=AggregatorTiming)
     lease_client: Any = lease_client.LeaseClient
     effective: Callable[[Any], dict[str, Any]] = sidecar_rules.effective
     unknown: Callable[[Any], str] = sidecar_rules.unknown
     answered: Callable[[Any, float, float, int, Mapping[str, Any]], bool] = answered
-    life: Callable[[float, int, random.Random], int] = life
+    epoch: Callable[[float, int, random.Random], int] = epoch
     wall_clock: bool = False  # the sidecar counts on its wall clock
--- a/brassfall/lab/agreement/reconcile.py
+++ b/brassfall/lab/agreement/reconcile.py
@@ -37,7 +37,7 @@
         self.deadlines.receive(asked_s, found, answered_s)
 
     def layer(self, raw: list[dict[str, Any]]) -> None:
-        """The overrides of an edition."""
+        """The overrides of a revision."""
         self.lines, _ = overrides.read_layer(raw)
 
     def report(self, now_s: float) -> tuple[str, bool, int]:
--- a/brassfall/lab/agreement/scale.py
+++ b/brassfall/lab/agreement/scale.py
@@ -1,6 +1,6 @@
-"""`lab editions-scale`: how long an edition takes with the size of the fleet, in simulated time, real cores.
+"""`lab editions-scale`: how long a revision takes with the size of the fleet, in simulated time, real cores.
 
-Editions are published one at a time, ten seconds apart, into a fleet that is at rest, each in one condition.
+Revisions are published one at a time, ten seconds apart, into a fleet that is at rest, each in one condition.
 For each: the time from publication until every sidecar that runs and can be reached acts on it; the time at
 which the last of all did, those that were stopped or cut off included; and the spread of news, which is how
 long after the first sidecar the last had heard the line of a watch (of those that can be reached; of all).
@@ -18,7 +18,8 @@
 from statistics import quantiles
 from typing import Any
 
-from brassfall.controlplane.revisions import core
+from brassfall.controlplane.revisions.messages import Publish
+from brassfall.controlplane.revisions.timing import CLOCK_DRIFT
 from brassfall.lab.agreement import reconcile
 from brassfall.lab.agreement.base import KINDS, Kernel
 from brassfall.lab.agreement.command import spread
@@ -29,13 +30,13 @@
 
 WARM_MS, GAP_MS = 12_000.0, 10_000.0
 ENROL_MS = 12.0  # and so long for each sidecar: the roster is written one by one
-FAULT_MS = 6_000.0  # how long a fault of an edition lasts, from just before it is published
+FAULT_MS = 6_000.0  # how long a fault of a revision lasts, from just before it is published
 CONDITIONS = ("healthy", "one stopped", "a third cut", "service killed", "slow link", "slow disk")
 
 
 @dataclass(slots=True)
 class Timed(Judge):
-    """The judge, which also notes when each sidecar began to act on each edition."""
+    """The judge, which also notes when each sidecar began to act on each revision."""
 
     began: dict[tuple[int, str], float] = field(default_factory=dict)
 
@@ -47,7 +48,7 @@
 
 
 class Watched(Sidecar):
-    """A sidecar that notes when it first heard of each edition."""
+    """A sidecar that notes when it first heard of each revision."""
 
     def start(self) -> None:
         """As a sidecar's."""
@@ -80,7 +81,7 @@
 
 @dataclass(slots=True)
 class Row:
-    """What came of one edition; times in ms, None where it did not come about."""
+    """What came of one revision; times in ms, None where it did not come about."""
 
     nodes: int
     seed: int
@@ -97,7 +98,7 @@
 
     def __init__(self, task: Task) -> None:
         self.task = task
-        self.judge = Timed(REAL.timing.agree_ms, core.DRIFT)
+        self.judge = Timed(REAL.timing.agree_ms, CLOCK_DRIFT)
         self.kernel = kernel = Link(task.seed, REAL, self.judge)
         self.service = Service(kernel, 0, Disk(), kernel.clock())
         self.service.start()
@@ -107,7 +108,7 @@
         self._drafts = 0
 
     def play(self) -> list[Row]:
-        """Every condition in turn, as often as the task says; what came of each edition."""
+        """Every condition in turn, as often as the task says; what came of each revision."""
         self.kernel.run(WARM_MS + ENROL_MS * self.task.nodes)
         self._edition("warm")
         return [self._edition(name) for _ in range(self.task.rounds) for name in CONDITIONS]
@@ -116,11 +117,11 @@
         kernel, service = self.kernel, self.service
         away = BEGIN.get(condition, _nobody)(self)
         kernel.run(kernel.now + kernel.random.uniform(0.0, 100.0))
-        at, newest = kernel.now, service.agreement.kept.newest
+        at, newest = kernel.now, service.coordinator.state.newest
         self._drafts += 1
         caps = {"safe": 1000.0 + self._drafts}
         settings = {"PolicyLimits": {"mark": self._drafts}, "caps": caps}
-        service.publish(core.Publish(self._drafts, settings=settings, if_match=newest))
+        service.publish(Publish(self._drafts, settings=settings, if_match=newest))
         if condition == "service killed":
             kernel.after(kernel.random.uniform(0.0, 150.0), self._kill)
         kernel.run(at + FAULT_MS)
@@ -133,15 +134,15 @@
         self.kernel.after(1000.0, self.service.start)
 
     def _heal(self) -> None:
-        self.kernel.net.cuts.clear()
+        self.kernel.net.partitions.clear()
         self.kernel.extra_ms = 0.0
         self.service.faults.slow = 0.0
         for sidecar in self.sidecars:
             sidecar.resume()
 
     def _measured(self, condition: str, at: float, away: set[str], before: int) -> Row:
-        number = self.service.agreement.kept.committed.number
-        if self.service.agreement.kept.newest == before:
+        number = self.service.coordinator.state.committed.number
+        if self.service.coordinator.state.newest == before:
             return Row(self.task.nodes, self.task.seed, condition, taken=False)
         began = {s.name: self.judge.began.get((number, s.name), math.inf) - at for s in self.sidecars}
         heard = {s.name: s.heard.get(number, math.inf) - at for s in self.sidecars}
@@ -169,7 +170,7 @@
 
 def _cut(fleet: Fleet) -> set[str]:
     away = {s.name for s in fleet.kernel.random.sample(fleet.sidecars, len(fleet.sidecars) // 3)}
-    fleet.kernel.net.cuts |= {(name, 0, kind) for name in away for kind in KINDS}
+    fleet.kernel.net.partitions |= {(name, 0, kind) for name in away for kind in KINDS}
     return away
 
 
--- a/brassfall/lab/agreement/schedule.py
+++ b/brassfall/lab/agreement/schedule.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from brassfall.controlplane.revisions.core import DRIFT
+from brassfall.controlplane.revisions.timing import CLOCK_DRIFT
 from brassfall.lab.agreement.base import HOUR_MS, KINDS
 from brassfall.lab.agreement.service import Disk, Service
 from brassfall.lab.agreement.sidecar import Sidecar
@@ -30,7 +30,7 @@
     """The faults that a kind of world knows."""
 
     themes: Mapping[str, tuple[Callable[[Any], None], tuple[int, ...]]]  # what happens, and how often
-    calm: frozenset[str]  # with these an edition has to be decided in time
+    calm: frozenset[str]  # with these a revision has to be decided in time
     away: frozenset[str]  # each takes some away: two at once may take the majority
     split: frozenset[str]  # these split who reports over two services
     confusing: frozenset[str]  # and these do not go together with that
@@ -140,7 +140,7 @@
 def twin(world: World) -> None:
     """A second service on a copy of the disk; each sidecar sees one of the two, or some see both."""
     second, chance = world.services[1], world.drawn
-    if second.up or not world.snapshots or not world.snapshots[-1].kept.committed.number:
+    if second.up or not world.snapshots or not world.snapshots[-1].state.committed.number:
         return
     copies = [world.services[0].disk, world.snapshots[-1]]
     second.disk = chance.choice(copies).copy()
@@ -156,7 +156,7 @@
 def crowd(world: World) -> None:
     """A second service on a copy, seen by newcomers alone, who are more than all others."""
     second = world.services[1]
-    if second.up or not world.services[0].disk.kept.committed.number:
+    if second.up or not world.services[0].disk.state.committed.number:
         return
     second.disk = world.services[0].disk.copy()
     second.start()
@@ -173,7 +173,7 @@
     """A second service on a copy, seen by most: each has left the first one with a word, and been followed by
     a process that knows nothing."""
     second = world.services[1]
-    if second.up or not world.services[0].disk.kept.committed.number:
+    if second.up or not world.services[0].disk.state.committed.number:
         return
     second.disk = world.services[0].disk.copy()
     second.start()
@@ -188,7 +188,7 @@
 
 
 def _cut(world: World, name: str, service: int) -> None:
-    world.kernel.net.cuts |= {(name, service, kind) for kind in KINDS}
+    world.kernel.net.partitions |= {(name, service, kind) for kind in KINDS}
 
 
 def _swap(world: World) -> None:
@@ -197,12 +197,12 @@
     for name in world.members:
         if chance.random() < 0.4:
             for service in (0, 1):
-                world.kernel.net.cuts -= {(name, service, kind) for kind in KINDS}
+                world.kernel.net.partitions -= {(name, service, kind) for kind in KINDS}
             _cut(world, name, chance.choice((0, 1)))
 
 
 def _one_stays(world: World) -> None:
-    world.kernel.net.cuts.clear()
+    world.kernel.net.partitions.clear()
     stopped: Service = world.drawn.choice(world.services)
     stopped.crash()
 
@@ -250,7 +250,7 @@
 
 
 def rolling(world: World) -> None:
-    """All are restarted within some seconds, and an edition is published in the middle."""
+    """All are restarted within some seconds, and a revision is published in the middle."""
     names = [sidecar.name for sidecar in world.sidecars]
     for number, name in enumerate(names):
         later(world, 3000.0 * number / len(names), _rolled, world, name)
@@ -263,7 +263,7 @@
 
 
 def join(world: World) -> None:
-    """New ones, while an edition is prepared."""
+    """New ones, while a revision is prepared."""
     world.publish()
     number = len(world.sidecars)
     name = f"n{number}-{world.drawn.randrange(10**6)}"
@@ -279,11 +279,11 @@
 
 def drift(world: World) -> None:
     """A service whose clock is as fast as may be, and sidecars with clocks as slow, cut off one by one while
-    an edition is prepared: so it waits for permissions that end as late as they can."""
+    a revision is prepared: so it waits for leases that end as late as they can."""
     now = world.kernel.now
-    world.services[0].clock.turn(now, 1.0 + DRIFT)
+    world.services[0].clock.turn(now, 1.0 + CLOCK_DRIFT)
     for sidecar in world.sidecars:
-        sidecar.clock.turn(now, 1.0 - DRIFT)
+        sidecar.clock.turn(now, 1.0 - CLOCK_DRIFT)
     for number in range(4):
         later(world, 4000.0 * number, _cut_one, world)
 
@@ -292,8 +292,8 @@
     world.publish()
     name = world.drawn.choice(world.sidecars).name
     rows = {(name, number, kind) for number in world.numbers for kind in KINDS}
-    world.kernel.net.cuts |= rows
-    later(world, 3800.0, world.kernel.net.cuts.difference_update, rows)
+    world.kernel.net.partitions |= rows
+    later(world, 3800.0, world.kernel.net.partitions.difference_update, rows)
 
 
 # --- the network ------------------------------------------------------------------------------------------
@@ -306,10 +306,10 @@
         (KINDS, ("report",), ("answer",), ("watch",), ("watch", "open"), ("report", "watch"))
     )
     rows = {(s.name, number, kind) for s in some_of(world) for number in world.numbers for kind in kinds}
-    world.kernel.net.cuts |= rows
+    world.kernel.net.partitions |= rows
 
     def over() -> None:
-        world.kernel.net.cuts -= rows
+        world.kernel.net.partitions -= rows
 
     later(world, chance.uniform(500.0, 9000.0), over)
 
@@ -342,7 +342,7 @@
 
 
 def burst(world: World) -> None:
-    """Ten editions in a second."""
+    """Ten revisions in a second."""
     for number in range(10):
         later(world, 100.0 * number, world.publish)
 
--- a/brassfall/lab/agreement/service.py
+++ b/brassfall/lab/agreement/service.py
@@ -8,10 +8,13 @@
 from typing import Any, Protocol
 
 from brassfall.controlplane.aggregation.directory import Directory, Heard
-from brassfall.controlplane.aggregation.messages import AggregatorLease, AggregatorReport, parse_report
-from brassfall.controlplane.revisions import core, pace
-from brassfall.controlplane.revisions.document import Edition
-from brassfall.controlplane.revisions.edges import Objection, Report, ReportError, parse
+from brassfall.controlplane.aggregation.messages import AggregatorLease, AggregatorReport
+from brassfall.controlplane.aggregation.messages import parse_report as parse_aggregator_report
+from brassfall.controlplane.revisions import messages, pace
+from brassfall.controlplane.revisions.coordinator import RevisionCoordinator
+from brassfall.controlplane.revisions.document import Revision
+from brassfall.controlplane.revisions.reports import Objection, Report, ReportError, parse_report
+from brassfall.controlplane.revisions.state import DurableState
 from brassfall.lab.agreement.base import Clock, Kernel
 from brassfall.lab.agreement.rules import Line
 
@@ -35,14 +38,14 @@
 class Disk:
     """What is durable."""
 
-    kept: core.Kept = field(default_factory=core.Kept)
+    state: DurableState = field(default_factory=DurableState)
     names: set[str] = field(default_factory=set)
-    index: int = 0  # of the last write, life or row
+    index: int = 0  # of the last write, epoch or row
     line: Line = field(default_factory=Line)
 
     def copy(self) -> Disk:
         """As it is now."""
-        return Disk(self.kept, set(self.names), self.index, self.line.copy())
+        return Disk(self.state, set(self.names), self.index, self.line.copy())
 
 
 @dataclass(slots=True)
@@ -51,44 +54,48 @@
 
     fail: float = 0.0
     slow: float = 0.0
-    crash: float = 0.0  # part of the writes of editions during which the service is killed
+    crash: float = 0.0  # part of the writes of revisions during which the service is killed
 
 
-def told(kept: core.Kept, life: int) -> dict[str, Any]:
+def state_line(durable: DurableState, epoch: int) -> dict[str, Any]:
     """The line of the watch on the rules."""
-    newest, state = kept.committed, "committed"
-    if kept.pending is not None:
-        newest, state = kept.pending, "prepared"
-    elif kept.halted is not None and kept.halted.edition.number > kept.committed.number:
-        newest, state = kept.halted.edition, "halted"
-    raw = {"life": life, "state": state, **document(newest)}
+    newest, state = durable.committed, "committed"
+    if durable.pending is not None:
+        newest, state = durable.pending, "prepared"
+    elif durable.halted is not None and durable.halted.revision.number > durable.committed.number:
+        newest, state = durable.halted.revision, "halted"
+    raw = {"life": epoch, "state": state, **document(newest)}
     if state != "committed":
-        raw["committed"] = document(kept.committed)
+        raw["committed"] = document(durable.committed)
     return raw
 
 
-def document(edition: Edition) -> dict[str, Any]:
-    """An edition as it is told."""
-    plan, overrides = edition.plan, edition.overrides
-    return {"edition": edition.number, "settings": edition.settings, "plan": plan, "overrides": overrides}
+def document(revision: Revision) -> dict[str, Any]:
+    """A revision as it is on the wire."""
+    return {
+        "edition": revision.number,
+        "settings": revision.settings,
+        "plan": revision.plan,
+        "overrides": revision.overrides,
+    }
 
 
-def _as_member(told: AggregatorReport) -> Report:
-    """An aggregator as one member of the agreement, as the service's shell has it."""
+def _as_member(merged: AggregatorReport) -> Report:
+    """An aggregator as one member, as the service's host has it."""
     return Report(
-        life=told.life,
-        seq=told.seq,
-        of=told.epoch,
-        held=told.held,
-        prepared=told.prepared,
-        acknowledged=told.acknowledged,
-        acting=told.held,
-        leaving=told.leaving and not told.children.leased,
+        process_id=merged.life,
+        seq=merged.seq,
+        epoch=merged.epoch,
+        held=merged.held,
+        prepared=merged.prepared,
+        acknowledged=merged.acknowledged,
+        acting=merged.held,
+        leaving=merged.leaving and not merged.children.leased,
     )
 
 
 class Service:
-    """One process of the list service at one address, life after life."""
+    """One process of the list service at one address, epoch after epoch."""
 
     def __init__(self, kernel: Kernel, number: int, disk: Disk, clock: Clock) -> None:
         self.kernel = kernel
@@ -103,35 +110,42 @@
         self._run = 0
         self._ticket = 0
         self._free = 0.0
-        self._writing: deque[core.Action] = deque()
-        self._answers: dict[int, Callable[[core.Granted], None]] = {}
+        self._writing: deque[messages.Action] = deque()
+        self._answers: dict[int, Callable[[messages.LeaseAnswer], None]] = {}
         self._watchers: dict[int, tuple[Watcher, float]] = {}
-        self.agreement: core.Agreement
+        self.coordinator: RevisionCoordinator
 
     @property
-    def life(self) -> int:
-        """The life whose word is told; 0 before the first."""
-        return self.agreement.fleet.life if self._run else 0
+    def epoch(self) -> int:
+        """The epoch that answers and lines name; 0 before the first."""
+        return self.coordinator.epoch if self._run else 0
 
     @property
     def pending(self) -> int:
-        """The edition that is prepared; 0 where none is."""
-        return self.agreement.kept.pending.number if self.agreement.kept.pending is not None else 0
+        """The revision that is pending; 0 where none is."""
+        return self.coordinator.state.pending_number
 
-    # --- lives ----------------------------------------------------------------------------
+    # --- epochs ----------------------------------------------------------------------------
 
     def start(self) -> None:
-        """Begin a life on what is durable."""
+        """Begin an epoch on what is durable."""
         kernel, program = self.kernel, self.kernel.program
         now = self.clock.mono(kernel.now)
         self._run += 1
         self.up, self._free = True, kernel.now
-        life = program.life(self.clock.unix(kernel.now), self.disk.index, kernel.random)
-        self.disk.index = life
+        epoch = program.epoch(self.clock.unix(kernel.now), self.disk.index, kernel.random)
+        self.disk.index = epoch
         self._objected: set[int] = set()
-        self.directory = Directory(program.timing.over_ms, CHILDREN_MOST)
-        fleet = program.fleet(life, set(self.disk.names))
-        self.agreement = program.agreement(program.timing, now, self.disk.kept, fleet)
+        self.directory = Directory(program.timing.expiry_bound_ms, CHILDREN_MOST)
+        membership = program.membership(epoch, set(self.disk.names))
+        self.coordinator = program.coordinator(
+            program.timing,
+            now,
+            self.disk.state,
+            membership,
+            leases=program.leases(),
+            authority=program.authority(program.timing, now, membership),
+        )
         self._tick(self._run)
 
     def crash(self) -> None:
@@ -155,52 +169,58 @@
         self._run += 1
 
     def phase(self) -> str:
-        """What the agreement is doing just now."""
+        """What the coordinator is doing just now."""
         if not self.up:
             return "outage"
-        write = next((row.kept for row in self._writing if isinstance(row, core.Persist)), None)
+        write = next((row.state for row in self._writing if isinstance(row, messages.Persist)), None)
         if write is not None:
             return (
-                "write of commit" if write.committed != self.agreement.kept.committed else "write of prepare"
+                "write of commit"
+                if write.committed != self.coordinator.state.committed
+                else "write of prepare"
             )
-        if self.disk.kept is not self.agreement.kept:
+        if self.disk.state is not self.coordinator.state:
             return "durable, untold"
-        if self.agreement.kept.pending is not None:
+        if self.coordinator.state.pending is not None:
             return "prepare"
         return "commit" if self.kernel.now - self.committed_at < 1000.0 else "rest"
 
     def _tick(self, run: int) -> None:
         if run == self._run:
-            self.handle(core.Tick())
+            self.handle(messages.Tick())
             self.kernel.after(TICK_MS / self.clock.rate, self._tick, run)
 
     # --- the core -----------------------------------------------------------------------------
 
-    def handle(self, event: core.Event) -> None:
+    def handle(self, event: messages.Event) -> None:
         """One step of the core, and what it asks for."""
-        for action in self.agreement.step(self.clock.mono(self.kernel.now), event):
+        for action in self.coordinator.step(self.clock.mono(self.kernel.now), event):
             match action:
-                case core.Persist() | core.Enrol():
+                case messages.Persist() | messages.PersistMember():
                     self._write(action)
-                case core.Granted():
+                case messages.LeaseAnswer():
                     answer = self._answers.pop(action.ticket, None)
                     if answer is not None:
                         answer(action)
-                case core.Told():
+                case messages.NotifyWatches():
                     self._tell()
-                case core.Published():
-                    self.published.append(action.edition)
+                case messages.Published():
+                    self.published.append(action.revision)
                 case _:
                     self.refused += 1
 
-    def _answer(self, granted: core.Granted) -> dict[str, Any]:
-        length, pending = granted.permission_ms, granted.pending
-        count = len(self.agreement.fleet.edges)
+    def _answer(self, granted: messages.LeaseAnswer) -> dict[str, Any]:
+        count = len(self.coordinator.membership.nodes)
         paces = {"every_ms": pace.every_ms(count), "spread_ms": pace.spread_ms(count)}
-        told = {"edition": granted.edition, "permission_ms": length, "pending": pending, "life": self.life}
-        return told | paces
-
-    def publish(self, draft: core.Publish) -> None:
+        return {
+            "edition": granted.revision,
+            "permission_ms": granted.lease_ms,
+            "pending": granted.pending,
+            "life": self.epoch,
+            **paces,
+        }
+
+    def publish(self, draft: messages.Publish) -> None:
         """A publisher's call arrives."""
         if self.up:
             self.handle(draft)
@@ -210,7 +230,7 @@
         if not self.up:
             return False
         try:
-            report = parse(body)
+            report = parse_report(body)
         except ReportError:
             self.kernel.met["malformed reports"] += 1
             return True
@@ -221,68 +241,71 @@
         self,
         name: str,
         report: Report,
-        answer: Callable[[core.Granted], None],
+        answer: Callable[[messages.LeaseAnswer], None],
         objections: Mapping[str, Objection] | None = None,
     ) -> None:
         self._ticket += 1
         self._answers[self._ticket] = answer
-        deciding = any(isinstance(row, core.Persist) for row in self._writing)
-        self.handle(core.Reported(self._ticket, name, report, objections or {}))
-        edge = self.agreement.fleet.edges.get(name)
-        news = edge is not None and (edge.report.life, edge.report.seq) == (report.life, report.seq)
+        deciding = any(isinstance(row, messages.Persist) for row in self._writing)
+        self.handle(messages.ReportReceived(self._ticket, name, report, objections or {}))
+        node = self.coordinator.membership.nodes.get(name)
+        key = (report.process_id, report.seq)
+        taken = node is not None and (node.report.process_id, node.report.seq) == key
         found = [*([report.objection] if report.objection is not None else []), *(objections or {}).values()]
-        if news and not deciding:
-            self._objected |= {objection.edition for objection in found}
+        if taken and not deciding:
+            self._objected |= {objection.revision for objection in found}
 
     def aggregator_report(self, name: str, body: bytes, answer: Callable[[AggregatorLease], None]) -> bool:
         """An aggregator's report arrives; whether anybody was there."""
         if not self.up:
             return False
-        told, now = parse_report(body), self.clock.mono(self.kernel.now)
-        heard = self.directory.heard(now, self.life, name, told)
+        merged, now = parse_aggregator_report(body), self.clock.mono(self.kernel.now)
+        heard = self.directory.heard(now, self.epoch, name, merged)
         if heard.superseded:
             self.kernel.met["superseded reports of aggregators"] += 1
-            number = self.agreement.kept.committed.number
-            answer(AggregatorLease(self.life, number, pending=self.pending, seq=told.seq))
+            number = self.coordinator.state.committed.number
+            answer(AggregatorLease(self.epoch, number, pending=self.pending, seq=merged.seq))
             return True
-        objections = {child: Objection(told.acknowledged, why) for child, why in told.objections.items()}
+        objections = {child: Objection(merged.acknowledged, why) for child, why in merged.objections.items()}
 
-        def granted(made: core.Granted) -> None:
-            answer(self._lease(told, heard, made))
+        def granted(made: messages.LeaseAnswer) -> None:
+            answer(self._lease(merged, heard, made))
 
-        self._reported(name, _as_member(told), granted, objections)
+        self._reported(name, _as_member(merged), granted, objections)
         return True
 
-    def _lease(self, told: AggregatorReport, heard: Heard, granted: core.Granted) -> AggregatorLease:
+    def _lease(
+        self, merged: AggregatorReport, heard: Heard, granted: messages.LeaseAnswer
+    ) -> AggregatorLease:
         return AggregatorLease(
-            epoch=self.life,
-            revision=granted.edition,
-            lease_ms=granted.permission_ms,
+            epoch=self.epoch,
+            revision=granted.revision,
+            lease_ms=granted.lease_ms,
             pending=granted.pending,
             why=granted.why,
-            seq=told.seq,
+            seq=merged.seq,
             list_index=int(self.kernel.now // 1000.0),
             members=max(1, self.directory.count()),
             moved=self.directory.moved(heard.process),
-            resync=self.directory.resync(self.life, heard.process),
+            resync=self.directory.resync(self.epoch, heard.process),
         )
 
     # --- the disk -------------------------------------------------------------------------------
 
-    def _write(self, action: core.Action) -> None:
+    def _write(self, action: messages.Action) -> None:
         kernel, faults = self.kernel, self.faults
-        if isinstance(action, core.Enrol) and action in self._writing:
+        if isinstance(action, messages.PersistMember) and action in self._writing:
             return
         took = kernel.random.uniform(0.5, 10.0)
         if faults.slow and kernel.random.random() < faults.slow:
             took = kernel.random.uniform(50.0, 1500.0)
         # What comes while something is written goes down together with what follows it.
-        together = bool(self._writing) and isinstance(action, core.Enrol)
+        together = bool(self._writing) and isinstance(action, messages.PersistMember)
         self._free = max(self._free, kernel.now) + (0.0 if together else took)
         self._writing.append(action)
         kernel.at(self._free, self._written, self._run)
-        if isinstance(action, core.Persist) and kernel.random.random() < faults.crash:
-            # Between asked and durable, between durable and told, or while it is told.
+        if isinstance(action, messages.Persist) and kernel.random.random() < faults.crash:
+            # Between asked and durable, between durable and sent, or while it is sent.
             span = self._free - kernel.now
             when = kernel.random.choice((kernel.random.uniform(0.0, span), span + 1e-3, span + 5.0))
             kernel.after(when, self._killed, self._run)
@@ -290,9 +313,9 @@
     def _killed(self, run: int) -> None:
         if run == self._run:
             self.crash()
-            self.kernel.after(self.kernel.random.uniform(20.0, 2500.0), self._again, self._run)
+            self.kernel.after(self.kernel.random.uniform(20.0, 2500.0), self._restart, self._run)
 
-    def _again(self, run: int) -> None:
+    def _restart(self, run: int) -> None:
         if run == self._run and not self.up:
             self.start()
 
@@ -302,30 +325,30 @@
         action = self._writing.popleft()
         if self.faults.fail and self.kernel.random.random() < self.faults.fail:
             self.kernel.met[f"disk refused {type(action).__name__}"] += 1
-            if isinstance(action, core.Persist):
-                self.handle(core.Failed())
+            if isinstance(action, messages.Persist):
+                self.handle(messages.PersistFailed())
             return
         self._down(action)
-        if isinstance(action, core.Persist):
+        if isinstance(action, messages.Persist):
             self.kernel.after(self.kernel.random.uniform(0.0, 3.0), self._durable, run)
-        elif isinstance(action, core.Enrol) and action.on:
-            self.agreement.enrolled(action.name)
+        elif isinstance(action, messages.PersistMember) and action.member:
+            self.coordinator.member_added(action.name)
 
-    def _down(self, action: core.Action) -> None:
+    def _down(self, action: messages.Action) -> None:
         """It is durable now, whoever may hear of it."""
         self.disk.index += 1
-        if isinstance(action, core.Persist):
-            if action.kept.committed.number != self.disk.kept.committed.number:
+        if isinstance(action, messages.Persist):
+            if action.state.committed.number != self.disk.state.committed.number:
                 self.committed_at = self.kernel.now
-                self.kernel.judge.agreed(self.kernel.now, action.kept.committed.number, self._objected)
-            self.disk.kept = action.kept
-            self.kernel.judge.durable(self.kernel.now, action.kept, self.disk.line)
-        elif isinstance(action, core.Enrol):
-            (self.disk.names.add if action.on else self.disk.names.discard)(action.name)
+                self.kernel.judge.agreed(self.kernel.now, action.state.committed.number, self._objected)
+            self.disk.state = action.state
+            self.kernel.judge.durable(self.kernel.now, action.state, self.disk.line)
+        elif isinstance(action, messages.PersistMember):
+            (self.disk.names.add if action.member else self.disk.names.discard)(action.name)
 
     def _durable(self, run: int) -> None:
         if run == self._run:
-            self.handle(core.Durable())
+            self.handle(messages.Persisted())
 
     # --- watches ----------------------------------------------------------------------------------
 
@@ -342,8 +365,8 @@
         self._watchers.pop(connection, None)
 
     def state(self) -> dict[str, Any]:
-        """What is told to whoever asks now."""
-        return told(self.agreement.kept, self.life)
+        """What whoever asks now is answered."""
+        return state_line(self.coordinator.state, self.epoch)
 
     def _tell(self) -> None:
         raw = self.state()
--- a/brassfall/lab/agreement/sidecar.py
+++ b/brassfall/lab/agreement/sidecar.py
@@ -15,9 +15,9 @@
 JITTER = 1.0 / 3.0
 TIMEOUT_MS = 1000.0
 GAVE_UP_MS = (20.0, 200.0)  # until the next report after one that failed
-RETRY_SPREAD = 0.25  # as the sidecar's, of a wait that it was told
+RETRY_SPREAD = 0.25  # as the sidecar's, of a Retry-After
 SENT_ON_EVERY = 4  # as the sidecar's: answers without a lease to one address, where no other had one
-KNOWN_MOST = 12  # more than can be acted on by anybody within `agree_ms`
+KNOWN_MOST = 12  # more revisions than can be acted on by anybody within `agree_ms`
 NOVEL = "novel"  # a key that only the newer version of the program knows
 
 
@@ -29,18 +29,18 @@
         """Whether anybody is there."""
 
     @property
-    def life(self) -> int:
-        """Of the service whose word is told there."""
+    def epoch(self) -> int:
+        """Of the service that is followed there."""
 
     @property
     def pending(self) -> int:
-        """The edition that is prepared, as is known there; 0 where none is."""
+        """The revision that is pending, as is known there; 0 where none is."""
 
     def report(self, name: str, body: bytes, answer: Callable[[dict[str, Any]], None]) -> bool:
         """A report arrives; whether anybody was there."""
 
     def state(self) -> dict[str, Any] | None:
-        """What is told to whoever asks now."""
+        """What whoever asks now is answered."""
 
 
 class Sidecar:
@@ -50,19 +50,19 @@
         self,
         kernel: Kernel,
         name: str,
-        life: str,
+        process_id: str,
         services: Sequence[Address],
         newer: bool = True,
         near: int = 0,
     ) -> None:
         """`near` of the addresses come first: it begins at one of those; 0: at any."""
         self.kernel = kernel
-        self.name, self.label = name, f"{name}/{life}"
+        self.name, self.label = name, f"{name}/{process_id}"
         self.services = services
         self.newer = newer
         self.clock = kernel.clock()
-        self.lease_client = kernel.program.lease_client(life, self._check)
-        self._told_life = life
+        self.lease_client = kernel.program.lease_client(process_id, self._check)
+        self._observed_as = process_id
         self.profile: Profile | None = None
         self.highest = 0
         self.dead = self.stopped = self.liar = False
@@ -76,13 +76,13 @@
         self._timer = 0  # the newest wait for a report: another that is due is void
         self._due_at = math.inf  # when the next report goes out, true time
         self._called = False
-        self._known: dict[int, int] = {}  # the last editions told, each with the service's life that did
-        self._of = self._permitted_by = 0
-        self._until: dict[int, float] = {}  # true time by which an edition's permission is over at the latest
+        self._known: dict[int, int] = {}  # the last revisions received, each with the epoch that sent it
+        self._followed = self._granted_by = 0
+        self._until: dict[int, float] = {}  # true time by which the lease on a revision is over at the latest
         self._backlog: list[tuple[str, Callable[..., None], tuple[Any, ...]]] = []
 
-    def _check(self, edition: Any) -> str:
-        why = str(self.kernel.program.unknown(edition))
+    def _check(self, revision: Any) -> str:
+        why = str(self.kernel.program.unknown(revision))
         return "" if self.newer and why.startswith(f"{NOVEL}:") else why
 
     def start(self) -> None:
@@ -110,10 +110,10 @@
         self.kernel.judge.changed(self.kernel.now, self, profile, until)
 
     def _knows(self, active: Any) -> frozenset[int]:
-        """Editions that it has to take account of on safe rules: told after the one that it acted on, or by a
-        service that followed the one which permitted that."""
-        last, by = active.revision.number, self._permitted_by
-        return frozenset(number for number, life in self._known.items() if number > last or life > by)
+        """Revisions that its fallback configuration has to heed: received after the one that it acted on, or
+        from a later epoch than the one that granted that."""
+        last, by = active.revision.number, self._granted_by
+        return frozenset(number for number, epoch in self._known.items() if number > last or epoch > by)
 
     # --- stops and ends ---------------------------------------------------------------------------
 
@@ -161,7 +161,7 @@
 
     # --- reports -------------------------------------------------------------------------------------
 
-    def _again(self, low: float, high: float) -> None:
+    def _report_within(self, low: float, high: float) -> None:
         self._wait(self.kernel.random.uniform(low, high) / self.clock.rate)
 
     def _wait(self, span: float) -> None:
@@ -170,7 +170,7 @@
         self.kernel.after(span, self._do, "timer", self._cycle, self._timer)
 
     def _soon(self) -> None:
-        """An edition calls for a report: it takes the place of the one that waits, if that is later."""
+        """A revision calls for a report: it takes the place of the one that waits, if that is later."""
         if self._called or not self.lease_client.urgent:
             return
         if self._flight:
@@ -222,9 +222,9 @@
         if self._flight == seq:
             self._flight = 0
             self.move()
-            self._again(*GAVE_UP_MS)
+            self._report_within(*GAVE_UP_MS)
 
-    def _turned_away(self, seq: int, retry_ms: float) -> None:
+    def _rejected(self, seq: int, retry_ms: float) -> None:
         """It is to come again later: there, unless its lease would run out over it."""
         if self._flight != seq:
             return
@@ -233,7 +233,7 @@
         if left and retry_ms > left - TIMEOUT_MS:
             self.move()
             retry_ms = min(retry_ms, GAVE_UP_MS[1])
-        self._again(retry_ms, retry_ms * (1.0 + RETRY_SPREAD))
+        self._report_within(retry_ms, retry_ms * (1.0 + RETRY_SPREAD))
 
     def _sent_elsewhere(self) -> None:
         """Each address is asked once; then, since nobody seems to have a lease, more rarely."""
@@ -243,35 +243,35 @@
 
     def _answered(self, seq: int, asked: float, true_ms: float, raw: dict[str, Any]) -> None:
         if "retry_ms" in raw:
-            self._turned_away(seq, raw["retry_ms"])
+            self._rejected(seq, raw["retry_ms"])
             return
         if self._flight != seq and not self.lax:
             return
-        clock, length, edition = self.clock, raw["permission_ms"], raw["edition"]
-        later = raw["life"] > self._of
-        if length and raw["life"] >= self._of:
+        clock, length, revision = self.clock, raw["permission_ms"], raw["edition"]
+        later = raw["life"] > self._followed
+        if length and raw["life"] >= self._followed:
             over = true_ms + length / (1.0 - self.kernel.judge.drift)
-            self._until[edition] = max(self._until.get(edition, -math.inf), over)
+            self._until[revision] = max(self._until.get(revision, -math.inf), over)
         now = self.seconds()
         counts = self.kernel.program.answered(self.lease_client, asked, now, seq, raw)
-        if self.lease_client.process_id != self._told_life:
+        if self.lease_client.process_id != self._observed_as:
             # It goes on like a process that has just begun: so it is another observer.
-            self._told_life = self.lease_client.process_id
-            self._of = self._permitted_by = self.highest = 0
+            self._observed_as = self.lease_client.process_id
+            self._followed = self._granted_by = self.highest = 0
             self._until, self._known = {}, {}
-            self.kernel.met["sidecars that took a lower life's word again"] += 1
+            self.kernel.met["sidecars that followed a lower epoch again"] += 1
         if counts:
             if later:
-                # Whoever takes another service's word acts on nothing that the one before permitted.
-                self._until = {edition: self._until[edition]} if length else {}
-            self._of = max(self._of, raw["life"])
-            if length and edition == self.lease_client.active(now).revision.number:
-                self._permitted_by = raw["life"]
+                # Whoever follows another service acts on nothing that the one before granted.
+                self._until = {revision: self._until[revision]} if length else {}
+            self._followed = max(self._followed, raw["life"])
+            if length and revision == self.lease_client.active(now).revision.number:
+                self._granted_by = raw["life"]
         self.judged()
         if length:
             left = self.lease_client.left_ms(now) / clock.rate
             self.kernel.after(left + 1e-6, self.judged)
-            self.kernel.at(self._until.get(edition, 0.0) + 1.0, self.judged)
+            self.kernel.at(self._until.get(revision, 0.0) + 1.0, self.judged)
         if self._flight == seq:
             self._flight = 0
             if not raw.get("elsewhere"):
@@ -283,19 +283,19 @@
             elif self.lease_client.lacks(raw):
                 self._fetch(self.services[self._report_at])
             self._every, self._spread = raw["every_ms"], raw["spread_ms"]
-            self._again(self._every * (1.0 - JITTER), self._every * (1.0 + JITTER))
+            self._report_within(self._every * (1.0 - JITTER), self._every * (1.0 + JITTER))
             if counts and self._called:
                 self._called = False
                 self._soon()
 
     def _fetch(self, service: Address) -> None:
-        """Reports come through where the watch may not: editions come on their way, too."""
+        """Reports come through where the watch may not: revisions come on their way, too."""
         kernel = self.kernel
 
         def arrives() -> None:
             raw = service.state() if service.up else None
             if raw is not None and not kernel.lost("answer", self.name, service.number):
-                kernel.after(kernel.delay(), self._do, "answer", self._news, raw)
+                kernel.after(kernel.delay(), self._do, "answer", self._receive_update, raw)
 
         if not kernel.lost("report", self.name, service.number):
             kernel.after(kernel.delay(), arrives)
@@ -305,16 +305,16 @@
         chance = self.kernel.random
         pending = service.pending if service.up else 0
         lies = {"prepared": pending, "held": chance.choice((0, 2**53 - 1)), "acting": pending}
-        return {**raw, **lies, "of": chance.choice((0, service.life, 2**53 - 1))}
+        return {**raw, **lies, "of": chance.choice((0, service.epoch, 2**53 - 1))}
 
-    # --- what is told ------------------------------------------------------------------------------------
+    # --- what is received --------------------------------------------------------------------------------
 
     def _line(self, raw: dict[str, Any]) -> None:
         """A line of the watch."""
-        self._news(raw)
+        self._receive_update(raw)
 
-    def _news(self, raw: dict[str, Any]) -> None:
-        if raw["life"] >= self._of:
+    def _receive_update(self, raw: dict[str, Any]) -> None:
+        if raw["life"] >= self._followed:
             more = raw.get("committed", raw)["edition"]
             self._known |= {raw["edition"]: raw["life"], more: raw["life"]}
             while len(self._known) > KNOWN_MOST:
--- a/brassfall/lab/agreement/tier.py
+++ b/brassfall/lab/agreement/tier.py
@@ -43,13 +43,13 @@
         """Names of those that report to the services themselves."""
         return [aggregator.name for aggregator in self.aggregators]
 
-    def _sidecar(self, name: str, life: str, newer: bool) -> Sidecar:
+    def _sidecar(self, name: str, process_id: str, newer: bool) -> Sidecar:
         chance = self.kernel.random
         region = self.region_of.setdefault(name, self._homes[len(self.region_of) % len(self._homes)])
         near = [each for each in self.aggregators if each.region == region]
         far = [each for each in self.aggregators if each.region != region]
         chance.shuffle(far)
-        made = Sidecar(self.kernel, name, life, [*near, *far], newer, near=IN_REGION)
+        made = Sidecar(self.kernel, name, process_id, [*near, *far], newer, near=IN_REGION)
         made.follows = chance.random() >= OLDER_PART
         return made
 
@@ -74,7 +74,7 @@
             since = since if self._together() else kernel.now
 
     def _together(self) -> bool:
-        newest = self.survivor.agreement.kept.newest
+        newest = self.survivor.coordinator.state.newest
         profiles = [sidecar.profile for sidecar in self.sidecars]
         return all(p is not None and not p.safe and p.number == newest for p in profiles)
 
@@ -94,8 +94,8 @@
 
 
 def killed_in_prepare(world: TierWorld) -> None:
-    """Killed within some ms after an edition was published: between what children acknowledge and its report,
-    or between a grant and its answer; often with children that do not hear of the edition."""
+    """Killed within some ms after a revision was published: between what children acknowledge and its report,
+    or between a grant and its answer; often with children that do not hear of the revision."""
     if world.drawn.random() < 0.7:
         _deafen(world)
     world.publish()
@@ -181,15 +181,15 @@
 
 
 def _cut(world: TierWorld, rows: set[tuple[str, int, str]]) -> None:
-    world.kernel.net.cuts |= rows
-    later(world, world.drawn.uniform(500.0, 9000.0), world.kernel.net.cuts.difference_update, rows)
+    world.kernel.net.partitions |= rows
+    later(world, world.drawn.uniform(500.0, 9000.0), world.kernel.net.partitions.difference_update, rows)
 
 
 # --- children ---------------------------------------------------------------------------------------
 
 
 def moves(world: TierWorld) -> None:
-    """Some children come to another aggregator while an edition is prepared."""
+    """Some children come to another aggregator while a revision is prepared."""
     world.publish()
     for sidecar in schedule.some_of(world, 0.7):
         later(world, world.drawn.uniform(0.0, 500.0), sidecar.move)
@@ -208,8 +208,8 @@
     names = [aggregator.name for aggregator in world.some_aggregators()]
     _cut(world, _rows(names, ("watch", "open")))
     answers = _rows(names, ("answer",))
-    world.kernel.net.cuts |= answers
-    later(world, world.drawn.uniform(300.0, 2000.0), world.kernel.net.cuts.difference_update, answers)
+    world.kernel.net.partitions |= answers
+    later(world, world.drawn.uniform(300.0, 2000.0), world.kernel.net.partitions.difference_update, answers)
     heard_by_two(world)
     world.publish()
 
@@ -256,8 +256,8 @@
     names = [world.drawn.choice(world.aggregators).name, world.drawn.choice(world.sidecars).name]
     name = world.drawn.choice(names)
     rows = {(name, number, kind) for number in (0, 1, *world.numbers) for kind in KINDS}
-    world.kernel.net.cuts |= rows
-    later(world, 3800.0, world.kernel.net.cuts.difference_update, rows)
+    world.kernel.net.partitions |= rows
+    later(world, 3800.0, world.kernel.net.partitions.difference_update, rows)
 
 
 _DIRECT = schedule.THEMES
--- a/brassfall/lab/agreement/tier_defects.py
+++ b/brassfall/lab/agreement/tier_defects.py
@@ -14,7 +14,7 @@
 from brassfall.controlplane.aggregation.lease import UpstreamLease
 from brassfall.controlplane.aggregation.messages import AggregatorLease, AggregatorReport, ChildCounts
 from brassfall.controlplane.aggregation.timing import AggregatorTiming
-from brassfall.controlplane.revisions.edges import Report
+from brassfall.controlplane.revisions.reports import Report
 from brassfall.lab.agreement.defects import DURABLE, REAL, S1, S2, S3, S4, InjectedDefect
 from brassfall.lab.agreement.program import Program
 
@@ -24,10 +24,10 @@
 # --- the lease ---------------------------------------------------------------------------------------
 
 
-class _WholeLease(UpstreamLease):
+class _FullLease(UpstreamLease):
     def child_lease_ms(self, now: float) -> float:
         """As long as a lease can be, whatever is left of this one."""
-        return self.timing.permission_ms if self.left_ms(now) > 0.0 else 0.0
+        return self.timing.lease_ms if self.left_ms(now) > 0.0 else 0.0
 
 
 class OutlastsLease(Aggregator):
@@ -35,7 +35,7 @@
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
-        self.lease = _WholeLease(self.settings)
+        self.lease = _FullLease(self.settings)
 
 
 class CountsFromAnswer(Aggregator):
@@ -77,7 +77,7 @@
 
 
 class ClaimsAtOnce(Aggregator):
-    """Claims an edition for all children as soon as it hears of it."""
+    """Claims a revision for all children as soon as it hears of it."""
 
     def _report(self, now: float) -> AggregatorReport:
         made = super()._report(now)
@@ -121,7 +121,7 @@
 
 
 class IgnoresPendingForNewcomers(Aggregator):
-    """Once all have acknowledged an edition, goes on saying so, and grants to whoever comes."""
+    """Once all have acknowledged a revision, goes on saying so, and grants to whoever comes."""
 
     def _refusal(self, now: float, name: str, report: Report) -> str:
         why = super()._refusal(now, name, report)
@@ -165,7 +165,7 @@
     """One entry for a child's name: a second process of it hides the first."""
 
     def _child_reported(self, now: float, event: core.ChildReported) -> list[core.Action]:
-        report = msgspec.structs.replace(event.report, life="")
+        report = msgspec.structs.replace(event.report, process_id="")
         return super()._child_reported(now, core.ChildReported(event.ticket, event.name, report))
 
 
@@ -189,7 +189,7 @@
 
 
 class GrantsBeforeCommit(Aggregator):
-    """Goes on granting the edition of its lease when it knows that a later one is in force."""
+    """Goes on granting the revision of its lease when it knows that a later one is in force."""
 
     def _caught_up(self) -> bool:
         return True
@@ -199,7 +199,7 @@
 
 
 class EndsPromises(Aggregator):
-    """Answers a child that knows later editions as any other: so it forgets what it has acknowledged."""
+    """Answers a child that knows later revisions as any other: so it forgets what it has acknowledged."""
 
     def _promised(self, report: Report) -> int:
         return report.prepared
@@ -280,10 +280,10 @@
         "a child's lease is over by this clock", _with(BoundWithoutDrift), ("drift",), (S1, S2)
     ),
     "grants-prepared": InjectedDefect(
-        "an edition granted that is only prepared", _with(GrantsPrepared), (), (S1, S2, DURABLE)
+        "a revision granted that is only prepared", _with(GrantsPrepared), (), (S1, S2, DURABLE)
     ),
     "grants-before-commit": InjectedDefect(
-        "an edition granted that another has followed", _with(GrantsBeforeCommit), (), (S1, S2)
+        "a revision granted that another has followed", _with(GrantsBeforeCommit), (), (S1, S2)
     ),
     "promise-ended": InjectedDefect(
         "a child's promise ended by one that lags", _with(EndsPromises), ("far behind",), (S1, S2)
--- a/brassfall/lab/agreement/tier_scale.py
+++ b/brassfall/lab/agreement/tier_scale.py
@@ -1,6 +1,6 @@
-"""`lab editions-scale --tier`: how long an edition takes through aggregators, in simulated time, real cores.
+"""`lab editions-scale --tier`: how long a revision takes through aggregators, in simulated time, real cores.
 
-Each fleet is played for one condition: aggregators first, then all sidecars, then one edition in a fleet at
+Each fleet is played for one condition: aggregators first, then all sidecars, then one revision in a fleet at
 rest, then one amid the fault. For the second: the time from its publication until each sidecar acts on it.
 The judge of `lab agreement` sees all of it.
 """
@@ -13,7 +13,8 @@
 from dataclasses import asdict, dataclass, field
 from pathlib import Path
 
-from brassfall.controlplane.revisions import core
+from brassfall.controlplane.revisions.messages import Publish
+from brassfall.controlplane.revisions.timing import CLOCK_DRIFT
 from brassfall.lab.agreement.aggregator import Aggregator
 from brassfall.lab.agreement.base import KINDS
 from brassfall.lab.agreement.command import spread
@@ -25,7 +26,7 @@
 
 READY_MS = 6_500.0  # until aggregators have leases
 STARTS_MS = 1_000.0  # over which sidecars start
-AT_REST_MS = 6_000.0  # from then to the first edition, and from that to the second
+AT_REST_MS = 6_000.0  # from then to the first revision, and from that to the second
 FAULT_MS = 16_000.0  # how long a fault lasts, from just before the second is published
 RESTART_MS = 1_000.0  # from the end of the service's process to its next one
 
@@ -56,7 +57,7 @@
 
     def __init__(self, task: Task) -> None:
         self.task = task
-        self.judge = Timed(REAL.timing.agree_ms, core.DRIFT)
+        self.judge = Timed(REAL.timing.agree_ms, CLOCK_DRIFT)
         self.kernel = kernel = Link(task.seed, REAL, self.judge)
         self.service = Service(kernel, 0, Disk(), kernel.clock())
         self.service.start()
@@ -80,7 +81,7 @@
         return Sidecar(self.kernel, f"s{number}", f"p{number}", [*near, *far], near=IN_REGION)
 
     def play(self) -> Row:
-        """Play it; what came of the second edition."""
+        """Play it; what came of the second revision."""
         kernel = self.kernel
         kernel.run(kernel.now + STARTS_MS + AT_REST_MS)
         self._publish(1)
@@ -98,9 +99,9 @@
 
     def _publish(self, mark: int) -> int:
         settings = {"PolicyLimits": {"mark": mark}, "caps": {"safe": 1000.0 + mark}}
-        self.service.publish(core.Publish(mark, settings=settings))
-        # Numbers are told when the edition is durable; the next one follows the newest.
-        return max(self.service.agreement.kept.newest + 1, self.service.life)
+        self.service.publish(Publish(mark, settings=settings))
+        # Numbers are answered when the revision is durable; the next one follows the newest.
+        return max(self.service.coordinator.state.newest + 1, self.service.epoch)
 
 
 def _nobody(fleet: TierFleet) -> set[str]:
@@ -122,7 +123,7 @@
 def _cut(*kinds: str) -> Callable[[TierFleet], set[str]]:
     def begin(fleet: TierFleet) -> set[str]:
         home = fleet.kernel.random.choice(fleet.aggregators)
-        fleet.kernel.net.cuts |= {(home.name, 0, kind) for kind in kinds}
+        fleet.kernel.net.partitions |= {(home.name, 0, kind) for kind in kinds}
         return set()
 
     return begin
@@ -145,7 +146,7 @@
     away = {s.name for n, s in enumerate(fleet.sidecars) if REGIONS[n % len(REGIONS)] == region}
     cuts = {(name, 0, kind) for name in inside for kind in KINDS}
     cuts |= {(name, number, kind) for name in away for number in outside for kind in KINDS}
-    fleet.kernel.net.cuts |= cuts
+    fleet.kernel.net.partitions |= cuts
     return away
 
 
--- a/brassfall/lab/agreement/world.py
+++ b/brassfall/lab/agreement/world.py
@@ -6,16 +6,17 @@
 from collections.abc import Sequence
 from typing import Any
 
-from brassfall.controlplane.revisions import core
+from brassfall.controlplane.revisions.messages import Publish
+from brassfall.controlplane.revisions.timing import CLOCK_DRIFT
 from brassfall.lab.agreement.base import Kernel
 from brassfall.lab.agreement.program import Program
-from brassfall.lab.agreement.rules import Broken, Judge
+from brassfall.lab.agreement.rules import Judge, RuleError
 from brassfall.lab.agreement.service import Disk, Service
 from brassfall.lab.agreement.sidecar import NOVEL, Address, Sidecar
 
 FAULTS_MS = (7_000.0, 24_000.0)
-LIVE_MS = 20_000.0  # S6: after the faults, all that can be reached act on the newest edition within this
-DECIDED_MS = 5_000.0  # S6: where no service fails, an edition is decided within this, whoever is cut off
+LIVE_MS = 20_000.0  # S6: after the faults, all that can be reached act on the newest revision within this
+DECIDED_MS = 5_000.0  # S6: where no service fails, a revision is decided within this, whoever is cut off
 REGIONS = ("a", "b", "c")
 TENANTS = ("t0", "t1", "t2", "t3")
 
@@ -24,18 +25,18 @@
     """Everything of one seed."""
 
     def __init__(self, seed: int, nodes: int, program: Program) -> None:
-        self.judge = Judge(program.timing.agree_ms, core.DRIFT)
+        self.judge = Judge(program.timing.agree_ms, CLOCK_DRIFT)
         self.kernel = kernel = Kernel(seed, program, self.judge)
         self.seed, self.nodes = seed, nodes
         self.drawn = random.Random(seed)  # of the fault that began last
-        self.calm = True  # no service, disk or majority fails: an edition has to be decided in time
+        self.calm = True  # no service, disk or majority fails: a revision has to be decided in time
         first = Service(kernel, 0, Disk(), kernel.clock())
         # The address of a second service is known to all, whether or not anybody is there.
         self.services = [first, Service(kernel, 1, Disk(), kernel.clock())]
         self.sidecars: list[Sidecar] = []  # each name's newest process
         self.older: list[Sidecar] = []  # processes that were left beside their successors
         self.snapshots: list[Disk] = []
-        self._drafts = self._lives = 0
+        self._drafts = self._processes = 0
         first.start()
         self._prepare()
         for number in range(nodes):
@@ -63,7 +64,7 @@
 
     @property
     def met(self) -> dict[str, int]:
-        """How often each fault met each phase of the agreement."""
+        """How often each fault met each phase of the coordinator."""
         return dict(self.kernel.met)
 
     def phase(self) -> str:
@@ -79,15 +80,15 @@
 
     def join(self, name: str, newer: bool = True) -> Sidecar:
         """A new process of a sidecar."""
-        self._lives += 1
-        made = self._sidecar(name, f"p{self._lives}", newer)
+        self._processes += 1
+        made = self._sidecar(name, f"p{self._processes}", newer)
         made.lax = self.kernel.random.random() < 0.3
         self.sidecars.append(made)
         made.start()
         return made
 
-    def _sidecar(self, name: str, life: str, newer: bool) -> Sidecar:
-        return Sidecar(self.kernel, name, life, self.services, newer)
+    def _sidecar(self, name: str, process_id: str, newer: bool) -> Sidecar:
+        return Sidecar(self.kernel, name, process_id, self.services, newer)
 
     def succeed(self, old: Sidecar, leave: bool) -> Sidecar:
         """A process is followed by another of its name, which knows nothing."""
@@ -117,20 +118,20 @@
         if not up:
             return
         service = chance.choice(up)
-        newest = service.agreement.kept.newest
+        newest = service.coordinator.state.newest
         match = chance.choice((None, None, newest, newest - 1))
         service.publish(self._draft(match, chance.random()))
 
-    def _draft(self, match: int | None, kind: float) -> core.Publish:
+    def _draft(self, match: int | None, kind: float) -> Publish:
         """A draft with marks of its own in each layer that it states."""
         self._drafts += 1
         mark = self._drafts
         settings, plan = self._settings(mark), {"mark": mark}
         if kind < 0.25:
-            return core.Publish(mark, plan=plan, if_match=match)
+            return Publish(mark, plan=plan, if_match=match)
         if kind < 0.35:
             settings[NOVEL] = mark
-        return core.Publish(mark, settings=settings, plan=plan if kind < 0.5 else None, if_match=match)
+        return Publish(mark, settings=settings, plan=plan if kind < 0.5 else None, if_match=match)
 
     def _settings(self, mark: int) -> dict[str, Any]:
         chance = self.kernel.random
@@ -147,12 +148,12 @@
     # --- the run ------------------------------------------------------------------------------------
 
     def run(self) -> None:
-        """Play it; `Broken` names the rule that does not hold."""
+        """Play it; `RuleError` names the rule that does not hold."""
         kernel = self.kernel
         kernel.run(FAULTS_MS[1])
         self._heal()
         kernel.run(kernel.now + 1_000.0)
-        self._last_word()
+        self._publish_last()
         self._settle()
         self._alive()
 
@@ -161,10 +162,10 @@
         self.kernel.run(self.kernel.now + LIVE_MS)
 
     def _heal(self) -> None:
-        """The faults end, and of two services the later one stays, at whose word the other's is void."""
+        """The faults end, and of two services the one with the later epoch stays."""
         kernel = self.kernel
         net = kernel.net
-        net.cuts.clear()
+        net.partitions.clear()
         net.loss = net.slow = net.replay = 0.0
         for old in self.older:
             old.end()
@@ -173,8 +174,8 @@
             if sidecar.liar:
                 self.sidecars.remove(sidecar)
                 sidecar.end()
-        lives = [service.life for service in self.services]
-        self.survivor = self.services[0] if lives[0] >= lives[1] else self.services[1]
+        epochs = [service.epoch for service in self.services]
+        self.survivor = self.services[0] if epochs[0] >= epochs[1] else self.services[1]
         for service in self.services:
             service.faults.fail = service.faults.slow = service.faults.crash = 0.0
             if service is not self.survivor:
@@ -182,19 +183,21 @@
         if not self.survivor.up:
             self.survivor.start()
 
-    def _last_word(self) -> None:
+    def _publish_last(self) -> None:
         draft = self._draft(None, 1.0)
         self.survivor.publish(draft)
         if not self.survivor.up:
-            raise Broken("S6 liveness", self.kernel.now, "the service is down though its faults have ended")
+            raise RuleError(
+                "S6 liveness", self.kernel.now, "the service is down though its faults have ended"
+            )
 
     def _alive(self) -> None:
-        now, kept = self.kernel.now, self.survivor.agreement.kept
+        now, state = self.kernel.now, self.survivor.coordinator.state
         for sidecar in self.sidecars:
             profile = sidecar.profile
-            if profile is None or profile.safe or profile.number != kept.newest:
-                text = f"{sidecar.label} acts on {profile}, edition {kept.newest} is the newest"
-                raise Broken("S6 liveness", now, text)
+            if profile is None or profile.safe or profile.number != state.newest:
+                text = f"{sidecar.label} acts on {profile}, revision {state.newest} is the newest"
+                raise RuleError("S6 liveness", now, text)
         if self.calm:
             self._decided_in_time()
 
@@ -202,6 +205,8 @@
         judge = self.judge
         for number, at in judge.prepared_at.items():
             lasted = judge.decided_at.get(number, self.kernel.now) - at
-            # The first one waits until the roster is known.
+            # The first one waits until the members are known.
             if at > FAULTS_MS[0] and lasted > DECIDED_MS:
-                raise Broken("S6 held up", at + lasted, f"edition {number} was prepared for {lasted:.0f} ms")
+                raise RuleError(
+                    "S6 held up", at + lasted, f"revision {number} was prepared for {lasted:.0f} ms"
+                )
--- a/tests/test_aggregation.py
+++ b/tests/test_aggregation.py
@@ -27,7 +27,7 @@
 )
 from brassfall.controlplane.aggregation.timing import AggregatorTiming
 from brassfall.controlplane.geo.evidence import POINTS_MOST, sift
-from brassfall.controlplane.revisions.edges import Objection, Report
+from brassfall.controlplane.revisions.reports import Objection, Report
 
 EPOCH = 1 << 50
 OLD, NEXT, LATER = EPOCH, EPOCH + 1, EPOCH + 2
@@ -63,7 +63,7 @@
         return sent.report
 
     def answer(self, seq, asked=None, **fields):
-        fields = {"epoch": EPOCH, "revision": OLD, "lease_ms": TIMING.permission_ms, **fields}
+        fields = {"epoch": EPOCH, "revision": OLD, "lease_ms": TIMING.lease_ms, **fields}
         answer = AggregatorLease(seq=seq, **fields)
         return self.step(core.UpstreamAnswered(self.now if asked is None else asked, answer))
 
@@ -75,8 +75,8 @@
 
     def child(self, name="s", life="p", **fields):
         """A child's report; the answer to it."""
-        fields = {"seq": next(self.seqs), "of": EPOCH, "held": OLD, "acting": OLD, **fields}
-        actions = self.step(core.ChildReported(0, name, Report(life=life, **fields)))
+        fields = {"seq": next(self.seqs), "epoch": EPOCH, "held": OLD, "acting": OLD, **fields}
+        actions = self.step(core.ChildReported(0, name, Report(process_id=life, **fields)))
         return next(action for action in actions if isinstance(action, core.AnswerChild | core.TurnAway))
 
 
@@ -91,13 +91,13 @@
     for elapsed in (0.0, 1.0, 1500.0, 2690.0, 2699.9):  # of the aggregator's clock, since its asking
         chain.now = asked + elapsed
         made = chain.child()
-        assert 0.0 < made.lease_ms == pytest.approx(TIMING.permission_ms - elapsed)
+        assert 0.0 < made.lease_ms == pytest.approx(TIMING.lease_ms - elapsed)
         # True times from the aggregator's asking; the child asked just before it was answered.
         over = elapsed / aggregator + made.lease_ms / child
-        assert over <= TIMING.over_ms / service + 1e-6
+        assert over <= TIMING.expiry_bound_ms / service + 1e-6
         bound = max(lease.until_ms for lease in chain.core.leases._leases.values())
         assert over <= (bound - asked) / aggregator + 1e-6
-    chain.now = asked + TIMING.permission_ms
+    chain.now = asked + TIMING.lease_ms
     made = chain.child()
     assert (made.lease_ms, made.elsewhere) == (0.0, True) and made.why
 
@@ -211,7 +211,7 @@
         chain.now += 250.0
         chain.child("a", prepared=NEXT)
         assert chain.lease(pending=NEXT).prepared == 0
-    chain.now = 1e6 + TIMING.over_ms + 1.0
+    chain.now = 1e6 + TIMING.expiry_bound_ms + 1.0
     chain.step(core.Tick())
     assert chain.hurried and chain.report().prepared == NEXT
 
@@ -237,15 +237,15 @@
     [
         ({"prepared": NEXT}, NEXT),
         ({"acting": NEXT}, 0),
-        ({"of": EPOCH + 1}, 0),
-        ({"prepared": NEXT, "of": 0}, NEXT),
+        ({"epoch": EPOCH + 1}, 0),
+        ({"prepared": NEXT, "epoch": 0}, NEXT),
     ],
 )
 def test_a_child_that_knows_more_gets_no_lease_and_keeps_its_promise(ahead, pending):
     chain = Chain()
     made = chain.child(**ahead)
     assert (made.lease_ms, made.pending) == (0.0, pending)
-    assert (made.elsewhere, chain.fetches) == ((True, False) if ahead.get("of") else (False, True))
+    assert (made.elsewhere, chain.fetches) == ((True, False) if ahead.get("epoch") else (False, True))
     chain.now += 600.0  # it does not catch up
     assert chain.child(**ahead).elsewhere
     chain.line(NEXT, "prepared", OLD)
@@ -263,7 +263,7 @@
 
 
 def test_a_promise_of_an_epoch_that_is_over_is_no_reason():
-    assert Chain().child(prepared=EPOCH - 7, of=EPOCH - 9, acting="safe").lease_ms
+    assert Chain().child(prepared=EPOCH - 7, epoch=EPOCH - 9, acting="safe").lease_ms
 
 
 def test_an_objection_goes_up_at_once_by_the_childs_name():
@@ -286,7 +286,7 @@
     assert chain.report().joined == chain.report().joined == [Member("a", "p")]
     chain.lease()
     assert chain.report().joined == []
-    chain.now += TIMING.over_ms + 1.0
+    chain.now += TIMING.expiry_bound_ms + 1.0
     chain.step(core.Tick())
     assert chain.report().departed == [Member("a", "p")]
     chain.child("a")  # it is back before that was answered
@@ -342,9 +342,9 @@
 
 def test_a_child_of_an_older_version_gets_what_it_understands():
     chain = Chain()
-    made = chain.child("a", "", seq=0, of=None, held=OLD, prepared=0, acting=OLD)
+    made = chain.child("a", "", seq=0, epoch=None, held=OLD, prepared=0, acting=OLD)
     assert made.lease_ms and made.order is None and made.left == {}
-    assert chain.child("a", "", seq=0, of=None).lease_ms  # without a life, each report counts
+    assert chain.child("a", "", seq=0, epoch=None).lease_ms  # without a life, each report counts
 
 
 def test_it_leaves_once_nothing_that_it_granted_runs():
@@ -354,7 +354,7 @@
     made = chain.child("a")
     assert (made.lease_ms, made.elsewhere) == (0.0, True)
     assert not chain.lease().leaving and not chain.core.may_end(chain.now)
-    chain.now += TIMING.over_ms + 1.0
+    chain.now += TIMING.expiry_bound_ms + 1.0
     assert chain.lease().leaving and chain.core.may_end(chain.now)
 
 
@@ -471,7 +471,7 @@
     made = chain.child("b", digest="0-00000000", **told)
     assert made.order.list_overrides
     assert [(row.name, row.digest) for row in chain.report().exceptions] == [("b", "0-00000000")]
-    made = chain.child("b", digest="1-new", acted={"o": 1}, **told)
+    made = chain.child("b", digest="1-new", acted_overrides={"o": 1}, **told)
     last = chain.report().exceptions
     assert [(row.name, row.acted) for row in last] == [("b", {"o": 1})] and not chain.report().exceptions
     assert chain.child("b", digest="1-new", **told).order is None
--- a/tests/test_aggregation_cases.py
+++ b/tests/test_aggregation_cases.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from brassfall.controlplane.revisions import core
+from brassfall.controlplane.revisions.messages import Publish
 from brassfall.lab.agreement import schedule
 from brassfall.lab.agreement.aggregator import Aggregator
 from brassfall.lab.agreement.program import Program
@@ -28,7 +28,7 @@
 
 
 def play(made: TierWorld, until: float = 0.0) -> None:
-    """Let it run until then, or to its end: `Broken` names a rule that does not hold."""
+    """Let it run until then, or to its end: `RuleError` names a rule that does not hold."""
     if until:
         made.kernel.run(until)
         return
@@ -42,8 +42,8 @@
 
 
 def acting(made: TierWorld) -> int:
-    """How many sidecars act on the edition in force."""
-    number = made.services[0].agreement.kept.committed.number
+    """How many sidecars act on the revision in force."""
+    number = made.services[0].coordinator.state.committed.number
     profiles = [sidecar.profile for sidecar in made.sidecars]
     return sum(p is not None and not p.safe and p.number == number for p in profiles)
 
@@ -155,7 +155,7 @@
     made.kernel.at(AT, setattr, net, "slow_ms", 3500.0)
     play(made)
     assert made.kernel.met["replayed reports of aggregators"] > 100
-    assert made.services[0].agreement.fleet.stale > 50
+    assert made.services[0].coordinator.membership.stale_reports > 50
 
 
 def test_the_service_comes_back_from_an_older_copy():
@@ -163,11 +163,11 @@
 
     def restore() -> None:
         service = made.services[0]
-        copies.append((service.agreement.kept.committed.number, service.life))
+        copies.append((service.coordinator.state.committed.number, service.epoch))
         service.crash()
         service.disk = made.snapshots[0].copy()
         service.start()
-        copies.append((service.agreement.kept.committed.number, service.life))
+        copies.append((service.coordinator.state.committed.number, service.epoch))
 
     made.calm = False  # a service that has come back permits nothing for a season: that is no rule broken
     copies: list[tuple[int, int]] = []
@@ -175,7 +175,7 @@
     play(made)
     (committed, epoch), (older, newer) = copies
     assert older < committed and newer > epoch
-    assert {each.life for each in made.aggregators} == {made.services[0].life}
+    assert {each.epoch for each in made.aggregators} == {made.services[0].epoch}
 
 
 def test_an_objection_of_a_child_halts_by_its_name():
@@ -186,12 +186,12 @@
     service = made.services[0]
 
     def publish() -> None:
-        service.publish(core.Publish(1, settings={NOVEL: 1, "PolicyLimits": {"mark": 10**6}}))
+        service.publish(Publish(1, settings={NOVEL: 1, "PolicyLimits": {"mark": 10**6}}))
 
     made.kernel.at(AT, publish)
     play(made, AT + 600.0)
-    halted = service.agreement.kept.halted
-    assert halted is not None and halted.edition.settings[NOVEL] == 1
+    halted = service.coordinator.state.halted
+    assert halted is not None and halted.revision.settings[NOVEL] == 1
     assert old.name in str(halted.objections)
     play(made)
 
--- a/tests/test_aggregation_worlds.py
+++ b/tests/test_aggregation_worlds.py
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize("condition", tier_scale.BEGIN)
-def test_an_edition_reaches_all_that_can_be_reached(condition):
+def test_a_revision_reaches_all_that_can_be_reached(condition):
     row = tier_scale.play(tier_scale.Task(24, 0, condition))
     assert row.missing == 0 and row.reachable == len(row.spans) >= 16
     assert row.spans[-1] < (1500.0 if condition == "healthy" else 6000.0)
--- a/tests/test_aggregators_parts.py
+++ b/tests/test_aggregators_parts.py
@@ -8,7 +8,7 @@
 
 from brassfall.controlplane.aggregation.merging import EVERY_MS, MergedDelays
 from brassfall.controlplane.aggregation.messages import AggregatorReport, ChildCounts, Member
-from brassfall.controlplane.revisions.core import Agreement
+from brassfall.controlplane.revisions.coordinator import RevisionCoordinator
 from tests.loopback import bounded, until
 from tests.test_rules_shell import service
 
@@ -53,7 +53,7 @@
             several = []
             for _ in range(3):
                 seq += 1
-                report = _report(seq, epoch=made.rules.core.fleet.life, children=counts)
+                report = _report(seq, epoch=made.rules.core.epoch, children=counts)
                 several.append(_steps(lambda report=report: made.aggregators.reported("x", report)))
             costs.append(min(several))
         assert costs[0] > 300 and costs[1] < 1.1 * costs[0], costs
@@ -73,16 +73,16 @@
         delays = {"delays": [{**row, "group": "g"}]}
         for name in ("x", "y"):
             made.aggregators.reported(name, _report(1, joined=[Member(f"c-{name}", "1")], measures=delays))
-        await until(lambda: rules.core.fleet.names == {"x", "y"})
+        await until(lambda: rules.core.membership.names == {"x", "y"})
         rules._sweep(rules.now())
         assert set(rules.directory.aggregators) == {"x", "y"}
-        monkeypatch.setattr(Agreement, "may_permit", lambda *_: "")
+        monkeypatch.setattr(RevisionCoordinator, "grant_refusal", lambda *_: "")
         made.aggregators.reported("y", _report(2, leaving=True, children=ChildCounts(leased=1)))
-        assert not rules.core._left  # a child of it may act: it is no end yet
+        assert not rules.core.departing  # a child of it may act: it is no end yet
         made.aggregators.reported("y", _report(3, leaving=True))
-        assert list(rules.core._left) == ["y"]
+        assert rules.core.departing == ["y"]
         rules._sweep(rules.now() + rules.settings.forget_ms + 1.0)
-        await until(lambda: not rules.core.fleet.names)
+        await until(lambda: not rules.core.membership.names)
         assert (rules.directory.aggregators, rules.directory.count(), made.geo._demand) == ({}, 0, {})
     finally:
         await made.close()
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -1,4 +1,4 @@
-"""The agreement in simulated worlds of faults: no rule breaks, and each seeded defect is found by name."""
+"""Revisions in simulated worlds of faults: no rule breaks, and each injected defect is found by name."""
 
 from __future__ import annotations
 
@@ -11,10 +11,20 @@
 
 import pytest
 
-from brassfall.controlplane.revisions import document
-from brassfall.controlplane.revisions.core import Agreement, Durable, Enrol, Kept, Publish, Reported, Timing
-from brassfall.controlplane.revisions.document import Edition
-from brassfall.controlplane.revisions.edges import Fleet, Report
+from brassfall.controlplane.revisions import validation
+from brassfall.controlplane.revisions.coordinator import RevisionCoordinator
+from brassfall.controlplane.revisions.document import Revision
+from brassfall.controlplane.revisions.membership import Membership
+from brassfall.controlplane.revisions.messages import (
+    Persist,
+    Persisted,
+    PersistMember,
+    Publish,
+    ReportReceived,
+)
+from brassfall.controlplane.revisions.reports import Report
+from brassfall.controlplane.revisions.state import DurableState
+from brassfall.controlplane.revisions.timing import LeaseTiming
 from brassfall.controlplane.store.store import life_floor, unix_floor
 from brassfall.lab.agreement import command, schedule
 from brassfall.lab.agreement.defects import DEFECTS
@@ -66,131 +76,137 @@
 
 
 @pytest.mark.parametrize(("unix_s", "last"), [(1e9, 0), (1e9, unix_floor(2e9)), (1e9, unix_floor(1e9))])
-def test_lives_on_two_copies_of_a_table_are_apart(unix_s, last):
-    one, other = (life_floor(unix_s, last, drawn) for drawn in (5, 2**29 + 7))
+def test_epochs_on_two_copies_of_a_store_are_apart(unix_s, last):
+    one, other = (life_floor(unix_s, last, low) for low in (5, 2**29 + 7))
     assert min(one, other) > last and one != other
 
 
 # --- what the seeds found in the cores -------------------------------------------------------------------
 
-LIFE = 1 << 50
+EPOCH = 1 << 50
 
 
 def lease_client():
     module = importlib.import_module("brassfall.sidecar.agent.lease_client")
     rules = importlib.import_module("brassfall.sidecar.agent.rules")
-    return module.LeaseClient("p1", lambda edition: ""), rules.effective
+    return module.LeaseClient("p1", lambda revision: ""), rules.effective
 
 
-def line(number, state, tenants, committed=None, life=LIFE):
-    raw = {"edition": number, "life": life, "state": state, "settings": {"tenants": tenants}}
+def line(number, state, tenants, committed=None, epoch=EPOCH):
+    raw = {"edition": number, "life": epoch, "state": state, "settings": {"tenants": tenants}}
     return raw if committed is None else {**raw, "committed": committed}
 
 
-def answer(edition, pending=0, length=2700.0, life=LIFE):
-    return {"edition": edition, "permission_ms": length, "pending": pending, "life": life}
+def answer(revision, pending=0, length=2700.0, epoch=EPOCH):
+    return {"edition": revision, "permission_ms": length, "pending": pending, "life": epoch}
 
 
 def test_an_acknowledgement_outlasts_the_next_one():
-    held, effective = lease_client()
+    client, effective = lease_client()
     five, six = line(5, "committed", {"t": "a"}), line(6, "prepared", {"t": "b"})
-    held.receive_update(five)
-    held.receive_answer(0.0, held.report(0.0)["seq"], answer(5))
-    held.receive_update({**six, "committed": five})
-    assert held.report(0.1)["prepared"] == 6
+    client.receive_update(five)
+    client.receive_answer(0.0, client.report(0.0)["seq"], answer(5))
+    client.receive_update({**six, "committed": five})
+    assert client.report(0.1)["prepared"] == 6
     # 6 is committed, and 7 goes back to what 5 said: others act on 6 by now, which serves t elsewhere.
-    held.receive_update(line(7, "prepared", {"t": "a"}, committed=six))
-    assert effective(held.active(0.2))["tenants"] == {"t": ""}
-    held.receive_answer(0.2, held.report(0.2)["seq"], answer(7))
-    assert effective(held.active(0.3))["tenants"] == {"t": "a"}
+    client.receive_update(line(7, "prepared", {"t": "a"}, committed=six))
+    assert effective(client.active(0.2))["tenants"] == {"t": ""}
+    client.receive_answer(0.2, client.report(0.2)["seq"], answer(7))
+    assert effective(client.active(0.3))["tenants"] == {"t": "a"}
 
 
 def test_the_fallback_takes_account_of_what_was_received():
-    held, effective = lease_client()
-    held.receive_update(line(5, "committed", {"t": "a"}))
-    assert held.active(0.0).fallback
-    assert effective(held.active(0.0))["tenants"] == {"t": ""}
+    client, effective = lease_client()
+    client.receive_update(line(5, "committed", {"t": "a"}))
+    assert client.active(0.0).fallback
+    assert effective(client.active(0.0))["tenants"] == {"t": ""}
 
 
 def test_nobody_goes_back():
-    held, _ = lease_client()
-    held.receive_update(line(5, "committed", {}))
-    held.receive_update(line(6, "committed", {}))
-    held.receive_answer(0.0, held.report(0.0)["seq"], answer(6))
-    held.receive_answer(0.1, held.report(0.1)["seq"], answer(5))
-    assert held.active(0.2).acting == 6
-    held.receive_answer(0.3, held.report(0.3)["seq"], answer(5, life=LIFE + 1))
-    assert held.active(0.4).acting == "safe"
+    client, _ = lease_client()
+    client.receive_update(line(5, "committed", {}))
+    client.receive_update(line(6, "committed", {}))
+    client.receive_answer(0.0, client.report(0.0)["seq"], answer(6))
+    client.receive_answer(0.1, client.report(0.1)["seq"], answer(5))
+    assert client.active(0.2).acting == 6
+    client.receive_answer(0.3, client.report(0.3)["seq"], answer(5, epoch=EPOCH + 1))
+    assert client.active(0.4).acting == "safe"
 
 
 def test_a_service_that_is_gone_for_good_is_left_for_one_with_a_lower_epoch():
-    held, effective = lease_client()
-    held.receive_update(line(6, "committed", {"t": "a"}))
-    held.receive_answer(0.0, held.report(0.0)["seq"], answer(6))
-    lower = answer(5, life=LIFE - 1)
+    client, effective = lease_client()
+    client.receive_update(line(6, "committed", {"t": "a"}))
+    client.receive_answer(0.0, client.report(0.0)["seq"], answer(6))
+    lower = answer(5, epoch=EPOCH - 1)
     for now in (3.0, 8.0, 14.9):
-        assert not held.receive_answer(now, held.report(now)["seq"], lower)
-    assert held.report(14.9)["of"] == LIFE
-    held.receive_answer(15.0, held.report(15.0)["seq"], lower)
-    fresh = held.report(15.5)
-    assert (fresh["of"], fresh["seq"], fresh["life"]) == (0, 1, held.process_id) and held.process_id != "p1"
-    assert effective(held.active(15.5))["tenants"] == {"t": ""}  # what it knew holds until it is permitted
-    held.receive_update(line(5, "committed", {"t": "b"}, life=LIFE - 1))
-    assert held.receive_answer(15.5, fresh["seq"], lower)
-    assert effective(held.active(15.6))["tenants"] == {"t": "b"}
-
-
-def agreement(names, kept, now=1e6):
-    return Agreement(Timing(), now, kept, Fleet(LIFE, set(names)))
-
-
-def reports(core, names, of, start, seconds, seq=0):
+        assert not client.receive_answer(now, client.report(now)["seq"], lower)
+    assert client.report(14.9)["of"] == EPOCH
+    client.receive_answer(15.0, client.report(15.0)["seq"], lower)
+    fresh = client.report(15.5)
+    assert (fresh["of"], fresh["seq"], fresh["life"]) == (
+        0,
+        1,
+        client.process_id,
+    ) and client.process_id != "p1"
+    assert effective(client.active(15.5))["tenants"] == {"t": ""}  # what it knew holds until it has a lease
+    client.receive_update(line(5, "committed", {"t": "b"}, epoch=EPOCH - 1))
+    assert client.receive_answer(15.5, fresh["seq"], lower)
+    assert effective(client.active(15.6))["tenants"] == {"t": "b"}
+
+
+def coordinator(names, state, now=1e6):
+    return RevisionCoordinator(LeaseTiming(), now, state, Membership(EPOCH, set(names)))
+
+
+def reports(core, names, epoch, start, seconds, seq=0):
     """What the core asks for while these report, twice a second."""
     made = []
     for step in range(2 * seconds):
         for name in names:
-            report = Report(life="p", seq=seq + step + 1, of=of, held=of)
-            made += core.step(start + 500.0 * step, Reported(0, name, report))
+            report = Report(process_id="p", seq=seq + step + 1, epoch=epoch, held=epoch)
+            made += core.step(start + 500.0 * step, ReportReceived(0, name, report))
     return made
 
 
 def test_newcomers_alone_are_no_majority():
-    committed = Kept(committed=Edition(1), newest=1)
-    core = agreement(("a", "b", "c"), committed)
-    assert not [a for a in reports(core, ("n1", "n2", "n3", "n4"), LIFE, 1e6, 20) if isinstance(a, Enrol)]
-    assert core.may_permit(1e6 + 21_000.0)
-
-
-def test_a_life_is_raised_above_a_later_one():
-    core = agreement(("a", "b", "c"), Kept())
-    later = LIFE + (3_000_000 << 10)
-    asked = [a.kept.life for a in reports(core, ("a", "b"), later, 1e6, 8) if hasattr(a, "kept")]
+    committed = DurableState(committed=Revision(1), newest=1)
+    core = coordinator(("a", "b", "c"), committed)
+    assert not [
+        a for a in reports(core, ("n1", "n2", "n3", "n4"), EPOCH, 1e6, 20) if isinstance(a, PersistMember)
+    ]
+    assert core.grant_refusal(1e6 + 21_000.0)
+
+
+def test_an_epoch_is_raised_above_a_later_one():
+    core = coordinator(("a", "b", "c"), DurableState())
+    later = EPOCH + (3_000_000 << 10)
+    asked = [a.state.epoch for a in reports(core, ("a", "b"), later, 1e6, 8) if isinstance(a, Persist)]
     assert asked and asked[0] > later
-    lied = agreement(("a", "b", "c"), Kept())
-    assert not [a for a in reports(lied, ("a", "b"), 2**53 - 1, 1e6, 8) if hasattr(a, "kept")]
+    lied = coordinator(("a", "b", "c"), DurableState())
+    assert not [a for a in reports(lied, ("a", "b"), 2**53 - 1, 1e6, 8) if isinstance(a, Persist)]
 
 
-def test_no_edition_leaves_no_region_open_while_another_may_still_be_acted_on():
+def test_no_revision_leaves_no_region_open_while_another_may_still_be_acted_on():
     def held(*regions):
         return {"regions": {"held": list(regions)}}
 
-    names, regions, number = ("a", "b", "c"), frozenset("xyz"), LIFE
-    core = agreement(names, Kept(committed=Edition(1, settings=held("x")), newest=1))
-    reports(core, names, LIFE, 1e6, 9)
+    names, regions, number = ("a", "b", "c"), frozenset("xyz"), EPOCH
+    core = coordinator(names, DurableState(committed=Revision(1, settings=held("x")), newest=1))
+    reports(core, names, EPOCH, 1e6, 9)
     now = 1e6 + 9000.0
     core.step(now, Publish(1, settings=held("y")))
-    core.step(now, Durable())
+    core.step(now, Persisted())
     for name in names:
-        core.step(now + 1.0, Reported(0, name, Report("p", 99, LIFE, held=number, prepared=number)))
-    core.step(now + 1.0, Durable())
+        core.step(now + 1.0, ReportReceived(0, name, Report("p", 99, EPOCH, held=number, prepared=number)))
+    core.step(now + 1.0, Persisted())
 
     def harm(at, *more):
-        others = [edition.settings for edition in core.current(at)]
-        return document.harm(held(*more), regions, others)
+        others = [revision.settings for revision in core.actable_revisions(at)]
+        return validation.harm(held(*more), regions, others)
 
-    # What was acknowledged is in force, and permissions for the one before run still.
-    assert [edition.number for edition in core.current(now + 2.0)] == [1, number]
+    # What was acknowledged is in force, and leases on the one before run still.
+    assert [revision.number for revision in core.actable_revisions(now + 2.0)] == [1, number]
     assert [bool(harm(now + 2.0, *more)) for more in ("", "x", "y", "z")] == [False, False, False, True]
-    over = now + 2.0 + core.timing.over_ms
-    assert [edition.number for edition in core.current(over)] == [number]
+    over = now + 2.0 + core.timing.expiry_bound_ms
+    assert [revision.number for revision in core.actable_revisions(over)] == [number]
     assert not harm(over, "z") and harm(over, "x", "z")
--- a/tests/test_agreement_agent.py
+++ b/tests/test_agreement_agent.py
@@ -11,7 +11,7 @@
 from aiohttp import web
 
 from brassfall.balancer import model
-from brassfall.controlplane.revisions import edges
+from brassfall.controlplane.revisions import reports
 from brassfall.sidecar.agent import agent as agents
 from brassfall.sidecar.agent import rules
 from brassfall.sidecar.agent.agent import Agent
@@ -37,9 +37,11 @@
     async def report(self, request):
         body = await request.read()
         on, before = self.before
-        report, raw = edges.read(body, before if on is request.protocol else None)
+        report, raw = reports.parse_delta(body, before if on is request.protocol else None)
         self.before = (request.protocol, raw)
-        self.reports.put_nowait((report.prepared, report.held, report.life, "after" in json.loads(body)))
+        self.reports.put_nowait(
+            (report.prepared, report.held, report.process_id, "after" in json.loads(body))
+        )
         pending = 2 if self.edition == 1 else 0
         told = {"edition": self.edition, "permission_ms": 2700.0, "list_index": 0, "news": False}
         return web.json_response(told | {"pending": pending, "life": 1, "every_ms": RARELY_MS})
@@ -308,6 +310,7 @@
     raise ConfigError("not now")
 
 
+FIELDS = ("process_id", "epoch", "held", "prepared", "refresh_times", "measures")
 BEFORE = {"life": "a", "seq": 4, "of": 9, "held": 7, "prepared": 7, "retell": True, "measures": {"x": 1}}
 
 
@@ -326,12 +329,12 @@
 def test_a_report_goes_on_from_none_but_the_one_before(raw, before, want):
     body = json.dumps(raw).encode()
     if want is None:
-        with pytest.raises(edges.ReportError):
-            edges.read(body, before)
+        with pytest.raises(reports.ReportError):
+            reports.parse_delta(body, before)
         return
-    report, _ = edges.read(body, before)
-    assert want == tuple(getattr(report, n) for n in ("life", "of", "held", "prepared", "retell", "measures"))
+    report, _ = reports.parse_delta(body, before)
+    assert want == tuple(getattr(report, n) for n in FIELDS)
 
 
 def test_both_sides_leave_out_the_same():
-    assert agents.DELTA_FIELDS == edges.KEPT <= set(edges.Report.__struct_fields__)
+    assert agents.DELTA_FIELDS == reports.CARRIED_FIELDS <= set(reports.Report.__struct_encode_fields__)
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -149,9 +149,13 @@
     "errors.py",
     "controlplane/store/core.py",
     "controlplane/store/leases.py",
-    "controlplane/revisions/document.py",
-    "controlplane/revisions/edges.py",
-    "controlplane/revisions/core.py",
+    *(
+        f"controlplane/revisions/{name}.py"
+        for name in (
+            *("timing", "document", "validation", "state", "transitions", "reports", "messages"),
+            *("membership", "leases", "authority", "coordinator", "pace"),
+        )
+    ),
     "controlplane/aggregation/messages.py",
     "controlplane/aggregation/core.py",
     *(f"controlplane/overrides/{name}.py" for name in ("document", "clock", "history", "book", "reconciler")),
--- a/tests/test_rules_shell.py
+++ b/tests/test_rules_shell.py
@@ -24,8 +24,9 @@
 from brassfall.controlplane.registry import client
 from brassfall.controlplane.registry.server import Service
 from brassfall.controlplane.registry.tasks import Tasks
-from brassfall.controlplane.revisions.core import Agreement, Forget
-from brassfall.controlplane.revisions.edges import Report
+from brassfall.controlplane.revisions.coordinator import RevisionCoordinator
+from brassfall.controlplane.revisions.messages import RemoveMember
+from brassfall.controlplane.revisions.reports import Report
 from brassfall.settings import AgreementSettings, RegistrySettings
 from tests.loopback import bounded, until
 
@@ -67,22 +68,22 @@
         rules, now = made.rules, made.rules.now()
         row = {"region": "a", "window": 1, "span_ms": 500.0, "shake": {}, "first": {"100": 5}}
         for name, life in (("on", "p"), ("on", "q"), ("off", "p"), ("left", "p")):
-            rules._permission(name, Report(life=life, seq=1, group="g", measures={"delays": [row]}))
-        await until(lambda: rules.core.fleet.names == {"on", "off", "left"})
-        rules.core.fleet.names.discard("off")  # it never became one of the roster
-        assert set(made.geo._demand) == {"on", "off", "left"} == set(rules.core.fleet.edges)
+            rules._permission(name, Report(process_id=life, seq=1, group="g", measures={"delays": [row]}))
+        await until(lambda: rules.core.membership.names == {"on", "off", "left"})
+        rules.core.membership.names.discard("off")  # it never became a member
+        assert set(made.geo._demand) == {"on", "off", "left"} == set(rules.core.membership.nodes)
         await _overridden(made)
-        rules._permission("left", Report(life="p", seq=2, leaving=True))
+        rules._permission("left", Report(process_id="p", seq=2, leaving=True))
         assert made.overrides.findings() == {}  # it is no version without overrides
-        rules._permission("nobody", Report(life="p", seq=1, leaving=True))
-        assert list(rules.core._left) == ["left"]  # names without end leave nothing behind
-        rules.step(Forget("left"))
+        rules._permission("nobody", Report(process_id="p", seq=1, leaving=True))
+        assert rules.core.departing == ["left"]  # names without end leave nothing behind
+        rules.step(RemoveMember("left"))
         assert set(made.geo._demand) == {"on", "off"}
         rules._sweep(now + 1e9)
-        assert rules.core.fleet.names == {"on"}  # of the roster none goes while another may be the one
-        monkeypatch.setattr(Agreement, "may_permit", lambda *_: "")
+        assert rules.core.membership.names == {"on"}  # no member goes while another service may be the one
+        monkeypatch.setattr(RevisionCoordinator, "grant_refusal", lambda *_: "")
         rules._sweep(now + 1e9)
-        assert (made.geo._demand, rules.core.fleet.edges, rules.core.fleet.holders) == ({}, {}, {})
+        assert (made.geo._demand, rules.core.membership.nodes, rules.core.leases.active(now)) == ({}, {}, {})
     finally:
         await made.close()
 
--- a/tests/test_wire_forms.py
+++ b/tests/test_wire_forms.py
@@ -13,7 +13,8 @@
 import msgspec
 import pytest
 
-from brassfall.controlplane.aggregation.messages import AggregatorLease, AggregatorReport, parse_report
+from brassfall.controlplane.aggregation.messages import AggregatorLease, AggregatorReport
+from brassfall.controlplane.aggregation.messages import parse_report as parse_aggregator_report
 from brassfall.controlplane.overrides.document import Document, Override
 from brassfall.controlplane.overrides.history import Entry
 from brassfall.controlplane.registry.aggregator.children import ChildAnswer
@@ -22,8 +23,8 @@
 from brassfall.controlplane.registry.aggregators import AggregatorRow
 from brassfall.controlplane.registry.entries import Alteration, Endpoint, Holder, Listed, Registration
 from brassfall.controlplane.registry.sidecar_rows import SidecarRow, Spread
-from brassfall.controlplane.revisions.core import Kept
-from brassfall.controlplane.revisions.edges import Report, parse, read
+from brassfall.controlplane.revisions.reports import Report, parse_delta, parse_report
+from brassfall.controlplane.revisions.state import DurableState
 from brassfall.sidecar.agent.lease_client import LeaseClient
 from tests.loopback import bounded
 from tests.wire_scenario import Recorder, forms, play
@@ -89,7 +90,7 @@
 
 @each(*[kind for kind in AGGREGATOR_KINDS if kind.endswith("call")])
 def test_merged_reports_are_read_and_written_alike(message):
-    report = parse_report(json.dumps(message).encode())
+    report = parse_aggregator_report(json.dumps(message).encode())
     assert plain(msgspec.convert(plain(report), AggregatorReport)) == plain(report)
     assert written(message, plain(report)) == message
 
@@ -107,7 +108,7 @@
         if "after" in message:
             # The record leaves out reports of a form seen before: the one that this goes on from is put in.
             before = {**before, "seq": message["after"]}
-        report, before = read(json.dumps(message).encode(), before)
+        report, before = parse_delta(json.dumps(message).encode(), before)
         made = plain(report)
         for name, value in message.items():
             assert name == "after" or made[name] == value
@@ -118,7 +119,7 @@
 
 
 def test_a_report_with_nothing_in_it_says_what_it_always_did():
-    assert plain(parse(b"{}")) == {
+    assert plain(parse_report(b"{}")) == {
         "life": "", "seq": 0, "of": None, "held": 0, "prepared": 0, "acknowledged": None, "acting": 0,
         "objection": None, "list_index": 0, "list_age_ms": None, "overrides": None, "digest": "", "told": 0,
         "retell": False, "acted": None, "group": "", "region": "", "leaving": False, "measures": {},
@@ -188,7 +189,7 @@
 @each("operator GET /tables/rules, as stored answer")
 def test_stored_revisions_are_read_and_written_alike(message):
     (row,) = message["rows"]
-    assert plain(msgspec.convert(row["value"], Kept)) == row["value"]
+    assert plain(msgspec.convert(row["value"], DurableState)) == row["value"]
 
 
 def test_all_that_may_be_stored_of_revisions_keeps_its_names():
@@ -202,7 +203,7 @@
         "halted": {"edition": edition, "objections": {"n0": "no"}}, "newest": 9, "life": 8,
         "requests": {"r": 9},
     }  # fmt: skip
-    assert plain(msgspec.convert(value, Kept)) == value
+    assert plain(msgspec.convert(value, DurableState)) == value
 
 
 # Whether a message has these is a matter of when a report comes.
