--- a/tests/test_wire_forms.py
+++ b/tests/test_wire_forms.py
@@ -19,7 +19,7 @@
 from brassfall.controlplane.overrides.history import Entry
 from brassfall.controlplane.registry.aggregator.children import ChildAnswer
 from brassfall.controlplane.registry.aggregator.mirror import ListLine, parse_line
-from brassfall.controlplane.registry.aggregator.service import read_state
+from brassfall.controlplane.registry.aggregator.state_lines import read_state
 from brassfall.controlplane.registry.aggregators import AggregatorRow
 from brassfall.controlplane.registry.entries import Alteration, Endpoint, Holder, Listed, Registration
 from brassfall.controlplane.registry.sidecar_rows import SidecarRow, Spread
