--- /dev/null
+++ b/brassfall/controlplane/aggregation/child_reports.py
@@ -0,0 +1,152 @@
+"""How an aggregator answers the reports of its children. Pure code."""
+
+from __future__ import annotations
+
+from brassfall.controlplane.aggregation.actions import Action, AnswerChild, RejectChild
+from brassfall.controlplane.aggregation.admission import Admission
+from brassfall.controlplane.aggregation.child_leases import ChildKey
+from brassfall.controlplane.aggregation.events import ChildReported
+from brassfall.controlplane.aggregation.state import AggregatorState
+from brassfall.controlplane.revisions.coordinator import LEAVING, NOT_ACKNOWLEDGED, OVERTAKEN
+from brassfall.controlplane.revisions.reports import FALLBACK, Report
+from brassfall.controlplane.revisions.timing import expiry_bound_ms
+
+BEHIND_MS = 500.0  # how long children that know more are kept here before they are sent elsewhere
+
+
+class ChildReports:
+    """Takes in children's reports, and grants leases that end before the aggregator's own."""
+
+    def __init__(self, state: AggregatorState) -> None:
+        self.state = state
+        self._admission = Admission(state.timing)
+
+    def receive(self, now: float, event: ChildReported) -> list[Action]:
+        """Take in a report; its answer, and what else is due. `now` in ms of the aggregator's clock."""
+        state, report = self.state, event.report
+        key = ChildKey(event.name, report.process_id)
+        if report.leaving:
+            self._remove(key)
+            return [self._answer(now, event, LEAVING), *state.urgent_report(now)]
+        if not state.membership.is_newest(key, report, state.child_leases):
+            return [self._answer(now, event, OVERTAKEN)]
+        retry_ms = self._admission_wait_ms(now, key, report)
+        if retry_ms:
+            return [RejectChild(event.ticket, retry_ms, "too many sidecars come at once")]
+        self._take_in(now, key, report)
+        why = self._refusal(now, event.name, report)
+        if not why:
+            self._grant(now, key, report)
+        fetch = self._fetch_unknown(now, report)
+        return [self._answer(now, event, why), *fetch, *state.urgent_report(now)]
+
+    def _admission_wait_ms(self, now: float, key: ChildKey, report: Report) -> float:
+        children = self.state.membership.children
+        if key in children:
+            return 0.0
+        holds_lease = report.acting != FALLBACK
+        return self._admission.retry_ms(now, key.name, holds_lease=holds_lease, known=len(children))
+
+    def _remove(self, key: ChildKey) -> None:
+        self.state.child_leases.release(key)
+        self.state.membership.depart(key)
+        self.state.exceptions.remove(key)
+        self.state.objections.withdraw(key.name)
+
+    def _take_in(self, now: float, key: ChildKey, report: Report) -> None:
+        state = self.state
+        child = state.membership.report_received(now, key, report)
+        state.child_leases.report_received(key, report.seq, self._promised(report))
+        state.delays.add(now, key.name, report.group, report.measures)
+        state.exceptions.report_received(now, child)
+        objection = report.objection
+        if objection is not None and objection.revision == state.pending != 0:
+            state.objections.add(key.name, objection)
+
+    # --- grants ------------------------------------------------------------------------------
+
+    def _refusal(self, now: float, name: str, report: Report) -> str:
+        """Why a child gets no lease now; empty where it does."""
+        state = self.state
+        unready = state.unready(now)
+        if unready:
+            return unready
+        if self._ahead(report):
+            return "it knows later revisions than this aggregator"
+        order = state.exceptions.order(name)
+        if order is not None and order.blocked:
+            return order.blocked
+        objection = report.objection
+        if objection is not None and objection.revision == state.committed:
+            return f"it objects to this edition: {objection.reason}"
+        if state.pending and report.prepared != state.pending:
+            return NOT_ACKNOWLEDGED
+        return ""
+
+    def _grant(self, now: float, key: ChildKey, report: Report) -> None:
+        state = self.state
+        until_ms = now + expiry_bound_ms(state.lease.child_lease_ms(now), state.timing.drift)
+        state.child_leases.grant(key, until_ms, report.seq, self._promised(report))
+
+    # --- what a child knows ------------------------------------------------------------------
+
+    def _ahead(self, report: Report) -> bool:
+        """Whether a child knows of what is not known here yet: an answer could make it forget that."""
+        state = self.state
+        if (report.epoch or 0) > state.epoch or self._promises_unknown(report):
+            return True
+        same_epoch = report.epoch == state.epoch
+        return same_epoch and isinstance(report.acting, int) and report.acting > state.committed
+
+    def _promised(self, report: Report) -> int:
+        """The revision that a child has acknowledged and goes on promising after its answer: that is what is
+        pending here, or is not known here yet; 0 where it is another."""
+        goes_on = report.prepared == self.state.pending or self._promises_unknown(report)
+        return report.prepared if goes_on else 0
+
+    def _promises_unknown(self, report: Report) -> bool:
+        """Whether a child has acknowledged a revision that is not known here yet.
+
+        One whose number is below the epoch's is of an epoch that is over: this one numbers from itself up,
+        and its first message has what it took over from the one before."""
+        return report.prepared > self.state.revisions.newest and report.prepared >= self.state.epoch
+
+    def _fetch_unknown(self, now: float, report: Report) -> list[Action]:
+        """Ask for the state, where a child of this epoch knows what this aggregator has missed."""
+        if not self._ahead(report) or (report.epoch or 0) > self.state.epoch:
+            return []
+        return self.state.fetch(now)
+
+    # --- answers -----------------------------------------------------------------------------
+
+    def _answer(self, now: float, event: ChildReported, why: str) -> AnswerChild:
+        state, report = self.state, event.report
+        order = state.exceptions.order(event.name)
+        refresh = report.refresh_times or (order is not None and order.refresh_times)
+        known = 0 if refresh else report.known_override_revision
+        answer = AnswerChild(
+            event.ticket,
+            state.epoch,
+            state.committed,
+            0.0 if why else state.lease.child_lease_ms(now),
+            # A promise of what is not known here goes on: nothing is known here that ended it.
+            report.prepared if self._promises_unknown(report) else state.pending,
+            why,
+            elsewhere=self._elsewhere(now, report),
+            order=order,
+            times_left=state.override_times.for_child(now, known),
+        )
+        state.exceptions.carry_out(event.name, listed=report.acted_overrides is not None)
+        return answer
+
+    def _elsewhere(self, now: float, report: Report) -> bool:
+        """Whether a child had better ask another aggregator."""
+        state = self.state
+        if state.leaving or state.lease.stale(now) or (report.epoch or 0) > state.epoch:
+            return True
+        if state.caught_up() and not self._ahead(report):
+            return state.lease.left_ms(now) <= 0.0
+        # Most often this aggregator has what it lacks within some ms.
+        if state.behind_since_ms is None:
+            state.behind_since_ms = now
+        return state.lease.left_ms(now) <= 0.0 or now - state.behind_since_ms > BEHIND_MS
--- a/brassfall/controlplane/aggregation/directory.py
+++ b/brassfall/controlplane/aggregation/directory.py
@@ -1,8 +1,8 @@
-"""Which sidecar reports to which aggregator process, as the deciding service knows it. Pure code.
+"""Which sidecar reports to which aggregator process, as the service knows it. Pure code.
 
 Aggregators report arrivals and departures only. Each sidecar is counted once, by its name: the aggregator
-that heard it last has it, and the one that had it before is told that it has moved. Nothing here costs more
-with more children, but for what has changed among them.
+that heard it last owns it, and the one that owned it before is told that it has migrated. A call costs as
+much as has changed, and nothing more with more children.
 
 `now` is milliseconds of the service's monotonic clock.
 """
@@ -10,14 +10,15 @@
 from __future__ import annotations
 
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from brassfall.controlplane.aggregation.messages import MEMBERS_MOST, AggregatorReport, Member
 from brassfall.errors import Conflict, Unavailable
 
 AGGREGATORS_MOST = 64
-FORMER_MOST = 4  # processes of one name that another has followed
-MOVED_TELLINGS = 3  # answers that tell a move; who misses them all finds the child silent
-ORPHANS_MS = 60_000.0  # children of a process that another has followed count for so long
+FORMER_MOST = 4  # processes of one name that another has succeeded
+MIGRATION_NOTICES = 3  # answers that carry a migration; who misses them all finds the child silent
+ORPHANS_MS = 60_000.0  # children of a process that another has succeeded count for so long
 
 
 class AggregatorNameError(Conflict):
@@ -34,29 +35,40 @@
     """One process of an aggregator, by its newest report."""
 
     report: AggregatorReport
-    heard_ms: float
-    children: dict[str, str] = field(default_factory=dict)  # name of the sidecar: its process id
-    moved: dict[Member, int] = field(default_factory=dict)  # how often it is still to be told
-    unknown: bool = False  # of its children not all are known here
-    complete: bool = False  # whether all its children have been told, as of its newest report
-    followed_ms: float | None = None  # since when another process has its name
+    reported_ms: float
+    children: dict[str, str] = field(default_factory=dict)  # process id by name of the sidecar
+    migrated: dict[Member, int] = field(default_factory=dict)  # in how many more answers it is to be told
+    forgotten: bool = False  # it was known in this epoch before: not all of its children are known here
+    complete: bool = False  # as of its newest report, it has reported all its children
+    succeeded_ms: float | None = None  # since when another process has its name
 
 
 @dataclass(slots=True)
-class _Name:
+class _NamedProcesses:
+    """All processes of one name."""
+
     current: AggregatorProcess
     former: dict[str, AggregatorProcess] = field(default_factory=dict)  # by process id, oldest first
 
 
+class _Owner(NamedTuple):
+    """Who heard a sidecar last."""
+
+    name: str
+    process: AggregatorProcess
+
+
 @dataclass(slots=True)
-class Heard:
+class ReceivedReport:
     """What a report was, and what has changed by it."""
 
     process: AggregatorProcess
-    stale: bool = False  # repeated or overtaken: it says nothing
+    stale: bool = False  # repeated or overtaken: nothing was taken from it
     superseded: bool = False  # a newer process of the name is alive
-    arrived: list[str] = field(default_factory=list)  # sidecars that another aggregator, or none, had before
-    departed: list[str] = field(default_factory=list)  # sidecars that are nobody's children any more
+    arrived: list[str] = field(
+        default_factory=list
+    )  # sidecars that another aggregator, or none, owned before
+    departed: list[str] = field(default_factory=list)  # sidecars that nobody owns any more
 
 
 @dataclass(slots=True)
@@ -66,39 +78,38 @@
 
     live_ms: float
     children_most: int
-    unplaced: int = 0  # arrivals that found no place
-    _names: dict[str, _Name] = field(default_factory=dict)
-    _owners: dict[str, tuple[str, AggregatorProcess]] = field(default_factory=dict)  # by sidecar
+    unplaced: int = 0  # arrivals beyond `children_most`
+    _names: dict[str, _NamedProcesses] = field(default_factory=dict)
+    _owners: dict[str, _Owner] = field(default_factory=dict)  # by sidecar
 
     # --- reports --------------------------------------------------------------------------------
 
-    def heard(self, now: float, epoch: int, name: str, report: AggregatorReport) -> Heard:
-        """Take in a report; `AggregatorNameError` where the name is another's. `epoch`: the service's."""
-        known = self._names.get(name)
-        if known is None and len(self._names) >= AGGREGATORS_MOST:
-            raise Unavailable("no place", f"{AGGREGATORS_MOST} aggregators are known", retry_s=10.0)
-        if known is not None:
-            self._check_owner(now, name, known.current, report)
+    def receive_report(self, now: float, epoch: int, name: str, report: AggregatorReport) -> ReceivedReport:
+        """Take in a report; `epoch` is the service's.
+
+        `AggregatorNameError` where the name is another's, `Unavailable` where there are too many."""
+        self._check_name(now, name, report)
         process = self._process(now, epoch, name, report)
-        if process.followed_ms is not None:
-            process.heard_ms = now
-            return Heard(process, superseded=True)
+        if process.succeeded_ms is not None:
+            process.reported_ms = now
+            return ReceivedReport(process, superseded=True)
         if process.report is not report and report.seq <= process.report.seq:
-            return Heard(process, stale=True)
-        process.report, process.heard_ms = report, now
-        if report.joined:
-            process.unknown = False
-        told_all = report.epoch == epoch and len(report.joined) < MEMBERS_MOST
-        process.complete = told_all and not process.unknown
-        made = Heard(process)
-        self._depart(process, report.departed, made)
-        self._join(name, process, report.joined, made)
-        return made
-
-    def _check_owner(
-        self, now: float, name: str, current: AggregatorProcess, report: AggregatorReport
-    ) -> None:
-        if now - current.heard_ms > self.live_ms:
+            return ReceivedReport(process, stale=True)
+        process.report, process.reported_ms = report, now
+        self._note_completeness(epoch, process)
+        received = ReceivedReport(process)
+        self._depart(process, report.departed, received)
+        self._join(name, process, report.joined, received)
+        return received
+
+    def _check_name(self, now: float, name: str, report: AggregatorReport) -> None:
+        processes = self._names.get(name)
+        if processes is None:
+            if len(self._names) >= AGGREGATORS_MOST:
+                raise Unavailable("no place", f"{AGGREGATORS_MOST} aggregators are known", retry_s=10.0)
+            return
+        current = processes.current
+        if now - current.reported_ms > self.live_ms:
             return
         for what in ("region", "listen"):
             ours, theirs = getattr(report, what), getattr(current.report, what)
@@ -108,84 +119,101 @@
                 )
 
     def _process(self, now: float, epoch: int, name: str, report: AggregatorReport) -> AggregatorProcess:
-        """The process that sent a report, which is the current one of its name unless that is told."""
-        known = self._names.get(name)
-        if known is not None and known.current.report.life == report.life:
-            return known.current
-        process = known.former.get(report.life) if known is not None else None
-        if process is None:
-            # A process of this epoch that is not known here was forgotten: its children were, too.
-            process = AggregatorProcess(report, now, unknown=report.epoch == epoch)
-        elif known is not None and now - known.current.heard_ms <= self.live_ms:
+        """The process that sent a report, which becomes the current one of its name, unless that is alive."""
+        processes = self._names.get(name)
+        if processes is None:
+            process = _new_process(now, epoch, report)
+            self._names[name] = _NamedProcesses(process)
             return process
-        if known is None:
-            self._names[name] = _Name(process)
-            return process
-        known.former.pop(report.life, None)
-        known.former[known.current.report.life] = known.current
-        known.current.followed_ms, process.followed_ms = now, None
-        known.current = process
-        while len(known.former) > FORMER_MOST:
-            self._drop(known.former.pop(next(iter(known.former))))
+        if processes.current.report.process_id == report.process_id:
+            return processes.current
+        former = processes.former.get(report.process_id)
+        if former is None:
+            return self._succeed(now, processes, _new_process(now, epoch, report))
+        if now - processes.current.reported_ms <= self.live_ms:
+            return former
+        return self._succeed(now, processes, former)
+
+    def _succeed(
+        self, now: float, processes: _NamedProcesses, process: AggregatorProcess
+    ) -> AggregatorProcess:
+        """Make a process the current one of its name."""
+        predecessor = processes.current
+        processes.former.pop(process.report.process_id, None)
+        processes.former[predecessor.report.process_id] = predecessor
+        predecessor.succeeded_ms, process.succeeded_ms = now, None
+        processes.current = process
+        while len(processes.former) > FORMER_MOST:
+            self._drop(processes.former.pop(next(iter(processes.former))))
         return process
 
-    def _depart(self, process: AggregatorProcess, members: list[Member], made: Heard) -> None:
+    @staticmethod
+    def _note_completeness(epoch: int, process: AggregatorProcess) -> None:
+        report = process.report
+        if report.joined:
+            process.forgotten = False
+        all_reported = report.epoch == epoch and len(report.joined) < MEMBERS_MOST
+        process.complete = all_reported and not process.forgotten
+
+    def _depart(self, process: AggregatorProcess, members: list[Member], received: ReceivedReport) -> None:
         for member in members:
-            process.moved.pop(member, None)
-            if process.children.get(member.name) == member.life:
+            process.migrated.pop(member, None)
+            if process.children.get(member.name) == member.process_id:
                 del process.children[member.name]
                 del self._owners[member.name]
-                made.departed.append(member.name)
+                received.departed.append(member.name)
 
-    def _join(self, name: str, process: AggregatorProcess, members: list[Member], made: Heard) -> None:
+    def _join(
+        self, name: str, process: AggregatorProcess, members: list[Member], received: ReceivedReport
+    ) -> None:
         for member in members:
-            process.moved.pop(member, None)
-            before = self._owners.get(member.name)
-            if before is None and len(self._owners) >= self.children_most:
+            process.migrated.pop(member, None)
+            owner = self._owners.get(member.name)
+            if owner is None and len(self._owners) >= self.children_most:
                 self.unplaced += 1
                 continue
-            if before is not None and before[1] is not process:
-                life = before[1].children.pop(member.name)
-                before[1].moved[Member(member.name, life)] = MOVED_TELLINGS
-            if before is None or before[1] is not process:
-                made.arrived.append(member.name)
-            process.children[member.name] = member.life
-            self._owners[member.name] = name, process
+            if owner is not None and owner.process is not process:
+                process_id = owner.process.children.pop(member.name)
+                owner.process.migrated[Member(member.name, process_id)] = MIGRATION_NOTICES
+            if owner is None or owner.process is not process:
+                received.arrived.append(member.name)
+            process.children[member.name] = member.process_id
+            self._owners[member.name] = _Owner(name, process)
 
     # --- answers --------------------------------------------------------------------------------
 
-    def moved(self, process: AggregatorProcess) -> list[Member]:
-        """Children that have moved away, for the next answer; each is told a few times, since answers get
+    def take_migrated(self, process: AggregatorProcess) -> list[Member]:
+        """Children that have migrated away, for the next answer; each is in a few answers, since answers get
         lost."""
-        told = list(process.moved)[:MEMBERS_MOST]
-        for member in told:
-            left = process.moved.pop(member) - 1
+        members = list(process.migrated)[:MEMBERS_MOST]
+        for member in members:
+            left = process.migrated.pop(member) - 1
             if left > 0:
-                process.moved[member] = left  # behind those that were not told yet
-        return told
+                process.migrated[member] = left  # behind those that were in no answer yet
+        return members
 
     @staticmethod
     def resync(epoch: int, process: AggregatorProcess) -> bool:
         """Whether a process is to report all its children anew: it has none of this epoch's answers yet, or
         was forgotten here."""
-        return process.report.epoch != epoch or process.unknown
+        return process.report.epoch != epoch or process.forgotten
 
     # --- views ----------------------------------------------------------------------------------
 
     @property
     def aggregators(self) -> dict[str, AggregatorProcess]:
         """The current process of each name."""
-        return {name: known.current for name, known in sorted(self._names.items())}
+        return {name: processes.current for name, processes in sorted(self._names.items())}
 
     def former(self, name: str) -> list[AggregatorProcess]:
-        """Processes of a name that another has followed."""
-        known = self._names.get(name)
-        return list(known.former.values()) if known is not None else []
+        """Processes of a name that another has succeeded."""
+        processes = self._names.get(name)
+        return list(processes.former.values()) if processes is not None else []
 
     def owner(self, sidecar: str) -> str | None:
         """The aggregator that heard a sidecar last."""
-        found = self._owners.get(sidecar)
-        return found[0] if found is not None else None
+        owner = self._owners.get(sidecar)
+        return owner.name if owner is not None else None
 
     def __contains__(self, sidecar: str) -> bool:
         return sidecar in self._owners
@@ -196,39 +224,48 @@
 
     def live(self, now: float, name: str) -> bool:
         """Whether an aggregator has reported of late."""
-        known = self._names.get(name)
-        return known is not None and now - known.current.heard_ms <= self.live_ms
+        processes = self._names.get(name)
+        return processes is not None and now - processes.current.reported_ms <= self.live_ms
 
     def count(self) -> int:
         """How many sidecars there are, each counted once.
 
-        Until an aggregator has told all its children anew, the count that it states stands for them: too many
-        rather than too few, since caps are divided by it."""
-        current = [known.current for known in self._names.values()]
-        untold = [p.report.children.known - len(p.children) for p in current if not p.complete]
-        return len(self._owners) + sum(max(0, number) for number in untold)
+        Until an aggregator has reported all its children anew, the count that it states stands for them: too
+        many rather than too few, since caps are divided by it."""
+        unreported = [
+            process.report.children.known - len(process.children)
+            for process in (processes.current for processes in self._names.values())
+            if not process.complete
+        ]
+        return len(self._owners) + sum(max(0, number) for number in unreported)
 
     # --- forgetting -----------------------------------------------------------------------------
 
-    def forget(self, name: str) -> list[str]:
-        """An aggregator is gone for good; the sidecars that were its children and nobody else's."""
-        known = self._names.pop(name, None)
-        if known is None:
+    def remove(self, name: str) -> list[str]:
+        """An aggregator is gone for good; returns the sidecars that it owned."""
+        processes = self._names.pop(name, None)
+        if processes is None:
             return []
-        return [child for process in (known.current, *known.former.values()) for child in self._drop(process)]
+        everyone = (processes.current, *processes.former.values())
+        return [child for process in everyone for child in self._drop(process)]
 
     def sweep(self, now: float) -> list[str]:
-        """Sidecars that did not come back after their aggregator was followed by another process."""
+        """Forget processes that were succeeded long ago; returns the sidecars that they still owned."""
         dropped = []
-        for known in self._names.values():
-            for life, process in list(known.former.items()):
-                if now - max(process.heard_ms, process.followed_ms or 0.0) > ORPHANS_MS:
-                    del known.former[life]
+        for processes in self._names.values():
+            for process_id, process in list(processes.former.items()):
+                if now - max(process.reported_ms, process.succeeded_ms or 0.0) > ORPHANS_MS:
+                    del processes.former[process_id]
                     dropped += self._drop(process)
         return dropped
 
     def _drop(self, process: AggregatorProcess) -> list[str]:
-        gone, process.children = list(process.children), {}
-        for child in gone:
+        children, process.children = list(process.children), {}
+        for child in children:
             del self._owners[child]
-        return gone
+        return children
+
+
+def _new_process(now: float, epoch: int, report: AggregatorReport) -> AggregatorProcess:
+    # A process that follows this epoch and is not known here was forgotten, and its children with it.
+    return AggregatorProcess(report, now, forgotten=report.epoch == epoch)
--- a/brassfall/controlplane/aggregation/messages.py
+++ b/brassfall/controlplane/aggregation/messages.py
@@ -1,12 +1,12 @@
-"""Messages between an aggregator and the deciding service. Typed values, no I/O.
+"""Messages between an aggregator and the service that decides. Typed values, no I/O.
 
 An aggregator reports with `POST /aggregators/NAME` (body `AggregatorReport`, answer `AggregatorLease`), a
 quarter of a second apart, and sooner when a decision waits for it. The size of a report grows with what is
 unusual among its children (arrivals, departures, laggards, objections), not with their number: each list is
 bounded, and what finds no room follows with the next report.
 
-All durations are milliseconds. Revisions and epochs are the numbers that the paths `/rules` and `/edges` call
-`edition` and `life`.
+All durations are milliseconds. Fields whose name on the wire is another are mapped by `rename`; the paths
+`/rules` and `/edges` call revisions and epochs `edition` and `life`.
 """
 
 from __future__ import annotations
@@ -24,8 +24,14 @@
 OBJECTIONS_MOST = 16
 EXCEPTIONS_MOST = 32
 PLACES_MOST = 64
-TEXT_MOST = 200
-NUMBER_MOST = 2**53
+TEXT_MOST = 200  # characters
+NUMBER_MOST = 2**53  # what JSON readers keep exact
+AGE_MOST_MS = 1e12
+UNREADABLE = "no report of an aggregator"  # what happened, as errors say it
+
+TimesLeft = dict[
+    str, dict[str, int]
+]  # by override id: `rev`, `same_from`, `left_ms`, for children `slack_ms`
 
 
 class AggregatorReportError(Refused):
@@ -34,11 +40,11 @@
     action = "See which version of the aggregator runs there; its lease runs out, its children move on."
 
 
-class Member(msgspec.Struct, frozen=True):
+class Member(msgspec.Struct, frozen=True, rename={"process_id": "life"}):
     """One child process: the name of its sidecar, and the process id that tells its runs apart."""
 
     name: str
-    life: str
+    process_id: str
 
 
 class ChildCounts(msgspec.Struct, frozen=True):
@@ -59,27 +65,30 @@
     region: str = ""
 
 
-class ChildException(msgspec.Struct, frozen=True):
+class ChildException(msgspec.Struct, frozen=True, rename={"process_id": "life", "acted_overrides": "acted"}):
     """A child whose overrides differ from what is due at its place, or did so in the report before."""
 
     name: str
-    life: str
+    process_id: str
     place: Place = Place()
     digest: str | None = None  # None: its version knows no overrides
-    acted: dict[str, int] | None = None  # id to revision, where it was asked for
+    acted_overrides: dict[str, int] | None = None  # id to revision, where it was asked for
 
 
-class AggregatorReport(msgspec.Struct, frozen=True, omit_defaults=True):
+class AggregatorReport(
+    msgspec.Struct,
+    frozen=True,
+    omit_defaults=True,
+    rename={"process_id": "life", "newest_revision": "held", "known_override_revision": "told"},
+):
     """What one aggregator process says of itself and of all its children."""
 
-    life: str  # of its process
+    process_id: str
     seq: int  # grows with each report of that process
     region: str
-    listen: str = ""  # where its children reach it; an operator's `GET /edges` asks there for details
-    epoch: int | None = (
-        None  # of the deciding service whose messages it follows; None before the first answer
-    )
-    held: int = 0  # the newest revision held
+    listen: str = ""  # where its children reach it; `GET /edges` of the service asks there for details
+    epoch: int | None = None  # of the service that it follows; None before the first answer
+    newest_revision: int = 0  # the newest revision known there
     acknowledged: int = 0  # pending revision: no child gets a lease any more without having acknowledged it
     prepared: int = 0  # revision that every child which may still act has acknowledged
     list_index: int = 0
@@ -92,7 +101,7 @@
     exceptions: list[ChildException] = []
     places: list[Place] = []  # for which it wants to know the digest that is due
     measures: dict[str, Any] = {}  # merged over children
-    told: int = 0  # the newest revision of overrides whose time left is known here
+    known_override_revision: int = 0  # the newest revision of overrides whose time left is known there
     leaving: bool = False
 
 
@@ -103,16 +112,20 @@
     digest: str
 
 
-class ChildOrder(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What the deciding service has an aggregator do about one child, until another order comes."""
+class ChildOrder(
+    msgspec.Struct, frozen=True, omit_defaults=True, rename={"refresh_times": "retell", "blocked": "barred"}
+):
+    """What the service has an aggregator do about one child, until another order comes."""
 
     name: str
     list_overrides: bool = False  # have it list what it acts on
-    retell: bool = False  # tell it all times left anew
-    barred: str = ""  # grant it no lease, and why
+    refresh_times: bool = False  # send it all times left anew
+    blocked: str = ""  # grant it no lease, and why
 
 
-class AggregatorLease(msgspec.Struct, frozen=True, omit_defaults=True):
+class AggregatorLease(
+    msgspec.Struct, frozen=True, omit_defaults=True, rename={"migrated": "moved", "times_left": "left"}
+):
     """The answer to a report: the lease, counted by the aggregator from its asking, and what else is due."""
 
     epoch: int
@@ -124,9 +137,9 @@
     list_index: int = 0
     every_ms: float = REPORT_EVERY_MS
     members: int = 1  # sidecars in the whole fleet, each counted once
-    moved: list[Member] = []  # children that another aggregator has heard since
+    migrated: list[Member] = []  # children that another aggregator has heard since
     resync: bool = False  # the service does not know this process: all members are to be reported anew
-    left: dict[str, dict[str, int]] = {}  # times left of overrides: id to `rev`, `same_from`, `left_ms`
+    times_left: TimesLeft = {}  # of overrides
     digests: list[PlaceDigest] = []
     orders: list[ChildOrder] = []
 
@@ -135,20 +148,29 @@
     """Read a report; `AggregatorReportError` says what is wrong with it. Unknown fields are skipped."""
     try:
         report = msgspec.json.decode(body or b"{}", type=AggregatorReport)
-    except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as wrong:
-        raise AggregatorReportError("no report of an aggregator", str(wrong)) from wrong
+    except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
+        raise AggregatorReportError(UNREADABLE, str(error)) from error
     _check_numbers(report)
     _check_lengths(report)
     return report
 
 
 def _check_numbers(report: AggregatorReport) -> None:
-    for name in ("seq", "epoch", "held", "acknowledged", "prepared", "list_index", "told"):
-        if not 0 <= (getattr(report, name) or 0) < NUMBER_MOST:
-            raise AggregatorReportError("no report of an aggregator", f"{name} is out of range")
+    numbers = {
+        "seq": report.seq,
+        "epoch": report.epoch or 0,
+        "held": report.newest_revision,
+        "acknowledged": report.acknowledged,
+        "prepared": report.prepared,
+        "list_index": report.list_index,
+        "told": report.known_override_revision,
+    }
+    for field, number in numbers.items():
+        if not 0 <= number < NUMBER_MOST:
+            raise AggregatorReportError(UNREADABLE, f"{field} is out of range")
     age = report.list_age_ms
-    if age is not None and not (math.isfinite(age) and 0.0 <= age <= 1e12):
-        raise AggregatorReportError("no report of an aggregator", "list_age_ms is out of range")
+    if age is not None and not (math.isfinite(age) and 0.0 <= age <= AGE_MOST_MS):
+        raise AggregatorReportError(UNREADABLE, "list_age_ms is out of range")
 
 
 def _check_lengths(report: AggregatorReport) -> None:
@@ -160,10 +182,9 @@
         "exceptions": EXCEPTIONS_MOST,
         "places": PLACES_MOST,
     }
-    for name, most in bounds.items():
-        if len(getattr(report, name)) > most:
-            raise AggregatorReportError("no report of an aggregator", f"{name}: more than {most}")
-    if not report.life or max(len(report.life), len(report.region), len(report.listen)) > TEXT_MOST:
-        raise AggregatorReportError(
-            "no report of an aggregator", "life, region or listen: a short text is wanted"
-        )
+    for field, most in bounds.items():
+        if len(getattr(report, field)) > most:
+            raise AggregatorReportError(UNREADABLE, f"{field}: more than {most}")
+    texts = (report.process_id, report.region, report.listen)
+    if not report.process_id or max(map(len, texts)) > TEXT_MOST:
+        raise AggregatorReportError(UNREADABLE, "life, region or listen: a short text is wanted")
--- a/brassfall/controlplane/aggregation/exceptions.py
+++ b/brassfall/controlplane/aggregation/override_exceptions.py
@@ -1,7 +1,7 @@
-"""Children that act on other overrides than are due where they stand: only these are named upward. Pure code.
+"""Children that act on other overrides than are due at their place: only these are reported. Pure code.
 
-The service tells the digest that is due at a place where it is asked for; it is asked for places in doubt
-first, and for some others in turn, so that a digest that has changed is learned.
+The service answers with the digests that are due at the places that a report asks for: places where a child
+differs first, and some others in turn, so that a digest that has changed is learned.
 """
 
 from __future__ import annotations
@@ -9,7 +9,8 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
 
-from brassfall.controlplane.aggregation.children import Child, ChildKey
+from brassfall.controlplane.aggregation.child_leases import ChildKey
+from brassfall.controlplane.aggregation.children import Child
 from brassfall.controlplane.aggregation.messages import (
     EXCEPTIONS_MOST,
     PLACES_MOST,
@@ -20,31 +21,27 @@
 )
 
 NO_OVERRIDES = "0-00000000"  # the digest of none
-REFRESHED = 4  # places that are asked for in turn, with each report
+IN_TURN = 4  # places that each report asks for beside the doubtful ones
 PLACES_KNOWN_MOST = 4096
 
 
 @dataclass(slots=True)
 class OverrideExceptions:
-    """Digests due by place, children that differ, and orders from above about single children."""
+    """Digests due by place, children that differ, and the service's orders about single children."""
 
     late_ms: float
     _due: dict[Place, str | None] = field(default_factory=dict)  # None: not known yet; in turn
     _doubtful: dict[Place, None] = field(default_factory=dict)
     _differing: dict[ChildKey, Child] = field(default_factory=dict)
-    _named: dict[ChildKey, None] = field(default_factory=dict)  # were in a report, and get one last row
+    _reported: dict[ChildKey, None] = field(default_factory=dict)  # were in a report, and get one last row
     _orders: dict[str, ChildOrder] = field(default_factory=dict)
 
-    def heard(self, now: float, child: Child) -> None:
-        """Compare a child's newest report with what is due at its place."""
-        report = child.report
-        place = Place(report.group, report.region)
-        if place not in self._due:
-            if len(self._due) >= PLACES_KNOWN_MOST:
-                return
-            self._due[place] = None
-        due = self._due[place]
-        acted = _digest(child)
+    def report_received(self, now: float, child: Child) -> None:
+        """Compare a child's newest report with what is due at its place. `now` in ms."""
+        place = Place(child.report.group, child.report.region)
+        if not self._watches(place):
+            return
+        due, acted = self._due[place], _digest(child)
         if due is None or acted != due:
             self._doubtful[place] = None
         if due is None:
@@ -57,13 +54,21 @@
             child.differs_since_ms = now
         self._differing[child.key] = child
 
-    def gone(self, key: ChildKey) -> None:
+    def _watches(self, place: Place) -> bool:
+        """Whether the digest at a place is asked for, from now on at the latest."""
+        if place not in self._due:
+            if len(self._due) >= PLACES_KNOWN_MOST:
+                return False
+            self._due[place] = None
+        return True
+
+    def remove(self, key: ChildKey) -> None:
         """A child is one no longer."""
         self._differing.pop(key, None)
-        self._named.pop(key, None)
+        self._reported.pop(key, None)
 
-    def digests(self, rows: Iterable[PlaceDigest]) -> None:
-        """What is due, as told from above."""
+    def receive_digests(self, rows: Iterable[PlaceDigest]) -> None:
+        """Take in what the service says is due."""
         for row in rows:
             if row.place in self._due:
                 self._due[row.place] = row.digest
@@ -71,8 +76,8 @@
 
     def places(self) -> list[Place]:
         """Places whose digests the next report asks for."""
-        asked = dict.fromkeys(list(self._doubtful)[: PLACES_MOST - REFRESHED])
-        for place in list(self._due)[:REFRESHED]:
+        asked = dict.fromkeys(list(self._doubtful)[: PLACES_MOST - IN_TURN])
+        for place in list(self._due)[:IN_TURN]:
             self._due[place] = self._due.pop(place)  # to the end of the turn
             asked[place] = None
         return list(asked)
@@ -85,18 +90,24 @@
             if child.differs_since_ms is not None and now - child.differs_since_ms >= self.late_ms
         ][:EXCEPTIONS_MOST]
         keys = {child.key for child in late}
-        over = [key for key in self._named if key not in keys and key not in self._differing]
-        last = [children[key] for key in over if key in children][: EXCEPTIONS_MOST - len(late)]
-        for key in over:
-            if key not in children or any(child.key == key for child in last):
-                del self._named[key]
-        self._named |= dict.fromkeys(keys)
+        last = self._last_rows(children, keys, EXCEPTIONS_MOST - len(late))
+        self._reported |= dict.fromkeys(keys)
         return [_row(child) for child in (*late, *last)]
 
-    def ordered(self, orders: Sequence[ChildOrder]) -> None:
-        """Orders from above; one takes the place of the one before about the same child."""
+    def _last_rows(self, children: dict[ChildKey, Child], late: set[ChildKey], most: int) -> list[Child]:
+        """Children that were in a report and differ no more; from then on they are in none."""
+        over = [key for key in self._reported if key not in late and key not in self._differing]
+        last = [children[key] for key in over if key in children][:most]
+        taken = {child.key for child in last}
+        for key in over:
+            if key not in children or key in taken:
+                del self._reported[key]
+        return last
+
+    def receive_orders(self, orders: Sequence[ChildOrder]) -> None:
+        """Take in the service's orders; one takes the place of the one before about the same child."""
         for order in orders:
-            if order.barred or order.list_overrides or order.retell:
+            if order.blocked or order.list_overrides or order.refresh_times:
                 self._orders[order.name] = order
             else:
                 self._orders.pop(order.name, None)
@@ -105,13 +116,15 @@
         """What is ordered about a child."""
         return self._orders.get(name)
 
-    def carried_out(self, name: str, listed: bool) -> None:
-        """A child was told an order; `listed`: it has reported what it acts on."""
+    def carry_out(self, name: str, *, listed: bool) -> None:
+        """A child was answered as ordered; `listed`: it has reported what it acts on."""
         order = self._orders.get(name)
         if order is None:
             return
-        left = ChildOrder(name, order.list_overrides and not listed, False, order.barred)
-        self.ordered([left])
+        remaining = ChildOrder(
+            name, list_overrides=order.list_overrides and not listed, blocked=order.blocked
+        )
+        self.receive_orders([remaining])
 
 
 def _digest(child: Child) -> str | None:
@@ -121,4 +134,4 @@
 def _row(child: Child) -> ChildException:
     report = child.report
     place = Place(report.group, report.region)
-    return ChildException(child.key.name, child.key.life, place, _digest(child), report.acted_overrides)
+    return ChildException(child.key.name, child.key.process_id, place, _digest(child), report.acted_overrides)
--- a/brassfall/controlplane/aggregation/revisions.py
+++ b/brassfall/controlplane/aggregation/revision_view.py
@@ -1,7 +1,7 @@
-"""What an aggregator knows of the deciding service's revisions, whichever way it came. Pure code.
+"""What an aggregator knows of the service's revisions, whichever way it came. Pure code.
 
-It hears of them by its watch, by a snapshot that it fetches, and by the answers to its reports; each may be
-late. Within an epoch numbers only grow, so what is older is told apart by its number.
+It receives them by its watch, by a snapshot that it fetches, and by the answers to its reports; each may be
+late. Within an epoch numbers only grow, so the older of two is known by its number.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
     pending: int = 0
     decided: int = 0  # the newest revision known to be committed or halted
     _pending_seq: int = 0  # the first report that was made knowing of `pending`
-    _documents: set[int] = field(default_factory=set)  # revisions whose documents came
+    _documents: set[int] = field(default_factory=set)  # revisions whose documents were received
 
     @property
     def newest(self) -> int:
@@ -28,23 +28,25 @@
         return max(self.committed, self.pending, self.decided)
 
     @property
-    def in_hand(self) -> bool:
-        """Whether the document in force is held here."""
+    def has_committed(self) -> bool:
+        """Whether the document in force is here."""
         return self.committed == 0 or self.committed in self._documents
 
     @property
-    def lacks(self) -> bool:
-        """Whether a document in force or pending is not held here."""
-        return not self.in_hand or (self.pending != 0 and self.pending not in self._documents)
+    def incomplete(self) -> bool:
+        """Whether a document in force or pending is missing here."""
+        return not self.has_committed or (self.pending != 0 and self.pending not in self._documents)
 
-    def adopt(self, epoch: int) -> None:
-        """Begin anew with another epoch."""
+    def begin_epoch(self, epoch: int) -> None:
+        """Forget everything, and follow another epoch."""
         self.epoch, self.committed, self.pending, self.decided = epoch, 0, 0, 0
         self._pending_seq = 0
         self._documents = set()
 
-    def received(self, revision: int, state: str, committed: int, next_seq: int) -> bool:
-        """Take in a state as the service tells it; whether it is no older than what is known."""
+    def state_received(self, revision: int, state: str, committed: int, next_seq: int) -> bool:
+        """Take in a state of the service; whether it is no older than what is known.
+
+        `next_seq` is the number of the next report, which is the first that knows of it."""
         in_force = revision if state == COMMITTED else committed
         decided = revision if state != PREPARED else in_force
         if in_force < self.committed or revision < self.newest:
@@ -57,11 +59,12 @@
             self._prepare(revision, next_seq)
         return True
 
-    def answered(self, revision: int, pending: int, seq: int, next_seq: int, granted: bool) -> None:
+    def report_answered(self, revision: int, pending: int, seq: int, next_seq: int, *, granted: bool) -> None:
         """Take in the answer to report `seq`, the newest one that was answered.
 
-        One that grants a lease, and does not name what is pending as far as is known here, although the
-        report knew of it, tells that it is decided. One that refuses may be brief, and ends nothing."""
+        An answer that grants a lease, and does not name what is pending as far as is known here, although
+        the report knew of it, means that this was decided. One that grants nothing may leave out what is
+        pending, and ends nothing."""
         self._decide(revision, revision)
         if self.pending and seq >= self._pending_seq and pending != self.pending and granted:
             self._decide(self.committed, self.pending)
--- a/brassfall/controlplane/registry/aggregator/children.py
+++ b/brassfall/controlplane/registry/aggregator/children.py
@@ -9,14 +9,9 @@
 import msgspec
 from aiohttp import web
 
-from brassfall.controlplane.aggregation.core import (
-    Action,
-    Aggregator,
-    AnswerChild,
-    ChildReported,
-    Event,
-    TurnAway,
-)
+from brassfall.controlplane.aggregation.actions import Action, AnswerChild, RejectChild
+from brassfall.controlplane.aggregation.aggregator import Aggregator
+from brassfall.controlplane.aggregation.events import ChildReported, Event
 from brassfall.controlplane.registry import calls, entries
 from brassfall.controlplane.registry.callers import Connection
 from brassfall.controlplane.registry.front import Front
@@ -110,10 +105,10 @@
             match action:
                 case AnswerChild():
                     return action
-                case TurnAway(_, retry_ms, why):
+                case RejectChild(_, retry_ms, why):
                     self.statistics.rejected += 1
-                    if len(core.membership.children) >= core.settings.children_most:
-                        why = f"all {core.settings.children_most} children are known"
+                    if len(core.membership.children) >= core.timing.children_most:
+                        why = f"all {core.timing.children_most} children are known"
                         raise AskElsewhereError("no place", why)
                     return self.front.reject(why, retry_ms / 1000.0)
         raise AskElsewhereError("no answer", "the report was not taken in")
@@ -125,14 +120,14 @@
             revision=granted.revision,
             lease_ms=granted.lease_ms,
             list_index=index,
-            has_changes=self.newest() > report.held or index > report.list_index,
+            has_changes=self.newest() > report.newest_revision or index > report.list_index,
             epoch=granted.epoch if report.epoch != granted.epoch else None,
             pending=granted.pending,
             why=granted.why,
             every_ms=core.every_ms(),
             spread_ms=core.spread_ms(),
             members=core.members,
-            overrides_left=granted.left,
+            overrides_left=granted.times_left,
             list_overrides=granted.order is not None and granted.order.list_overrides,
             elsewhere=granted.elsewhere,
         )
--- a/brassfall/controlplane/registry/aggregator/configuration.py
+++ b/brassfall/controlplane/registry/aggregator/configuration.py
@@ -6,7 +6,8 @@
 
 from aiohttp import web
 
-from brassfall.controlplane.aggregation.core import Action, Event
+from brassfall.controlplane.aggregation.actions import Action
+from brassfall.controlplane.aggregation.events import Event
 from brassfall.controlplane.registry import calls
 from brassfall.controlplane.registry.aggregator.state_lines import StateError, read_state
 from brassfall.controlplane.registry.aggregator.upstream import Line, Upstream, UpstreamError, WatchState
--- a/brassfall/controlplane/registry/aggregator/reporter.py
+++ b/brassfall/controlplane/registry/aggregator/reporter.py
@@ -8,15 +8,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from brassfall.controlplane.aggregation.core import (
-    Action,
-    Aggregator,
-    Event,
-    ReportDue,
-    SendReport,
-    UpstreamAnswered,
-    UpstreamFailed,
-)
+from brassfall.controlplane.aggregation.actions import Action, SendReport
+from brassfall.controlplane.aggregation.aggregator import Aggregator
+from brassfall.controlplane.aggregation.events import Event, ReportDue, UpstreamAnswered, UpstreamFailed
 from brassfall.controlplane.aggregation.messages import AggregatorLease, AggregatorReport
 from brassfall.controlplane.registry.aggregator.addresses import Addresses
 from brassfall.controlplane.registry.aggregator.upstream import Upstream, UpstreamError
--- a/brassfall/controlplane/registry/aggregator/service.py
+++ b/brassfall/controlplane/registry/aggregator/service.py
@@ -10,8 +10,10 @@
 import msgspec
 from aiohttp import web
 
-from brassfall.controlplane.aggregation import core as deciding
-from brassfall.controlplane.aggregation.core import Action, Aggregator, Event, ListReceived
+from brassfall.controlplane.aggregation.actions import Action, FetchState, NotifyChildren, ReportNow
+from brassfall.controlplane.aggregation.aggregator import Aggregator
+from brassfall.controlplane.aggregation.events import Event, Leave, ListReceived, Tick
+from brassfall.controlplane.aggregation.report_builder import Identity
 from brassfall.controlplane.aggregation.timing import AggregatorTiming
 from brassfall.controlplane.registry import process
 from brassfall.controlplane.registry.aggregator import configuration, list_feed, status
@@ -81,7 +83,7 @@
         self._upstream.open()
         at = await self.front.serve(self._routes(), lambda: None)
         if not self.settings.advertise:
-            self.core.listen = at
+            self.core.identity.listen = at
         self.list_feed.start()
         self.configuration.start()
         self._tasks.spawn(self.reporter.run())
@@ -90,9 +92,9 @@
 
     async def close(self) -> None:
         """Grant nothing more, wait until no granted lease runs, notify the service, and end."""
-        self.step(deciding.Leave())
+        self.step(Leave())
         deadline = time.monotonic() + LEASES_END_S
-        while not self.core.may_end(now_ms()) and time.monotonic() < deadline:
+        while not self.core.may_end() and time.monotonic() < deadline:
             await asyncio.sleep(TICK_S)
         await self._tasks.end()
         await self.front.close()
@@ -102,7 +104,7 @@
         while True:
             await asyncio.sleep(TICK_S)
             with faults(log):
-                self.step(deciding.Tick())
+                self.step(Tick())
 
     # --- the core ---------------------------------------------------------------------------
 
@@ -111,11 +113,11 @@
         actions = self.core.step(now_ms(), event)
         for action in actions:
             match action:
-                case deciding.Hurry():
+                case ReportNow():
                     self.reporter.hurry()
-                case deciding.TellChildren(line):
+                case NotifyChildren(line):
                     self.configuration.publish(line)
-                case deciding.FetchState():
+                case FetchState():
                     self.configuration.fetch(self.reporter.at)
         return actions
 
@@ -198,7 +200,8 @@
         newcomers_burst=settings.newcomers_burst,
     )
     listen = settings.advertise or settings.listen
-    return Aggregator(timing, os.urandom(8).hex(), settings.name, settings.region, listen, now_ms())
+    identity = Identity(os.urandom(8).hex(), settings.name, settings.region, listen)
+    return Aggregator(timing, identity, now_ms())
 
 
 async def serve(settings: AggregatorSettings) -> int:
--- a/brassfall/controlplane/registry/aggregator/state_lines.py
+++ b/brassfall/controlplane/registry/aggregator/state_lines.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from brassfall.controlplane.aggregation.core import StateReceived
+from brassfall.controlplane.aggregation.events import StateReceived
 from brassfall.errors import Refused
 
 STATES = ("prepared", "committed", "halted")
--- a/brassfall/controlplane/registry/aggregator/status.py
+++ b/brassfall/controlplane/registry/aggregator/status.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from brassfall.controlplane.aggregation.core import Aggregator
+from brassfall.controlplane.aggregation.aggregator import Aggregator
 from brassfall.controlplane.registry.aggregator.children import Children
 from brassfall.controlplane.registry.aggregator.clock import now_ms
 from brassfall.controlplane.registry.aggregator.configuration import Configuration
@@ -125,7 +125,7 @@
         prepared=core.pending,
         lease_left_ms=round(core.lease_left_ms(at)),
         mirrored=CountedListView(feed.mirror.index, feed.age_ms, feed.mirror.count),
-        children=msgspec.to_builtins(core.membership.counts(at, core.leases)),
+        children=msgspec.to_builtins(core.counts(at)),
         members=core.members,
         reports=statistics.reports,
         reports_refused=statistics.refused + core.membership.stale,
@@ -156,7 +156,7 @@
 
 def _gauges(parts: Parts) -> Values:
     core, feed, at = parts.core, parts.list_feed, now_ms()
-    counts = core.membership.counts(at, core.leases)
+    counts = core.counts(at)
     return {
         "children": Value("Sidecars that report here", counts.known),
         "children_permitted": Value("Those that hold a lease on a revision", counts.leased),
--- a/brassfall/controlplane/registry/aggregators.py
+++ b/brassfall/controlplane/registry/aggregators.py
@@ -10,7 +10,12 @@
 import msgspec
 from aiohttp import web
 
-from brassfall.controlplane.aggregation.directory import AggregatorNameError, AggregatorProcess, Heard
+from brassfall.controlplane.aggregation.child_orders import ChildOrders
+from brassfall.controlplane.aggregation.directory import (
+    AggregatorNameError,
+    AggregatorProcess,
+    ReceivedReport,
+)
 from brassfall.controlplane.aggregation.messages import (
     AggregatorLease,
     AggregatorReport,
@@ -18,7 +23,6 @@
     ChildCounts,
     parse_report,
 )
-from brassfall.controlplane.aggregation.orders import Orders
 from brassfall.controlplane.registry import calls, children_listing, entries, sidecar_rows
 from brassfall.controlplane.registry.calls import answer
 from brassfall.controlplane.registry.children_listing import Gathered
@@ -89,7 +93,7 @@
     overrides: Overrides
     geo: Geo
     figures: Figures = field(default_factory=Figures)
-    _orders: dict[tuple[str, str], Orders] = field(default_factory=dict)  # by name and process id
+    _orders: dict[tuple[str, str], ChildOrders] = field(default_factory=dict)  # by name and process id
     _tasks: Tasks = field(default_factory=Tasks)
     _session: aiohttp.ClientSession | None = None
     _gathering: asyncio.Task[Gathered] | None = None  # that all who ask meanwhile share
@@ -123,7 +127,8 @@
                 self.rules.leave_roster()
                 self._part(self.rules.directory.sweep(self.rules.now()))
                 live = {
-                    (name, process.report.life) for name, process in self.rules.directory.aggregators.items()
+                    (name, process.report.process_id)
+                    for name, process in self.rules.directory.aggregators.items()
                 }
                 self._orders = {key: orders for key, orders in self._orders.items() if key in live}
 
@@ -151,16 +156,16 @@
         edge, live_ms = rules.core.membership.nodes.get(name), rules.core.timing.expiry_bound_ms
         if edge is not None and not rules.directory.knows(name) and now - edge.reported_ms <= live_ms:
             raise AggregatorNameError(f"aggregator {name}", "a sidecar that reports here has this name")
-        heard = rules.directory.heard(now, rules.core.epoch, name, report)
+        received = rules.directory.receive_report(now, rules.core.epoch, name, report)
         self.figures.reports += 1
-        if heard.superseded:
+        if received.superseded:
             self.figures.superseded += 1
             return self._replaced(report)
-        if not heard.stale:
-            self._part(heard.departed)
-            self._part(heard.arrived)
+        if not received.stale:
+            self._part(received.departed)
+            self._part(received.arrived)
             self.geo.merged(name, report)
-        return self._answer(now, name, report, heard)
+        return self._answer(now, name, report, received)
 
     def _replaced(self, report: AggregatorReport) -> AggregatorLease:
         """The answer to a process that another of its name has followed. It names what is pending: else it
@@ -169,11 +174,13 @@
         pending = kept.pending.number if kept.pending is not None else 0
         return AggregatorLease(epoch, kept.committed.number, pending=pending, seq=report.seq, why=REPLACED)
 
-    def _answer(self, now: float, name: str, report: AggregatorReport, heard: Heard) -> AggregatorLease:
-        rules, process = self.rules, heard.process
+    def _answer(
+        self, now: float, name: str, report: AggregatorReport, received: ReceivedReport
+    ) -> AggregatorLease:
+        rules, process = self.rules, received.process
         granted = rules.report(name, _as_member(report), _objections(report))
-        orders = self._orders.setdefault((name, report.life), Orders())
-        rows = [] if heard.stale else report.exceptions
+        orders = self._orders.setdefault((name, report.process_id), ChildOrders())
+        rows = [] if received.stale else report.exceptions
         owned = [row for row in rows if rules.directory.owner(row.name) == name]
         told = self.overrides.merged(now, owned, report, orders)
         return AggregatorLease(
@@ -185,9 +192,9 @@
             seq=report.seq,
             list_index=self.host.store.table.last(INSTANCES),
             members=max(1, rules.sidecars()),
-            moved=rules.directory.moved(process),
+            migrated=rules.directory.take_migrated(process),
             resync=rules.directory.resync(rules.core.epoch, process),
-            left=told.left,
+            times_left=told.left,
             digests=told.digests,
             orders=told.orders,
         )
@@ -213,10 +220,10 @@
             name=name,
             region=report.region,
             listen=report.listen,
-            age_ms=round(now - process.heard_ms),
-            life=report.life,
+            age_ms=round(now - process.reported_ms),
+            life=report.process_id,
             epoch=report.epoch,
-            held=report.held,
+            held=report.newest_revision,
             acknowledged=report.acknowledged,
             prepared=report.prepared,
             list_index=report.list_index,
@@ -230,16 +237,17 @@
 
     def _behind(self, now: float, name: str, process: AggregatorProcess) -> str:
         report, core = process.report, self.rules.core
-        if now - process.heard_ms > core.timing.expiry_bound_ms:
+        if now - process.reported_ms > core.timing.expiry_bound_ms:
             return "silent: its children act on safe rules, or have moved"
         older = sum(
-            now - each.heard_ms <= core.timing.expiry_bound_ms for each in self.rules.directory.former(name)
+            now - each.reported_ms <= core.timing.expiry_bound_ms
+            for each in self.rules.directory.former(name)
         )
         if older:
             return f"{older} older processes of its name still report; they get no lease"
         if report.epoch not in (None, 0, core.epoch):
             return f"follows another epoch of the service, {report.epoch}"
-        if report.held < core.state.committed.number:
+        if report.newest_revision < core.state.committed.number:
             return f"does not hold revision {core.state.committed.number}"
         if report.list_age_ms is not None and report.list_age_ms > sidecar_rows.LIST_OLD_MS:
             return f"its list may be {report.list_age_ms / 1000.0:.1f} s old: it keeps it, and asks on"
@@ -308,13 +316,13 @@
 def _as_member(report: AggregatorReport) -> Report:
     """An aggregator as one member of the agreement."""
     return Report(
-        process_id=report.life,
+        process_id=report.process_id,
         seq=report.seq,
         epoch=report.epoch,
-        held=report.held,
+        newest_revision=report.newest_revision,
         prepared=report.prepared,
         acknowledged=report.acknowledged,
-        acting=report.held,
+        acting=report.newest_revision,
         list_index=report.list_index,
         list_age_ms=report.list_age_ms,
         region=report.region,
--- a/brassfall/controlplane/registry/geo.py
+++ b/brassfall/controlplane/registry/geo.py
@@ -141,7 +141,7 @@
         now_s = time.monotonic()
         for group, group_rows in self._by_group(rows).items():
             # The node is the part of a group that reports through one aggregator.
-            self._add(f"{name}/{group}", report.life, group, group_rows, now_s)
+            self._add(f"{name}/{group}", report.process_id, group, group_rows, now_s)
             for row in group_rows:
                 rate = _rate(row)
                 if rate is not None:
--- a/brassfall/controlplane/registry/overrides.py
+++ b/brassfall/controlplane/registry/overrides.py
@@ -13,13 +13,13 @@
 import msgspec
 from aiohttp import web
 
+from brassfall.controlplane.aggregation.child_orders import ChildOrders
 from brassfall.controlplane.aggregation.messages import (
     AggregatorReport,
     ChildException,
     ChildOrder,
     PlaceDigest,
 )
-from brassfall.controlplane.aggregation.orders import Orders
 from brassfall.controlplane.overrides import book as books
 from brassfall.controlplane.overrides import document, history
 from brassfall.controlplane.overrides import reconciler as comparing
@@ -271,7 +271,7 @@
         return told
 
     def merged(
-        self, now: float, rows: Iterable[ChildException], report: AggregatorReport, orders: Orders
+        self, now: float, rows: Iterable[ChildException], report: AggregatorReport, orders: ChildOrders
     ) -> OverrideMessages:
         """An aggregator's report: what its answer tells of overrides. `rows` are of children that differ;
         `now` in monotonic ms."""
@@ -279,9 +279,9 @@
         for row in rows:
             names.append(row.name)
             place = (row.place.group, row.place.region)
-            self._compare(comparing.Reported(row.name, row.life, *place, row.digest))
-            if row.acted is not None:
-                self._compare(comparing.Details(row.name, row.acted))
+            self._compare(comparing.Reported(row.name, row.process_id, *place, row.digest))
+            if row.acted_overrides is not None:
+                self._compare(comparing.Details(row.name, row.acted_overrides))
         due = orders.due(now, names, self.editions.barred, self._ask, self._tell)
         self._ask.difference_update(names)
         self._tell.difference_update(names)
@@ -290,7 +290,7 @@
             PlaceDigest(place, self.reconciler.expected_digest(at, place.group, place.region))
             for place in report.places
         ]
-        times = document.times(self.book.active(at), at, report.told)
+        times = document.times(self.book.active(at), at, report.known_override_revision)
         return OverrideMessages(times, digests, due)
 
     def parted(self, name: str) -> None:
--- a/brassfall/controlplane/registry/rules.py
+++ b/brassfall/controlplane/registry/rules.py
@@ -180,7 +180,7 @@
 
     def _gone(self, name: str) -> None:
         """A member has left for good, and what was known of it goes."""
-        for sidecar in (name, *self.directory.forget(name)):
+        for sidecar in (name, *self.directory.remove(name)):
             for rider in self.riders:
                 rider.gone(sidecar)
 
@@ -360,7 +360,7 @@
             "edition": granted.revision,
             "permission_ms": granted.lease_ms,
             "list_index": index,
-            "news": newest > report.held or index > report.list_index,
+            "news": newest > report.newest_revision or index > report.list_index,
             # The rest is left out where it is as a sidecar takes it to be.
             **({"life": self.core.epoch} if report.epoch != self.core.epoch else {}),
             **({"pending": granted.pending} if granted.pending else {}),
--- a/brassfall/controlplane/registry/sidecar_rows.py
+++ b/brassfall/controlplane/registry/sidecar_rows.py
@@ -56,7 +56,7 @@
     report = node.report
     row = SidecarRow(
         name=node.name,
-        held=report.held,
+        held=report.newest_revision,
         prepared=report.prepared,
         acting=report.acting,
         age_ms=round(now - node.reported_ms),
--- a/brassfall/controlplane/revisions/membership.py
+++ b/brassfall/controlplane/revisions/membership.py
@@ -71,7 +71,7 @@
         """The highest epoch or revision known to the nodes that have been stranded here for `span_ms` and
         reported within `fresh_ms`, where these are more than half; else 0."""
         known_to = [
-            max(node.report.epoch or 0, node.report.held)
+            max(node.report.epoch or 0, node.report.newest_revision)
             for node in self.nodes.values()
             if node.stranded_since_ms is not None
             and now - node.stranded_since_ms >= span_ms
@@ -84,7 +84,7 @@
 
     def count_ahead(self, newest: int) -> int:
         """How many nodes hold a revision later than `newest`, the newest that this service knows."""
-        return sum(node.report.held > newest for node in self.nodes.values())
+        return sum(node.report.newest_revision > newest for node in self.nodes.values())
 
     def count_following(self, now: float, wait_ms: float, fresh_ms: float) -> int:
         """How many members have followed this epoch for `wait_ms`, and reported within `fresh_ms`."""
--- a/brassfall/controlplane/revisions/reports.py
+++ b/brassfall/controlplane/revisions/reports.py
@@ -46,6 +46,7 @@
     rename={
         "process_id": "life",
         "epoch": "of",
+        "newest_revision": "held",
         "known_override_revision": "told",
         "refresh_times": "retell",
         "acted_overrides": "acted",
@@ -56,7 +57,7 @@
     process_id: str = ""  # tells the runs of one node apart
     seq: int = 0  # grows with each report of that process
     epoch: int | None = None  # of the service that it follows; 0 before the first answer
-    held: int = 0  # the newest revision held
+    newest_revision: int = 0  # the newest revision that it has
     prepared: int = 0  # acknowledged: it acts on what this one and the one in force have in common
     # Of an aggregator: the revision without whose acknowledgement none of its children gets a lease any more,
     # while `prepared` waits for those that they hold. None from a sidecar, for which the two are one.
@@ -119,7 +120,7 @@
     numbers = {
         "seq": report.seq,
         "of": report.epoch or 0,
-        "held": report.held,
+        "held": report.newest_revision,
         "prepared": report.prepared,
         "list_index": report.list_index,
         "told": report.known_override_revision,
--- a/brassfall/controlplane/revisions/transitions.py
+++ b/brassfall/controlplane/revisions/transitions.py
@@ -82,5 +82,5 @@
     state = msgspec.structs.replace(state, epoch=epoch)
     if not latest.number:
         return state
-    again = msgspec.structs.replace(latest, number=epoch, epoch=epoch, follows=state.newest)
-    return msgspec.structs.replace(state, pending=again, waiting=None, newest=epoch)
+    republished = msgspec.structs.replace(latest, number=epoch, epoch=epoch, follows=state.newest)
+    return msgspec.structs.replace(state, pending=republished, waiting=None, newest=epoch)
--- a/brassfall/controlplane/revisions/validation.py
+++ b/brassfall/controlplane/revisions/validation.py
@@ -97,8 +97,8 @@
 def _regions_fault(value: Any) -> str:
     if not isinstance(value, dict) or value.keys() - {"held"}:
         return 'an object with "held" is wanted'
-    held = value.get("held", [])
-    return "" if isinstance(held, list) and all(map(_is_name, held)) else '"held" is a list of regions'
+    closed = value.get("held", [])
+    return "" if isinstance(closed, list) and all(map(_is_name, closed)) else '"held" is a list of regions'
 
 
 def _fallback_fault(value: Any) -> str:
@@ -132,29 +132,32 @@
     `regions` are those of the servers listed now, `concurrent` the settings that sidecars may act on until
     these are in force everywhere."""
     return (
-        _harm_by_held_regions(settings, regions, concurrent)
+        _harm_by_closed_regions(settings, regions, concurrent)
         or _harm_by_caps(settings)
         or _harm_by_tenants(settings, regions)
     )
 
 
-def _held_regions(settings: Settings) -> set[str]:
+def _closed_regions(settings: Settings) -> set[str]:
     return set(settings.get("regions", {}).get("held", ()))
 
 
-def _harm_by_held_regions(settings: Settings, regions: frozenset[str], concurrent: Iterable[Settings]) -> str:
-    held = _held_regions(settings)
+def _harm_by_closed_regions(
+    settings: Settings, regions: frozenset[str], concurrent: Iterable[Settings]
+) -> str:
+    closed = _closed_regions(settings)
     if not regions:
         return ""
-    if regions <= held:
+    if regions <= closed:
         return f"all regions with servers would be held: {', '.join(sorted(regions))}"
-    if regions <= held | _held_regions(settings.get("floor", {})):
+    if regions <= closed | _closed_regions(settings.get("floor", {})):
         return f"whoever has no lease would hold all regions with servers: {', '.join(sorted(regions))}"
     # Meanwhile nothing is sent to a region that any of them holds, so one region has to be open in all.
-    if held and regions <= held.union(*map(_held_regions, concurrent)):
+    if closed and regions <= closed.union(*map(_closed_regions, concurrent)):
         return (
-            f"while {', '.join(sorted(held))} would be held, editions that sidecars may still act on hold all"
-            " others: none would be open until this one is in force; open one first, or wait for those"
+            f"while {', '.join(sorted(closed))} would be held, editions that sidecars may still act on"
+            " hold all others: none would be open until this one is in force;"
+            " open one first, or wait for those"
         )
     return ""
 
@@ -165,9 +168,9 @@
 
 
 def _harm_by_tenants(settings: Settings, regions: frozenset[str]) -> str:
-    held = _held_regions(settings)
+    closed = _closed_regions(settings)
     for tenant, region in settings.get("tenants", {}).items():
-        if region in held:
+        if region in closed:
             return f"tenant {tenant} would be served by {region} alone, which is held"
         if regions and region not in regions:
             return f"tenant {tenant} would be served by {region} alone, where no server is listed"
--- a/brassfall/lab/agreement/aggregator.py
+++ b/brassfall/lab/agreement/aggregator.py
@@ -8,8 +8,9 @@
 
 import msgspec
 
-from brassfall.controlplane.aggregation import core
+from brassfall.controlplane.aggregation import actions, events
 from brassfall.controlplane.aggregation.messages import AggregatorLease, AggregatorReport
+from brassfall.controlplane.aggregation.report_builder import Identity
 from brassfall.controlplane.revisions.reports import ReportError, parse_report
 from brassfall.lab.agreement.base import Clock, Kernel
 from brassfall.lab.agreement.rules import SLACK_MS, RuleError
@@ -102,9 +103,8 @@
         self.name, self.process_id = home.name, process_id
         program = self.kernel.program
         now = self.now()
-        self.core = program.aggregator(
-            program.aggregator_timing, process_id, home.name, home.region, f"{home.name}:1", now
-        )
+        identity = Identity(process_id, home.name, home.region, f"{home.name}:1")
+        self.core = program.aggregator(program.aggregator_timing, identity, now)
         self.dead = self.stopped = False
         self.stops_in_grant = 0.0  # with the next grant made and not yet sent, it is stopped for so long
         self.line: dict[str, Any] | None = None
@@ -170,11 +170,11 @@
 
     def leave(self) -> None:
         """SIGTERM: it grants nothing more, and ends when nothing that it granted runs."""
-        self.do("timer", self.step, core.Leave())
+        self.do("timer", self.step, events.Leave())
         self._ends()
 
     def _ends(self) -> None:
-        if self.core.may_end(self.now()):
+        if self.core.may_end():
             self.end()
         elif not self.dead:
             self.kernel.after(TICK_MS, self._ends)
@@ -191,31 +191,31 @@
 
     # --- the core -----------------------------------------------------------------------------------
 
-    def step(self, event: core.Event) -> None:
+    def step(self, event: events.Event) -> None:
         """One step of the core, and what it asks for."""
         for action in self.core.step(self.now(), event):
             match action:
-                case core.SendReport(report):
+                case actions.SendReport(report):
                     self._send(report)
-                case core.Hurry():
+                case actions.ReportNow():
                     self._hurry()
-                case core.FetchState():
+                case actions.FetchState():
                     self._fetch()
-                case core.AnswerChild():
+                case actions.AnswerChild():
                     self._answer(action)
-                case core.TurnAway(ticket, retry_ms):
+                case actions.RejectChild(ticket, retry_ms):
                     self._answers.pop(ticket)({"retry_ms": retry_ms})
-                case core.TellChildren(line):
+                case actions.NotifyChildren(line):
                     self._tell(json.loads(line))
 
     def _tick(self) -> None:
         if self.dead:
             return
-        self.do("timer", self.step, core.Tick())
+        self.do("timer", self.step, events.Tick())
         if self._watch.live and not self.stopped and self.kernel.now - self._list_at > LIST_EVERY_MS:
             # The list comes by a watch of the same kind; its index grows by one in a second.
             self._list_at = self.kernel.now
-            self.step(core.ListReceived(int(self.kernel.now // 1000.0), self.now()))
+            self.step(events.ListReceived(int(self.kernel.now // 1000.0), self.now()))
         self.kernel.after(TICK_MS / self.clock.rate, self._tick)
 
     # --- children -----------------------------------------------------------------------------------
@@ -229,9 +229,9 @@
             return
         self._tickets += 1
         self._answers[self._tickets] = answer
-        self.step(core.ChildReported(self._tickets, name, report))
+        self.step(events.ChildReported(self._tickets, name, report))
 
-    def _answer(self, made: core.AnswerChild) -> None:
+    def _answer(self, made: actions.AnswerChild) -> None:
         raw = {
             "edition": made.revision,
             "permission_ms": made.lease_ms,
@@ -294,7 +294,7 @@
     def _due(self, timer: int) -> None:
         if timer == self._timer and not self._flight:
             self._called = False
-            self.step(core.ReportDue())
+            self.step(events.ReportDue())
 
     def _hurry(self) -> None:
         if self._flight:
@@ -335,7 +335,7 @@
     def _gave_up(self, seq: int) -> None:
         if self._flight == seq:
             self._service_at = (self._service_at + 1) % len(self.home.services)
-            self.step(core.UpstreamFailed(seq))
+            self.step(events.UpstreamFailed(seq))
             self._next(self.kernel.random.uniform(20.0, 200.0))
 
     def _answered(self, seq: int, asked: float, lease: AggregatorLease) -> None:
@@ -345,7 +345,7 @@
             over = self._asked_true[seq] + length / (1.0 - self.kernel.judge.drift)
             self._lease_over = max(self._lease_over, over)
         lower = lease.epoch < self.core.epoch
-        self.step(core.UpstreamAnswered(asked, lease))
+        self.step(events.UpstreamAnswered(asked, lease))
         if self._flight != seq:
             return
         if lower:
@@ -366,4 +366,4 @@
     def _line(self, raw: dict[str, Any]) -> None:
         committed = raw.get("committed", raw)["edition"]
         line = json.dumps(raw).encode()
-        self.step(core.StateReceived(raw["life"], raw["edition"], raw["state"], committed, line))
+        self.step(events.StateReceived(raw["life"], raw["edition"], raw["state"], committed, line))
--- a/brassfall/lab/agreement/program.py
+++ b/brassfall/lab/agreement/program.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from brassfall.controlplane.aggregation.core import Aggregator
+from brassfall.controlplane.aggregation.aggregator import Aggregator
 from brassfall.controlplane.aggregation.timing import AggregatorTiming
 from brassfall.controlplane.revisions.authority import GrantAuthority
 from brassfall.controlplane.revisions.coordinator import RevisionCoordinator
--- a/brassfall/lab/agreement/service.py
+++ b/brassfall/lab/agreement/service.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
-from brassfall.controlplane.aggregation.directory import Directory, Heard
+from brassfall.controlplane.aggregation.directory import Directory, ReceivedReport
 from brassfall.controlplane.aggregation.messages import AggregatorLease, AggregatorReport
 from brassfall.controlplane.aggregation.messages import parse_report as parse_aggregator_report
 from brassfall.controlplane.revisions import messages, pace
@@ -83,13 +83,13 @@
 def _as_member(merged: AggregatorReport) -> Report:
     """An aggregator as one member, as the service's host has it."""
     return Report(
-        process_id=merged.life,
+        process_id=merged.process_id,
         seq=merged.seq,
         epoch=merged.epoch,
-        held=merged.held,
+        newest_revision=merged.newest_revision,
         prepared=merged.prepared,
         acknowledged=merged.acknowledged,
-        acting=merged.held,
+        acting=merged.newest_revision,
         leaving=merged.leaving and not merged.children.leased,
     )
 
@@ -260,8 +260,8 @@
         if not self.up:
             return False
         merged, now = parse_aggregator_report(body), self.clock.mono(self.kernel.now)
-        heard = self.directory.heard(now, self.epoch, name, merged)
-        if heard.superseded:
+        received = self.directory.receive_report(now, self.epoch, name, merged)
+        if received.superseded:
             self.kernel.met["superseded reports of aggregators"] += 1
             number = self.coordinator.state.committed.number
             answer(AggregatorLease(self.epoch, number, pending=self.pending, seq=merged.seq))
@@ -269,13 +269,13 @@
         objections = {child: Objection(merged.acknowledged, why) for child, why in merged.objections.items()}
 
         def granted(made: messages.LeaseAnswer) -> None:
-            answer(self._lease(merged, heard, made))
+            answer(self._lease(merged, received, made))
 
         self._reported(name, _as_member(merged), granted, objections)
         return True
 
     def _lease(
-        self, merged: AggregatorReport, heard: Heard, granted: messages.LeaseAnswer
+        self, merged: AggregatorReport, received: ReceivedReport, granted: messages.LeaseAnswer
     ) -> AggregatorLease:
         return AggregatorLease(
             epoch=self.epoch,
@@ -286,8 +286,8 @@
             seq=merged.seq,
             list_index=int(self.kernel.now // 1000.0),
             members=max(1, self.directory.count()),
-            moved=self.directory.moved(heard.process),
-            resync=self.directory.resync(self.epoch, heard.process),
+            migrated=self.directory.take_migrated(received.process),
+            resync=self.directory.resync(self.epoch, received.process),
         )
 
     # --- the disk -------------------------------------------------------------------------------
--- a/brassfall/lab/agreement/tier_defects.py
+++ b/brassfall/lab/agreement/tier_defects.py
@@ -3,17 +3,24 @@
 from __future__ import annotations
 
 import math
+from collections.abc import Iterable
 from dataclasses import replace
-from typing import Any
 
 import msgspec
 
-from brassfall.controlplane.aggregation import core
-from brassfall.controlplane.aggregation.children import Child, ChildKey, ChildLeases, Membership
-from brassfall.controlplane.aggregation.core import Aggregator
-from brassfall.controlplane.aggregation.lease import UpstreamLease
-from brassfall.controlplane.aggregation.messages import AggregatorLease, AggregatorReport, ChildCounts
+from brassfall.controlplane.aggregation.actions import Action, AnswerChild
+from brassfall.controlplane.aggregation.aggregator import Aggregator
+from brassfall.controlplane.aggregation.child_leases import ChildKey, ChildLeases
+from brassfall.controlplane.aggregation.child_reports import ChildReports
+from brassfall.controlplane.aggregation.children import Child, ChildMembership
+from brassfall.controlplane.aggregation.events import ChildReported, UpstreamAnswered
+from brassfall.controlplane.aggregation.messages import AggregatorLease, AggregatorReport, ChildCounts, Member
+from brassfall.controlplane.aggregation.report_builder import Identity, ReportBuilder
+from brassfall.controlplane.aggregation.state import AggregatorState
 from brassfall.controlplane.aggregation.timing import AggregatorTiming
+from brassfall.controlplane.aggregation.upstream_lease import UpstreamLease
+from brassfall.controlplane.aggregation.upstream_messages import UpstreamMessages
+from brassfall.controlplane.revisions.coordinator import NOT_ACKNOWLEDGED
 from brassfall.controlplane.revisions.reports import Report
 from brassfall.lab.agreement.defects import DURABLE, REAL, S1, S2, S3, S4, InjectedDefect
 from brassfall.lab.agreement.program import Program
@@ -30,64 +37,102 @@
         return self.timing.lease_ms if self.left_ms(now) > 0.0 else 0.0
 
 
+class _WithFullLease(AggregatorState):
+    def __init__(self, timing: AggregatorTiming, started_ms: float) -> None:
+        super().__init__(timing, started_ms)
+        self.lease = _FullLease(timing)
+
+
 class OutlastsLease(Aggregator):
-    """Grants a whole lease as long as its own one runs."""
+    """Grants a full lease as long as its own one runs."""
+
+    state_type = _WithFullLease
+
 
-    def __init__(self, *args: Any) -> None:
-        super().__init__(*args)
-        self.lease = _FullLease(self.settings)
+class _CountsFromAnswer(UpstreamMessages):
+    def _take_lease(self, now: float, asked_ms: float, answer: AggregatorLease) -> None:
+        super()._take_lease(now, now, answer)
 
 
 class CountsFromAnswer(Aggregator):
     """Counts its lease from when the answer came."""
 
-    def _take_lease(self, now: float, asked: float, answer: AggregatorLease) -> None:
-        super()._take_lease(now, now, answer)
+    upstream_type = _CountsFromAnswer
+
+
+class _BegunState(AggregatorState):
+    begun_ms = -math.inf  # when the newest report was begun
+
+
+class _BegunBuilder(ReportBuilder):
+    state: _BegunState
+
+    def build(self, now: float) -> AggregatorReport:
+        """The next report, whose beginning is noted."""
+        self.state.begun_ms = now
+        return super().build(now)
+
+
+class _TakesOvertaken(UpstreamMessages):
+    state: _BegunState
+
+    def answered(self, now: float, event: UpstreamAnswered) -> list[Action]:
+        """Take in an answer as if it were to the newest report."""
+        state = self.state
+        state.answered_seq = min(state.answered_seq, state.last_seq - 1)
+        answer = msgspec.structs.replace(event.lease, seq=state.last_seq)
+        return super().answered(now, UpstreamAnswered(max(state.begun_ms, event.asked_ms), answer))
 
 
 class TakesOvertaken(Aggregator):
     """Takes any answer for the one to its newest report."""
 
-    _begun = -math.inf
+    state_type = _BegunState
+    builder_type = _BegunBuilder
+    upstream_type = _TakesOvertaken
+
+
+class _AlwaysCaughtUp(AggregatorState):
+    def caught_up(self) -> bool:
+        """Whatever is missing."""
+        return True
 
-    def _report(self, now: float) -> AggregatorReport:
-        self._begun = now
-        return super()._report(now)
 
-    def _answered(self, now: float, event: core.UpstreamAnswered) -> list[core.Action]:
-        self._answered_seq = min(self._answered_seq, self._seq - 1)
-        answer = msgspec.structs.replace(event.lease, seq=self._seq)
-        return super()._answered(now, core.UpstreamAnswered(max(self._begun, event.asked), answer))
+class _KeepsLease(UpstreamMessages):
+    def _follows(self, now: float, epoch: int) -> bool:
+        lease = self.state.lease
+        before = (lease.revision, lease.until_ms, lease.renewed_ms)
+        follows = super()._follows(now, epoch)
+        lease.revision, lease.until_ms, lease.renewed_ms = before
+        return follows
 
 
 class KeepsLeaseOverEpochs(Aggregator):
     """Goes on under its lease when another epoch of the service begins."""
 
-    def _epoch_counts(self, now: float, epoch: int) -> bool:
-        lease = (self.lease.revision, self.lease.until_ms, self.lease.renewed_ms)
-        counts = super()._epoch_counts(now, epoch)
-        self.lease.revision, self.lease.until_ms, self.lease.renewed_ms = lease
-        return counts
-
-    def _caught_up(self) -> bool:
-        return True
+    state_type = _AlwaysCaughtUp
+    upstream_type = _KeepsLease
 
 
 # --- what children have acknowledged --------------------------------------------------------------------
 
 
+class _ClaimsPending(ReportBuilder):
+    def _prepared(self, now: float) -> int:
+        super()._prepared(now)
+        return self.state.pending
+
+
 class ClaimsAtOnce(Aggregator):
     """Claims a revision for all children as soon as it hears of it."""
 
-    def _report(self, now: float) -> AggregatorReport:
-        made = super()._report(now)
-        return msgspec.structs.replace(made, prepared=self.pending)
+    builder_type = _ClaimsPending
 
 
 class _CountedLeases(ChildLeases):
     """Counts acknowledgements, whoever made them, against the number of children there are."""
 
-    def __init__(self, membership: Membership) -> None:
+    def __init__(self, membership: ChildMembership) -> None:
         super().__init__()
         self.membership = membership
         self.acknowledged: set[ChildKey] = set()
@@ -97,7 +142,7 @@
         super().await_all(pending)
         self.acknowledged = set()
 
-    def noted(self, key: ChildKey, prepared: int) -> None:
+    def note(self, key: ChildKey, prepared: int) -> None:
         """A child reported."""
         if self.pending and prepared == self.pending:
             self.acknowledged.add(key)
@@ -108,99 +153,131 @@
         return enough or super().all_acknowledged(now)
 
 
-class CountsNotNames(Aggregator):
-    """Goes by how many acknowledged, so that one that has moved on stands for one that was silent."""
+class _CountingState(AggregatorState):
+    def __init__(self, timing: AggregatorTiming, started_ms: float) -> None:
+        super().__init__(timing, started_ms)
+        self.child_leases: _CountedLeases = _CountedLeases(self.membership)
+
 
-    def __init__(self, *args: Any) -> None:
-        super().__init__(*args)
-        self.leases: _CountedLeases = _CountedLeases(self.membership)
+class _CountingReports(ChildReports):
+    state: _CountingState
 
     def _take_in(self, now: float, key: ChildKey, report: Report) -> None:
         super()._take_in(now, key, report)
-        self.leases.noted(key, report.prepared)
+        self.state.child_leases.note(key, report.prepared)
 
 
-class IgnoresPendingForNewcomers(Aggregator):
-    """Once all have acknowledged a revision, goes on saying so, and grants to whoever comes."""
+class CountsNotNames(Aggregator):
+    """Goes by how many acknowledged, so that one that has moved on stands for one that was silent."""
 
+    state_type = _CountingState
+    child_reports_type = _CountingReports
+
+
+class _GrantsOnceClaimed(ChildReports):
     def _refusal(self, now: float, name: str, report: Report) -> str:
         why = super()._refusal(now, name, report)
-        return "" if why.startswith("it has not acknowledged") and self._hurried_for == self.pending else why
+        claimed = self.state.claimed == self.state.pending
+        return "" if why == NOT_ACKNOWLEDGED and claimed else why
 
-    def _report(self, now: float) -> AggregatorReport:
-        made = super()._report(now)
-        reached = self.pending and self._hurried_for == self.pending
-        return msgspec.structs.replace(made, prepared=self.pending) if reached else made
 
+class _ClaimsOn(ReportBuilder):
+    def _prepared(self, now: float) -> int:
+        prepared = super()._prepared(now)
+        claimed = self.state.pending and self.state.claimed == self.state.pending
+        return self.state.pending if claimed else prepared
 
-class _ForgetfulMembership(Membership):
-    leases: ChildLeases
 
-    def _forget(self, key: ChildKey) -> None:
-        self.leases.release(key)
+class IgnoresPendingForNewcomers(Aggregator):
+    """Once all have acknowledged a revision, goes on saying so, and grants to whoever comes."""
+
+    child_reports_type = _GrantsOnceClaimed
+    builder_type = _ClaimsOn
+
+
+class _ForgetfulMembership(ChildMembership):
+    def __init__(self, leases: ChildLeases) -> None:
+        super().__init__()
+        self.leases = leases
 
     def depart(self, key: ChildKey) -> Child | None:
         """A child is one no longer, and its lease is forgotten with it."""
-        self._forget(key)
+        self.leases.release(key)
         return super().depart(key)
 
-    def moved(self, members: Any, asked: float) -> list[ChildKey]:
+    def migrate(self, members: Iterable[Member], asked_ms: float) -> list[ChildKey]:
         """Children that another one has heard, whose leases are forgotten."""
-        dropped = super().moved(members, asked)
+        dropped = super().migrate(members, asked_ms)
         for key in dropped:
-            self._forget(key)
+            self.leases.release(key)
         return dropped
 
 
+class _ForgetfulState(AggregatorState):
+    def __init__(self, timing: AggregatorTiming, started_ms: float) -> None:
+        super().__init__(timing, started_ms)
+        self.membership = _ForgetfulMembership(self.child_leases)
+
+
 class ForgetsDeparted(Aggregator):
-    """Forgets the lease of a child that has gone silent for a while, or moved."""
+    """Forgets the lease of a child that has gone silent for a while, or has migrated."""
 
-    def __init__(self, settings: AggregatorTiming, *args: Any) -> None:
-        super().__init__(settings, *args)
-        self.membership = _ForgetfulMembership()
-        self.membership.leases = self.leases
+    state_type = _ForgetfulState
+
+
+class _SharedEntries(ChildReports):
+    def receive(self, now: float, event: ChildReported) -> list[Action]:
+        """Take in a report without the id of its process."""
+        report = msgspec.structs.replace(event.report, process_id="")
+        return super().receive(now, ChildReported(event.ticket, event.name, report))
 
 
 class SharesChildEntries(Aggregator):
     """One entry for a child's name: a second process of it hides the first."""
 
-    def _child_reported(self, now: float, event: core.ChildReported) -> list[core.Action]:
-        report = msgspec.structs.replace(event.report, process_id="")
-        return super()._child_reported(now, core.ChildReported(event.ticket, event.name, report))
+    child_reports_type = _SharedEntries
+
+
+class _BoundWithoutDrift(ChildReports):
+    def _grant(self, now: float, key: ChildKey, report: Report) -> None:
+        until_ms = now + self.state.lease.child_lease_ms(now)
+        self.state.child_leases.grant(key, until_ms, report.seq, report.prepared)
 
 
 class BoundWithoutDrift(Aggregator):
     """Takes a child's lease for over when it would be on its own clock."""
 
-    def _grant(self, now: float, key: ChildKey, report: Report) -> None:
-        until = now + self.lease.child_lease_ms(now)
-        self.leases.grant(key, until, report.seq, report.prepared)
+    child_reports_type = _BoundWithoutDrift
 
 
-# --- what is told and granted ------------------------------------------------------------------------------
+# --- what is sent and granted ------------------------------------------------------------------------------
+
+
+class _GrantsPending(ChildReports):
+    def _answer(self, now: float, event: ChildReported, why: str) -> AnswerChild:
+        answer, pending = super()._answer(now, event, why), self.state.pending
+        return replace(answer, revision=pending, pending=0) if pending else answer
 
 
 class GrantsPrepared(Aggregator):
-    """Grants what it was told last, though it is only prepared."""
+    """Grants what it received last, though it is only prepared."""
 
-    def _answer(self, now: float, event: core.ChildReported, why: str) -> core.AnswerChild:
-        made = super()._answer(now, event, why)
-        return replace(made, revision=self.pending, pending=0) if self.pending else made
+    child_reports_type = _GrantsPending
 
 
-class GrantsBeforeCommit(Aggregator):
-    """Goes on granting the revision of its lease when it knows that a later one is in force."""
+class _GrantsOwnRevision(ChildReports):
+    def _answer(self, now: float, event: ChildReported, why: str) -> AnswerChild:
+        return replace(super()._answer(now, event, why), revision=self.state.lease.revision)
 
-    def _caught_up(self) -> bool:
-        return True
 
-    def _answer(self, now: float, event: core.ChildReported, why: str) -> core.AnswerChild:
-        return replace(super()._answer(now, event, why), revision=self.lease.revision)
+class GrantsBeforeCommit(Aggregator):
+    """Goes on granting the revision of its lease when it knows that a later one is in force."""
 
+    state_type = _AlwaysCaughtUp
+    child_reports_type = _GrantsOwnRevision
 
-class EndsPromises(Aggregator):
-    """Answers a child that knows later revisions as any other: so it forgets what it has acknowledged."""
 
+class _EndsPromises(ChildReports):
     def _promised(self, report: Report) -> int:
         return report.prepared
 
@@ -211,28 +288,37 @@
         return False
 
 
+class EndsPromises(Aggregator):
+    """Answers a child that knows later revisions as any other: so it forgets what it has acknowledged."""
+
+    child_reports_type = _EndsPromises
+
+
 # --- its own end, and its successor's begin -----------------------------------------------------------------
 
 
 class SharesIdentity(Aggregator):
     """A successor goes on under the id of its predecessor, whose leases it knows nothing of."""
 
-    def __init__(
-        self, settings: AggregatorTiming, life: str, name: str, region: str, listen: str, started: float
-    ) -> None:
-        super().__init__(settings, name, name, region, listen, started)
-        self._seq = int(started)
+    def __init__(self, timing: AggregatorTiming, identity: Identity, started_ms: float) -> None:
+        super().__init__(timing, replace(identity, process_id=identity.name), started_ms)
+        self._state.last_seq = int(started_ms)
+
+
+class _LeavesEarly(ReportBuilder):
+    def build(self, now: float) -> AggregatorReport:
+        """The next report, without children once this process is to end."""
+        report, state = super().build(now), self.state
+        if state.leaving and not state.leaving_seq:
+            state.leaving_seq = state.last_seq
+        counts = ChildCounts() if state.leaving else report.children
+        return msgspec.structs.replace(report, leaving=state.leaving, children=counts)
 
 
 class LeavesEarly(Aggregator):
     """Says that it leaves, and that nobody may act, while its children still may."""
 
-    def _report(self, now: float) -> AggregatorReport:
-        made = super()._report(now)
-        if self._leaving and not self._leaving_seq:
-            self._leaving_seq = self._seq
-        counts = ChildCounts() if self._leaving else made.children
-        return msgspec.structs.replace(made, leaving=self._leaving, children=counts)
+    builder_type = _LeavesEarly
 
 
 def _with(aggregator: type[Aggregator]) -> Program:
--- a/tests/test_aggregation.py
+++ b/tests/test_aggregation.py
@@ -9,11 +9,17 @@
 import msgspec
 import pytest
 
-from brassfall.controlplane.aggregation import core
+from brassfall.controlplane.aggregation import events
+from brassfall.controlplane.aggregation.actions import (
+    AnswerChild,
+    FetchState,
+    NotifyChildren,
+    RejectChild,
+    ReportNow,
+)
 from brassfall.controlplane.aggregation.admission import Admission
-from brassfall.controlplane.aggregation.core import Aggregator
-from brassfall.controlplane.aggregation.endings import Endings
-from brassfall.controlplane.aggregation.merging import CHILD_FIGURES_MOST, RANKS, MergedDelays, thinned
+from brassfall.controlplane.aggregation.aggregator import Aggregator
+from brassfall.controlplane.aggregation.merged_delays import CHILD_SAMPLES_MOST, RANKS, MergedDelays, thinned
 from brassfall.controlplane.aggregation.messages import (
     EXCEPTIONS_MOST,
     LAGGING_MOST,
@@ -25,6 +31,8 @@
     PlaceDigest,
     parse_report,
 )
+from brassfall.controlplane.aggregation.override_times import OverrideTimes
+from brassfall.controlplane.aggregation.report_builder import Identity
 from brassfall.controlplane.aggregation.timing import AggregatorTiming
 from brassfall.controlplane.geo.evidence import MAX_POINTS, validate_rows
 from brassfall.controlplane.revisions.reports import Objection, Report
@@ -39,33 +47,33 @@
 
     def __init__(self, timing=TIMING):
         self.now = 1e6
-        self.core = Aggregator(timing, "p1", "g", "r", "g:1", self.now)
+        self.core = Aggregator(timing, Identity("p1", "g", "r", "g:1"), self.now)
         self.seqs = itertools.count(1)
-        self.told = []
+        self.lines = []
         self.line(OLD, "committed", OLD)
         self.lease()
-        self.hurried = False
+        self.urgent = False
 
     def step(self, event):
         actions = self.core.step(self.now, event)
-        self.told += [action.line for action in actions if isinstance(action, core.TellChildren)]
-        self.hurried = any(isinstance(action, core.Hurry) for action in actions)
-        self.fetches = core.FetchState() in actions
+        self.lines += [action.line for action in actions if isinstance(action, NotifyChildren)]
+        self.urgent = any(isinstance(action, ReportNow) for action in actions)
+        self.fetches = FetchState() in actions
         return actions
 
     def line(self, revision, state, committed, epoch=EPOCH):
         line = f"{epoch}/{revision} {state} {committed}".encode()
-        return self.step(core.StateReceived(epoch, revision, state, committed, line))
+        return self.step(events.StateReceived(epoch, revision, state, committed, line))
 
     def report(self):
-        (sent,) = self.step(core.ReportDue())
+        (sent,) = self.step(events.ReportDue())
         assert parse_report(msgspec.json.encode(sent.report)) == sent.report
         return sent.report
 
     def answer(self, seq, asked=None, **fields):
         fields = {"epoch": EPOCH, "revision": OLD, "lease_ms": TIMING.lease_ms, **fields}
         answer = AggregatorLease(seq=seq, **fields)
-        return self.step(core.UpstreamAnswered(self.now if asked is None else asked, answer))
+        return self.step(events.UpstreamAnswered(self.now if asked is None else asked, answer))
 
     def lease(self, **fields):
         """One report and its answer, at once."""
@@ -73,11 +81,11 @@
         self.answer(report.seq, **fields)
         return report
 
-    def child(self, name="s", life="p", **fields):
+    def child(self, name="s", process_id="p", **fields):
         """A child's report; the answer to it."""
-        fields = {"seq": next(self.seqs), "epoch": EPOCH, "held": OLD, "acting": OLD, **fields}
-        actions = self.step(core.ChildReported(0, name, Report(process_id=life, **fields)))
-        return next(action for action in actions if isinstance(action, core.AnswerChild | core.TurnAway))
+        fields = {"seq": next(self.seqs), "epoch": EPOCH, "newest_revision": OLD, "acting": OLD, **fields}
+        actions = self.step(events.ChildReported(0, name, Report(process_id=process_id, **fields)))
+        return next(action for action in actions if isinstance(action, AnswerChild | RejectChild))
 
 
 # --- leases ---------------------------------------------------------------------------------------
@@ -95,7 +103,7 @@
         # True times from the aggregator's asking; the child asked just before it was answered.
         over = elapsed / aggregator + made.lease_ms / child
         assert over <= TIMING.expiry_bound_ms / service + 1e-6
-        bound = max(lease.until_ms for lease in chain.core.leases._leases.values())
+        bound = chain.core.child_leases_until_ms
         assert over <= (bound - asked) / aggregator + 1e-6
     chain.now = asked + TIMING.lease_ms
     made = chain.child()
@@ -136,7 +144,7 @@
     assert "catching up" in chain.child().why
     chain.line(NEXT, "committed", NEXT)
     assert "catching up" in chain.child().why
-    chain.step(core.ListReceived(7, chain.now))
+    chain.step(events.ListReceived(7, chain.now))
     assert chain.child().lease_ms
     assert chain.report().list_index == 7
     chain.lease(revision=NEXT, list_index=9)  # the list goes on while the lease is held
@@ -146,11 +154,11 @@
 def test_what_an_answer_names_and_is_not_held_is_fetched():
     chain = Chain()
     actions = chain.answer(chain.report().seq, pending=NEXT)
-    assert core.FetchState() in actions and chain.core.pending == NEXT
-    assert core.FetchState() not in chain.answer(chain.report().seq, pending=NEXT)  # asked a moment ago
+    assert FetchState() in actions and chain.core.pending == NEXT
+    assert FetchState() not in chain.answer(chain.report().seq, pending=NEXT)  # asked a moment ago
     chain.line(NEXT, "prepared", OLD)
     chain.now += 500.0
-    assert core.FetchState() not in chain.answer(chain.report().seq, pending=NEXT)
+    assert FetchState() not in chain.answer(chain.report().seq, pending=NEXT)
     # A halt that no line told: the service knew that it is known here, and names it no more.
     chain.answer(chain.report().seq, pending=0)
     assert chain.core.pending == 0
@@ -163,7 +171,7 @@
     chain.lease(pending=NEXT)
     chain.now += 500.0
     actions = chain.answer(chain.report().seq, lease_ms=0.0, why="a newer process of its name reports")
-    assert chain.core.pending == NEXT and core.FetchState() in actions
+    assert chain.core.pending == NEXT and FetchState() in actions
     assert chain.child(prepared=NEXT).pending == NEXT
     chain.lease()
     assert chain.core.pending == 0
@@ -187,14 +195,14 @@
     chain.line(NEXT, "prepared", OLD)
     report = chain.report()
     assert (report.acknowledged, report.prepared, sorted(report.lagging)) == (NEXT, 0, ["a", "b", "c"])
-    assert chain.child("a", prepared=NEXT).lease_ms and not chain.hurried
+    assert chain.child("a", prepared=NEXT).lease_ms and not chain.urgent
     assert "not acknowledged" in chain.child("b").why
     # Two newcomers that acknowledge stand for none of those that lag; nor does another process of one.
     assert chain.child("d", prepared=NEXT).lease_ms and chain.child("b", "p2", prepared=NEXT).lease_ms
     chain.child("c", prepared=NEXT)
     assert chain.report().prepared == 0
     chain.child("b", prepared=NEXT)
-    assert chain.hurried and chain.report().prepared == NEXT
+    assert chain.urgent and chain.report().prepared == NEXT
     assert not chain.child("e").lease_ms and chain.report().prepared == NEXT
 
 
@@ -205,31 +213,31 @@
     chain.line(NEXT, "prepared", OLD)
     chain.child("a", prepared=NEXT)
     chain.now += 100.0
-    chain.lease(pending=NEXT, moved=[Member("b", "p")])
-    assert "b" not in [row["name"] for row in chain.core.children(chain.now)]
+    chain.lease(pending=NEXT, migrated=[Member("b", "p")])
+    assert "b" not in [row.name for row in chain.core.children(chain.now)]
     for _ in range(10):
         chain.now += 250.0
         chain.child("a", prepared=NEXT)
         assert chain.lease(pending=NEXT).prepared == 0
     chain.now = 1e6 + TIMING.expiry_bound_ms + 1.0
-    chain.step(core.Tick())
-    assert chain.hurried and chain.report().prepared == NEXT
+    chain.step(events.Tick())
+    assert chain.urgent and chain.report().prepared == NEXT
 
 
 def test_a_commit_is_told_when_a_lease_on_it_is_held_or_after_a_bounded_wait():
     chain = Chain()
     chain.line(NEXT, "prepared", OLD)
-    assert chain.told[-1] == f"{EPOCH}/{NEXT} prepared {OLD}".encode()  # at once
+    assert chain.lines[-1] == f"{EPOCH}/{NEXT} prepared {OLD}".encode()  # at once
     chain.line(NEXT, "committed", NEXT)
-    assert chain.hurried and b"committed" not in chain.told[-1]
+    assert chain.urgent and b"committed" not in chain.lines[-1]
     assert not chain.child(prepared=NEXT).lease_ms  # the lease on the one before is good for nothing now
     chain.lease(revision=NEXT)
-    assert chain.told[-1] == f"{EPOCH}/{NEXT} committed {NEXT}".encode()
+    assert chain.lines[-1] == f"{EPOCH}/{NEXT} committed {NEXT}".encode()
     assert chain.child(prepared=NEXT).lease_ms
     chain.line(LATER, "committed", LATER)
     chain.now += TIMING.commit_message_wait_ms
-    chain.step(core.Tick())
-    assert chain.told[-1] == f"{EPOCH}/{LATER} committed {LATER}".encode()
+    chain.step(events.Tick())
+    assert chain.lines[-1] == f"{EPOCH}/{LATER} committed {LATER}".encode()
 
 
 @pytest.mark.parametrize(
@@ -259,7 +267,7 @@
     chain.child()
     assert not chain.child(prepared=NEXT).lease_ms
     chain.line(NEXT, "prepared", OLD)
-    assert chain.hurried and chain.report().prepared == NEXT
+    assert chain.urgent and chain.report().prepared == NEXT
 
 
 def test_a_promise_of_an_epoch_that_is_over_is_no_reason():
@@ -271,7 +279,7 @@
     chain.child("a")
     chain.line(NEXT, "prepared", OLD)
     made = chain.child("a", objection=Objection(NEXT, "no such class"))
-    assert not made.lease_ms and chain.hurried
+    assert not made.lease_ms and chain.urgent
     assert chain.report().objections == {"a": "no such class"}
     chain.line(NEXT, "halted", OLD)
     assert chain.report().objections == {} and chain.child("a").lease_ms
@@ -287,7 +295,7 @@
     chain.lease()
     assert chain.report().joined == []
     chain.now += TIMING.expiry_bound_ms + 1.0
-    chain.step(core.Tick())
+    chain.step(events.Tick())
     assert chain.report().departed == [Member("a", "p")]
     chain.child("a")  # it is back before that was answered
     assert (chain.report().departed, chain.report().joined) == ([], [Member("a", "p")])
@@ -304,7 +312,7 @@
     seq = chain.report().seq
     chain.now += 50.0
     chain.child("a")
-    chain.answer(seq, asked, moved=[Member("a", "p")])
+    chain.answer(seq, asked, migrated=[Member("a", "p")])
     assert chain.report().joined == [Member("a", "p")]
 
 
@@ -336,26 +344,26 @@
     chain = Chain()
     chain.child("a", seq=5)
     assert not chain.child("a", seq=5).lease_ms and not chain.child("a", seq=4).lease_ms
-    chain.lease(moved=[Member("a", "p")])
+    chain.lease(migrated=[Member("a", "p")])
     assert chain.child("a", seq=4).why  # its lease is known still, and with it its newest report
 
 
 def test_a_child_of_an_older_version_gets_what_it_understands():
     chain = Chain()
-    made = chain.child("a", "", seq=0, epoch=None, held=OLD, prepared=0, acting=OLD)
-    assert made.lease_ms and made.order is None and made.left == {}
-    assert chain.child("a", "", seq=0, epoch=None).lease_ms  # without a life, each report counts
+    made = chain.child("a", "", seq=0, epoch=None, newest_revision=OLD, prepared=0, acting=OLD)
+    assert made.lease_ms and made.order is None and made.times_left == {}
+    assert chain.child("a", "", seq=0, epoch=None).lease_ms  # without a process id, each report counts
 
 
 def test_it_leaves_once_nothing_that_it_granted_runs():
     chain = Chain()
     chain.child("a")
-    chain.step(core.Leave())
+    chain.step(events.Leave())
     made = chain.child("a")
     assert (made.lease_ms, made.elsewhere) == (0.0, True)
-    assert not chain.lease().leaving and not chain.core.may_end(chain.now)
+    assert not chain.lease().leaving and not chain.core.may_end()
     chain.now += TIMING.expiry_bound_ms + 1.0
-    assert chain.lease().leaving and chain.core.may_end(chain.now)
+    assert chain.lease().leaving and chain.core.may_end()
 
 
 # --- admission ------------------------------------------------------------------------------------
@@ -367,7 +375,7 @@
     admitted = []
     while due:
         now, name = due.pop(due.index(min(due)))
-        retry = admission.retry_ms(now, name, False, len(admitted))
+        retry = admission.retry_ms(now, name, holds_lease=False, known=len(admitted))
         if retry:
             due.append((now + retry * rng.uniform(1.0, 1.05), name))
         else:
@@ -384,9 +392,9 @@
     chain = Chain(timing)
     assert chain.child("a", acting="safe").lease_ms
     turned = chain.child("b", acting="safe")
-    assert isinstance(turned, core.TurnAway) and 0.0 < turned.retry_ms < 10.0
+    assert isinstance(turned, RejectChild) and 0.0 < turned.retry_ms < 10.0
     assert chain.child("c").lease_ms and chain.child("d").lease_ms  # from another aggregator
-    assert isinstance(chain.child("e"), core.TurnAway)
+    assert isinstance(chain.child("e"), RejectChild)
     assert chain.child("a", acting="safe").lease_ms  # known
     assert len(chain.core.children(chain.now)) == 3
 
@@ -402,9 +410,9 @@
     merged.add(0.0, "loud", "g", {"delays": [{**row, "first": {"60": 99_999}}]})
     merged.add(0.0, "old", "g", {"delays": "none"})
     assert merged.take(100.0) == {}
-    (told,) = merged.take(6000.0)["delays"]
-    assert told["first"] == {"40": 20, "50": 40, "60": CHILD_FIGURES_MOST} and told["children"] == 11
-    assert validate_rows([told]).rows and merged.refused == 11
+    (row,) = merged.take(6000.0)["delays"]
+    assert row["first"] == {"40": 20, "50": 40, "60": CHILD_SAMPLES_MOST} and row["children"] == 11
+    assert validate_rows([row]).rows and merged.rejected == 11
     assert merged.take(20_000.0) == {}
 
 
@@ -422,19 +430,19 @@
     rng = random.Random(seed)
     end, now = 60_000.0, 0.0  # true ms
     rates = [rng.choice((0.99, 1.0, 1.01)) for _ in range(3)]
-    endings, child, knows = Endings(), deadlines.Deadlines(), False
+    times, child, knows = OverrideTimes(), deadlines.Deadlines(), False
     while now < end * 1.1:
         way = [rng.choice((1.0, rng.uniform(1.0, 900.0))) for _ in range(4)]
         left = int((end - now) * rates[0])
-        if left > 0 and (endings.newest == 0 or endings.told_for_report(now * rates[1]) == 0):
-            endings.told(
+        if left > 0 and (times.newest == 0 or times.known_for_report(now * rates[1]) == 0):
+            times.receive(
                 (now - way[0]) * rates[1],
                 (now + way[1]) * rates[1],
                 {"o": {"rev": 1, "same_from": 1, "left_ms": left}},
             )
         at = now + way[1] + way[2]
         if child.newest == 0 or child.wants(at * rates[2] / 1000.0):
-            rows = endings.for_child(at * rates[1], 0)
+            rows = times.for_child(at * rates[1], 0)
             asked, heard = ((at - way[2]) * rates[2] / 1000.0, (at + way[3]) * rates[2] / 1000.0)
             child.receive(asked, rows, heard)
             knows = knows or bool(rows)
@@ -444,40 +452,42 @@
             assert phase is not deadlines.Phase.IN_FORCE
         elif child.newest:
             assert phase is not deadlines.Phase.OVER  # another may act on it still
-        row = endings.for_child(now * rates[1], 0).get("o")
+        row = times.for_child(now * rates[1], 0).get("o")
         if row is not None:  # the true end lies between the two bounds that are told
             true_left = (end - now) * rates[1]
             assert row["left_ms"] <= max(0.0, true_left) + 1.0
             assert row["left_ms"] + row["slack_ms"] >= true_left
         else:
-            assert now >= end or not endings.newest
+            assert now >= end or not times.newest
     assert knows
 
 
 def test_only_children_that_differ_for_too_long_are_named_and_once_more_when_they_do_not():
     chain = Chain()
     place = Place("g", "r")
-    told = {"group": "g", "region": "r", "overrides": []}
-    chain.child("a", digest="0-00000000", **told)
+    place_fields = {"group": "g", "region": "r", "overrides": []}
+    chain.child("a", digest="0-00000000", **place_fields)
     chain.child("old", group="g", region="r")
     assert chain.report().places == [place]
     chain.lease(digests=[PlaceDigest(place, "1-new")])
     for _ in range(3):
-        chain.child("a", digest="1-new", **told)
-        chain.child("b", digest="0-00000000", **told)
+        chain.child("a", digest="1-new", **place_fields)
+        chain.child("b", digest="0-00000000", **place_fields)
         assert chain.report().exceptions == []
         chain.now += 700.0
     chain.lease(digests=[PlaceDigest(place, "1-new")], orders=[ChildOrder("b", list_overrides=True)])
-    made = chain.child("b", digest="0-00000000", **told)
+    made = chain.child("b", digest="0-00000000", **place_fields)
     assert made.order.list_overrides
     assert [(row.name, row.digest) for row in chain.report().exceptions] == [("b", "0-00000000")]
-    made = chain.child("b", digest="1-new", acted_overrides={"o": 1}, **told)
+    made = chain.child("b", digest="1-new", acted_overrides={"o": 1}, **place_fields)
     last = chain.report().exceptions
-    assert [(row.name, row.acted) for row in last] == [("b", {"o": 1})] and not chain.report().exceptions
-    assert chain.child("b", digest="1-new", **told).order is None
+    assert [(row.name, row.acted_overrides) for row in last] == [
+        ("b", {"o": 1})
+    ] and not chain.report().exceptions
+    assert chain.child("b", digest="1-new", **place_fields).order is None
 
 
-def test_exceptions_are_bounded_and_a_barred_child_gets_no_lease():
+def test_exceptions_are_bounded_and_a_blocked_child_gets_no_lease():
     chain = Chain()
     place = Place("g", "r")
     for digests in ([], [PlaceDigest(place, "1-new")], []):
@@ -485,7 +495,7 @@
             chain.child(f"s{number}", digest="x", overrides=[], group="g", region="r")
         chain.now += 1600.0
         chain.lease(
-            digests=digests, orders=[ChildOrder("s1", barred="it acts on other overrides than are due")]
+            digests=digests, orders=[ChildOrder("s1", blocked="it acts on other overrides than are due")]
         )
     assert len(chain.report().exceptions) == EXCEPTIONS_MOST
     assert "overrides" in chain.child("s1").why
--- a/tests/test_aggregator_shell.py
+++ b/tests/test_aggregator_shell.py
@@ -283,7 +283,7 @@
         assert {status for status, _, _ in held} == {200}
         full = [row for row in await report([f"more{i}" for i in range(60)], 0) if row[0] == 503]
         assert full and not any("Retry-After" in headers for _, _, headers in full)  # they ask elsewhere
-        assert made.core.membership.counts(now_ms(), made.core.leases).known <= 60
+        assert made.core.counts(now_ms()).known <= 60
 
 
 # --- faults -----------------------------------------------------------------------------------------
@@ -309,7 +309,7 @@
                 index = (await watch.news())["index"]
                 process.send(signal.SIGSTOP)
                 await until(lambda: acting(sidecar) == "safe")
-                ends = made.core.lease.until_ms / 1000.0
+                ends = made.core.lease_until_ms / 1000.0
                 assert all(asked + length / 1000.0 <= ends for asked, length, _ in granted)
                 status, _, headers = await call(session, below, "GET", LIST)
                 assert status == 200 and float(headers[AGE]) >= 0.9 * AGREE_MS  # served, and no younger
--- a/tests/test_aggregators_agreement.py
+++ b/tests/test_aggregators_agreement.py
@@ -39,7 +39,9 @@
         self.seq += 1
         self.now += 1.0  # reports at one moment are looked at together
         held = self.core.state.newest
-        report = Report("p", self.seq, EPOCH, held=held, prepared=prepared, acknowledged=acknowledged)
+        report = Report(
+            "p", self.seq, EPOCH, newest_revision=held, prepared=prepared, acknowledged=acknowledged
+        )
         actions = self.core.step(self.now, ReportReceived(0, name, report, objections or {}))
         if any(isinstance(action, Persist) for action in actions):
             self.core.step(self.now, Persisted())
--- a/tests/test_aggregators_directory.py
+++ b/tests/test_aggregators_directory.py
@@ -6,14 +6,14 @@
 
 import pytest
 
+from brassfall.controlplane.aggregation.child_orders import REPEATED_MS, ChildOrders
 from brassfall.controlplane.aggregation.directory import (
-    MOVED_TELLINGS,
+    MIGRATION_NOTICES,
     ORPHANS_MS,
     AggregatorNameError,
     Directory,
 )
 from brassfall.controlplane.aggregation.messages import AggregatorReport, ChildCounts, Member
-from brassfall.controlplane.aggregation.orders import REPEATED_MS, Orders
 
 EPOCH, LIVE_MS = 9, 3000.0
 
@@ -24,11 +24,13 @@
     def __init__(self):
         self.directory, self.now, self.seq = Directory(LIVE_MS, 100), 0.0, 0
 
-    def report(self, name, life="p", joined=(), departed=(), **more):
+    def report(self, name, process_id="p", joined=(), departed=(), **more):
         self.seq, self.now = self.seq + 1, self.now + 1.0
         fields = {"region": "a", "listen": name, "epoch": EPOCH, "seq": self.seq, **more}
         members = {"joined": _members(joined), "departed": _members(departed)}
-        return self.directory.heard(self.now, EPOCH, name, AggregatorReport(life=life, **fields, **members))
+        return self.directory.receive_report(
+            self.now, EPOCH, name, AggregatorReport(process_id=process_id, **fields, **members)
+        )
 
     def owners(self, *names):
         return [self.directory.owner(name) for name in names]
@@ -41,15 +43,15 @@
 def test_a_child_is_counted_once_and_the_one_that_had_it_is_told():
     world = World()
     assert world.report("x", joined="cd").arrived == ["c", "d"]
-    assert world.report("x", joined="cd").arrived == []  # its answer was lost: told again
+    assert world.report("x", joined="cd").arrived == []  # its answer was lost: reported again
     assert world.report("y", joined="d").arrived == ["d"]
     assert world.owners("c", "d") == ["x", "y"] and world.directory.count() == 2
     assert world.report("x", departed="d").departed == []  # it is y's by now
     x = world.report("x").process
-    assert world.directory.moved(x) == []  # x knows: it told of the departure itself
+    assert world.directory.take_migrated(x) == []  # x knows: it reported the departure itself
     world.report("y", joined="c")
-    told = [world.directory.moved(x) for _ in range(MOVED_TELLINGS + 1)]
-    assert told == [[Member("c", "1")]] * MOVED_TELLINGS + [[]]
+    notices = [world.directory.take_migrated(x) for _ in range(MIGRATION_NOTICES + 1)]
+    assert notices == [[Member("c", "1")]] * MIGRATION_NOTICES + [[]]
     assert world.report("y", departed=["c/0"]).departed == []  # an earlier process of it
     assert world.report("y", joined=["c/2"], departed="c").arrived == ["c"]
     assert world.report("y", departed=["c/2"]).departed == ["c"]
@@ -68,7 +70,7 @@
     assert resync(EPOCH, world.report("x", epoch=EPOCH - 1).process)
     assert not resync(EPOCH, world.report("x").process)
     world.report("x", joined="c")
-    assert world.directory.forget("x") == ["c"]
+    assert world.directory.remove("x") == ["c"]
     assert resync(EPOCH, world.report("x").process)  # forgotten, and here again
     assert not resync(EPOCH, world.report("x", joined="c").process)
     # Until all of one are told, the count that it states stands for them, beside those of others.
@@ -92,23 +94,23 @@
     world = World()
     world.report("x")
     with pytest.raises(AggregatorNameError, match="in use"):
-        world.report("x", life="q", **other)
+        world.report("x", process_id="q", **other)
     world.now += LIVE_MS + 1.0
-    assert not world.report("x", life="q", **other).superseded
+    assert not world.report("x", process_id="q", **other).superseded
 
 
 def test_a_successor_takes_over_and_the_older_process_says_nothing_more():
     world = World()
     world.report("x", joined="cd")
-    world.report("x", life="q", joined="c")
-    old = world.report("x", life="p", joined="e")
+    world.report("x", process_id="q", joined="c")
+    old = world.report("x", process_id="p", joined="e")
     assert old.superseded and world.owners("c", "d", "e") == ["x", "x", None]
     assert list(world.directory.aggregators["x"].children) == ["c"]
     world.now += LIVE_MS + 1.0  # the newer one is silent: then the older one counts again
-    assert not world.report("x", life="p").superseded
-    assert world.report("x", life="q").superseded
+    assert not world.report("x", process_id="p").superseded
+    assert world.report("x", process_id="q").superseded
     world.now += ORPHANS_MS + 1.0
-    world.report("x", life="p")
+    world.report("x", process_id="p")
     assert world.directory.sweep(world.now) == ["c"] and world.directory.count() == 1
 
 
@@ -118,11 +120,11 @@
         for _ in range(200):
             joined = rng.sample("abcdefghij", rng.randrange(4))
             departed = rng.sample("abcdefghij", rng.randrange(3))
-            name, life = rng.choice("xyz"), rng.choice("pq")
+            name, process_id = rng.choice("xyz"), rng.choice("pq")
             world.now += rng.choice((0.0, 0.0, LIVE_MS))
-            world.report(name, life, joined, departed)
+            world.report(name, process_id, joined, departed)
             if rng.random() < 0.05:
-                world.directory.forget(rng.choice("xyz"))
+                world.directory.remove(rng.choice("xyz"))
             world.directory.sweep(world.now)
         has = [
             child
@@ -135,9 +137,9 @@
 
 
 def test_an_order_is_repeated_until_it_must_have_come_through():
-    orders, barred = Orders(), {"c": "acts on others"}
-    (order,) = orders.due(0.0, ["c"], barred, {"c"}, set())
-    assert (order.barred, order.list_overrides, order.retell) == ("acts on others", True, False)
-    assert [order.barred for order in orders.due(60_000.0, [], barred, set(), set())] == ["acts on others"]
-    assert [order.barred for order in orders.due(60_001.0, [], {}, set(), set())] == [""]
+    orders, blocked = ChildOrders(), {"c": "acts on others"}
+    (order,) = orders.due(0.0, ["c"], blocked, {"c"}, set())
+    assert (order.blocked, order.list_overrides, order.refresh_times) == ("acts on others", True, False)
+    assert [order.blocked for order in orders.due(60_000.0, [], blocked, set(), set())] == ["acts on others"]
+    assert [order.blocked for order in orders.due(60_001.0, [], {}, set(), set())] == [""]
     assert orders.due(60_001.0 + REPEATED_MS, [], {}, set(), set()) == []
--- a/tests/test_aggregators_parts.py
+++ b/tests/test_aggregators_parts.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from brassfall.controlplane.aggregation.merging import EVERY_MS, MergedDelays
+from brassfall.controlplane.aggregation.merged_delays import EVERY_MS, MergedDelays
 from brassfall.controlplane.aggregation.messages import AggregatorReport, ChildCounts, Member
 from brassfall.controlplane.revisions.coordinator import RevisionCoordinator
 from tests.loopback import bounded, until
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -163,7 +163,7 @@
     made = []
     for step in range(2 * seconds):
         for name in names:
-            report = Report(process_id="p", seq=seq + step + 1, epoch=epoch, held=epoch)
+            report = Report(process_id="p", seq=seq + step + 1, epoch=epoch, newest_revision=epoch)
             made += core.step(start + 500.0 * step, ReportReceived(0, name, report))
     return made
 
@@ -197,7 +197,10 @@
     core.step(now, Publish(1, settings=held("y")))
     core.step(now, Persisted())
     for name in names:
-        core.step(now + 1.0, ReportReceived(0, name, Report("p", 99, EPOCH, held=number, prepared=number)))
+        core.step(
+            now + 1.0,
+            ReportReceived(0, name, Report("p", 99, EPOCH, newest_revision=number, prepared=number)),
+        )
     core.step(now + 1.0, Persisted())
 
     def harm(at, *more):
--- a/tests/test_agreement_agent.py
+++ b/tests/test_agreement_agent.py
@@ -40,7 +40,7 @@
         report, raw = reports.parse_delta(body, before if on is request.protocol else None)
         self.before = (request.protocol, raw)
         self.reports.put_nowait(
-            (report.prepared, report.held, report.process_id, "after" in json.loads(body))
+            (report.prepared, report.newest_revision, report.process_id, "after" in json.loads(body))
         )
         pending = 2 if self.edition == 1 else 0
         told = {"edition": self.edition, "permission_ms": 2700.0, "list_index": 0, "news": False}
@@ -310,7 +310,7 @@
     raise ConfigError("not now")
 
 
-FIELDS = ("process_id", "epoch", "held", "prepared", "refresh_times", "measures")
+FIELDS = ("process_id", "epoch", "newest_revision", "prepared", "refresh_times", "measures")
 BEFORE = {"life": "a", "seq": 4, "of": 9, "held": 7, "prepared": 7, "retell": True, "measures": {"x": 1}}
 
 
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -158,8 +158,15 @@
             *("membership", "leases", "authority", "coordinator", "pace"),
         )
     ),
-    "controlplane/aggregation/messages.py",
-    "controlplane/aggregation/core.py",
+    *(
+        f"controlplane/aggregation/{name}.py"
+        for name in (
+            *("timing", "messages", "events", "actions", "state", "aggregator", "report_builder"),
+            *("child_reports", "upstream_messages", "state_release", "objections", "admission"),
+            *("children", "child_leases", "upstream_lease", "revision_view", "directory", "child_orders"),
+            *("merged_delays", "override_times", "override_exceptions"),
+        )
+    ),
     *(f"controlplane/overrides/{name}.py" for name in ("document", "clock", "history", "book", "reconciler")),
     "controlplane/registry/entries.py",
     "controlplane/registry/limits.py",
--- a/tests/test_rules_shell.py
+++ b/tests/test_rules_shell.py
@@ -104,12 +104,12 @@
 
         assert orders("1-00000000") == []  # it is nobody's child that is known
         orders("1-00000000", None, [Member("c", "1")])
-        while not seen or not seen[-1].barred:
+        while not seen or not seen[-1].blocked:
             seen += orders("1-00000000", {"o9": 5})
-        assert any(order.list_overrides for order in seen) and any(order.retell for order in seen)
+        assert any(order.list_overrides for order in seen) and any(order.refresh_times for order in seen)
         assert list(made.overrides.findings()) == ["c"] and now[0] < 1_030_000
         assert orders("0-00000000") == [ChildOrder("c")] and made.overrides.findings() == {}
-        while not orders("1-00000000", {"o9": 5})[0].barred:
+        while not orders("1-00000000", {"o9": 5})[0].blocked:
             pass
         # Who goes to another aggregator is looked at anew there.
         assert orders("1-00000000", None, [Member("c", "1")], "y") == [ChildOrder("c")]
