--- a/brassfall/controlplane/registry/aggregator/children.py
+++ b/brassfall/controlplane/registry/aggregator/children.py
@@ -16,8 +16,8 @@
 from brassfall.controlplane.registry.callers import Connection
 from brassfall.controlplane.registry.front import Front
 from brassfall.controlplane.registry.http_errors import AskElsewhereError
+from brassfall.controlplane.registry.report_answer import ReportAnswer
 from brassfall.controlplane.registry.reports import read_report
-from brassfall.controlplane.revisions import pace
 from brassfall.controlplane.revisions.reports import Report, ReportError
 
 REPORTS_AFTER_REDIRECT_MOST = 1  # after one that was answered with `elsewhere`, and without a lease
@@ -27,24 +27,6 @@
 _encode = msgspec.json.Encoder().encode
 
 
-class ChildAnswer(msgspec.Struct, omit_defaults=True, kw_only=True):
-    """The answer to a report. What is left out is as a sidecar takes it to be."""
-
-    revision: int = msgspec.field(name="edition")
-    lease_ms: float = msgspec.field(name="permission_ms")
-    list_index: int
-    has_changes: bool = msgspec.field(name="news")
-    epoch: int | None = msgspec.field(name="life", default=None)  # left out where the report named it
-    pending: int = 0
-    why: str = ""
-    every_ms: float = pace.EVERY_MS
-    spread_ms: float = pace.SPREAD_LEAST_MS
-    members: int = msgspec.field(name="edges", default=1)
-    overrides_left: dict[str, dict[str, int]] = msgspec.field(name="left", default_factory=dict)
-    list_overrides: bool = False
-    elsewhere: bool = False  # another address may have a lease to give
-
-
 @dataclass(slots=True)
 class ChildStatistics:
     """Reports since the start."""
@@ -116,7 +98,7 @@
     def _encoded(self, report: Report, granted: AnswerChild) -> web.Response:
         core, index = self.core, self.list_index()
         self.statistics.granted += granted.lease_ms > 0.0
-        answer = ChildAnswer(
+        answer = ReportAnswer(
             revision=granted.revision,
             lease_ms=granted.lease_ms,
             list_index=index,
@@ -127,7 +109,7 @@
             every_ms=core.every_ms(),
             spread_ms=core.spread_ms(),
             members=core.members,
-            overrides_left=granted.times_left,
+            times_left=granted.times_left,
             list_overrides=granted.order is not None and granted.order.list_overrides,
             elsewhere=granted.elsewhere,
         )
--- a/brassfall/controlplane/registry/geo.py
+++ b/brassfall/controlplane/registry/geo.py
@@ -51,7 +51,7 @@
 class Editions(Protocol):
     """The part of the configuration revisions that plans go through."""
 
-    def kept(self) -> DurableState:
+    def durable_state(self) -> DurableState:
         """What is durable of the revisions."""
 
     def publish(self, **layers: Any) -> asyncio.Future[int]:
@@ -189,7 +189,7 @@
 
     async def _get(self, request: web.Request) -> web.Response:
         estimate = await self._current_estimate()
-        committed = self.editions.kept().committed
+        committed = self.editions.durable_state().committed
         body = GeoAnswer(estimate.pairs, committed.plan_revision, committed.plan)
         return answer(_encode(body))
 
@@ -261,7 +261,7 @@
         return row.version if row is not None else 0
 
     def _read_newest(self) -> publisher.NewestRead:
-        durable = self.editions.kept()
+        durable = self.editions.durable_state()
         newest = durable.waiting or durable.pending or durable.committed
         try:
             plan = plan_from_json(newest.plan) if newest.plan is not None else None
@@ -279,7 +279,7 @@
             demand=self._demand_by_group(now_s),
             capacity=self._ramped_capacity(now_s),
             prices={(p.group, p.region): settings.crossing_ms for p in pairs if p.group != p.region},
-            closed=self.editions.kept().committed.settings.get("regions", {}).get("held", []),
+            closed=self.editions.durable_state().committed.settings.get("regions", {}).get("held", []),
         )
         policy = PlanPolicy(settings.floor, settings.most_moved, settings.look)
         compute = partial(make_plan, inputs, policy, before)
--- /dev/null
+++ b/brassfall/controlplane/registry/node_calls.py
@@ -0,0 +1,101 @@
+"""`POST` and `DELETE /edges/NAME`: a sidecar's report, and its removal by an operator."""
+
+from __future__ import annotations
+
+import msgspec
+from aiohttp import web
+
+from brassfall.controlplane.aggregation.directory import AggregatorNameError
+from brassfall.controlplane.registry import calls, entries
+from brassfall.controlplane.registry.calls import answer
+from brassfall.controlplane.registry.entries import INSTANCES
+from brassfall.controlplane.registry.fleet import Fleet
+from brassfall.controlplane.registry.report_answer import ReportAnswer
+from brassfall.controlplane.registry.reports import read_report
+from brassfall.controlplane.registry.revision_service import AnswerFields, RevisionService
+from brassfall.controlplane.revisions import messages, pace
+from brassfall.controlplane.revisions.reports import Report, ReportError
+from brassfall.errors import Missing, Unavailable
+
+FULL_RETRY_S = 10.0
+
+_encode = msgspec.json.Encoder().encode
+
+
+class RemovedAnswer(msgspec.Struct, frozen=True):
+    """The answer to `DELETE /edges/NAME`."""
+
+    name: str
+
+
+class NodeCalls:
+    """The calls of sidecars that report to the service itself."""
+
+    def __init__(self, service: RevisionService, fleet: Fleet) -> None:
+        self._service = service
+        self._fleet = fleet
+
+    def routes(self) -> list[web.RouteDef]:
+        """The paths."""
+        return [web.post("/edges/{name}", self._report), web.delete("/edges/{name}", self._remove)]
+
+    async def _report(self, request: web.Request) -> web.Response:
+        name = entries.name(request.match_info["name"])
+        try:
+            report = read_report(request, name, await self._service.host.body(request))
+        except ReportError:
+            self._service.statistics.refused_reports += 1
+            raise
+        try:
+            self._check_place(name)
+        except (AggregatorNameError, Unavailable):
+            self._service.statistics.refused_reports += 1
+            raise
+        return calls.Brief(body=_encode(self.answer(name, report)))
+
+    def _check_place(self, name: str) -> None:
+        """`AggregatorNameError` where a live aggregator has the name, `Unavailable` where all places are
+        taken."""
+        service = self._service
+        if service.directory.live(service.now(), name):
+            raise AggregatorNameError(f"sidecar {name}", "an aggregator has this name")
+        nodes, most = service.coordinator.membership.nodes, service.settings.edges_most
+        if name not in nodes and len(nodes) >= most:
+            raise Unavailable("no place", f"all {most} sidecars are known", retry_s=FULL_RETRY_S)
+
+    def answer(self, name: str, report: Report) -> ReportAnswer:
+        """Take in a report; what the sidecar is answered."""
+        service = self._service
+        fields: AnswerFields = {}
+        if not report.leaving:  # the last report has none of their fields
+            for extension in service.extensions:
+                fields |= extension.reported(name, report)
+        lease, coordinator = service.report(name, report), service.coordinator
+        state, index = coordinator.state, service.host.store.table.last(INSTANCES)
+        newest = state.pending_number or state.committed.number
+        nodes = len(coordinator.membership.nodes)
+        return ReportAnswer(
+            revision=lease.revision,
+            lease_ms=lease.lease_ms,
+            list_index=index,
+            has_changes=newest > report.newest_revision or index > report.list_index,
+            epoch=coordinator.epoch if report.epoch != coordinator.epoch else None,
+            pending=lease.pending,
+            why=lease.why,
+            every_ms=pace.every_ms(nodes),
+            spread_ms=pace.spread_ms(nodes),
+            members=max(1, self._fleet.count()),
+            times_left=fields.get("left", {}),
+            list_overrides=fields.get("list_overrides", False),
+        )
+
+    async def _remove(self, request: web.Request) -> web.Response:
+        name, service = entries.name(request.match_info["name"]), self._service
+        membership = service.coordinator.membership
+        if name not in membership.names and name not in membership.nodes:
+            via = service.directory.owner(name)
+            why = f"reports to aggregator {via}: end it there" if via else "has not reported to this service"
+            raise Missing("no such member", f"{name} {why}")
+        service.step(messages.RemoveMember(name))
+        service.forget(name)
+        return answer(_encode(RemovedAnswer(name)))
--- a/brassfall/controlplane/registry/overrides.py
+++ b/brassfall/controlplane/registry/overrides.py
@@ -57,9 +57,9 @@
 class Editions(Protocol):
     """The agreement, as far as overrides go through it."""
 
-    barred: dict[str, str]
+    blocked: dict[str, str]
 
-    def layer(self) -> list[dict[str, Any]] | None:
+    def overrides_in_force(self) -> list[dict[str, Any]] | None:
         """The overrides of the newest edition; None while one is on its way."""
 
     def publish(self, **layers: Any) -> asyncio.Future[int]:
@@ -169,10 +169,10 @@
                 case comparing.Tell(node):
                     self._tell.add(node)
                 case comparing.Refuse(node):
-                    self.editions.barred[node] = "it acts on other overrides than are due"
+                    self.editions.blocked[node] = "it acts on other overrides than are due"
                     log.warning("refused", edge=node)
                 case comparing.Allow(node):
-                    self.editions.barred.pop(node, None)
+                    self.editions.blocked.pop(node, None)
                 case comparing.Name(finding):
                     log.error(
                         "finding",
@@ -228,7 +228,7 @@
 
     def _published(self) -> None:
         """Have the newest edition carry what is in force, whatever became of those before."""
-        told = self.editions.layer()
+        told = self.editions.overrides_in_force()
         if told is None or self._publishing or time.monotonic() < self._again_at:
             return
         due = document.layer(self._due)
@@ -282,7 +282,7 @@
             self._compare(comparing.Reported(row.name, row.process_id, *place, row.digest))
             if row.acted_overrides is not None:
                 self._compare(comparing.Details(row.name, row.acted_overrides))
-        due = orders.due(now, names, self.editions.barred, self._ask, self._tell)
+        due = orders.due(now, names, self.editions.blocked, self._ask, self._tell)
         self._ask.difference_update(names)
         self._tell.difference_update(names)
         at = self.now()
@@ -301,7 +301,7 @@
     def gone(self, name: str) -> None:
         """A sidecar has left the fleet."""
         self._compare(comparing.Gone(name))
-        self.editions.barred.pop(name, None)
+        self.editions.blocked.pop(name, None)
 
     def findings(self) -> dict[str, list[str]]:
         """What is wrong, by sidecar, each with what an operator can do."""
--- a/brassfall/controlplane/registry/rules.py
+++ b/brassfall/controlplane/registry/rules.py
@@ -1,444 +1,85 @@
-"""The shell of the agreement: `/rules` and `/edges` over the durable table."""
+"""`GET` and `PUT /rules`: the state of the revisions, its watch, and settings that are published."""
 
 from __future__ import annotations
 
-import asyncio
-import time
-from collections.abc import Mapping
-from dataclasses import dataclass, field
-from itertools import count
-from typing import Any, Protocol
+from typing import Any
 
 import msgspec
 from aiohttp import web
 
-from brassfall.controlplane.aggregation.directory import AggregatorNameError, Directory
-from brassfall.controlplane.registry import calls, entries, revision_state
+from brassfall.controlplane.registry import calls, revision_state
 from brassfall.controlplane.registry.calls import answer
-from brassfall.controlplane.registry.channels import StateChannel
 from brassfall.controlplane.registry.entries import INSTANCES
-from brassfall.controlplane.registry.reports import read_report
-from brassfall.controlplane.registry.sidecar_rows import NEVER, SidecarRow, View, reported_row
-from brassfall.controlplane.registry.tasks import Tasks
-from brassfall.controlplane.registry.watches import Channel
-from brassfall.controlplane.revisions import messages, pace, validation
-from brassfall.controlplane.revisions.coordinator import RevisionCoordinator
-from brassfall.controlplane.revisions.membership import Membership
-from brassfall.controlplane.revisions.messages import Event, ReportReceived
-from brassfall.controlplane.revisions.reports import Objection, Report, ReportError
-from brassfall.controlplane.revisions.state import DurableState
-from brassfall.controlplane.revisions.timing import LeaseTiming
+from brassfall.controlplane.registry.revision_service import CHANNEL, RevisionService
+from brassfall.controlplane.revisions import validation
 from brassfall.controlplane.revisions.validation import DocumentError, HarmfulError
-from brassfall.controlplane.store.core import Delete, Put
-from brassfall.controlplane.store.store import NotWritten, Store
-from brassfall.errors import Missing, Stale, Unavailable
-from brassfall.logs import faults, logger
-from brassfall.settings import AgreementSettings
 
-RULES, ROSTER = "rules", "edges"
-STATE = "state"
-PLACE = "/rules"  # among the channels of watches
-TICK_S = 0.05
-SWEEP_S = 60.0
-COUNTED_MS = 100.0  # how long a count of all sidecars is good for
-
-log = logger("rules")
 _encode = msgspec.json.Encoder().encode
 
 
-class Host(Protocol):
-    """What the list service lends."""
-
-    store: Store
-    channels: dict[str, Channel]
-
-    async def body(self, request: web.Request) -> bytes:
-        """The whole body of a call, within the limits."""
-
-    async def watch(self, request: web.Request, place: str) -> web.StreamResponse:
-        """Keep a watch on a channel until it ends."""
-
-
-class Rider(Protocol):
-    """A part that rides on the reports."""
-
-    def reported(self, name: str, report: Report) -> dict[str, Any]:
-        """A report has come; what its answer tells."""
-
-    def gone(self, name: str) -> None:
-        """A sidecar has left the fleet."""
-
-    def findings(self) -> dict[str, list[str]]:
-        """What is wrong, by sidecar."""
-
-
-class UnwrittenError(Unavailable):
-    """The disk took no edition: nothing has changed."""
-
-    action = "Look at the disk of the list service (/status says what it answered), then publish again."
+class PublishedAnswer(msgspec.Struct, frozen=True, rename={"revision": "edition"}):
+    """The answer to `PUT /rules`."""
 
+    revision: int
 
-@dataclass(slots=True)
-class Figures:
-    """What the agreement has done since the start."""
 
-    reports: int = 0
-    refused_reports: int = 0
-    granted: int = 0
-    published: int = 0
-    harmful: int = 0
-    forced: int = 0
+class RulesCalls:
+    """The calls of operators, publishers and watchers."""
 
-
-@dataclass(slots=True)
-class Rules:
-    """One agreement within a list service."""
-
-    host: Host
-    settings: AgreementSettings
-    channel: StateChannel = field(init=False)
-    core: RevisionCoordinator = field(init=False)
-    figures: Figures = field(default_factory=Figures)
-    barred: dict[str, str] = field(default_factory=dict)  # sidecars without permission, and why
-    riders: list[Rider] = field(default_factory=list)  # what else reports carry
-    directory: Directory = field(init=False)  # of the children of aggregators
-    _counted: tuple[float, int] = (float("-inf"), 0)  # sidecars, when they were counted last
-    _tickets: count[int] = field(default_factory=count)
-    _waiting: dict[int, asyncio.Future[int]] = field(default_factory=dict)
-    _granted: dict[int, messages.LeaseAnswer] = field(default_factory=dict)
-    _enrolling: set[str] = field(default_factory=set)
-    _tasks: Tasks = field(default_factory=Tasks)
-    _encoded: tuple[Any, bytes] | None = None
-    _started: float = 0.0
-
-    def start(self, watch_bytes: int, stuck_s: float) -> None:
-        """Load what is durable, and begin a life. The store has to be loaded."""
-        store = self.host.store
-        row = store.table.get(RULES, STATE)
-        state = msgspec.convert(row.value, DurableState) if row is not None else DurableState()
-        membership = Membership(epoch=store.life, names={row.key for row in store.table.rows(ROSTER)})
-        timing = LeaseTiming(agree_ms=self.settings.agree_ms)
-        self._started = self.now()
-        self.core = RevisionCoordinator(timing, self._started, state, membership, blocked=self.barred)
-        self.directory = Directory(timing.expiry_bound_ms, self.settings.edges_most)
-        self.channel = StateChannel(self.line, watch_bytes, stuck_s)
-        self.host.channels[PLACE] = self.channel
-        self._tasks.spawn(self._tick())
-
-    async def close(self) -> None:
-        """Decide no more."""
-        await self._tasks.end()
+    def __init__(self, service: RevisionService) -> None:
+        self._service = service
 
     def routes(self) -> list[web.RouteDef]:
         """The paths."""
-        return [
-            web.get("/rules", self._get),
-            web.put("/rules", self._put),
-            web.post("/edges/{name}", self._report),
-            web.delete("/edges/{name}", self._forget),
-        ]
-
-    # --- the core ---------------------------------------------------------------------
-
-    @staticmethod
-    def now() -> float:
-        """Monotonic ms, as the core is given them."""
-        return time.monotonic() * 1000.0
-
-    def step(self, event: Event) -> None:
-        """Give the core an event, and do what it says."""
-        for action in self.core.step(self.now(), event):
-            match action:
-                case messages.Persist(state):
-                    self._tasks.spawn(self._persist(state))
-                case messages.PersistMember(name, on):
-                    self._enrol(name, on)
-                    if not on:
-                        self._gone(name)
-                case messages.LeaseAnswer(ticket):
-                    self._granted[ticket] = action
-                case messages.Published(ticket, revision):
-                    self._settle(ticket, revision)
-                case messages.PublishConflict(ticket, newest):
-                    self._settle(ticket, Stale("not published", f"the newest edition is {newest}"))
-                case messages.PublishFailed(ticket):
-                    self._settle(ticket, UnwrittenError("not published", "the disk refused it"))
-                case messages.NotifyWatches():
-                    self._encoded = None
-                    self.channel.state_changed()
-
-    def report(
-        self, name: str, report: Report, objections: Mapping[str, Objection] | None = None
-    ) -> messages.LeaseAnswer:
-        """Have the core decide on a report; `objections` are those of an aggregator's children."""
-        ticket = next(self._tickets)
-        self.step(ReportReceived(ticket, name, report, objections or {}))
-        granted = self._granted.pop(ticket)
-        self.figures.reports += 1
-        self.figures.granted += granted.lease_ms > 0.0
-        return granted
-
-    def _gone(self, name: str) -> None:
-        """A member has left for good, and what was known of it goes."""
-        for sidecar in (name, *self.directory.remove(name)):
-            for rider in self.riders:
-                rider.gone(sidecar)
-
-    def _settle(self, ticket: int, result: int | Exception) -> None:
-        future = self._waiting.pop(ticket, None)
-        if future is None or future.done():
-            return
-        if isinstance(result, int):
-            future.set_result(result)
-        else:
-            future.set_exception(result)
-
-    async def _persist(self, state: DurableState) -> None:
-        before = self.core.state
-        try:
-            value = msgspec.to_builtins(state)
-            await self.host.store.submit(Put(table=RULES, key=STATE, value=value))
-        except NotWritten as error:
-            log.error("not durable", reason=str(error))
-            self.step(messages.PersistFailed())
-            return
-        self.step(messages.Persisted())
-        self._say(before, state)
-
-    @staticmethod
-    def _say(before: DurableState, kept: DurableState) -> None:
-        if kept.committed.number != before.committed.number:
-            log.info("committed", edition=kept.committed.number)
-        if kept.halted is not None and kept.halted != before.halted:
-            log.warning("halted", edition=kept.halted.revision.number, objections=kept.halted.objections)
-        if kept.pending is not None and kept.pending != before.pending:
-            log.info("prepared", edition=kept.pending.number, layers=kept.pending.layers)
-
-    def _enrol(self, name: str, on: bool) -> None:
-        if on and name in self._enrolling:
-            return
-        self._enrolling.add(name)
-        self._tasks.spawn(self._write_name(name, on))
-
-    async def _write_name(self, name: str, on: bool) -> None:
-        try:
-            if on:
-                await self.host.store.submit(Put(table=ROSTER, key=name, value={}, quiet=True))
-                self.core.member_added(name)
-            else:
-                await self.host.store.submit(Delete(table=ROSTER, key=name))
-        except NotWritten as error:
-            log.warning("roster not durable", name=name, reason=str(error))
-        finally:
-            self._enrolling.discard(name)
-
-    async def _tick(self) -> None:
-        swept = self.now()
-        while True:
-            await asyncio.sleep(TICK_S)
-            with faults(log):
-                self.step(messages.Tick())
-                if self.now() - swept > SWEEP_S * 1000.0:
-                    swept = self.now()
-                    self._sweep(swept)
-
-    def _sweep(self, now: float) -> None:
-        """Take off the roster whoever has not been heard of for very long, and forget who never was on it:
-        each takes a place among those that may report.
-
-        Names of the roster only where it may permit: else a minority would make itself a majority."""
-        alone = not self.core.grant_refusal(now)
-        fleet, limit = self.core.membership, now - self.settings.forget_ms
-        self.core.leases.active(now)  # forgets what is over, also while nothing is decided
-        for name in [*fleet.nodes.keys() | fleet.names]:
-            if name in fleet.names and not alone:
-                continue
-            edge = fleet.nodes.get(name)
-            if (edge.reported_ms if edge is not None else self._started) < limit:
-                log.warning("forgotten", name=name, reason="no report for too long")
-                self.step(messages.RemoveMember(name))
-                self._gone(name)
-
-    # --- /rules -----------------------------------------------------------------------
-
-    def line(self) -> bytes:
-        """The state as it is told: the edition that matters most now, and the one in force beside it."""
-        if self._encoded is None or self._encoded[0] is not self.core.state:
-            self._encoded = (self.core.state, _encode(self.state()))
-        return self._encoded[1]
-
-    def state(self) -> dict[str, Any]:
-        """The same as plain values."""
-        return revision_state.current_state(self.core.state, self.core.epoch)
+        return [web.get("/rules", self._get), web.put("/rules", self._put)]
 
     async def _get(self, request: web.Request) -> web.StreamResponse:
-        if request.query.get("watch", "0") not in ("0", ""):
-            return await self.host.watch(request, PLACE)
+        if calls.is_watch(request):
+            return await self._service.host.watch(request, CHANNEL)
         asked = request.query.get("edition")
         if asked is None:
-            return answer(self.line())
-        core = self.core
+            return answer(self._service.line())
+        coordinator = self._service.coordinator
         number = calls.number(asked, "edition")
-        return answer(_encode(revision_state.state_of(core.state, core.epoch, core.outcomes, number)))
+        found = revision_state.state_of(coordinator.state, coordinator.epoch, coordinator.outcomes, number)
+        return answer(_encode(found))
 
     async def _put(self, request: web.Request) -> web.Response:
-        try:
-            settings = msgspec.json.decode(await self.host.body(request))
-        except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as wrong:
-            raise DocumentError("settings are no JSON", str(wrong)) from wrong
-        found = validation.form_fault(settings)
-        if found:
-            raise DocumentError("settings refused", found)
+        settings = _read(await self._service.host.body(request))
         forced = request.headers.get("X-Force", "0") not in ("0", "")
-        self._harmless(settings, forced)
-        number = await self.publish(
+        self._check_harm(settings, forced=forced)
+        number = await self._service.publish(
             settings=settings,
             if_match=calls.match(request),
             request_id=calls.request_id(request),
             forced=forced,
         )
-        self.figures.published += 1
-        return answer(_encode({"edition": number}))
-
-    def _harmless(self, settings: dict[str, Any], forced: bool) -> None:
-        others = [edition.settings for edition in self.core.actable_revisions(self.now())]
-        harm = validation.harm(settings, self._regions(), others)
+        self._service.statistics.published += 1
+        return answer(_encode(PublishedAnswer(number)))
+
+    def _check_harm(self, settings: dict[str, Any], *, forced: bool) -> None:
+        """`HarmfulError` where settings would stop service, unless they are forced."""
+        service = self._service
+        concurrent = [revision.settings for revision in service.coordinator.actable_revisions(service.now())]
+        harm = validation.harm(settings, self._active_regions(), concurrent)
         if harm and not forced:
-            self.figures.harmful += 1
+            service.statistics.harmful += 1
             raise HarmfulError("edition refused", harm)
-        self.figures.forced += bool(harm)
+        service.statistics.forced += bool(harm)
 
-    def _regions(self) -> frozenset[str]:
-        rows = self.host.store.table.rows(INSTANCES)
+    def _active_regions(self) -> frozenset[str]:
+        rows = self._service.host.store.table.rows(INSTANCES)
         return frozenset(row.value["zone"] for row in rows if row.value["status"] == "active")
 
-    def publish(self, **layers: Any) -> asyncio.Future[int]:
-        """Have an edition published; its number, once that is durable."""
-        ticket = next(self._tickets)
-        future: asyncio.Future[int] = asyncio.get_running_loop().create_future()
-        self._waiting[ticket] = future
-        self.step(messages.Publish(ticket, list_index=self.host.store.table.last(INSTANCES), **layers))
-        return future
-
-    def kept(self) -> DurableState:
-        """What is durable of the editions."""
-        return self.core.state
-
-    def layer(self) -> list[dict[str, Any]] | None:
-        """The overrides of the newest edition; None while one is on its way."""
-        kept = self.core.state
-        return None if kept.pending is not None else kept.committed.overrides
-
-    # --- /edges -----------------------------------------------------------------------
-
-    async def _report(self, request: web.Request) -> web.Response:
-        name = entries.name(request.match_info["name"])
-        try:
-            report = read_report(request, name, await self.host.body(request))
-        except ReportError:
-            self.figures.refused_reports += 1
-            raise
-        if self.directory.live(self.now(), name):
-            self.figures.refused_reports += 1
-            raise AggregatorNameError(f"sidecar {name}", "an aggregator has this name")
-        if (
-            name not in self.core.membership.nodes
-            and len(self.core.membership.nodes) >= self.settings.edges_most
-        ):
-            self.figures.refused_reports += 1
-            raise Unavailable("no place", f"all {self.settings.edges_most} sidecars are known", retry_s=10.0)
-        return calls.Brief(body=_encode(self._permission(name, report)))
-
-    def _permission(self, name: str, report: Report) -> dict[str, Any]:
-        more: dict[str, Any] = {}
-        for rider in () if report.leaving else self.riders:  # it says nothing of what it acted on
-            more |= rider.reported(name, report)
-        granted = self.report(name, report)
-        kept, index = self.core.state, self.host.store.table.last(INSTANCES)
-        newest = kept.pending.number if kept.pending is not None else kept.committed.number
-        return {
-            "edition": granted.revision,
-            "permission_ms": granted.lease_ms,
-            "list_index": index,
-            "news": newest > report.newest_revision or index > report.list_index,
-            # The rest is left out where it is as a sidecar takes it to be.
-            **({"life": self.core.epoch} if report.epoch != self.core.epoch else {}),
-            **({"pending": granted.pending} if granted.pending else {}),
-            **({"why": granted.why} if granted.why else {}),
-            **self._paces(),
-            **more,
-        }
-
-    def _paces(self) -> dict[str, float]:
-        nodes = len(self.core.membership.nodes)
-        found = {
-            "every_ms": pace.every_ms(nodes),
-            "spread_ms": pace.spread_ms(nodes),
-            "edges": max(1, self.sidecars()),
-        }
-        usual = {"every_ms": pace.EVERY_MS, "spread_ms": pace.SPREAD_LEAST_MS, "edges": 1}
-        return {name: value for name, value in found.items() if value != usual[name]}
-
-    async def _forget(self, request: web.Request) -> web.Response:
-        name = entries.name(request.match_info["name"])
-        if name not in self.core.membership.names and name not in self.core.membership.nodes:
-            via = self.directory.owner(name)
-            why = f"reports to aggregator {via}: end it there" if via else "has not reported to this service"
-            raise Missing("no such member", f"{name} {why}")
-        self.step(messages.RemoveMember(name))
-        self._gone(name)
-        return answer(_encode({"name": name}))
-
-    def sidecars(self) -> int:
-        """How many sidecars there are in the whole fleet, each counted once: those on the roster, and the
-        children of aggregators."""
-        now, names = self.now(), self.core.membership.names
-        if not self.directory.aggregators:
-            return len(names)
-        if now - self._counted[0] > COUNTED_MS:
-            direct = sum(name not in self.directory and not self.directory.knows(name) for name in names)
-            self._counted = (now, direct + self.directory.count())
-        return self._counted[1]
-
-    def leave_roster(self) -> None:
-        """Take off the roster who reports to an aggregator by now: its vote would be missed for good.
-
-        Only the service that permits may do so, as with all that leave."""
-        now, fleet = self.now(), self.core.membership
-        if self.core.grant_refusal(now):
-            return
-        for name in [name for name in fleet.names if name in self.directory]:
-            edge = fleet.nodes.get(name)
-            if edge is None or now - edge.reported_ms > self.core.timing.epoch_wait_ms:
-                self.step(messages.RemoveMember(name))
-
-    def view(self) -> View:
-        """What the listing of sidecars is compared with."""
-        return View(self.core.state.committed.number, self.core.epoch, self.core.timing.expiry_bound_ms)
-
-    def rows(self) -> list[SidecarRow]:
-        """Every sidecar that reports here itself, or did, by its newest report."""
-        now, fleet, view = self.now(), self.core.membership, self.view()
-        names = sorted(fleet.nodes.keys() | fleet.names)
-        reported = {name: reported_row(edge, now, view) for name, edge in fleet.nodes.items()}
-        return [
-            reported.get(name) or SidecarRow(name=name, behind=NEVER)
-            for name in names
-            if name not in self.directory and not self.directory.knows(name)
-        ]
 
-    def status(self) -> dict[str, Any]:
-        """For `/status`."""
-        kept, now = self.core.state, self.now()
-        return {
-            "edition": kept.committed.number,
-            "prepared": kept.pending.number if kept.pending is not None else 0,
-            "permits": self.core.grant_refusal(now) or "yes",
-            "edges": len(self.core.membership.names),
-            "sidecars": self.sidecars(),
-            "may_act": len(self.core.leases.active(now)),
-            "reports": self.figures.reports,
-            "reports_refused": self.figures.refused_reports + self.core.membership.stale_reports,
-            "harmful_refused": self.figures.harmful,
-            "harmful_forced": self.figures.forced,
-        }
+def _read(body: bytes) -> dict[str, Any]:
+    """The settings of a call; `DocumentError` says what is wrong with them."""
+    try:
+        settings = msgspec.json.decode(body)
+    except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
+        raise DocumentError("settings are no JSON", str(error)) from error
+    fault = validation.form_fault(settings)
+    if fault:
+        raise DocumentError("settings refused", fault)
+    found: dict[str, Any] = settings
+    return found
--- a/brassfall/controlplane/registry/server.py
+++ b/brassfall/controlplane/registry/server.py
@@ -14,6 +14,8 @@
 from brassfall.controlplane.registry.aggregators import Aggregators
 from brassfall.controlplane.registry.calls import answer
 from brassfall.controlplane.registry.entries import INSTANCES
+from brassfall.controlplane.registry.fleet import Fleet
+from brassfall.controlplane.registry.fleet_listing import FleetListing
 from brassfall.controlplane.registry.front import Front
 from brassfall.controlplane.registry.gathering import Gathering
 from brassfall.controlplane.registry.geo import Geo
@@ -21,8 +23,10 @@
 from brassfall.controlplane.registry.instances import InstanceCalls
 from brassfall.controlplane.registry.lists import INCOMPLETE, Lists
 from brassfall.controlplane.registry.metrics import CONTENT_TYPE, ListServiceMetrics, ProcessMetrics
+from brassfall.controlplane.registry.node_calls import NodeCalls
 from brassfall.controlplane.registry.overrides import Overrides
-from brassfall.controlplane.registry.rules import Rules
+from brassfall.controlplane.registry.revision_service import RevisionService
+from brassfall.controlplane.registry.rules import RulesCalls
 from brassfall.controlplane.registry.tables import TableCalls
 from brassfall.controlplane.registry.writes import Writes
 from brassfall.controlplane.store.core import Change
@@ -60,11 +64,15 @@
         writes = Writes(self.store, limits)
         self._instances = InstanceCalls(self.store, self.front, self._lists, writes, leases)
         self._tables = TableCalls(self.store, self.front, self._lists, writes, leases)
-        self.rules = Rules(self, settings.agreement)
-        self.overrides = Overrides(self, self.rules)
-        self.geo = Geo(self, self.rules, settings.geo)
-        self.rules.riders += [self.overrides, self.geo]
-        self.aggregators = Aggregators(self, self.rules, self.overrides, self.geo)
+        self.revisions = RevisionService(self, settings.agreement)
+        self.overrides = Overrides(self, self.revisions)
+        self.geo = Geo(self, self.revisions, settings.geo)
+        self.revisions.extensions += [self.overrides, self.geo]
+        self.fleet = Fleet(self.revisions)
+        self.aggregators = Aggregators(self.revisions, self.fleet, self.overrides, self.geo)
+        self.nodes = NodeCalls(self.revisions, self.fleet)
+        self._rules = RulesCalls(self.revisions)
+        self._fleet_listing = FleetListing(self.revisions, self.fleet)
         self._started_at = time.monotonic()
         self._listen = ""
         self._not_started = STARTING  # why calls can't be answered yet
@@ -80,10 +88,11 @@
         try:
             await self._until_disk_works(self.store.start)
             limits = self.settings.limits
-            self.rules.start(limits.watch_bytes, limits.watch_stuck_ms / 1000.0)
+            self.revisions.start(limits.watch_bytes, limits.watch_stuck_ms / 1000.0)
             await self._until_disk_works(self.overrides.start)
             self.geo.start()
             self.aggregators.start()
+            self._fleet_listing.start()
             if self.store.fresh:
                 self._gathering.begin()
             await self._serve()
@@ -127,10 +136,11 @@
     async def close(self) -> None:
         """Take no more calls, end the watches, and let what is being written become durable."""
         await self.front.close()
+        await self._fleet_listing.close()
         await self.aggregators.close()
         await self.geo.close()
         await self.overrides.close()
-        await self.rules.close()
+        await self.revisions.close()
         await self.store.close()
 
     # --- watches ----------------------------------------------------------------------
@@ -156,8 +166,10 @@
         return [
             *self._instances.routes(),
             *self._tables.routes(),
-            *self.rules.routes(),
+            *self._rules.routes(),
+            *self.nodes.routes(),
             *self.aggregators.routes(),
+            *self._fleet_listing.routes(),
             *self.overrides.routes(),
             *self.geo.routes(),
             web.get("/health/live", self._live),
--- a/brassfall/controlplane/registry/sidecar_rows.py
+++ b/brassfall/controlplane/registry/sidecar_rows.py
@@ -9,18 +9,18 @@
 from msgspec import UNSET, UnsetType
 
 from brassfall.controlplane.revisions.membership import Node
-from brassfall.controlplane.revisions.reports import Objection
+from brassfall.controlplane.revisions.reports import FALLBACK, Objection
 
-LIST_OLD_MS = 10_000.0  # a watch brings a word every 2 s, and is opened anew after 4.5 s of silence
-FALLBACK = "safe"  # as a report says that its process acts on the fallback configuration
+LIST_OLD_MS = 10_000.0  # a watch has a heartbeat every 2 s, and is opened anew after 4.5 s of silence
 NEVER = "has not reported since the service began"
 
 
-class SidecarRow(msgspec.Struct, kw_only=True):
-    """One sidecar. Ages in ms; what it has not reported is None. `via` names the aggregator it reports to."""
+class SidecarRow(msgspec.Struct, kw_only=True, rename={"newest_revision": "held"}):
+    """One sidecar in `GET /edges`. Ages in ms; what it has not reported is None. `via` names the aggregator
+    that it reports to, and `behind` says in what it lags."""
 
     name: str
-    held: int | None = None
+    newest_revision: int | None = None
     prepared: int | None = None
     acting: int | str | None = None
     age_ms: float | None = None
@@ -33,8 +33,8 @@
     via: str | UnsetType = UNSET
 
 
-class Spread(msgspec.Struct):
-    """The versions and ages of the lists that sidecars hold; the service's own index beside them."""
+class Spread(msgspec.Struct, frozen=True):
+    """The versions and ages of the lists that sidecars have; the service's own index beside them."""
 
     index: int
     oldest: int
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class View:
+class Expected:
     """What rows are compared with: the revision in force, the epoch, and how long silence may last."""
 
     committed: int
@@ -51,12 +51,12 @@
     silent_ms: float
 
 
-def reported_row(node: Node, now: float, view: View) -> SidecarRow:
+def reported_row(node: Node, now: float, expected: Expected) -> SidecarRow:
     """The row of a sidecar that reports to the service itself."""
     report = node.report
     row = SidecarRow(
         name=node.name,
-        held=report.newest_revision,
+        newest_revision=report.newest_revision,
         prepared=report.prepared,
         acting=report.acting,
         age_ms=round(now - node.reported_ms),
@@ -66,36 +66,38 @@
         group=report.group,
         region=report.region,
     )
-    row.behind = behind(row, view, report.objection, report.epoch)
+    row.behind = behind(row, expected, report.objection, report.epoch)
     return row
 
 
 def behind(
-    row: SidecarRow, view: View, objection: Objection | None = None, follows: int | None = None
+    row: SidecarRow, expected: Expected, objection: Objection | None = None, follows: int | None = None
 ) -> str:
-    """In what a sidecar lags, as a line; empty where it does not. `follows` is the epoch that it follows."""
+    """In what a sidecar lags, as a line that docs/operations.md explains; empty where it does not.
+
+    `follows` is the epoch that it follows, where that is known."""
     if row.age_ms is None:
         return NEVER
-    if row.age_ms > view.silent_ms:
+    if row.age_ms > expected.silent_ms:
         return "silent: it acts on safe rules, or is gone"
-    if objection is not None and objection.revision >= view.committed:
+    if objection is not None and objection.revision >= expected.committed:
         return f"objects to edition {objection.revision}: {objection.reason}"
-    if (row.held or 0) < view.committed:
-        return f"does not hold edition {view.committed}"
-    if follows not in (None, 0, view.epoch):
+    if (row.newest_revision or 0) < expected.committed:
+        return f"does not hold edition {expected.committed}"
+    if follows not in (None, 0, expected.epoch):
         return f"takes the word of another life of the service, {follows}"
     if row.list_age_ms is not None and row.list_age_ms > LIST_OLD_MS:
         return f"its list may be {row.list_age_ms / 1000.0:.1f} s old: it keeps it, and asks on"
-    if row.acting != view.committed:
+    if row.acting != expected.committed:
         return "acts on safe rules" if row.acting == FALLBACK else f"acts on edition {row.acting}"
     return ""
 
 
 def add_findings(rows: Iterable[SidecarRow], found: Iterable[Mapping[str, list[str]]]) -> None:
-    """Add to rows what extensions of the reports find wrong, by sidecar."""
-    maps = list(found)
+    """Add to rows what extensions of the reports find wrong with their sidecars."""
+    findings = list(found)
     for row in rows:
-        lines = [line for each in maps for line in each.get(row.name, ())]
+        lines = [line for each in findings for line in each.get(row.name, ())]
         row.behind = "; ".join([*([row.behind] if row.behind else []), *lines])
 
 
--- a/tests/test_aggregators_parts.py
+++ b/tests/test_aggregators_parts.py
@@ -48,12 +48,12 @@
                 joined = [Member(f"c{number}", "1") for number in range(first, min(children, first + 200))]
                 seq += 1
                 made.aggregators.reported("x", _report(seq, joined=joined))
-            assert made.rules.directory.count() == children
+            assert made.revisions.directory.count() == children
             counts = ChildCounts(known=children, leased=children)
             several = []
             for _ in range(3):
                 seq += 1
-                report = _report(seq, epoch=made.rules.core.epoch, children=counts)
+                report = _report(seq, epoch=made.revisions.coordinator.epoch, children=counts)
                 several.append(_steps(lambda report=report: made.aggregators.reported("x", report)))
             costs.append(min(several))
         assert costs[0] > 300 and costs[1] < 1.1 * costs[0], costs
@@ -66,24 +66,24 @@
     made = service(tmp_path)
     await made.start()
     try:
-        rules, row = (
-            made.rules,
+        revisions, row = (
+            made.revisions,
             {"region": "a", "window": 1, "span_ms": 5000.0, "answers": 5, "first": {"100": 5}},
         )
         delays = {"delays": [{**row, "group": "g"}]}
         for name in ("x", "y"):
             made.aggregators.reported(name, _report(1, joined=[Member(f"c-{name}", "1")], measures=delays))
-        await until(lambda: rules.core.membership.names == {"x", "y"})
-        rules._sweep(rules.now())
-        assert set(rules.directory.aggregators) == {"x", "y"}
+        await until(lambda: revisions.coordinator.membership.names == {"x", "y"})
+        revisions.sweep(revisions.now())
+        assert set(revisions.directory.aggregators) == {"x", "y"}
         monkeypatch.setattr(RevisionCoordinator, "grant_refusal", lambda *_: "")
         made.aggregators.reported("y", _report(2, leaving=True, children=ChildCounts(leased=1)))
-        assert not rules.core.departing  # a child of it may act: it is no end yet
+        assert not revisions.coordinator.departing  # a child of it may act: it is no end yet
         made.aggregators.reported("y", _report(3, leaving=True))
-        assert rules.core.departing == ["y"]
-        rules._sweep(rules.now() + rules.settings.forget_ms + 1.0)
-        await until(lambda: not rules.core.membership.names)
-        assert (rules.directory.aggregators, rules.directory.count(), made.geo._demand) == ({}, 0, {})
+        assert revisions.coordinator.departing == ["y"]
+        revisions.sweep(revisions.now() + revisions.settings.forget_ms + 1.0)
+        await until(lambda: not revisions.coordinator.membership.names)
+        assert (revisions.directory.aggregators, revisions.directory.count(), made.geo._demand) == ({}, 0, {})
     finally:
         await made.close()
 
--- a/tests/test_rules_shell.py
+++ b/tests/test_rules_shell.py
@@ -35,7 +35,7 @@
     return Service(RegistrySettings(listen="127.0.0.1:0", data=str(tmp_path / "registry"), **more))
 
 
-@pytest.mark.parametrize(("part", "method"), [("rules", "step"), ("overrides", "_step")])
+@pytest.mark.parametrize(("part", "method"), [("revisions", "step"), ("overrides", "_step")])
 @bounded(30.0)
 async def test_a_fault_ends_no_part(tmp_path, monkeypatch, part, method):
     made, calls = service(tmp_path), []
@@ -65,25 +65,31 @@
     made = service(tmp_path, agreement=AgreementSettings(forget_ms=0.0))
     await made.start()
     try:
-        rules, now = made.rules, made.rules.now()
+        revisions, now = made.revisions, made.revisions.now()
         row = {"region": "a", "window": 1, "span_ms": 500.0, "shake": {}, "first": {"100": 5}}
         for name, life in (("on", "p"), ("on", "q"), ("off", "p"), ("left", "p")):
-            rules._permission(name, Report(process_id=life, seq=1, group="g", measures={"delays": [row]}))
-        await until(lambda: rules.core.membership.names == {"on", "off", "left"})
-        rules.core.membership.names.discard("off")  # it never became a member
-        assert set(made.geo._demand) == {"on", "off", "left"} == set(rules.core.membership.nodes)
+            made.nodes.answer(name, Report(process_id=life, seq=1, group="g", measures={"delays": [row]}))
+        await until(lambda: revisions.coordinator.membership.names == {"on", "off", "left"})
+        revisions.coordinator.membership.names.discard("off")  # it never became a member
+        assert set(made.geo._demand) == {"on", "off", "left"} == set(revisions.coordinator.membership.nodes)
         await _overridden(made)
-        rules._permission("left", Report(process_id="p", seq=2, leaving=True))
+        made.nodes.answer("left", Report(process_id="p", seq=2, leaving=True))
         assert made.overrides.findings() == {}  # it is no version without overrides
-        rules._permission("nobody", Report(process_id="p", seq=1, leaving=True))
-        assert rules.core.departing == ["left"]  # names without end leave nothing behind
-        rules.step(RemoveMember("left"))
+        made.nodes.answer("nobody", Report(process_id="p", seq=1, leaving=True))
+        assert revisions.coordinator.departing == ["left"]  # names without end leave nothing behind
+        revisions.step(RemoveMember("left"))
         assert set(made.geo._demand) == {"on", "off"}
-        rules._sweep(now + 1e9)
-        assert rules.core.membership.names == {"on"}  # no member goes while another service may be the one
+        revisions.sweep(now + 1e9)
+        assert revisions.coordinator.membership.names == {
+            "on"
+        }  # no member goes while another service may be the one
         monkeypatch.setattr(RevisionCoordinator, "grant_refusal", lambda *_: "")
-        rules._sweep(now + 1e9)
-        assert (made.geo._demand, rules.core.membership.nodes, rules.core.leases.active(now)) == ({}, {}, {})
+        revisions.sweep(now + 1e9)
+        assert (
+            made.geo._demand,
+            revisions.coordinator.membership.nodes,
+            revisions.coordinator.leases.active(now),
+        ) == ({}, {}, {})
     finally:
         await made.close()
 
--- a/tests/test_wire_forms.py
+++ b/tests/test_wire_forms.py
@@ -17,11 +17,12 @@
 from brassfall.controlplane.aggregation.messages import parse_report as parse_aggregator_report
 from brassfall.controlplane.overrides.document import Document, Override
 from brassfall.controlplane.overrides.history import Entry
-from brassfall.controlplane.registry.aggregator.children import ChildAnswer
 from brassfall.controlplane.registry.aggregator.mirror import ListLine, parse_line
 from brassfall.controlplane.registry.aggregator.state_lines import read_state
-from brassfall.controlplane.registry.aggregators import AggregatorRow
+from brassfall.controlplane.registry.aggregator_rows import AggregatorRow
 from brassfall.controlplane.registry.entries import Alteration, Endpoint, Holder, Listed, Registration
+from brassfall.controlplane.registry.fleet_listing import Listing
+from brassfall.controlplane.registry.report_answer import ReportAnswer
 from brassfall.controlplane.registry.sidecar_rows import SidecarRow, Spread
 from brassfall.controlplane.revisions.reports import Report, parse_delta, parse_report
 from brassfall.controlplane.revisions.state import DurableState
@@ -44,7 +45,7 @@
 SAME = {
     **{kind: AggregatorReport for kind in AGGREGATOR_KINDS if kind.endswith("call")},
     **{kind: AggregatorLease for kind in AGGREGATOR_KINDS if kind.endswith("answer")},
-    "child POST /edges answer": ChildAnswer,
+    **dict.fromkeys(ANSWER_KINDS, ReportAnswer),
     "aggregator watch /registry/instances": ListLine,
     "aggregator GET /registry/instances answer": Listed,
     "operator GET /registry/instances answer": Listed,
@@ -95,9 +96,9 @@
     assert written(message, plain(report)) == message
 
 
-@each(*[kind for kind in AGGREGATOR_KINDS if kind.endswith("answer")], "child POST /edges answer")
+@each(*[kind for kind in AGGREGATOR_KINDS if kind.endswith("answer")], *ANSWER_KINDS)
 def test_answers_of_the_tier_are_written_byte_for_byte(message):
-    form = AggregatorLease if "epoch" in message else ChildAnswer
+    form = AggregatorLease if "epoch" in message else ReportAnswer
     assert plain(msgspec.convert(message, form)) == message
 
 
@@ -169,6 +170,7 @@
     for row in message["edges"]:
         assert written(row, plain(msgspec.convert(row, SidecarRow))) == row
     assert plain(msgspec.convert(message["list"], Spread)) == message["list"]
+    assert written(message, plain(msgspec.convert(message, Listing))) == message
 
 
 @each("operator GET /tables/overrides, as stored answer")
