--- a/brassfall/controlplane/registry/aggregators.py
+++ b/brassfall/controlplane/registry/aggregators.py
@@ -170,7 +170,7 @@
             pending=granted.pending,
             why=granted.why,
             seq=report.seq,
-            list_index=service.host.store.table.last(INSTANCES),
+            list_index=service.host.store.state.last_index(INSTANCES),
             members=max(1, self._fleet.count()),
             migrated=directory.take_migrated(received.process),
             resync=directory.resync(epoch, received.process),
--- a/brassfall/controlplane/registry/fleet_listing.py
+++ b/brassfall/controlplane/registry/fleet_listing.py
@@ -68,12 +68,13 @@
         by_name = {row.name: row for row in self._fleet.rows()}
         by_name |= self._children(children)
         rows = [by_name[name] for name in sorted(by_name)]
+        index = service.host.store.state.last_index(INSTANCES)
         sidecar_rows.add_findings(rows, [extension.findings() for extension in service.extensions])
         return Listing(
             rows=rows,
             revision=expected.committed,
             granting=service.coordinator.grant_refusal(service.now()) or "yes",
-            lists=sidecar_rows.spread(rows, service.host.store.table.last(INSTANCES), expected.silent_ms),
+            lists=sidecar_rows.spread(rows, index, expected.silent_ms),
             unanswered=children.unanswered,
         )
 
--- a/brassfall/controlplane/registry/instances.py
+++ b/brassfall/controlplane/registry/instances.py
@@ -48,7 +48,7 @@
         return await self._lists.read(request, INSTANCES)
 
     async def _get(self, request: web.Request) -> web.Response:
-        row = self._store.table.get(INSTANCES, _name(request))
+        row = self._store.state.get(INSTANCES, _name(request))
         if row is None:
             return status_response(404, "no such instance")
         return answer(_encode(self._lists.view(INSTANCES, row)))
--- a/brassfall/controlplane/registry/node_calls.py
+++ b/brassfall/controlplane/registry/node_calls.py
@@ -59,7 +59,7 @@
         service = self._service
         if service.directory.live(service.now(), name):
             raise AggregatorNameError(f"sidecar {name}", "an aggregator has this name")
-        nodes, most = service.coordinator.membership.nodes, service.settings.edges_most
+        nodes, most = service.coordinator.membership.nodes, service.settings.members_most
         if name not in nodes and len(nodes) >= most:
             raise Unavailable("no place", f"all {most} sidecars are known", retry_s=FULL_RETRY_S)
 
@@ -71,7 +71,7 @@
             for extension in service.extensions:
                 fields |= extension.reported(name, report)
         lease, coordinator = service.report(name, report), service.coordinator
-        state, index = coordinator.state, service.host.store.table.last(INSTANCES)
+        state, index = coordinator.state, service.host.store.state.last_index(INSTANCES)
         newest = state.pending_number or state.committed.number
         nodes = len(coordinator.membership.nodes)
         return ReportAnswer(
--- a/brassfall/controlplane/registry/revision_service.py
+++ b/brassfall/controlplane/registry/revision_service.py
@@ -25,8 +25,9 @@
 from brassfall.controlplane.revisions.reports import Objection, Report
 from brassfall.controlplane.revisions.state import DurableState
 from brassfall.controlplane.revisions.timing import LeaseTiming
-from brassfall.controlplane.store.core import Delete, Put
-from brassfall.controlplane.store.store import NotWritten, Store
+from brassfall.controlplane.store.commands import Delete, Put
+from brassfall.controlplane.store.outcomes import NotWrittenError
+from brassfall.controlplane.store.store import Store
 from brassfall.errors import Stale, Unavailable
 from brassfall.logs import faults, logger
 from brassfall.settings import AgreementSettings
@@ -111,17 +112,17 @@
         """Load what is durable, and begin an epoch. The store has to be loaded.
 
         `watch_bytes` and `stuck_s` bound the watches on the state, as those on tables."""
-        table = self.host.store.table
+        table = self.host.store.state
         row = table.get(STATE_TABLE, STATE_KEY)
         state = msgspec.convert(row.value, DurableState) if row is not None else DurableState()
         members = {row.key for row in table.rows(MEMBER_TABLE)}
-        membership = Membership(epoch=self.host.store.life, names=members)
+        membership = Membership(epoch=self.host.store.incarnation, names=members)
         timing = LeaseTiming(agree_ms=self.settings.agree_ms)
         self.started_ms = self.now()
         self.coordinator = RevisionCoordinator(
             timing, self.started_ms, state, membership, blocked=self.blocked
         )
-        self.directory = Directory(timing.expiry_bound_ms, self.settings.edges_most)
+        self.directory = Directory(timing.expiry_bound_ms, self.settings.members_most)
         self.channel = StateChannel(self.line, watch_bytes, stuck_s)
         self.host.channels[CHANNEL] = self.channel
         self._tasks.spawn(self._tick())
@@ -196,7 +197,7 @@
         ticket = next(self._tickets)
         future: asyncio.Future[int] = asyncio.get_running_loop().create_future()
         self._publishers[ticket] = future
-        list_index = self.host.store.table.last(INSTANCES)
+        list_index = self.host.store.state.last_index(INSTANCES)
         self.step(messages.Publish(ticket, list_index=list_index, **draft))
         return future
 
@@ -214,7 +215,7 @@
         row = Put(table=STATE_TABLE, key=STATE_KEY, value=msgspec.to_builtins(state))
         try:
             await self.host.store.submit(row)
-        except NotWritten as error:
+        except NotWrittenError as error:
             log.error("not durable", reason=str(error))
             self.step(messages.PersistFailed())
             return
@@ -281,7 +282,7 @@
         """A member's row is being written; where the disk refuses, it is tried again with a later report."""
         try:
             yield
-        except NotWritten as error:
+        except NotWrittenError as error:
             log.warning("member not durable", name=name, reason=str(error))
         finally:
             self._writing.discard(name)
--- a/brassfall/controlplane/registry/rules.py
+++ b/brassfall/controlplane/registry/rules.py
@@ -68,7 +68,7 @@
         service.statistics.forced += bool(harm)
 
     def _active_regions(self) -> frozenset[str]:
-        rows = self._service.host.store.table.rows(INSTANCES)
+        rows = self._service.host.store.state.rows(INSTANCES)
         return frozenset(row.value["zone"] for row in rows if row.value["status"] == "active")
 
 
--- a/brassfall/controlplane/registry/status.py
+++ b/brassfall/controlplane/registry/status.py
@@ -51,7 +51,7 @@
     watches_behind: int
     connections: int
     writes_waiting: int
-    turned_away: int
+    rejected: int = msgspec.field(name="turned_away")
     rules: RevisionStatus
     aggregators: AggregatorsStatus
 
@@ -61,12 +61,12 @@
     store, front = parts.store, parts.front
     channels = front.channels
     return ServiceStatus(
-        index=store.table.index,
+        index=store.state.index,
         uptime_s=round(parts.uptime_s, 1),
         gathering=parts.gathering,
-        disk=store.figures.disk or "ok",
-        rows={name: store.table.count(name) for name in store.table.names},
-        instances=dict(Counter(row.value["status"] for row in store.table.rows(INSTANCES))),
+        disk=store.statistics.disk or "ok",
+        rows={name: store.state.count(name) for name in store.state.names},
+        instances=dict(Counter(row.value["status"] for row in store.state.rows(INSTANCES))),
         suspects=store.suspects(INSTANCES),
         watches={
             name: channel.count for name, channel in channels.items() if name != CHANNEL or channel.count
@@ -74,7 +74,7 @@
         watches_behind=sum(channel.behind for channel in channels.values()),
         connections=len(front.callers),
         writes_waiting=store.waiting,
-        turned_away=front.rejected,
+        rejected=front.rejected,
         rules=parts.fleet.status(),
         aggregators=parts.aggregators.status(),
     )
--- a/brassfall/lab/agreement/program.py
+++ b/brassfall/lab/agreement/program.py
@@ -19,7 +19,7 @@
 from brassfall.controlplane.revisions.leases import NodeLeases
 from brassfall.controlplane.revisions.membership import Membership
 from brassfall.controlplane.revisions.timing import LeaseTiming
-from brassfall.controlplane.store.store import life_floor
+from brassfall.controlplane.store.incarnations import first_index
 
 lease_client: Any = importlib.import_module("brassfall.sidecar.agent.lease_client")
 sidecar_rules: Any = importlib.import_module("brassfall.sidecar.agent.rules")
@@ -27,7 +27,7 @@
 
 def epoch(wall_ms: float, last: int, chance: random.Random) -> int:
     """The number of an epoch of the service, out of the wall clock and the last index that is durable."""
-    return life_floor(wall_ms / 1000.0, last, chance.getrandbits(30))
+    return first_index(wall_ms / 1000.0, last, chance.getrandbits(30))
 
 
 def answered(client: Any, asked: float, received: float, seq: int, raw: Mapping[str, Any]) -> bool:
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -13,7 +13,7 @@
 
 from brassfall.balancer import Settings
 from brassfall.balancer.model import Arrival, Fail, Outcome, Refuse, Send
-from brassfall.sidecar import config, inbound
+from brassfall.sidecar import config, known_classes
 from tests.helpers import balancer, of_type, raw_settings
 from tests.loopback import OK, SETTINGS, App, Registry, Upstream, listed, loopback, running, told, until
 from tests.processes import Process
@@ -147,18 +147,18 @@
     for number in range(40):
         made.request(float(number), Arrival(number, number % 2, 1e6))
         made.outcome(number + 0.5, number, 0, Outcome.FULL, 0.5)
-    strikes = {name: server.rest_until for name, server in made._servers.items()}
-    throttle, level = made._throttle.requests, made._shed.level(50.0)
+    strikes = {name: server.ejected_until for name, server in made._endpoints.servers.items()}
+    throttle, level = made._throttle.requests, made._shedder.probability(50.0)
     made.reload(50.0, settings("safe", "keyed", "safe"), {0})
-    assert {name: server.rest_until for name, server in made._servers.items()} == strikes
-    assert (made._throttle.requests, made._shed.level(50.0)) == (throttle, level)
-    assert {band for band, _ in made._shed._mix} == {0}
-    assert len(made._spill) == len(made._margins) == 3
+    assert {name: server.ejected_until for name, server in made._endpoints.servers.items()} == strikes
+    assert (made._throttle.requests, made._shedder.probability(50.0)) == (throttle, level)
+    assert {band for band, _ in made._shedder._mix} == {0}
+    assert len(made._zones.crossing) == len(made._zones._margins) == 3
 
 
 @loopback
 async def test_new_classes_are_served_and_old_ones_for_a_while(monkeypatch):
-    monkeypatch.setattr(inbound, "CLASSES_BEFORE_S", 0.2)
+    monkeypatch.setattr(known_classes, "KEEP_S", 0.2)
     upstream = await Upstream([OK]).start()
     new = [row("view"), row("book", "side_effect")]
     async with running(upstream) as made:
