--- a/brassfall/controlplane/registry/member.py
+++ b/brassfall/controlplane/registry/member.py
@@ -48,9 +48,9 @@
             await self._changed.wait_for(lambda: self.state.over)
         return self.state.reason or self.state.place.value
 
-    async def wish(self, status: str, limit_s: float) -> bool:
+    async def request_status(self, status: str, limit_s: float) -> bool:
         """Be `leaving`, or have `left`; whether the service knows within the limit."""
-        self.state.wish(_now_ms(), status)
+        self.state.request_status(_now_ms(), status)
         self._wake.set()
         try:
             async with asyncio.timeout(limit_s):
--- a/brassfall/controlplane/registry/membership.py
+++ b/brassfall/controlplane/registry/membership.py
@@ -1,28 +1,31 @@
-"""A server's place in the list, as pure code: what to call next, and when.
+"""A server's registration in the list, as pure code: what to call next, and when.
 
-The holder of a `Membership` makes the call that it names at the time it names, and tells how that
-ended. `chance`, from 0 to 1, spreads the calls of a fleet that would else come together.
+The host of a `Membership` makes the call that `call` names at the time `due`, and hands in with `ended` how
+that ended. `chance`, from 0 to 1, spreads the calls of a fleet that would otherwise come together.
 """
 
 from __future__ import annotations
 
 from collections.abc import Mapping
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from enum import Enum
 from typing import Any
 
-FIRST_WAIT_MS, WAIT_MOST_MS = 100.0, 1000.0
+FIRST_WAIT_MS, WAIT_MOST_MS = 100.0, 1000.0  # between attempts that get no answer; doubled each time
 PATIENCE_MOST_MS = 2000.0
+REJOIN_SPREAD_MS = 50.0  # over which servers register anew that a service has lost
+RETRY_AFTER_SPREAD = 0.25  # of a wait that the service names
+LEFT = "left"
 
 
 class Place(Enum):
-    """Where a server stands with the list service."""
+    """Where a server stands with the list service; the values are for logs."""
 
-    OUT = "not registered"
-    HELD = "registered"
-    LOST = "a newer process holds the name"
+    UNREGISTERED = "not registered"
+    REGISTERED = "registered"
+    REPLACED = "a newer process holds the name"
     REFUSED = "refused"
-    GONE = "left"
+    LEFT = "left"
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,90 +38,96 @@
     body: dict[str, Any]
 
 
+@dataclass(frozen=True, slots=True)
+class _PendingCall:
+    """The status that a call asks for, and when it was made."""
+
+    status: str
+    begun_ms: float
+
+
 @dataclass(slots=True)
 class Membership:
-    """One server's place. Times are monotonic ms."""
+    """One server's registration. Times are monotonic ms."""
 
-    entry: Mapping[str, Any]  # as PROTOCOL's list has it
+    entry: Mapping[str, Any]  # the server's, as the list has it
     ttl_ms: int
     addresses: int = 1
-    place: Place = Place.OUT
-    reason: str = ""
+    place: Place = Place.UNREGISTERED
+    reason: str = ""  # why the service refused it, or gave the name to another
     due: float = 0.0  # when the next call is to be made
-    index: int = 0  # of the last change that the service told of
-    heard: float | None = None  # when the last call that was answered had been made
-    _status: str = "active"
-    _told: str = ""  # the status that the service has
+    _status: str = "active"  # as the server wants it
+    _confirmed: str = ""  # the status that the service has
     _address: int = 0
-    _failures: int = 0
-    _calling: tuple[str, float] = field(default=("", 0.0))
+    _failures: int = 0  # in a row
+    _pending: _PendingCall = _PendingCall("", 0.0)
 
     @property
     def over(self) -> bool:
         """Whether there is nothing more to call."""
-        return self.place in (Place.LOST, Place.REFUSED, Place.GONE)
+        return self.place in (Place.REPLACED, Place.REFUSED, Place.LEFT)
 
     @property
     def settled(self) -> bool:
-        """Whether the service has been told all that was wished."""
-        return self.over or (self.place is Place.HELD and self._told == self._status)
+        """Whether the service has the status that the server wants."""
+        return self.over or (self.place is Place.REGISTERED and self._confirmed == self._status)
 
     @property
     def patience_ms(self) -> float:
         """How long to wait for an answer: so that two calls may come to nothing within one lease."""
         return min(PATIENCE_MOST_MS, self.ttl_ms / 4.0)
 
-    def wish(self, now: float, status: str) -> None:
-        """The server wants to be `leaving`, or to have `left`; it is told at once."""
+    def request_status(self, now: float, status: str) -> None:
+        """The server wants to be `leaving`, or to have `left`; a call is due at once."""
         self._status = status
         self.due = min(self.due, now)
 
     def call(self, now: float) -> Call:
         """What to call now."""
-        name, since = self.entry["name"], self.entry["since_ms"]
-        path = f"/registry/instances/{name}"
-        mine = {"since_ms": since}
-        if self._status == "left":
-            made = Call(self._address, "DELETE", path, mine)
-        elif self.place is Place.OUT:
+        self._pending = _PendingCall(self._status, now)
+        path = f"/registry/instances/{self.entry['name']}"
+        incarnation = {"since_ms": self.entry["since_ms"]}
+        if self._status == LEFT:
+            return Call(self._address, "DELETE", path, incarnation)
+        if self.place is Place.UNREGISTERED:
             body = {**self.entry, "status": self._status, "ttl_ms": self.ttl_ms}
-            made = Call(self._address, "PUT", path, body)
-        elif self._told != self._status:
-            made = Call(self._address, "PATCH", path, {**mine, "status": self._status})
-        else:
-            made = Call(self._address, "POST", f"{path}/renew", mine)
-        self._calling = (self._status, now)
-        return made
+            return Call(self._address, "PUT", path, body)
+        if self._confirmed != self._status:
+            return Call(self._address, "PATCH", path, {**incarnation, "status": self._status})
+        return Call(self._address, "POST", f"{path}/renew", incarnation)
 
     def ended(self, now: float, status: int, chance: float, retry_s: float = 0.0, reason: str = "") -> None:
-        """How the call ended: its status, or 0 where there was no answer in time."""
-        asked, begun = self._calling
-        if status == 200 or (asked == "left" and status in (404, 409)):
-            self._carried_out(asked, begun, chance)
+        """How the call ended: its HTTP status, or 0 where there was no answer in time; `retry_s` is its
+        `Retry-After`, 0 where there is none."""
+        leaves = self._pending.status == LEFT
+        if status == 200 or (leaves and status in (404, 409)):
+            self._confirm(chance)
         elif status == 404:
-            # The service has lost it: the list has a hole until it is back.
-            self.place, self._told, self._failures = Place.OUT, "", 0
-            self.due = now + 50.0 * chance
+            # The service has lost it: the list lacks this server until it is back.
+            self.place, self._confirmed, self._failures = Place.UNREGISTERED, "", 0
+            self.due = now + REJOIN_SPREAD_MS * chance
         elif status == 409:
-            self.place, self.reason = Place.LOST, reason
+            self.place, self.reason = Place.REPLACED, reason
         elif 400 <= status < 500 and status not in (408, 429):
             self.place, self.reason = Place.REFUSED, reason
         else:
-            self._again(now, chance, retry_s)
+            self._retry(now, chance, retry_s)
 
-    def _carried_out(self, asked: str, begun: float, chance: float) -> None:
-        self.place = Place.GONE if asked == "left" else Place.HELD
-        self._told, self._failures, self.heard = asked, 0, begun
-        third = self.ttl_ms / 3.0
+    def _confirm(self, chance: float) -> None:
+        call = self._pending
+        self.place = Place.LEFT if call.status == LEFT else Place.REGISTERED
+        self._confirmed, self._failures = call.status, 0
         # Counted from the call, as the lease may be; sooner than a third, so that two may fail.
-        self.due = begun + third * (0.8 + 0.2 * chance) if self._told == self._status else begun
+        third_ms = self.ttl_ms / 3.0
+        wait_ms = third_ms * (0.8 + 0.2 * chance) if self._confirmed == self._status else 0.0
+        self.due = call.begun_ms + wait_ms
 
-    def _again(self, now: float, chance: float, retry_s: float) -> None:
-        """No answer, or not now: another address after a silence, a wait that grows, and is spread."""
-        wait = min(FIRST_WAIT_MS * 2.0**self._failures, WAIT_MOST_MS) * (0.5 + 0.5 * chance)
+    def _retry(self, now: float, chance: float, retry_s: float) -> None:
+        """Call again later: at another address where there was no answer, after a backoff."""
+        wait_ms = min(FIRST_WAIT_MS * 2.0**self._failures, WAIT_MOST_MS) * (0.5 + 0.5 * chance)
         self._failures += 1
         if retry_s:
-            wait = retry_s * 1000.0 * (1.0 + 0.25 * chance)
+            wait_ms = retry_s * 1000.0 * (1.0 + RETRY_AFTER_SPREAD * chance)
         else:
             self._address = (self._address + 1) % self.addresses
-        self.due = now + wait
+        self.due = now + wait_ms
--- a/brassfall/lab/real/server.py
+++ b/brassfall/lab/real/server.py
@@ -194,9 +194,9 @@
 async def _drain(host: Host, member: Member, drain_s: float) -> None:
     begun = time.monotonic()
     host.core.drain(child.clock())
-    await member.wish("leaving", 2.0)
+    await member.request_status("leaving", 2.0)
     await asyncio.sleep(max(0.0, begun + drain_s - time.monotonic()))
-    await member.wish("left", 2.0)
+    await member.request_status("left", 2.0)
     await member.close()
 
 
--- a/brassfall/lab/sim/world.py
+++ b/brassfall/lab/sim/world.py
@@ -422,7 +422,7 @@
         host.speaking -= 1  # its last call is still made
 
     def _wish(self, now: float, host: Host, status: str) -> None:
-        host.member.wish(now, status)
+        host.member.request_status(now, status)
         host.speaking += 1
         self.lists.speak(now, (host, host.speaking))
 
--- a/brassfall/lab/transcriber.py
+++ b/brassfall/lab/transcriber.py
@@ -142,9 +142,9 @@
 
 
 async def _drain(server: Transcriber, member: Member) -> None:
-    log.info("leaving", told=await member.wish("leaving", 2.0))
+    log.info("leaving", told=await member.request_status("leaving", 2.0))
     server.leaving_at = time.monotonic()
     await asyncio.sleep(TOLD_S)
     await server.finished()
-    log.info("left", told=await member.wish("left", 2.0))
+    log.info("left", told=await member.request_status("left", 2.0))
     await member.close()
--- a/tests/test_registry_service.py
+++ b/tests/test_registry_service.py
@@ -144,11 +144,11 @@
     old = Member([service.listen], entry, 600)
     new = Member([service.listen], {**entry, "since_ms": 200, "address": "127.0.0.1:7002"}, 600)
     old.start()
-    assert await old.settled() is Place.HELD
+    assert await old.settled() is Place.REGISTERED
     new.start()
-    assert await new.settled() is Place.HELD
+    assert await new.settled() is Place.REGISTERED
     assert "newer" in await old.over()
-    assert old.state.place is Place.LOST  # it calls no more
+    assert old.state.place is Place.REPLACED  # it calls no more
     body = {**ENTRY, "since_ms": 100}
     assert (await call(session, service, "PUT", "/registry/instances/s1", body))[0] == 409
     renew = "/registry/instances/s1/renew"
@@ -157,7 +157,7 @@
     assert (await call(session, service, "POST", renew, {"since_ms": 200}))[0] == 200
     _, told, _ = await call(session, service, "GET", "/registry/instances")
     assert [row["address"] for row in told["endpoints"]] == ["127.0.0.1:7002"]
-    assert await new.wish("left", 5.0)
+    assert await new.request_status("left", 5.0)
     assert (await call(session, service, "POST", renew, {"since_ms": 200}))[0] == 404
     await old.close()
     await new.close()
@@ -343,7 +343,7 @@
     status, told, _ = await call(session, service, "GET", "/status")
     assert status == 200 and told["connections"] <= 4096  # the share of one address
     assert told["instances"] == {"active": 1} and told["watches"]["instances"] == 1
-    assert member.state.place is Place.HELD
+    assert member.state.place is Place.REGISTERED
     for sock in crowd:
         sock.close()
     await call(session, service, "DELETE", "/registry/instances/s1")
--- a/tests/test_registry_simulated.py
+++ b/tests/test_registry_simulated.py
@@ -109,8 +109,8 @@
 
     def drain(self, name, since):
         member = self.members[name, since]
-        member.wish(self.now, "leaving")
-        self.at(self.now + 600.0, member.wish, self.now + 600.0, "left")
+        member.request_status(self.now, "leaving")
+        self.at(self.now + 600.0, member.request_status, self.now + 600.0, "left")
         self.at(self.now + 600.0, self.speak, name, since)
         self.dead.add(name)  # it may leave the list from now on
 
@@ -159,7 +159,7 @@
         ), seed
         if renewed is not None:
             assert listed[renewed] == 5, seed
-            assert world.members[renewed, 0].place is Place.LOST, seed
+            assert world.members[renewed, 0].place is Place.REPLACED, seed
         lives += service.announced[-1] > service.told[0] + 2**20
         doubted += bool(world.cut or world.disturbed_at)
     assert lives > 50 and doubted > 50  # the faults were there
--- a/tests/test_registry_sockets.py
+++ b/tests/test_registry_sockets.py
@@ -89,7 +89,7 @@
     member.start()
     await aggregator.start()
     try:
-        assert await member.settled() is Place.HELD
+        assert await member.settled() is Place.REGISTERED
         await until(lambda: aggregator.mirror.count == 1)
         assert failing.left == 0
     finally:
