--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -325,15 +325,28 @@
         f"controlplane/store/{name}.py"
         for name in ("records", "commands", "transaction", "state", "leases", "incarnations", "statistics")
     ),
-    "controlplane/revisions/document.py",
-    "controlplane/revisions/edges.py",
-    "controlplane/revisions/core.py",
-    "controlplane/aggregation/messages.py",
-    "controlplane/aggregation/core.py",
+    *(
+        f"controlplane/revisions/{name}.py"
+        for name in (
+            *("timing", "document", "validation", "state", "transitions", "reports", "messages"),
+            *("membership", "leases", "authority", "coordinator", "pace"),
+        )
+    ),
+    *(
+        f"controlplane/aggregation/{name}.py"
+        for name in (
+            *("timing", "messages", "events", "actions", "state", "aggregator", "report_builder"),
+            *("child_reports", "upstream_messages", "state_release", "objections", "admission"),
+            *("children", "child_leases", "upstream_lease", "revision_view", "directory", "child_orders"),
+            *("merged_delays", "override_times", "override_exceptions"),
+        )
+    ),
     *(f"controlplane/overrides/{name}.py" for name in ("document", "clock", "history", "book", "reconciler")),
     "controlplane/registry/entries.py",
     "controlplane/registry/limits.py",
     "controlplane/registry/membership.py",
+    *(f"controlplane/registry/{name}.py" for name in ("sidecar_rows", "aggregator_rows", "revision_state")),
+    "controlplane/registry/report_answer.py",
     "controlplane/geo/evidence.py",
     "controlplane/geo/sketches.py",
     "controlplane/geo/changes.py",
--- a/tests/test_rules_shell.py
+++ b/tests/test_rules_shell.py
@@ -24,8 +24,9 @@
 from brassfall.controlplane.registry import client
 from brassfall.controlplane.registry.server import Service
 from brassfall.controlplane.registry.tasks import Tasks
-from brassfall.controlplane.revisions.core import Agreement, Forget
-from brassfall.controlplane.revisions.edges import Report
+from brassfall.controlplane.revisions.coordinator import RevisionCoordinator
+from brassfall.controlplane.revisions.messages import RemoveMember
+from brassfall.controlplane.revisions.reports import Report
 from brassfall.settings import AgreementSettings, RegistrySettings
 from tests.loopback import bounded, until
 
@@ -34,7 +35,7 @@
     return Service(RegistrySettings(listen="127.0.0.1:0", data=str(tmp_path / "registry"), **more))
 
 
-@pytest.mark.parametrize(("part", "method"), [("rules", "step"), ("overrides", "_step")])
+@pytest.mark.parametrize(("part", "method"), [("revisions", "step"), ("overrides", "_step")])
 @bounded(30.0)
 async def test_a_fault_ends_no_part(tmp_path, monkeypatch, part, method):
     made, calls = service(tmp_path), []
@@ -64,25 +65,31 @@
     made = service(tmp_path, agreement=AgreementSettings(forget_ms=0.0))
     await made.start()
     try:
-        rules, now = made.rules, made.rules.now()
+        revisions, now = made.revisions, made.revisions.now()
         row = {"region": "a", "window": 1, "span_ms": 500.0, "shake": {}, "first": {"100": 5}}
         for name, life in (("on", "p"), ("on", "q"), ("off", "p"), ("left", "p")):
-            rules._permission(name, Report(life=life, seq=1, group="g", measures={"delays": [row]}))
-        await until(lambda: rules.core.fleet.names == {"on", "off", "left"})
-        rules.core.fleet.names.discard("off")  # it never became one of the roster
-        assert set(made.geo._demand) == {"on", "off", "left"} == set(rules.core.fleet.edges)
+            made.nodes.answer(name, Report(process_id=life, seq=1, group="g", measures={"delays": [row]}))
+        await until(lambda: revisions.coordinator.membership.names == {"on", "off", "left"})
+        revisions.coordinator.membership.names.discard("off")  # it never became a member
+        assert set(made.geo._demand) == {"on", "off", "left"} == set(revisions.coordinator.membership.nodes)
         await _overridden(made)
-        rules._permission("left", Report(life="p", seq=2, leaving=True))
+        made.nodes.answer("left", Report(process_id="p", seq=2, leaving=True))
         assert made.overrides.findings() == {}  # it is no version without overrides
-        rules._permission("nobody", Report(life="p", seq=1, leaving=True))
-        assert list(rules.core._left) == ["left"]  # names without end leave nothing behind
-        rules.step(Forget("left"))
+        made.nodes.answer("nobody", Report(process_id="p", seq=1, leaving=True))
+        assert revisions.coordinator.departing == ["left"]  # names without end leave nothing behind
+        revisions.step(RemoveMember("left"))
         assert set(made.geo._demand) == {"on", "off"}
-        rules._sweep(now + 1e9)
-        assert rules.core.fleet.names == {"on"}  # of the roster none goes while another may be the one
-        monkeypatch.setattr(Agreement, "may_permit", lambda *_: "")
-        rules._sweep(now + 1e9)
-        assert (made.geo._demand, rules.core.fleet.edges, rules.core.fleet.holders) == ({}, {}, {})
+        revisions.sweep(now + 1e9)
+        assert revisions.coordinator.membership.names == {
+            "on"
+        }  # no member goes while another service may be the one
+        monkeypatch.setattr(RevisionCoordinator, "grant_refusal", lambda *_: "")
+        revisions.sweep(now + 1e9)
+        assert (
+            made.geo._demand,
+            revisions.coordinator.membership.nodes,
+            revisions.coordinator.leases.active(now),
+        ) == ({}, {}, {})
     finally:
         await made.close()
 
@@ -103,12 +110,12 @@
 
         assert orders("1-00000000") == []  # it is nobody's child that is known
         orders("1-00000000", None, [Member("c", "1")])
-        while not seen or not seen[-1].barred:
+        while not seen or not seen[-1].blocked:
             seen += orders("1-00000000", {"o9": 5})
-        assert any(order.list_overrides for order in seen) and any(order.retell for order in seen)
+        assert any(order.list_overrides for order in seen) and any(order.refresh_times for order in seen)
         assert list(made.overrides.findings()) == ["c"] and now[0] < 1_030_000
         assert orders("0-00000000") == [ChildOrder("c")] and made.overrides.findings() == {}
-        while not orders("1-00000000", {"o9": 5})[0].barred:
+        while not orders("1-00000000", {"o9": 5})[0].blocked:
             pass
         # Who goes to another aggregator is looked at anew there.
         assert orders("1-00000000", None, [Member("c", "1")], "y") == [ChildOrder("c")]
