--- a/brassfall/sidecar/client_connection.py
+++ b/brassfall/sidecar/client_connection.py
@@ -70,7 +70,7 @@
         self._parsing = False
         self._read_at = 0.0  # the last bytes
         self._timeout_from = 0.0  # by the loop's time: when the connection, or a later request on it, began
-        self._held_until_then_s = 0.0
+        self._paused_until_then_s = 0.0
         self._timer: asyncio.TimerHandle | None = (
             None  # for a request that is not complete, or the last answer
         )
@@ -273,9 +273,9 @@
         self._large = None
         for request in waiting:
             request.reservation.release(self._owner.budget)
-            held, request.request = request.request, None
-            if held is not None:
-                self._owner.handler.client_gone(held)
+            taken, request.request = request.request, None
+            if taken is not None:
+                self._owner.handler.client_gone(taken)
 
     # --- called by the parser (request_parser.Receiver) -----------------------
 
@@ -420,13 +420,13 @@
         self._rejected = True
         large, self._large = self._large, None
         if sending and large is not None:
-            self._cut_off(large, status)
+            self._abandon_large(large, status)
             return
         request = ClientRequest(self, Reservation(), keep_alive=False)
         self._waiting.append(request)
         request.finish(status, [], b"")
 
-    def _cut_off(self, request: ClientRequest, status: int) -> None:
+    def _abandon_large(self, request: ClientRequest, status: int) -> None:
         """A large request will never be complete: no server is to wait for the rest."""
         if request.request is not None:
             self._owner.handler.client_gone(request.request)
@@ -468,7 +468,7 @@
 
     def _start_timeout(self) -> None:
         self._timeout_from = self._owner.loop.time()
-        self._held_until_then_s = self.read_control.held_s
+        self._paused_until_then_s = self.read_control.paused_s
         self._timer = self._owner.loop.call_later(INCOMPLETE_S, self._incomplete)
 
     def _stop_timeout(self) -> None:
@@ -480,7 +480,7 @@
         """By when, in the loop's time, a complete request has to have come, by what has come. Time in which
         nothing is read of the client is not its own."""
         message = self._parser.message
-        begun = self._timeout_from + self.read_control.held_s - self._held_until_then_s
+        begun = self._timeout_from + self.read_control.paused_s - self._paused_until_then_s
         until = begun + INCOMPLETE_S
         if message is not None:
             more = message.size / BODY_BYTES_PER_S
@@ -489,7 +489,7 @@
                 heard_at = max(self._owner.clock.to_loop(self._read_at), self.read_control.resumed_at)
                 more = min(more, max(0.0, heard_at + STOPPED_MS / 1000.0 - until))
             until += more
-        return until + RESUME_S if self.read_control.held else until
+        return until + RESUME_S if self.read_control.paused else until
 
     def _incomplete(self) -> None:
         """No complete request has come: one that was begun is told so, once its time is over."""
--- a/brassfall/sidecar/connection_limits.py
+++ b/brassfall/sidecar/connection_limits.py
@@ -14,7 +14,7 @@
 REQUESTS_SHARE = 0.4  # of the descriptors for connections
 # A client that has as many connections as it may can't open the one that would make room here: from this part
 # of the limit on requests on, answers end their connections, and what is quiet is closed.
-CROWDED_SHARE = 0.75
+HIGH_WATER_SHARE = 0.75
 OPEN_SHARE = 0.47  # of the descriptors for connections
 RESERVED = 8  # descriptors kept free: for connections that give way, or make another do so
 
@@ -24,7 +24,7 @@
     """Numbers of connections of clients."""
 
     requests: int  # past it, requests are rejected
-    crowded: int  # past it, answers end their connections, and quiet connections give way to new ones
+    high_water: int  # past it, answers end their connections, and quiet connections give way to new ones
     open: int  # past it, whatever carries no request is closed, or else the new connection
 
     @classmethod
@@ -32,8 +32,8 @@
         """The limits of a process with this part of all descriptors."""
         connections = limits.connections(part)
         requests = max(1, int(min(connections * REQUESTS_SHARE, limits.descriptors * part * THIRD)))
-        crowded = max(1, int(requests * CROWDED_SHARE))
-        return cls(requests, crowded, max(2, int(connections * OPEN_SHARE)))
+        high_water = max(1, int(requests * HIGH_WATER_SHARE))
+        return cls(requests, high_water, max(2, int(connections * OPEN_SHARE)))
 
 
 def by_least_progress(connections: Iterable[ClientConnection], quiet_since: float) -> list[ClientConnection]:
--- a/brassfall/sidecar/handover.py
+++ b/brassfall/sidecar/handover.py
@@ -56,7 +56,7 @@
         self._serving = FileLock(path + SERVING_SUFFIX)
         self._next = FileLock(path + NEXT_SUFFIX)
 
-    def other_process_lives(self) -> bool:
+    def other_process_runs(self) -> bool:
         """Whether another process of this sidecar lives. Looks again each time it is asked."""
         if not self._serving.owned:
             if not self._serving.acquire():
--- a/brassfall/sidecar/inbound.py
+++ b/brassfall/sidecar/inbound.py
@@ -76,7 +76,7 @@
         self.limits = ConnectionLimits.of(self._machine_limits, part)
         self.budget.limit = int(self._machine_limits.memory * part * MEMORY_SHARE)
         # Where the limit has fallen below what is here, each new connection would be one too many.
-        self.make_room(max(0, len(self._connections) - self.limits.crowded))
+        self.make_room(max(0, len(self._connections) - self.limits.high_water))
 
     def reload(self, names: Names, deadline_ms: float = 0.0) -> None:
         """Other classes hold; clients whose requests have this deadline use the earlier ones for a while."""
@@ -107,7 +107,7 @@
     @property
     def closing(self) -> bool:
         """Whether each answer is the last on its connection."""
-        return self._ending or self._lifecycle.lame_duck or len(self._connections) > self.limits.crowded
+        return self._ending or self._lifecycle.lame_duck or len(self._connections) > self.limits.high_water
 
     def _state_changed(self) -> None:
         if self._sweep is not None:
@@ -174,7 +174,9 @@
         if len(self._connections) >= self.limits.open:
             self.make_room(max(1, self._opening))  # for those too that came with it: one look is dear
         elif (
-            len(self._connections) >= self.limits.crowded and now >= self._look_from and not self.make_room(1)
+            len(self._connections) >= self.limits.high_water
+            and now >= self._look_from
+            and not self.make_room(1)
         ):
             # Guards against a look for each of a crowd, of which none rests and none is quiet for long.
             self._look_from = now + LOOK_PAUSE_MS
--- a/brassfall/sidecar/read_control.py
+++ b/brassfall/sidecar/read_control.py
@@ -34,8 +34,8 @@
         self._on_closed = on_closed
         self._transport: asyncio.Transport | None = None  # while the connection is up
         self._holds: set[Hold] = set()
-        self._held_since = 0.0  # by the loop's time
-        self._held_before_s = 0.0  # in earlier pauses
+        self._paused_since = 0.0  # by the loop's time
+        self._paused_before_s = 0.0  # in earlier pauses
         self._look: asyncio.TimerHandle | None = None
 
     def connected(self, transport: asyncio.Transport) -> None:
@@ -43,15 +43,15 @@
         self._transport = transport
 
     @property
-    def held(self) -> bool:
+    def paused(self) -> bool:
         """Whether nothing is read for now."""
         return bool(self._holds)
 
     @property
-    def held_s(self) -> float:
+    def paused_s(self) -> float:
         """For how many seconds nothing was read, in all."""
-        now = self._loop.time() - self._held_since if self._holds else 0.0
-        return self._held_before_s + now
+        now = self._loop.time() - self._paused_since if self._holds else 0.0
+        return self._paused_before_s + now
 
     def holds(self, reason: Hold) -> bool:
         """Whether this is one of the reasons why nothing is read."""
@@ -62,7 +62,7 @@
         if self._transport is None or reason in self._holds:
             return
         if not self._holds:
-            self._held_since = self._loop.time()
+            self._paused_since = self._loop.time()
             self._transport.pause_reading()
             self._look = self._loop.call_later(LOOK_S, self._look_for_close)
         self._holds.add(reason)
@@ -76,7 +76,7 @@
             self.stop_looking()
             self.may_be_stale = True
             self.resumed_at = self._loop.time()
-            self._held_before_s += self.resumed_at - self._held_since
+            self._paused_before_s += self.resumed_at - self._paused_since
             self._transport.resume_reading()
 
     def disconnected(self) -> None:
--- a/brassfall/sidecar/sidecar.py
+++ b/brassfall/sidecar/sidecar.py
@@ -153,7 +153,7 @@
         """Hold half of all while another process of this sidecar lives; whether one does."""
         if self.handover is None:
             return False
-        shares = self.handover.other_process_lives()
+        shares = self.handover.other_process_runs()
         if shares != self._shares_machine:
             self._shares_machine = shares
             part = 0.5 if shares else 1.0
--- a/tests/test_crossings_inbound.py
+++ b/tests/test_crossings_inbound.py
@@ -31,6 +31,7 @@
 LARGE = b"x" * 3_000_000
 LONG = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(LARGE) + LARGE
 LONG_BUDGET = "60000m"  # no deadline comes before the end of what is waited for
+TLS = b"\x16\x03\x01\x00\xa5\x01\x00\x00\xa1\x03\x03" + bytes(range(160))
 READY = b"GET /health/ready HTTP/1.1\r\n\r\n"
 
 
@@ -422,6 +423,20 @@
         await nothing_left(sidecar)
 
 
+@pytest.mark.parametrize("behind", [b"", b"GARBAGE\r\n\r\n", TLS, partners.request()])
+@loopback
+async def test_an_answer_that_is_given_at_once_comes_whatever_follows_its_last_request(behind):
+    # What was no request behind it kept an answer that was there from being written.
+    async with running() as sidecar:
+        app = await App.connect(sidecar.address)
+        app.writer.write(READY.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n") + behind)
+        answer = await app.answer()
+        assert (status_of(answer), answer.headers["connection"]) == (200, "close")
+        assert await app.answer() is None
+        app.close()
+        await nothing_left(sidecar)
+
+
 @loopback
 async def test_no_more_is_read_while_many_requests_wait_for_their_answers():
     upstream = await Upstream([hang]).start()
@@ -532,7 +547,6 @@
 UPGRADE = {"Connection": "Upgrade, HTTP2-Settings", "Upgrade": "h2c", "HTTP2_Settings": "AAMAAABk"}
 CHUNKED = {"Content_Length": None, "Transfer_Encoding": "chunked"}
 WHOLE = partners.request("POST", "/pay", b"hello")
-TLS = b"\x16\x03\x01\x00\xa5\x01\x00\x00\xa1\x03\x03" + bytes(range(160))
 
 BAD = {
     "half a request line": (WHOLE[:8], 408),
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -398,7 +398,9 @@
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
         app.send()
-        await until(lambda: sidecar.inbound.connections and sidecar.inbound.connections[0].read_control.held)
+        await until(
+            lambda: sidecar.inbound.connections and sidecar.inbound.connections[0].read_control.paused
+        )
         (connection,) = sidecar.inbound.connections
         buffered = connection.transport.get_write_buffer_size()
         assert buffered <= client_connection.MAX_UNSENT + 2 * body.MAX_BUFFERED
--- a/tests/test_sidecar_requests.py
+++ b/tests/test_sidecar_requests.py
@@ -422,7 +422,7 @@
 async def test_room_is_made_by_closing_what_is_idle_before_a_request_is_refused():
     upstream = await Upstream([OK, hang]).start()
     async with running(upstream) as sidecar:
-        sidecar.inbound.limits.requests = sidecar.inbound.limits.crowded = 2
+        sidecar.inbound.limits.requests = sidecar.inbound.limits.high_water = 2
         apps = [await App.connect(sidecar.address) for _ in range(2)]
         assert status_of(await apps[0].ask()) == 200
         apps[1].send()
@@ -440,7 +440,7 @@
 async def test_in_a_crowd_each_answer_is_the_last_on_its_connection():
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
-        sidecar.inbound.limits.crowded = 2
+        sidecar.inbound.limits.high_water = 2
         apps = [await App.connect(sidecar.address) for _ in range(3)]
         await until(lambda: len(sidecar.inbound.connections) == 3)
         assert (await apps[0].ask()).headers["connection"] == "close"
@@ -462,7 +462,7 @@
         await until(lambda: sum(c.begun for c in sidecar.inbound.connections) == 1)
         answer = await idle.ask("GET", "/health/ready", X_Call_Class=None)
         assert answer.headers.get("connection") is None
-        sidecar.inbound.limits.crowded = 1
+        sidecar.inbound.limits.high_water = 1
         # The longest silent comes before the one that came later, and a begun request after both.
         for held, gone in enumerate((idle, silent, later, begun), start=2):
             new = await App.connect(sidecar.address)
@@ -483,7 +483,7 @@
         for app in apps:
             assert "connection" not in (await app.ask("GET", "/health/ready", X_Call_Class=None)).headers
         sidecar.inbound.share(0.5)
-        assert len(sidecar.inbound.connections) <= sidecar.inbound.limits.crowded < 60
+        assert len(sidecar.inbound.connections) <= sidecar.inbound.limits.high_water < 60
         new = await App.connect(sidecar.address)
         assert (await new.ask()).body == b"done"
         assert await apps[0].answer() is None
@@ -493,7 +493,7 @@
 async def test_a_request_in_slow_pieces_stays_while_there_is_room():
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
-        sidecar.inbound.limits.crowded = 1
+        sidecar.inbound.limits.high_water = 1
         slow = await App.connect(sidecar.address)
         whole = partners.request("POST", "/pay", b"hello")
         slow.writer.write(whole[:-1])
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -71,23 +71,23 @@
 
 def test_two_processes_know_of_each_other(tmp_path):
     old, new = Handover(str(tmp_path), "n0"), Handover(str(tmp_path), "n0")
-    assert not old.other_process_lives()
-    assert new.other_process_lives() and old.other_process_lives()
-    assert new.other_process_lives() and old.other_process_lives()
+    assert not old.other_process_runs()
+    assert new.other_process_runs() and old.other_process_runs()
+    assert new.other_process_runs() and old.other_process_runs()
     old.release()
-    assert not new.other_process_lives()
+    assert not new.other_process_runs()
     third = Handover(str(tmp_path), "n0")
-    assert third.other_process_lives() and new.other_process_lives()
+    assert third.other_process_runs() and new.other_process_runs()
     third.release()  # it did not come to serve
-    assert not new.other_process_lives()
+    assert not new.other_process_runs()
     other = Handover(str(tmp_path), "n1")
-    assert not other.other_process_lives() and not new.other_process_lives()
+    assert not other.other_process_runs() and not new.other_process_runs()
     other.release()
     new.release()
 
 
 def test_a_folder_that_can_not_be_written_stops_no_start(tmp_path, capsys):
-    assert not Handover(str(tmp_path / "missing"), "n0").other_process_lives()
+    assert not Handover(str(tmp_path / "missing"), "n0").other_process_runs()
     assert "handover" in capsys.readouterr().err
 
 
@@ -122,10 +122,10 @@
 
 def test_what_a_lock_file_holds_is_nobodys_concern(tmp_path):
     old = Handover(str(tmp_path), "n0")
-    old.other_process_lives()
+    old.other_process_runs()
     old.release()
     for path in tmp_path.iterdir():
         path.write_text(json.dumps({"version": 99})[:-3])
     handover = Handover(str(tmp_path), "n0")
-    assert not handover.other_process_lives()
+    assert not handover.other_process_runs()
     handover.release()
