--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -24,6 +24,9 @@
     issue: str
 
 
+KNOWN = pytest.StashKey[list[KnownRed]]()
+
+
 def read(text: str) -> list[KnownRed]:
     """The lines; `ValueError` says what is wrong with one, and what to do."""
     rows = [line for line in text.splitlines() if line.strip()]
@@ -46,25 +49,29 @@
     parser.addoption("--known-red", metavar="FILE", help="tests that may fail, each with its cause")
 
 
-def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """Expect the tests named to fail, strictly: one that passes is a failure."""
+def pytest_configure(config: pytest.Config) -> None:
+    """Read the file; the process that prints the summary may be another than those that run the tests."""
     path = config.getoption("--known-red")
     if path is None:
         return
     try:
-        known = read(Path(path).read_text(encoding="utf-8"))
+        config.stash[KNOWN] = read(Path(path).read_text(encoding="utf-8"))
     except (OSError, ValueError) as error:
         raise pytest.UsageError(f"{path}: {error}") from error
+
+
+@pytest.hookimpl(tryfirst=True)
+def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
+    """Expect the tests named to fail, strictly: one that passes is a failure.
+
+    Comes before any selection by a mark, which leaves out tests that are there all the same."""
+    path, known = config.getoption("--known-red"), config.stash.get(KNOWN, [])
     by_name = {item.nodeid: item for item in items}
     for each in known:
         if each.test not in by_name:
             raise pytest.UsageError(f"{path}: {each.test} names no test: take the line out, or mend it")
         reason = f"{each.cause} (issue {each.issue})"
         by_name[each.test].add_marker(pytest.mark.xfail(reason=reason, strict=True))
-    config.stash[KNOWN] = known
-
-
-KNOWN = pytest.StashKey[list[KnownRed]]()
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter, config: pytest.Config) -> None:
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -9,6 +9,8 @@
 
 import pytest
 
+from tests.conftest import REAL_TIME
+
 ROOT = Path(__file__).resolve().parent.parent
 HOUSE = ROOT / "brassfall"
 PACKAGE = HOUSE / "balancer"
@@ -385,3 +387,11 @@
     met = {alias.name for node in ast.walk(tree) if isinstance(node, ast.Import) for alias in node.names}
     met |= {node.module or "" for node in ast.walk(tree) if isinstance(node, ast.ImportFrom)}
     assert not met & {"time", "random", "socket", "os", "asyncio", "sqlite3", "pathlib", "aiohttp", "secrets"}
+
+
+def test_every_module_of_tests_that_starts_processes_is_named_as_running_in_real_time():
+    files = {path.stem.removeprefix("test_"): path for path in (ROOT / "tests").glob("test_*.py")}
+    assert files.keys() >= REAL_TIME
+    for name, path in files.items():
+        if "\nfrom tests.processes import" in path.read_text():
+            assert name in REAL_TIME, name
