--- a/brassfall/balancer/balancer.py
+++ b/brassfall/balancer/balancer.py
@@ -142,14 +142,18 @@
         request = self._requests[arrival.request] = self._taken(now, arrival)
         self._paces.arrive(request.work)
         request.over_quota = self._shedder.arrive(
-            request.request_class, request.profile.worth, request.work, request.tenant, self._rng.random()
+            request.request_class,
+            request.profile.priority_weight,
+            request.work,
+            request.tenant,
+            self._rng.random(),
         )
         key = request.key
         if key is not None and self.settings.warm_keys:
             self._affinity.count(key)
         if self._too_heavy(now, request):
             self._give_up(now, request, "heavy")
-        elif key is not None and request.profile.in_turn:
+        elif key is not None and request.profile.ordered:
             self._enqueue(now, request, key)
         else:
             self._attempt(now, request)
@@ -299,7 +303,7 @@
 
     def _too_heavy(self, now: float, request: Request) -> bool:
         """Whether, under overload, a request would take a server and still come too late."""
-        if request.profile.late_worth > 0.0 or self._shedder.probability(now) <= SHED_IDLE:
+        if request.profile.late_weight > 0.0 or self._shedder.probability(now) <= SHED_IDLE:
             return False
         work = request.work if request.work_known else None
         return self._paces.expected_ms(request.request_class, work) > OVERRUN * request.profile.objective
@@ -495,7 +499,7 @@
         """Drop the record of a request that is over, and start the next one of its key."""
         if request.ended and request.outstanding == 0:
             self._requests.pop(request.id, None)
-            if request.profile.in_turn and request.key is not None:
+            if request.profile.ordered and request.key is not None:
                 self._advance(now, request.key)
 
     # --- the endpoint list ----------------------------------------------------
--- a/brassfall/balancer/load_shedding.py
+++ b/brassfall/balancer/load_shedding.py
@@ -57,14 +57,14 @@
 
     def reload(self, settings: Settings, kept: Collection[int]) -> None:
         """Other settings; the mix remembers the classes that stay."""
-        self._by_work = settings.worth_by_work
-        self._over_quota_weight = settings.over_share_worth
+        self._by_work = settings.weight_by_work
+        self._over_quota_weight = settings.over_quota_weight
         self._worst_class = settings.worst_class
-        whole = sum(settings.allowances) or 1.0
-        self._quotas = [allowance / whole for allowance in settings.allowances]
+        total = sum(settings.allowances) or 1.0
+        self._quotas = [allowance / total for allowance in settings.allowances]
         self._mix = {kind: entry for kind, entry in self._mix.items() if kind[0] in kept}
         for (request_class, _), entry in self._mix.items():
-            entry.weight = settings.profiles[request_class].worth
+            entry.weight = settings.profiles[request_class].priority_weight
 
     def arrive(self, request_class: int, weight: float, work: float, tenant: int, chance: float) -> bool:
         """Count an arrival; whether it is held to be over its tenant's quota, by a random `chance`."""
--- a/brassfall/balancer/pace.py
+++ b/brassfall/balancer/pace.py
@@ -86,9 +86,9 @@
         for pace in (service, kind, own):
             pace.add(spent, work)
         belief = PACE_PRIOR * self.mean_work
-        whole = service.rate(0.0, 0.0)
-        of_kind = kind.rate(whole, belief)
-        kind.speed = max(MIN_SPEED, (whole / of_kind) ** PACE_POWER)
+        of_service = service.rate(0.0, 0.0)
+        of_kind = kind.rate(of_service, belief)
+        kind.speed = max(MIN_SPEED, (of_service / of_kind) ** PACE_POWER)
         own.speed = max(MIN_SPEED, (of_kind / own.rate(of_kind, belief)) ** PACE_POWER)
 
     def learn_class(self, request_class: int, spent: float) -> None:
--- a/brassfall/balancer/records.py
+++ b/brassfall/balancer/records.py
@@ -135,7 +135,7 @@
 
     def useful_until(self) -> float:
         """When an answer stops earning anything."""
-        if self.profile.late_worth > 0.0:
+        if self.profile.late_weight > 0.0:
             return self.give_up_at
         return min(self.give_up_at, self.arrived_at + self.profile.objective)
 
--- a/brassfall/balancer/slow_start.py
+++ b/brassfall/balancer/slow_start.py
@@ -21,13 +21,13 @@
     """Budgets of sends for the servers that are warming up."""
 
     __slots__ = (
-        "_cold_from",
         "_endpoints",
         "_fall_multiple",
         "_rate",
         "_refused_before",
         "_refused_before_at",
         "_span_ms",
+        "_start_share",
         "_steering",
         "_warm_keys",
         "_warm_up_ms",
@@ -56,7 +56,7 @@
     def reload(self, settings: Settings) -> None:
         """Other settings from now on."""
         self._warm_up_ms = settings.warm_up
-        self._cold_from = settings.cold_from
+        self._start_share = settings.slow_start_from
         self._fall_multiple = settings.fall_multiple
         self._span_ms = settings.overload_for or RATE_MS
         self._warm_keys = settings.warm_keys
@@ -70,8 +70,8 @@
         age = max(0.0, now - server.started)
         if age >= self._warm_up_ms:
             return 1.0
-        cold = self._cold_from
-        return max(MIN_WARMTH, cold + (1.0 - cold) * age / self._warm_up_ms)
+        start = self._start_share
+        return max(MIN_WARMTH, start + (1.0 - start) * age / self._warm_up_ms)
 
     def has_budget(self, now: float, server: Server) -> bool:
         """Whether a server may have one more send from this sidecar.
--- a/brassfall/balancer/zones.py
+++ b/brassfall/balancer/zones.py
@@ -32,7 +32,7 @@
 
     def _price(self, settings: Settings) -> None:
         """What a crossing costs, as a share of a request's priority weight, by class."""
-        weights = [profile.worth for profile in settings.profiles]
+        weights = [profile.priority_weight for profile in settings.profiles]
         price = settings.prices.get("CrossZone", 0.0)
         self.active = settings.zones > 1 and price >= CROSS_PRICE_LEAST
         self._locality = settings.locality
--- a/brassfall/sidecar/config.py
+++ b/brassfall/sidecar/config.py
@@ -292,8 +292,11 @@
         raise ConfigError(f"configuration: {missing[0]} is missing")
     classes, kept = _slots(running, told, busy)
     # What is gone weighs no more than what there is: the class of most worth sets what a crossing costs.
-    most = max(profile.worth for profile in told.settings.profiles)
-    gone = (replace(profile, worth=min(profile.worth, most)) for profile in running.settings.profiles)
+    most = max(profile.priority_weight for profile in told.settings.profiles)
+    gone = (
+        replace(profile, priority_weight=min(profile.priority_weight, most))
+        for profile in running.settings.profiles
+    )
     profiles = dict(enumerate(gone))
     for name, kind in told.names.classes.items():
         profiles[classes[name].band] = told.settings.profiles[kind.band]
--- a/tests/test_crossings_reload.py
+++ b/tests/test_crossings_reload.py
@@ -109,7 +109,7 @@
 def asked(made, count=100):
     for number in range(count):
         profile = made.settings.profiles[number % 2]
-        made._shedder.arrive(number % 2, profile.worth, 1.0 + number % 2, 0, 1.0)
+        made._shedder.arrive(number % 2, profile.priority_weight, 1.0 + number % 2, 0, 1.0)
 
 
 @pytest.mark.parametrize(
