--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -839,7 +839,7 @@
             "server.in_flight": sum(server.in_flight for server in servers),
             "server.outstanding": sum(len(server.outstanding) for server in servers),
             "pool._connections": len(self.pool._connections),
-            "pool._opening": len(self.pool._opening),
+            "pool.opening": self.pool.opening,
         }
         for name, count in left.items():
             if count:
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -89,6 +89,11 @@
     body: bytes
     connection: int = 0
 
+    @property
+    def status(self):
+        """Of an answer."""
+        return int(self.start.split(" ")[1])
+
 
 async def read_message(reader):
     """One HTTP message with a Content-Length, or None at the end."""
@@ -333,7 +338,7 @@
     """Whether every count is back at none, and each open connection is an idle one."""
     driver, pool = sidecar.driver, sidecar.pool
     idle = [connection for server in pool._servers.values() for connection in server.idle]
-    counts = [driver._open, driver._flowing, len(driver._requests), len(pool._opening)]
+    counts = [driver._open, driver._flowing, len(driver._requests), pool.opening]
     balancer = driver._balancer
     if not isinstance(balancer, Scripted):
         servers = balancer._endpoints.servers.values()
@@ -380,6 +385,27 @@
     return app
 
 
+@dataclass
+class Waiting:
+    """A sidecar whose one request waits for its connection, until the test opens the gate."""
+
+    sidecar: Sidecar
+    upstream: Upstream | list[Upstream]
+    gate: Gate
+    app: App
+
+
+@contextlib.asynccontextmanager
+async def request_that_waits(monkeypatch, balancer=None, **settings):
+    """A client's request that has been decided, and whose connection comes up late."""
+    upstream = await Upstream([OK]).start()
+    gate = Gate(monkeypatch, [upstream])
+    async with tidy(upstream, balancer=balancer, **never_cancels(), **settings) as sidecar:
+        app = await asked(sidecar)
+        await until(lambda: gate.waiting)
+        yield Waiting(sidecar, upstream, gate, app)
+
+
 def hear(sidecar, *entries):
     """News of discovery."""
     sidecar.driver.server_list(
--- a/tests/test_crossings_reload.py
+++ b/tests/test_crossings_reload.py
@@ -253,10 +253,10 @@
         profiles = [row(name, rng.choice(EFFECTS)) for name in rng.sample("abcdef", 3)]
         running = take(running, raw(Profiles=profiles), made.bands).config
         made.reload(running.names)
-        while len(made._before) > rng.randrange(1, 4):
-            made._forget_classes(made._before[-1])  # after their 4 s
+        while len(made.classes.known) - 1 > rng.randrange(1, 4):
+            made.classes.forget(made.classes.known[-1])  # after their 4 s
         named = {}
-        for names in (made._names, *made._before):
+        for names in made.classes.known:
             for name, kind in names.classes.items():
                 this = (name, kind.method, kind.keyed)
                 assert named.setdefault(kind.band, this) == this
@@ -302,9 +302,9 @@
     loop = asyncio.get_running_loop()
     before, after = (told(Rules={"StopSendingWithin": ms}) for ms in (500.0, grace))
     pool = outbound.Pool(loop, Clock(loop), before)
-    pool.update(0.0, True, parse_list(listed(1, entry("s0"), entry("s1")), before.names))
+    pool.update(0.0, parse_list(listed(1, entry("s0"), entry("s1")), before.names), complete=True)
     leaving = listed(2, entry("s0", status="leaving"), snapshot=False)
-    pool.update(1000.0, False, parse_list(leaving, before.names))
+    pool.update(1000.0, parse_list(leaving, before.names), complete=False)
     pool.reload(copy.copy(after))
     assert pool._servers["s0"].closed_from == closed_from
     assert pool._servers["s1"].closed_from == math.inf
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -131,6 +131,14 @@
 FLEET = "brassfall.sidecar.agent"
 BODY, CONFIG, DRIVER = "brassfall.sidecar.body", "brassfall.sidecar.config", "brassfall.sidecar.driver"
 FRAMING = "brassfall.sidecar.framing"
+EXCHANGE, SERVER_ANSWERS = "brassfall.sidecar.exchange", "brassfall.sidecar.server_answers"
+SERVER_CONNECTION = "brassfall.sidecar.server_connection"
+INBOUND = "brassfall.sidecar.inbound"
+CLIENT_CONNECTION, CLIENT_REQUEST = "brassfall.sidecar.client_connection", "brassfall.sidecar.client_request"
+CONNECTION_LIMITS, KNOWN_CLASSES = "brassfall.sidecar.connection_limits", "brassfall.sidecar.known_classes"
+READ_CONTROL, STREAMED_ANSWER = "brassfall.sidecar.read_control", "brassfall.sidecar.streamed_answer"
+REQUEST_CHECKS, REQUEST_MESSAGE = "brassfall.sidecar.request_checks", "brassfall.sidecar.request_message"
+REQUEST_PARSER = "brassfall.sidecar.request_parser"
 LIFECYCLE, LISTENER = "brassfall.sidecar.lifecycle", "brassfall.sidecar.listener"
 FLEET = "brassfall.sidecar.agent"
 START_TIMES = "brassfall.sidecar.start_times"
@@ -154,8 +162,65 @@
         ("handover.py", {CONFIG, DRIVER}),
         ("listener.py", {CONFIG}),
         ("admin.py", {CONFIG, DRIVER, LIFECYCLE, LISTENER}),
-        ("inbound.py", {BODY, CONFIG, DRIVER, FRAMING, LIFECYCLE, LISTENER}),
-        ("outbound.py", {BODY, CONFIG, DRIVER, FRAMING, MODEL}),
+        ("exchange.py", {BODY, DRIVER}),
+        ("health_checks.py", set()),
+        ("server_answers.py", {DRIVER, FRAMING, MODEL, "brassfall.balancer.settings"}),
+        ("server_connection.py", {BODY, CONFIG, DRIVER, EXCHANGE, FRAMING, MODEL, SERVER_ANSWERS}),
+        ("connecting.py", {DRIVER, EXCHANGE, MODEL, SERVER_CONNECTION}),
+        (
+            "outbound.py",
+            {
+                CONFIG,
+                DRIVER,
+                EXCHANGE,
+                MODEL,
+                SERVER_ANSWERS,
+                SERVER_CONNECTION,
+                "brassfall.sidecar.connecting",
+                "brassfall.sidecar.health_checks",
+            },
+        ),
+        ("request_message.py", {BODY, FRAMING}),
+        ("request_checks.py", {CONFIG, REQUEST_MESSAGE}),
+        ("request_parser.py", {BODY, FRAMING, REQUEST_CHECKS, REQUEST_MESSAGE}),
+        ("streamed_answer.py", {DRIVER, FRAMING}),
+        (
+            "client_request.py",
+            {BODY, CONFIG, DRIVER, FRAMING, REQUEST_CHECKS, REQUEST_MESSAGE, STREAMED_ANSWER},
+        ),
+        ("read_control.py", {FRAMING}),
+        (
+            "client_connection.py",
+            {
+                BODY,
+                CLIENT_REQUEST,
+                DRIVER,
+                FRAMING,
+                READ_CONTROL,
+                REQUEST_MESSAGE,
+                REQUEST_PARSER,
+                STREAMED_ANSWER,
+            },
+        ),
+        ("connection_limits.py", {CLIENT_CONNECTION, CONFIG}),
+        ("known_classes.py", {CLIENT_REQUEST, CONFIG, REQUEST_MESSAGE}),
+        (
+            "inbound.py",
+            {
+                BODY,
+                CLIENT_CONNECTION,
+                CLIENT_REQUEST,
+                CONFIG,
+                CONNECTION_LIMITS,
+                DRIVER,
+                FRAMING,
+                KNOWN_CLASSES,
+                LIFECYCLE,
+                LISTENER,
+                REQUEST_MESSAGE,
+            },
+        ),
+        ("shutdown.py", {DRIVER, INBOUND}),
         ("agent/lists.py", {CONFIG, MODEL}),
         ("agent/forms.py", set()),
         ("agent/lease_client.py", {FLEET, *fleet("forms")}),
@@ -214,8 +279,10 @@
 )
 PURE = (
     "errors.py",
-    "controlplane/store/core.py",
-    "controlplane/store/leases.py",
+    *(
+        f"controlplane/store/{name}.py"
+        for name in ("records", "commands", "transaction", "state", "leases", "incarnations", "statistics")
+    ),
     "controlplane/revisions/document.py",
     "controlplane/revisions/edges.py",
     "controlplane/revisions/core.py",
--- a/tests/test_standing_brink.py
+++ b/tests/test_standing_brink.py
@@ -14,7 +14,7 @@
 import pytest
 
 from brassfall.balancer.model import Cancel, Fetch, Outcome, Send
-from brassfall.sidecar import inbound
+from brassfall.sidecar import client_request
 from tests.loopback import (
     OK,
     SETTINGS,
@@ -230,7 +230,7 @@
             (resting,) = sidecar.pool._servers["s0"].idle
             upstream.writers[-1].write(HALF)
             if read:
-                await until(lambda resting=resting: resting.lost)
+                await until(lambda resting=resting: resting.closed)
             # Or no turn of the loop in between: it lies there as the request comes.
             connections = len(upstream.writers)
             assert (await app.ask()).body == b"done"
@@ -249,7 +249,7 @@
     async with tidy(upstream, balancer=module) as sidecar:
         app = await App.connect(sidecar.address)
         app.send()
-        await until(lambda: any(it._parser._other for it in sidecar.pool._connections))
+        await until(lambda: any(it._parser._overhead for it in sidecar.pool._connections))
         app.close()
         await until(lambda: module.named("client_gone"))
         again = await App.connect(sidecar.address)
@@ -284,13 +284,13 @@
 @loopback
 async def test_an_answer_that_ends_its_connection_is_not_reset_by_what_came_meanwhile(monkeypatch, more):
     """It lies unread in the turn in which the answer is written: a plain close over it would be a reset."""
-    served = inbound.Exchange.served
+    served = client_request.ClientRequest.served
 
     def crossed(exchange, answer):
         app.writer.write(more)
         served(exchange, answer)
 
-    monkeypatch.setattr(inbound.Exchange, "served", crossed)
+    monkeypatch.setattr(client_request.ClientRequest, "served", crossed)
     upstream = await Upstream([OK]).start()
     async with running(upstream, balancer=Scripted()) as sidecar:
         app = await App.connect(sidecar.address)
@@ -319,7 +319,7 @@
         await until(lambda: len(sidecar.driver._requests) == 1)  # before any connection is up
         gate.open.set()
         assert (await apps[-1].answer()).body == b"done"
-        await until(lambda: not sidecar.pool._opening)
+        await until(lambda: not sidecar.pool.opening)
         assert len(upstream.seen) == 1
         apps[-1].close()
 
