--- a/brassfall/balancer/balancer.py
+++ b/brassfall/balancer/balancer.py
@@ -137,8 +137,8 @@
 
     def request(self, now: float, arrival: model.Arrival) -> list[model.Action]:
         """A client's request: refuse it at once or send it. `ValueError` if there is no such class."""
-        if not 0 <= arrival.band < len(self.settings.profiles):
-            raise ValueError(f"request {arrival.request}: no class {arrival.band}")
+        if not 0 <= arrival.request_class < len(self.settings.profiles):
+            raise ValueError(f"request {arrival.request}: no class {arrival.request_class}")
         request = self._requests[arrival.request] = self._taken(now, arrival)
         self._paces.arrive(request.work)
         request.over_quota = self._shedder.arrive(
@@ -291,10 +291,12 @@
 
     def _taken(self, now: float, arrival: model.Arrival) -> Request:
         """The record of a request that arrives."""
-        profile = self.settings.profiles[arrival.band]
+        profile = self.settings.profiles[arrival.request_class]
         # A figure that is not finite must not reach a time-out: the class's own serves.
         until = arrival.give_up_at if math.isfinite(arrival.give_up_at) else now + profile.deadline
-        request = Request(arrival.request, arrival.band, arrival.key, profile, self.settings, now, until)
+        request = Request(
+            arrival.request, arrival.request_class, arrival.key, profile, self.settings, now, until
+        )
         if arrival.work and 0.0 < arrival.work < math.inf:
             request.work, request.work_known = arrival.work, True
         request.tenant = arrival.tenant
--- a/brassfall/balancer/endpoints.py
+++ b/brassfall/balancer/endpoints.py
@@ -119,9 +119,9 @@
         ring = [self.servers[name] for name in sorted(self.servers)]
         start = int((self._me * GOLDEN) % 1.0 * len(ring))
         usable = [server for server in ring[start:] + ring[:start] if server.usable]
-        may_exclude = usable if steer.holds else []
+        may_exclude = usable if steer.excludes else []
         self._excluded = {
-            s: None for s in may_exclude if s.zone in steer.held_zones or s.name in steer.held_servers
+            s: None for s in may_exclude if s.zone in steer.excluded_zones or s.name in steer.excluded_servers
         }
         # Where all are excluded, or all of the group that a request is bound to, there is no other.
         self.ring = [server for server in usable if server not in self._excluded] or usable
--- a/brassfall/balancer/model.py
+++ b/brassfall/balancer/model.py
@@ -113,50 +113,48 @@
 
 
 class Listing(NamedTuple):
-    """One entry of a server list."""
+    """One entry of the endpoint list; `zone`, `kind` and `cell` are numbers that it gives."""
 
     server: str
     zone: int = 0
-    kind: int = 0
-    cell: int = 0
-    state: str = "active"
+    kind: int = 0  # of machine
+    cell: int = 0  # servers of one cell share the idempotency keys that they have seen
+    state: str = "active"  # or "leaving" (draining), or "left"
     weight: float = 1.0
-    started: float = 0.0
+    started: float = 0.0  # when, in milliseconds of the clock of the events; 0: long ago
 
 
 class Arrival(NamedTuple):
-    """A client's request, with the clock time at which the client gives up."""
+    """A client's request, with the clock time, in milliseconds, at which the client gives up."""
 
     request: int
-    band: int
+    request_class: int  # its position in `Settings.profiles`
     give_up_at: float
     tenant: int = 0
     key: int | None = None
-    work: float | None = None
-    again: bool = False
+    work: float | None = None  # expected, in milliseconds on a standard core
+    retried: bool = False  # whether the client marked it as a retry
     mutates: bool = False
     large: bool = False  # its body is still coming, and only its beginning can be sent again
 
 
 class Steer(NamedTuple):
-    """How picks are steered, replaced whole by each new one; the neutral one changes nothing.
+    """How requests are steered, replaced as one by each new value; the neutral one changes nothing.
 
-    A zone is its position in `FailureDomains`. What shares leave of 1 goes by the present picks.
+    A zone is its position in `FailureDomains`. What shares leave of 1 goes as without a plan.
     """
 
-    shares: Mapping[int, float] = MappingProxyType(
-        {}
-    )  # zone -> share of first attempts; empty: present picks
+    shares: Mapping[int, float] = MappingProxyType({})  # zone -> share of first attempts; empty: no plan
     class_shares: Mapping[int, Mapping[int, float]] = MappingProxyType({})  # by class, instead of `shares`
     tenant_shares: Mapping[int, Mapping[int, float]] = MappingProxyType({})  # by tenant, instead of both
-    held_zones: frozenset[int] = frozenset()  # held off: no new send while any other server can take it
-    held_servers: frozenset[str] = frozenset()
+    excluded_zones: frozenset[int] = frozenset()  # no new send while any other server can take it
+    excluded_servers: frozenset[str] = frozenset()
     caps: Mapping[int, float] = MappingProxyType({})  # class -> most requests/s; over it: refused locally
-    weight: float = 1.0  # 0 to 1, how far shares count: a plan that ages fades to the present picks
-    look: float = 0.0  # share of repeatable first attempts with time to spare for zones of low share
+    weight: float = 1.0  # 0 to 1, how far shares count: a plan that ages fades out
+    explore: float = 0.0  # share of idempotent first attempts with time to spare for zones of low share
     pins: Mapping[int, int] = MappingProxyType({})  # tenant -> the one zone that may serve it; -1 is none
 
     @property
-    def holds(self) -> bool:
-        """Whether any zone or server is held off."""
-        return bool(self.held_zones or self.held_servers)
+    def excludes(self) -> bool:
+        """Whether any zone or server is excluded."""
+        return bool(self.excluded_zones or self.excluded_servers)
--- a/brassfall/balancer/selection.py
+++ b/brassfall/balancer/selection.py
@@ -142,7 +142,9 @@
     def _steered_zone(self, search: Search) -> int | None:
         """The zone drawn for a first attempt, or None for the sampling without a plan."""
         now, request, steer = search.now, search.request, self._steering.steer
-        explore = steer.look > 0.0 and self._rng.random() < steer.look * steer.weight and not request.large
+        explore = (
+            steer.explore > 0.0 and self._rng.random() < steer.explore * steer.weight and not request.large
+        )
         explore = explore and repeatable(request.profile) and self._has_time_to_explore(search)
         return self._steering.zone(
             now, request.request_class, request.tenant, explore, self._ejector.zones(now)
--- a/brassfall/balancer/steering.py
+++ b/brassfall/balancer/steering.py
@@ -69,7 +69,10 @@
         classes = {number: _weighted(of_class, weight) for number, of_class in steer.class_shares.items()}
         tenants = {tenant: _weighted(own, weight) for tenant, own in steer.tenant_shares.items()}
         self.on, self.steer = True, Steer(shares, classes, tenants, *steer[3:])
-        before, excluded = last.held_zones | last.held_servers, steer.held_zones | steer.held_servers
+        before, excluded = (
+            last.excluded_zones | last.excluded_servers,
+            steer.excluded_zones | steer.excluded_servers,
+        )
         readmitted = self._readmitted | dict.fromkeys(before - excluded, now)
         self._readmitted = {name: at for name, at in readmitted.items() if name not in excluded}
         if self.steer[:3] == last[:3] or now - since < EASE_MS / STAGES:
--- a/brassfall/lab/steers.py
+++ b/brassfall/lab/steers.py
@@ -47,10 +47,15 @@
     for now in sorted(times):
         held = frozenset(zones.index(hold.zone) for hold in version.holds if hold.begin <= now < hold.end)
         for group, shares in enumerate(_shares(told, version, day, now)):
-            made.append((now, group, model.Steer(shares=shares, held_zones=held, look=version.look)))
+            made.append((now, group, _steer(shares, held, version.look)))
     return made
 
 
+def _steer(shares: dict[int, float], excluded: frozenset[int], explore: float) -> model.Steer:
+    """By position: the decision module of an earlier revision has other names for the fields."""
+    return model.Steer(shares, {}, {}, excluded, frozenset(), {}, 1.0, explore)
+
+
 def _shares(told: Experiment, version: Version, day: Day, now: float) -> list[dict[int, float]]:
     assert told.geography is not None
     geography, zones = told.geography, told.fleet.zones
--- a/brassfall/sidecar/agent/steering.py
+++ b/brassfall/sidecar/agent/steering.py
@@ -172,13 +172,13 @@
                 },
                 **{tenant: {zone: 1.0} for tenant, zone in pins.items() if zone >= 0},
             },
-            held_zones=frozenset(zones[name] for name in found.held_regions if name in zones),
-            held_servers=frozenset(held | found.held_servers),
+            excluded_zones=frozenset(zones[name] for name in found.held_regions if name in zones),
+            excluded_servers=frozenset(held | found.held_servers),
             caps={
                 names.classes[name].band: rate for name, rate in found.caps.items() if name in names.classes
             },
             weight=self._weight(active.revision, now),
-            look=_share((active.revision.plan or {}).get("look")),
+            explore=_share((active.revision.plan or {}).get("look")),
             pins=pins,
         )
         if not found.frozen:
@@ -186,7 +186,9 @@
             return steer
         # Frozen is steering, and nothing else: what is held, pinned or capped goes on to change.
         self._frozen = self._frozen or steer
-        return steer._replace(shares=self._frozen.shares, weight=self._frozen.weight, look=self._frozen.look)
+        return steer._replace(
+            shares=self._frozen.shares, weight=self._frozen.weight, explore=self._frozen.explore
+        )
 
     def _weight(self, revision: Revision, now: float) -> float:
         """How far shares count: settings' own always, a plan's less when no newer one comes."""
--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -774,10 +774,10 @@
         self.driver.steer(
             Steer(
                 shares={zone: draw([0.0, 0.3, 1.0]) for zone in zones},
-                held_zones=frozenset(zone for zone in zones if self.rng.random() < 0.3),
-                held_servers=frozenset({f"s{draw(range(9))}"}),
+                excluded_zones=frozenset(zone for zone in zones if self.rng.random() < 0.3),
+                excluded_servers=frozenset({f"s{draw(range(9))}"}),
                 caps={draw(range(5)): draw([0.0, 3.0])},
-                look=draw([0.0, 0.5]),
+                explore=draw([0.0, 0.5]),
                 pins=draw([{}, {}, {0: 1}, {1: -1}]),
             )
         )
--- a/tests/test_crossings_inbound.py
+++ b/tests/test_crossings_inbound.py
@@ -488,7 +488,7 @@
 
     upstream, stuck = await Upstream([till_end]).start(), await Upstream([hang]).start()
     module = Scripted(
-        request=lambda now, arrival: [Send(arrival.request, "s1" if arrival.band else "s0", 0.0)]
+        request=lambda now, arrival: [Send(arrival.request, "s1" if arrival.request_class else "s0", 0.0)]
     )
     async with running(upstream, stuck, balancer=module) as sidecar:
         app = await App.connect(sidecar.address)
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -491,7 +491,7 @@
 
     slow = await Server([wait]).start()
     module = Scripted(
-        request=lambda now, arrival: [Send(arrival.request, "s0" if arrival.band else "s1", 0.0)],
+        request=lambda now, arrival: [Send(arrival.request, "s0" if arrival.request_class else "s1", 0.0)],
         answer_started=lambda now, *rest: release.set() or [],
     )
     async with running(upstream, slow, balancer=module) as sidecar:
--- a/tests/test_rules_property.py
+++ b/tests/test_rules_property.py
@@ -196,7 +196,7 @@
 
     def off(self, entry):
         """Whether a server is held off."""
-        return entry.zone in self.held.held_zones or entry.server in self.held.held_servers
+        return entry.zone in self.held.excluded_zones or entry.server in self.held.excluded_servers
 
     def steered(self):
         """Another plan and other overrides, sensible or not."""
--- a/tests/test_sidecar_requests.py
+++ b/tests/test_sidecar_requests.py
@@ -60,8 +60,8 @@
         await app.ask("POST", "/pay/now", **headers)
         ((arrival,),) = module.named("request")
         (row,) = module.named("server_list")[0][1]
-    assert (arrival.band, arrival.tenant, arrival.work) == (2, 1, 2.5)
-    assert (arrival.again, arrival.mutates) == (True, False)
+    assert (arrival.request_class, arrival.tenant, arrival.work) == (2, 1, 2.5)
+    assert (arrival.retried, arrival.mutates) == (True, False)
     assert arrival.key == config.stable_number("u1")
     assert 0 <= arrival.request < 2**32
     assert before + 700.0 < arrival.give_up_at < sidecar_now(arrival, before) + 800.0
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -83,7 +83,7 @@
         (Steer(shares={0: 0.4}), {}, {0: 0.4}),
         (Steer(shares={0: 7.0, 1: 2.0, 2: 1.0, 9: float("nan")}), {}, PLAN.shares),
         (Steer(shares={0: 0.5, 9: 0.5}), {}, {0: 0.5}),  # nobody is in zone 9
-        (Steer(shares={0: 1.0}, look=0.1), {}, {0: 0.9, 1: 0.05, 2: 0.05}),
+        (Steer(shares={0: 1.0}, explore=0.1), {}, {0: 0.9, 1: 0.05, 2: 0.05}),
     ],
 )
 def test_first_attempts_keep_to_the_shares_within_noise(steer, where, wanted):
@@ -95,7 +95,7 @@
 
 
 def test_no_look_with_what_may_not_be_repeated_or_has_no_time_to_spare():
-    play = Play("unsafe", "safe").steer(Steer(shares={0: 1.0}, look=1.0))
+    play = Play("unsafe", "safe").steer(Steer(shares={0: 1.0}, explore=1.0))
     assert play.run(300) == {"a": 300}
     play.bad = {"a": Outcome.OK}
     for number in range(60):  # the usual answer takes a third of the aim from here on
@@ -137,12 +137,12 @@
 @pytest.mark.parametrize(
     ("steer", "classes", "bad", "held"),
     [
-        (Steer(held_zones=frozenset({0})), "safe", {}, "a"),
-        (Steer(held_zones=frozenset({0}), shares={0: 1.0}), "safe", {}, "a"),
-        (Steer(held_zones=frozenset({0}), shares={0: 1.0}, look=1.0), "safe", {}, "a"),
-        (Steer(held_servers=frozenset(f"{n}a" for n in range(2))), "safe", {}, "a"),
+        (Steer(excluded_zones=frozenset({0})), "safe", {}, "a"),
+        (Steer(excluded_zones=frozenset({0}), shares={0: 1.0}), "safe", {}, "a"),
+        (Steer(excluded_zones=frozenset({0}), shares={0: 1.0}, explore=1.0), "safe", {}, "a"),
+        (Steer(excluded_servers=frozenset(f"{n}a" for n in range(2))), "safe", {}, "a"),
         # Others that fail do not bring it back, for first attempts or further ones.
-        (Steer(held_zones=frozenset({0})), "safe", {"b": Outcome.FULL, "c": Outcome.ERROR}, "a"),
+        (Steer(excluded_zones=frozenset({0})), "safe", {"b": Outcome.FULL, "c": Outcome.ERROR}, "a"),
     ],
 )
 def test_what_is_held_off_is_never_sent_to(steer, classes, bad, held):
@@ -154,9 +154,9 @@
 
 
 def test_what_is_held_off_serves_where_it_is_all_there_is():
-    play = Play().steer(Steer(held_zones=frozenset({0, 1, 2})), wait=0.0)
+    play = Play().steer(Steer(excluded_zones=frozenset({0, 1, 2})), wait=0.0)
     assert sum(play.run(300).values()) == 300
-    play.steer(Steer(held_zones=frozenset({0})), wait=0.0)
+    play.steer(Steer(excluded_zones=frozenset({0})), wait=0.0)
     assert set(play.run(300)) == {"b", "c"}
     play.balancer.server_list(play.now, "all", play.servers[:2])
     assert play.run(300) == {"a": 300}
@@ -165,7 +165,7 @@
 def test_a_request_bound_to_a_group_follows_its_rule_before_a_hold_off():
     play = Play("keyed")
     sent = of_type(play.balancer.request(0.0, Arrival(1, 0, 1000.0)), Send)[0]
-    play.steer(Steer(held_zones=frozenset({"abc".index(sent.server[-1])})), wait=0.0)
+    play.steer(Steer(excluded_zones=frozenset({"abc".index(sent.server[-1])})), wait=0.0)
     again = of_type(play.balancer.outcome(20.0, 1, 0, Outcome.ERROR, 20.0), Send)
     assert again[0].server[-1] == sent.server[-1] and again[0].server != sent.server
 
@@ -173,7 +173,7 @@
 @pytest.mark.parametrize("names", ["{n:02}{zone}", "{zone}{n:02}"])  # a subset of all zones, or of one
 @pytest.mark.parametrize("shares", [{}, {0: 1.0}])
 def test_what_was_held_off_is_eased_back_in(shares, names):
-    play = Play(per_zone=8, names=names).steer(Steer(shares=shares, held_zones=frozenset({0})))
+    play = Play(per_zone=8, names=names).steer(Steer(shares=shares, excluded_zones=frozenset({0})))
     play.run(500)
     play.balancer.steer(play.now, Steer(shares=shares))
     parts = [play.run(500, gap=2.0)["a"] / 500 for _ in range(5)]  # a second each
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -80,7 +80,7 @@
     made.server_list(0.0, "all", servers)
     zones = frozenset(rng.sample(range(3), rng.randrange(4)))
     names = frozenset(rng.sample([s.server for s in servers], min(len(servers), 3)))
-    made.steer(1.0, Steer(held_zones=zones, held_servers=names))
+    made.steer(1.0, Steer(excluded_zones=zones, excluded_servers=names))
     assert not made._endpoints._groups
     usable = [s for s in servers if s.state == "active"]
     free = [s for s in usable if s.zone not in zones and s.server not in names] or usable
