--- a/brassfall/balancer/balancer.py
+++ b/brassfall/balancer/balancer.py
@@ -22,11 +22,11 @@
 from brassfall.balancer.pace import PaceTracker
 from brassfall.balancer.rates import SendRate
 from brassfall.balancer.records import (
+    ABANDONED,
     CANCELLED,
     CONNECT_FAILED,
     ERROR,
     FULL,
-    MOOT,
     OK,
     RESET,
     TIMEOUT,
@@ -44,7 +44,7 @@
 
 Report = Mapping[str, float] | None
 
-NEVER_RAN = frozenset((FULL, CONNECT_FAILED, MOOT))
+NEVER_RAN = frozenset((FULL, CONNECT_FAILED, ABANDONED))
 MAY_RUN_STILL = frozenset((TIMEOUT, RESET, CANCELLED))
 FAULTS = frozenset((ERROR, TIMEOUT, CONNECT_FAILED, RESET))
 
@@ -250,7 +250,7 @@
         """What discovery says of the servers; `form` is "changes", "all", "remembered" or "refused"."""
         if form == "refused":
             self._watch_later(self._watch_retry_ms * (1.0 + self._rng.random()))
-            longest = min(model.ASK_MOST_MS, WATCH_RETRY_PART * self.settings.ask_within)
+            longest = min(model.MAX_POLL_BACKOFF_MS, WATCH_RETRY_PART * self.settings.ask_within)
             self._watch_retry_ms = min(2.0 * self._watch_retry_ms, longest)
             return self._take_actions()
         if form == "remembered":
--- a/brassfall/balancer/model.py
+++ b/brassfall/balancer/model.py
@@ -1,4 +1,4 @@
-"""Plain typed values that the decision module takes and gives: no decisions."""
+"""The interface of the decisions: events and actions as plain typed values, without decisions."""
 
 from __future__ import annotations
 
@@ -8,34 +8,35 @@
 from types import MappingProxyType
 from typing import NamedTuple
 
-# What a change of the list may take to arrive, whatever a call to discovery met before: after so long
-# it counts as told. Waits before a call and limits of one are parts of it; the spare is for loops that lag.
-TOLD_MS = 6000.0
+# A change of the endpoint list counts as notified, whether or not it arrived, so long after discovery had
+# it and could be reached, whatever a call met before. Waits before a call and limits of one are parts of it;
+# the spare is for loops that lag.
+NOTIFIED_MS = 6000.0
 SPARE_MS = 500.0
 CALL_MS = 1000.0  # that a call takes which is answered in its turn, or fails
 # Up to twice this passes before a call is made again: discovery is back while a call is under way that
 # fails, and the next fails in its turn; the one after that is still in time.
-ASK_MOST_MS = (TOLD_MS - SPARE_MS - 3.0 * CALL_MS) / 4.0
+MAX_POLL_BACKOFF_MS = (NOTIFIED_MS - SPARE_MS - 3.0 * CALL_MS) / 4.0
 
 
 class Outcome(IntEnum):
-    """How one attempt or probe ended."""
+    """How one attempt or health check ended, by its number on the wire."""
 
     OK = 0
-    ERROR = 1
-    FULL = 2
-    TIMEOUT = 3
-    CONNECT_FAILED = 4
-    RESET = 5
-    CANCELLED = 6
-    MOOT = 7
+    ERROR = 1  # answered with an error: it may have run
+    FULL = 2  # rejected without being looked at: it never ran
+    TIMEOUT = 3  # no answer in time: it may run still
+    CONNECT_FAILED = 4  # no connection in time: it never ran
+    RESET = 5  # the connection broke: it may have run
+    CANCELLED = 6  # it may have run
+    ABANDONED = 7  # before it was sent: it never ran
 
 
 class Send(NamedTuple):
     """Start an attempt; it times out after `timeout` milliseconds.
 
-    A repeat under a key has to reach its server, to its last byte, before `write_by` by the
-    module's clock; what a connection that comes up late or a slow body keeps until then is not sent."""
+    A retry under a key has to reach its server, to its last byte, before `write_by` by the clock of the
+    events; what a connection that comes up late or a slow body delays until then is not sent."""
 
     request: int
     server: str
@@ -44,7 +45,7 @@
 
 
 class Refuse(NamedTuple):
-    """Final answer: refused, and a client's retry does no harm."""
+    """Final answer: refused, and a client's retry does no harm; not within `retry_after` milliseconds."""
 
     request: int
     retry_after: float
@@ -57,7 +58,7 @@
 
 
 class Cancel(NamedTuple):
-    """Stop waiting for one attempt."""
+    """Stop waiting for one attempt, by its number within the request."""
 
     request: int
     attempt: int
@@ -75,7 +76,7 @@
 
 
 class Fetch(NamedTuple):
-    """Ask discovery for the whole list once."""
+    """Ask discovery for the complete list once."""
 
 
 class Watch(NamedTuple):
@@ -85,7 +86,7 @@
 
 
 class Probe(NamedTuple):
-    """Ask one server how it is."""
+    """Check the health of one server."""
 
     server: str
 
--- a/brassfall/balancer/records.py
+++ b/brassfall/balancer/records.py
@@ -11,7 +11,7 @@
 from brassfall.balancer.settings import Profile, Settings
 
 # The outcomes as plain numbers, as the events bring them.
-OK, ERROR, FULL, TIMEOUT, CONNECT_FAILED, RESET, CANCELLED, MOOT = map(int, Outcome)
+OK, ERROR, FULL, TIMEOUT, CONNECT_FAILED, RESET, CANCELLED, ABANDONED = map(int, Outcome)
 
 HASH_MULTIPLIER = 0x9E3779B97F4A7C15  # 2^64 over the golden ratio: spreads bits upwards
 HASH_MASK = 0xFFFFFFFFFFFFFFFF
--- a/brassfall/lab/sim/sidecar.py
+++ b/brassfall/lab/sim/sidecar.py
@@ -32,7 +32,7 @@
 
 Handler = Callable[[float, Any], None]
 
-OK, ERROR, FULL, TIMEOUT, CONNECT_FAILED, RESET, CANCELLED, MOOT = map(int, model.Outcome)
+OK, ERROR, FULL, TIMEOUT, CONNECT_FAILED, RESET, CANCELLED, ABANDONED = map(int, model.Outcome)
 MARGIN_MS = 8.0  # what the real driver keeps between its deadline and the client's
 PROBE_TIMEOUT_MS = 1000.0
 
@@ -302,7 +302,7 @@
         self.world.carry(now, self, attempt)
 
     def _moot(self, now: float, attempt: Attempt) -> None:
-        self.ended(now, attempt, MOOT)
+        self.ended(now, attempt, ABANDONED)
 
     def _set_timer(self, now: float, action: Timer) -> None:
         self.world.at(now + max(0.0, action.delay), self.timer, (self.life, action.token))
--- a/brassfall/sidecar/connecting.py
+++ b/brassfall/sidecar/connecting.py
@@ -108,7 +108,7 @@
         if error.errno in OUT_OF_DESCRIPTORS:
             self._pool.close_oldest_idle()  # the next attempt finds a descriptor
         exchange.failed_here = True
-        self._loop.call_later(self._local_pause_s, exchange.end, Result(Outcome.MOOT))
+        self._loop.call_later(self._local_pause_s, exchange.end, Result(Outcome.ABANDONED))
         self._local_pause_s = min(2.0 * self._local_pause_s, LOCAL_PAUSE_MOST_S)
 
 
--- a/brassfall/sidecar/discovery.py
+++ b/brassfall/sidecar/discovery.py
@@ -13,14 +13,14 @@
 
 import httptools
 
-from brassfall.balancer.model import ASK_MOST_MS, CALL_MS, SPARE_MS, TOLD_MS
+from brassfall.balancer.model import CALL_MS, MAX_POLL_BACKOFF_MS, NOTIFIED_MS, SPARE_MS
 from brassfall.sidecar.agent.lists import Age, Doubt, HeldList, Sources
 from brassfall.sidecar.config import Address, Config, ServerList, parse_list
 from brassfall.sidecar.driver import log
 
 PATH = "/registry/instances"
 # What a change may take to arrive: all waits and limits here are parts of it.
-TOLD_S, SPARE_S, CALL_S = TOLD_MS / 1000.0, SPARE_MS / 1000.0, CALL_MS / 1000.0
+TOLD_S, SPARE_S, CALL_S = NOTIFIED_MS / 1000.0, SPARE_MS / 1000.0, CALL_MS / 1000.0
 # A pushed list counts from the moment the agent has it, and sends that go wrong for half a second:
 # within that the watch has to be open again once the agent can be reached.
 BACKOFF_S, BACKOFF_MOST_S, SPREAD = 0.1, 0.3, 0.5
@@ -28,7 +28,9 @@
 CONNECT_S = CALL_S
 # An empty line comes every 2 s. Whoever is silent for longer is called again, and once more if that fails.
 SILENT_S = TOLD_S - SPARE_S - 2.0 * (BACKOFF_S * (1.0 + SPREAD) + CALL_S)
-FETCH_S = TOLD_S - SPARE_S - 2.0 * ASK_MOST_MS / 1000.0 - CALL_S  # the module waits before it asks again
+FETCH_S = (
+    TOLD_S - SPARE_S - 2.0 * MAX_POLL_BACKOFF_MS / 1000.0 - CALL_S
+)  # the module waits before it asks again
 AGE_STEP_S = 4.0  # a list's age is told in steps: two beats of its watch
 CLOCK_STEP_S = 0.001  # less is left only by rounding
 LINE_MOST = 4 * 1024 * 1024
--- a/brassfall/sidecar/driver.py
+++ b/brassfall/sidecar/driver.py
@@ -221,7 +221,7 @@
 
     def ended(self, result: Result) -> None:
         """Its one outcome."""
-        if result.outcome == Outcome.MOOT:
+        if result.outcome == Outcome.ABANDONED:
             self.driver.attempt_unsent(self)
         self.driver.attempt_ended(self, result)
 
@@ -487,7 +487,7 @@
         exchange, outcome = attempt.exchange, Outcome.TIMEOUT
         if exchange is not None:
             exchange.abandon()
-            outcome = Outcome.MOOT if exchange.failed_here else outcome
+            outcome = Outcome.ABANDONED if exchange.failed_here else outcome
         attempt.ended(Result(outcome))
 
     def _timer(self, token: str) -> None:
@@ -572,7 +572,7 @@
         gone = request.call.body is not None and request.call.body.gone
         over = request.ended or left <= 0.0 or action.timeout < 0.0 or gone or now >= write_by
         if over or attempt.hop >= request.max_attempts:
-            self._loop.call_soon(self.attempt_ended, attempt, Result(Outcome.MOOT))
+            self._loop.call_soon(self.attempt_ended, attempt, Result(Outcome.ABANDONED))
             return
         expires = now + wait
         attempt.filling = request.call.reading
@@ -602,7 +602,7 @@
 
     def _never_sent(self, attempt: Attempt) -> None:
         attempt.exchange = None
-        self._loop.call_soon(self.attempt_ended, attempt, Result(Outcome.MOOT))
+        self._loop.call_soon(self.attempt_ended, attempt, Result(Outcome.ABANDONED))
 
     def _probe(self, server: str) -> None:
         sent = self._clock.now()
--- a/brassfall/sidecar/outbound.py
+++ b/brassfall/sidecar/outbound.py
@@ -226,7 +226,7 @@
         server = connection.server
         if self._servers.get(server.name, server) is not server:
             # Another one has its name now, which may be in slow start or elsewhere: decided anew.
-            never = Outcome.CONNECT_FAILED if exchange.watcher is None else Outcome.MOOT
+            never = Outcome.CONNECT_FAILED if exchange.watcher is None else Outcome.ABANDONED
             self.loop.call_soon(exchange.end, Result(never))
             connection.abort()
             return
@@ -242,7 +242,7 @@
         if self.stamp is not None and exchange.watcher is not None:
             if exchange.stamp is not self.stamp():
                 # It was decided under a revision that is no more in force: decided anew.
-                self.loop.call_soon(exchange.end, Result(Outcome.MOOT))
+                self.loop.call_soon(exchange.end, Result(Outcome.ABANDONED))
                 self.free(connection)
                 return
             message = message.replace(b"\r\n", b"\r\n" + exchange.stamp, 1)
--- a/brassfall/simulator.py
+++ b/brassfall/simulator.py
@@ -300,7 +300,7 @@
 
 def _status(members: dict[str, str]) -> int:
     status = int(members["Status"])
-    if not 0 <= status <= model.Outcome.MOOT:
+    if not 0 <= status <= model.Outcome.ABANDONED:
         raise WireError(f"Status: {status} is not known")
     return status
 
--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -72,7 +72,7 @@
         waiting.gate.open.set()
         await until(lambda: sidecar.pool._servers["s0"].idle)  # it was paid for: the next one has it
         if module is not None:
-            assert module.outcomes() == [(0, Outcome.MOOT, True)]
+            assert module.outcomes() == [(0, Outcome.ABANDONED, True)]
             assert len(module.named("client_gone")) == 1 and not module.named("unsent")
         else:
             assert not blame_of(sidecar, "s0")
@@ -94,7 +94,7 @@
         waiting.gate.open.set()
         assert (await waiting.app.answer()).status in (502, 503, 504)
         await until(lambda: sidecar.pool._servers["s0"].idle)
-        assert module.outcomes() == [(0, Outcome.MOOT, True)]
+        assert module.outcomes() == [(0, Outcome.ABANDONED, True)]
         assert waiting.upstream.seen == []
 
 
@@ -110,7 +110,7 @@
         assert (await app.ask()).body == b"done"
         gate.open.set()
         await until(lambda: sidecar.pool._servers["s0"].idle)
-        assert module.outcomes() == [(1, Outcome.OK, True), (0, Outcome.MOOT, True)]
+        assert module.outcomes() == [(1, Outcome.OK, True), (0, Outcome.ABANDONED, True)]
         assert late.seen == []
 
 
@@ -139,7 +139,7 @@
         app.close()
         await until(lambda: not sidecar.driver._requests)
         assert (await (await App.connect(sidecar.address)).ask()).body == b"done"
-        assert module.outcomes() == [(0, Outcome.MOOT, True), (0, Outcome.OK, True)]
+        assert module.outcomes() == [(0, Outcome.ABANDONED, True), (0, Outcome.OK, True)]
 
 
 @loopback
@@ -153,7 +153,7 @@
         connection.written = False  # as if its last byte were still held back here
         app.close()
         await until(lambda: module.outcomes())
-        assert module.outcomes() == [(0, Outcome.MOOT, True)]
+        assert module.outcomes() == [(0, Outcome.ABANDONED, True)]
 
 
 @loopback
@@ -244,7 +244,7 @@
         app = await App.connect(sidecar.address)
         app.writer.write(partners.request("POST", "/book", LARGE)[: -len(LARGE)] + part[:-1])
         assert (await app.answer()).status == 502
-        assert module.outcomes() == [(0, Outcome.MOOT, False)]  # half of it never runs
+        assert module.outcomes() == [(0, Outcome.ABANDONED, False)]  # half of it never runs
         assert upstream.seen == []
         app.close()
 
@@ -264,7 +264,7 @@
         Hands(sidecar).on(9000.0)  # its timer has not run
         app.writer.write(whole[-1:])
         assert (await app.answer()).status == 502
-        assert module.outcomes() == [(0, Outcome.MOOT, False)]
+        assert module.outcomes() == [(0, Outcome.ABANDONED, False)]
         assert upstream.seen == []
 
 
@@ -286,7 +286,7 @@
         connection._transport.write(b"x" * 4_000_000)  # stands for what the kernel is full of
         assert connection._transport.get_write_buffer_size()
         assert (await app.ask("POST", "/book", b"body")).status == 502
-        assert module.outcomes()[1:] == [(0, Outcome.MOOT, False)]
+        assert module.outcomes()[1:] == [(0, Outcome.ABANDONED, False)]
         upstream.writers[0].transport.resume_reading()
 
 
@@ -297,7 +297,7 @@
         Hands(waiting.sidecar).on(4000.0)  # its timer has not run
         waiting.gate.open.set()
         assert (await waiting.app.answer()).status == 504
-        assert module.outcomes() == [(0, Outcome.MOOT, False)]
+        assert module.outcomes() == [(0, Outcome.ABANDONED, False)]
         assert waiting.upstream.seen == []
 
 
@@ -720,7 +720,7 @@
         self.exchange.end(Result(Outcome.RESET))
 
     def rules_changed(self):
-        self.driver._loop.call_soon(self.exchange.end, Result(Outcome.MOOT))
+        self.driver._loop.call_soon(self.exchange.end, Result(Outcome.ABANDONED))
 
     def starts(self):
         """A large answer begins, and is whole a turn later."""
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -153,7 +153,7 @@
         assert module.outcomes() == []
         app.close()
         await until(lambda: module.outcomes())
-        assert module.outcomes() == [(0, Outcome.MOOT, True)]
+        assert module.outcomes() == [(0, Outcome.ABANDONED, True)]
         assert not module.named("unsent")
 
 
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -185,7 +185,7 @@
         first.writers[0].transport.abort()
         assert (await answer_of(app))[0] == 502
         assert module.outcomes()[0] == (0, Outcome.CONNECT_FAILED, False)  # never written whole: never ran
-        assert module.outcomes()[1][1] == Outcome.MOOT
+        assert module.outcomes()[1][1] == Outcome.ABANDONED
         first.slow.set()
 
 
--- a/tests/test_rules_property.py
+++ b/tests/test_rules_property.py
@@ -25,7 +25,7 @@
     Watch,
 )
 
-NEVER_RAN = {Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT}
+NEVER_RAN = {Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.ABANDONED}
 ENDS = [
     Outcome.OK,
     Outcome.OK,
--- a/tests/test_sidecar_attempts.py
+++ b/tests/test_sidecar_attempts.py
@@ -220,7 +220,7 @@
     async with running(upstream, balancer=module) as sidecar:
         await (await App.connect(sidecar.address)).ask()
         await until(lambda: len(module.outcomes()) == 5)
-        assert module.outcomes()[3:] == [(3, Outcome.MOOT, False), (4, Outcome.MOOT, True)]
+        assert module.outcomes()[3:] == [(3, Outcome.ABANDONED, False), (4, Outcome.ABANDONED, True)]
         assert len(upstream.seen) == 3
         assert not sidecar.driver._requests
 
