--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -274,7 +274,10 @@
     "brassfall.controlplane.aggregation",
     "brassfall.controlplane.registry",
     "brassfall.lab",
+    "brassfall.commands",
+    "brassfall.registry_commands",
     "brassfall.fleet_commands",
+    "brassfall.lab_commands",
     "brassfall.cli",
 )
 PURE = (
@@ -322,7 +325,7 @@
     "lab/sim/parts.py",
     "lab/sim/sidecar.py",
     "lab/sim/faults.py",
-    "lab/sim/flaws.py",
+    "lab/sim/defects.py",
 )
 
 
