--- a/brassfall/balancer/balancer.py
+++ b/brassfall/balancer/balancer.py
@@ -113,13 +113,13 @@
 
     # --- events -----------------------------------------------------------
 
-    def reload(self, now: float, settings: Settings, kept: Collection[int]) -> list[model.Action]:
+    def reload(self, now: float, settings: Settings, retained: Collection[int]) -> list[model.Action]:
         """Other settings from now on; requests in flight keep theirs. What was learned stays, but
-        for the classes that are not kept: their slots may be another's now."""
+        for the classes that are not retained: their slots may be another's now."""
         self.settings = settings
-        self._paces.keep_classes(kept)
-        self._shedder.reload(settings, kept)
-        self._zones.reload(settings, kept)
+        self._paces.keep_classes(retained)
+        self._shedder.reload(settings, retained)
+        self._zones.reload(settings, retained)
         self._connections.reload(settings)
         self._overload.reload(settings)
         self._endpoints.reload(settings)
@@ -218,7 +218,7 @@
         return self._take_actions()
 
     def body_gone(self, now: float, request_id: int) -> list[model.Action]:
-        """More of a large body has been forwarded than is kept: it can't be sent again."""
+        """More of a large body has been forwarded than is retained: it can't be sent again."""
         request = self._requests.get(request_id)
         if request is not None:
             request.body_forwarded = True
@@ -243,7 +243,7 @@
                 self._release(server, closings)
         elif kind == WATCH and self._watch_pending:
             self._watch_pending = False
-            self._actions.append(model.Watch(True))
+            self._actions.append(model.Watch(on=True))
         return self._take_actions()
 
     def server_list(self, now: float, form: str, entries: Iterable[model.Listing]) -> list[model.Action]:
@@ -313,7 +313,7 @@
     def _attempt(self, now: float, request: Request) -> None:
         """Throttle, sample candidates, then send to the least loaded of them."""
         drop = self._throttle.drop_chance(now)
-        chance = self._shedder.refusal_chance(now, drop, request.request_class, request.over_quota)
+        chance = self._shedder.refusal_chance(now, drop, request.request_class, over=request.over_quota)
         if chance > 0.0 and self._rng.random() < chance:
             self._refuse_locally(now, request, drop)
             return
@@ -490,11 +490,11 @@
         request.ended = True
         self._cancel_others(request, -1)
 
-    def _cancel_others(self, request: Request, kept: int) -> None:
+    def _cancel_others(self, request: Request, retained: int) -> None:
         """Cancel what is out of a request, but for one attempt."""
         if request.limits.may_cancel:
             for hop, attempt in enumerate(request.attempts):
-                if attempt.outstanding and hop != kept:
+                if attempt.outstanding and hop != retained:
                     self._actions.append(model.Cancel(request.id, hop))
 
     def _forget(self, now: float, request: Request) -> None:
--- a/brassfall/balancer/connections.py
+++ b/brassfall/balancer/connections.py
@@ -61,6 +61,6 @@
 
         One may come free after a time-out without a word, so they are closed again before the time is up;
         None if that is under way already, or was the last."""
-        again = closings and (closings < CLOSINGS or not server.closings_left)
+        repeats = closings and (closings < CLOSINGS or not server.closings_left)
         server.closings_left = closings
-        return self._release_within_ms * CLOSING_INTERVAL if again else None
+        return self._release_within_ms * CLOSING_INTERVAL if repeats else None
--- a/brassfall/balancer/load_shedding.py
+++ b/brassfall/balancer/load_shedding.py
@@ -55,14 +55,14 @@
         self._updated_at = 0.0
         self.reload(settings, ())
 
-    def reload(self, settings: Settings, kept: Collection[int]) -> None:
+    def reload(self, settings: Settings, retained: Collection[int]) -> None:
         """Other settings; the mix remembers the classes that stay."""
         self._by_work = settings.weight_by_work
         self._over_quota_weight = settings.over_quota_weight
         self._worst_class = settings.worst_class
         total = sum(settings.allowances) or 1.0
         self._quotas = [allowance / total for allowance in settings.allowances]
-        self._mix = {kind: entry for kind, entry in self._mix.items() if kind[0] in kept}
+        self._mix = {kind: entry for kind, entry in self._mix.items() if kind[0] in retained}
         for (request_class, _), entry in self._mix.items():
             entry.weight = settings.profiles[request_class].priority_weight
 
@@ -96,7 +96,7 @@
         """The shed probability, 0 to 1: the part of the work that should be refused."""
         return self._level * math.exp((self._updated_at - now) / SHED_LEAK_MS)
 
-    def refusal_chance(self, now: float, drop: float, request_class: int, over: bool) -> float:
+    def refusal_chance(self, now: float, drop: float, request_class: int, *, over: bool) -> float:
         """The chance of refusing this kind of request, so that `drop` of the work goes, or
         what the shed probability asks, if more.
 
--- a/brassfall/balancer/pace.py
+++ b/brassfall/balancer/pace.py
@@ -54,9 +54,9 @@
         """The pace of a kind of machine."""
         return self._by_kind.setdefault(kind, Pace())
 
-    def keep_classes(self, kept: Collection[int]) -> None:
+    def keep_classes(self, retained: Collection[int]) -> None:
         """Forget the request classes that are not named."""
-        self._by_class = {slot: pace for slot, pace in self._by_class.items() if slot in kept}
+        self._by_class = {slot: pace for slot, pace in self._by_class.items() if slot in retained}
 
     def arrive(self, work: float) -> None:
         """Count the work of one request that arrives."""
--- a/brassfall/balancer/retries.py
+++ b/brassfall/balancer/retries.py
@@ -77,14 +77,14 @@
     against hung and silent servers, also where they hold up a key's queue. Only after one was met and
     while answers are quick: under overload retries would add to it."""
     useful, profile = request.useful_until(), request.profile
-    whole = max(0.0, (useful if useful > now else request.give_up_at) - now)
+    remaining = max(0.0, (useful if useful > now else request.give_up_at) - now)
     if request.large or not overload.quick or now - silent_at >= SILENCE_MEMORY_MS:
-        return whole
+        return remaining
     if not repeatable(profile) or len(request.attempts) + 1 >= request.limits.max_attempts:
-        return whole
+        return remaining
     trial = max(STALL * profile.objective, TRIAL_USUAL * usual)
-    in_time = trial + usual < whole and (profile.semantics == "pure" or trial + usual < profile.key_ttl)
-    return trial if in_time else whole
+    in_time = trial + usual < remaining and (profile.semantics == "pure" or trial + usual < profile.key_ttl)
+    return trial if in_time else remaining
 
 
 def retry_after(now: float, request: Request) -> float:
--- a/brassfall/balancer/selection.py
+++ b/brassfall/balancer/selection.py
@@ -147,7 +147,7 @@
         )
         explore = explore and repeatable(request.profile) and self._has_time_to_explore(search)
         return self._steering.zone(
-            now, request.request_class, request.tenant, explore, self._ejector.zones(now)
+            now, request.request_class, request.tenant, self._ejector.zones(now), explore=explore
         )
 
     def _has_time_to_explore(self, search: Search) -> bool:
@@ -191,7 +191,7 @@
         if zone is not None:
             return endpoints.members(("zone", zone))
         if self._zones.active and endpoints.near and endpoints.far:
-            crosses = self._rng.random() < self._zones.crossing[search.request.request_class]
+            crosses = self._rng.random() < self._zones.spill[search.request.request_class]
             return endpoints.far if crosses else endpoints.near
         return endpoints.ring
 
--- a/brassfall/balancer/steering.py
+++ b/brassfall/balancer/steering.py
@@ -116,25 +116,25 @@
         return now - since >= chance * EASE_MS
 
     def zone(
-        self, now: float, request_class: int, tenant: int, explore: bool, ejected: list[int]
+        self, now: float, request_class: int, tenant: int, ejected: list[int], *, explore: bool
     ) -> int | None:
         """The zone to sample from for a first attempt, or None for the sampling without a plan; `explore` has
         one of low share chosen, and `ejected` is the zone of each ejected server."""
         shares = self._shares(now, request_class, tenant)
         if not shares:
             return None
-        chosen = self._chosen(shares, explore)
+        chosen = self._chosen(shares, explore=explore)
         zone = self._zones.get(chosen)
         if zone is None or not zone.servers:
             return None
-        kept = (zone.servers - ejected.count(chosen)) / zone.most
+        remaining = (zone.servers - ejected.count(chosen)) / zone.most
         if zone.misses > MISS_LEAST:
             others = [z.missed(now) for z in self._zones.values() if z.servers and z is not zone]
             over = (zone.missed(now) - min(others, default=1.0) - MISS_LEAST) / MISS_SPAN
-            kept *= 1.0 - max(0.0, min(1.0, over))
-        return chosen if kept >= 1.0 or self._rng.random() < kept else None
+            remaining *= 1.0 - max(0.0, min(1.0, over))
+        return chosen if remaining >= 1.0 or self._rng.random() < remaining else None
 
-    def _chosen(self, shares: Mapping[int, float], explore: bool) -> int:
+    def _chosen(self, shares: Mapping[int, float], *, explore: bool) -> int:
         """A zone drawn by its share, or one of low share that is explored; -1 for none."""
         if explore:
             low = [
--- a/brassfall/balancer/zones.py
+++ b/brassfall/balancer/zones.py
@@ -16,18 +16,18 @@
 class ZoneSpillover:
     """The part of each request class that goes to other zones."""
 
-    __slots__ = ("_far_missed", "_locality", "_margins", "active", "crossing")
+    __slots__ = ("_far_missed", "_locality", "_margins", "active", "spill")
 
     def __init__(self, settings: Settings) -> None:
         """All stays near at first."""
-        self.crossing = [0.0] * len(settings.profiles)  # by class, 0 to 1
+        self.spill = [0.0] * len(settings.profiles)  # by class, 0 to 1
         self._far_missed = 0.0  # fading share of the other zones' answers that miss their objective
         self._price(settings)
 
-    def reload(self, settings: Settings, kept: Collection[int]) -> None:
+    def reload(self, settings: Settings, retained: Collection[int]) -> None:
         """Other settings; the classes that stay keep what was learned."""
         slots = range(len(settings.profiles))
-        self.crossing = [self.crossing[slot] if slot in kept else 0.0 for slot in slots]
+        self.spill = [self.spill[slot] if slot in retained else 0.0 for slot in slots]
         self._price(settings)
 
     def _price(self, settings: Settings) -> None:
@@ -44,5 +44,5 @@
             self._far_missed += (1.0 - MISS_MEMORY) * (missed - self._far_missed)
             return
         gap = missed - self._far_missed - self._margins[request_class]
-        crossing = self.crossing[request_class] + SPILL_GAIN * gap
-        self.crossing[request_class] = min(1.0, max(0.0, crossing))
+        spill = self.spill[request_class] + SPILL_GAIN * gap
+        self.spill[request_class] = min(1.0, max(0.0, spill))
--- a/brassfall/simulator.py
+++ b/brassfall/simulator.py
@@ -33,7 +33,7 @@
     model.Fail: lambda a: f"finish_error RequestId={a.request}",
     model.Cancel: lambda a: f"retract RequestId={a.request} Hop={a.attempt}",
     model.Timer: lambda a: f"defer SleepFor={a.delay:.3f} Tag={a.token}",
-    model.Fetch: lambda a: "resolve",
+    model.Fetch: lambda _: "resolve",
     model.Watch: lambda a: f"subscribe Want={int(a.on)}",
     model.Probe: lambda a: f"poll Server={a.server}",
     model.CloseIdle: lambda a: f"close_idle Server={a.server}",
@@ -192,7 +192,7 @@
         seed = int(members["RngSeed"])
         self._balancers[self._instance] = Balancer(self._now, settings, seed)
 
-    def _kill(self, line: str) -> None:
+    def _kill(self, _line: str) -> None:
         self._balancer()
         del self._balancers[self._instance or ""]
 
--- a/tests/test_crossings_reload.py
+++ b/tests/test_crossings_reload.py
@@ -124,15 +124,15 @@
     fresh = Balancer(0.0, worths(*values, **change), 1)
     asked(fresh)
     for band in (0, 1):
-        assert made._shedder.refusal_chance(0.0, 0.2, band, False) == pytest.approx(
-            fresh._shedder.refusal_chance(0.0, 0.2, band, False)
+        assert made._shedder.refusal_chance(0.0, 0.2, band, over=False) == pytest.approx(
+            fresh._shedder.refusal_chance(0.0, 0.2, band, over=False)
         )
 
 
 def test_classes_worth_nothing_are_shed_as_others():
     made = Balancer(0.0, worths(0.0, 0.0), 1)
     asked(made)
-    assert 0.0 < made._shedder.refusal_chance(0.0, 0.2, 0, False) <= 1.0
+    assert 0.0 < made._shedder.refusal_chance(0.0, 0.2, 0, over=False) <= 1.0
 
 
 def test_a_shorter_release_holds_for_servers_that_leave_already():
@@ -171,9 +171,9 @@
 
 def test_what_is_learned_of_a_class_stays_with_it_and_begins_anew_in_a_slot_that_changes():
     made = balancer("safe", "safe", "safe", Prices=CROSSING)
-    made._zones.crossing = [0.1, 0.2, 0.3]
+    made._zones.spill = [0.1, 0.2, 0.3]
     reloaded(made, 1.0, {0, 2}, "safe", "keyed", "safe", "unsafe", Prices=CROSSING)
-    assert made._zones.crossing == [0.1, 0.0, 0.3, 0.0]
+    assert made._zones.spill == [0.1, 0.0, 0.3, 0.0]
 
 
 def test_a_class_that_is_gone_does_not_set_what_a_crossing_costs_the_others():
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -274,7 +274,7 @@
     for _ in range(100):
         for band, worth in enumerate(worths):
             shed.arrive(band, worth, 1.0, 0, 1.0)
-    return [shed.refusal_chance(0.0, share, band, False) for band in range(len(worths))]
+    return [shed.refusal_chance(0.0, share, band, over=False) for band in range(len(worths))]
 
 
 def test_the_least_worth_goes_first_where_only_the_whole_counts():
@@ -292,7 +292,12 @@
     shed = LoadShedder(Settings.parse(raw))
     over = [shed.arrive(0, 1.0, 1.0, int(i % 5 == 0), i % 7 / 7.0) for i in range(200)]
     assert any(over)
-    assert shed.refusal_chance(0.0, 0.2, 0, True) > 0.5 > 0.05 > shed.refusal_chance(0.0, 0.2, 0, False)
+    assert (
+        shed.refusal_chance(0.0, 0.2, 0, over=True)
+        > 0.5
+        > 0.05
+        > shed.refusal_chance(0.0, 0.2, 0, over=False)
+    )
 
 
 def test_under_strain_work_that_cannot_end_in_time_is_not_begun():
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -153,7 +153,7 @@
     assert {name: server.ejected_until for name, server in made._endpoints.servers.items()} == strikes
     assert (made._throttle.requests, made._shedder.probability(50.0)) == (throttle, level)
     assert {band for band, _ in made._shedder._mix} == {0}
-    assert len(made._zones.crossing) == len(made._zones._margins) == 3
+    assert len(made._zones.spill) == len(made._zones._margins) == 3
 
 
 @loopback
