--- a/brassfall/lab/steering.py
+++ b/brassfall/lab/steering.py
@@ -47,14 +47,17 @@
     times |= {float(end) for hold in version.holds for end in (hold.begin, hold.end)}
     made = []
     for now in sorted(times):
-        held_zones = frozenset(
-            zones.index(hold.zone) for hold in version.holds if hold.begin <= now < hold.end
-        )
+        excluded = frozenset(zones.index(hold.zone) for hold in version.holds if hold.begin <= now < hold.end)
         for group, shares in enumerate(_shares(experiment, version, day, now)):
-            made.append((now, group, model.Steer(shares=shares, held_zones=held_zones, look=version.look)))
+            made.append((now, group, _steer(shares, excluded, version.look)))
     return made
 
 
+def _steer(shares: dict[int, float], excluded: frozenset[int], explore: float) -> model.Steer:
+    """By position: the decision module of an earlier revision has other names for the fields."""
+    return model.Steer(shares, {}, {}, excluded, frozenset(), {}, 1.0, explore)
+
+
 def _shares(experiment: Experiment, version: Version, day: Day, now: float) -> list[dict[int, float]]:
     assert experiment.geography is not None
     geography, zones = experiment.geography, experiment.fleet.zones
