--- a/brassfall/balancer/pace.py
+++ b/brassfall/balancer/pace.py
@@ -54,9 +54,9 @@
         """The pace of a kind of machine."""
         return self._by_kind.setdefault(kind, Pace())
 
-    def keep_classes(self, kept: Collection[int]) -> None:
+    def keep_classes(self, retained: Collection[int]) -> None:
         """Forget the request classes that are not named."""
-        self._by_class = {slot: pace for slot, pace in self._by_class.items() if slot in kept}
+        self._by_class = {slot: pace for slot, pace in self._by_class.items() if slot in retained}
 
     def arrive(self, work: float) -> None:
         """Count the work of one request that arrives."""
@@ -86,9 +86,9 @@
         for pace in (service, kind, own):
             pace.add(spent, work)
         belief = PACE_PRIOR * self.mean_work
-        whole = service.rate(0.0, 0.0)
-        of_kind = kind.rate(whole, belief)
-        kind.speed = max(MIN_SPEED, (whole / of_kind) ** PACE_POWER)
+        of_service = service.rate(0.0, 0.0)
+        of_kind = kind.rate(of_service, belief)
+        kind.speed = max(MIN_SPEED, (of_service / of_kind) ** PACE_POWER)
         own.speed = max(MIN_SPEED, (of_kind / own.rate(of_kind, belief)) ** PACE_POWER)
 
     def learn_class(self, request_class: int, spent: float) -> None:
--- a/brassfall/controlplane/registry/overrides.py
+++ b/brassfall/controlplane/registry/overrides.py
@@ -13,13 +13,13 @@
 import msgspec
 from aiohttp import web
 
+from brassfall.controlplane.aggregation.child_orders import ChildOrders
 from brassfall.controlplane.aggregation.messages import (
     AggregatorReport,
     ChildException,
     ChildOrder,
     PlaceDigest,
 )
-from brassfall.controlplane.aggregation.orders import Orders
 from brassfall.controlplane.overrides import book as books
 from brassfall.controlplane.overrides import document, history
 from brassfall.controlplane.overrides import reconciler as comparing
@@ -28,7 +28,7 @@
 from brassfall.controlplane.registry import entries
 from brassfall.controlplane.registry.calls import answer
 from brassfall.controlplane.registry.tasks import Tasks
-from brassfall.controlplane.revisions.edges import Report
+from brassfall.controlplane.revisions.reports import Report
 from brassfall.controlplane.store.commands import Command, Delete, Put
 from brassfall.controlplane.store.outcomes import OutcomeUnknownError
 from brassfall.controlplane.store.store import Store
@@ -59,9 +59,9 @@
 class Editions(Protocol):
     """The agreement, as far as overrides go through it."""
 
-    barred: dict[str, str]
+    blocked: dict[str, str]
 
-    def layer(self) -> list[dict[str, Any]] | None:
+    def overrides_in_force(self) -> list[dict[str, Any]] | None:
         """The overrides of the newest edition; None while one is on its way."""
 
     def publish(self, **layers: Any) -> asyncio.Future[int]:
@@ -171,10 +171,10 @@
                 case comparing.Tell(node):
                     self._tell.add(node)
                 case comparing.Refuse(node):
-                    self.editions.barred[node] = "it acts on other overrides than are due"
+                    self.editions.blocked[node] = "it acts on other overrides than are due"
                     log.warning("refused", edge=node)
                 case comparing.Allow(node):
-                    self.editions.barred.pop(node, None)
+                    self.editions.blocked.pop(node, None)
                 case comparing.Name(finding):
                     log.error(
                         "finding",
@@ -230,7 +230,7 @@
 
     def _published(self) -> None:
         """Have the newest edition carry what is in force, whatever became of those before."""
-        told = self.editions.layer()
+        told = self.editions.overrides_in_force()
         if told is None or self._publishing or time.monotonic() < self._again_at:
             return
         due = document.layer(self._due)
@@ -256,13 +256,15 @@
         """A sidecar's report: what its answer tells of overrides. To be asked before its permission is."""
         digest = report.digest if report.overrides is not None else None
         place = (report.group, report.region)
-        self._compare(comparing.Reported(name, report.life, *place, digest))
-        if report.acted is not None:
-            self._compare(comparing.Details(name, report.acted))
+        self._compare(comparing.Reported(name, report.process_id, *place, digest))
+        if report.acted_overrides is not None:
+            self._compare(comparing.Details(name, report.acted_overrides))
         told: dict[str, Any] = {}
-        anew = report.retell or name in self._tell
+        anew = report.refresh_times or name in self._tell
         self._tell.discard(name)
-        times = document.times(self.book.active(self.now()), self.now(), 0 if anew else report.told)
+        times = document.times(
+            self.book.active(self.now()), self.now(), 0 if anew else report.known_override_revision
+        )
         if times:
             told["left"] = times
         if name in self._ask:
@@ -271,7 +273,7 @@
         return told
 
     def merged(
-        self, now: float, rows: Iterable[ChildException], report: AggregatorReport, orders: Orders
+        self, now: float, rows: Iterable[ChildException], report: AggregatorReport, orders: ChildOrders
     ) -> OverrideMessages:
         """An aggregator's report: what its answer tells of overrides. `rows` are of children that differ;
         `now` in monotonic ms."""
@@ -279,10 +281,10 @@
         for row in rows:
             names.append(row.name)
             place = (row.place.group, row.place.region)
-            self._compare(comparing.Reported(row.name, row.life, *place, row.digest))
-            if row.acted is not None:
-                self._compare(comparing.Details(row.name, row.acted))
-        due = orders.due(now, names, self.editions.barred, self._ask, self._tell)
+            self._compare(comparing.Reported(row.name, row.process_id, *place, row.digest))
+            if row.acted_overrides is not None:
+                self._compare(comparing.Details(row.name, row.acted_overrides))
+        due = orders.due(now, names, self.editions.blocked, self._ask, self._tell)
         self._ask.difference_update(names)
         self._tell.difference_update(names)
         at = self.now()
@@ -290,7 +292,7 @@
             PlaceDigest(place, self.reconciler.expected_digest(at, place.group, place.region))
             for place in report.places
         ]
-        times = document.times(self.book.active(at), at, report.told)
+        times = document.times(self.book.active(at), at, report.known_override_revision)
         return OverrideMessages(times, digests, due)
 
     def parted(self, name: str) -> None:
@@ -301,7 +303,7 @@
     def gone(self, name: str) -> None:
         """A sidecar has left the fleet."""
         self._compare(comparing.Gone(name))
-        self.editions.barred.pop(name, None)
+        self.editions.blocked.pop(name, None)
 
     def findings(self) -> dict[str, list[str]]:
         """What is wrong, by sidecar, each with what an operator can do."""
--- a/brassfall/sidecar/__main__.py
+++ b/brassfall/sidecar/__main__.py
@@ -11,11 +11,15 @@
 from typing import TYPE_CHECKING
 
 from brassfall.balancer.model import Steer
-from brassfall.sidecar import config, shutdown
+from brassfall.sidecar import config, reload, shutdown
 from brassfall.sidecar.admin import Door
-from brassfall.sidecar.config import Address, Config, ConfigError, ServerList
+from brassfall.sidecar.clock import Clock
+from brassfall.sidecar.config import Config, ConfigError
+from brassfall.sidecar.config_values import Address
+from brassfall.sidecar.console import log
 from brassfall.sidecar.discovery import Discovery
-from brassfall.sidecar.driver import Clock, Driver, log
+from brassfall.sidecar.driver import Driver
+from brassfall.sidecar.endpoint_list import ServerList
 from brassfall.sidecar.handover import Seat
 from brassfall.sidecar.inbound import Inbound
 from brassfall.sidecar.lifecycle import Lifecycle, State
@@ -24,7 +28,7 @@
 from brassfall.sidecar.peers import Peers
 
 if TYPE_CHECKING:
-    from brassfall.sidecar.agent.lists import HeldList
+    from brassfall.sidecar.agent.lists import EndpointList
     from brassfall.sidecar.agent.member import FleetMember
 
 CANT_LISTEN = "end whoever has that address or name another, and start it again"
@@ -62,10 +66,10 @@
         from brassfall.sidecar.agent.member import FleetMember
 
         member = FleetMember(self._loop, self, os.environ)
-        member.agent.report_extensions.append(self.discovery.told)
+        member.agent.report_extensions.append(self.discovery.report)
         if told.agreement is not None and told.agreement.group:
             self.pool.delays = member.delays
-        self.driver.before = self.pool.stamp = member.stamp_at(self._loop)
+        self.driver.revision_stamp = self.pool.stamp = member.stamp_at(self._loop)
         self.door.add("RULES", lambda: member.agent.state)
         return member
 
@@ -78,9 +82,11 @@
         """Pick servers so from now on."""
         self.driver.steer(steer)
 
-    def listings(self) -> HeldList:
-        """The list held."""
-        return self.discovery.listings()
+    def listings(self) -> EndpointList:
+        """The list held; there is one wherever this process is a member of a fleet."""
+        endpoints = self.discovery.endpoints()
+        assert endpoints is not None
+        return endpoints
 
     @property
     def list_version(self) -> int:
@@ -89,7 +95,7 @@
 
     def ask_for_list(self) -> None:
         """Ask for the list anew: what tells of changes has fallen behind."""
-        self.discovery.again()
+        self.discovery.reopen()
 
     @property
     def running(self) -> Config:
@@ -99,7 +105,7 @@
     @property
     def busy(self) -> set[int]:
         """The slots of classes that requests or clients still name."""
-        return self.driver.bands | self.inbound.bands
+        return self.driver.request_classes | self.inbound.request_classes
 
     async def start(self) -> Address:
         """Be ready: the known list is taken in before the first request; where it listens."""
@@ -157,13 +163,13 @@
             self.member.file_read(told)
         log(f"reload: done, classes {', '.join(self._told.names.classes)}")
 
-    def adopt(self, told: Config) -> None:
+    def adopt(self, found: Config) -> None:
         """Run on another configuration from now on; `ConfigError` if it can't take this one's place."""
-        news = config.successor(self._told, told, self.busy)
-        for name in news.unchanged:
+        news = reload.successor(self._told, found, self.busy)
+        for name in news.pending_restart:
             log(f"reload: {name} stays as it was until a restart")
         longest, self._told = self._longest(), news.config
-        self.driver.reload(news.config, news.kept)
+        self.driver.reload(news.config, news.same_classes)
         self.pool.reload(news.config)
         self.inbound.reload(news.config.names, longest)
         self.discovery.move(news.config.discovery, news.config.registry)
@@ -171,8 +177,8 @@
     def _longest(self) -> float:
         """The longest deadline, in ms, of the classes that there are now: slots of classes that a reload left
         out are no longer counted by whoever ends the process."""
-        named = {kind.band for kind in self._told.names.classes.values()}
-        return max(self._told.settings.profiles[band].deadline for band in named)
+        named = {kind.slot for kind in self._told.names.classes.values()}
+        return max(self._told.settings.profiles[slot].deadline for slot in named)
 
     async def drain(self) -> None:
         """Stop listening, finish what was taken, close connections between requests."""
@@ -188,7 +194,7 @@
 
     def close(self) -> None:
         """Close what is left."""
-        log(f"closing, with {self.driver.held or 'nothing'} still open")
+        log(f"closing, with {self.driver.in_flight or 'nothing'} still open")
         self.door.close()
         self.inbound.close()
         self.pool.close()
--- a/brassfall/sidecar/agent/member.py
+++ b/brassfall/sidecar/agent/member.py
@@ -10,15 +10,15 @@
 from typing import Any, Protocol
 
 from brassfall.balancer.model import Steer
-from brassfall.sidecar import config
+from brassfall.sidecar import config, reload
 from brassfall.sidecar.agent import rules
 from brassfall.sidecar.agent.agent import Agent
 from brassfall.sidecar.agent.delays import Delays
 from brassfall.sidecar.agent.lease_client import ActiveConfiguration, Revision
-from brassfall.sidecar.agent.lists import HeldList
+from brassfall.sidecar.agent.lists import EndpointList
 from brassfall.sidecar.agent.steering import NEUTRAL, Inputs, Steering
 from brassfall.sidecar.config import Config, ConfigError
-from brassfall.sidecar.driver import log
+from brassfall.sidecar.console import log
 
 LIST_LATE_S = 2.0  # changes of the list take far less on a watch that works
 
@@ -34,13 +34,13 @@
     def running(self) -> Config:
         """What it runs on."""
 
-    def adopt(self, told: Config) -> None:
+    def adopt(self, found: Config) -> None:
         """Run on another configuration from now on; `ConfigError` if it can't take the place."""
 
     def steer(self, steer: Steer) -> None:
         """Pick servers so from now on."""
 
-    def listings(self) -> HeldList:
+    def listings(self) -> EndpointList:
         """The list held."""
 
     @property
@@ -138,10 +138,10 @@
             return why
         try:
             laid = rules.laid(revision.settings)
-            config.successor(self._process.running, self._over(self._file, laid), self._process.busy)
+            reload.successor(self._process.running, self._over(self._file, laid), self._process.busy)
         except ConfigError as error:
             return str(error)
-        except Exception as error:
+        except Exception as error:  # any fault must be told as an objection
             # Reported, it halts the revision; unreported, every sidecar would act on the fallback.
             return f"a fault in this program, report it: {error!r}"
         return ""
--- a/brassfall/sidecar/handover.py
+++ b/brassfall/sidecar/handover.py
@@ -5,8 +5,8 @@
 import fcntl
 import os
 
-from brassfall.sidecar.config import stable_number
-from brassfall.sidecar.driver import log
+from brassfall.sidecar.config_values import stable_number
+from brassfall.sidecar.console import log
 
 SERVES, COMES = "lock", "next"
 # The name of earlier versions: during an upgrade, processes of both look at the same files.
--- a/brassfall/sidecar/inbound.py
+++ b/brassfall/sidecar/inbound.py
@@ -8,9 +8,10 @@
 from brassfall.sidecar.body import Budget
 from brassfall.sidecar.client_connection import ClientConnection
 from brassfall.sidecar.client_request import ClientRequest, RequestHandler
-from brassfall.sidecar.config import Address, Config, Names
+from brassfall.sidecar.clock import Clock
+from brassfall.sidecar.config import Config
+from brassfall.sidecar.config_values import Address, Names
 from brassfall.sidecar.connection_limits import RESERVED, ConnectionLimits, by_least_progress
-from brassfall.sidecar.driver import Clock
 from brassfall.sidecar.known_classes import KnownClasses
 from brassfall.sidecar.lifecycle import Lifecycle
 from brassfall.sidecar.listener import Listener, bound, inherited
@@ -82,7 +83,7 @@
         self.classes.replace(names, deadline_ms)
 
     @property
-    def bands(self) -> set[int]:
+    def request_classes(self) -> set[int]:
         """The classes that clients may name."""
         return self.classes.slots
 
@@ -217,16 +218,11 @@
         message.target = framing.origin_form(message.target)
         if message.target.partition(b"?")[0] == READY_PATH:
             request.answer = (200 if self._lifecycle.ready else 503, [], b"")
-        elif self._overloaded:
+        elif len(self._connections) > self.limits.requests and self.busy_connections > self.limits.requests:
             request.refused(0.0)
         elif not request.connection.leave_if_closed():
             self._admit(request, message, read_at)
 
-    @property
-    def _overloaded(self) -> bool:
-        most = self.limits.requests
-        return len(self._connections) > most and self.busy_connections > most
-
     def _admit(self, request: ClientRequest, message: RequestMessage, read_at: float) -> None:
         try:
             self.classes.read(request, message, self._not_forwarded)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -33,7 +33,9 @@
         "crossings_shutdown",
         "door",
         "endurance",
+        "errors",
         "failures",
+        "geography",
         "lab",
         "large",
         "operation_process",
@@ -60,6 +62,7 @@
         "tier_processes",
         "upgrade",
         "whole_program_faults",
+        "wire_forms",
     ]
 )
 
