--- a/brassfall/lab/agreement/defects.py
+++ b/brassfall/lab/agreement/defects.py
@@ -346,7 +346,7 @@
     return replace(REAL, lease_client=kind)
 
 
-S1, S2, S3, S4, S5 = "S1 exclusive", "S2 contradiction", "S3 permission", "S4 content", "S5 halted"
+S1, S2, S3, S4, S5 = "S1 exclusive", "S2 contradiction", "S3 lease", "S4 content", "S5 halted"
 BACK, DURABLE, OBJECTED = "S4 back", "S5 durable", "S5 objected"
 DEFECTS: dict[str, InjectedDefect] = {
     "from-the-answer": InjectedDefect(
--- a/brassfall/lab/agreement/rules.py
+++ b/brassfall/lab/agreement/rules.py
@@ -193,7 +193,7 @@
         old: Profile | None = who.profile
         if new is not None and not new.safe and now > until_ms + SLACK_MS:
             raise RuleError(
-                "S3 permission", now, f"{who.label} acts on {new}, {now - until_ms:.1f} ms too long"
+                "S3 lease", now, f"{who.label} acts on {new}, {now - until_ms:.1f} ms too long"
             )
         if new is old:
             return
--- a/brassfall/lab/agreement/service.py
+++ b/brassfall/lab/agreement/service.py
@@ -180,7 +180,7 @@
                 else "write of prepare"
             )
         if self.disk.state is not self.coordinator.state:
-            return "durable, untold"
+            return "durable, unsent"
         if self.coordinator.state.pending is not None:
             return "prepare"
         return "commit" if self.kernel.now - self.committed_at < 1000.0 else "rest"
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -51,7 +51,7 @@
 
 def test_a_schedule_is_shrunk_to_what_breaks():
     outcome = command.play(command.Task(3, 0, "looked-by-timer"), shrinking=True)
-    assert outcome.rule == "S3 permission"
+    assert outcome.rule == "S3 lease"
     assert [fault.split(" ms ")[1] for fault in outcome.faults] == ["stop"]
 
 
