--- a/brassfall/lab/agreement/rules.py
+++ b/brassfall/lab/agreement/rules.py
@@ -192,9 +192,7 @@
         which its lease on it is over at the latest."""
         old: Profile | None = who.profile
         if new is not None and not new.safe and now > until_ms + SLACK_MS:
-            raise RuleError(
-                "S3 lease", now, f"{who.label} acts on {new}, {now - until_ms:.1f} ms too long"
-            )
+            raise RuleError("S3 lease", now, f"{who.label} acts on {new}, {now - until_ms:.1f} ms too long")
         if new is old:
             return
         if old is not None:
