--- a/brassfall/lab/capacity/hollow.py
+++ b/brassfall/lab/capacity/hollow.py
@@ -1,6 +1,6 @@
 """Hollow sidecars, some hundreds in one process: `python -m brassfall.lab.capacity.hollow SOURCE`.
 
-Each is the sidecar's own control code (`sidecar.agent`, and the watch of `sidecar.discovery`) on
+Each is the sidecar's own control code (`sidecar.agent`, and `sidecar.discovery` with its watch) on
 connections of its own, with its own configuration and list; what is missing is the data path. Connections go
 out from the address SOURCE. Commands come as JSON lines on standard input, answers go to standard output; the
 process ends when its input does.
@@ -27,6 +27,7 @@
 from brassfall.lab.capacity import control
 
 config_module: Any = importlib.import_module("brassfall.sidecar.config")
+reload_module: Any = importlib.import_module("brassfall.sidecar.reload")
 discovery_module: Any = importlib.import_module("brassfall.sidecar.discovery")
 member_module: Any = importlib.import_module("brassfall.sidecar.agent.member")
 
@@ -139,7 +140,7 @@
         self.discovery = discovery_module.Discovery(loop, config, self._list_changed)
         self.member = member_module.FleetMember(loop, self, {})
         agent = self.member.agent
-        agent.report_extensions.append(self.discovery.told)
+        agent.report_extensions.append(self.discovery.report)
         agent.answer_listeners.append(self._answered)
         agent.refresh = self._observed(agent.refresh)
 
@@ -204,7 +205,7 @@
 
     def adopt(self, config: Any) -> None:
         """Take another configuration: checked as a sidecar checks it."""
-        self._config = config_module.successor(self._config, config, self.busy).config
+        self._config = reload_module.successor(self._config, config, self.busy).config
         self.discovery.move(self._config.discovery, self._config.registry)
 
     def steer(self, steer: Any) -> None:
@@ -212,7 +213,7 @@
 
     def listings(self) -> Iterable[Any]:
         """The servers on the list held."""
-        listed: Iterable[Any] = self.discovery.listings()
+        listed: Iterable[Any] = self.discovery.endpoints()
         return listed
 
     @property
--- a/brassfall/sidecar/connecting.py
+++ b/brassfall/sidecar/connecting.py
@@ -7,8 +7,8 @@
 from typing import Protocol
 
 from brassfall.balancer.model import Outcome
-from brassfall.sidecar.driver import Result
 from brassfall.sidecar.exchange import Exchange
+from brassfall.sidecar.interfaces import Result
 from brassfall.sidecar.server_connection import Connection, Server
 
 # A connection that is up takes so many turns of the loop to be told; one that stood still may owe them all.
