--- a/brassfall/sidecar/agent/overrides.py
+++ b/brassfall/sidecar/agent/overrides.py
@@ -187,38 +187,20 @@
     doubtful = [line for line, phase in here if phase and line.kind == "pin" and _known(line, names, [])]
     pins = _agreed(pins, _pins(settings.tenant_pins, doubtful))
     notes += [
-        f"tenant {t} is pinned to region {r}, which is held"
-        for t, r in sorted(pins.items())
-        if r in held["region"]
+        f"tenant {tenant} is pinned to region {region}, which is held"
+        for tenant, region in sorted(pins.items())
+        if region in held["region"]
     ]
-    shares = _shares(settings.shares, known, None, None, names, held["region"])
-    by_class = {
-        cls: _shares(settings.class_shares.get(cls, settings.shares), known, cls, None, names, held["region"])
-        for cls in {*settings.class_shares, *(ln.cls for ln in known if ln.kind == "shift" and ln.cls)}
-    }
-    by_tenant = {
-        tenant: _shares(
-            settings.tenant_shares.get(tenant, settings.shares), known, None, tenant, names, held["region"]
-        )
-        for tenant in {
-            *settings.tenant_shares,
-            *(ln.tenant for ln in known if ln.kind == "shift" and ln.tenant),
-        }
-        if tenant not in pins
-    }
-    caps = dict(settings.caps)
-    for line in known:
-        if line.kind == "cap" and line.cls is not None:
-            caps[line.cls] = min(caps.get(line.cls, math.inf), line.spec)
+    tenant_shares = _tenant_shares(settings, known, names, held["region"])
     return Effective(
-        shares=shares,
-        class_shares={cls: found for cls, found in by_class.items() if found},
-        tenant_shares={tenant: found for tenant, found in by_tenant.items() if found},
+        shares=_shares(settings.shares, known, None, None, names, held["region"]),
+        class_shares=_class_shares(settings, known, names, held["region"]),
+        tenant_shares={tenant: found for tenant, found in tenant_shares.items() if tenant not in pins},
         tenant_pins=pins,
         held_regions=held["region"],
         held_groups=held["group"],
         held_servers=held["server"],
-        caps={cls: rate / max(1, sidecars) for cls, rate in caps.items()},
+        caps={cls: rate / max(1, sidecars) for cls, rate in _caps(settings.caps, known).items()},
         frozen=any(line.kind == "freeze" for line in known),
         acted=tuple(sorted((line.id, line.rev) for line in lines)),
         unknown=tuple(unknown),
@@ -226,6 +208,39 @@
     )
 
 
+def _class_shares(
+    settings: Rules, lines: Sequence[Override], names: Names, held: frozenset[str]
+) -> dict[str, Shares]:
+    """The shares of each class that has some of its own."""
+    shifted = {line.cls for line in lines if line.kind == "shift" and line.cls}
+    found = {
+        cls: _shares(settings.class_shares.get(cls, settings.shares), lines, cls, None, names, held)
+        for cls in {*settings.class_shares, *shifted}
+    }
+    return {cls: shares for cls, shares in found.items() if shares}
+
+
+def _tenant_shares(
+    settings: Rules, lines: Sequence[Override], names: Names, held: frozenset[str]
+) -> dict[str, Shares]:
+    """The shares of each tenant that has some of its own."""
+    shifted = {line.tenant for line in lines if line.kind == "shift" and line.tenant}
+    found = {
+        tenant: _shares(settings.tenant_shares.get(tenant, settings.shares), lines, None, tenant, names, held)
+        for tenant in {*settings.tenant_shares, *shifted}
+    }
+    return {tenant: shares for tenant, shares in found.items() if shares}
+
+
+def _caps(of_settings: Mapping[str, float], lines: Sequence[Override]) -> dict[str, float]:
+    """The least cap of each class, of the whole fleet, in requests/s."""
+    caps = dict(of_settings)
+    for line in lines:
+        if line.kind == "cap" and line.cls is not None:
+            caps[line.cls] = min(caps.get(line.cls, math.inf), line.spec)
+    return caps
+
+
 def _phase(line: Override, deadlines: Deadlines, now_s: float) -> Phase:
     phase = deadlines.exclusive_phase if line.kind == "pin" else deadlines.phase
     return phase(line.id, line.rev, now_s)
