--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -19,6 +19,7 @@
 # in one worker (`tests/run.sh`); all other tests are pure, or run in simulated time, and share all cores.
 REAL_TIME = frozenset(
     [
+        "admin",
         "aggregator_shell",
         "aggregators_service",
         "agreement_agent",
@@ -31,7 +32,7 @@
         "crossings_reload",
         "crossings_servers",
         "crossings_shutdown",
-        "door",
+        "crossings_wall_clock",
         "endurance",
         "errors",
         "failures",
