--- a/brassfall/sidecar/attempts.py
+++ b/brassfall/sidecar/attempts.py
@@ -63,7 +63,7 @@
 
     def ended(self, result: Result) -> None:
         """Its one outcome."""
-        if result.outcome == Outcome.MOOT:
+        if result.outcome == Outcome.ABANDONED:
             self.driver.attempt_unsent(self)
         self.driver.attempt_ended(self, result)
 
--- a/brassfall/sidecar/registry_channel.py
+++ b/brassfall/sidecar/registry_channel.py
@@ -14,11 +14,11 @@
 
 import httptools
 
-from brassfall.balancer.model import CALL_MS, SPARE_MS, TOLD_MS
+from brassfall.balancer.model import CALL_MS, NOTIFIED_MS, SPARE_MS
 from brassfall.sidecar.console import log
 
 # What a change may take to arrive: all waits and limits of calls are parts of it.
-NOTIFIED_S, SPARE_S, CALL_S = TOLD_MS / 1000.0, SPARE_MS / 1000.0, CALL_MS / 1000.0
+NOTIFIED_S, SPARE_S, CALL_S = NOTIFIED_MS / 1000.0, SPARE_MS / 1000.0, CALL_MS / 1000.0
 # A pushed list counts from the moment the agent has it, and sends that go wrong for half a second:
 # within that the watch has to be open again once the agent can be reached.
 BACKOFF_S, SPREAD = 0.1, 0.5
--- a/tests/test_crossings_hold_up.py
+++ b/tests/test_crossings_hold_up.py
@@ -191,4 +191,4 @@
         await until(lambda: module.named("client_gone"))
         await asyncio.sleep(0.05)
         assert len(second.seen) == 1
-        assert [number, 1, Outcome.MOOT] in [row[:3] for row in module.named("outcome")]
+        assert [number, 1, Outcome.ABANDONED] in [row[:3] for row in module.named("outcome")]
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -11,6 +11,8 @@
 
 import pytest
 
+from tests.conftest import REAL_TIME
+
 ROOT = Path(__file__).resolve().parent.parent
 HOUSE = ROOT / "brassfall"
 PACKAGE = HOUSE / "balancer"
@@ -439,6 +441,14 @@
     assert not met & {"time", "random", "socket", "os", "asyncio", "sqlite3", "pathlib", "aiohttp", "secrets"}
 
 
+def test_every_module_of_tests_that_starts_processes_is_named_as_running_in_real_time():
+    files = {path.stem.removeprefix("test_"): path for path in (ROOT / "tests").glob("test_*.py")}
+    assert files.keys() >= REAL_TIME
+    for name, path in files.items():
+        if "\nfrom tests.processes import" in path.read_text():
+            assert name in REAL_TIME, name
+
+
 def test_a_sidecar_outside_of_a_fleet_loads_nothing_of_the_agent():
     """It pays for no code of the control plane's client."""
     program = (
