--- a/tests/test_whole_program_faults.py
+++ b/tests/test_whole_program_faults.py
@@ -61,10 +61,8 @@
     made = await started(tmp_path, plan, upstreams, discovery=registry.address, seed=str(seed))
     answers = []
     await asyncio.gather(*(client(made, answers, number) for number in range(CLIENTS)))
-    found = collections.Counter(answers)
-    # Each has its answer; one of which all attempts failed on this machine is refused.
-    assert found.keys() <= {("200", b"done"), ("503", b"")}
-    assert found["200", b"done"] >= 0.99 * CLIENTS * REQUESTS
+    # What fails on this machine is no attempt at a server: none runs out of them.
+    assert collections.Counter(answers) == {("200", b"done"): CLIENTS * REQUESTS}
     made.process.terminate()
     assert await made.process.wait() == 0
     for partner in (*upstreams, registry):
