--- a/brassfall/sidecar/agent/steering.py
+++ b/brassfall/sidecar/agent/steering.py
@@ -10,9 +10,10 @@
 from brassfall.sidecar.agent import overrides, rules
 from brassfall.sidecar.agent.deadlines import Deadlines, digest
 from brassfall.sidecar.agent.lease_client import ActiveConfiguration, Revision
-from brassfall.sidecar.agent.lists import HeldList
+from brassfall.sidecar.agent.lists import EndpointList
 from brassfall.sidecar.agent.overrides import Effective, Override, Place
-from brassfall.sidecar.config import Agreement, Names
+from brassfall.sidecar.config import Agreement
+from brassfall.sidecar.config_values import Names
 
 NEUTRAL = Steer()
 PLAN_AGE_MS = 15_000.0  # a plan counts whole up to its limit, then evenly less, and not at twice the limit
@@ -34,7 +35,7 @@
     """Holds the times left of overrides, and makes a `Steer` of what holds now."""
 
     def __init__(
-        self, agreement: Agreement, names: Callable[[], Names], listings: Callable[[], HeldList]
+        self, agreement: Agreement, names: Callable[[], Names], listings: Callable[[], EndpointList]
     ) -> None:
         self._place = Place(agreement.group, agreement.region)
         self._names = names
@@ -160,7 +161,7 @@
         steer = Steer(
             shares=_by_zone(found.shares, zones),
             class_shares={
-                names.classes[name].band: _by_zone(shares, zones)
+                names.classes[name].slot: _by_zone(shares, zones)
                 for name, shares in found.class_shares.items()
                 if name in names.classes
             },
@@ -175,7 +176,7 @@
             excluded_zones=frozenset(zones[name] for name in found.held_regions if name in zones),
             excluded_servers=frozenset(held | found.held_servers),
             caps={
-                names.classes[name].band: rate for name, rate in found.caps.items() if name in names.classes
+                names.classes[name].slot: rate for name, rate in found.caps.items() if name in names.classes
             },
             weight=self._weight(active.revision, now),
             explore=_share((active.revision.plan or {}).get("look")),
--- a/brassfall/sidecar/client_request.py
+++ b/brassfall/sidecar/client_request.py
@@ -5,9 +5,10 @@
 from typing import Protocol
 
 from brassfall.sidecar import framing, request_checks
+from brassfall.sidecar.attempts import Request
 from brassfall.sidecar.body import Body
-from brassfall.sidecar.config import Names, stable_number
-from brassfall.sidecar.driver import Answer, Flow, Request
+from brassfall.sidecar.config_values import Names, stable_number
+from brassfall.sidecar.interfaces import Answer, Flow
 from brassfall.sidecar.request_message import RequestMessage, Reservation
 from brassfall.sidecar.streamed_answer import StreamedAnswer
 
@@ -66,10 +67,10 @@
         self.body: Body | None = None  # of a large request, in place of a buffered one
         self.can_chunk = True  # whether its client knows chunks: not before HTTP/1.1
         self.reservation = reservation
-        self.band = self.tenant = 0
+        self.request_class = self.tenant = 0
         self.key: int | None = None
         self.work: float | None = None
-        self.again = self.mutates = False
+        self.client_retry = self.mutates = False
         self.budget = 0.0
         self._head = b""
         self._body = b""
@@ -89,14 +90,15 @@
 
         Raises `BadRequestError`, which says what is wrong with it."""
         request_class = request_checks.request_class(message, names)
-        self.band = request_class.band
+        self.request_class = request_class.slot
         self.budget = request_checks.budget_ms(message)
-        request_checks.call_id(message)
-        self.tenant = request_checks.tenant(message, names)
+        request_checks.check_call_id(message)
+        if names.tenants:
+            self.tenant = request_checks.tenant(message, names)
         user = request_checks.cookie(message.header("cookie") or "", "user")
         self.key = None if user is None else stable_number(user)
         self.work = request_checks.work_ms(message)
-        self.again = message.header("x-again") == "1"
+        self.client_retry = message.header("x-again") == "1"
         self.mutates = "Mutates=1" in (message.header("x-call-info") or "").split(",")
         self._body = b"" if self.body is not None else bytes(message.body)
         headers = framing.end_to_end(message.headers, not_forwarded)
@@ -158,7 +160,7 @@
             self.connection.abort()
         else:
             self.stream = None
-            self.failed(False)
+            self.failed(late=False)
 
     def finish(self, status: int, headers: framing.Headers, body: bytes) -> None:
         """Give the final answer, complete; without effect where there is one."""
--- a/brassfall/sidecar/peers.py
+++ b/brassfall/sidecar/peers.py
@@ -6,8 +6,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from brassfall.sidecar.config import Address, Config
-from brassfall.sidecar.driver import log
+from brassfall.sidecar.config import Config
+from brassfall.sidecar.config_values import Address
+from brassfall.sidecar.console import log
 
 MESSAGE_MOST = 256
 
--- a/brassfall/sidecar/shutdown.py
+++ b/brassfall/sidecar/shutdown.py
@@ -4,7 +4,8 @@
 
 import asyncio
 
-from brassfall.sidecar.driver import Clock, Driver
+from brassfall.sidecar.clock import Clock
+from brassfall.sidecar.driver import Driver
 from brassfall.sidecar.inbound import Inbound
 
 # New connections go on coming for up to 0.4 s after SIGTERM; SIGKILL comes no sooner than the longest
