--- a/tests/spread.py
+++ b/tests/spread.py
@@ -18,13 +18,13 @@
     known to within `error_s` either way. So it falls in a given window of width w with a chance of at most
     (w + 2 error) / span, whatever the first part is, and the number of samples there exceeds the binomial
     quantile with a chance of at most FALSE_ALARM, for any number of samples, also a small one."""
-    held = Counter(round(sample / STEP_S) for sample in samples)
+    counts = Counter(round(sample / STEP_S) for sample in samples)
     found = []
     for width in WINDOWS:
         chance = min(1.0, (width * STEP_S + 2.0 * error_s) / span_s)
         most = int(binom.isf(FALSE_ALARM, len(samples), chance))
-        for first in range(min(held, default=0) - width + 1, max(held, default=0) + 1):
-            count = sum(held[step] for step in range(first, first + width))
+        for first in range(min(counts, default=0) - width + 1, max(counts, default=0) + 1):
+            count = sum(counts[step] for step in range(first, first + width))
             if count > most:
                 found.append((first * STEP_S, (first + width) * STEP_S, count, most))
     return found
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -41,7 +41,7 @@
         self.now += wait
         return self
 
-    def run(self, requests: int, gap: float = 10.0, band: int = 0, tenant: int = 0) -> Counter:
+    def run(self, requests: int, gap: float = 10.0, request_class: int = 0, tenant: int = 0) -> Counter:
         """So many requests on a beat; the zones of their first attempts."""
         self.sent, self.first, self.refused = Counter(), Counter(), Counter()
         for _ in range(requests):
@@ -49,11 +49,11 @@
             while self.out and self.out[0][0] <= self.now:
                 self.end(*heapq.heappop(self.out))
             self.count += 1
-            arrival = Arrival(self.count, band, self.now + 1000.0, tenant)
-            self.carry(self.balancer.request(self.now, arrival), 0, band)
+            arrival = Arrival(self.count, request_class, self.now + 1000.0, tenant)
+            self.carry(self.balancer.request(self.now, arrival), 0, request_class)
         return self.first
 
-    def carry(self, actions: list, hop: int, band: int) -> None:
+    def carry(self, actions: list, hop: int, request_class: int) -> None:
         for send in of_type(actions, Send):
             zone = send.server.strip("0123456789")
             self.sent[zone] += 1
@@ -62,13 +62,15 @@
             took = send.timeout if status == Outcome.TIMEOUT else self.rng.uniform(3.0, 7.0)
             if isinstance(status, float):
                 status, took = Outcome.OK, status
-            heapq.heappush(self.out, (self.now + took, send.request, hop, band, status, took))
-        self.refused[band] += len(of_type(actions, Refuse))
+            heapq.heappush(self.out, (self.now + took, send.request, hop, request_class, status, took))
+        self.refused[request_class] += len(of_type(actions, Refuse))
 
-    def end(self, at: float, request: int, hop: int, band: int, status: Outcome, took: float) -> None:
+    def end(
+        self, at: float, request: int, hop: int, request_class: int, status: Outcome, took: float
+    ) -> None:
         report = {"inflight": 1.0} if status == Outcome.FULL else None
-        told = self.balancer.outcome(at, request, hop, status, took, status == Outcome.OK, report)
-        self.carry(told, hop + 1, band)
+        actions = self.balancer.outcome(at, request, hop, status, took, status == Outcome.OK, report)
+        self.carry(actions, hop + 1, request_class)
 
 
 @pytest.mark.parametrize(
@@ -76,7 +78,7 @@
     [
         (Steer(), {}, {}),
         (PLAN, {}, PLAN.shares),
-        (PLAN._replace(class_shares={1: {2: 1.0}}), {"band": 1}, {2: 1.0}),
+        (PLAN._replace(class_shares={1: {2: 1.0}}), {"request_class": 1}, {2: 1.0}),
         (PLAN._replace(class_shares={1: {2: 1.0}}), {}, PLAN.shares),
         (PLAN._replace(class_shares={0: {2: 1.0}}, tenant_shares={5: {1: 1.0}}), {"tenant": 5}, {1: 1.0}),
         (PLAN._replace(weight=0.5), {}, {0: 0.35, 1: 0.1, 2: 0.05}),
@@ -135,7 +137,7 @@
 
 
 @pytest.mark.parametrize(
-    ("steer", "classes", "bad", "held"),
+    ("steer", "classes", "bad", "excluded"),
     [
         (Steer(excluded_zones=frozenset({0})), "safe", {}, "a"),
         (Steer(excluded_zones=frozenset({0}), shares={0: 1.0}), "safe", {}, "a"),
@@ -145,15 +147,15 @@
         (Steer(excluded_zones=frozenset({0})), "safe", {"b": Outcome.FULL, "c": Outcome.ERROR}, "a"),
     ],
 )
-def test_what_is_held_off_is_never_sent_to(steer, classes, bad, held):
+def test_what_is_excluded_is_never_sent_to(steer, classes, bad, excluded):
     play = Play(classes).steer(steer, wait=0.0)  # a hold-off is not eased in
     play.bad = bad
     play.run(1000)
-    assert play.sent[held] == 0
+    assert play.sent[excluded] == 0
     assert bad or sum(play.sent.values()) == 1000
 
 
-def test_what_is_held_off_serves_where_it_is_all_there_is():
+def test_what_is_excluded_serves_where_it_is_all_there_is():
     play = Play().steer(Steer(excluded_zones=frozenset({0, 1, 2})), wait=0.0)
     assert sum(play.run(300).values()) == 300
     play.steer(Steer(excluded_zones=frozenset({0})), wait=0.0)
@@ -172,7 +174,7 @@
 
 @pytest.mark.parametrize("names", ["{n:02}{zone}", "{zone}{n:02}"])  # a subset of all zones, or of one
 @pytest.mark.parametrize("shares", [{}, {0: 1.0}])
-def test_what_was_held_off_is_eased_back_in(shares, names):
+def test_what_was_excluded_is_eased_back_in(shares, names):
     play = Play(per_zone=8, names=names).steer(Steer(shares=shares, excluded_zones=frozenset({0})))
     play.run(500)
     play.balancer.steer(play.now, Steer(shares=shares))
@@ -196,7 +198,7 @@
     assert play.run(100) == {"c": 100}
 
 
-def test_many_changes_are_kept_in_few():
+def test_many_changes_are_eased_in_together():
     play = Play()
     for number in range(2000):
         play.steer(Steer(shares={number % 3: 1.0}), wait=10.0).run(1, gap=0.0)
@@ -205,7 +207,7 @@
 
 
 @pytest.mark.parametrize(("shares", "least", "most"), [({}, 3, 11), ({0: 1.0}, 20, 40)])
-def test_a_zone_that_comes_back_cold_gets_by_its_warmth_what_the_plan_brings_it(shares, least, most):
+def test_a_zone_that_comes_back_in_slow_start_gets_by_its_warmth_what_the_plan_brings_it(shares, least, most):
     """1,000 requests/s; a third of 24 servers is 2% warm, and bears twice its usual part of that."""
     rules = {"ColdFrom": 0.02, "WarmUp": 1e9, "FallMultiple": 4.0, "OverloadFor": 2000.0}
     play = Play(per_zone=8, Rules=rules).steer(Steer(shares=shares))
@@ -225,10 +227,10 @@
     assert play.refused[0] == play.balancer._steering.capped == 1000 - sum(play.sent.values())
     # A cap tells nothing of the servers: the throttle lets the other class pass.
     assert play.balancer._throttle.drop_chance(play.now) == 0.0
-    assert sum(play.run(200, gap, band=1).values()) == 200
+    assert sum(play.run(200, gap, request_class=1).values()) == 200
 
 
-def test_the_neutral_one_changes_no_draw():
+def test_the_neutral_one_changes_no_random_number():
     sides = [Play(seed=3), Play(seed=3).steer(Steer(), wait=0.0)]
     for play in sides:
         play.bad = {"b": Outcome.FULL, "1a": Outcome.TIMEOUT}
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -57,7 +57,7 @@
     assert refused_of(made, 550, 2000, 0.5) == 0
 
 
-def test_a_cold_server_that_its_share_turned_down_is_not_sent_to_instead():
+def test_a_server_in_slow_start_that_its_share_passed_over_is_not_sent_to_instead():
     """Its share guards it from what it can't bear yet, which a warm one's does not."""
     rules = {"ColdFrom": 0.02, "WarmUp": 20000.0, "FallMultiple": 1000.0, "OverloadFor": 2000.0}
     made = balancer(servers=0, now=1000.0, Rules=rules)
@@ -67,7 +67,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_the_members_of_a_group_are_those_on_the_ring_or_else_those_held_off(seed):
+def test_the_members_of_a_group_are_those_on_the_ring_or_else_those_excluded(seed):
     """Made when first asked for, and none with a list: with thousands of servers that took most of it."""
     rng = random.Random(seed)
     made = balancer(servers=0)
