--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -11,6 +11,8 @@
 
 import pytest
 
+from tests.conftest import REAL_TIME
+
 ROOT = Path(__file__).resolve().parent.parent
 HOUSE = ROOT / "brassfall"
 PACKAGE = HOUSE / "balancer"
@@ -152,6 +154,10 @@
 SETTINGS = "brassfall.balancer.Settings"
 
 
+def own(*names: str) -> set[str]:
+    return {f"brassfall.sidecar.{name}" for name in names}
+
+
 def fleet(*names: str) -> set[str]:
     return {f"{FLEET}.{name}" for name in names}
 
@@ -237,6 +243,16 @@
                 VALUES,
             },
         ),
+        (
+            "sidecar.py",
+            {
+                *own("admin", "agent.lists", "agent.member", "clock", "config", "config_values", "console"),
+                *own("discovery", "driver", "endpoint_list", "handover", "inbound", "lifecycle", "listener"),
+                *own("outbound", "peers", "reload", "shutdown"),
+                MODEL,
+            },
+        ),
+        ("__main__.py", own("config", "console", "sidecar")),
         ("shutdown.py", {CLOCK, INBOUND, "brassfall.sidecar.driver"}),
         ("agent/lists.py", {LIST, MODEL, VALUES}),
         ("agent/forms.py", set()),
@@ -425,11 +441,19 @@
     assert not met & {"time", "random", "socket", "os", "asyncio", "sqlite3", "pathlib", "aiohttp", "secrets"}
 
 
+def test_every_module_of_tests_that_starts_processes_is_named_as_running_in_real_time():
+    files = {path.stem.removeprefix("test_"): path for path in (ROOT / "tests").glob("test_*.py")}
+    assert files.keys() >= REAL_TIME
+    for name, path in files.items():
+        if "\nfrom tests.processes import" in path.read_text():
+            assert name in REAL_TIME, name
+
+
 def test_a_sidecar_outside_of_a_fleet_loads_nothing_of_the_agent():
     """It pays for no code of the control plane's client."""
     program = (
         "import asyncio, sys; from tests.loopback import told; "
-        "from brassfall.sidecar.__main__ import Sidecar; "
+        "from brassfall.sidecar.sidecar import Sidecar; "
         "asyncio.set_event_loop(loop := asyncio.new_event_loop()); Sidecar(loop, told()); "
         "print([name for name in sys.modules if name.startswith('brassfall.sidecar.agent')])"
     )
