--- a/brassfall/controlplane/overrides/clock.py
+++ b/brassfall/controlplane/overrides/clock.py
@@ -8,12 +8,12 @@
 class SteadyClock:
     """Unix time that is read from the wall clock once, and from then on runs by the monotonic clock.
 
-    `mark_ms` is the newest time that an earlier life made durable: time never begins before it, so that
-    a wall clock that went back over a restart prolongs an override by no more than the time since the
+    `mark_ms` is the newest time that an earlier incarnation made durable: time never begins before it, so
+    that a wall clock that went back over a restart prolongs an override by no more than the time since the
     mark. `marked_at_ms` is what the monotonic clock said then, where the machine has not been started
     since (its boot id is the same): time then goes on from the mark, whatever the wall clock says.
 
-    The first mark of a life has to be durable before the life answers anything: were it killed before, the
+    The first mark of an incarnation has to be durable before it answers anything: were it killed before, the
     next one would have to believe the wall clock again.
     """
 
--- a/brassfall/controlplane/overrides/document.py
+++ b/brassfall/controlplane/overrides/document.py
@@ -1,7 +1,7 @@
 """What an operator writes to override the rules for a while, checked. Pure code.
 
-The wire form is in `docs/overrides.md`. An `Override` is one revision of such a document as the book has it:
-frozen, with the absolute end that its row keeps.
+The wire form is in `docs/overrides.md`. An `Override` is one revision of such a document as the override
+store has it: frozen, with the absolute end of its row.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 
 LONGEST_MS = 24 * 3_600_000  # a measure that lasts longer belongs into the settings
 NAME = re.compile(r"[A-Za-z0-9._:-]{1,128}\Z")
-WORDS_MOST = 500  # characters of `by` and of `why`
+TEXT_MOST = 500  # characters of `by` and of `why`
 PLACES_MOST = 256  # groups, regions, and regions of a shift
 PRIORITY_MOST = 1000
 SUM_SLACK = 1e-6  # shares that add up to one, written as decimals
 
 
-class BadOverride(Refused):
+class BadOverrideError(Refused):
     """A document that can't be an override (400)."""
 
     action = "Mend the document as the reason says, and send it again; docs/overrides.md has its form."
@@ -120,28 +120,28 @@
 
 
 def parse(override_id: str, body: bytes | str, now_ms: int) -> Document:
-    """The document that an operator sent at a time of the service; `BadOverride` says what is wrong."""
+    """The document that an operator sent at a time of the service; `BadOverrideError` says what is wrong."""
     what = f"override {override_id!r} is not taken"
     if not NAME.match(override_id):
-        raise BadOverride(what, "an id is 1 to 128 letters, digits, '.', '_', ':' or '-'")
+        raise BadOverrideError(what, "an id is 1 to 128 letters, digits, '.', '_', ':' or '-'")
     try:
         document = msgspec.json.decode(body, type=Document, strict=True)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:  # ValidationError is one of the first
-        raise BadOverride(what, str(error)) from error
+        raise BadOverrideError(what, str(error)) from error
     except RecursionError as error:
-        raise BadOverride(what, "it is nested too deep") from error
+        raise BadOverrideError(what, "it is nested too deep") from error
     wrong = next(faults(document, now_ms), "")
     if wrong:
-        raise BadOverride(what, wrong)
+        raise BadOverrideError(what, wrong)
     return document
 
 
 def faults(document: Document, now_ms: int) -> Iterator[str]:
     """Why a document can't be meant, one reason at a time."""
     yield from _action_faults(document.action, document.match)
-    for name, words in (("by", document.by), ("why", document.why)):
-        if not words.strip() or len(words) > WORDS_MOST:
-            yield f"`{name}` has to have 1 to {WORDS_MOST} characters"
+    for name, text in (("by", document.by), ("why", document.why)):
+        if not text.strip() or len(text) > TEXT_MOST:
+            yield f"`{name}` has to have 1 to {TEXT_MOST} characters"
     for name, places in (("groups", document.places.groups), ("regions", document.places.regions)):
         if len(places) > PLACES_MOST or not all(map(NAME.match, places)):
             yield f"`places.{name}` has to be at most {PLACES_MOST} names"
@@ -191,25 +191,25 @@
         yield f"the shares of `action.shift.to` add up to {sum(to.values()):g}, which is over 1"
 
 
-def listed(override: Override, now_ms: int) -> dict[str, Any]:
+def listing(override: Override, now_ms: int) -> dict[str, Any]:
     """The form of answers and listings, with the time left."""
     found: dict[str, Any] = msgspec.to_builtins(override)
     return {"id": override.id, **found, "left_ms": max(0, override.until_ms - now_ms)}
 
 
 def layer(overrides: Iterable[Override]) -> list[dict[str, Any]]:
-    """The overrides layer of an edition: what sidecars act on, and nothing about time.
+    """The overrides layer of a configuration revision: what sidecars act on, and nothing about time.
 
-    Times left are told apart from it, with each answer, since an edition lasts longer than they hold."""
+    Times left are sent apart from it, with each answer, since a revision lasts longer than they hold."""
     names = ("id", "rev", "from_ms", "priority", "action", "match", "places")
     return [{name: msgspec.to_builtins(getattr(found, name)) for name in names} for found in overrides]
 
 
-def times(overrides: Iterable[Override], now_ms: int, newest: int = 0) -> dict[str, dict[str, int]]:
-    """What an answer to a report tells of the time left, by id; of those in force.
+def times_left(overrides: Iterable[Override], now_ms: int, newest: int = 0) -> dict[str, dict[str, int]]:
+    """The time left of overrides in force, by id, for the answer to a report; each in ms.
 
-    Only of revisions after the newest that the sidecar was told, as it reports: revisions of all ids grow
-    together. 0 tells all, which one that asks for times anew, or is told again, has to get."""
+    Only of revisions after the newest that the sidecar has received, as it reports: revisions of all ids grow
+    together. 0 gives all, for a sidecar that asks for all times or is to get them once more."""
     return {
         found.id: {"rev": found.rev, "same_from": found.same_from, "left_ms": found.until_ms - now_ms}
         for found in overrides
--- a/brassfall/controlplane/overrides/history.py
+++ b/brassfall/controlplane/overrides/history.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class History:
+class WriteEntry:
     """Write this row, and delete another one that is too old to be kept (where one is named)."""
 
     key: str
@@ -40,8 +40,8 @@
         return found
 
 
-class Ring:
-    """Numbers the entries of one service; the book and the reconciler share it."""
+class HistoryRing:
+    """Numbers the entries of one service; the override store and the reconciler share it."""
 
     def __init__(self, most: int = ENTRIES_MOST) -> None:
         self._most = most
@@ -53,11 +53,11 @@
         if numbers:
             self._oldest, self._next = min(numbers), max(numbers) + 1
 
-    def add(self, entry: Entry) -> History:
+    def add(self, entry: Entry) -> WriteEntry:
         """The action that makes an entry durable."""
         key, drop = f"{self._next:012d}", ""
         self._next += 1
         if self._next - self._oldest > self._most:
             drop = f"{self._oldest:012d}"
             self._oldest += 1
-        return History(key, entry, drop)
+        return WriteEntry(key, entry, drop)
--- /dev/null
+++ b/brassfall/controlplane/registry/override_clock.py
@@ -0,0 +1,76 @@
+"""The overrides' clock over the store: its marks, which a start after a kill goes on from."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from pathlib import Path
+
+from brassfall.controlplane.overrides.clock import SteadyClock
+from brassfall.controlplane.registry.tasks import Tasks
+from brassfall.controlplane.store.commands import Put
+from brassfall.controlplane.store.store import Store
+from brassfall.errors import Unavailable
+from brassfall.logs import logger
+
+TABLE, KEY = "overrides-clock", "mark"
+BOOT_ID = Path("/proc/sys/kernel/random/boot_id")  # differs after each start of the machine
+
+log = logger("overrides")
+
+
+class OverrideClock:
+    """Unix ms that no jump of the wall clock moves. The store has to be loaded."""
+
+    def __init__(self, store: Store, tasks: Tasks) -> None:
+        self._store = store
+        self._tasks = tasks
+        self._writing: asyncio.Task[None] | None = None
+        row = store.state.get(TABLE, KEY)
+        stored = row.value if row is not None else {}
+        same_boot = bool(stored.get("boot")) and stored.get("boot") == _boot_id()
+        self._clock = SteadyClock(
+            time.time() * 1000.0,
+            _monotonic_ms(),
+            stored.get("mark", 0.0),
+            stored.get("at") if same_boot else None,
+        )
+
+    def now(self) -> int:
+        """Unix ms; it never goes back."""
+        return self._clock.now(_monotonic_ms())
+
+    async def write_first_mark(self) -> None:
+        """Make the time durable, before anything is answered by it.
+
+        `Unavailable` while the disk fails. Cancelling leaves a write that has begun under way."""
+        await self._store.submit(self.mark(), until_settled=False)
+
+    def mark(self) -> Put:
+        """The command that makes the present time durable."""
+        at = _monotonic_ms()
+        return Put(table=TABLE, key=KEY, value={"mark": self._clock.now(at), "at": at, "boot": _boot_id()})
+
+    def write_mark_when_due(self) -> None:
+        """Make the time durable once a second, one write at a time, while the caller goes on."""
+        if self._writing is not None and not self._writing.done():
+            return
+        if self._clock.mark(_monotonic_ms()) is not None:
+            self._writing = self._tasks.spawn(self._write_mark())
+
+    async def _write_mark(self) -> None:
+        try:
+            await self._store.submit(self.mark())
+        except Unavailable as error:
+            log.warning("time not durable", reason=error.told)
+
+
+def _monotonic_ms() -> float:
+    return time.monotonic() * 1000.0
+
+
+def _boot_id() -> str:
+    try:
+        return BOOT_ID.read_text().strip()
+    except OSError:
+        return ""
--- a/brassfall/controlplane/registry/overrides.py
+++ b/brassfall/controlplane/registry/overrides.py
@@ -1,13 +1,12 @@
-"""The shell of the overrides: `/overrides` over the durable table, and what is told of them."""
+"""`/overrides` over the durable store, and what the answers to reports say of overrides."""
 
 from __future__ import annotations
 
 import asyncio
 import time
-from collections.abc import Iterable
+from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 from itertools import count
-from pathlib import Path
 from typing import Any, Protocol
 
 import msgspec
@@ -20,13 +19,14 @@
     PlaceDigest,
 )
 from brassfall.controlplane.aggregation.orders import Orders
-from brassfall.controlplane.overrides import book as books
-from brassfall.controlplane.overrides import document, history
-from brassfall.controlplane.overrides import reconciler as comparing
-from brassfall.controlplane.overrides.clock import SteadyClock
+from brassfall.controlplane.overrides import document, events, history
+from brassfall.controlplane.overrides import reconciler as reconciliation
 from brassfall.controlplane.overrides.document import Override
+from brassfall.controlplane.overrides.reconciler import Reconciler
+from brassfall.controlplane.overrides.store import TABLE, OverrideStore
 from brassfall.controlplane.registry import entries
 from brassfall.controlplane.registry.calls import answer
+from brassfall.controlplane.registry.override_clock import OverrideClock
 from brassfall.controlplane.registry.tasks import Tasks
 from brassfall.controlplane.revisions.edges import Report
 from brassfall.controlplane.store.commands import Command, Delete, Put
@@ -36,12 +36,9 @@
 from brassfall.errors import Unavailable
 from brassfall.logs import faults, logger
 
-CLOCK, MARK = "overrides-clock", "mark"
-BOOT = Path("/proc/sys/kernel/random/boot_id")  # differs after each start of the machine
 TICK_S = 0.1
-AGAIN_S, AGAIN_MOST_S = 1.0, 30.0  # an edition that a sidecar objects to is objected to again
-
-SEND_AGAIN = "Send the same call again: what has happened is then answered so, and nothing changes twice."
+REPUBLISH_S, REPUBLISH_MOST_S = 1.0, 30.0  # pauses, doubled: a revision may be objected to each time
+REPEAT_CALL = "Send the same call again: what has happened is then answered so, and nothing changes twice."
 
 log = logger("overrides")
 _encode = msgspec.json.Encoder().encode
@@ -56,21 +53,21 @@
         """The whole body of a call, within the limits."""
 
 
-class Editions(Protocol):
-    """The agreement, as far as overrides go through it."""
+class Revisions(Protocol):
+    """The configuration revisions, as far as overrides go through them."""
 
     barred: dict[str, str]
 
     def layer(self) -> list[dict[str, Any]] | None:
-        """The overrides of the newest edition; None while one is on its way."""
+        """The overrides of the newest revision; None while one is under way."""
 
     def publish(self, **layers: Any) -> asyncio.Future[int]:
-        """Have an edition published."""
+        """Have a revision published."""
 
 
 @dataclass(frozen=True, slots=True)
 class OverrideMessages:
-    """What the answer to an aggregator's report tells of overrides."""
+    """What the answer to an aggregator's report says of overrides."""
 
     left: dict[str, dict[str, int]]
     digests: list[PlaceDigest]
@@ -82,43 +79,35 @@
     """All overrides of one list service."""
 
     host: Host
-    editions: Editions
-    book: books.Book = field(init=False)
-    reconciler: comparing.Reconciler = field(init=False)
-    clock: SteadyClock = field(init=False)
+    revisions: Revisions
+    store: OverrideStore = field(init=False)
+    reconciler: Reconciler = field(init=False)
+    clock: OverrideClock = field(init=False)
     _calls: count[int] = field(default_factory=count)
-    _waiting: dict[int, asyncio.Future[Override | None]] = field(default_factory=dict)
+    _answers: dict[int, asyncio.Future[Override | None]] = field(default_factory=dict)  # by call
     _tasks: Tasks = field(default_factory=Tasks)
-    _due: tuple[Override, ...] = ()
-    _marking: asyncio.Task[str] | None = None
+    _in_force: tuple[Override, ...] = ()
     _publishing: bool = False
-    _again_at: float = 0.0  # when what did not take effect is published once more
-    _again_s: float = AGAIN_S
-    _tell: set[str] = field(default_factory=set)  # sidecars that are told all anew with their next answer
-    _ask: set[str] = field(default_factory=set)  # and those that are asked for details
+    _republish_at: float = 0.0  # when what did not take effect is published once more, monotonic s
+    _republish_pause_s: float = REPUBLISH_S
+    _resend: set[str] = field(default_factory=set)  # sidecars whose next answer has all times left
+    _request: set[str] = field(default_factory=set)  # and those whose next answer requests details
 
     async def start(self) -> None:
         """Load what is durable; the first mark of the clock is durable before anything is answered.
 
-        `Unavailable` while the disk fails: it may be called again."""
-        table = self.host.store.state
-        ring = history.Ring()
-        past = sorted(table.rows(history.TABLE), key=lambda row: row.key)
-        ring.restore(row.key for row in past)
-        self.book, self.reconciler = books.Book(ring), comparing.Reconciler(ring)
-        mark = table.get(CLOCK, MARK)
-        kept = mark.value if mark is not None else {}
-        same = bool(kept.get("boot")) and kept.get("boot") == _boot()
-        self.clock = SteadyClock(
-            time.time() * 1000.0, _monotonic(), kept.get("mark", 0.0), kept.get("at") if same else None
-        )
-        bad = self.book.restore(
-            ((row.key, row.value) for row in table.rows(books.TABLE)), (row.value for row in past)
-        )
-        for key in bad:
+        `Unavailable` while the disk fails: it may be called once more."""
+        state = self.host.store.state
+        ring = history.HistoryRing()
+        entries_before = sorted(state.rows(history.TABLE), key=lambda row: row.key)
+        ring.restore(row.key for row in entries_before)
+        self.store, self.reconciler = OverrideStore(ring), Reconciler(ring)
+        self.clock = OverrideClock(self.host.store, self._tasks)
+        rows = ((row.key, row.value) for row in state.rows(TABLE))
+        for key in self.store.restore(rows, (row.value for row in entries_before)):
             log.error("unreadable", override=key, action="End it with `override end`, and write it anew.")
-        self.reconciler.restore(row.value for row in past)
-        await self.host.store.submit(self._mark(), until_settled=False)
+        self.reconciler.restore(row.value for row in entries_before)
+        await self.clock.write_first_mark()
         self._tasks.spawn(self._tick())
 
     async def close(self) -> None:
@@ -134,48 +123,55 @@
             web.delete("/overrides/{name}", self._end),
         ]
 
-    # --- the cores --------------------------------------------------------------------
+    # --- the store and the reconciler -------------------------------------------------
 
     def now(self) -> int:
         """Unix ms, by a clock that no jump of the wall clock moves."""
-        return self.clock.now(_monotonic())
+        return self.clock.now()
 
-    def _step(self, event: books.Event) -> None:
-        for action in self.book.step(self.now(), event):
+    def _step(self, event: events.Event) -> None:
+        """Give the override store an event, and do what it says."""
+        for action in self.store.step(self.now(), event):
             match action:
-                case books.Store(ticket, override):
-                    row = Put(table=books.TABLE, key=override.id, value=action.value)
+                case events.WriteRow(ticket, override):
+                    row = Put(table=TABLE, key=override.id, value=action.value)
                     # With the time it is from: a start after a kill begins at no earlier one.
-                    self._tasks.spawn(self._written(ticket, row, self._mark()))
-                case books.Drop(ticket, name):
-                    self._tasks.spawn(self._written(ticket, Delete(table=books.TABLE, key=name)))
-                case history.History():
-                    self._note(action)
-                case books.Publish(overrides):
-                    self._due, self._again_at, self._again_s = overrides, 0.0, AGAIN_S
-                    self._compare(comparing.Due(overrides))
-                    self._published()
-                case books.Answer(call, override, error):
-                    future = self._waiting.pop(call, None)
-                    if future is not None and not future.done():
-                        if error is not None:
-                            future.set_exception(error)
-                        else:
-                            future.set_result(override)
-
-    def _compare(self, event: comparing.Event) -> None:
+                    self._tasks.spawn(self._written(ticket, row, self.clock.mark()))
+                case events.DeleteRow(ticket, name):
+                    self._tasks.spawn(self._written(ticket, Delete(table=TABLE, key=name)))
+                case history.WriteEntry():
+                    self._record(action)
+                case events.Publish(overrides):
+                    self._in_force = overrides
+                    self._republish_at, self._republish_pause_s = 0.0, REPUBLISH_S
+                    self._reconcile(reconciliation.Published(overrides))
+                    self._publish_in_force()
+                case events.Answer():
+                    self._answer(action)
+
+    def _answer(self, made: events.Answer) -> None:
+        future = self._answers.pop(made.call, None)
+        if future is None or future.done():
+            return
+        if made.error is not None:
+            future.set_exception(made.error)
+        else:
+            future.set_result(made.override)
+
+    def _reconcile(self, event: reconciliation.Event) -> None:
+        """Give the reconciler an event, and do what it says."""
         for action in self.reconciler.step(self.now(), event):
             match action:
-                case comparing.Ask(node):
-                    self._ask.add(node)
-                case comparing.Tell(node):
-                    self._tell.add(node)
-                case comparing.Refuse(node):
-                    self.editions.barred[node] = "it acts on other overrides than are due"
+                case reconciliation.RequestDetails(node):
+                    self._request.add(node)
+                case reconciliation.Resend(node):
+                    self._resend.add(node)
+                case reconciliation.DenyLease(node):
+                    self.revisions.barred[node] = "it acts on other overrides than are due"
                     log.warning("refused", edge=node)
-                case comparing.Allow(node):
-                    self.editions.barred.pop(node, None)
-                case comparing.Name(finding):
+                case reconciliation.AllowLease(node):
+                    self.revisions.barred.pop(node, None)
+                case reconciliation.AlertOperator(finding):
                     log.error(
                         "finding",
                         edge=finding.node,
@@ -183,10 +179,10 @@
                         ids=finding.ids,
                         action=finding.action,
                     )
-                case history.History():
-                    self._note(action)
+                case history.WriteEntry():
+                    self._record(action)
 
-    def _note(self, action: history.History) -> None:
+    def _record(self, action: history.WriteEntry) -> None:
         rows: list[Command] = [Put(table=history.TABLE, key=action.key, value=action.value)]
         if action.drop:
             rows.append(Delete(table=history.TABLE, key=action.drop))
@@ -203,48 +199,35 @@
         return ""
 
     async def _written(self, ticket: int, *rows: Command) -> None:
-        self._step(books.Written(ticket, await self._write(rows)))
-
-    def _mark(self) -> Put:
-        """The row that says what time it is."""
-        at = _monotonic()
-        value = {"mark": self.clock.now(at), "at": at, "boot": _boot()}
-        return Put(table=CLOCK, key=MARK, value=value)
-
-    def _mark_when_due(self) -> None:
-        """Marks are written beside the ticks, one at a time: a disk that hangs holds up no end by time."""
-        if self._marking is not None and not self._marking.done():
-            return
-        if self.clock.mark(_monotonic()) is not None:
-            self._marking = self._tasks.spawn(self._write([self._mark()]))
+        self._step(events.Written(ticket, await self._write(rows)))
 
     async def _tick(self) -> None:
         while True:
             await asyncio.sleep(TICK_S)
             with faults(log):
-                self._step(books.Tick())
-                self._compare(comparing.Look())
-                self._published()
-            if self._due:
-                self._mark_when_due()  # while nothing can be prolonged, time need not be kept
-
-    def _published(self) -> None:
-        """Have the newest edition carry what is in force, whatever became of those before."""
-        told = self.editions.layer()
-        if told is None or self._publishing or time.monotonic() < self._again_at:
+                self._step(events.Tick())
+                self._reconcile(reconciliation.Tick())
+                self._publish_in_force()
+            if self._in_force:
+                self.clock.write_mark_when_due()  # while nothing can be prolonged, time need not be kept
+
+    def _publish_in_force(self) -> None:
+        """Have the newest revision carry what is in force, whatever became of those before."""
+        published = self.revisions.layer()
+        if published is None or self._publishing or time.monotonic() < self._republish_at:
             return
-        due = document.layer(self._due)
-        if told == due:
-            self._again_s = AGAIN_S
+        wanted = document.layer(self._in_force)
+        if published == wanted:
+            self._republish_pause_s = REPUBLISH_S
             return
         self._publishing = True
-        self._again_at = time.monotonic() + self._again_s
-        self._again_s = min(AGAIN_MOST_S, 2.0 * self._again_s)
-        self._tasks.spawn(self._publish(due))
+        self._republish_at = time.monotonic() + self._republish_pause_s
+        self._republish_pause_s = min(REPUBLISH_MOST_S, 2.0 * self._republish_pause_s)
+        self._tasks.spawn(self._publish(wanted))
 
-    async def _publish(self, due: list[dict[str, Any]]) -> None:
+    async def _publish(self, layer: list[dict[str, Any]]) -> None:
         try:
-            await self.editions.publish(overrides=due)
+            await self.revisions.publish(overrides=layer)
         except Unavailable as error:
             log.warning("not published", reason=str(error))
         finally:
@@ -253,45 +236,47 @@
     # --- reports ------------------------------------------------------------------------
 
     def reported(self, name: str, report: Report) -> dict[str, Any]:
-        """A sidecar's report: what its answer tells of overrides. To be asked before its permission is."""
+        """What the answer to a sidecar's report says of overrides; called before its lease is decided."""
         digest = report.digest if report.overrides is not None else None
         place = (report.group, report.region)
-        self._compare(comparing.Reported(name, report.life, *place, digest))
+        self._reconcile(reconciliation.Reported(name, report.life, *place, digest))
         if report.acted is not None:
-            self._compare(comparing.Details(name, report.acted))
-        told: dict[str, Any] = {}
-        anew = report.retell or name in self._tell
-        self._tell.discard(name)
-        times = document.times(self.book.active(self.now()), self.now(), 0 if anew else report.told)
-        if times:
-            told["left"] = times
-        if name in self._ask:
-            self._ask.discard(name)
-            told["list_overrides"] = True
-        return told
+            self._reconcile(reconciliation.Details(name, report.acted))
+        answered: dict[str, Any] = {}
+        send_all = report.retell or name in self._resend
+        self._resend.discard(name)
+        now = self.now()
+        left = document.times_left(self.store.active(now), now, 0 if send_all else report.told)
+        if left:
+            answered["left"] = left
+        if name in self._request:
+            self._request.discard(name)
+            answered["list_overrides"] = True
+        return answered
 
     def merged(
         self, now: float, rows: Iterable[ChildException], report: AggregatorReport, orders: Orders
     ) -> OverrideMessages:
-        """An aggregator's report: what its answer tells of overrides. `rows` are of children that differ;
-        `now` in monotonic ms."""
+        """What the answer to an aggregator's report says of overrides.
+
+        `rows` are of children that differ; `now` is monotonic ms."""
         names = []
         for row in rows:
             names.append(row.name)
             place = (row.place.group, row.place.region)
-            self._compare(comparing.Reported(row.name, row.life, *place, row.digest))
+            self._reconcile(reconciliation.Reported(row.name, row.life, *place, row.digest))
             if row.acted is not None:
-                self._compare(comparing.Details(row.name, row.acted))
-        due = orders.due(now, names, self.editions.barred, self._ask, self._tell)
-        self._ask.difference_update(names)
-        self._tell.difference_update(names)
+                self._reconcile(reconciliation.Details(row.name, row.acted))
+        due = orders.due(now, names, self.revisions.barred, self._request, self._resend)
+        self._request.difference_update(names)
+        self._resend.difference_update(names)
         at = self.now()
         digests = [
             PlaceDigest(place, self.reconciler.expected_digest(at, place.group, place.region))
             for place in report.places
         ]
-        times = document.times(self.book.active(at), at, report.told)
-        return OverrideMessages(times, digests, due)
+        left = document.times_left(self.store.active(at), at, report.told)
+        return OverrideMessages(left, digests, due)
 
     def parted(self, name: str) -> None:
         """A sidecar has gone to another aggregator, or left one: what was found wrong with it is over."""
@@ -300,8 +285,8 @@
 
     def gone(self, name: str) -> None:
         """A sidecar has left the fleet."""
-        self._compare(comparing.Gone(name))
-        self.editions.barred.pop(name, None)
+        self._reconcile(reconciliation.Left(name))
+        self.revisions.barred.pop(name, None)
 
     def findings(self) -> dict[str, list[str]]:
         """What is wrong, by sidecar, each with what an operator can do."""
@@ -312,13 +297,14 @@
 
     # --- calls ----------------------------------------------------------------------------
 
-    async def _call(self, make: Any) -> web.Response:
+    async def _call(self, make: Callable[[int], events.Event]) -> web.Response:
+        """Have a change made, and answer when it is durable. Cancelling does not undo it."""
         call = next(self._calls)
         future: asyncio.Future[Override | None] = asyncio.get_running_loop().create_future()
-        self._waiting[call] = future
+        self._answers[call] = future
         self._step(make(call))
         found = await self._known(future)
-        return answer(_encode(document.listed(found, self.now()) if found is not None else {}))
+        return answer(_encode(document.listing(found, self.now()) if found is not None else {}))
 
     async def _known(self, future: asyncio.Future[Override | None]) -> Override | None:
         """What a call is answered; `OutcomeUnknownError` where that can't be told for a while."""
@@ -327,38 +313,27 @@
             if not future.done() and self.host.store.outcome_unknown:
                 future.cancel()  # the change goes on; nobody waits for its answer
                 why = self.host.store.statistics.disk
-                raise OutcomeUnknownError("the change may have happened", why, SEND_AGAIN)
+                raise OutcomeUnknownError("the change may have happened", why, REPEAT_CALL)
         return future.result()
 
     async def _put(self, request: web.Request) -> web.Response:
         name = request.match_info["name"]
         made = document.parse(name, await self.host.body(request), self.now())
-        return await self._call(lambda call: books.Put(call, name, made))
+        return await self._call(lambda call: events.Put(call, name, made))
 
     async def _end(self, request: web.Request) -> web.Response:
         name = entries.name(request.match_info["name"])
-        by, why = (request.query.get(field, "")[:500] for field in ("by", "why"))
-        return await self._call(lambda call: books.End(call, name, by, why))
+        by, why = (request.query.get(key, "")[: document.TEXT_MOST] for key in ("by", "why"))
+        return await self._call(lambda call: events.End(call, name, by, why))
 
     async def _get(self, request: web.Request) -> web.Response:
         name, now = entries.name(request.match_info["name"]), self.now()
-        found = self.book.get(name, now)
+        found = self.store.get(name, now)
         if found is None:
-            raise books.NoSuchOverride(f"override {name!r} is not shown", "it is not in force")
-        return answer(_encode(document.listed(found, now)))
+            raise events.NoSuchOverrideError(name, "shown")
+        return answer(_encode(document.listing(found, now)))
 
     async def _list(self, request: web.Request) -> web.Response:
         now = self.now()
-        rows = [document.listed(found, now) for found in self.book.active(now)]
+        rows = [document.listing(found, now) for found in self.store.active(now)]
         return answer(_encode({"overrides": rows, "findings": self.findings(), "now_ms": now}))
-
-
-def _monotonic() -> float:
-    return time.monotonic() * 1000.0
-
-
-def _boot() -> str:
-    try:
-        return BOOT.read_text().strip()
-    except OSError:
-        return ""
--- a/brassfall/controlplane/registry/status.py
+++ b/brassfall/controlplane/registry/status.py
@@ -95,7 +95,7 @@
         "aggregators": Value("Aggregators that are known", tier["known"]),
         "aggregators_live": Value("Aggregators that have reported of late", tier["live"]),
         "children": Value("Sidecars that report to aggregators", tier["children"]),
-        "overrides": Value("Overrides in force", len(overrides.book.active(overrides.now()))),
+        "overrides": Value("Overrides in force", len(overrides.store.active(overrides.now()))),
         "findings": Value("Sidecars that act on other overrides than are due", len(overrides.findings())),
     }
 
--- a/brassfall/lab/agreement/reconcile.py
+++ b/brassfall/lab/agreement/reconcile.py
@@ -13,8 +13,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from brassfall.controlplane.overrides import book as books
 from brassfall.controlplane.overrides import document as doc
+from brassfall.controlplane.overrides import events
 from brassfall.lab.overrides.world import CLASSES, REGIONS, TENANTS, WAY_MS, Node, World
 
 CUT_MS, HEALED_MS, END_MS, LOOK_MS = 8_000.0, 18_000.0, 30_000.0, 20.0
@@ -81,17 +81,17 @@
         match = doc.Match(cls=CLASSES[len(key) % 2])
         made = doc.Document(action=cap, match=match, by="op", why="measured", until_ms=until)
         self._calls[self._call] = (key, made)
-        self.service.call(books.Put(self._call, key, made))
+        self.service.call(events.Put(self._call, key, made))
 
     def end(self, key: str) -> None:
         """An operator ends one."""
         self._call += 1
         self._calls[self._call] = (key, None)
-        self.service.call(books.End(self._call, key, "op", "enough"))
+        self.service.call(events.End(self._call, key, "op", "enough"))
 
     def good(self, node: Node) -> bool:
         """Whether it acts on what is due."""
-        due = sorted((each.id, each.rev) for each in self.service.book.active(self.service.unix()))
+        due = sorted((each.id, each.rev) for each in self.service.store.active(self.service.unix()))
         return sorted(node.edge.decide(node.clock()).acted) == due
 
 
--- a/brassfall/lab/overrides/flaws.py
+++ b/brassfall/lab/overrides/flaws.py
@@ -7,10 +7,11 @@
 
 import msgspec
 
-from brassfall.controlplane.overrides import book as books
+from brassfall.controlplane.overrides import events
 from brassfall.controlplane.overrides.clock import SteadyClock
 from brassfall.controlplane.overrides.document import Override
-from brassfall.controlplane.overrides.history import History
+from brassfall.controlplane.overrides.history import WriteEntry
+from brassfall.controlplane.overrides.store import OverrideStore
 from brassfall.lab.overrides.parts import Clock, Parts
 
 
@@ -39,60 +40,60 @@
     return [(k, {**row, "until_ms": now + row["until_ms"] - row["from_ms"]}) for k, row in rows]
 
 
-class EndsOverExtensions(books.Book):
+class EndsOverExtensions(OverrideStore):
     """Deletes what is over although its extension is on its way, and forgets what it has stored."""
 
-    def _expire(self, now: int) -> Iterator[books.Action]:
+    def _expire(self, now: int) -> Iterator[events.Action]:
         self._writing.clear()
         yield from super()._expire(now)
 
 
-class AnswersAtOnce(books.Book):
+class AnswersAtOnce(OverrideStore):
     """Answers before the row is durable."""
 
-    def _write(self, write: Any) -> Iterator[books.Action]:
+    def _write(self, write: Any) -> Iterator[events.Action]:
         yield from super()._write(write)
         if write.call is not None:
-            yield books.Answer(write.call, write.made or self._held.get(write.id))
+            yield events.Answer(write.call, write.made or self._rows.get(write.id))
             self._writes[self._ticket] = type(write)(write.id, None, write.made)
 
-    def _written(self, now: int, event: books.Written) -> Iterator[books.Action]:
+    def _written(self, now: int, event: events.Written) -> Iterator[events.Action]:
         yield from super()._written(now, event)
         self._publish_by(now)
 
 
-class CountsByName(books.Book):
+class CountsByName(OverrideStore):
     """Counts revisions of each id anew, so that one that was deleted begins at one."""
 
-    def step(self, now_ms: int, event: books.Event) -> list[books.Action]:
+    def step(self, now_ms: int, event: events.Event) -> list[events.Action]:
         """What to do after an event."""
         return [self._renumbered(action) for action in super().step(now_ms, event)]
 
-    def _renumbered(self, action: books.Action) -> books.Action:
-        if not isinstance(action, books.Store):
+    def _renumbered(self, action: events.Action) -> events.Action:
+        if not isinstance(action, events.WriteRow):
             return action
-        held = self._held.get(action.override.id)
-        rev = held.rev + 1 if held is not None else 1
-        same = held.same_from if held is not None and held.content == action.override.content else rev
+        before = self._rows.get(action.override.id)
+        rev = before.rev + 1 if before is not None else 1
+        same = before.same_from if before is not None and before.content == action.override.content else rev
         made: Override = msgspec.structs.replace(action.override, rev=rev, same_from=same)
         write = self._writes[action.ticket]
         self._writes[action.ticket] = type(write)(write.id, write.call, made)
-        return books.Store(action.ticket, made)
+        return events.WriteRow(action.ticket, made)
 
 
-class ForgetsHistory(books.Book):
+class ForgetsHistory(OverrideStore):
     """Writes no history of what is extended."""
 
-    def step(self, now_ms: int, event: books.Event) -> list[books.Action]:
+    def step(self, now_ms: int, event: events.Event) -> list[events.Action]:
         """What to do after an event."""
         actions = super().step(now_ms, event)
-        return [a for a in actions if not (isinstance(a, History) and a.entry.kind == "extended")]
+        return [a for a in actions if not (isinstance(a, WriteEntry) and a.entry.kind == "extended")]
 
 
-class PublishesNoEnds(books.Book):
+class PublishesNoEnds(OverrideStore):
     """Does not publish what an operator ended."""
 
-    def _end(self, now: int, event: books.End) -> Iterator[books.Action]:
+    def _end(self, now: int, event: events.End) -> Iterator[events.Action]:
         yield from super()._end(now, event)
         self._silent = True
 
@@ -113,14 +114,14 @@
     "time begins before the mark": (Parts(clock=unmarked), frozenset({"time went back"})),
     "a restart begins anew": (Parts(loaded=begun_anew), frozenset({"acted on past its end"})),
     "an end goes over an extension": (
-        Parts(book=EndsOverExtensions),
+        Parts(store=EndsOverExtensions),
         frozenset({"ended before its time"}),
     ),
-    "answered before durable": (Parts(book=AnswersAtOnce), frozenset({"an answered change was lost"})),
+    "answered before durable": (Parts(store=AnswersAtOnce), frozenset({"an answered change was lost"})),
     "revisions counted by name": (
-        Parts(book=CountsByName),
+        Parts(store=CountsByName),
         frozenset({"a revision was used twice"}),
     ),
-    "an extension without history": (Parts(book=ForgetsHistory), frozenset({"a change has no history"})),
-    "an end is not published": (Parts(book=PublishesNoEnds), frozenset({"acted on after it was ended"})),
+    "an extension without history": (Parts(store=ForgetsHistory), frozenset({"a change has no history"})),
+    "an end is not published": (Parts(store=PublishesNoEnds), frozenset({"acted on after it was ended"})),
 }
--- a/brassfall/lab/overrides/judge.py
+++ b/brassfall/lab/overrides/judge.py
@@ -98,7 +98,7 @@
             self._lasts(now, service, key, rev)
 
     def _lasts(self, now: float, service: Any, key: str, rev: int) -> None:
-        held = service.book.get(key, service.unix())
+        held = service.store.get(key, service.unix())
         row = service.disk.rows.get(key)
         if rev == 0 and held is not None and held.rev <= self._ended_rev(key):
             self._break("an end was forgotten", now, f"{key} is back")
--- a/brassfall/lab/overrides/parts.py
+++ b/brassfall/lab/overrides/parts.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
-from brassfall.controlplane.overrides.book import Book
 from brassfall.controlplane.overrides.clock import SteadyClock
-from brassfall.controlplane.overrides.history import Ring
+from brassfall.controlplane.overrides.history import HistoryRing
+from brassfall.controlplane.overrides.store import OverrideStore
 
 
 class Decided(Protocol):
@@ -66,7 +66,7 @@
     """The service's side; flaws replace some of it."""
 
     clock: Callable[[Callable[[], float], float, float, float | None], Clock] = steady
-    book: Callable[[Ring], Book] = Book
+    store: Callable[[HistoryRing], OverrideStore] = OverrideStore
     loaded: Callable[[Iterable[tuple[str, Any]], int], list[tuple[str, Any]]] = as_stored
 
 
--- a/brassfall/lab/overrides/world.py
+++ b/brassfall/lab/overrides/world.py
@@ -1,8 +1,8 @@
 """Overrides under simulated time: a list service, sidecars, operators, and what is drawn to go wrong.
 
-The service's side is the real book, clock and reconciler; a sidecar's side is handed in, since the house does
-not import it. Clocks run at rates of their own, wall clocks are up to an hour off and jump. The permission of
-the agreement is left out: that nothing is acted on past its end has to hold without it.
+The service's side is the real store, clock and reconciler; a sidecar's side is handed in, since the house
+does not import it. Clocks run at rates of their own, wall clocks are up to an hour off and jump. The lease of
+a revision is left out: that nothing is acted on past its end has to hold without it.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 from itertools import count
 from typing import Any
 
-from brassfall.controlplane.overrides import book as books
 from brassfall.controlplane.overrides import document as doc
+from brassfall.controlplane.overrides import events
 from brassfall.controlplane.overrides import reconciler as rec
-from brassfall.controlplane.overrides.document import Document, Override, layer, times
-from brassfall.controlplane.overrides.history import History, Ring
+from brassfall.controlplane.overrides.document import Document, Override, layer, times_left
+from brassfall.controlplane.overrides.history import HistoryRing, WriteEntry
 from brassfall.errors import BrassfallError
 from brassfall.lab.overrides.judge import Judge, Outcome
 from brassfall.lab.overrides.parts import Disk, Edge, Parts
@@ -64,12 +64,12 @@
         # Durable before anything is answered, or a kill right after it would leave the wall clock to decide.
         self.disk.mark = (float(self.unix()), self.mono(), self.boot)
         self.disk.marked_true = self.world.now
-        self.up, self.ring = True, Ring()
+        self.up, self.ring = True, HistoryRing()
         self.ring.restore(self.disk.history)
-        self.book, self.reconciler = self.parts.book(self.ring), rec.Reconciler(self.ring)
+        self.store, self.reconciler = self.parts.store(self.ring), rec.Reconciler(self.ring)
         rows = self.parts.loaded(self.disk.rows.items(), self.unix())
         entries = [self.disk.history[key] for key in sorted(self.disk.history)]
-        self.book.restore(rows, entries)
+        self.store.restore(rows, entries)
         self.reconciler.restore(entries)
         self.edition: tuple[int, list[dict[str, Any]]] | None = None
         self.in_force: tuple[Override, ...] = ()
@@ -92,8 +92,8 @@
         mark = self.clock.mark(self.mono())
         if mark is not None:
             self.world.at(self.world.draw(DISK_MS), self.marked, life, mark, self.mono(), self.world.now)
-        self.act(self.book.step(self.unix(), books.Tick()))
-        self.heed(self.reconciler.step(self.unix(), rec.Look()))
+        self.act(self.store.step(self.unix(), events.Tick()))
+        self.heed(self.reconciler.step(self.unix(), rec.Tick()))
         self.world.at(TICK_MS, self.tick, life)
 
     def marked(self, life: int, mark: int, mono: float, true: float) -> None:
@@ -101,16 +101,16 @@
         if self.up and life == self.life:
             self.disk.mark, self.disk.marked_true = (float(mark), mono, self.boot), true
 
-    def act(self, actions: list[books.Action]) -> None:
+    def act(self, actions: list[events.Action]) -> None:
         """The shell: writes of one step are one commit; answers and editions go out."""
-        writes: list[books.Store | books.Drop | History] = []
+        writes: list[events.WriteRow | events.DeleteRow | WriteEntry] = []
         for action in actions:
             match action:
-                case books.Answer():
+                case events.Answer():
                     self.world.answered(action.call, action.override, action.error)
-                case books.Publish():
+                case events.Publish():
                     self.in_force = action.overrides
-                    self.heed(self.reconciler.step(self.unix(), rec.Due(action.overrides)))
+                    self.heed(self.reconciler.step(self.unix(), rec.Published(action.overrides)))
                     self.editions += 1
                     found = (self.editions, layer(action.overrides))
                     self.world.at(self.world.draw(COMMIT_MS), self.committed, self.life, found)
@@ -124,27 +124,27 @@
         if self.up and life == self.life and (self.edition is None or found[0] > self.edition[0]):
             self.edition = found
 
-    def commit(self, writes: list[books.Store | books.Drop | History]) -> None:
+    def commit(self, writes: list[events.WriteRow | events.DeleteRow | WriteEntry]) -> None:
         """Begin a commit; the disk does one after the other."""
         self.disk_free = max(self.world.now, self.disk_free) + self.world.draw(DISK_MS)
         self.world.at(self.disk_free - self.world.now, self.durable, self.life, writes)
 
-    def durable(self, life: int, writes: list[books.Store | books.Drop | History]) -> None:
+    def durable(self, life: int, writes: list[events.WriteRow | events.DeleteRow | WriteEntry]) -> None:
         """A commit is on the disk, or fails as a whole; a kill before it leaves nothing of it."""
         if not self.up or life != self.life:
             return
         why = "the disk is full" if self.world.rng.random() < self.world.bad_disk else ""
         tickets = []
-        expired = {w.entry.id for w in writes if isinstance(w, History) and w.entry.kind == "expired"}
+        expired = {w.entry.id for w in writes if isinstance(w, WriteEntry) and w.entry.kind == "expired"}
         for write in writes:
-            if not isinstance(write, History):
+            if not isinstance(write, WriteEntry):
                 tickets.append(write.ticket)
             if why:
                 continue
-            if isinstance(write, books.Store):
+            if isinstance(write, events.WriteRow):
                 self.disk.rows[write.override.id] = write.value
                 self.world.judge.stored(self.world.now, self, write.override)
-            elif isinstance(write, books.Drop):
+            elif isinstance(write, events.DeleteRow):
                 self.disk.rows.pop(write.id, None)
                 self.world.judge.dropped(self.world.now, write.id, write.id in expired)
             else:
@@ -156,21 +156,21 @@
         """The process hears of its commit."""
         if self.alive(life, self.confirm, life, tickets, why):
             for ticket in tickets:
-                self.act(self.book.step(self.unix(), books.Written(ticket, why)))
+                self.act(self.store.step(self.unix(), events.Written(ticket, why)))
 
-    def call(self, event: books.Put | books.End) -> None:
+    def call(self, event: events.Put | events.End) -> None:
         """An operator's call has come in."""
-        self.act(self.book.step(self.unix(), event))
+        self.act(self.store.step(self.unix(), event))
 
     def heed(self, actions: Iterable[rec.Action]) -> None:
         """What the reconciler wants; answers are told all that differs anyway."""
-        writes: list[books.Store | books.Drop | History] = []
+        writes: list[events.WriteRow | events.DeleteRow | WriteEntry] = []
         for action in actions:
-            if isinstance(action, rec.Ask):
+            if isinstance(action, rec.RequestDetails):
                 self.world.nodes[int(action.node)].asked = True
-            elif isinstance(action, rec.Tell):
+            elif isinstance(action, rec.Resend):
                 self.world.nodes[int(action.node)].tell = True
-            elif isinstance(action, History):
+            elif isinstance(action, WriteEntry):
                 writes.append(action)
                 if action.entry.kind == "found":
                     self.world.judge.found(self.world.now, int(action.entry.node), action.entry.why)
@@ -187,8 +187,8 @@
             self.heed(self.reconciler.step(now, rec.Details(name, said["acted"])))
         answer: dict[str, Any] = {"ask": node.asked}
         node.asked = False
-        due = [found for found in self.book.active(now) if found.places.holds("", node.region)]
-        told = times(due, now, 0 if said["tell"] or node.tell else said["newest"])
+        due = [found for found in self.store.active(now) if found.places.holds("", node.region)]
+        told = times_left(due, now, 0 if said["tell"] or node.tell else said["newest"])
         node.tell = False
         if told:
             answer["times"] = told
@@ -345,15 +345,15 @@
         if service.up and self.now >= service.stopped_until:
             self._call += 1
             now = service.unix()
-            held = service.book.get(key, now)
+            held = service.store.get(key, now)
             if held is not None and self.rng.random() < 0.15:
                 self._calls[self._call] = (key, None)
-                service.call(books.End(self._call, key, "op", "enough"))
+                service.call(events.End(self._call, key, "op", "enough"))
             else:
                 document = self.document(now, held)
                 self._calls[self._call] = (key, document)
-                service.call(books.Put(self._call, key, document))
-            held = service.book.get(key, now)
+                service.call(events.Put(self._call, key, document))
+            held = service.store.get(key, now)
             if held is not None and held.until_ms - now < 20_000 and self.rng.random() < 0.3:
                 wait = max(0.0, (held.until_ms - now) / service.rate - self.rng.uniform(0.0, 60.0))
                 self.at(wait, self.extend, key)
@@ -362,14 +362,14 @@
     def extend(self, key: str) -> None:
         """The same again with a later end, about when it ends."""
         service = self.service
-        held = service.book.get(key, service.unix())
+        held = service.store.get(key, service.unix())
         if service.up and self.now >= service.stopped_until and held is not None:
             self._call += 1
             until = service.unix() + int(self.rng.uniform(5000.0, 30_000.0))
             fields = {name: getattr(held, name) for name in Document.__struct_fields__}
             document = Document(**{**fields, "until_ms": until})
             self._calls[self._call] = (key, document)
-            service.call(books.Put(self._call, key, document))
+            service.call(events.Put(self._call, key, document))
 
     def document(self, now: int, held: Override | None) -> Document:
         """What an operator writes, drawn."""
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -158,7 +158,10 @@
     "controlplane/revisions/core.py",
     "controlplane/aggregation/messages.py",
     "controlplane/aggregation/core.py",
-    *(f"controlplane/overrides/{name}.py" for name in ("document", "clock", "history", "book", "reconciler")),
+    *(
+        f"controlplane/overrides/{name}.py"
+        for name in ("document", "clock", "history", "events", "store", "findings", "expected", "reconciler")
+    ),
     "controlplane/registry/entries.py",
     "controlplane/registry/limits.py",
     "controlplane/registry/membership.py",
--- a/tests/test_registry_start.py
+++ b/tests/test_registry_start.py
@@ -10,7 +10,7 @@
 import aiohttp
 import pytest
 
-from brassfall.controlplane.registry.overrides import CLOCK, MARK
+from brassfall.controlplane.registry.override_clock import KEY, TABLE
 from brassfall.controlplane.registry.server import Service as InProcess
 from brassfall.controlplane.store.log import FILE, Log
 from brassfall.settings import RegistrySettings
@@ -120,6 +120,6 @@
             document["until_ms"] = service.overrides.now() + 60_000
             async with session.put(f"http://{listen}/overrides/o", json=document) as response:
                 answered = await response.json()
-        assert service.store.state.get(CLOCK, MARK).value["mark"] >= answered["from_ms"]
+        assert service.store.state.get(TABLE, KEY).value["mark"] >= answered["from_ms"]
     finally:
         await service.close()
--- a/tests/test_rules_shell.py
+++ b/tests/test_rules_shell.py
@@ -18,7 +18,7 @@
     Member,
     Place,
 )
-from brassfall.controlplane.overrides import book as books
+from brassfall.controlplane.overrides import events
 from brassfall.controlplane.overrides import reconciler as comparing
 from brassfall.controlplane.overrides.document import parse
 from brassfall.controlplane.registry import client
@@ -51,12 +51,9 @@
     """An override is in force, for longer than news takes."""
     now = made.overrides.now()
     document = {"action": {"freeze": True}, "by": "a", "why": "b", "until_ms": now + 60_000}
-    call = lambda number: books.Put(number, "o", parse("o", msgspec.json.encode(document), now))  # noqa: E731
+    call = lambda number: events.Put(number, "o", parse("o", msgspec.json.encode(document), now))  # noqa: E731
     await made.overrides._call(call)
-    made.overrides._compare(comparing.Due(made.overrides.book.active(now)))
-    seen = made.overrides.reconciler._seen
-    for key, (rev, at, *rest) in seen.items():
-        seen[key] = (rev, at - 60_000, *rest)
+    made.overrides.reconciler.step(now - 60_000, comparing.Published(made.overrides.store.active(now)))
 
 
 @bounded(30.0)
--- a/tests/test_store_disk.py
+++ b/tests/test_store_disk.py
@@ -11,7 +11,8 @@
 import pytest
 from aiohttp.test_utils import make_mocked_request
 
-from brassfall.controlplane.registry.overrides import CLOCK, MARK, Overrides
+from brassfall.controlplane.registry.override_clock import KEY, TABLE
+from brassfall.controlplane.registry.overrides import Overrides
 from brassfall.controlplane.store.commands import Delete, Put
 from brassfall.controlplane.store.log import Log, LogError
 from brassfall.controlplane.store.outcomes import NotWrittenError, OutcomeUnknownError
@@ -250,11 +251,11 @@
         running.lose_sight("write")
         with pytest.raises(Unavailable):
             await overrides.start()
-        assert running.store.state.get(CLOCK, MARK) is None
+        assert running.store.state.get(TABLE, KEY) is None
         running.disk.mend()
         await until(lambda: not running.store.statistics.disk)
         await overrides.start()
-        assert running.store.state.get(CLOCK, MARK) is not None
+        assert running.store.state.get(TABLE, KEY) is not None
 
 
 @bounded(30.0)
@@ -266,7 +267,7 @@
         with pytest.raises(OutcomeUnknownError, match=r"may have happened.*Send the same call again"):
             await call_override(overrides, "PUT", document)
         running.disk.mend()
-        await until(lambda: overrides.book.get("o", overrides.now()))
+        await until(lambda: overrides.store.get("o", overrides.now()))
         assert (await call_override(overrides, "PUT", document)).status == 200
         assert running.store.state.count("overrides") == 1
     assert "o" in running.after_restart("overrides")
--- a/tests/test_store_stored_data.py
+++ b/tests/test_store_stored_data.py
@@ -15,8 +15,8 @@
 import msgspec
 import pytest
 
-from brassfall.controlplane.overrides import book as books
-from brassfall.controlplane.overrides.history import TABLE, Entry, Ring
+from brassfall.controlplane.overrides import store as override_store
+from brassfall.controlplane.overrides.history import TABLE, Entry, HistoryRing
 from brassfall.controlplane.registry.server import Service
 from brassfall.controlplane.store.log import FILE, Log
 from brassfall.settings import RegistrySettings
@@ -61,10 +61,12 @@
     table = log.load().state
     log.close()
     marked = table.get("overrides-clock", "mark").value["mark"]
-    book = books.Book(Ring())
+    overrides = override_store.OverrideStore(HistoryRing())
     history = [row.value for row in table.rows(TABLE)]
-    assert book.restore(((row.key, row.value) for row in table.rows(books.TABLE)), history) == []
-    assert [(found.id, found.by, found.rev) for found in book.active(marked)] == [
+    assert (
+        overrides.restore(((row.key, row.value) for row in table.rows(override_store.TABLE)), history) == []
+    )
+    assert [(found.id, found.by, found.rev) for found in overrides.active(marked)] == [
         ("freeze-right", "ana", EXPECTED["rows"]["overrides"][0][2]["rev"])
     ]
     entries = [(msgspec.convert(value, Entry).kind, value["id"]) for value in history]
