--- a/brassfall/controlplane/overrides/document.py
+++ b/brassfall/controlplane/overrides/document.py
@@ -20,6 +20,8 @@
 TEXT_MOST = 500  # characters of `by` and of `why`
 PLACES_MOST = 256  # groups, regions, and regions of a shift
 PRIORITY_MOST = 1000
+CAP_MOST_PER_S = 1e9
+MATCH_NEEDED = {"hold": "", "freeze": "", "cap": "class", "pin": "tenant"}  # a shift takes any match
 SUM_SLACK = 1e-6  # shares that add up to one, written as decimals
 
 
@@ -159,27 +161,40 @@
     if len(kinds) != 1:
         yield f"`action` names {len(kinds)} of shift, hold, cap, pin and freeze, not exactly one"
         return
-    if match.cls is not None and match.tenant is not None:
-        yield "`match` names a class and a tenant; only one of them can be meant"
-    for name, value in (("class", match.cls), ("tenant", match.tenant)):
-        if value is not None and not NAME.match(value):
-            yield f"`match.{name}` is no name"
+    yield from _match_faults(match)
     if action.shift is not None:
         yield from _share_faults(action.shift.to)
     elif action.hold is not None:
-        hold = action.hold
-        named = [name for name in (hold.server, hold.group, hold.region) if name is not None]
-        if len(named) != 1 or not NAME.match(named[0]):
-            yield "`action.hold` has to name exactly one server, group or region"
-    elif action.cap is not None and not 0.0 < action.cap.per_s <= 1e9:
+        yield from _hold_faults(action.hold)
+    elif action.cap is not None and not 0.0 < action.cap.per_s <= CAP_MOST_PER_S:
         yield "`action.cap.per_s` has to be over 0 and at most 1e9; to shut a class off is a setting"
     elif action.pin is not None and not NAME.match(action.pin.region):
         yield "`action.pin.region` is no name"
-    wanted = {"hold": (None, None), "freeze": (None, None), "cap": ("class", None), "pin": (None, "tenant")}
-    has = ("class" if match.cls is not None else None, "tenant" if match.tenant is not None else None)
-    if kinds[0] in wanted and has != wanted[kinds[0]]:
-        need = next((name for name in wanted[kinds[0]] if name), "")
-        yield f"`match` of a {kinds[0]} has to name " + (f"a {need} and nothing else" if need else "nothing")
+    yield from _pairing_faults(kinds[0], match)
+
+
+def _match_faults(match: Match) -> Iterator[str]:
+    if match.cls is not None and match.tenant is not None:
+        yield "`match` names a class and a tenant; only one of them can be meant"
+    for name, value in (("class", match.cls), ("tenant", match.tenant)):
+        if value is not None and not NAME.match(value):
+            yield f"`match.{name}` is no name"
+
+
+def _hold_faults(hold: Hold) -> Iterator[str]:
+    named = [name for name in (hold.server, hold.group, hold.region) if name is not None]
+    if len(named) != 1 or not NAME.match(named[0]):
+        yield "`action.hold` has to name exactly one server, group or region"
+
+
+def _pairing_faults(kind: str, match: Match) -> Iterator[str]:
+    """Whether the match names what an action of this kind needs, and nothing else."""
+    if kind not in MATCH_NEEDED:
+        return
+    named = {name for name, value in (("class", match.cls), ("tenant", match.tenant)) if value is not None}
+    need = MATCH_NEEDED[kind]
+    if named != ({need} if need else set()):
+        yield f"`match` of a {kind} has to name " + (f"a {need} and nothing else" if need else "nothing")
 
 
 def _share_faults(to: dict[str, float]) -> Iterator[str]:
--- a/brassfall/controlplane/registry/overrides.py
+++ b/brassfall/controlplane/registry/overrides.py
@@ -333,7 +333,7 @@
             raise events.NoSuchOverrideError(name, "shown")
         return answer(_encode(document.listing(found, now)))
 
-    async def _list(self, request: web.Request) -> web.Response:
+    async def _list(self, _request: web.Request) -> web.Response:
         now = self.now()
         rows = [document.listing(found, now) for found in self.store.active(now)]
         return answer(_encode({"overrides": rows, "findings": self.findings(), "now_ms": now}))
--- a/brassfall/controlplane/store/log.py
+++ b/brassfall/controlplane/store/log.py
@@ -13,7 +13,7 @@
 import contextlib
 import errno
 import sqlite3
-from collections.abc import Callable, Iterator, Sequence
+from collections.abc import Iterator, Sequence
 from dataclasses import dataclass
 from pathlib import Path
 from typing import Any, Protocol
@@ -98,11 +98,15 @@
         """Close the file."""
 
 
-Connect = Callable[[Path, bool], Connection]
+class Connect(Protocol):
+    """Opens a database file for use from any thread; `sqlite3.Error` where that fails."""
 
+    def __call__(self, path: Path, *, create: bool) -> Connection:
+        """Open the file; `create` makes one that is not there."""
 
-def connect_file(path: Path, create: bool) -> Connection:
-    """Open a database file, which may be used from any thread; `create` makes one that is not there."""
+
+def connect_file(path: Path, *, create: bool) -> Connection:
+    """Open a database file with the SQLite of the standard library."""
     uri = f"file:{quote(str(path.absolute()))}?mode={'rwc' if create else 'rw'}"
     return sqlite3.connect(uri, uri=True, timeout=0.0, isolation_level=None, check_same_thread=False)
 
@@ -227,23 +231,10 @@
             return LogUnavailableError(str(self._path), str(error))
         return LogError(str(self._path), str(error))
 
-    def _open(self, create: bool) -> Connection:
-        db = self._connect(self._path, create)
+    def _open(self, *, create: bool) -> Connection:
+        db = self._connect(self._path, create=create)
         try:
-            # Before WAL: with the lock held for good no shared memory file is needed.
-            db.execute("pragma locking_mode=exclusive")
-            db.execute("pragma journal_mode=wal")
-            db.execute("pragma synchronous=full")
-            db.execute(f"pragma wal_autocheckpoint={self._checkpoint_pages:d}")
-            stored_format = db.execute("pragma user_version").fetchone()[0]
-            new = stored_format == 0 and not db.execute("pragma schema_version").fetchone()[0]
-            if not new and stored_format != FORMAT:
-                raise ValueError(f"not a table log of format {FORMAT}")
-            if new:
-                with _transaction(db):
-                    for statement in SCHEMA:
-                        db.execute(statement)
-                    db.execute(f"pragma user_version={FORMAT:d}")
+            self._prepare(db)
         except BaseException:
             with contextlib.suppress(sqlite3.Error):
                 db.close()
@@ -251,6 +242,23 @@
         self._db = db
         return db
 
+    def _prepare(self, db: Connection) -> None:
+        """Lock a file, and make its tables where it is new; `ValueError` where it is no log."""
+        # Before WAL: with the lock held for good no shared memory file is needed.
+        db.execute("pragma locking_mode=exclusive")
+        db.execute("pragma journal_mode=wal")
+        db.execute("pragma synchronous=full")
+        db.execute(f"pragma wal_autocheckpoint={self._checkpoint_pages:d}")
+        stored_format = db.execute("pragma user_version").fetchone()[0]
+        new = stored_format == 0 and not db.execute("pragma schema_version").fetchone()[0]
+        if not new and stored_format != FORMAT:
+            raise ValueError(f"not a table log of format {FORMAT}")
+        if new:
+            with _transaction(db):
+                for statement in SCHEMA:
+                    db.execute(statement)
+                db.execute(f"pragma user_version={FORMAT:d}")
+
     def _reopen(self) -> Connection:
         """Open the file that this log was loaded from, after a failure closed it."""
         db = self._open(create=False)
--- a/brassfall/controlplane/store/store.py
+++ b/brassfall/controlplane/store/store.py
@@ -10,7 +10,7 @@
 from brassfall.controlplane.store.leases import Guard
 from brassfall.controlplane.store.log import Log
 from brassfall.controlplane.store.outcomes import Decided
-from brassfall.controlplane.store.records import Change, Result
+from brassfall.controlplane.store.records import Change, Result, Row
 from brassfall.controlplane.store.row_leases import Guarded, RowLeases
 from brassfall.controlplane.store.state import HISTORY_LENGTH, State
 from brassfall.controlplane.store.statistics import Statistics
@@ -22,6 +22,11 @@
 log = logger("table")
 
 
+def unguarded(_table: str, _row: Row) -> bool:
+    """Doubt no ending."""
+    return False
+
+
 @dataclass(slots=True)
 class Options:
     """How a store works; times in ms."""
@@ -32,7 +37,7 @@
     restart_grace_ms: float = 5000.0  # least time that a lease has left after a start
     guard: Guard = field(default_factory=Guard)
     # Where the mass of endings is doubted; a lease of any other row ends when it ends.
-    guarded: Guarded = lambda table, row: False
+    guarded: Guarded = unguarded
 
 
 class Store:
--- a/tests/disk_faults.py
+++ b/tests/disk_faults.py
@@ -82,7 +82,7 @@
         self.failed += 1
         return False
 
-    def connect(self, path, create):
+    def connect(self, path, *, create):
         """A connection on this disk: the factory that `Log` takes."""
         flags = apsw.SQLITE_OPEN_READWRITE | (apsw.SQLITE_OPEN_CREATE if create else 0)
         return _Connection(_translated(apsw.Connection, str(path), flags=flags, vfs=self.name))
@@ -102,9 +102,9 @@
     def xWrite(self, data, offset):
         disk = self._disk
         if disk.write and not disk.spared():
-            kept = bytes(data)[: round(len(data) * disk.keep)]
-            if kept:
-                super().xWrite(kept, offset)
+            reached = bytes(data)[: round(len(data) * disk.keep)]
+            if reached:
+                super().xWrite(reached, offset)
             raise failure(disk.write)
         if disk.steps is not None:
             disk.steps.append(Step(self._name, offset, bytes(data)))
--- a/tests/test_overrides_sidecar.py
+++ b/tests/test_overrides_sidecar.py
@@ -33,14 +33,14 @@
 
 
 def test_a_deadline_counts_from_the_asking_and_the_first_decision_after_a_stop_is_right():
-    held = Deadlines()
-    held.receive(100.0, times_of(10_000), 100.2)
-    end = held.next_end(100.0)
+    known = Deadlines()
+    known.receive(100.0, times_of(10_000), 100.2)
+    end = known.next_end(100.0)
     assert 109.7 < end <= 110.0  # less what two clocks may differ by
-    assert held.active(end - 0.001) == ("x",) and held.phase("x", 5, end - 0.001) == 2
-    assert held.active(end) == () and held.phase("x", 5, 120.0) == 0  # nothing ran meanwhile
-    assert held.phase("x", 5, end) == 1 and held.next_end(end) > 110.2  # others may act on it until then
-    assert held.digest(101.0) == digest([("x", 5)]) != held.digest(end)
+    assert known.active(end - 0.001) == ("x",) and known.phase("x", 5, end - 0.001) == 2
+    assert known.active(end) == () and known.phase("x", 5, 120.0) == 0  # nothing ran meanwhile
+    assert known.phase("x", 5, end) == 1 and known.next_end(end) > 110.2  # others may act on it until then
+    assert known.digest(101.0) == digest([("x", 5)]) != known.digest(end)
 
 
 ANSWERS = [
@@ -77,28 +77,28 @@
 
 
 @pytest.mark.parametrize(("answers", "wanted"), [t[1:] for t in ANSWERS], ids=[t[0] for t in ANSWERS])
-def test_what_is_told_of_a_revision_only_bounds_it_and_a_newer_one_replaces_it(answers, wanted):
-    held, ends = Deadlines(), []
+def test_what_is_received_of_a_revision_only_bounds_it_and_a_newer_one_replaces_it(answers, wanted):
+    known, ends = Deadlines(), []
     for asked, heard, left, rev, same_from in answers:
-        bad = held.receive(float(asked), times_of(left, rev, same_from), float(heard))
-        ends.append(held.next_end(100.0))
+        bad = known.receive(float(asked), times_of(left, rev, same_from), float(heard))
+        ends.append(known.next_end(100.0))
         assert not bad or ends[-1] == ends[-2]  # what contradicts what is known changes nothing at all
         assert (bad == ("x",)) is (left == 60_000 and len(ends) > 1 and rev == 5)
-    assert tuple(held.phase("x", 5, at) == 2 for at in (105.0, 109.0, 115.0)) == wanted
+    assert tuple(known.phase("x", 5, at) == 2 for at in (105.0, 109.0, 115.0)) == wanted
 
 
 def test_what_an_aggregator_does_not_know_of_an_end_is_doubtful_and_prolongs_nothing():
-    held = Deadlines()
+    known = Deadlines()
     left = {"rev": 5, "left_ms": 10_000, "slack_ms": 3000}
-    held.receive(100.0, {"x": left}, 100.2)
-    end = held.next_end(100.0)
-    assert 109.7 < end <= 110.0 and held.phase("x", 5, end) == 1
-    over = held.next_end(end)
-    assert 113.2 < over < 113.6 and held.phase("x", 5, over) == 0  # the most that is left, by any clock
+    known.receive(100.0, {"x": left}, 100.2)
+    end = known.next_end(100.0)
+    assert 109.7 < end <= 110.0 and known.phase("x", 5, end) == 1
+    over = known.next_end(end)
+    assert 113.2 < over < 113.6 and known.phase("x", 5, over) == 0  # the most that is left, by any clock
     # Another aggregator knows better: the two together bound it, whichever came first.
-    held.receive(101.0, {"x": {"rev": 5, "left_ms": 9200, "slack_ms": 100}}, 101.0)
-    assert end <= held.next_end(101.0) < 110.2 and held.next_end(110.2) < 110.7
-    assert held.receive(102.0, {"x": {**left, "left_ms": 60_000}}) == ("x",)
+    known.receive(101.0, {"x": {"rev": 5, "left_ms": 9200, "slack_ms": 100}}, 101.0)
+    assert end <= known.next_end(101.0) < 110.2 and known.next_end(110.2) < 110.7
+    assert known.receive(102.0, {"x": {**left, "left_ms": 60_000}}) == ("x",)
 
 
 BAD_TIMES = [
@@ -112,32 +112,32 @@
 
 @pytest.mark.parametrize("row", BAD_TIMES)
 def test_a_malformed_time_left_is_named_and_changes_nothing(row):
-    held = Deadlines()
-    assert held.receive(0.0, {"x": row, "y": {"rev": 1, "left_ms": 1000}}) == ("x",)
-    assert held.active(0.5) == ("y",)
+    known = Deadlines()
+    assert known.receive(0.0, {"x": row, "y": {"rev": 1, "left_ms": 1000}}) == ("x",)
+    assert known.active(0.5) == ("y",)
 
 
 def test_a_thousand_ends_in_one_second_are_few_changes_at_a_sidecar():
-    held, now, changes = Deadlines(), 0.0, 0
-    held.receive(0.0, {f"k{n}": {"rev": n + 1, "left_ms": 10_000 + n} for n in range(1000)})
-    while (end := held.next_end(now)) is not None:
+    known, now, changes = Deadlines(), 0.0, 0
+    known.receive(0.0, {f"k{n}": {"rev": n + 1, "left_ms": 10_000 + n} for n in range(1000)})
+    while (end := known.next_end(now)) is not None:
         now, changes = end, changes + 1
-    assert changes <= 25 and held.active(now) == ()
+    assert changes <= 25 and known.active(now) == ()
 
 
 def test_times_are_asked_for_anew_as_they_run_out_so_that_the_margin_is_small_at_the_end():
-    held, end, asked = Deadlines(), 86_400.0, 0
+    known, end, asked = Deadlines(), 86_400.0, 0
     now = 0.0
-    held.receive(now, times_of(end * 1000.0))
-    while held.active(now):
+    known.receive(now, times_of(end * 1000.0))
+    while known.active(now):
         now += 0.9
-        if held.wants(now):
+        if known.wants(now):
             asked += 1
-            held.receive(now, times_of(max(0.0, end - now) * 1000.0))
+            known.receive(now, times_of(max(0.0, end - now) * 1000.0))
     assert end - 1.0 < now < end + 0.9 and asked < 25
-    held = Deadlines()
-    held.receive(0.0, times_of(60_000), 3.0)  # a slow answer makes it early: asked for anew at once
-    assert held.wants(3.1)
+    known = Deadlines()
+    known.receive(0.0, times_of(60_000), 3.0)  # a slow answer makes it early: asked for anew at once
+    assert known.wants(3.1)
 
 
 # --- what is in force ---
@@ -149,13 +149,13 @@
 
 
 def in_force(rows, settings=None, left=None, at=0.0, sidecars=4):
-    held = Deadlines(drift=0.0)
-    held.receive(
+    known = Deadlines(drift=0.0)
+    known.receive(
         0.0, {key: {"rev": r["rev"], "left_ms": (left or {}).get(key, 60_000)} for key, r in rows.items()}
     )
     lines, wrong = edge.read_layer([{"id": key, **r} for key, r in rows.items()])
     assert not wrong
-    return edge.effective(at, settings or edge.Rules(), lines, held, edge.Place("g1", "a"), NAMES, sidecars)
+    return edge.effective(at, settings or edge.Rules(), lines, known, edge.Place("g1", "a"), NAMES, sidecars)
 
 
 def rounded(value):
@@ -188,13 +188,13 @@
     """One hears of the extension before the old end, the other does not; both hold the older document."""
     home = edge.Rules(tenant_pins={"t1": "a"})
 
-    def region(held, rev, at):
+    def region(known, rev, at):
         lines, _ = edge.read_layer([{"id": "x", **pin("b", rev=rev)}])
-        return edge.effective(at, home, lines, held, edge.Place(), NAMES).tenant_pins["t1"]
+        return edge.effective(at, home, lines, known, edge.Place(), NAMES).tenant_pins["t1"]
 
     heard, unheard = Deadlines(), Deadlines()
-    for held in (heard, unheard):
-        held.receive(0.0, {"x": {"rev": 1, "same_from": 1, "left_ms": 10_000}}, 0.1)
+    for known in (heard, unheard):
+        known.receive(0.0, {"x": {"rev": 1, "same_from": 1, "left_ms": 10_000}}, 0.1)
     heard.receive(9.0, {"x": {"rev": 2, "same_from": 1, "left_ms": 11_000}}, 9.1)
     for tenth in range(150):
         both = {region(heard, 1, tenth / 10.0), region(unheard, 1, tenth / 10.0)}
@@ -251,7 +251,7 @@
         assert found.notes == ("y: region b is not held off, since no other region would be left",)
 
 
-def test_when_the_inner_one_ends_the_outer_one_and_the_pin_beside_it_show_again():
+def test_when_the_inner_one_ends_the_outer_one_and_the_pin_beside_it_are_in_force():
     rows = {"in": shift(T1, a=1.0, priority=2), "out": shift(T1, b=1.0), "pin": pin("c", priority=-1)}
     left = {"in": 1000, "pin": 2000}
     for at, pins, shares in ((0.5, {"t1": "c"}, {}), (1.5, {"t1": "c"}, {}), (2.5, {}, {"t1": {"b": 1.0}})):
@@ -266,19 +266,19 @@
     ("settings", "pins"),
     [(None, ["a", "", ""]), ({"t1": "b"}, ["a", "", "b"]), ({"t1": "a"}, ["a", "a", "a"])],
 )
-def test_near_the_end_of_a_pin_nobody_serves_its_tenant_in_a_way_that_another_may_contradict(settings, pins):
-    held = Deadlines()
-    held.receive(0.0, {"x": {"rev": 1, "left_ms": 10_000}}, 0.3)
+def test_near_the_end_of_a_pin_nobody_serves_its_tenant_where_another_may_contradict(settings, pins):
+    known = Deadlines()
+    known.receive(0.0, {"x": {"rev": 1, "left_ms": 10_000}}, 0.3)
     lines, _ = edge.read_layer([{"id": "x", **pin("a")}])
     rules_now = edge.Rules(tenant_pins=settings or {})
     for at, region in zip((9.7, 10.0, 10.6), pins, strict=True):
-        found = edge.effective(at, rules_now, lines, held, edge.Place(), NAMES)
+        found = edge.effective(at, rules_now, lines, known, edge.Place(), NAMES)
         assert found.tenant_pins.get("t1", "") == region
         assert bool(found.tenant_pins) is (at < 10.5 or settings is not None)
         assert found.acted == ((("x", 1),) if at < 9.8 else ())
 
 
-def test_between_two_editions_and_without_a_permission_only_what_none_contradicts_is_acted_on():
+def test_between_two_revisions_and_without_a_lease_only_what_none_contradicts_is_acted_on():
     rows = {"x": pin("a"), "y": hold("a"), "z": cap(80.0), "s": shift(b=1.0)}
     one, other = in_force(rows, BASE), in_force({"x": pin("b"), "y": hold("b"), "z": cap(40.0)}, BASE)
     met = edge.common(one, other)
@@ -303,7 +303,7 @@
 
 
 @pytest.mark.parametrize(
-    ("received", "held"),
+    ("received", "held_off"),
     [
         ({6: "b"}, "ab"),
         ({6: "b", 7: "c"}, "ab"),  # together they hold all: nobody acts on 7 before 6
@@ -312,7 +312,7 @@
         ({6: "a", 7: "abc", 8: "c"}, "ac"),
     ],
 )
-def test_between_revisions_that_hold_all_regions_those_that_come_next_are_heeded(received, held):
+def test_between_revisions_that_hold_all_regions_those_that_come_next_are_applied(received, held_off):
     def revision(number, names):
         return lease_client.Revision(number, {"regions": {"held": list(names)}}, None, ())
 
@@ -323,7 +323,7 @@
     active = lease_client.ActiveConfiguration(
         False, revision(5, "a"), tuple(revision(*row) for row in reversed(received.items()))
     )
-    assert made.found(active, 0.0).held_regions == frozenset(held)
+    assert made.found(active, 0.0).held_regions == frozenset(held_off)
 
 
 @pytest.mark.parametrize(
@@ -359,9 +359,9 @@
         st.tuples(ROWS, st.sampled_from(["t1", "t2"]), st.integers(-1, 1), st.integers(0, 2)), max_size=8
     )
 )
-def test_what_is_in_force_is_what_the_plain_model_says_whatever_was_before(drawn):
+def test_what_is_in_force_is_what_the_plain_model_says_whatever_was_before(samples):
     rows = {}
-    for number, ((action, by), tenant, priority, from_ms) in enumerate(drawn):
+    for number, ((action, by), tenant, priority, from_ms) in enumerate(samples):
         match = {"tenant": tenant} if by == "tenant" else C1 if by == "class" else {}
         rows[f"o{number}"] = row(action, match, number + 1, priority, from_ms)
     found = in_force(rows, sidecars=1)
@@ -378,9 +378,9 @@
     active = service.store.active(service.at)
     wire = json.loads(json.dumps({"layer": layer(active), "times_left": times_left(active, service.at)}))
     lines, wrong = edge.read_layer(wire["layer"])
-    held = Deadlines()
-    assert not wrong and held.receive(0.0, wire["times_left"]) == ()
-    assert held.newest == active[0].rev and times_left(active, service.at, held.newest) == {}
-    found = edge.effective(1.0, edge.Rules(), lines, held, edge.Place("g1", "a"), NAMES)
+    known = Deadlines()
+    assert not wrong and known.receive(0.0, wire["times_left"]) == ()
+    assert known.newest == active[0].rev and times_left(active, service.at, known.newest) == {}
+    found = edge.effective(1.0, edge.Rules(), lines, known, edge.Place("g1", "a"), NAMES)
     assert found.class_shares == {"c1": {"a": 0.5, "b": 0.25, "c": 0.25}}
     assert deadlines.digest(found.acted) == digest((o.id, o.rev) for o in active)
--- a/tests/test_overrides_store.py
+++ b/tests/test_overrides_store.py
@@ -84,7 +84,7 @@
     assert service.store.wake() is None
 
 
-def test_a_disk_that_fails_changes_nothing_and_an_end_is_tried_again():
+def test_a_disk_that_fails_changes_nothing_and_an_end_is_retried():
     service = OverrideService().put(1).durable("full")
     assert service.answers[1].status == 503 and "full" in service.answers[1].why
     service.put(2, left=1000).durable().step(after=1000)
--- a/tests/test_registry_start.py
+++ b/tests/test_registry_start.py
@@ -60,11 +60,11 @@
     async with Service(tmp_path) as service, aiohttp.ClientSession() as session:
         starting = await start_unready(service, spoil(service))
         assert await ask(session, service, "/health/live") == (200, {"live": True})
-        status, told = await ask(session, service, "/health/ready")
-        assert status == 503 and reason in told["reason"] and FILE in told["reason"]
+        status, answered = await ask(session, service, "/health/ready")
+        assert status == 503 and reason in answered["reason"] and FILE in answered["reason"]
         for path in ("/registry/instances", "/registry/instances?watch=1", "/rules", "/status", "/overrides"):
-            status, told = await ask(session, service, path)
-            assert status == 503 and "has not started" in told["reason"], path
+            status, answered = await ask(session, service, path)
+            assert status == 503 and "has not started" in answered["reason"], path
         assert not starting.done()
         mend(service)
         await starting
@@ -102,12 +102,12 @@
 @bounded(30.0)
 async def test_what_only_an_operator_can_mend_still_ends_the_process(tmp_path, spoil):
     async with Service(tmp_path) as service:
-        held = spoil(service.data)
+        other = spoil(service.data)
         with pytest.raises(AssertionError, match="can't start"):  # before it was ready
             await service.start()
         assert await service.end() == 1
-        if held is not None:
-            held.close()
+        if other is not None:
+            other.close()
 
 
 @bounded(30.0)
--- a/tests/test_store_disk.py
+++ b/tests/test_store_disk.py
@@ -58,7 +58,7 @@
 
 
 @bounded(30.0)
-async def test_a_write_that_is_found_in_the_file_is_taken_in_and_told(tmp_path):
+async def test_a_write_that_is_found_in_the_file_is_applied_and_notified(tmp_path):
     async with Running(tmp_path) as running:
         running.lose_sight("sync")
         waits = running.put("internal", until_settled=True)
@@ -73,8 +73,8 @@
         internal = await waits
         assert running.notified == ["internal", "a"]
         assert not running.store.statistics.disk
-        again = await running.put("a", "r1")
-        assert again == Result(Status.DONE, running.rows()["a"])
+        repeated = await running.put("a", "r1")
+        assert repeated == Result(Status.DONE, running.rows()["a"])
         await running.put("b", "r2")
         rows = running.rows()
         assert rows["internal"] == internal.index and list(rows) == ["internal", "a", "b"]
@@ -99,7 +99,7 @@
 
 
 @bounded(30.0)
-async def test_a_repeat_waits_for_the_outcome_and_an_earlier_answer_is_given_again(tmp_path):
+async def test_a_repeat_waits_for_the_outcome_and_an_earlier_answer_is_repeated(tmp_path):
     async with Running(tmp_path) as running:
         first = await running.put("before", "r0")
         running.lose_sight("sync")
@@ -143,12 +143,12 @@
     """Faults of all kinds come and go; each write happens once or never, as its writer was told."""
     rng = random.Random(seed)
     async with Running(tmp_path) as running:
-        told, gave_up = {}, set()
+        written, gave_up = {}, set()
 
         async def write(key):
-            while key not in told and key not in gave_up:
+            while key not in written and key not in gave_up:
                 try:
-                    told[key] = (await running.put(key, f"id-{key}")).index
+                    written[key] = (await running.put(key, f"id-{key}")).index
                 except OutcomeUnknownError:
                     await asyncio.sleep(0.01)
                 except NotWrittenError:
@@ -176,10 +176,10 @@
             await asyncio.sleep(0.005)
         await failing
         assert running.disk.failed
-        assert running.rows() == told
-        assert sorted(running.notified) == sorted(told)
-        assert not gave_up & told.keys()
-    assert running.after_restart() == told
+        assert running.rows() == written
+        assert sorted(running.notified) == sorted(written)
+        assert not gave_up & written.keys()
+    assert running.after_restart() == written
 
 
 @bounded(30.0)
@@ -200,7 +200,7 @@
 
 
 @bounded(30.0)
-async def test_a_start_may_be_tried_again_on_a_disk_that_is_back(tmp_path):
+async def test_a_start_may_be_retried_on_a_disk_that_is_back(tmp_path):
     async with Running(tmp_path) as running:
         await running.put("a")
     running = Running(tmp_path)
@@ -259,7 +259,7 @@
 
 
 @bounded(30.0)
-async def test_an_override_whose_outcome_is_unknown_is_said_so_and_is_there_if_its_row_is(tmp_path):
+async def test_an_override_whose_outcome_is_unknown_is_answered_so_and_is_there_if_its_row_is(tmp_path):
     async with Running(tmp_path) as running, overrides_on(running) as overrides:
         await overrides.start()
         document = {"action": {"freeze": True}, "by": "ana", "why": "w", "until_ms": overrides.now() + 60_000}
--- a/tests/test_store_log_disk.py
+++ b/tests/test_store_log_disk.py
@@ -49,9 +49,9 @@
     def after_restart(self):
         """The keys that a start reads from the folder, by the standard library's SQLite."""
         self.log.close()
-        again = Log(self.folder)
-        table = again.load().state
-        again.close()
+        restarted = Log(self.folder)
+        table = restarted.load().state
+        restarted.close()
         return [row.key for row in table.rows("t")]
 
 
@@ -168,10 +168,10 @@
             folder.mkdir()
             for name, content in image_at(base, steps, count, torn).items():
                 (folder / name).write_bytes(content)
-            again = Log(folder)
-            table = again.load().state
-            again.append([table.begin_incarnation(0, 0)])
-            again.close()
+            restarted = Log(folder)
+            table = restarted.load().state
+            restarted.append([table.begin_incarnation(0, 0)])
+            restarted.close()
             found = [row.key for row in table.rows("t")]
             sure = max((known for known in acknowledged if known[0] < count or not known[0]), key=len_of)
             started = [keys for end, keys in acknowledged if end <= count]
@@ -219,11 +219,11 @@
     with pytest.raises(LogOutcomeUnknownError):
         journal.put("unknown")
     journal.disk.mend()
-    moved = journal.folder.rename(journal.folder.with_name("moved"))
+    unmounted = journal.folder.rename(journal.folder.with_name("elsewhere"))
     for _ in range(2):
         with pytest.raises(LogUnavailableError):
             journal.log.settle()
-    moved.rename(journal.folder)
+    unmounted.rename(journal.folder)
     assert journal.settle() is True
     assert journal.after_restart() == ["first", "unknown"]
 
