--- a/tests/disk_faults.py
+++ b/tests/disk_faults.py
@@ -37,10 +37,10 @@
 
 @dataclass
 class Step:
-    """One change of a file, as the disk saw it; `data` is None for a truncation to `offset`."""
+    """One change of a file, as the disk saw it: `data` written, else truncated to `offset`, else deleted."""
 
     file: str
-    offset: int
+    offset: int | None
     data: bytes | None
 
 
@@ -65,6 +65,15 @@
             raise failure(self.open)
         return _File(self, name, flags)
 
+    def xDelete(self, name, sync_folder):
+        self.note(Path(name).name, None, None)
+        super().xDelete(name, sync_folder)
+
+    def note(self, file, offset, data):
+        """Keep a change, if changes are recorded."""
+        if self.steps is not None:
+            self.steps.append(Step(file, offset, data))
+
     def mend(self):
         """All works again."""
         self.write = self.sync = self.open = self.read = ""
@@ -104,18 +113,17 @@
         if disk.write and not disk.spared():
             reached = bytes(data)[: round(len(data) * disk.keep)]
             if reached:
+                disk.note(self._name, offset, reached)
                 super().xWrite(reached, offset)
             raise failure(disk.write)
-        if disk.steps is not None:
-            disk.steps.append(Step(self._name, offset, bytes(data)))
+        disk.note(self._name, offset, bytes(data))
         super().xWrite(data, offset)
 
     def xTruncate(self, size):
         disk = self._disk
         if disk.write and not disk.spared():
             raise failure(disk.write)
-        if disk.steps is not None:
-            disk.steps.append(Step(self._name, size, None))
+        disk.note(self._name, size, None)
         super().xTruncate(size)
 
     def xSync(self, flags):
@@ -162,6 +170,9 @@
     """The files after `count` of the steps, with `torn` of the last one's bytes. `base`: name to content."""
     files = {name: bytearray(content) for name, content in base.items()}
     for number, step in enumerate(steps[:count], 1):
+        if step.offset is None:
+            files.pop(step.file, None)
+            continue
         content = files.setdefault(step.file, bytearray())
         if step.data is None:
             del content[step.offset :]
--- a/tests/test_store_disk.py
+++ b/tests/test_store_disk.py
@@ -19,7 +19,7 @@
 from brassfall.controlplane.store.records import Result, Status
 from brassfall.controlplane.store.store import Options, Store
 from brassfall.errors import Unavailable
-from tests.disk_faults import Disk
+from tests.disk_faults import Disk, image_at
 from tests.loopback import bounded, until
 
 
@@ -51,10 +51,15 @@
         return {row.key: row.version for row in self.store.state.rows("t")}
 
     def after_restart(self, table="t"):
-        log = Log(self.folder)
-        loaded = log.load().state
-        log.close()
-        return {row.key: row.version for row in loaded.rows(table)}
+        return rows_in(self.folder, table)
+
+
+def rows_in(folder, table="t"):
+    """Key to version of the rows that a start reads from a folder."""
+    log = Log(folder)
+    state = log.load().state
+    log.close()
+    return {row.key: row.version for row in state.rows(table)}
 
 
 @bounded(30.0)
@@ -182,6 +187,54 @@
     assert running.after_restart() == written
 
 
+@pytest.mark.parametrize("seed", range(6))
+@bounded(60.0)
+async def test_a_kill_at_any_step_shows_what_writers_were_told_before(tmp_path, seed):
+    """While faults come and go, all that the disk does is recorded; the files after some steps are read."""
+    rng = random.Random(seed)
+    async with Running(tmp_path / "live") as running:
+        disk = running.disk
+        base = {path.name: path.read_bytes() for path in running.folder.iterdir()}
+        disk.record()
+        written, refused = {}, {}  # key: how many steps the disk had done when its writer was told
+
+        async def write(key):
+            for _ in range(200):
+                try:
+                    await running.put(key, f"id-{key}")
+                except OutcomeUnknownError:
+                    await asyncio.sleep(0.01)
+                except NotWrittenError:
+                    refused[key] = len(disk.steps)
+                    return
+                else:
+                    written[key] = len(disk.steps)
+                    return
+
+        for number in range(40):
+            part, error = rng.choice([("write", "ENOSPC"), ("write", "EIO write"), ("sync", "EIO sync")])
+            if rng.random() < 0.5:
+                setattr(disk, part, error)
+                disk.after, disk.keep = rng.randrange(5), rng.random()
+                disk.open = rng.choice(["", "EIO open"])
+            writing = [asyncio.ensure_future(write(f"k{number}-{i}")) for i in range(rng.randint(1, 3))]
+            await asyncio.sleep(rng.uniform(0.0, 0.06))
+            disk.mend()
+            await asyncio.gather(*writing)
+        steps = list(disk.steps)
+    assert written and refused
+    for sample in range(60):
+        count, torn = rng.randrange(len(steps) + 1), rng.choice((0.0, 0.4, 1.0))
+        folder = tmp_path / f"killed-{sample}"
+        folder.mkdir()
+        for name, content in image_at(base, steps, count, torn).items():
+            (folder / name).write_bytes(content)
+        rows = rows_in(folder)
+        missing = [key for key, told_at in written.items() if told_at < count and key not in rows]
+        appeared = [key for key, told_at in refused.items() if told_at < count and key in rows]
+        assert (missing, appeared) == ([], []), (count, torn)
+
+
 @bounded(30.0)
 async def test_a_lease_that_ends_on_a_failing_disk_ends_once_that_is_back(tmp_path):
     async with Running(tmp_path) as running:
