--- a/brassfall/controlplane/registry/overrides.py
+++ b/brassfall/controlplane/registry/overrides.py
@@ -12,13 +12,13 @@
 import msgspec
 from aiohttp import web
 
+from brassfall.controlplane.aggregation.child_orders import ChildOrders
 from brassfall.controlplane.aggregation.messages import (
     AggregatorReport,
     ChildException,
     ChildOrder,
     PlaceDigest,
 )
-from brassfall.controlplane.aggregation.orders import Orders
 from brassfall.controlplane.overrides import document, events, history
 from brassfall.controlplane.overrides import reconciler as reconciliation
 from brassfall.controlplane.overrides.document import Override
@@ -28,7 +28,7 @@
 from brassfall.controlplane.registry.calls import answer
 from brassfall.controlplane.registry.override_clock import OverrideClock
 from brassfall.controlplane.registry.tasks import Tasks
-from brassfall.controlplane.revisions.edges import Report
+from brassfall.controlplane.revisions.reports import Report
 from brassfall.controlplane.store.commands import Command, Delete, Put
 from brassfall.controlplane.store.outcomes import OutcomeUnknownError
 from brassfall.controlplane.store.store import Store
@@ -56,9 +56,9 @@
 class Revisions(Protocol):
     """The configuration revisions, as far as overrides go through them."""
 
-    barred: dict[str, str]
+    blocked: dict[str, str]
 
-    def layer(self) -> list[dict[str, Any]] | None:
+    def overrides_in_force(self) -> list[dict[str, Any]] | None:
         """The overrides of the newest revision; None while one is under way."""
 
     def publish(self, **layers: Any) -> asyncio.Future[int]:
@@ -167,10 +167,10 @@
                 case reconciliation.Resend(node):
                     self._resend.add(node)
                 case reconciliation.DenyLease(node):
-                    self.revisions.barred[node] = "it acts on other overrides than are due"
+                    self.revisions.blocked[node] = "it acts on other overrides than are due"
                     log.warning("refused", edge=node)
                 case reconciliation.AllowLease(node):
-                    self.revisions.barred.pop(node, None)
+                    self.revisions.blocked.pop(node, None)
                 case reconciliation.AlertOperator(finding):
                     log.error(
                         "finding",
@@ -213,7 +213,7 @@
 
     def _publish_in_force(self) -> None:
         """Have the newest revision carry what is in force, whatever became of those before."""
-        published = self.revisions.layer()
+        published = self.revisions.overrides_in_force()
         if published is None or self._publishing or time.monotonic() < self._republish_at:
             return
         wanted = document.layer(self._in_force)
@@ -239,14 +239,16 @@
         """What the answer to a sidecar's report says of overrides; called before its lease is decided."""
         digest = report.digest if report.overrides is not None else None
         place = (report.group, report.region)
-        self._reconcile(reconciliation.Reported(name, report.life, *place, digest))
-        if report.acted is not None:
-            self._reconcile(reconciliation.Details(name, report.acted))
+        self._reconcile(reconciliation.Reported(name, report.process_id, *place, digest))
+        if report.acted_overrides is not None:
+            self._reconcile(reconciliation.Details(name, report.acted_overrides))
         answered: dict[str, Any] = {}
-        send_all = report.retell or name in self._resend
+        send_all = report.refresh_times or name in self._resend
         self._resend.discard(name)
         now = self.now()
-        left = document.times_left(self.store.active(now), now, 0 if send_all else report.told)
+        left = document.times_left(
+            self.store.active(now), now, 0 if send_all else report.known_override_revision
+        )
         if left:
             answered["left"] = left
         if name in self._request:
@@ -255,7 +257,7 @@
         return answered
 
     def merged(
-        self, now: float, rows: Iterable[ChildException], report: AggregatorReport, orders: Orders
+        self, now: float, rows: Iterable[ChildException], report: AggregatorReport, orders: ChildOrders
     ) -> OverrideMessages:
         """What the answer to an aggregator's report says of overrides.
 
@@ -264,10 +266,10 @@
         for row in rows:
             names.append(row.name)
             place = (row.place.group, row.place.region)
-            self._reconcile(reconciliation.Reported(row.name, row.life, *place, row.digest))
-            if row.acted is not None:
-                self._reconcile(reconciliation.Details(row.name, row.acted))
-        due = orders.due(now, names, self.revisions.barred, self._request, self._resend)
+            self._reconcile(reconciliation.Reported(row.name, row.process_id, *place, row.digest))
+            if row.acted_overrides is not None:
+                self._reconcile(reconciliation.Details(row.name, row.acted_overrides))
+        due = orders.due(now, names, self.revisions.blocked, self._request, self._resend)
         self._request.difference_update(names)
         self._resend.difference_update(names)
         at = self.now()
@@ -275,7 +277,7 @@
             PlaceDigest(place, self.reconciler.expected_digest(at, place.group, place.region))
             for place in report.places
         ]
-        left = document.times_left(self.store.active(at), at, report.told)
+        left = document.times_left(self.store.active(at), at, report.known_override_revision)
         return OverrideMessages(left, digests, due)
 
     def parted(self, name: str) -> None:
@@ -286,7 +288,7 @@
     def gone(self, name: str) -> None:
         """A sidecar has left the fleet."""
         self._reconcile(reconciliation.Left(name))
-        self.revisions.barred.pop(name, None)
+        self.revisions.blocked.pop(name, None)
 
     def findings(self) -> dict[str, list[str]]:
         """What is wrong, by sidecar, each with what an operator can do."""
--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -14,8 +14,9 @@
 from brassfall.balancer import Settings
 from brassfall.balancer.model import Cancel, Fail, Listing, Outcome, Refuse, Send
 from brassfall.sidecar import driver, outbound, server_connection
-from brassfall.sidecar.driver import Answer, Result
+from brassfall.sidecar.clock import Clock
 from brassfall.sidecar.exchange import Exchange
+from brassfall.sidecar.interfaces import Answer, Result
 from tests import loopback as partners
 from tests.helpers import CLASSES, arrival, balancer, of_type, raw_settings
 from tests.loopback import (
@@ -69,7 +70,7 @@
         waiting.gate.open.set()
         await until(lambda: sidecar.pool._servers["s0"].idle)  # it was paid for: the next one has it
         if module is not None:
-            assert module.outcomes() == [(0, Outcome.MOOT, True)]
+            assert module.outcomes() == [(0, Outcome.ABANDONED, True)]
             assert len(module.named("client_gone")) == 1 and not module.named("unsent")
         else:
             assert not blame_of(sidecar, "s0")
@@ -91,7 +92,7 @@
         waiting.gate.open.set()
         assert (await waiting.app.answer()).status in (502, 503, 504)
         await until(lambda: sidecar.pool._servers["s0"].idle)
-        assert module.outcomes() == [(0, Outcome.MOOT, True)]
+        assert module.outcomes() == [(0, Outcome.ABANDONED, True)]
         assert waiting.upstream.seen == []
 
 
@@ -107,7 +108,7 @@
         assert (await app.ask()).body == b"done"
         gate.open.set()
         await until(lambda: sidecar.pool._servers["s0"].idle)
-        assert module.outcomes() == [(1, Outcome.OK, True), (0, Outcome.MOOT, True)]
+        assert module.outcomes() == [(1, Outcome.OK, True), (0, Outcome.ABANDONED, True)]
         assert late.seen == []
 
 
@@ -136,7 +137,7 @@
         app.close()
         await until(lambda: not sidecar.driver._requests)
         assert (await (await App.connect(sidecar.address)).ask()).body == b"done"
-        assert module.outcomes() == [(0, Outcome.MOOT, True), (0, Outcome.OK, True)]
+        assert module.outcomes() == [(0, Outcome.ABANDONED, True), (0, Outcome.OK, True)]
 
 
 @loopback
@@ -150,7 +151,7 @@
         connection.written = False  # as if its last byte were still held back here
         app.close()
         await until(lambda: module.outcomes())
-        assert module.outcomes() == [(0, Outcome.MOOT, True)]
+        assert module.outcomes() == [(0, Outcome.ABANDONED, True)]
 
 
 @loopback
@@ -241,7 +242,7 @@
         app = await App.connect(sidecar.address)
         app.writer.write(partners.request("POST", "/book", LARGE)[: -len(LARGE)] + part[:-1])
         assert (await app.answer()).status == 502
-        assert module.outcomes() == [(0, Outcome.MOOT, False)]  # half of it never runs
+        assert module.outcomes() == [(0, Outcome.ABANDONED, False)]  # half of it never runs
         assert upstream.seen == []
         app.close()
 
@@ -261,7 +262,7 @@
         Hands(sidecar).on(9000.0)  # its timer has not run
         app.writer.write(message[-1:])
         assert (await app.answer()).status == 502
-        assert module.outcomes() == [(0, Outcome.MOOT, False)]
+        assert module.outcomes() == [(0, Outcome.ABANDONED, False)]
         assert upstream.seen == []
 
 
@@ -283,7 +284,7 @@
         connection._transport.write(b"x" * 4_000_000)  # stands for what the kernel is full of
         assert connection._transport.get_write_buffer_size()
         assert (await app.ask("POST", "/book", b"body")).status == 502
-        assert module.outcomes()[1:] == [(0, Outcome.MOOT, False)]
+        assert module.outcomes()[1:] == [(0, Outcome.ABANDONED, False)]
         upstream.writers[0].transport.resume_reading()
 
 
@@ -294,7 +295,7 @@
         Hands(waiting.sidecar).on(4000.0)  # its timer has not run
         waiting.gate.open.set()
         assert (await waiting.app.answer()).status == 504
-        assert module.outcomes() == [(0, Outcome.MOOT, False)]
+        assert module.outcomes() == [(0, Outcome.ABANDONED, False)]
         assert waiting.upstream.seen == []
 
 
@@ -597,7 +598,7 @@
 class Client:
     """A request's client: it keeps every final answer that it is given."""
 
-    band, tenant, key, work, again, mutates, budget = 0, 0, None, None, False, False, 4000.0
+    request_class, tenant, key, work, client_retry, mutates, budget = 0, 0, None, None, False, False, 4000.0
 
     def __init__(self, large):
         self.reading, self.body, self.given = large, None, []
@@ -605,6 +606,9 @@
     def wire(self, left):
         return b""
 
+    def client_left(self):
+        return False
+
     def served(self, answer):
         self.given.append("served")
 
@@ -685,7 +689,7 @@
         loop = asyncio.get_running_loop()
         limits = {"MaxAttempts": 3, "MayCancel": cancels, "ConnectTimeout": 250.0}
         config = told([Upstream(address=f"127.0.0.1:{port}") for port in (9, 10, 11)], PolicyLimits=limits)
-        self.driver = driver.Driver(loop, driver.Clock(loop), config)
+        self.driver = driver.Driver(loop, Clock(loop), config)
         self.carriers = Carriers(loop, state)
         self.driver.connect(self.carriers, None, None)
         self.outcomes = []
@@ -717,7 +721,7 @@
         self.exchange.end(Result(Outcome.RESET))
 
     def rules_changed(self):
-        self.driver._loop.call_soon(self.exchange.end, Result(Outcome.MOOT))
+        self.driver._loop.call_soon(self.exchange.end, Result(Outcome.ABANDONED))
 
     def starts(self):
         """A large answer begins, and is whole a turn later."""
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -185,7 +185,7 @@
         first.writers[0].transport.abort()
         assert (await answer_of(app))[0] == 502
         assert module.outcomes()[0] == (0, Outcome.CONNECT_FAILED, False)  # never written whole: never ran
-        assert module.outcomes()[1][1] == Outcome.MOOT
+        assert module.outcomes()[1][1] == Outcome.ABANDONED
         first.slow.set()
 
 
@@ -311,7 +311,7 @@
         head = await app.reader.readuntil(b"\r\n\r\n")
         assert head.startswith(b"HTTP/1.1 200")
         await asyncio.sleep(0.4)  # past the client's time
-        sidecar.life.drain()
+        sidecar.lifecycle.drain()
         more.set()
         app.reader._buffer[:0] = head  # whole again, for the one that reads it
         assert await answer_of(app) == (200, LARGE)
@@ -491,7 +491,7 @@
 
     slow = await Server([wait]).start()
     module = Scripted(
-        request=lambda now, arrival: [Send(arrival.request, "s0" if arrival.band else "s1", 0.0)],
+        request=lambda now, arrival: [Send(arrival.request, "s0" if arrival.request_class else "s1", 0.0)],
         answer_started=lambda now, *rest: release.set() or [],
     )
     async with running(upstream, slow, balancer=module) as sidecar:
--- a/tests/test_sidecar_attempts.py
+++ b/tests/test_sidecar_attempts.py
@@ -13,8 +13,8 @@
 
 from brassfall.balancer.model import Cancel, CloseIdle, Outcome, Probe, Refuse, Send, Timer
 from brassfall.sidecar import client_request, driver, outbound, request_message, server_connection
-from brassfall.sidecar.config import parse_list
-from brassfall.sidecar.driver import Clock
+from brassfall.sidecar.clock import Clock
+from brassfall.sidecar.endpoint_list import parse_list
 from brassfall.sidecar.exchange import Exchange
 from tests.loopback import (
     OK,
@@ -220,7 +220,7 @@
     async with running(upstream, balancer=module) as sidecar:
         await (await App.connect(sidecar.address)).ask()
         await until(lambda: len(module.outcomes()) == 5)
-        assert module.outcomes()[3:] == [(3, Outcome.MOOT, False), (4, Outcome.MOOT, True)]
+        assert module.outcomes()[3:] == [(3, Outcome.ABANDONED, False), (4, Outcome.ABANDONED, True)]
         assert len(upstream.seen) == 3
         assert not sidecar.driver._requests
 
--- a/tests/test_store_disk.py
+++ b/tests/test_store_disk.py
@@ -278,7 +278,7 @@
     async def published(**layers):
         return 1
 
-    revisions = SimpleNamespace(barred={}, layer=lambda: None, publish=published)
+    revisions = SimpleNamespace(blocked={}, overrides_in_force=lambda: None, publish=published)
 
     async def body(request):
         return await request.read()
