--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -59,6 +59,8 @@
         "sidecar_requests",
         "sidecar_rules",
         "standing_brink",
+        "store_disk",
+        "store_stored_data",
         "system_calls",
         "tier_processes",
         "upgrade",
--- a/tests/test_overrides_sidecar.py
+++ b/tests/test_overrides_sidecar.py
@@ -303,7 +303,7 @@
 
 
 @pytest.mark.parametrize(
-    ("received", "held_off"),
+    ("received", "closed"),
     [
         ({6: "b"}, "ab"),
         ({6: "b", 7: "c"}, "ab"),  # together they hold all: nobody acts on 7 before 6
@@ -312,7 +312,7 @@
         ({6: "a", 7: "abc", 8: "c"}, "ac"),
     ],
 )
-def test_between_revisions_that_hold_all_regions_those_that_come_next_are_applied(received, held_off):
+def test_between_revisions_that_hold_all_regions_those_that_come_next_are_applied(received, closed):
     def revision(number, names):
         return lease_client.Revision(number, {"regions": {"held": list(names)}}, None, ())
 
@@ -325,7 +325,7 @@
     active = lease_client.ActiveConfiguration(
         False, revision(5, "a"), tuple(revision(*row) for row in reversed(received.items()))
     )
-    assert made.found(active, 0.0).held_regions == frozenset(held_off)
+    assert made.found(active, 0.0).held_regions == frozenset(closed)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_store_disk.py
+++ b/tests/test_store_disk.py
@@ -189,14 +189,14 @@
 
 @pytest.mark.parametrize("seed", range(6))
 @bounded(60.0)
-async def test_a_kill_at_any_step_shows_what_writers_were_told_before(tmp_path, seed):
+async def test_a_kill_at_any_step_shows_what_writers_were_answered_before(tmp_path, seed):
     """While faults come and go, all that the disk does is recorded; the files after some steps are read."""
     rng = random.Random(seed)
     async with Running(tmp_path / "live") as running:
         disk = running.disk
         base = {path.name: path.read_bytes() for path in running.folder.iterdir()}
         disk.record()
-        written, refused = {}, {}  # key: how many steps the disk had done when its writer was told
+        written, refused = {}, {}  # key: how many steps the disk had done when its writer was answered
 
         async def write(key):
             for _ in range(200):
@@ -230,8 +230,8 @@
         for name, content in image_at(base, steps, count, torn).items():
             (folder / name).write_bytes(content)
         rows = rows_in(folder)
-        missing = [key for key, told_at in written.items() if told_at < count and key not in rows]
-        appeared = [key for key, told_at in refused.items() if told_at < count and key in rows]
+        missing = [key for key, answered_at in written.items() if answered_at < count and key not in rows]
+        appeared = [key for key, answered_at in refused.items() if answered_at < count and key in rows]
         assert (missing, appeared) == ([], []), (count, torn)
 
 
