--- a/brassfall/lab/agreement/command.py
+++ b/brassfall/lab/agreement/command.py
@@ -14,7 +14,7 @@
 
 from brassfall.errors import UsageError
 from brassfall.lab.agreement import schedule
-from brassfall.lab.agreement.defects import DEFECTS, REAL
+from brassfall.lab.agreement.defects import DEFECTS, REAL, InjectedDefect
 from brassfall.lab.agreement.rules import RuleError
 from brassfall.lab.agreement.tier import TIER, TierWorld
 from brassfall.lab.agreement.tier_defects import TIER_DEFECTS
@@ -70,8 +70,8 @@
     defect = (TIER_DEFECTS if task.tier else DEFECTS).get(task.defect)
     kind, catalogue = (TierWorld, TIER) if task.tier else (World, schedule.DIRECT)
     world = kind(task.seed, task.nodes, defect.program if defect is not None else REAL)
-    drawn = schedule.draw(world, defect.themes if defect is not None else (), catalogue)
-    faults = drawn if faults is None else faults
+    sampled = schedule.sample(world, defect.themes if defect is not None else (), catalogue)
+    faults = sampled if faults is None else faults
     schedule.arrange(world, faults, catalogue)
     return world, faults
 
@@ -235,24 +235,31 @@
 def run(
     seeds: int,
     nodes: str,
-    flaw: str,
+    defect: str,
     jobs: int,
     as_json: bool,
     say: Callable[[str], None],
     tier: bool = False,
 ) -> int:
-    """The command: prints what was found; its exit status."""
-    if flaw:
-        known = TIER_DEFECTS if tier else DEFECTS
-        if flaw != "all" and flaw not in known:
-            raise UsageError(f"--flaw: {flaw!r} is none", f"there are {', '.join(known)}, and all")
-        try:
-            rows = find(list(known) if flaw == "all" else [flaw], jobs)
-        except KeyboardInterrupt:
-            say("stopped")
-            return 130
-        print(json.dumps(rows) if as_json else table(rows))
-        return 0 if all(row["found"] for row in rows) else 1
-    summary, whole = check(seeds, sizes(nodes), jobs, say, tier)
+    """The command: prints what was found; its exit status.
+
+    `defect` is the name of an injected one, `all`, or empty: then worlds without any are played."""
+    if defect:
+        return _run_defects(defect, jobs, as_json, say, TIER_DEFECTS if tier else DEFECTS)
+    summary, complete = check(seeds, sizes(nodes), jobs, say, tier)
     print(json.dumps(summary.plain()) if as_json else text(summary))
-    return 130 if not whole else 1 if summary.broken else 0
+    return 130 if not complete else 1 if summary.broken else 0
+
+
+def _run_defects(
+    defect: str, jobs: int, as_json: bool, say: Callable[[str], None], known: dict[str, InjectedDefect]
+) -> int:
+    if defect != "all" and defect not in known:
+        raise UsageError(f"--flaw: {defect!r} is none", f"there are {', '.join(known)}, and all")
+    try:
+        rows = find(list(known) if defect == "all" else [defect], jobs)
+    except KeyboardInterrupt:
+        say("stopped")
+        return 130
+    print(json.dumps(rows) if as_json else table(rows))
+    return 0 if all(row["found"] for row in rows) else 1
--- a/brassfall/lab/agreement/cost.py
+++ b/brassfall/lab/agreement/cost.py
@@ -79,12 +79,12 @@
         fleet: dict[str, Any] = {"registry": [registry]}
         if keyed:
             fleet |= {"agreement": {}, "place": {"group": "west-1", "region": "a"}}
-        told = {"name": name, "listen": address, "seed": "1", "known": known, "settings": SETTINGS}
+        config = {"name": name, "listen": address, "seed": "1", "known": known, "settings": SETTINGS}
         path = self.folder / f"{name}.json"
-        path.write_text(json.dumps(told | {"fleet": fleet}))
-        kept = {key: value for key, value in os.environ.items() if not key.startswith("NODE_")}
-        words = ("/bin/sh", "-c", f"exec {run.removeprefix('exec ')}")
-        made = await self.process(name, *words, env={**kept, "NODE_CONFIG": str(path)})
+        path.write_text(json.dumps(config | {"fleet": fleet}))
+        inherited = {key: value for key, value in os.environ.items() if not key.startswith("NODE_")}
+        command = ("/bin/sh", "-c", f"exec {run.removeprefix('exec ')}")
+        made = await self.process(name, *command, env={**inherited, "NODE_CONFIG": str(path)})
         await until(lambda: requests(address, 1), READY_S)
         return address, psutil.Process(made.pid)
 
@@ -155,14 +155,14 @@
         there_reader, there_writer = await asyncio.open_connection(self._host, self._port)
         kind = [""]
 
-        async def pump(source: asyncio.StreamReader, sink: asyncio.StreamWriter, way: str) -> None:
+        async def pump(source: asyncio.StreamReader, sink: asyncio.StreamWriter, direction: str) -> None:
             with contextlib.suppress(OSError):
                 while data := await source.read(65_536):
-                    if way == "asked":
+                    if direction == "asked":
                         kind[0] = data.split(b"\r\n", 1)[0].decode().split(" HTTP")[0].split("/n")[0]
                         self.count[f"{kind[0]} calls"] += 1
-                    self.count[f"{kind[0]} {way}"] += len(data)
-                    self.sample[f"{kind[0]} {way}"] = data
+                    self.count[f"{kind[0]} {direction}"] += len(data)
+                    self.sample[f"{kind[0]} {direction}"] = data
                     sink.write(data)
             sink.close()
 
--- a/brassfall/lab/agreement/reconcile.py
+++ b/brassfall/lab/agreement/reconcile.py
@@ -17,7 +17,7 @@
 from brassfall.controlplane.overrides import document as doc
 from brassfall.lab.overrides.world import CLASSES, REGIONS, TENANTS, WAY_MS, Node, World
 
-CUT_MS, HEALED_MS, END_MS, LOOK_MS = 8_000.0, 18_000.0, 30_000.0, 20.0
+PARTITION_MS, HEALED_MS, END_MS, LOOK_MS = 8_000.0, 18_000.0, 30_000.0, 20.0
 
 # By name, as the program under test: nothing of the house is built on a sidecar's files.
 deadlines: Any = importlib.import_module("brassfall.sidecar.agent.deadlines")
@@ -111,11 +111,11 @@
     world.until(3_000.0)
     for number in range(4):
         world.put(f"o{number}", 50.0 + number, 9_000.0 if number == 3 else 600_000.0)
-    world.until(CUT_MS)
+    world.until(PARTITION_MS)
     away = world.rng.sample(world.nodes, nodes // 3)
     for node in away:
         node.cuts = {"up": HEALED_MS, "down": HEALED_MS}
-    world.until(CUT_MS + 2_000.0)
+    world.until(PARTITION_MS + 2_000.0)
     world.end("o0")
     world.put("o1", 70.0)
     for key in ("o4", "o5"):
--- a/brassfall/lab/agreement/rules.py
+++ b/brassfall/lab/agreement/rules.py
@@ -46,8 +46,8 @@
     promised: frozenset[int]
     known: frozenset[int]  # revisions received; the fallback configuration can't heed the others
     tenants: Mapping[str, str]
-    held: frozenset[str]
-    document_held: frozenset[str]
+    closed: frozenset[str]
+    document_closed: frozenset[str]
     fallback_tenants: Mapping[str, str]
     caps: Mapping[str, float]
     document_caps: Mapping[str, float]
@@ -72,7 +72,7 @@
     if other.safe or (sender.safe and other.number not in sender.known):
         return ""
     consents = sender.number in other.promised
-    open_ = other.document_held - sender.held
+    open_ = other.document_closed - sender.closed
     if open_ and not consents:
         return f"sends to {min(open_)}, which is held"
     for tenant in sender.tenants.keys() | other.tenants.keys():
--- a/brassfall/lab/agreement/scale.py
+++ b/brassfall/lab/agreement/scale.py
@@ -88,8 +88,8 @@
     condition: str
     reached_ms: float | None = None
     all_ms: float | None = None
-    news_ms: float | None = None
-    news_all_ms: float | None = None
+    received_ms: float | None = None
+    received_all_ms: float | None = None
     taken: bool = True  # not so where the service was killed before the publication was durable
 
 
@@ -110,10 +110,10 @@
     def play(self) -> list[Row]:
         """Every condition in turn, as often as the task says; what came of each revision."""
         self.kernel.run(WARM_MS + ENROL_MS * self.task.nodes)
-        self._edition("warm")
-        return [self._edition(name) for _ in range(self.task.rounds) for name in CONDITIONS]
+        self._publish("warm")
+        return [self._publish(name) for _ in range(self.task.rounds) for name in CONDITIONS]
 
-    def _edition(self, condition: str) -> Row:
+    def _publish(self, condition: str) -> Row:
         kernel, service = self.kernel, self.service
         away = BEGIN.get(condition, _nobody)(self)
         kernel.run(kernel.now + kernel.random.uniform(0.0, 100.0))
@@ -150,7 +150,7 @@
         near = max(span for name, span in heard.items() if name not in away)
         reached = max(span for name, span in began.items() if name not in away)
         row = Row(self.task.nodes, self.task.seed, condition, _finite(reached), _finite(max(began.values())))
-        row.news_ms, row.news_all_ms = _finite(near - first), _finite(max(heard.values()) - first)
+        row.received_ms, row.received_all_ms = _finite(near - first), _finite(max(heard.values()) - first)
         return row
 
 
@@ -168,7 +168,7 @@
     return {sidecar.name}
 
 
-def _cut(fleet: Fleet) -> set[str]:
+def _partition(fleet: Fleet) -> set[str]:
     away = {s.name for s in fleet.kernel.random.sample(fleet.sidecars, len(fleet.sidecars) // 3)}
     fleet.kernel.net.partitions |= {(name, 0, kind) for name in away for kind in KINDS}
     return away
@@ -186,7 +186,7 @@
 
 BEGIN: dict[str, Callable[[Fleet], set[str]]] = {
     "one stopped": _stopped,
-    "a third cut": _cut,
+    "a third cut": _partition,
     "slow link": _slow_link,
     "slow disk": _slow_disk,
 }
@@ -201,8 +201,8 @@
     found = sorted(value for value in values if value is not None)
     if len(found) < 2:
         return "- | - | -"
-    cuts = quantiles(found, n=100, method="inclusive")
-    return " | ".join(f"{span:.0f}" for span in (cuts[49], cuts[98], found[-1]))
+    points = quantiles(found, n=100, method="inclusive")
+    return " | ".join(f"{span:.0f}" for span in (points[49], points[98], found[-1]))
 
 
 def table(rows: list[Row]) -> str:
@@ -212,11 +212,12 @@
     for nodes in sorted({row.nodes for row in rows}):
         for name in CONDITIONS:
             some = [row for row in rows if row.taken and (row.nodes, row.condition) == (nodes, name)]
-            news = max(row.news_ms or math.inf for row in some)
-            all_news = max(row.news_all_ms or math.inf for row in some)
+            received = max(row.received_ms or math.inf for row in some)
+            received_all = max(row.received_all_ms or math.inf for row in some)
             reached, late = _points([row.reached_ms for row in some]), _points([row.all_ms for row in some])
             lines.append(
-                f"| {nodes} | {name} | {len(some)} | {reached} | {late} | {news:.0f} | {all_news:.0f} |"
+                f"| {nodes} | {name} | {len(some)} | {reached} | {late} | {received:.0f}"
+                f" | {received_all:.0f} |"
             )
     return "\n".join(lines)
 
--- a/brassfall/lab/agreement/schedule.py
+++ b/brassfall/lab/agreement/schedule.py
@@ -1,4 +1,4 @@
-"""Faults, drawn by seed: what goes wrong, when, for how long."""
+"""Faults, sampled by seed: what goes wrong, when, for how long."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
     at_ms: float
     name: str
-    seed: int  # of what the fault itself draws
+    seed: int  # of the fault's own random numbers
 
 
 @dataclass(frozen=True)
@@ -34,15 +34,15 @@
     away: frozenset[str]  # each takes some away: two at once may take the majority
     split: frozenset[str]  # these split who reports over two services
     confusing: frozenset[str]  # and these do not go together with that
-    in_turn: bool = False  # each seed has one of them in turn, beside those that are drawn
+    in_turn: bool = False  # each seed has one of them in turn, beside those that are sampled
 
 
-def draw(world: World, only: tuple[str, ...] = (), catalogue: Catalogue | None = None) -> list[Fault]:
+def sample(world: World, only: tuple[str, ...] = (), catalogue: Catalogue | None = None) -> list[Fault]:
     """A schedule: some themes out of a catalogue, each with some faults.
 
     A split of the sidecars over two services does not go together with a liar, nor with two processes of one
-    name: each may take both services' words; nor with an empty disk, which knows no roster. The agreement
-    does not promise to stand those, see docs/agreement-defects.md."""
+    name: each may follow both services; nor with an empty disk, which knows no members. The coordinator
+    does not promise to withstand those, see docs/agreement-defects.md."""
     chance, known = world.kernel.random, catalogue or DIRECT
     names = list(only or chance.sample(sorted(known.themes), chance.choice((1, 2, 3))))
     if known.in_turn and not only:
@@ -68,15 +68,15 @@
 
 
 def _begin(world: World, fault: Fault, known: Catalogue) -> None:
-    # Its draws are its own: a schedule from which another fault is taken keeps this one as it was.
-    world.drawn = random.Random(fault.seed)
+    # Its random numbers are its own: without another fault of the schedule, this one goes on as it was.
+    world.fault_random = random.Random(fault.seed)
     world.note(fault.name)
     known.themes[fault.name][0](world)
 
 
 def some_of(world: World, part: float = 0.34) -> list[Sidecar]:
     """A few sidecars that run, fewer than half of all."""
-    chance, running = world.drawn, [s for s in world.sidecars if not s.stopped]
+    chance, running = world.fault_random, [s for s in world.sidecars if not s.stopped]
     most = max(1, int(len(running) * part))
     return chance.sample(running, min(len(running), chance.randint(1, most)))
 
@@ -95,15 +95,15 @@
     if disk is not None:
         service.disk = disk
 
-    def again() -> None:
+    def restart_once() -> None:
         if not service.up:
             service.start()
 
-    later(world, world.drawn.choice((20.0, 500.0, 3000.0)), again)
+    later(world, world.fault_random.choice((20.0, 500.0, 3000.0)), restart_once)
 
 
 def crash(world: World) -> None:
-    """Killed while something is written, within some seconds: asked, durable or told; or just now."""
+    """Killed while something is written, within some seconds: asked, durable or sent; or just now."""
     service = world.services[0]
     service.faults.crash = 0.8
 
@@ -111,7 +111,7 @@
         service.faults.crash = 0.0
 
     later(world, 5000.0, over)
-    if world.drawn.random() < 0.3:
+    if world.fault_random.random() < 0.3:
         restart_service(world)
 
 
@@ -123,23 +123,23 @@
 def restored(world: World) -> None:
     """An older copy is put back."""
     if world.snapshots:
-        restart_service(world, world.drawn.choice(world.snapshots[-3:]).copy())
+        restart_service(world, world.fault_random.choice(world.snapshots[-3:]).copy())
 
 
 def disk(world: World) -> None:
     """Writes fail, or take long."""
     faults = world.services[0].faults
-    faults.fail, faults.slow = world.drawn.choice(((0.4, 0.0), (0.0, 0.5), (0.2, 0.3)))
+    faults.fail, faults.slow = world.fault_random.choice(((0.4, 0.0), (0.0, 0.5), (0.2, 0.3)))
 
     def over() -> None:
         faults.fail = faults.slow = 0.0
 
-    later(world, world.drawn.uniform(1000.0, 6000.0), over)
+    later(world, world.fault_random.uniform(1000.0, 6000.0), over)
 
 
 def twin(world: World) -> None:
     """A second service on a copy of the disk; each sidecar sees one of the two, or some see both."""
-    second, chance = world.services[1], world.drawn
+    second, chance = world.services[1], world.fault_random
     if second.up or not world.snapshots or not world.snapshots[-1].state.committed.number:
         return
     copies = [world.services[0].disk, world.snapshots[-1]]
@@ -148,12 +148,12 @@
     part, both = chance.choice((0.4, 0.5, 0.6)), chance.choice((0.0, 0.0, 0.3))
     for name in world.members:
         if chance.random() >= both:
-            _cut(world, name, 0 if chance.random() < part else 1)
+            _partition(world, name, 0 if chance.random() < part else 1)
     later(world, chance.uniform(2000.0, 6000.0), _swap, world)
     later(world, chance.uniform(4000.0, 15_000.0), _one_stays, world)
 
 
-def crowd(world: World) -> None:
+def newcomers(world: World) -> None:
     """A second service on a copy, seen by newcomers alone, who are more than all others."""
     second = world.services[1]
     if second.up or not world.services[0].disk.state.committed.number:
@@ -161,17 +161,17 @@
     second.disk = world.services[0].disk.copy()
     second.start()
     for sidecar in world.sidecars:
-        _cut(world, sidecar.name, 1)
+        _partition(world, sidecar.name, 1)
     for number in range(len(world.sidecars) + 1):
-        name = f"c{number}-{world.drawn.randrange(10**6)}"
-        _cut(world, name, 0)
-        later(world, world.drawn.uniform(0.0, 2000.0), world.join, name)
-    later(world, world.drawn.uniform(9000.0, 15_000.0), _one_stays, world)
+        name = f"c{number}-{world.fault_random.randrange(10**6)}"
+        _partition(world, name, 0)
+        later(world, world.fault_random.uniform(0.0, 2000.0), world.join, name)
+    later(world, world.fault_random.uniform(9000.0, 15_000.0), _one_stays, world)
 
 
 def exodus(world: World) -> None:
-    """A second service on a copy, seen by most: each has left the first one with a word, and been followed by
-    a process that knows nothing."""
+    """A second service on a copy, seen by most: each has sent the first one its last report, and a process
+    that knows nothing has succeeded it."""
     second = world.services[1]
     if second.up or not world.services[0].disk.state.committed.number:
         return
@@ -180,36 +180,36 @@
     stay = some_of(world)
     for sidecar in list(world.sidecars):
         if sidecar in stay:
-            _cut(world, sidecar.name, 1)
+            _partition(world, sidecar.name, 1)
         elif not sidecar.stopped:
             world.succeed(sidecar, True)
-            _cut(world, sidecar.name, 0)
-    later(world, world.drawn.uniform(9000.0, 15_000.0), _one_stays, world)
+            _partition(world, sidecar.name, 0)
+    later(world, world.fault_random.uniform(9000.0, 15_000.0), _one_stays, world)
 
 
-def _cut(world: World, name: str, service: int) -> None:
+def _partition(world: World, name: str, service: int) -> None:
     world.kernel.net.partitions |= {(name, service, kind) for kind in KINDS}
 
 
 def _swap(world: World) -> None:
     """Some come over to the other side."""
-    chance = world.drawn
+    chance = world.fault_random
     for name in world.members:
         if chance.random() < 0.4:
             for service in (0, 1):
                 world.kernel.net.partitions -= {(name, service, kind) for kind in KINDS}
-            _cut(world, name, chance.choice((0, 1)))
+            _partition(world, name, chance.choice((0, 1)))
 
 
 def _one_stays(world: World) -> None:
     world.kernel.net.partitions.clear()
-    stopped: Service = world.drawn.choice(world.services)
+    stopped: Service = world.fault_random.choice(world.services)
     stopped.crash()
 
 
 def jump(world: World) -> None:
     """Wall clocks jump by an hour."""
-    chance = world.drawn
+    chance = world.fault_random
     for clock in [service.clock for service in world.services] + [s.clock for s in some_of(world)]:
         clock.wall += chance.choice((HOUR_MS, -HOUR_MS))
     for sidecar in world.sidecars:
@@ -225,7 +225,7 @@
     """Stopped for ten seconds, across whatever comes, and continued."""
     for sidecar in some_of(world):
         sidecar.stop()
-        span = world.drawn.choice((STOPPED_MS, world.drawn.uniform(500.0, STOPPED_MS)))
+        span = world.fault_random.choice((STOPPED_MS, world.fault_random.uniform(500.0, STOPPED_MS)))
         later(world, span, sidecar.resume)
 
 
@@ -233,9 +233,9 @@
     """A stopped process gets a successor of its name, and comes back beside it."""
     for sidecar in some_of(world):
         sidecar.stop()
-        after = world.drawn.uniform(10.0, 3000.0)
+        after = world.fault_random.uniform(10.0, 3000.0)
         later(world, after, _given_up, world, sidecar)
-        later(world, after + world.drawn.uniform(10.0, 4000.0), sidecar.resume)
+        later(world, after + world.fault_random.uniform(10.0, 4000.0), sidecar.resume)
 
 
 def _given_up(world: World, sidecar: Sidecar) -> None:
@@ -244,9 +244,9 @@
 
 
 def restart(world: World) -> None:
-    """A process ends, with a word or without, and another follows at once."""
+    """A process ends, with a last report or without, and another follows at once."""
     for sidecar in some_of(world):
-        world.succeed(sidecar, world.drawn.random() < 0.5)
+        world.succeed(sidecar, world.fault_random.random() < 0.5)
 
 
 def rolling(world: World) -> None:
@@ -259,20 +259,20 @@
 
 def _rolled(world: World, name: str) -> None:
     for sidecar in [s for s in world.sidecars if s.name == name and not s.stopped]:
-        world.succeed(sidecar, world.drawn.random() < 0.7)
+        world.succeed(sidecar, world.fault_random.random() < 0.7)
 
 
 def join(world: World) -> None:
     """New ones, while a revision is prepared."""
     world.publish()
     number = len(world.sidecars)
-    name = f"n{number}-{world.drawn.randrange(10**6)}"
-    later(world, world.drawn.uniform(0.0, 1500.0), world.join, name)
+    name = f"n{number}-{world.fault_random.randrange(10**6)}"
+    later(world, world.fault_random.uniform(0.0, 1500.0), world.join, name)
 
 
 def liar(world: World) -> None:
     """One that reports what is not so; what it does itself is found at the servers alone."""
-    sidecar = world.drawn.choice(world.sidecars)
+    sidecar = world.fault_random.choice(world.sidecars)
     sidecar.liar = True
     sidecar.judged()
 
@@ -285,12 +285,12 @@
     for sidecar in world.sidecars:
         sidecar.clock.turn(now, 1.0 - CLOCK_DRIFT)
     for number in range(4):
-        later(world, 4000.0 * number, _cut_one, world)
+        later(world, 4000.0 * number, _partition_one, world)
 
 
-def _cut_one(world: World) -> None:
+def _partition_one(world: World) -> None:
     world.publish()
-    name = world.drawn.choice(world.sidecars).name
+    name = world.fault_random.choice(world.sidecars).name
     rows = {(name, number, kind) for number in world.numbers for kind in KINDS}
     world.kernel.net.partitions |= rows
     later(world, 3800.0, world.kernel.net.partitions.difference_update, rows)
@@ -299,9 +299,9 @@
 # --- the network ------------------------------------------------------------------------------------------
 
 
-def cut(world: World) -> None:
+def partition(world: World) -> None:
     """Some are cut off, one way, of one kind, or altogether."""
-    chance = world.drawn
+    chance = world.fault_random
     kinds = chance.choice(
         (KINDS, ("report",), ("answer",), ("watch",), ("watch", "open"), ("report", "watch"))
     )
@@ -316,7 +316,7 @@
 
 def rough(world: World) -> None:
     """Messages are lost, and slow enough to be useless."""
-    net, chance = world.kernel.net, world.drawn
+    net, chance = world.kernel.net, world.fault_random
     net.loss, net.slow = chance.choice(((0.2, 0.0), (0.0, 0.5), (0.1, 0.2)))
     net.slow_ms = chance.choice((900.0, 3500.0))
 
@@ -338,7 +338,7 @@
     for body in (b"", b"[]", b'{"seq":NaN}', b'{"held":1e300}', b'{"seq":-1}', b"{" * 5000):
         if address.up and body:
             address.report("s0", body, lambda raw: None)
-    later(world, world.drawn.uniform(3000.0, 12_000.0), over)
+    later(world, world.fault_random.uniform(3000.0, 12_000.0), over)
 
 
 def burst(world: World) -> None:
@@ -353,7 +353,7 @@
     "older copy": (restored, (1, 2)),
     "disk": (disk, (1, 2)),
     "twin": (twin, (1,)),
-    "crowd": (crowd, (1,)),
+    "crowd": (newcomers, (1,)),
     "exodus": (exodus, (1,)),
     "wall clock": (jump, (1, 2)),
     "stop": (stop, (1, 2, 3)),
@@ -363,7 +363,7 @@
     "join": (join, (1, 2)),
     "drift": (drift, (1,)),
     "liar": (liar, (1,)),
-    "cut": (cut, (1, 2, 4)),
+    "cut": (partition, (1, 2, 4)),
     "rough": (rough, (1, 2)),
     "replay": (replay, (1, 2)),
     "burst": (burst, (1, 2)),
--- a/brassfall/lab/agreement/tier.py
+++ b/brassfall/lab/agreement/tier.py
@@ -81,7 +81,7 @@
     def some_aggregators(self) -> list[Aggregator]:
         """One or two that run: fewer than a majority needs."""
         running = [each for each in self.aggregators if each.up and not each.newest.stopped]
-        return self.drawn.sample(running, min(len(running), self.drawn.choice((1, 1, 2))))
+        return self.fault_random.sample(running, min(len(running), self.fault_random.choice((1, 1, 2))))
 
 
 # --- aggregators ------------------------------------------------------------------------------------
@@ -96,17 +96,17 @@
 def killed_in_prepare(world: TierWorld) -> None:
     """Killed within some ms after a revision was published: between what children acknowledge and its report,
     or between a grant and its answer; often with children that do not hear of the revision."""
-    if world.drawn.random() < 0.7:
+    if world.fault_random.random() < 0.7:
         _deafen(world)
     world.publish()
     for aggregator in world.some_aggregators():
-        later(world, world.drawn.uniform(0.0, 400.0), _kill, world, aggregator)
+        later(world, world.fault_random.uniform(0.0, 400.0), _kill, world, aggregator)
 
 
 def _kill(world: TierWorld, aggregator: Aggregator) -> None:
     aggregator.crash()
-    if world.drawn.random() < 0.8:
-        later(world, world.drawn.choice((20.0, 500.0, 3000.0)), _start, aggregator)
+    if world.fault_random.random() < 0.8:
+        later(world, world.fault_random.choice((20.0, 500.0, 3000.0)), _start, aggregator)
 
 
 def _start(aggregator: Aggregator) -> None:
@@ -117,8 +117,8 @@
 def stopped(world: TierWorld) -> None:
     """Stopped for ten seconds, across whatever comes, some amid a grant; and continued."""
     for aggregator in world.some_aggregators():
-        span = world.drawn.choice((STOPPED_MS, world.drawn.uniform(500.0, STOPPED_MS)))
-        if world.drawn.random() < 0.5:
+        span = world.fault_random.choice((STOPPED_MS, world.fault_random.uniform(500.0, STOPPED_MS)))
+        if world.fault_random.random() < 0.5:
             aggregator.newest.stops_in_grant = span
         else:
             _stop(world, aggregator.newest, span)
@@ -133,17 +133,17 @@
     """Stopped across a commit, and continued with what it had begun."""
     world.publish()
     for aggregator in world.some_aggregators():
-        later(world, world.drawn.uniform(0.0, 300.0), _stop, world, aggregator.newest, STOPPED_MS)
+        later(world, world.fault_random.uniform(0.0, 300.0), _stop, world, aggregator.newest, STOPPED_MS)
 
 
 def beside(world: TierWorld) -> None:
     """An old process, stopped for a while or not at all, beside its successor of the same name."""
     for aggregator in world.some_aggregators():
         old = aggregator.newest
-        if world.drawn.random() < 0.7:
-            _stop(world, old, world.drawn.uniform(500.0, 6000.0))
-        later(world, world.drawn.uniform(0.0, 2000.0), aggregator.start)
-        later(world, world.drawn.uniform(6000.0, 9000.0), old.end)
+        if world.fault_random.random() < 0.7:
+            _stop(world, old, world.fault_random.uniform(500.0, 6000.0))
+        later(world, world.fault_random.uniform(0.0, 2000.0), aggregator.start)
+        later(world, world.fault_random.uniform(6000.0, 9000.0), old.end)
 
 
 def leaves(world: TierWorld) -> None:
@@ -151,38 +151,42 @@
     world.publish()
     for aggregator in world.some_aggregators():
         process = aggregator.newest
-        later(world, world.drawn.uniform(0.0, 300.0), process.leave)
-        later(world, world.drawn.uniform(3000.0, 5000.0), _start, aggregator)
+        later(world, world.fault_random.uniform(0.0, 300.0), process.leave)
+        later(world, world.fault_random.uniform(3000.0, 5000.0), _start, aggregator)
 
 
 def region_lost(world: TierWorld) -> None:
     """Both aggregators of a region are killed, at once or one after the other."""
-    region = world.drawn.choice(REGIONS)
+    region = world.fault_random.choice(REGIONS)
     for aggregator in [each for each in world.aggregators if each.region == region]:
-        later(world, world.drawn.choice((0.0, 700.0)), _kill, world, aggregator)
+        later(world, world.fault_random.choice((0.0, 700.0)), _kill, world, aggregator)
 
 
-def cut_off(world: TierWorld) -> None:
+def partitioned(world: TierWorld) -> None:
     """One or two are cut off from the service, one way or another."""
-    ways = (KINDS, ("report",), ("answer",), ("watch",), ("watch", "open"), ("report", "watch", "open"))
-    kinds = world.drawn.choice(ways)
+    directions = (KINDS, ("report",), ("answer",), ("watch",), ("watch", "open"), ("report", "watch", "open"))
+    kinds = world.fault_random.choice(directions)
     names = [aggregator.name for aggregator in world.some_aggregators()]
-    _cut(world, _rows(names, kinds))
+    _partition(world, _rows(names, kinds))
 
 
-def region_cut(world: TierWorld) -> None:
+def region_partitioned(world: TierWorld) -> None:
     """A region is cut off from the service and from all others; within it everything goes on."""
-    region = world.drawn.choice(REGIONS)
+    region = world.fault_random.choice(REGIONS)
     names = [each.name for each in world.aggregators if each.region == region]
     numbers = [each.number for each in world.aggregators if each.region != region]
     inside = [s.name for s in world.sidecars if world.region_of[s.name] == region]
     rows = _rows(names, KINDS)
-    _cut(world, rows | {(name, number, kind) for name in inside for number in numbers for kind in KINDS})
+    _partition(
+        world, rows | {(name, number, kind) for name in inside for number in numbers for kind in KINDS}
+    )
 
 
-def _cut(world: TierWorld, rows: set[tuple[str, int, str]]) -> None:
+def _partition(world: TierWorld, rows: set[tuple[str, int, str]]) -> None:
     world.kernel.net.partitions |= rows
-    later(world, world.drawn.uniform(500.0, 9000.0), world.kernel.net.partitions.difference_update, rows)
+    later(
+        world, world.fault_random.uniform(500.0, 9000.0), world.kernel.net.partitions.difference_update, rows
+    )
 
 
 # --- children ---------------------------------------------------------------------------------------
@@ -192,24 +196,29 @@
     """Some children come to another aggregator while a revision is prepared."""
     world.publish()
     for sidecar in schedule.some_of(world, 0.7):
-        later(world, world.drawn.uniform(0.0, 500.0), sidecar.move)
+        later(world, world.fault_random.uniform(0.0, 500.0), sidecar.move)
 
 
 def heard_by_two(world: TierWorld) -> None:
     """Some children report to another aggregator each time."""
     for sidecar in schedule.some_of(world, 0.7):
         sidecar.restless = True
-        later(world, world.drawn.uniform(2000.0, 9000.0), setattr, sidecar, "restless", False)
+        later(world, world.fault_random.uniform(2000.0, 9000.0), setattr, sidecar, "restless", False)
 
 
 def far_behind(world: TierWorld) -> None:
     """An aggregator hears of nothing while its children hear it from another: its watch is cut, for a while
     also the answers to its reports, and children report to it by turns."""
     names = [aggregator.name for aggregator in world.some_aggregators()]
-    _cut(world, _rows(names, ("watch", "open")))
+    _partition(world, _rows(names, ("watch", "open")))
     answers = _rows(names, ("answer",))
     world.kernel.net.partitions |= answers
-    later(world, world.drawn.uniform(300.0, 2000.0), world.kernel.net.partitions.difference_update, answers)
+    later(
+        world,
+        world.fault_random.uniform(300.0, 2000.0),
+        world.kernel.net.partitions.difference_update,
+        answers,
+    )
     heard_by_two(world)
     world.publish()
 
@@ -221,47 +230,50 @@
 def deaf(world: TierWorld) -> None:
     """Some children are heard, now by this aggregator and now by that, and hear nothing."""
     _deafen(world)
-    later(world, world.drawn.uniform(0.0, 1000.0), world.publish)
+    later(world, world.fault_random.uniform(0.0, 1000.0), world.publish)
 
 
 def _deafen(world: TierWorld) -> None:
     names = [sidecar.name for sidecar in schedule.some_of(world, 0.5)]
     kinds = ("answer", "watch", "open")
-    _cut(world, {(name, number, kind) for name in names for number in world.numbers for kind in kinds})
+    _partition(world, {(name, number, kind) for name in names for number in world.numbers for kind in kinds})
 
 
 def restored(world: TierWorld) -> None:
     """The service above comes back from an older copy, while aggregators hold what came after it."""
     if world.snapshots:
         world.publish()
-        restart_service(world, world.drawn.choice(world.snapshots[-3:]).copy())
+        restart_service(world, world.fault_random.choice(world.snapshots[-3:]).copy())
 
 
 def drift(world: TierWorld) -> None:
-    """Clocks as far apart as may be at all three levels, while ways are cut one by one."""
+    """Clocks as far apart as may be at all three levels, while directions are cut one by one."""
     now = world.kernel.now
     world.services[0].clock.turn(now, 1.01)
-    slow = world.drawn.choice((0.99, 1.01))
+    slow = world.fault_random.choice((0.99, 1.01))
     for clock in [each.clock for each in world.aggregators]:
         clock.turn(now, slow)
     for sidecar in world.sidecars:
         sidecar.clock.turn(now, 0.99)
     for number in range(4):
-        later(world, 4000.0 * number, _cut_one, world)
+        later(world, 4000.0 * number, _partition_one, world)
 
 
-def _cut_one(world: TierWorld) -> None:
+def _partition_one(world: TierWorld) -> None:
     """An aggregator, or one of its children, is cut off amid a publish."""
     world.publish()
-    names = [world.drawn.choice(world.aggregators).name, world.drawn.choice(world.sidecars).name]
-    name = world.drawn.choice(names)
+    names = [
+        world.fault_random.choice(world.aggregators).name,
+        world.fault_random.choice(world.sidecars).name,
+    ]
+    name = world.fault_random.choice(names)
     rows = {(name, number, kind) for number in (0, 1, *world.numbers) for kind in KINDS}
     world.kernel.net.partitions |= rows
     later(world, 3800.0, world.kernel.net.partitions.difference_update, rows)
 
 
 _DIRECT = schedule.THEMES
-_KEPT = (
+_COMMON = (
     *("crash", "lost disk", "disk", "twin", "wall clock", "stop", "beside", "restart", "rolling", "join"),
     *("liar", "cut", "rough", "replay", "burst"),
 )
@@ -280,16 +292,16 @@
 )
 TIER = Catalogue(
     {
-        **{name: _DIRECT[name] for name in _KEPT},
+        **{name: _DIRECT[name] for name in _COMMON},
         "aggregator killed": (killed, (1, 2)),
         "aggregator killed in prepare": (killed_in_prepare, (1, 2)),
         "aggregator stopped": (stopped, (1, 2)),
         "aggregator stopped in prepare": (stopped_in_prepare, (1, 2)),
         "aggregator beside": (beside, (1, 2)),
         "aggregator leaves": (leaves, (1, 2)),
-        "aggregator cut": (cut_off, (1, 2)),
+        "aggregator cut": (partitioned, (1, 2)),
         "region lost": (region_lost, (1,)),
-        "region cut": (region_cut, (1,)),
+        "region cut": (region_partitioned, (1,)),
         "moves": (moves, (1, 2, 4)),
         "heard by two": (heard_by_two, (1, 2)),
         "deaf": (deaf, (1, 2)),
--- a/brassfall/lab/agreement/tier_scale.py
+++ b/brassfall/lab/agreement/tier_scale.py
@@ -120,7 +120,7 @@
     return set()
 
 
-def _cut(*kinds: str) -> Callable[[TierFleet], set[str]]:
+def _partition(*kinds: str) -> Callable[[TierFleet], set[str]]:
     def begin(fleet: TierFleet) -> set[str]:
         home = fleet.kernel.random.choice(fleet.aggregators)
         fleet.kernel.net.partitions |= {(home.name, 0, kind) for kind in kinds}
@@ -139,14 +139,14 @@
     fleet.kernel.after(RESTART_MS, fleet.service.start)
 
 
-def _region_cut(fleet: TierFleet) -> set[str]:
+def _region_partitioned(fleet: TierFleet) -> set[str]:
     region = fleet.kernel.random.choice(REGIONS)
     inside = [each.name for each in fleet.aggregators if each.region == region]
     outside = [each.number for each in fleet.aggregators if each.region != region]
     away = {s.name for n, s in enumerate(fleet.sidecars) if REGIONS[n % len(REGIONS)] == region}
-    cuts = {(name, 0, kind) for name in inside for kind in KINDS}
-    cuts |= {(name, number, kind) for name in away for number in outside for kind in KINDS}
-    fleet.kernel.net.partitions |= cuts
+    rows = {(name, 0, kind) for name in inside for kind in KINDS}
+    rows |= {(name, number, kind) for name in away for number in outside for kind in KINDS}
+    fleet.kernel.net.partitions |= rows
     return away
 
 
@@ -154,11 +154,11 @@
     "healthy": _nobody,
     "one sidecar stopped": _one_stopped,
     "one aggregator killed": _one_killed,
-    "one aggregator cut off": _cut(*KINDS),
-    "its reports are lost": _cut("report"),
-    "its answers are lost": _cut("answer"),
-    "its watch is cut": _cut("watch", "open"),
-    "a region cut off": _region_cut,
+    "one aggregator cut off": _partition(*KINDS),
+    "its reports are lost": _partition("report"),
+    "its answers are lost": _partition("answer"),
+    "its watch is cut": _partition("watch", "open"),
+    "a region cut off": _region_partitioned,
     "the service killed": _service_killed,
 }
 
--- a/brassfall/lab/agreement/world.py
+++ b/brassfall/lab/agreement/world.py
@@ -28,7 +28,7 @@
         self.judge = Judge(program.timing.agree_ms, CLOCK_DRIFT)
         self.kernel = kernel = Kernel(seed, program, self.judge)
         self.seed, self.nodes = seed, nodes
-        self.drawn = random.Random(seed)  # of the fault that began last
+        self.fault_random = random.Random(seed)  # of the fault that began last
         self.calm = True  # no service, disk or majority fails: a revision has to be decided in time
         first = Service(kernel, 0, Disk(), kernel.clock())
         # The address of a second service is known to all, whether or not anybody is there.
--- a/tests/test_aggregation_cases.py
+++ b/tests/test_aggregation_cases.py
@@ -12,7 +12,7 @@
 from brassfall.lab.agreement.program import Program
 from brassfall.lab.agreement.schedule import Fault
 from brassfall.lab.agreement.sidecar import NOVEL
-from brassfall.lab.agreement.tier import TIER, TierWorld, deaf, region_cut, region_lost
+from brassfall.lab.agreement.tier import TIER, TierWorld, deaf, region_lost, region_partitioned
 
 NODES = 6
 DENSE = 1  # a seed whose sidecars are all of one region
@@ -23,7 +23,7 @@
     """A world with these faults alone, begun at `AT`, and what else a test puts into it."""
     made = TierWorld(seed, nodes, Program())
     schedule.arrange(made, [Fault(AT, name, 7 * seed + n) for n, name in enumerate(faults)], TIER)
-    made.drawn = random.Random(seed)
+    made.fault_random = random.Random(seed)
     return made
 
 
@@ -99,12 +99,12 @@
         return high
 
 
-@pytest.mark.parametrize(("lose", "left"), [(region_lost, NODES), (region_cut, 0)])
+@pytest.mark.parametrize(("lose", "left"), [(region_lost, NODES), (region_partitioned, 0)])
 def test_both_aggregators_of_a_region_are_lost_or_cut_off(lose, left):
     made = world()
     assert set(made.region_of.values()) == {"ra"}
     play(made, AT)
-    made.drawn = First()
+    made.fault_random = First()
     lose(made)
     # Lost: its sidecars are taken on elsewhere. Cut off with them: they act on the fallback configuration.
     play(made, AT + 3500.0)
