--- a/tests/test_aggregation.py
+++ b/tests/test_aggregation.py
@@ -151,7 +151,7 @@
     assert chain.child().lease_ms
 
 
-def test_what_an_answer_names_and_is_not_held_is_fetched():
+def test_what_an_answer_names_and_is_not_here_is_fetched():
     chain = Chain()
     actions = chain.answer(chain.report().seq, pending=NEXT)
     assert FetchState() in actions and chain.core.pending == NEXT
@@ -206,7 +206,7 @@
     assert not chain.child("e").lease_ms and chain.report().prepared == NEXT
 
 
-def test_one_that_is_silent_or_has_moved_is_waited_for_until_its_lease_is_over():
+def test_one_that_is_silent_or_has_migrated_is_waited_for_until_its_lease_is_over():
     chain = Chain()
     chain.child("a")
     chain.child("b")
@@ -224,7 +224,7 @@
     assert chain.urgent and chain.report().prepared == NEXT
 
 
-def test_a_commit_is_told_when_a_lease_on_it_is_held_or_after_a_bounded_wait():
+def test_children_are_notified_of_a_commit_with_a_lease_on_it_or_after_a_bounded_wait():
     chain = Chain()
     chain.line(NEXT, "prepared", OLD)
     assert chain.lines[-1] == f"{EPOCH}/{NEXT} prepared {OLD}".encode()  # at once
@@ -369,7 +369,7 @@
 # --- admission ------------------------------------------------------------------------------------
 
 
-def test_a_flood_of_newcomers_is_admitted_at_the_rate_told_and_nobody_is_starved():
+def test_a_flood_of_newcomers_is_admitted_at_the_rate_set_and_nobody_is_starved():
     admission, rng = Admission(TIMING), random.Random(5)
     due = [(1e6, f"s{number}") for number in range(1800)]
     admitted = []
@@ -391,8 +391,8 @@
     timing = msgspec.structs.replace(TIMING, newcomers_burst=1, children_most=3)
     chain = Chain(timing)
     assert chain.child("a", acting="safe").lease_ms
-    turned = chain.child("b", acting="safe")
-    assert isinstance(turned, RejectChild) and 0.0 < turned.retry_ms < 10.0
+    rejected = chain.child("b", acting="safe")
+    assert isinstance(rejected, RejectChild) and 0.0 < rejected.retry_ms < 10.0
     assert chain.child("c").lease_ms and chain.child("d").lease_ms  # from another aggregator
     assert isinstance(chain.child("e"), RejectChild)
     assert chain.child("a", acting="safe").lease_ms  # known
@@ -432,21 +432,21 @@
     rates = [rng.choice((0.99, 1.0, 1.01)) for _ in range(3)]
     times, child, knows = OverrideTimes(), deadlines.Deadlines(), False
     while now < end * 1.1:
-        way = [rng.choice((1.0, rng.uniform(1.0, 900.0))) for _ in range(4)]
+        delays = [rng.choice((1.0, rng.uniform(1.0, 900.0))) for _ in range(4)]
         left = int((end - now) * rates[0])
         if left > 0 and (times.newest == 0 or times.known_for_report(now * rates[1]) == 0):
             times.receive(
-                (now - way[0]) * rates[1],
-                (now + way[1]) * rates[1],
+                (now - delays[0]) * rates[1],
+                (now + delays[1]) * rates[1],
                 {"o": {"rev": 1, "same_from": 1, "left_ms": left}},
             )
-        at = now + way[1] + way[2]
+        at = now + delays[1] + delays[2]
         if child.newest == 0 or child.wants(at * rates[2] / 1000.0):
             rows = times.for_child(at * rates[1], 0)
-            asked, heard = ((at - way[2]) * rates[2] / 1000.0, (at + way[3]) * rates[2] / 1000.0)
+            asked, heard = ((at - delays[2]) * rates[2] / 1000.0, (at + delays[3]) * rates[2] / 1000.0)
             child.receive(asked, rows, heard)
             knows = knows or bool(rows)
-        now = at + way[3] + rng.uniform(0.0, 3000.0)
+        now = at + delays[3] + rng.uniform(0.0, 3000.0)
         phase = child.phase("o", 1, now * rates[2] / 1000.0)
         if now >= end:
             assert phase is not deadlines.Phase.IN_FORCE
--- a/tests/test_aggregation_cases.py
+++ b/tests/test_aggregation_cases.py
@@ -100,7 +100,7 @@
 
 
 @pytest.mark.parametrize(("lose", "left"), [(region_lost, NODES), (region_partitioned, 0)])
-def test_both_aggregators_of_a_region_are_lost_or_cut_off(lose, left):
+def test_both_aggregators_of_a_region_are_lost_or_partitioned(lose, left):
     made = world()
     assert set(made.region_of.values()) == {"ra"}
     play(made, AT)
@@ -203,7 +203,7 @@
     play(made)
 
 
-def test_deaf_children_hold_up_an_edition_for_no_longer_than_their_lease():
+def test_children_that_receive_nothing_hold_up_a_revision_for_no_longer_than_their_lease():
     made = world()
     made.kernel.at(AT, deaf, made)
     made.kernel.at(AT + 10.0, made.publish)
--- a/tests/test_aggregation_worlds.py
+++ b/tests/test_aggregation_worlds.py
@@ -49,19 +49,19 @@
 
 
 @pytest.mark.parametrize(
-    ("arguments", "status", "said"),
+    ("arguments", "status", "message"),
     [
         (("--tier", "--seeds", "1", "--nodes", "5", "--jobs", "1", "--json"), 0, ""),
         (("--tier", "--flaw", "outlasts-lease", "--jobs", "1", "--json"), 0, ""),
         (("--tier", "--flaw", "no-meet"), 2, "no-meet"),
     ],
 )
-def test_the_command_with_aggregators(arguments, status, said):
+def test_the_command_with_aggregators(arguments, status, message):
     made = subprocess.run(
         [sys.executable, "-m", "brassfall", "lab", "agreement", *arguments],
         cwd=ROOT, capture_output=True, text=True, timeout=60,
     )  # fmt: skip
     assert made.returncode == status
-    assert said in made.stderr and "Traceback" not in made.stderr
+    assert message in made.stderr and "Traceback" not in made.stderr
     if not status:
         json.loads(made.stdout)
--- a/tests/test_aggregators_directory.py
+++ b/tests/test_aggregators_directory.py
@@ -40,7 +40,7 @@
     return [Member(*name.split("/")) if "/" in name else Member(name, "1") for name in names]
 
 
-def test_a_child_is_counted_once_and_the_one_that_had_it_is_told():
+def test_a_child_is_counted_once_and_the_one_that_had_it_is_notified():
     world = World()
     assert world.report("x", joined="cd").arrived == ["c", "d"]
     assert world.report("x", joined="cd").arrived == []  # its answer was lost: reported again
--- a/tests/test_aggregators_service.py
+++ b/tests/test_aggregators_service.py
@@ -50,10 +50,10 @@
         held = pending or self.lease.get("revision", 0)
         body = {"seq": self.seq, "epoch": self.epoch, "held": held, "acknowledged": pending}
         body["prepared"] = 0 if self.lags else pending
-        status, told, _ = await self.ask("POST", f"/aggregators/{self.name}", body | self.more | more)
+        status, answer, _ = await self.ask("POST", f"/aggregators/{self.name}", body | self.more | more)
         if status == 200:
-            self.lease, self.epoch = told, told["epoch"]
-        return status, told
+            self.lease, self.epoch = answer, answer["epoch"]
+        return status, answer
 
     async def go(self):
         while True:
@@ -94,24 +94,24 @@
     x, y = Reporter(ask, "x"), Reporter(ask, "y", region="b")
     async with reporting(x, y):
         y.lags = True  # a child of it is stopped
-        _, told, _ = await ask("PUT", "/rules", {"caps": {"look": 7}})
-        await until(lambda: y.lease.get("pending") == told["edition"])
+        _, answer, _ = await ask("PUT", "/rules", {"caps": {"look": 7}})
+        await until(lambda: y.lease.get("pending") == answer["edition"])
         await y.report()
         assert y.lease["lease_ms"] > 0.0 and y.lease["revision"] == 0
         y.lags = False
-        assert (await decided(ask, told["edition"]))["state"] == "committed"
-        await until(lambda: x.lease["revision"] == y.lease["revision"] == told["edition"])
+        assert (await decided(ask, answer["edition"]))["state"] == "committed"
+        await until(lambda: x.lease["revision"] == y.lease["revision"] == answer["edition"])
         # One that never comes to claim it holds the commit up for as long as its leases last, not for good.
         y.lags = True
-        _, told, _ = await ask("PUT", "/rules", {"caps": {"look": 8}})
-        assert (await decided(ask, told["edition"]))["state"] == "committed"
+        _, answer, _ = await ask("PUT", "/rules", {"caps": {"look": 8}})
+        assert (await decided(ask, answer["edition"]))["state"] == "committed"
         y.lags = False
         # Without a lease it is none that a commit waits for, and so none whose objections are.
-        committed = told["edition"]
+        committed = answer["edition"]
         await until(lambda: y.lease["lease_ms"] > 0.0 and y.lease["revision"] == committed)
         y.more["objections"] = {"c7": "no class 'b' is known here"}  # to whatever is pending next
-        _, told, _ = await ask("PUT", "/rules", {"caps": {"b": 8}})
-        found = await decided(ask, told["edition"])
+        _, answer, _ = await ask("PUT", "/rules", {"caps": {"b": 8}})
+        found = await decided(ask, answer["edition"])
         assert found["objections"] == [{"edge": "c7", "reason": "no class 'b' is known here"}]
 
 
@@ -120,28 +120,28 @@
     old, other = Reporter(ask, "x"), Reporter(ask, "y", region="b")
     async with reporting(old, other):
         other.lags = True  # holds the commit up for a while
-        _, told, _ = await ask("PUT", "/rules", {"caps": {"look": 7}})
-        await until(lambda: other.lease.get("pending") == told["edition"])
+        _, answer, _ = await ask("PUT", "/rules", {"caps": {"look": 7}})
+        await until(lambda: other.lease.get("pending") == answer["edition"])
         assert (await Reporter(ask, "x", life="q").report())[0] == 200
         found = (await old.report())[1]
-        assert (found["why"], found["pending"]) == ("a newer process of its name reports", told["edition"])
+        assert (found["why"], found["pending"]) == ("a newer process of its name reports", answer["edition"])
 
 
 @serving
 async def test_what_is_no_report_gets_400_and_a_name_of_another_409(ask):
     for body in UNREAD:
-        status, told, _ = await ask("POST", "/aggregators/x", body)
-        assert (status, told["error"]) == (400, "bad request"), body
+        status, answer, _ = await ask("POST", "/aggregators/x", body)
+        assert (status, answer["error"]) == (400, "bad request"), body
     assert (await ask("POST", "/aggregators/x y", {}))[0] == 400
     x = Reporter(ask, "x", listen="127.0.0.1:1")
     assert (await x.report())[0] == 200
     for other in ({"region": "b"}, {"listen": "127.0.0.1:2"}):
-        status, told = await Reporter(ask, "x", **{"listen": "127.0.0.1:1", **other, "life": "q"}).report()
-        assert (status, told["error"]) == (409, "conflict") and "aggregator.name" in told["reason"]
+        status, answer = await Reporter(ask, "x", **{"listen": "127.0.0.1:1", **other, "life": "q"}).report()
+        assert (status, answer["error"]) == (409, "conflict") and "aggregator.name" in answer["reason"]
     assert (await ask("POST", "/edges/x", {"life": "p", "seq": 1}))[0] == 409
     assert (await ask("POST", "/edges/n0", {"life": "p", "seq": 1}))[0] == 200
     assert (await Reporter(ask, "n0").report())[0] == 409
-    status, told = await Reporter(ask, "x", life="q", listen="127.0.0.1:1").report()
+    status, answer = await Reporter(ask, "x", life="q", listen="127.0.0.1:1").report()
     assert (status, (await x.report())[1]["why"]) == (200, "a newer process of its name reports")
     found = (await ask("GET", "/status"))[1]["aggregators"]
     wanted = {"reports_malformed": len(UNREAD), "name_conflicts": 3, "reports_superseded": 1, "known": 1}
@@ -170,27 +170,29 @@
         await x.report(joined=members)
         await y.report(joined=[members[1], {"name": "c3", "life": "1"}])
         await ask("POST", "/edges/n0", {"life": "p", "seq": 1})
-        _, told, _ = await ask("GET", "/edges")
-        found = {row["name"]: (row.get("via"), row["age_ms"] is None, row["behind"]) for row in told["edges"]}
-        assert found["c1"] == ("x", False, "") and found["c9"][0] == "x"  # not told of yet, and nobody else's
+        _, answer, _ = await ask("GET", "/edges")
+        found = {
+            row["name"]: (row.get("via"), row["age_ms"] is None, row["behind"]) for row in answer["edges"]
+        }
+        assert found["c1"] == ("x", False, "") and found["c9"][0] == "x"  # not listed yet, and nobody else's
         assert (
             found["c2"] == ("y", True, "aggregator y does not answer") == (*found["c3"][:2], found["c2"][2])
         )
-        assert set(found) == {"c1", "c2", "c3", "c9", "n0"} and list(told["unanswered"]) == ["y"]
-        assert next(row for row in told["edges"] if row["name"] == "c1")["age_ms"] >= 40
+        assert set(found) == {"c1", "c2", "c3", "c9", "n0"} and list(answer["unanswered"]) == ["y"]
+        assert next(row for row in answer["edges"] if row["name"] == "c1")["age_ms"] >= 40
         assert (await x.report())[1]["moved"] == [members[1]]
         async with asyncio.timeout(5.0):  # a count is good for a while
             while (await x.report())[1]["members"] != 4:  # n0, c1, c2, c3
                 await asyncio.sleep(0.02)
-        _, told, _ = await ask("GET", "/aggregators")
-        assert [(row["name"], row["members"], row["children"]["known"]) for row in told["aggregators"]] == [
+        _, answer, _ = await ask("GET", "/aggregators")
+        assert [(row["name"], row["members"], row["children"]["known"]) for row in answer["aggregators"]] == [
             ("x", 1, 2),
             ("y", 2, 0),
         ]
         assert (await ask("DELETE", "/edges/c1"))[0] == 404
         assert (await ask("DELETE", "/edges/y"))[0] == 200
         async with asyncio.timeout(5.0):
-            while (await x.report())[1]["members"] != 2:  # n0, and c1: c2 was y's, and x has been told so
+            while (await x.report())[1]["members"] != 2:  # n0, and c1: c2 was y's, and x has been notified
                 await asyncio.sleep(0.02)
     finally:
         await runner.cleanup()
@@ -209,15 +211,15 @@
         assert [order["name"] for order in x.lease["orders"]] == ["c1"]  # of a stranger's nothing is said
         delay = {"group": "g", "region": "b", "window": 1, "span_ms": 5000, "first": {"100": 9}}
         await x.report(measures={"delays": [delay, {**delay, "group": 7}, 5]})
-        _, told, _ = await ask("GET", "/geo")
-        assert [(pair["group"], pair["region"], pair["tried"]) for pair in told["pairs"]] == [
+        _, answer, _ = await ask("GET", "/geo")
+        assert [(pair["group"], pair["region"], pair["tried"]) for pair in answer["pairs"]] == [
             ("g", "b", True)
         ]
 
 
 @pytest.mark.parametrize("killed", [False, True])
 @bounded(60.0)
-async def test_a_sidecar_that_moves_to_an_aggregator_leaves_the_roster(tmp_path, killed):
+async def test_a_sidecar_that_moves_to_an_aggregator_is_a_member_no_more(tmp_path, killed):
     async with Service(tmp_path, **SOON) as service:
         await service.start()
         async with aiohttp.ClientSession() as session:
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -56,7 +56,7 @@
 
 
 @pytest.mark.parametrize(
-    ("arguments", "status", "said"),
+    ("arguments", "status", "message"),
     [
         (("--seeds", "2", "--nodes", "3", "--jobs", "1", "--json"), 0, ""),
         (("--flaw", "no-meet", "--jobs", "1", "--json"), 0, ""),
@@ -64,13 +64,13 @@
         (("--nodes", "3,x"), 2, "--nodes"),
     ],
 )
-def test_the_command(arguments, status, said):
+def test_the_command(arguments, status, message):
     made = subprocess.run(
         [sys.executable, "-m", "brassfall", "lab", "agreement", *arguments],
         cwd=ROOT, capture_output=True, text=True, timeout=60,
     )  # fmt: skip
     assert made.returncode == status
-    assert said in made.stderr and "Traceback" not in made.stderr
+    assert message in made.stderr and "Traceback" not in made.stderr
     if not status:
         json.loads(made.stdout)
 
@@ -187,14 +187,14 @@
 
 
 def test_no_revision_leaves_no_region_open_while_another_may_still_be_acted_on():
-    def held(*regions):
+    def closed(*regions):
         return {"regions": {"held": list(regions)}}
 
     names, regions, number = ("a", "b", "c"), frozenset("xyz"), EPOCH
-    core = coordinator(names, DurableState(committed=Revision(1, settings=held("x")), newest=1))
+    core = coordinator(names, DurableState(committed=Revision(1, settings=closed("x")), newest=1))
     reports(core, names, EPOCH, 1e6, 9)
     now = 1e6 + 9000.0
-    core.step(now, Publish(1, settings=held("y")))
+    core.step(now, Publish(1, settings=closed("y")))
     core.step(now, Persisted())
     for name in names:
         core.step(
@@ -205,7 +205,7 @@
 
     def harm(at, *more):
         others = [revision.settings for revision in core.actable_revisions(at)]
-        return validation.harm(held(*more), regions, others)
+        return validation.harm(closed(*more), regions, others)
 
     # What was acknowledged is in force, and leases on the one before run still.
     assert [revision.number for revision in core.actable_revisions(now + 2.0)] == [1, number]
--- a/tests/test_agreement_agent.py
+++ b/tests/test_agreement_agent.py
@@ -28,12 +28,12 @@
 
 
 class Service:
-    """Answers reports, and tells what the test hands it to the one watch."""
+    """Answers reports, and sends what the test hands it to the one watch."""
 
     def __init__(self) -> None:
         self.reports: asyncio.Queue[dict] = asyncio.Queue()
         self.lines: asyncio.Queue[dict] = asyncio.Queue()
-        self.edition = 1
+        self.revision = 1
         self.before = (None, None)  # the connection of the last report, and that
 
     async def report(self, request):
@@ -44,9 +44,9 @@
         self.reports.put_nowait(
             (report.prepared, report.newest_revision, report.process_id, "after" in json.loads(body))
         )
-        pending = 2 if self.edition == 1 else 0
-        told = {"edition": self.edition, "permission_ms": 2700.0, "list_index": 0, "news": False}
-        return web.json_response(told | {"pending": pending, "life": 1, "every_ms": RARELY_MS})
+        pending = 2 if self.revision == 1 else 0
+        answer = {"edition": self.revision, "permission_ms": 2700.0, "list_index": 0, "news": False}
+        return web.json_response(answer | {"pending": pending, "life": 1, "every_ms": RARELY_MS})
 
     async def rules(self, request):
         answer = web.StreamResponse()
@@ -60,24 +60,18 @@
 
 
 async def _called():
-    service, app = Service(), web.Application()
-    app.add_routes([web.post("/edges/{name}", service.report), web.get("/rules", service.rules)])
-    runner = web.AppRunner(app, shutdown_timeout=0.0)
-    await runner.setup()
-    site = web.TCPSite(runner, "127.0.0.1", 0)
-    await site.start()
-    at = Address("127.0.0.1", site._server.sockets[0].getsockname()[1])
-    told = Agreement(3000.0, "", "", {})
-    agent = Agent(
-        asyncio.get_running_loop(), "e1", told, (at,), lambda revision: "", lambda *_: float("inf"), 1
-    )
+    """What an agent reports while its watch brings a revision that is prepared, then committed."""
+    service = Service()
+    routes = [web.post("/edges/{name}", service.report), web.get("/rules", service.rules)]
+    runner, at = await _served(*routes)
+    agent = _agent((at,), lambda *_: float("inf"))
     agent.start()
     seen = []
     try:
         seen.append(await service.reported())
         service.lines.put_nowait({"edition": 2, "life": 1, "state": "prepared", "committed": {"edition": 1}})
         seen.append(await service.reported())
-        service.edition = 2
+        service.revision = 2
         service.lines.put_nowait({"edition": 2, "life": 1, "state": "committed"})
         seen.append(await service.reported())
         while agent.lease_client.active(0.0).revision.number != 2:
@@ -96,19 +90,19 @@
     assert [row[3] for row in seen] == [False, True, True] and len({row[2] for row in seen}) == 1
 
 
-async def _served(handler):
+async def _served(*routes):
+    """Serve these; the server, and where it listens."""
     app = web.Application()
-    app.add_routes([web.post("/edges/{name}", handler)])
+    app.add_routes(routes)
     runner = web.AppRunner(app, shutdown_timeout=0.0)
     await runner.setup()
-    site = web.TCPSite(runner, "127.0.0.1", 0)
-    await site.start()
-    return runner, Address("127.0.0.1", site._server.sockets[0].getsockname()[1])
+    await web.TCPSite(runner, "127.0.0.1", 0).start()
+    return runner, Address(*runner.addresses[0])
 
 
 def _agent(addresses, act):
-    told = Agreement(3000.0, "", "", {})
-    return Agent(asyncio.get_running_loop(), "e1", told, addresses, lambda revision: "", act, 1)
+    agreement = Agreement(3000.0, "", "", {})
+    return Agent(asyncio.get_running_loop(), "e1", agreement, addresses, lambda revision: "", act, 1)
 
 
 async def _astray(answer, act):
@@ -122,7 +116,7 @@
         other.set()
         return web.json_response({"edition": 0, "permission_ms": 0.0})
 
-    served = [await _served(report) for _ in range(2)]
+    served = [await _served(web.post("/edges/{name}", report)) for _ in range(2)]
     agent = _agent(tuple(at for _, at in served), act)
     agent.start()
     try:
@@ -153,7 +147,7 @@
         await go_on.wait()
         return web.json_response({})
 
-    runner, at = await _served(report)
+    runner, at = await _served(web.post("/edges/{name}", report))
     agent = _agent((at,), lambda *_: float("inf"))
     agent.start()
     try:
@@ -165,7 +159,7 @@
         await runner.cleanup()
 
 
-def test_the_end_of_a_process_is_told_while_a_report_is_out():
+def test_the_end_of_a_process_is_reported_while_a_report_is_out():
     assert asyncio.run(_left())["leaving"]
 
 
@@ -275,7 +269,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_what_is_kept_from_one_report_to_the_next_is_what_would_be_decided_anew(seed):
+def test_what_is_cached_from_one_report_to_the_next_is_what_would_be_decided_anew(seed):
     rng, processes = random.Random(seed), [Process(), Process()]
     kept, anew = members = [FleetMember(process, process, {}) for process in processes]
     decided = 0
--- a/tests/test_rules_service.py
+++ b/tests/test_rules_service.py
@@ -23,7 +23,7 @@
 
 
 def running(**changes):
-    """A test of a service with short permissions, which is killed at the end."""
+    """A test of a service with short leases, which is killed at the end."""
 
     def wrap(test):
         @bounded(60.0)
@@ -40,31 +40,37 @@
 
 
 class Node:
-    """A sidecar by its reports; it objects to caps of a class `b`, and takes no editions while `deaf`."""
+    """A sidecar by its reports; it objects to caps of a class `b`, and may ignore revisions."""
 
     def __init__(self, ask, name, **more):
         self.ask, self.name, self.more = ask, name, more
-        self.seq = self.of = self.held = self.prepared = 0
-        self.deaf, self.told, self.objection = False, {}, None
+        self.seq = self.epoch = self.newest = self.prepared = 0
+        self.ignores_revisions, self.answer, self.objection = False, {}, None
 
     def body(self):
-        made = {"life": "p", "seq": self.seq, "of": self.of, "held": self.held, "prepared": self.prepared}
-        made["acting"] = self.told["edition"] if self.told.get("permission_ms") else "safe"
+        made = {
+            "life": "p",
+            "seq": self.seq,
+            "of": self.epoch,
+            "held": self.newest,
+            "prepared": self.prepared,
+        }
+        made["acting"] = self.answer["edition"] if self.answer.get("permission_ms") else "safe"
         return made | ({"objection": self.objection} if self.objection else {}) | self.more
 
     async def report(self):
         self.seq += 1
-        status, self.told, _ = await self.ask("POST", f"/edges/{self.name}", self.body())
-        assert status == 200, self.told
-        self.of = self.told.get("life", self.of)  # left out where it is the one that was named
-        if self.told["news"] and not self.deaf:
+        status, self.answer, _ = await self.ask("POST", f"/edges/{self.name}", self.body())
+        assert status == 200, self.answer
+        self.epoch = self.answer.get("life", self.epoch)  # left out where it is the one that was named
+        if self.answer["news"] and not self.ignores_revisions:
             _, rules, _ = await self.ask("GET", "/rules")
-            self.held = rules["edition"]
+            self.newest = rules["edition"]
             if "b" in rules["settings"].get("caps", {}):
-                self.objection = {"edition": self.held, "reason": "no class 'b' is known here"}
+                self.objection = {"edition": self.newest, "reason": "no class 'b' is known here"}
             elif rules["state"] == "prepared":
-                self.prepared = self.held
-        return self.told
+                self.prepared = self.newest
+        return self.answer
 
     async def go(self):
         while True:
@@ -74,10 +80,10 @@
 
     @contextlib.asynccontextmanager
     async def reporting(self):
-        """Report all the time, and have a permission."""
+        """Report all the time, and have a lease."""
         task = asyncio.create_task(self.go())
         try:
-            await until(lambda: self.told.get("permission_ms") or task.done())
+            await until(lambda: self.answer.get("permission_ms") or task.done())
             yield self
         finally:
             task.cancel()
@@ -85,32 +91,32 @@
                 await task
 
 
-async def decided(ask, edition):
-    """What became of an edition."""
+async def decided(ask, revision):
+    """What became of a revision."""
     async with asyncio.timeout(15.0):
         while True:
-            _, told, _ = await ask("GET", f"/rules?edition={edition}")
-            if told["state"] != "prepared":
-                return told
+            _, answer, _ = await ask("GET", f"/rules?edition={revision}")
+            if answer["state"] != "prepared":
+                return answer
             await asyncio.sleep(0.02)
 
 
-async def lines(service, kept):
+async def lines(service, received):
     with contextlib.suppress(client.CallError):
         async for line in client.watch(service.listen, "/rules"):
-            kept.extend([json.loads(line)] if line else [])
+            received.extend([json.loads(line)] if line else [])
 
 
 @bounded(60.0)
-async def test_an_edition_is_durable_when_answered_and_goes_on_after_a_kill(tmp_path):
-    # Nothing is committed within a permission's length of the start: the kill falls between the two.
+async def test_a_revision_is_durable_when_answered_and_goes_on_after_a_kill(tmp_path):
+    # Nothing is committed within a lease's length of the start: the kill falls between the two.
     async with Service(tmp_path, **SOON | {"agreement": {"agree_ms": 30_000}}) as service:
         await service.start()
         async with aiohttp.ClientSession() as session:
             ask = functools.partial(call, session, service)
             await Node(ask, "n0").report()
-            status, told, _ = await ask("PUT", "/rules", {"caps": {"look": 7}}, X_Request_Id="a")
-            number = told["edition"]
+            status, answer, _ = await ask("PUT", "/rules", {"caps": {"look": 7}}, X_Request_Id="a")
+            number = answer["edition"]
             assert (status, (await ask("GET", "/rules"))[1]["state"]) == (200, "prepared")
         await service.end(signal.SIGKILL)
         service.write(**SOON)
@@ -120,7 +126,7 @@
             _, edges, _ = await ask("GET", "/edges")
             assert [(row["name"], row["age_ms"]) for row in edges["edges"]] == [("n0", None)]
             assert "has not reported" in edges["edges"][0]["behind"]
-            # The roster is of this disk: without n0's word nothing is decided, however long it waits.
+            # The members are of this disk: unless n0 follows, nothing is decided, however long it waits.
             await asyncio.sleep(0.8)
             assert (await ask("GET", "/rules"))[1]["state"] == "prepared"
             assert "only 0 of 1" in (await ask("GET", "/edges"))[1]["permits"]
@@ -134,16 +140,16 @@
 async def test_publishers_at_once_and_ten_in_a_second(service, ask):
     async with Node(ask, "n0").reporting() as node:
         first = (await ask("PUT", "/rules", {"caps": {"a": 1}}, If_Match="0"))[1]["edition"]
-        status, told, _ = await ask("PUT", "/rules", {}, If_Match="0")
-        assert (status, str(first) in told["reason"]) == (412, True)
+        status, answer, _ = await ask("PUT", "/rules", {}, If_Match="0")
+        assert (status, str(first) in answer["reason"]) == (412, True)
         await decided(ask, first)
-        node.deaf = True  # so that nine come while one is prepared
+        node.ignores_revisions = True  # so that nine come while one is prepared
         answers = [
             await ask("PUT", "/rules", {"caps": {"a": n}}, If_Match=str(first + n - 1)) for n in range(1, 11)
         ]
-        numbers = [told["edition"] for _, told, _ in answers]
+        numbers = [answer["edition"] for _, answer, _ in answers]
         assert numbers == list(range(first + 1, first + 11))
-        node.deaf = False
+        node.ignores_revisions = False
         assert (await decided(ask, numbers[-1]))["settings"] == {"caps": {"a": 10}}
         for number in numbers[1:-1]:
             found = await decided(ask, number)
@@ -198,12 +204,12 @@
     for name, zone in (("s1", "a"), ("s2", "b")):
         await ask("PUT", f"/registry/instances/{name}", {**ENTRY, "zone": zone, "ttl_ms": 0})
     for settings, said in HARM:
-        status, told, _ = await ask("PUT", "/rules", settings)
-        assert (status, said in told["reason"]) == (409, True), told
+        status, answer, _ = await ask("PUT", "/rules", settings)
+        assert (status, said in answer["reason"]) == (409, True), answer
     assert (await ask("GET", "/rules"))[1]["edition"] == 0
     assert (await ask("PUT", "/rules", HARM[0][0], X_Force="1"))[0] == 200
-    told = (await ask("GET", "/status"))[1]["rules"]
-    assert (told["harmful_refused"], told["harmful_forced"]) == (len(HARM), 1)
+    answer = (await ask("GET", "/status"))[1]["rules"]
+    assert (answer["harmful_refused"], answer["harmful_forced"]) == (len(HARM), 1)
 
 
 BAD = [
@@ -247,8 +253,8 @@
 async def test_nonsense_is_refused_in_json_and_touches_nobody_else(service, ask):
     async with Node(ask, "n0").reporting() as node:
         for method, path, body, wanted in BAD:
-            status, told, _ = await ask(method, path, body)
-            assert (status, set(told)) == (wanted, {"error", "reason"}), (method, path, body, told)
+            status, answer, _ = await ask(method, path, body)
+            assert (status, set(answer)) == (wanted, {"error", "reason"}), (method, path, body, answer)
         # Odd measures and digests are dropped by who reads them; the report counts all the same.
         odd = {
             "measures": {"delays": [{"region": "a", "window": 1e99, "shake": {"x": -1}}, 7]},
@@ -256,11 +262,11 @@
         }
         assert (await ask("POST", "/edges/n2", {"life": "q", "seq": 1, **odd}))[0] == 200
         old = node.body() | {"seq": 1}
-        for _ in range(2):  # replayed, and out of order: an answer, and no permission
-            status, told, _ = await ask("POST", "/edges/n0", old)
-            assert (status, told["permission_ms"], "later report" in told["why"]) == (200, 0.0, True)
-        told = await node.report()
-        assert told["permission_ms"] > 0.0
+        for _ in range(2):  # replayed, and out of order: an answer, and no lease
+            status, answer, _ = await ask("POST", "/edges/n0", old)
+            assert (status, answer["permission_ms"], "later report" in answer["why"]) == (200, 0.0, True)
+        answer = await node.report()
+        assert answer["permission_ms"] > 0.0
     names = [row["name"] for row in (await ask("GET", "/edges"))[1]["edges"]]
     assert names == ["n0", "n2"]
     assert (await ask("GET", "/status"))[1]["rules"]["reports_refused"] >= 18
@@ -273,7 +279,7 @@
 
 
 @bounded(60.0)
-async def test_overrides_have_an_absolute_end_and_leave_the_edition_at_it(tmp_path):
+async def test_overrides_have_an_absolute_end_and_leave_the_revision_at_it(tmp_path):
     async with Service(tmp_path, **SOON) as service:
         await service.start()
         async with aiohttp.ClientSession() as session:
@@ -288,8 +294,8 @@
         await service.start()
         async with aiohttp.ClientSession() as session:
             ask = functools.partial(call, session, service)
-            _, told, _ = await ask("GET", "/overrides")
-            left = {row["id"]: row["left_ms"] for row in told["overrides"]}
+            _, answer, _ = await ask("GET", "/overrides")
+            left = {row["id"]: row["left_ms"] for row in answer["overrides"]}
             assert left.keys() == {"short", "long"}
             _, again, _ = await ask("GET", "/overrides/short")
             # What time the kill and the start took is gone from it: nothing begins anew.
@@ -303,15 +309,15 @@
                 async with asyncio.timeout(15.0):
                     while await carried() != wanted:
                         await asyncio.sleep(0.02)
-            _, told, _ = await ask("GET", "/overrides")
-            assert [row["id"] for row in told["overrides"]] == ["long"]
-            answer = await Node(ask, "n0").report()
-            assert answer["left"].keys() == {"long"}
-            assert 0 < answer["left"]["long"]["left_ms"] <= told["overrides"][0]["left_ms"]
+            _, answer, _ = await ask("GET", "/overrides")
+            assert [row["id"] for row in answer["overrides"]] == ["long"]
+            report_answer = await Node(ask, "n0").report()
+            assert report_answer["left"].keys() == {"long"}
+            assert 0 < report_answer["left"]["long"]["left_ms"] <= answer["overrides"][0]["left_ms"]
 
 
 @running()
-async def test_pairs_are_told_after_reports_with_sketches(service, ask):
+async def test_pairs_are_listed_after_reports_with_sketches(service, ask):
     for name, zone in (("s1", "a"), ("s2", "b")):
         await ask("PUT", f"/registry/instances/{name}", {**ENTRY, "zone": zone, "ttl_ms": 0})
     edge = Delays("west")
@@ -323,9 +329,9 @@
         "/edges/n0",
         {"life": "p", "seq": 1, "group": "west", "measures": {"delays": edge.take(EVERY_S)}},
     )
-    _, told, _ = await ask("GET", "/geo")
-    pairs = {(row["group"], row["region"]): row for row in told["pairs"]}
-    assert (status, told["plan_edition"], pairs.keys()) == (200, 0, {("west", "a"), ("west", "b")})
+    _, answer, _ = await ask("GET", "/geo")
+    pairs = {(row["group"], row["region"]): row for row in answer["pairs"]}
+    assert (status, answer["plan_edition"], pairs.keys()) == (200, 0, {("west", "a"), ("west", "b")})
     near = pairs["west", "a"]
     assert near["tried"] and near["low_ms"] <= near["delay_ms"] <= near["high_ms"]
     assert near["delay_ms"] == pytest.approx(20.0, rel=0.1)
--- a/tests/test_rules_shell.py
+++ b/tests/test_rules_shell.py
@@ -67,8 +67,10 @@
     try:
         revisions, now = made.revisions, made.revisions.now()
         row = {"region": "a", "window": 1, "span_ms": 500.0, "shake": {}, "first": {"100": 5}}
-        for name, life in (("on", "p"), ("on", "q"), ("off", "p"), ("left", "p")):
-            made.nodes.answer(name, Report(process_id=life, seq=1, group="g", measures={"delays": [row]}))
+        for name, process_id in (("on", "p"), ("on", "q"), ("off", "p"), ("left", "p")):
+            made.nodes.answer(
+                name, Report(process_id=process_id, seq=1, group="g", measures={"delays": [row]})
+            )
         await until(lambda: revisions.coordinator.membership.names == {"on", "off", "left"})
         revisions.coordinator.membership.names.discard("off")  # it never became a member
         assert set(made.geo._demand) == {"on", "off", "left"} == set(revisions.coordinator.membership.nodes)
@@ -151,7 +153,7 @@
 
 
 @bounded(30.0)
-async def test_a_task_that_fails_is_told_and_those_that_run_end_with_their_part(capsys):
+async def test_a_task_that_fails_is_logged_and_those_that_run_end_with_their_part(capsys):
     async def fails():
         raise KeyError("a fault")
 
--- a/tests/wire_scenario.py
+++ b/tests/wire_scenario.py
@@ -152,11 +152,9 @@
         app.router.add_route("*", "/{path:.*}", forward)
         runner = web.AppRunner(app, handler_cancellation=True, shutdown_timeout=0.1)
         await runner.setup()
-        site = web.TCPSite(runner, "127.0.0.1", 0)
-        await site.start()
+        await web.TCPSite(runner, "127.0.0.1", 0).start()
         try:
-            assert site._server is not None
-            host, port = site._server.sockets[0].getsockname()[:2]
+            host, port = runner.addresses[0]
             yield f"{host}:{port}"
         finally:
             await runner.cleanup()
