--- a/brassfall/sidecar/discovery.py
+++ b/brassfall/sidecar/discovery.py
@@ -11,7 +11,7 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING, Any
 
-from brassfall.balancer.model import ASK_MOST_MS
+from brassfall.balancer.model import MAX_POLL_BACKOFF_MS
 from brassfall.sidecar.config import Config
 from brassfall.sidecar.config_values import Address
 from brassfall.sidecar.console import log
@@ -37,7 +37,7 @@
 # A connection comes up at once or was lost on its way: the system tries again only 1, 3 and 7 s later.
 CONNECT_S = CALL_S
 # The balancer waits before it asks again.
-FETCH_S = NOTIFIED_S - SPARE_S - 2.0 * ASK_MOST_MS / 1000.0 - CALL_S
+FETCH_S = NOTIFIED_S - SPARE_S - 2.0 * MAX_POLL_BACKOFF_MS / 1000.0 - CALL_S
 AGE_STEP_S = 4.0  # a list's age is reported in steps: two heartbeats of its watch
 MOVE_S = 4.0  # after a move, what the new address has counts as notified
 HELD_INDEX = "X-Held-Index"  # tells our own list service which version a caller for the whole list has
--- a/brassfall/sidecar/reload.py
+++ b/brassfall/sidecar/reload.py
@@ -87,8 +87,11 @@
 def _profiles(running: Config, found: Config, classes: Mapping[str, RequestClass]) -> tuple[Profile, ...]:
     """The profiles by slot: of the classes in the file, and of those that are gone but may still be named."""
     # What is gone weighs no more than what there is: the class of most worth sets what a crossing costs.
-    most = max(profile.worth for profile in found.settings.profiles)
-    gone = (replace(profile, worth=min(profile.worth, most)) for profile in running.settings.profiles)
+    most = max(profile.priority_weight for profile in found.settings.profiles)
+    gone = (
+        replace(profile, priority_weight=min(profile.priority_weight, most))
+        for profile in running.settings.profiles
+    )
     profiles = dict(enumerate(gone))
     for name, request_class in found.names.classes.items():
         profiles[classes[name].slot] = found.settings.profiles[request_class.slot]
--- a/tests/test_crossings_inbound.py
+++ b/tests/test_crossings_inbound.py
@@ -227,10 +227,9 @@
 @contextlib.asynccontextmanager
 async def not_accepting(sidecar):
     """Connections wait in the kernel meanwhile."""
-    loop, listener = asyncio.get_running_loop(), sidecar.inbound._listener
-    loop.remove_reader(listener._sock.fileno())
+    sidecar.inbound.listener.pause(PATIENCE_S)
     yield
-    loop.add_reader(listener._sock.fileno(), listener._accept)
+    sidecar.inbound.listener.resume()
 
 
 @LEAVE
@@ -488,7 +487,7 @@
 
     upstream, stuck = await Upstream([till_end]).start(), await Upstream([hang]).start()
     module = Scripted(
-        request=lambda now, arrival: [Send(arrival.request, "s1" if arrival.band else "s0", 0.0)]
+        request=lambda now, arrival: [Send(arrival.request, "s1" if arrival.request_class else "s0", 0.0)]
     )
     async with running(upstream, stuck, balancer=module) as sidecar:
         app = await App.connect(sidecar.address)
--- a/tests/test_rules_property.py
+++ b/tests/test_rules_property.py
@@ -25,7 +25,7 @@
     Watch,
 )
 
-NEVER_RAN = {Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT}
+NEVER_RAN = {Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.ABANDONED}
 ENDS = [
     Outcome.OK,
     Outcome.OK,
@@ -196,7 +196,7 @@
 
     def off(self, entry):
         """Whether a server is held off."""
-        return entry.zone in self.held.held_zones or entry.server in self.held.held_servers
+        return entry.zone in self.held.excluded_zones or entry.server in self.held.excluded_servers
 
     def steered(self):
         """Another plan and other overrides, sensible or not."""
