--- a/brassfall/controlplane/aggregation/messages.py
+++ b/brassfall/controlplane/aggregation/messages.py
@@ -27,6 +27,8 @@
 TEXT_MOST = 200  # characters
 NUMBER_MOST = 2**53  # what JSON readers keep exact
 AGE_MOST_MS = 1e12
+# Whole numbers of a report, by their names on the wire.
+NUMBER_FIELDS = ("seq", "epoch", "held", "acknowledged", "prepared", "list_index", "told")
 UNREADABLE = "no report of an aggregator"  # what happened, as errors say it
 
 TimesLeft = dict[
@@ -156,16 +158,16 @@
 
 
 def _check_numbers(report: AggregatorReport) -> None:
-    numbers = {
-        "seq": report.seq,
-        "epoch": report.epoch or 0,
-        "held": report.newest_revision,
-        "acknowledged": report.acknowledged,
-        "prepared": report.prepared,
-        "list_index": report.list_index,
-        "told": report.known_override_revision,
-    }
-    for field, number in numbers.items():
+    numbers = (
+        report.seq,
+        report.epoch or 0,
+        report.newest_revision,
+        report.acknowledged,
+        report.prepared,
+        report.list_index,
+        report.known_override_revision,
+    )
+    for field, number in zip(NUMBER_FIELDS, numbers, strict=True):
         if not 0 <= number < NUMBER_MOST:
             raise AggregatorReportError(UNREADABLE, f"{field} is out of range")
     age = report.list_age_ms
--- a/brassfall/controlplane/revisions/coordinator.py
+++ b/brassfall/controlplane/revisions/coordinator.py
@@ -265,31 +265,32 @@
         """Start the next write, if one is due and none is under way."""
         if self._write is not None:
             return []
-        actions, write = self._take_drafts()
-        if write.state is self.state:
-            actions += write.answers
-            write = _Write(self._advance(now, self._with_valid_epoch(now, write.state)), [])
-        if write.state is not self.state:
-            self._write = write
-            actions.append(Persist(write.state))
+        actions, answers, state = self._take_drafts()
+        if state is self.state:
+            actions += answers
+            answers = []
+            state = self._advance(now, self._with_valid_epoch(now, state))
+        if state is not self.state:
+            self._write = _Write(state, answers)
+            actions.append(Persist(state))
         return actions
 
-    def _take_drafts(self) -> tuple[list[Action], _Write]:
-        """Add all drafts to the state; answers that need no write, and the write."""
+    def _take_drafts(self) -> tuple[list[Action], list[Published], DurableState]:
+        """Add all drafts to the state: refusals, which need no write, answers, and the state with them."""
         refusals: list[Action] = []
-        write = _Write(self.state, [])
+        answers: list[Published] = []
+        state = self.state
         drafts, self._drafts = self._drafts, []
         for draft in drafts:
-            state = write.state
             repeated = state.requests.get(draft.request_id) if draft.request_id else None
             if repeated is not None:
-                write.answers.append(Published(draft.ticket, repeated))
+                answers.append(Published(draft.ticket, repeated))
             elif draft.if_match is not None and draft.if_match != state.newest:
                 refusals.append(PublishConflict(draft.ticket, state.newest))
             else:
                 state = self._with_draft(state, draft)
-                write = _Write(state, [*write.answers, Published(draft.ticket, state.newest)])
-        return refusals, write
+                answers.append(Published(draft.ticket, state.newest))
+        return refusals, answers, state
 
     def _with_draft(self, state: DurableState, draft: Publish) -> DurableState:
         superseded = state.waiting if state.pending is not None else None
--- a/brassfall/controlplane/revisions/reports.py
+++ b/brassfall/controlplane/revisions/reports.py
@@ -24,6 +24,8 @@
     )
 )
 
+NUMBER_FIELDS = ("seq", "of", "held", "prepared", "list_index", "told")  # by their names on the wire
+
 RawReport = dict[str, Any]  # by wire field
 
 
@@ -117,17 +119,19 @@
 
 
 def _check_numbers(report: Report) -> None:
-    numbers = {
-        "seq": report.seq,
-        "of": report.epoch or 0,
-        "held": report.newest_revision,
-        "prepared": report.prepared,
-        "list_index": report.list_index,
-        "told": report.known_override_revision,
-    }
-    for field, number in numbers.items():
-        if not _in_range(number):
-            raise ReportError(UNREADABLE, f"{field} is out of range")
+    numbers = (
+        report.seq,
+        report.epoch or 0,
+        report.newest_revision,
+        report.prepared,
+        report.list_index,
+        report.known_override_revision,
+    )
+    if min(numbers) < 0 or max(numbers) >= NUMBER_MOST:
+        field = next(
+            name for name, number in zip(NUMBER_FIELDS, numbers, strict=True) if not _in_range(number)
+        )
+        raise ReportError(UNREADABLE, f"{field} is out of range")
     if report.acting != FALLBACK and not (isinstance(report.acting, int) and _in_range(report.acting)):
         raise ReportError(UNREADABLE, 'acting: an edition or "safe" is wanted')
     age = report.list_age_ms
