--- a/brassfall/controlplane/registry/geo.py
+++ b/brassfall/controlplane/registry/geo.py
@@ -187,7 +187,7 @@
             self._estimated_s = now_s
         return self._estimate
 
-    async def _get(self, request: web.Request) -> web.Response:
+    async def _get(self, _request: web.Request) -> web.Response:
         estimate = await self._current_estimate()
         committed = self.editions.kept().committed
         body = GeoAnswer(estimate.pairs, committed.plan_edition, committed.plan)
--- a/brassfall/lab/day.py
+++ b/brassfall/lab/day.py
@@ -86,7 +86,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Habits:
+class ClientBehaviour:
     """What clients do on this day."""
 
     retries: int
@@ -132,8 +132,8 @@
     classes: tuple[RequestClass, ...]
     noise: tuple[float, ...]  # by class
     delays: NetworkDelays
-    routes: tuple[tuple[float, geography.Delays], ...]  # `ways.between` from each time on
-    habits: Habits
+    routes: tuple[geography.Route, ...]  # the first has `delays.between`
+    client_behaviour: ClientBehaviour
     faults: tuple[ScheduledFault, ...]
     arrivals: Arrivals
     list_delay: tuple[float, float]
@@ -154,7 +154,7 @@
     fleet, load, luck, clients = (np.random.default_rng([seed, part]) for part in range(4))
     servers = tuple(_machines(experiment, fleet))
     apps = tuple(_applications(experiment, clients))
-    habits = Habits(
+    client_behaviour = ClientBehaviour(
         int(experiment.clients.retries.at(clients.random())),
         experiment.clients.try_share.at(clients.random()),
         experiment.clients.backoff.at(clients.random()),
@@ -171,10 +171,10 @@
     else:
         arrivals = _arrivals(experiment, load, servers, apps, classes, cvs)
     delays = _network_delays(experiment, clients)
-    routes = [(0.0, delays.between)]
+    routes = [geography.Route(0.0, delays.between)]
     if experiment.geography is not None:
         routes = geography.routes(experiment, experiment.geography, np.random.default_rng([seed, 4]))
-        delays = replace(delays, between=routes[0][1])
+        delays = replace(delays, between=routes[0].delays)
     return Day(
         seed=seed,
         lasts=float(experiment.head.lasts),
@@ -184,7 +184,7 @@
         noise=noise,
         delays=delays,
         routes=tuple(routes),
-        habits=habits,
+        client_behaviour=client_behaviour,
         faults=tuple(
             sorted(_scheduled_faults(experiment, luck, servers, apps), key=lambda t: (t.at, t.kind))
         ),
--- a/brassfall/lab/models/guesses.py
+++ b/brassfall/lab/models/guesses.py
@@ -1,6 +1,6 @@
-"""Simpler ways to guess delays, to hold the geo model against. Pure code; the same evidence for all.
+"""Simpler ways to estimate delays, to compare the geo model with. Pure code; the same evidence for all.
 
-Each takes the middle of every figure that edges reported, first bytes and handshakes alike, as most
+Each takes the median or mean of every delay that nodes reported, first bytes and handshakes alike, as most
 monitoring does, and gives ms for every pair.
 """
 
@@ -12,77 +12,95 @@
 
 from brassfall.controlplane.geo.evidence import State, bucket_middle_ms, by_pair
 
-Pair = tuple[str, str]
-Figures = Mapping[Pair, Sequence[tuple[float, int]]]  # (ms, count)
+PairName = tuple[str, str]  # (client group, region)
+Counted = tuple[float, int]  # (ms, how often)
+Samples = Mapping[PairName, Sequence[Counted]]
 
+PULL = 0.25  # of a spring, and of a new error in the mean of errors
+ROUNDS = 60
+MIN_HEIGHT_MS = 0.1
 
-def figures(state: State) -> dict[Pair, list[tuple[float, int]]]:
-    """All figures by pair."""
-    found: dict[Pair, list[tuple[float, int]]] = {}
-    for pair, edges in by_pair(state).items():
-        for rows in edges.values():
-            for row in rows:
-                found.setdefault(pair, []).extend(
-                    (bucket_middle_ms(b), n) for b, n in (*row.handshakes, *row.first_bytes)
-                )
+
+def samples_by_pair(state: State) -> dict[PairName, list[Counted]]:
+    """All reported delays by pair."""
+    found: dict[PairName, list[Counted]] = {}
+    for pair, nodes in by_pair(state).items():
+        for windows in nodes.values():
+            for window in windows:
+                points = (*window.handshakes, *window.first_bytes)
+                found.setdefault(pair, []).extend((bucket_middle_ms(bucket), n) for bucket, n in points)
     return found
 
 
-def _mean(told: Iterable[tuple[float, int]]) -> float:
-    values = list(told)
+def _mean(samples: Iterable[Counted]) -> float:
+    values = list(samples)
     return sum(ms * n for ms, n in values) / sum(n for _, n in values)
 
 
-def by_average(told: Figures, pairs: Iterable[Pair]) -> dict[Pair, float]:
-    """The mean of a pair; of all figures, where it was never tried."""
-    over_all = _mean(each for values in told.values() for each in values)
-    return {pair: _mean(told[pair]) if pair in told else over_all for pair in pairs}
+def by_average(samples: Samples, pairs: Iterable[PairName]) -> dict[PairName, float]:
+    """The mean of a pair; that of all delays, where the pair was never measured."""
+    overall = _mean(each for values in samples.values() for each in values)
+    return {pair: _mean(samples[pair]) if pair in samples else overall for pair in pairs}
 
 
-def by_zone(told: Figures, pairs: Iterable[Pair], zones: Mapping[str, str]) -> dict[Pair, float]:
-    """One figure for each zone of groups and zone of regions: the mean of their tried pairs."""
-    over_all = _mean(each for values in told.values() for each in values)
-    between: dict[tuple[str, str], list[tuple[float, int]]] = {}
-    for (group, region), values in told.items():
+def by_zone(samples: Samples, pairs: Iterable[PairName], zones: Mapping[str, str]) -> dict[PairName, float]:
+    """One delay for each zone of groups and zone of regions: the mean of their measured pairs."""
+    overall = _mean(each for values in samples.values() for each in values)
+    between: dict[tuple[str, str], list[Counted]] = {}
+    for (group, region), values in samples.items():
         between.setdefault((zones[group], zones[region]), []).extend(values)
     means = {names: _mean(values) for names, values in between.items()}
-    return {(g, r): means.get((zones[g], zones[r]), over_all) for g, r in pairs}
+    return {(group, region): means.get((zones[group], zones[region]), overall) for group, region in pairs}
 
 
 def by_coordinates(
-    told: Figures, pairs: Iterable[Pair], rng: np.random.Generator, rounds: int = 60
-) -> dict[Pair, float]:
-    """Network coordinates with heights, by springs: each figure pulls its two ends by a part of its error."""
+    samples: Samples, pairs: Iterable[PairName], rng: np.random.Generator, rounds: int = ROUNDS
+) -> dict[PairName, float]:
+    """Network coordinates with heights, by springs (Vivaldi).
+
+    Each measured delay pulls its two ends by a part of its error; the less certain end moves further."""
     wanted = list(pairs)
-    names = sorted({name for pair in (*told, *wanted) for name in pair})
+    names = sorted({name for pair in (*samples, *wanted) for name in pair})
     index = {name: i for i, name in enumerate(names)}
-    place, height, error = (
-        rng.normal(0.0, 1.0, (len(names), 2)),
-        np.full(len(names), 1.0),
-        np.ones(len(names)),
-    )
-    middles = [(index[g], index[r], _median(values)) for (g, r), values in told.items()]
+    coordinates = _Coordinates(len(names), rng)
+    medians = [(index[group], index[region], _median(values)) for (group, region), values in samples.items()]
     for _ in range(rounds):
-        for k in rng.permutation(len(middles)):
-            i, j, ms = middles[k]
-            for a, b in ((i, j), (j, i)):
-                apart = place[a] - place[b]
-                far = float(np.hypot(*apart))
-                off = ms - (far + height[a] + height[b])
-                trust = error[a] / (error[a] + error[b])
-                part = abs(off) / ms
-                error[a] = min(1.0, part * 0.25 * trust + error[a] * (1.0 - 0.25 * trust))
-                pull = 0.25 * trust * off
-                place[a] += pull * apart / max(far, 1e-6)
-                height[a] = max(0.1, height[a] + pull * height[a] / max(far + height[a], 1e-6))
-    found = {}
-    for g, r in wanted:
-        a, b = index[g], index[r]
-        found[g, r] = float(np.hypot(*(place[a] - place[b])) + height[a] + height[b])
-    return found
-
-
-def _median(told: Sequence[tuple[float, int]]) -> float:
-    ordered = sorted(told)
+        for k in rng.permutation(len(medians)):
+            i, j, ms = medians[k]
+            coordinates.pull(i, j, ms)
+            coordinates.pull(j, i, ms)
+    return {(group, region): coordinates.delay_ms(index[group], index[region]) for group, region in wanted}
+
+
+class _Coordinates:
+    """Places in a plane, heights above it, and how wrong each is."""
+
+    def __init__(self, count: int, rng: np.random.Generator) -> None:
+        self.place = rng.normal(0.0, 1.0, (count, 2))
+        self.height = np.full(count, 1.0)
+        self.error = np.ones(count)
+
+    def delay_ms(self, one: int, other: int) -> float:
+        """The delay by the coordinates."""
+        distance = float(np.hypot(*(self.place[one] - self.place[other])))
+        return float(distance + self.height[one] + self.height[other])
+
+    def pull(self, moving: int, other: int, ms: float) -> None:
+        """Move one end of a measured delay."""
+        apart = self.place[moving] - self.place[other]
+        distance = float(np.hypot(*apart))
+        off = ms - (distance + self.height[moving] + self.height[other])
+        trust = self.error[moving] / (self.error[moving] + self.error[other])
+        relative = abs(off) / ms
+        remaining = self.error[moving] * (1.0 - PULL * trust)
+        self.error[moving] = min(1.0, relative * PULL * trust + remaining)
+        pull = PULL * trust * off
+        self.place[moving] += pull * apart / max(distance, 1e-6)
+        height = self.height[moving]
+        self.height[moving] = max(MIN_HEIGHT_MS, height + pull * height / max(distance + height, 1e-6))
+
+
+def _median(samples: Sequence[Counted]) -> float:
+    ordered = sorted(samples)
     counts = np.cumsum([n for _, n in ordered])
     return ordered[int(np.searchsorted(counts, counts[-1] / 2.0))][0]
--- a/brassfall/lab/quantities.py
+++ b/brassfall/lab/quantities.py
@@ -1,4 +1,4 @@
-"""Figures as people write them, with their units: durations, rates, and ranges to draw from. Pure code."""
+"""Quantities as people write them, with units: durations, rates, and ranges to sample from. Pure code."""
 
 from __future__ import annotations
 
@@ -30,37 +30,38 @@
 
     @classmethod
     def read(cls, text: Any) -> Self:
-        """From a file; `ValueError` says what is wrong."""
+        """The value of an experiment file; `ValueError` says what is wrong with it."""
         return cls(_written(text, UNITS_MS, "250 ms"))
 
 
 class Rate(float):
-    """So many a second, written as `"260 /s"`."""
+    """A number of events each second, written as `"260 /s"`."""
 
     @classmethod
     def read(cls, text: Any) -> Self:
-        """From a file; `ValueError` says what is wrong."""
+        """The value of an experiment file; `ValueError` says what is wrong with it."""
         return cls(_written(text, {"/s": 1.0, "/min": 1.0 / 60.0}, "260 /s"))
 
 
 class Spread(tuple[float, float]):
-    """A range of plain numbers from which a day draws: one number, or the least and the most."""
+    """A range of plain numbers that a day samples from: one number, or the least and the most."""
 
     @classmethod
     def read(cls, text: Any) -> Self:
-        """From a file; `ValueError` says what is wrong."""
+        """The value of an experiment file; `ValueError` says what is wrong with it."""
         ends = text if isinstance(text, list) else [text, text]
         if len(ends) != 2 or not all(_plain(end) for end in ends):
             raise ValueError(f"{text!r} is neither a number of 0 or more nor a pair of them")
         return cls((float(ends[0]), float(ends[1])))
 
     def __new__(cls, ends: tuple[float, float]) -> Self:
+        """Of the least and the most; `ValueError` if they are the other way round."""
         if ends[0] > ends[1]:
             raise ValueError(f"{ends[0]:g} to {ends[1]:g}: the least comes first")
         return super().__new__(cls, ends)
 
     def at(self, chance: float) -> float:
-        """The value at a place from 0 to 1 in the range."""
+        """The value at a position from 0 to 1 in the range."""
         return self[0] + (self[1] - self[0]) * chance
 
 
@@ -69,7 +70,7 @@
 
     @classmethod
     def read(cls, text: Any) -> Self:
-        """From a file; `ValueError` says what is wrong."""
+        """The value of an experiment file; `ValueError` says what is wrong with it."""
         ends = text if isinstance(text, list) else [text, text]
         if len(ends) != 2:
             raise ValueError(f"{text!r} is neither a duration nor a pair of them")
@@ -85,4 +86,4 @@
     """The hook by which msgspec reads these types."""
     if issubclass(kind, Ms | Rate | Spread):
         return kind.read(text)
-    raise NotImplementedError(f"no figure of type {kind}")
+    raise NotImplementedError(f"no quantity of type {kind}")
--- a/brassfall/lab/real/clients.py
+++ b/brassfall/lab/real/clients.py
@@ -75,12 +75,12 @@
     async def _request(self, due: float, app: int, cls: int, work: float) -> None:
         """One request, through all its tries."""
         row = self.day.classes[cls]
-        habits = self.day.habits
+        behaviour = self.day.client_behaviour
         first, tries = "", 0
         self.lateness.note(self.now() - due)
         while True:
             sent = self.now()
-            budget = client.budget(habits, row, due + row.deadline - sent)
+            budget = client.call_budget(behaviour, row, due + row.deadline - sent)
             if budget <= 0.0:
                 return
             call_id = f"{self._ids.getrandbits(64):016x}"
@@ -103,9 +103,8 @@
             now = self.now()
             answer.end = round(now, 3)
             self.ledger_writer.add(answer)
-            wait = client.wait(
-                habits, row, answer.status, tries, now - due, now - due, retry_after, self._rng.random()
-            )
+            outcome = client.CallOutcome(answer.status, tries, now - due, now - due, retry_after)
+            wait = client.retry_delay(behaviour, row, outcome, self._rng.random())
             if wait is None:
                 return
             await asyncio.sleep(wait / 1000.0)
--- a/brassfall/lab/real/server.py
+++ b/brassfall/lab/real/server.py
@@ -49,7 +49,7 @@
 
     def __init__(self, order: Order, ledger_writer: ledger.LedgerWriter) -> None:
         self.order = order
-        self.core = Server(order.machine, child.clock(), order.warming_up, random.random)
+        self.core = Server(order.machine, child.clock(), random.random, warming_up=order.warming_up)
         self._ledger = ledger_writer
         self._loop = asyncio.get_running_loop()
         self._timer: asyncio.TimerHandle | None = None
@@ -90,8 +90,8 @@
         )
         self._ledger.add(row)
         self.settle(now)
-        reason = self.core.offer(now, job, fresh)
-        if self.core.fallen:
+        reason = self.core.offer(now, job, new_connection=fresh)
+        if self.core.collapsed:
             self._ledger.flush()
             os._exit(FELL)
         if reason == ACCEPTED:
@@ -149,7 +149,7 @@
         self.settle(child.clock())
         if "errors" in command:
             self.core.errors = command["errors"]
-        self.core.burden(slow=command.get("slow"), taken=command.get("taken"))
+        self.core.change_load(slowdown=command.get("slow"), neighbour_share=command.get("taken"))
         self._arm()
 
 
@@ -171,7 +171,7 @@
         ledger.Incarnation(
             order.name,
             order.incarnation,
-            round(host.core.begun, 3),
+            round(host.core.began, 3),
             round(machine.capacity, 4),
             machine.warmup_start if order.warming_up else 1.0,
             machine.warmup_ms if order.warming_up else 0.0,
--- a/brassfall/lab/sim/faults.py
+++ b/brassfall/lab/sim/faults.py
@@ -72,17 +72,19 @@
         still = self._world.stand_still
         self._each(now, fault, lambda t, host: still(t, host, True), lambda t, host: still(t, host, False))
 
-    def _burden(self, now: float, host: Host, slow: float | None = None, taken: float | None = None) -> None:
+    def _change_load(
+        self, now: float, host: Host, slowdown: float | None = None, neighbour_share: float | None = None
+    ) -> None:
         self._world.settle(now, host)
-        host.core.burden(slow=slow, taken=taken)
+        host.core.change_load(slowdown=slowdown, neighbour_share=neighbour_share)
         self._world.wake(host)
 
     def _slow(self, now: float, fault: ScheduledFault) -> None:
         self._each(
             now,
             fault,
-            lambda t, host: self._burden(t, host, slow=max(1.0, fault.size)),
-            lambda t, host: self._burden(t, host, slow=1.0),
+            lambda t, host: self._change_load(t, host, slowdown=max(1.0, fault.size)),
+            lambda t, host: self._change_load(t, host, slowdown=1.0),
         )
 
     def _neighbour(self, now: float, fault: ScheduledFault) -> None:
@@ -92,7 +94,7 @@
             on = on and later < fault.until
             for host, incarnation in struck:
                 if host.up and host.incarnation == incarnation:
-                    self._burden(later, host, taken=fault.size if on else 0.0)
+                    self._change_load(later, host, neighbour_share=fault.size if on else 0.0)
             if later < fault.until:
                 self._world.at(min(later + fault.swing, fault.until), turn, not on)
 
--- a/brassfall/lab/sim/lists.py
+++ b/brassfall/lab/sim/lists.py
@@ -59,7 +59,7 @@
         """A server calls the list service, if that is due."""
         host, speaking = message
         member = host.member
-        if speaking != host.speaking or member.over or (host.up and host.core.stopped):
+        if speaking != host.speaking or member.over or (host.up and host.core.is_stopped):
             return
         if member.due > now:
             self.world.at(member.due, self.speak, message)
--- a/brassfall/lab/sim/world.py
+++ b/brassfall/lab/sim/world.py
@@ -16,7 +16,6 @@
 from itertools import count
 from typing import Any
 
-from brassfall.balancer import model
 from brassfall.controlplane.registry.membership import Membership
 from brassfall.lab import ledger
 from brassfall.lab.day import Day
@@ -44,6 +43,7 @@
     Sidecar,
     Surroundings,
 )
+from brassfall.lab.steering import SteeringEvent
 
 ANSWER_SLACK_MS = 20.0  # how long past its time a client still reads an answer
 AFTER_MS = 1500.0  # how long a day runs on after the last deadline
@@ -61,12 +61,12 @@
         settings: Callable[[int], dict[str, Any]],
         ledger_writer: LedgerWriter,
         sidecar: type[Sidecar] = Sidecar,
-        steers: Sequence[tuple[float, int, model.Steer]] = (),
+        steering: Sequence[SteeringEvent] = (),
     ) -> None:
         self.day = day
         self.ledger_writer = ledger_writer
         self.events = 0
-        self._steers = steers
+        self._steering = steering
         self._heap: list[tuple[float, int, Handler, Any]] = []
         self._count = count().__next__
         self._ids = count(1)
@@ -152,21 +152,21 @@
         self.lists.begin()
         for at, between in self.day.routes[1:]:
             self.at(at, self._reroute, between)
-        for at, group, steer in self._steers:
-            self.at(at, self._steer, (group, steer))
+        for event in self._steering:
+            self.at(event.at, self._steer, event)
 
     def _reroute(self, now: float, between: Delays) -> None:
         self.network.delays = replace(self.network.delays, between=between)
 
-    def _steer(self, now: float, message: tuple[int, model.Steer]) -> None:
+    def _steer(self, now: float, event: SteeringEvent) -> None:
         for sidecar in self.sidecars:
-            if sidecar.group == message[0]:
-                sidecar.steered(now, message[1])
+            if sidecar.group == event.group:
+                sidecar.steered(now, event.steer)
 
     def _close(self) -> None:
         for host in self.servers.values():
             if host.up:
-                for job in host.core.abandon():
+                for job in host.core.take_unfinished():
                     self._note(host, job.data, self._end, "unfinished", job.work)
                 self._note_incarnation(host, -1.0, "")
 
@@ -182,7 +182,7 @@
 
     def _begin_call(self, now: float, client_request: ClientRequest) -> None:
         row = self.day.classes[client_request.cls]
-        budget = client.budget(self.day.habits, row, client_request.due + row.deadline - now)
+        budget = client.call_budget(self.day.client_behaviour, row, client_request.due + row.deadline - now)
         id_ = self._id()
         if not client_request.calls:
             client_request.first = id_
@@ -242,16 +242,9 @@
         if status == client.SERVED:
             return
         row = self.day.classes[client_request.cls]
-        wait = client.wait(
-            self.day.habits,
-            row,
-            status,
-            client_request.calls,
-            now - client_request.due,
-            now - client_request.due,
-            retry_after,
-            self._client_rng.random(),
-        )
+        since_due = now - client_request.due
+        outcome = client.CallOutcome(status, client_request.calls, since_due, since_due, retry_after)
+        wait = client.retry_delay(self.day.client_behaviour, row, outcome, self._client_rng.random())
         if wait is not None:
             self.at(now + wait, self._begin_call, client_request)
 
@@ -285,7 +278,7 @@
         host = attempt.server
         if attempt.link != host.link or not host.up:
             self._outcome_later(now, attempt, RESET, None)
-        elif host.core.stopped:
+        elif host.core.is_stopped:
             self._unread[host.name].append(attempt)
         else:
             self.offer(now, host, attempt)
@@ -297,8 +290,8 @@
         mu, sigma = self._works[client_request.cls]
         job = Job(client_request.work * self.rng.lognormvariate(mu, sigma), (attempt, now))
         self.settle(now, host)
-        reason = core.offer(now, job, attempt.fresh)
-        if core.fallen:
+        reason = core.offer(now, job, new_connection=attempt.fresh)
+        if core.collapsed:
             self._note(host, job.data, now, "lost", job.work)
             self.die(now, host, "fallen")
         elif reason == ACCEPTED:
@@ -351,7 +344,7 @@
         """Look whether a server is alive."""
         host = self.servers[name]
         delay_ms = self.network.to_server(sidecar.group, name, host.zone)
-        if delay_ms is None or (host.up and host.core.stopped):
+        if delay_ms is None or (host.up and host.core.is_stopped):
             message = (sidecar.incarnation, name, TIMEOUT, PROBE_TIMEOUT_MS)
         else:
             message = (sidecar.incarnation, name, OK if host.up else CONNECT_FAILED, 2.0 * delay_ms)
@@ -369,7 +362,7 @@
         host.link += 1
         host.up, host.leaving = True, False
         host.wakes_at = math.inf
-        host.core = Server(host.machine, now, warming_up, self.rng.random)
+        host.core = Server(host.machine, now, self.rng.random, warming_up=warming_up)
         since = math.ceil(now)
         self.lists.incarnations[host.name, since] = host.incarnation
         entry = {
@@ -399,7 +392,7 @@
 
     def die(self, now: float, host: Host, why: str) -> None:
         """A server's process ends; what it had is lost, and its connections are reset."""
-        for job in host.core.abandon():
+        for job in host.core.take_unfinished():
             self._note(host, job.data, now, "lost", job.work)
             self._outcome_later(now, job.data[0], RESET, None)
         for attempt in self._unread.pop(host.name, ()):
@@ -428,7 +421,7 @@
 
     def reset(self, now: float, host: Host) -> None:
         """All its connections break; it goes on with what it has."""
-        waiting = host.core.jobs()
+        waiting = host.core.unfinished()
         host.link += 1
         host.core.connections = 0
         for job in waiting:
@@ -442,7 +435,7 @@
     def stand_still(self, now: float, host: Host, stopped: bool) -> None:
         """Its process is stopped, or goes on and reads what has come meanwhile."""
         self.settle(now, host)
-        host.core.stop(stopped)
+        host.core.suspend(is_stopped=stopped)
         if stopped:
             return
         for attempt in self._unread.pop(host.name, ()):
@@ -479,7 +472,7 @@
             ledger.Incarnation(
                 host.name,
                 host.incarnation,
-                ledger.ms(core.begun),
+                ledger.ms(core.began),
                 round(machine.capacity, 4),
                 round(machine.warmup_start, 4) if warming_up else 1.0,
                 ledger.ms(machine.warmup_ms) if warming_up else 0.0,
--- a/brassfall/lab/steering.py
+++ b/brassfall/lab/steering.py
@@ -1,12 +1,13 @@
 """How sidecars are steered over far regions in a play. Pure code.
 
-A plan is drawn from the true delays (what an estimator could know at best), or given; it knows nothing
-of what goes wrong, only of changed routes, and of those after a lag.
+A plan is computed from the true delays (what an estimator could know at best), or given by the version. It
+knows of no fault, only of changed routes, and of those after a lag.
 """
 
 from __future__ import annotations
 
 from collections.abc import Sequence
+from typing import NamedTuple
 
 import numpy as np
 from scipy.optimize import linprog
@@ -14,60 +15,76 @@
 from brassfall.balancer import model
 from brassfall.lab.day import Day
 from brassfall.lab.geography import Delays
-from brassfall.lab.spec import Experiment, Version
+from brassfall.lab.spec import Experiment, Geography, Version
+
+MIN_FILL = 1.1  # capacity over demand that a plan has at least, so that it is feasible
+MIN_SHARE = 1e-6  # smaller shares are left out
+
+ZoneShares = dict[int, float]  # of one group, by zone
+
+
+class SteeringEvent(NamedTuple):
+    """What the sidecars of a group are sent."""
+
+    at: float  # ms from the start
+    group: int
+    steer: model.Steer
 
 
 def ideal_shares(
-    delays: Delays, loads: Sequence[float], rooms: Sequence[float], min_spread: float
-) -> list[dict[int, float]]:
-    """Shares of each group over the zones by least delay, where zones have so much room.
-
-    Each zone with room keeps `floor` of every group. Falls to shares by room where nothing else fits.
-    """
-    groups, zones = len(loads), len(rooms)
-    load, room = np.array(loads) / sum(loads), np.array(rooms) / sum(loads)
+    delays: Delays, loads: Sequence[float], capacities: Sequence[float], min_spread: float
+) -> list[ZoneShares]:
+    """The shares of each group by least delay, where zones have these capacities (in the unit of the loads).
+
+    Each zone with capacity has at least `min_spread` of every group. Where that is not feasible, all groups
+    have shares by capacity."""
+    groups, zones = len(loads), len(capacities)
+    load, capacity = np.array(loads) / sum(loads), np.array(capacities) / sum(loads)
     cost = (np.array(delays) * load[:, None]).ravel()
-    each = np.kron(np.eye(groups), np.ones(zones))
-    held_zones = np.kron(load, np.eye(zones))
-    least = [(min_spread if some > 0.0 else 0.0, 1.0) for some in rooms] * groups
-    found = linprog(cost, held_zones, room, each, np.ones(groups), bounds=least, method="highs")
-    shares = np.tile(room / room.sum(), (groups, 1)) if found.x is None else found.x.reshape(groups, zones)
-    return [{zone: float(share) for zone, share in enumerate(row) if share > 1e-6} for row in shares]
-
-
-def steering_events(
-    experiment: Experiment, version: Version, day: Day
-) -> list[tuple[float, int, model.Steer]]:
-    """What each group's sidecars are told, and when: (ms from the start, group, what)."""
-    if experiment.geography is None or not (version.steer != "off" or version.holds):
+    group_sums = np.kron(np.eye(groups), np.ones(zones))
+    zone_loads = np.kron(load, np.eye(zones))
+    bounds = [(min_spread if rate > 0.0 else 0.0, 1.0) for rate in capacities] * groups
+    found = linprog(cost, zone_loads, capacity, group_sums, np.ones(groups), bounds=bounds, method="highs")
+    if found.x is None:
+        shares = np.tile(capacity / capacity.sum(), (groups, 1))
+    else:
+        shares = found.x.reshape(groups, zones)
+    return [{zone: float(share) for zone, share in enumerate(row) if share > MIN_SHARE} for row in shares]
+
+
+def steering_events(experiment: Experiment, version: Version, day: Day) -> list[SteeringEvent]:
+    """What the sidecars of a version are sent on a day, in order of time."""
+    geography = experiment.geography
+    if geography is None or not (version.steer != "off" or version.holds):
         return []
-    geography, zones = experiment.geography, experiment.fleet.zones
+    zones = experiment.fleet.zones
     times = {0.0}
-    times |= {at + geography.lag for at, _ in day.routes[1:]} if version.steer == "true" else set()
+    if version.steer == "true":
+        times |= {route.at + geography.lag for route in day.routes[1:]}
     times |= {float(end) for hold in version.holds for end in (hold.begin, hold.end)}
-    made = []
+    events = []
     for now in sorted(times):
-        held_zones = frozenset(
-            zones.index(hold.zone) for hold in version.holds if hold.begin <= now < hold.end
-        )
-        for group, shares in enumerate(_shares(experiment, version, day, now)):
-            made.append((now, group, model.Steer(shares=shares, held_zones=held_zones, look=version.look)))
-    return made
+        closed = frozenset(zones.index(hold.zone) for hold in version.holds if hold.begin <= now < hold.end)
+        for group, shares in enumerate(_shares(zones, geography, version, day, now)):
+            steer = model.Steer(shares=shares, held_zones=closed, look=version.look)
+            events.append(SteeringEvent(now, group, steer))
+    return events
 
 
-def _shares(experiment: Experiment, version: Version, day: Day, now: float) -> list[dict[int, float]]:
-    assert experiment.geography is not None
-    geography, zones = experiment.geography, experiment.fleet.zones
+def _shares(
+    zones: Sequence[str], geography: Geography, version: Version, day: Day, now: float
+) -> list[ZoneShares]:
+    """The shares of each group from a time on."""
     if version.steer == "off":
         return [{} for _ in geography.groups]
     if version.steer == "fixed":
         given = [version.shares.get(group.name, {}) for group in geography.groups]
         return [{zones.index(zone): share for zone, share in row.items()} for row in given]
-    known = [delays for at, delays in day.routes if at == 0.0 or at + geography.lag <= now]
+    known = [route.delays for route in day.routes if route.at == 0.0 or route.at + geography.lag <= now]
     loads = [sum(app.share for app in day.apps if app.group == group) for group in range(len(known[-1]))]
     capacity = [sum(s.capacity for s in day.servers if s.zone == zone) for zone in range(len(zones))]
     used = float(day.arrivals.work.sum()) / day.lasts / sum(capacity)
-    # Where all is fuller than a plan may fill a zone, it spreads load nearly as capacity lies.
-    fill = max(geography.fill / used, 1.1) if used else 1.1
-    rooms = [fill * part / sum(capacity) for part in capacity]
-    return ideal_shares(known[-1], loads, rooms, geography.min_spread)
+    # Where the load is above what a plan may fill, it is spread nearly in proportion to capacity.
+    fill = max(geography.fill / used, MIN_FILL) if used else MIN_FILL
+    capacities = [fill * part / sum(capacity) for part in capacity]
+    return ideal_shares(known[-1], loads, capacities, geography.min_spread)
--- a/tests/test_geo.py
+++ b/tests/test_geo.py
@@ -1,4 +1,4 @@
-"""Delays out of what passes anyway: the edge's sketch, evidence, the model, the plan and its publisher."""
+"""Delays out of what passes anyway: the sidecar's sketch, evidence, the model, the plan and its publisher."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from brassfall.lab.models import steered
 from brassfall.sidecar.agent import delays
 
-# --- the edge's sketch -------------------------------------------------------------------------------------
+# --- the sidecar's sketch -------------------------------------------------------------------------------------
 
 
 def test_buckets_are_the_same_on_both_sides():
@@ -33,14 +33,14 @@
         assert evidence.bucket_middle_ms(delays.bucket(ms)) == pytest.approx(ms, rel=0.026)
 
 
-def test_a_sketch_leaves_out_what_tells_nothing_of_the_way():
-    held = delays.Delays("west-1")
-    held.handshake("a", 300.0, cold=True)
+def test_a_sketch_leaves_out_what_says_nothing_of_the_network():
+    sketch = delays.Delays("west-1")
+    sketch.handshake("a", 300.0, cold=True)
     for ms, spent in ((math.nan, 0.0), (5.0, 9.0), (1e9, 0.0), (math.inf, 0.0), (5.0, math.nan)):
-        held.first_byte("a", ms, spent)
-    assert held.take(1.0) == []
-    held.first_byte("a", 30.0, 10.0)
-    (row,) = held.take(1.0 + delays.EVERY_S)
+        sketch.first_byte("a", ms, spent)
+    assert sketch.take(1.0) == []
+    sketch.first_byte("a", 30.0, 10.0)
+    (row,) = sketch.take(1.0 + delays.EVERY_S)
     assert not evidence.validate_rows([row]).rejected
     assert row == {
         "region": "a",
@@ -51,22 +51,22 @@
 
 
 def test_the_first_window_of_a_process_on_any_clock_is_good():
-    held = delays.Delays("west-1")
-    held.first_byte("a", 30.0, 10.0)
-    assert not evidence.validate_rows(held.take(9e9)).rejected
+    sketch = delays.Delays("west-1")
+    sketch.first_byte("a", 30.0, 10.0)
+    assert not evidence.validate_rows(sketch.take(9e9)).rejected
 
 
-def test_reports_are_small_and_what_waits_is_told_later():
-    held = delays.Delays("west-1")
-    told: set[str] = set()
+def test_reports_are_small_and_what_waits_is_reported_later():
+    sketch = delays.Delays("west-1")
+    reported: set[str] = set()
     for turn in range(6):
         for region, k in itertools.product("abcdefghijkl", range(40)):
-            held.first_byte(region, 5.0 * 1.1**k, 0.0)
-        rows = held.take((turn + 1.0) * delays.EVERY_S)
+            sketch.first_byte(region, 5.0 * 1.1**k, 0.0)
+        rows = sketch.take((turn + 1.0) * delays.EVERY_S)
         assert len(json.dumps(rows, separators=(",", ":"))) <= delays.REPORT_BYTES
         assert not evidence.validate_rows(rows).rejected
-        told |= {str(row["region"]) for row in rows}
-    assert told == set("abcdefghijkl")
+        reported |= {str(row["region"]) for row in rows}
+    assert reported == set("abcdefghijkl")
 
 
 def test_thinning_keeps_the_low_quantiles_and_all_counts():
@@ -88,7 +88,7 @@
         st.sampled_from("ef"), st.sampled_from("12"), st.sampled_from("ab"), st.integers(0, 40), sketch_counts
     ),
     max_size=25,
-    unique_by=lambda told: told[:4],
+    unique_by=lambda reported: reported[:4],
 )
 
 
@@ -98,24 +98,24 @@
 GROUP_OF = {"e": "g", "f": "h"}
 
 
-def merged(told, state=NOTHING, now=5.0):
-    for edge, life, region, window, sketch in told:
+def merged(reported, state=NOTHING, now=5.0):
+    for node, incarnation, region, window, sketch in reported:
         row = {"region": region, "window": window, "span_ms": 900, "shake": {}, "first": sketch}
-        state = evidence.merge(state, edge, life, GROUP_OF[edge], [row], now)
+        state = evidence.merge(state, node, incarnation, GROUP_OF[node], [row], now)
     return state
 
 
 @settings(max_examples=150, deadline=None)
 @given(reports, st.randoms(use_true_random=False))
-def test_evidence_does_not_depend_on_order_or_repetition(told, rng):
-    once = merged(told)
-    again = [*told, *rng.choices(told, k=5)] if told else []
+def test_evidence_does_not_depend_on_order_or_repetition(reported, rng):
+    once = merged(reported)
+    again = [*reported, *rng.choices(reported, k=5)] if reported else []
     rng.shuffle(again)
     assert merged(again) == once
-    assert merged(told, once, now=99.0) == once  # a replay later is not fresh
+    assert merged(reported, once, now=99.0) == once  # a replay later is not fresh
 
 
-def test_an_edge_that_tells_more_has_no_more_rows_and_an_old_window_does_not_come_back():
+def test_a_node_that_reports_more_has_no_more_rows_and_an_old_window_does_not_come_back():
     rows = [("e", "1", "a", window, {"100": 1}) for window in range(40)]
     state = merged(rows)
     assert list(state.nodes["e"]["1", "g"]["a"]) == list(range(24, 40))
@@ -124,8 +124,8 @@
 
 @settings(max_examples=100, deadline=None)
 @given(reports)
-def test_no_edge_outweighs_the_others(told):
-    for each in levels.node_levels(evidence.by_pair(merged(told))).values():
+def test_no_node_outweighs_the_others(reported):
+    for each in levels.node_levels(evidence.by_pair(merged(reported))).values():
         assert all(level.weight <= 1.0 for level in each.values())
 
 
@@ -168,15 +168,15 @@
 
 # --- the model ---------------------------------------------------------------------------------------------
 
-SMALL = worlds.Terms(groups=12, regions=6, tried=0.5, nonsense=0.0)
+SMALL = worlds.WorldTerms(groups=12, regions=6, measured=0.5, nonsense=0.0)
 
 
-def heard(world, pairs, start, until, state):
+def observed(world, pairs, start, until, state):
     """The state after so many seconds of requests, a report a second."""
     for second in range(start, until):
-        worlds.requests(world, pairs, 1.0)
-        for edge, life, group, rows in worlds.reports(world, second + 1.0):
-            state = evidence.merge(state, edge, life, group, rows, second + 1.0)
+        worlds.send_requests(world, pairs, 1.0)
+        for node, incarnation, group, rows in worlds.reports(world, second + 1.0):
+            state = evidence.merge(state, node, incarnation, group, rows, second + 1.0)
     return state
 
 
@@ -184,8 +184,8 @@
     return next(pair for pair in pairs if (pair.group, pair.region) == names)
 
 
-def drawn(seed, **terms):
-    return worlds.draw(seed, replace(SMALL, **terms), delays.Delays)
+def sampled(seed, **terms):
+    return worlds.sample_world(seed, replace(SMALL, **terms), delays.Delays)
 
 
 def errors(world, pairs, measured):
@@ -195,10 +195,12 @@
 
 
 @pytest.mark.parametrize("seed", [3])
-def test_delays_are_found_though_a_third_of_the_edges_report_nonsense(seed):
-    world = worlds.draw(seed, worlds.Terms(), delays.Delays)  # a third of the pairs, a third of the edges
+def test_delays_are_found_though_a_third_of_the_nodes_report_nonsense(seed):
+    world = worlds.sample_world(
+        seed, worlds.WorldTerms(), delays.Delays
+    )  # a third of the pairs and of the nodes
     pairs = model.estimate(
-        heard(world, world.tried, 0, 12, evidence.State()), 12.0, world.groups, world.regions
+        observed(world, world.measured, 0, 12, evidence.State()), 12.0, world.groups, world.regions
     )
     measured, unmeasured = errors(world, pairs, True), errors(world, pairs, False)
     assert measured[len(measured) // 2] < 0.10
@@ -209,64 +211,64 @@
 
 @pytest.mark.parametrize("times", [1.5, 0.6])
 def test_a_change_by_half_is_seen_within_10_s_and_a_pair_that_did_not_change_stays(times):
-    world = drawn(6, groups=5, regions=4)
-    changed, same = world.tried[0], world.tried[-1]
-    state = heard(world, world.tried, 0, 30, evidence.State())
+    world = sampled(6, groups=5, regions=4)
+    changed, same = world.measured[0], world.measured[-1]
+    state = observed(world, world.measured, 0, 30, evidence.State())
     world.true_ms[changed] *= times
     made = None
     for now in range(30, 55):
-        state = heard(world, world.tried, now, now + 1, state)
+        state = observed(world, world.measured, now, now + 1, state)
         made = model.update_estimate(state, now + 1.0, before=made)
         for names in (changed, same) if now >= 36 else ():  # and it is not lost again
             assert pair_of(made.pairs, names).delay_ms == pytest.approx(world.true_ms[names], rel=0.12)
 
 
-@pytest.mark.parametrize("shakes", [0.3, 0.02])  # many connections are opened meanwhile, or hardly any
-def test_a_queue_ten_times_as_long_as_the_way_is_not_distance(shakes):
-    world = drawn(5, shakes=0.3)
+@pytest.mark.parametrize("handshakes", [0.3, 0.02])  # many connections are opened meanwhile, or hardly any
+def test_a_queue_ten_times_as_long_as_the_delay_is_not_distance(handshakes):
+    world = sampled(5, handshakes=0.3)
     region = world.regions[0]
-    state = heard(world, world.tried, 0, 20, evidence.State())
-    world.load[region], world.tells[region] = 0.97, False
-    world.terms = replace(world.terms, shakes=shakes)
+    state = observed(world, world.measured, 0, 20, evidence.State())
+    world.load[region], world.reports_work[region] = 0.97, False
+    world.terms = replace(world.terms, handshakes=handshakes)
     for start, end in ((20, 24), (24, 32)):
-        state = heard(world, world.tried, start, end, state)
+        state = observed(world, world.measured, start, end, state)
         pairs = model.estimate(state, float(end))
-        for names in (pair for pair in world.tried if pair[1] == region):
+        for names in (pair for pair in world.measured if pair[1] == region):
             assert pair_of(pairs, names).delay_ms == pytest.approx(world.true_ms[names], rel=0.12)
 
 
 def test_a_pair_that_is_no_longer_measured_grows_uncertain_and_older():
-    world = drawn(6)
-    state = heard(world, world.tried, 0, 12, evidence.State())
+    world = sampled(6)
+    state = observed(world, world.measured, 0, 12, evidence.State())
     widths, ages = [], []
     for now in (12.0, 120.0, 1200.0):
-        pair = pair_of(model.estimate(state, now), world.tried[0])
+        pair = pair_of(model.estimate(state, now), world.measured[0])
         widths.append(pair.high_ms / pair.low_ms)
         ages.append(pair.age_ms)
     assert widths == sorted(widths) and widths[-1] > 1.2 * widths[0]
     assert ages[-1] == pytest.approx(ages[0] + 1_188_000.0)
 
 
-def test_a_group_of_one_edge_with_ten_requests_a_minute_has_its_figure():
-    world = drawn(7)
-    names = world.tried[0]
-    world.edges[names[0]] = world.edges[names[0]][:1]
-    others = [pair for pair in world.tried if pair[0] != names[0]]
-    state = heard(world, others, 0, 4, evidence.State())
-    held = delays.Delays(names[0])
+def test_a_group_of_one_node_with_ten_requests_a_minute_has_its_estimate():
+    world = sampled(7)
+    names = world.measured[0]
+    world.nodes[names[0]] = world.nodes[names[0]][:1]
+    others = [pair for pair in world.measured if pair[0] != names[0]]
+    state = observed(world, others, 0, 4, evidence.State())
+    sketch = delays.Delays(names[0])
     for number in range(10):
-        held.first_byte(names[1], world.true_ms[names] * (1.0 + 0.02 * number), 0.0)
-        state = evidence.merge(state, "lone", "1", names[0], held.take(6.0 * number), 6.0 * number)
+        sketch.first_byte(names[1], world.true_ms[names] * (1.0 + 0.02 * number), 0.0)
+        state = evidence.merge(state, "lone", "1", names[0], sketch.take(6.0 * number), 6.0 * number)
     pair = pair_of(model.estimate(state, 60.0), names)
     assert pair.nodes == 1
     assert pair.low_ms <= world.true_ms[names] <= pair.high_ms * 1.02
 
 
 def test_a_region_and_a_group_that_nobody_measured_are_guessed_with_wide_intervals():
-    world = drawn(8)
-    state = heard(world, world.tried, 0, 12, evidence.State())
+    world = sampled(8)
+    state = observed(world, world.measured, 0, 12, evidence.State())
     pairs = model.estimate(state, 12.0, [*world.groups, "new"], [*world.regions, "far"])
-    new = pair_of(pairs, (world.tried[0][0], "far"))
+    new = pair_of(pairs, (world.measured[0][0], "far"))
     known = [pair for pair in pairs if pair.group == new.group and pair.region != "far"]
     assert not new.measured and new.age_ms is None
     assert sum(new.low_ms <= pair.delay_ms <= new.high_ms for pair in known) >= 0.8 * len(known)
@@ -276,8 +278,8 @@
 
 @settings(max_examples=40, deadline=None)
 @given(reports, st.floats(0, 1e6))
-def test_any_evidence_at_all_gives_figures_that_can_be_used(told, now):
-    state = merged(told)
+def test_any_evidence_at_all_gives_estimates_that_can_be_used(reported, now):
+    state = merged(reported)
     pairs = model.estimate(state, now)
     for pair in pairs:
         assert 0.0 < pair.low_ms <= pair.delay_ms <= pair.high_ms < math.inf
@@ -292,10 +294,10 @@
 
 
 def test_what_was_never_measured_is_guessed_like_its_siblings():
-    told = {
+    reported = {
         (g, r): (math.log(ms), 0.05) for g in "gh" for r, ms in zip("abc", (10.0, 30.0, 90.0), strict=True)
     }
-    guesses = positions.fit_positions(told, ["g", "h", "new"], ["a", "b", "c", "far"]).predictions
+    guesses = positions.fit_positions(reported, ["g", "h", "new"], ["a", "b", "c", "far"]).predictions
     for names in (("g", "far"), ("new", "far")):
         assert math.exp(guesses[names].log_ms) == pytest.approx(30.0, rel=0.3)
         assert guesses[names].sd > 0.5
@@ -326,7 +328,7 @@
 @pytest.mark.parametrize("seed", [1, 2, 3, 4])
 @pytest.mark.parametrize("load", [0.4, 0.75])
 def test_a_plan_does_not_swing_though_delay_follows_load(seed, load):
-    loop = steered.draw(seed, load=load)
+    loop = steered.sample_loop(seed, load=load)
     made = plans(loop, None, 50)
     assert sums(made[-1]) == pytest.approx([1.0] * 6)
     assert all(max(loop.load(each.shares).values()) <= 0.86 for each in made)
@@ -335,11 +337,11 @@
 
 
 def test_a_group_that_all_moves_moves_by_steps_and_stays():
-    loop = steered.draw(1, load=0.3)
+    loop = steered.sample_loop(1, load=0.3)
     made = plans(loop, None, 20)
     group = "g0"
     best = max(made[-1].shares[group], key=made[-1].shares[group].get)
-    loop.way_ms[group, best] += 500.0
+    loop.network_ms[group, best] += 500.0
     after = plans(loop, made[-1], 40)
     shares = [each.shares[group][best] for each in after]
     assert all(0.0 <= a - b <= 0.1 + 1e-6 for a, b in itertools.pairwise(shares))  # never back
@@ -347,7 +349,7 @@
 
 
 def test_a_lost_region_loses_all_at_once_and_pushes_no_other_over():
-    loop = steered.draw(2, groups=8, regions=4, load=0.5)
+    loop = steered.sample_loop(2, groups=8, regions=4, load=0.5)
     made = plans(loop, None, 20)
     loads = loop.load(made[-1].shares)
     lost = max(loads, key=lambda r: loads[r] * loop.capacity[r])
@@ -379,8 +381,8 @@
     assert plan.capacity_ramp(125.0 - back["b"]) == pytest.approx(0.25)
 
 
-def test_held_regions_get_nothing_and_with_none_open_there_are_no_shares():
-    loop = steered.draw(3)
+def test_closed_regions_get_nothing_and_with_none_open_there_are_no_shares():
+    loop = steered.sample_loop(3)
     made = plans(loop, None, 2, closed=("r0",))
     assert all(row["r0"] == 0.0 for row in made[-1].shares.values())
     nothing = plans(loop, made[-1], 1, closed=("r0", "r1", "r2"))[0]
@@ -389,7 +391,7 @@
 
 
 def test_a_new_region_that_nobody_measured_is_looked_at_and_not_pushed_over():
-    loop = steered.draw(4)
+    loop = steered.sample_loop(4)
     made = plans(loop, None, 10)
     assert made[-1].exploration == 0.0  # all is known
     loop.unmeasured.add("r2")
@@ -399,7 +401,7 @@
 
 
 def test_price_floor_and_capacity_are_kept():
-    loop = steered.draw(5, load=0.2)
+    loop = steered.sample_loop(5, load=0.2)
     pairs = loop.observe(None)
     prices = {(f"g{i}", "r0"): 1e4 for i in range(6)}
     policy = planner.PlanPolicy(0.1, 0.1, 0.01)
@@ -442,10 +444,10 @@
 
 @pytest.mark.parametrize("event", sorted(geo.EVENTS))
 def test_no_event_in_the_closed_loop_swings_or_pushes_a_region_over(event):
-    found = geo.steer(2, event, 1.0)
+    found = geo.measure_steering(2, event, 1.0)
     assert found.most_load <= 0.86
     assert found.largest_move <= 0.1 + 1e-6
-    assert found.late_moved < 0.15
+    assert found.late_shift < 0.15
     assert found.mean_ms < found.even_ms
 
 
@@ -485,7 +487,7 @@
     service, states, stopped = Service(), [publisher.State() for _ in range(3)], [0.0] * 3
     serial = itertools.count()
     queue = [(0.1 * i, next(serial), i, publisher.Tick()) for i in range(3)]
-    told, sure = [], []
+    reported, sure = [], []
     while queue:
         now, _, who, what = heapq.heappop(queue)
         if now > until:
@@ -512,11 +514,11 @@
                 )
                 continue
             if isinstance(action, publisher.PublishPlan):
-                told.append((now, who, action))
+                reported.append((now, who, action))
                 sure.append(sum(state.holds_lease(now) for state in states))
             if rng.random() > 0.05:
                 heapq.heappush(queue, (now + rng.uniform(0, 1.5), next(serial), -who - 1, action))
-    return service, told, sure
+    return service, reported, sure
 
 
 @pytest.mark.parametrize("seed", range(25))
@@ -529,11 +531,11 @@
 
 
 def test_publishers_are_sparing_and_keep_a_plan_fresh():
-    told = published(7, 90.0, shift=0.0)[1]
-    times = [now for now, _, _ in told]
+    reported = published(7, 90.0, shift=0.0)[1]
+    times = [now for now, _, _ in reported]
     gaps = [b - a for a, b in itertools.pairwise(times)]
     timing = publisher.PublisherTiming()
     assert min(gaps) >= timing.interval_s
     assert max(gaps) < plan.AGE_LIMIT_MS / 1000.0
     busy = published(7, 90.0, shift=0.5)[1]
-    assert len(told) < len(busy) <= 90.0 / timing.interval_s + 1
+    assert len(reported) < len(busy) <= 90.0 / timing.interval_s + 1
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -231,9 +231,9 @@
         connections=100, full_tax=0.0, fall_multiple=4.0, fall_after=100.0,
         overload=day.Overload(4.0, 50.0, 2.0, 0.0, 100.0, 1e6), seed=1,
     )  # fmt: skip
-    server = Server(machine, 0.0, False, lambda: 0.5)
+    server = Server(machine, 0.0, lambda: 0.5, warming_up=False)
     jobs = [Job(30.0, number) for number in range(5)]
-    assert [server.offer(0.0, job, False) for job in jobs] == [ACCEPTED] * 4 + [FULL]
+    assert [server.offer(0.0, job, new_connection=False) for job in jobs] == [ACCEPTED] * 4 + [FULL]
     # Three share two cores: done at 45; the fourth begins then, and has a core for itself.
     assert server.due == pytest.approx(45.0)
     assert [job.data for job in server.advance(46.0)] == [0, 1, 2]
@@ -243,13 +243,13 @@
     server.advance(100.0)
     for job in jobs[:4]:
         job.work = 300.0
-        server.offer(100.0, job, False)
+        server.offer(100.0, job, new_connection=False)
     server.advance(110.0)
     server.advance(170.0)
     assert server.overloaded and server.due == pytest.approx(170.0 + (300.0 - 70.0 * 2 / 3) * 3.0)
     # A cold one falls over, once it has been sent four times what it can do.
-    cold = Server(machine, 0.0, True, lambda: 0.5)
-    fallen = [cold.offer(0.0, Job(10.0, None), False) and cold.fallen for _ in range(12)]
+    cold = Server(machine, 0.0, lambda: 0.5, warming_up=True)
+    fallen = [cold.offer(0.0, Job(10.0, None), new_connection=False) and cold.collapsed for _ in range(12)]
     assert fallen.index(True) == 8  # 90 ms of work; 4 times 20 ms, and a twentieth more, are 84
 
 
