--- a/brassfall/controlplane/registry/channels.py
+++ b/brassfall/controlplane/registry/channels.py
@@ -10,7 +10,8 @@
 import msgspec
 
 from brassfall.controlplane.registry.watches import Channel, chunk
-from brassfall.controlplane.store.core import Change, Row, Table
+from brassfall.controlplane.store.records import Change, Row
+from brassfall.controlplane.store.state import State
 
 CACHED_LINES = 64
 AGE_MARGIN_S = 0.1  # ages are sent as so much higher, since a list may have been encoded so long ago
@@ -31,13 +32,13 @@
 class TableChannel(Channel):
     """All watches on one table: `{"index", "snapshot", LIST}` lines, with whole lists or with changes.
 
-    `table` gives the store's tables, `name` is the one that is watched."""
+    `state` gives the state of the store, `name` is the one that is watched."""
 
     def __init__(
-        self, table: Callable[[], Table], name: str, form: ListFormat, unread_most: int, stuck_s: float
+        self, state: Callable[[], State], name: str, form: ListFormat, unread_most: int, stuck_s: float
     ) -> None:
         super().__init__(unread_most, stuck_s)
-        self._table = table
+        self._state = state
         self._name = name
         self._format = form
         self._snapshot: tuple[int, bytes] | None = None
@@ -48,7 +49,7 @@
     @property
     def last(self) -> int:
         """The index up to which all changes are known now."""
-        return self._table().last(self._name)
+        return self._state().last_index(self._name)
 
     def snapshot(self) -> bytes:
         """The whole list, encoded once for each version."""
@@ -56,14 +57,14 @@
         aged = self._format.has_ages and now - self._encoded_at > AGE_MARGIN_S
         if self._snapshot is None or self._snapshot[0] != index or aged:
             self._encoded_at = now
-            rows = self._format.rows(self._table().rows(self._name))
+            rows = self._format.rows(self._state().rows(self._name))
             self._snapshot = (index, self._encode_line(index, rows, snapshot=True))
             self.statistics.lists_encoded += 1
         return self._snapshot[1]
 
     def first_line(self, index: int) -> bytes:
         """What changed after an index, or the whole list where the changes are not all known."""
-        changes = self._table().since(self._name, index)
+        changes = self._state().changes_since(self._name, index)
         return self.snapshot() if changes is None else self._line(index, changes)
 
     def _line(self, after: int, changes: list[Change]) -> bytes:
@@ -109,7 +110,7 @@
         """The state now."""
         return self._encoded()
 
-    def first_line(self, index: int) -> bytes:
+    def first_line(self, _index: int) -> bytes:
         """The state, whatever the watcher has: it may have missed how it came about."""
         return self._encoded()
 
--- a/brassfall/controlplane/registry/lists.py
+++ b/brassfall/controlplane/registry/lists.py
@@ -15,10 +15,10 @@
 from brassfall.controlplane.registry.front import Front, WatchRequest
 from brassfall.controlplane.registry.gathering import Gathering
 from brassfall.controlplane.registry.watches import Channel
-from brassfall.controlplane.store.core import Change, Row
+from brassfall.controlplane.store.records import Change, Row
 from brassfall.controlplane.store.store import Store
 
-HELD_INDEX = "X-Held-Index"  # a caller of the whole list says here which one it has
+KNOWN_INDEX = "X-Held-Index"  # a caller of the whole list says here which one it has
 INCOMPLETE = "servers are coming back to a list that was lost"
 
 
@@ -41,7 +41,7 @@
 
     def view(self, table: str, row: Row) -> RowView:
         """A row with its age."""
-        age_ms = self._store.age_ms(table, row.key)
+        age_ms = self._store.since_confirmed_ms(table, row.key)
         bound_ms = None if age_ms is None else round(age_ms + AGE_MARGIN_S * 1000.0)
         return RowView(row.key, row.version, row.value, bound_ms)
 
@@ -51,7 +51,7 @@
         if table not in channels:
             limits = self._front.limits
             channels[table] = TableChannel(
-                lambda: self._store.table,
+                lambda: self._store.state,
                 table,
                 self._format(table),
                 limits.watch_bytes,
@@ -87,10 +87,10 @@
         if calls.is_watch(request):
             return await self.watch(request, table)
         if table == INSTANCES:
-            self._check_index(calls.number(request.headers.get(HELD_INDEX, "0"), HELD_INDEX))
-        return self._whole(table)
+            self._check_index(calls.number(request.headers.get(KNOWN_INDEX, "0"), KNOWN_INDEX))
+        return self._complete_list(table)
 
-    def _whole(self, table: str) -> web.Response:
+    def _complete_list(self, table: str) -> web.Response:
         if self._gathering.active:
             return self._front.reject(INCOMPLETE, self._gathering.left_s + 0.5 * self._front.rng.random())
         rejection = self._front.admit_join("too many ask for the whole list at once")
@@ -118,11 +118,11 @@
 
     def _check_index(self, index: int) -> None:
         """An index of the instances that is unknown here is evidence of a list that was lost."""
-        if index and self._store.table.since(INSTANCES, index) is None:
+        if index and self._store.state.changes_since(INSTANCES, index) is None:
             self._gathering.add_evidence()
 
     def _drop_unused(self, name: str) -> None:
         """Whoever asks for tables that nobody has written leaves nothing behind."""
         channel = self.channel(name)
-        if isinstance(channel, TableChannel) and not channel.count and name not in self._store.table.names:
+        if isinstance(channel, TableChannel) and not channel.count and name not in self._store.state.names:
             del self._front.channels[name]
--- a/brassfall/controlplane/registry/writes.py
+++ b/brassfall/controlplane/registry/writes.py
@@ -7,7 +7,8 @@
 
 from brassfall.controlplane.registry.calls import OWNED, answer
 from brassfall.controlplane.registry.http_errors import status_response
-from brassfall.controlplane.store.core import Command, Result, Status
+from brassfall.controlplane.store.commands import Command
+from brassfall.controlplane.store.records import Result, Status
 from brassfall.controlplane.store.store import Store
 from brassfall.errors import Unavailable
 from brassfall.settings import Limits
@@ -35,7 +36,7 @@
     async def run(self, command: Command) -> web.Response:
         """Carry a command out; the answer comes when it is durable.
 
-        `NotWritten` where the disk fails or the queue is full. Cancelling does not undo the write."""
+        `NotWrittenError` where the disk fails or the queue is full. Cancelling does not undo the write."""
         return self._answer(await self._store.submit(command, until_settled=False))
 
     def renew(self, table: str, key: str, fence: int | None) -> web.Response:
@@ -50,7 +51,7 @@
 
     def check_room(self, table: str, key: str) -> None:
         """`Unavailable` where a new row, or a new table, would exceed the limits."""
-        rows, limits = self._store.table, self._limits
+        rows, limits = self._store.state, self._limits
         if rows.get(table, key) is None and sum(map(rows.count, rows.names)) >= limits.rows:
             raise Unavailable("all rows are taken", str(limits.rows), MORE_ROOM, retry_s=FULL_RETRY_S)
         names = {name for name in rows.names if name not in OWNED}
