--- a/brassfall/lab/play.py
+++ b/brassfall/lab/play.py
@@ -113,7 +113,7 @@
         return day.wire_settings(experiment, number, version.settings)
 
     world = World(sampled_day, settings, ledger_writer, kind, steering_events)
-    Faults(world).set()
+    Faults(world).schedule()
     world.begin()
     ready = time.process_time()
     world.run(_progress(order))
--- a/brassfall/lab/sim/defects.py
+++ b/brassfall/lab/sim/defects.py
@@ -1,4 +1,4 @@
-"""Sidecars that break one rule each: what the ledger has to find, to be believed when it finds nothing."""
+"""Injected defects: sidecars that break one rule each, which the judgement of the ledger has to find."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 from brassfall.lab.models.client import BROKEN, SERVED
 from brassfall.lab.sim.sidecar import RESET, Attempt, Request, Sidecar
 
-EVERY = 25  # a flaw shows at one request in so many, where it shows at single requests
+EVERY = 25  # a defect that concerns single requests concerns one in so many
 
 
 class _Counting(Sidecar):
-    """Counts what may go wrong, so that it goes wrong now and then."""
+    """Counts the chances of its defect, so that it takes one in so many."""
 
     _seen = 0
 
     def is_due(self) -> bool:
-        """Whether this is the one in so many."""
+        """Whether the defect is due at this chance."""
         self._seen += 1
         return self._seen % EVERY == 0
 
@@ -55,15 +55,15 @@
         else:
             super().served(now, request, attempt)
 
-    def _at_last(self, now: float, list_received: tuple[Request, Attempt]) -> None:
-        super().served(now, *list_received)
+    def _at_last(self, now: float, late: tuple[Request, Attempt]) -> None:
+        super().served(now, *late)
 
 
 class IgnoresDrain(Sidecar):
     """Goes on sending to servers that drain or are gone."""
 
     def list_received(self, now: float, form: str, entries: list[Listing], index: int) -> None:
-        """News of the list, all of it good."""
+        """Changes of the list, all servers marked active."""
         as_active = [entry._replace(state="active") for entry in entries]
         super().list_received(now, form, as_active, index)
 
@@ -103,7 +103,7 @@
 
 
 class LosesOnReset(Sidecar):
-    """Forgets a request whose connection to a server has broken."""
+    """Loses a request whose connection to a server has broken."""
 
     def ended(self, now: float, attempt: Attempt, status: int, report: float | None = None) -> None:
         """The outcome of an attempt."""
@@ -120,7 +120,7 @@
     _until = 0.0
 
     def list_received(self, now: float, form: str, entries: list[Listing], index: int) -> None:
-        """News of the list."""
+        """Changes of the list; the newest server is noted."""
         started = [entry for entry in entries if entry.state == "active" and entry.started > 0.0]
         if started:
             self._newest = max(started, key=lambda entry: entry.started).server
@@ -134,10 +134,10 @@
 
 
 class GoesOn(_Counting):
-    """Refuses a request, and sends it all the same."""
+    """Refuses a request, and sends it to a server afterwards."""
 
     def refused(self, now: float, request: Request, retry_after: float) -> None:
-        """The final answer, which it does not mean."""
+        """The final answer, after which it sometimes sends the request."""
         super().refused(now, request, retry_after)
         if self.is_due():
             self.world.at(now + 60.0, self._send_on, request)
@@ -150,10 +150,10 @@
 
 
 class Invents(_Counting):
-    """Answers with what no server has made."""
+    """Answers with what no server has sent."""
 
     def refused(self, now: float, request: Request, retry_after: float) -> None:
-        """The final answer: sometimes a kind lie."""
+        """The final answer: sometimes an invented one."""
         if self.is_due():
             self.world.answered(now, request.call, SERVED)
         else:
@@ -171,7 +171,7 @@
             super().served(now, request, attempt)
 
 
-# Each flaw, and the rule that the ledger has to name for it.
+# Each defect by its name in experiment files, and the rule that it breaks.
 DEFECTS: dict[str, tuple[type[Sidecar], str]] = {
     "notice-twice": (NoticeTwice, "ran twice"),
     "drops-answer": (DropsAnswer, "lost"),
--- a/brassfall/lab/sim/listing.py
+++ b/brassfall/lab/sim/listing.py
@@ -1,4 +1,4 @@
-"""The cores of the list service put together as its process does, its disk a list of records."""
+"""The list service under simulated time: its state machines, with a list of records in place of its disk."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 
 
 class ListService:
-    """One list service; `news` gathers the changes that are to be told to watches."""
+    """One list service; `changes` collects what its watches are to be sent. Times are in ms."""
 
     def __init__(self, clock_s: float = 1000.0, keep_ms: float | None = None) -> None:
         self.disk: list[Record] = []
-        self.announced: list[int] = []  # every index, in the order in which it was told
+        self.announced: list[int] = []  # every index, in the order in which it was announced
         self.changes: list[Change] = []
         self.up = self.stalled = False
         self.gathered_at = 0.0
@@ -33,9 +33,9 @@
         self._wants = settings.LeaseSettings()
         self._keep_ms = settings.GuardSettings().keep_ms if keep_ms is None else keep_ms
 
-    def start(self, now: float, lost: bool = False) -> None:
-        """Begin a life, with the disk of the last one, or without it."""
-        if lost:
+    def start(self, now: float, *, disk_lost: bool = False) -> None:
+        """Begin an incarnation, with the disk of the one before or without it."""
+        if disk_lost:
             self.disk = []
         self.state = State()
         self.state.apply(self.disk)
@@ -46,16 +46,16 @@
             self.leases.grant(
                 now, row.key, row.lease_ms, guarded=entries.guarded(INSTANCES, row), grace_ms=grace
             )
-        # Servers of an earlier life are to come back before anybody is told a list without them.
-        self.gathered_at = now + self._wants.gather_ms if lost else now
+        # Servers of an earlier incarnation are to register again before any list without them is sent.
+        self.gathered_at = now + self._wants.gather_ms if disk_lost else now
         self.up = True
 
-    def tells(self, now: float) -> bool:
-        """Whether it tells lists now."""
+    def is_ready(self, now: float) -> bool:
+        """Whether it answers requests for the list."""
         return self.up and now >= self.gathered_at
 
     def stop(self) -> None:
-        """End its life."""
+        """End this incarnation; what was not sent to watches is lost."""
         self.up = False
         self.changes.clear()
 
@@ -72,15 +72,15 @@
             self._write(transaction.records)
         return result
 
-    def look(self, now: float) -> list[str]:
-        """Take out whose leases are over; their names."""
+    def expire(self, now: float) -> list[str]:
+        """Remove the servers whose leases have expired; their names."""
         expired = self.leases.check(now).expired
         for key in expired:
             self.run(Delete(table=INSTANCES, key=key))
         return expired
 
     def call(self, now: float, call: Call) -> int:
-        """Carry out one call of a member; its status."""
+        """Carry out one call of a member; the HTTP status of the answer."""
         key, body = call.path.split("/")[3], msgspec.json.encode(call.body)
         if call.method == "POST":
             return self._renew(now, key, call.body["since_ms"])
@@ -113,16 +113,16 @@
         return 200
 
     def listed(self) -> list[dict[str, Any]]:
-        """The whole list."""
+        """The complete list."""
         return entries.endpoints(self.state.rows(INSTANCES))
 
     def since(self, index: int) -> list[dict[str, Any]] | None:
-        """What has changed after an index that was told, or None where only the whole list will do."""
+        """The changes after an announced index; None where only the complete list will do."""
         changes = self.state.changes_since(INSTANCES, index)
         return None if changes is None else entries.changed(changes)
 
     def take_changes(self) -> list[dict[str, Any]]:
-        """The changes since it was last asked for them, as a watch tells them."""
+        """The changes since this was called last, as a watch sends them."""
         announced = entries.changed(self.changes)
         self.changes.clear()
         return announced
--- a/brassfall/lab/sim/lists.py
+++ b/brassfall/lab/sim/lists.py
@@ -1,9 +1,9 @@
-"""The list in a simulated play: servers that renew, the service's cores, watches, and how old lists are."""
+"""The endpoint list in a simulated play: servers, the list service, watches, and the age of lists."""
 
 from __future__ import annotations
 
 import random
-from typing import Any
+from typing import Any, NamedTuple
 
 from brassfall.balancer.model import Listing
 from brassfall.controlplane.registry.membership import Call
@@ -12,11 +12,54 @@
 from brassfall.lab.sim.parts import Host
 from brassfall.lab.sim.sidecar import Sidecar, Surroundings
 
-LOOK_MS = 100.0
+EXPIRY_CHECK_MS = 100.0
 SAMPLE_MS = 500.0
-WATCH_SILENT_MS = 5000.0  # a watch without a line for so long is broken
+LIST_ZONE = 0  # where the list service is
+WATCH_SILENT_MS = 5000.0  # a watch without a message for so long is broken
 ASK_TIMEOUT_MS = 1000.0
-SAMPLED = 16  # sidecars whose lists are held against the truth, each sample
+SAMPLED = 16  # sidecars whose lists are compared with the servers, each sample
+
+
+class MemberSession(NamedTuple):
+    """The calls of one server since it began to speak; void once it has begun anew."""
+
+    host: Host
+    number: int
+
+    @property
+    def is_current(self) -> bool:
+        """Whether the server has not begun anew."""
+        return self.number == self.host.session
+
+
+class _MemberCall(NamedTuple):
+    """A server's call on its way to the list service."""
+
+    session: MemberSession
+    call: Call
+
+
+class _MemberAnswer(NamedTuple):
+    """The answer's way back; status 0 for none."""
+
+    session: MemberSession
+    status: int
+
+
+class _WatchRequest(NamedTuple):
+    """A sidecar's request for the list and its changes; void once it has made another one."""
+
+    sidecar: Sidecar
+    number: int
+
+
+class _Delivery(NamedTuple):
+    """A message of a watch on its way to its sidecar."""
+
+    request: _WatchRequest
+    form: str  # "all" or "changes"
+    entries: list[Listing]
+    list_index: int
 
 
 class Lists:
@@ -25,85 +68,88 @@
     def __init__(self, world: Surroundings, seed: int) -> None:
         self.world = world
         self.service = ListService()
-        self.incarnations: dict[tuple[str, float], int] = {}  # of each server, by its start
+        self.incarnations: dict[tuple[str, float], int] = {}  # by server and start
         self.rng = random.Random(seed)
-        self._watchers: dict[Sidecar, int] = {}
+        self._watchers: dict[Sidecar, _WatchRequest] = {}
 
     def begin(self) -> None:
-        """Start it, with every server listed and every sidecar knowing that."""
+        """Start the list service, with every server listed and every sidecar knowing the list."""
         world = self.world
         self.service.start(0.0)
         for host in world.servers.values():
             world.begin_host(host, 0.0, warming_up=False)
             call = host.member.call(0.0)
             host.member.ended(0.0, self.service.call(0.0, call), self.rng.random())
-            world.at(host.member.due, self.speak, (host, host.speaking))
+            world.at(host.member.due, self.speak, MemberSession(host, host.session))
         self.service.take_changes()
         known = {row["name"]: self._listing(row) for row in self.service.listed()}
         for sidecar in world.sidecars:
             sidecar.endpoints = dict(known)
             sidecar.list_index = self.service.state.index
             sidecar.start(0.0, world.day.apps[sidecar.number].seed)
-        world.at(LOOK_MS, self._look, None)
+        world.at(EXPIRY_CHECK_MS, self._expire, None)
         world.at(SAMPLE_MS, self._sample, None)
 
     def leave(self, sidecar: Sidecar) -> None:
-        """A sidecar that watches has died."""
+        """A sidecar has died; its watch ends."""
         self._watchers.pop(sidecar, None)
 
     def _delay(self) -> float:
         low, high = self.world.day.list_delay
         return low + (high - low) * self.rng.random()
 
-    def speak(self, now: float, message: tuple[Host, int]) -> None:
+    def speak(self, now: float, session: MemberSession) -> None:
         """A server calls the list service, if that is due."""
-        host, speaking = message
+        host = session.host
         member = host.member
-        if speaking != host.speaking or member.over or (host.up and host.core.is_stopped):
+        if not session.is_current or member.over or (host.up and host.core.is_stopped):
             return
         if member.due > now:
-            self.world.at(member.due, self.speak, message)
+            self.world.at(member.due, self.speak, session)
             return
-        call = member.call(now)
-        self.world.at(now + self._delay(), self._called, (host, speaking, call))
-
-    def _called(self, now: float, message: tuple[Host, int, Call]) -> None:
-        host, speaking, call = message
-        up = self.service.up and self.world.network.reaches(host.zone, 0)
-        status = self.service.call(now, call) if up else 0
+        call = _MemberCall(session, member.call(now))
+        self.world.at(now + self._delay(), self._called, call)
+
+    def _called(self, now: float, member_call: _MemberCall) -> None:
+        session, call = member_call
+        host = session.host
+        is_reached = self.service.up and self.world.network.reaches(host.zone, LIST_ZONE)
+        status = self.service.call(now, call) if is_reached else 0
         if status:
             self._notify_watches(now)
         wait = self._delay() if status else host.member.patience_ms
-        self.world.at(now + wait, self._called_back, (host, speaking, status))
+        self.world.at(now + wait, self._call_answered, _MemberAnswer(session, status))
 
-    def _called_back(self, now: float, message: tuple[Host, int, int]) -> None:
-        host, speaking, status = message
-        if speaking == host.speaking:
-            host.member.ended(now, status, self.rng.random())
-            self.speak(now, (host, speaking))
+    def _call_answered(self, now: float, answer: _MemberAnswer) -> None:
+        session, status = answer
+        if session.is_current:
+            session.host.member.ended(now, status, self.rng.random())
+            self.speak(now, session)
 
-    def _look(self, now: float, _: None) -> None:
-        if self.service.up and self.service.look(now):
+    def _expire(self, now: float, _: None) -> None:
+        if self.service.up and self.service.expire(now):
             self._notify_watches(now)
-        self.world.at(now + LOOK_MS, self._look, None)
+        self.world.at(now + EXPIRY_CHECK_MS, self._expire, None)
 
     def _listing(self, row: dict[str, Any]) -> Listing:
         since = float(row["since_ms"])
         return Listing(row["name"], int(row["zone"]), int(row["type"]), 0, row["status"], 1.0, since)
 
     def _notify_watches(self, now: float) -> None:
-        """Tell the watches what has changed."""
+        """Send the watches what has changed."""
         if not self.service.changes:
             return
         entries = [self._listing(row) for row in self.service.take_changes()]
         index = self.service.state.index
-        for sidecar, ask in self._watchers.items():
-            if self.world.network.reaches(sidecar.zone, 0):
-                self.world.at(now + self._delay(), self._deliver, (sidecar, ask, "changes", entries, index))
-
-    def _deliver(self, now: float, message: tuple[Sidecar, int, str, list[Listing], int]) -> None:
-        sidecar, ask, form, entries, index = message
-        if not sidecar.up or ask != sidecar.watch_asked:
+        for request in self._watchers.values():
+            if self.world.network.reaches(request.sidecar.zone, LIST_ZONE):
+                delivery = _Delivery(request, "changes", entries, index)
+                self.world.at(now + self._delay(), self._deliver, delivery)
+
+    def _deliver(self, now: float, delivery: _Delivery) -> None:
+        request, form, entries, index = delivery
+        sidecar = request.sidecar
+        if not sidecar.up or request.number != sidecar.watch_asked:
             return
         self._note_events(now, sidecar, form, entries)
         sidecar.watching = True
@@ -127,41 +173,42 @@
                 ledger.ListEvent(sidecar.name, name, incarnation, state, ledger.ms(now))
             )
 
-    def watch(self, now: float, sidecar: Sidecar, ask: int) -> None:
+    def watch(self, now: float, sidecar: Sidecar, number: int) -> None:
         """A sidecar asks for the list, and for all changes from then on."""
-        if not self.world.network.reaches(sidecar.zone, 0):
-            self.world.at(now + ASK_TIMEOUT_MS, self._watch_failed, (sidecar, ask))
-        elif not self.service.tells(now):
-            self.world.at(now + self._delay(), self._watch_failed, (sidecar, ask))
+        request = _WatchRequest(sidecar, number)
+        if not self.world.network.reaches(sidecar.zone, LIST_ZONE):
+            self.world.at(now + ASK_TIMEOUT_MS, self._watch_failed, request)
+        elif not self.service.is_ready(now):
+            self.world.at(now + self._delay(), self._watch_failed, request)
         else:
-            self._watchers[sidecar] = ask
+            self._watchers[sidecar] = request
             changed = self.service.since(sidecar.list_index)
             form, rows = ("all", self.service.listed()) if changed is None else ("changes", changed)
             entries = [self._listing(row) for row in rows]
-            index = self.service.state.index
-            self.world.at(now + self._delay(), self._deliver, (sidecar, ask, form, entries, index))
+            delivery = _Delivery(request, form, entries, self.service.state.index)
+            self.world.at(now + self._delay(), self._deliver, delivery)
 
-    def _watch_failed(self, now: float, message: tuple[Sidecar, int]) -> None:
-        sidecar, ask = message
-        if sidecar.up and ask == sidecar.watch_asked:
-            sidecar.refused_list(now)
+    def _watch_failed(self, now: float, request: _WatchRequest) -> None:
+        sidecar, number = request
+        if sidecar.up and number == sidecar.watch_asked:
+            sidecar.list_refused(now)
 
     def break_watches(self, now: float, zone: int | None, after: float) -> None:
-        """The watches of a zone, or all, end after a time."""
-        for sidecar, ask in list(self._watchers.items()):
-            if zone is None or not self.world.network.reaches(sidecar.zone, 0):
+        """The watches of a zone that is cut off, or all of them, end `after` so many ms."""
+        for sidecar, request in list(self._watchers.items()):
+            if zone is None or not self.world.network.reaches(sidecar.zone, LIST_ZONE):
                 del self._watchers[sidecar]
                 sidecar.watching = False
-                self.world.at(now + after, self._watch_failed, (sidecar, ask))
+                self.world.at(now + after, self._watch_failed, request)
 
     def down(self, now: float) -> None:
         """The list service dies."""
         self.service.stop()
         self.break_watches(now, None, 1.0)
 
-    def up(self, now: float, lost: bool) -> None:
-        """It is back, with its disk or without."""
-        self.service.start(now, lost)
+    def up(self, now: float, *, disk_lost: bool) -> None:
+        """The list service starts again, with its disk or without it."""
+        self.service.start(now, disk_lost=disk_lost)
 
     # --- samples --------------------------------------------------------------
 
@@ -170,7 +217,7 @@
         for sidecar in self.world.sidecars:
             if not sidecar.up:
                 continue
-            if sidecar.watching and self.service.up and self.world.network.reaches(sidecar.zone, 0):
+            if sidecar.watching and self.service.up and self.world.network.reaches(sidecar.zone, LIST_ZONE):
                 sidecar.list_heard = now
             ages.append(now - sidecar.list_heard)
         ages.sort()
@@ -184,8 +231,8 @@
             self.world.at(now + SAMPLE_MS, self._sample, None)
 
     def _wrong(self, sidecar: Sidecar) -> float:
-        """The share of servers that a sidecar's list has as they are not."""
-        true = {
+        """The part of the servers that a sidecar's list has wrong."""
+        actual = {
             name: host.incarnation
             for name, host in self.world.servers.items()
             if host.up and not host.leaving
@@ -195,6 +242,6 @@
             for name, entry in sidecar.endpoints.items()
             if entry.state == "active"
         }
-        differ = sum(endpoints.get(name) != incarnation for name, incarnation in true.items())
-        differ += sum(name not in true for name in endpoints)
-        return differ / max(1, len(true))
+        differ = sum(endpoints.get(name) != incarnation for name, incarnation in actual.items())
+        differ += sum(name not in actual for name in endpoints)
+        return differ / max(1, len(actual))
--- a/brassfall/lab/sim/parts.py
+++ b/brassfall/lab/sim/parts.py
@@ -1,4 +1,4 @@
-"""What passes between the parts of a simulated play: servers, requests and their tries."""
+"""The servers, requests and calls of a simulated play, as its parts share them."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 
 
 class Host:
-    """One server of the fleet, through all its lives."""
+    """One server of the fleet, through all its incarnations."""
 
     def __init__(self, name: str, machine: Machine) -> None:
         self.name = name
         self.machine = machine
         self.zone = machine.zone
         self.incarnation = -1
-        self.link = 0  # counts generations of connections: a death or a reset ends one
+        self.link = 0  # the generation of its connections: a death or a reset ends one
         self.up = False
         self.leaving = False
         self.core: Server
         self.member: Membership
-        self.speaking = 0  # counts its loops of calls to the list service, so that an old one ends
+        self.session = 0  # of its calls to the list service: a new one voids the one before
         self.wakes_at = math.inf
 
 
 class ClientRequest:
-    """A request, through all its client's tries."""
+    """A request of a client, through all calls of its sidecar."""
 
     __slots__ = ("first", "cls", "app", "due", "work", "calls")
 
@@ -42,7 +42,7 @@
 
 
 class Call:
-    """One try of a client."""
+    """One call of a client to its sidecar."""
 
     __slots__ = (
         "id",
@@ -53,20 +53,20 @@
         "key",
         "over",
         "request",
-        "keyed_or_unsafe",
+        "has_effect",
         "incarnation",
     )
 
     def __init__(
-        self, id_: str, client_request: ClientRequest, sent: float, budget: float, key: str, writes: bool
+        self, id_: str, request: ClientRequest, sent: float, budget: float, key: str, *, has_effect: bool
     ) -> None:
         self.id = id_
-        self.client_request = client_request
-        self.hop = client_request.calls
+        self.client_request = request
+        self.hop = request.calls  # which call of the request it is, from 0
         self.sent = sent
         self.budget = budget
         self.key = key
         self.over = False
         self.request: Any = None
-        self.keyed_or_unsafe = writes
+        self.has_effect = has_effect
         self.incarnation = 0
--- a/brassfall/lab/sim/sidecar.py
+++ b/brassfall/lab/sim/sidecar.py
@@ -1,14 +1,14 @@
-"""One sidecar of a simulated fleet: runs the decision module as the real one's driver does.
+"""One sidecar of a simulated fleet: runs the decision module as the real sidecar's driver does.
 
-Events go in, actions are carried out on the world's heap. It keeps the timers, the requests, their
-attempts and the connections; it decides nothing.
+Events go in, and the actions that come out are scheduled in the world. It owns the timers, the requests,
+their attempts and the connections; it decides nothing.
 """
 
 from __future__ import annotations
 
 from abc import ABC, abstractmethod
 from collections.abc import Callable, Iterable
-from typing import Any
+from typing import Any, NamedTuple
 
 from brassfall.balancer import Balancer, Settings, model
 from brassfall.balancer.model import (
@@ -33,12 +33,12 @@
 Handler = Callable[[float, Any], None]
 
 OK, ERROR, FULL, TIMEOUT, CONNECT_FAILED, RESET, CANCELLED, ABANDONED = map(int, model.Outcome)
-MARGIN_MS = 8.0  # what the real driver keeps between its deadline and the client's
+MARGIN_MS = 8.0  # between the deadline of the real driver and that of its client
 PROBE_TIMEOUT_MS = 1000.0
 
 
 class Request:
-    """A request taken, until its final answer and its last outcome."""
+    """A request that was received, until its final answer and the outcome of its last attempt."""
 
     __slots__ = ("number", "call", "give_up_at", "ended", "attempts", "out")
 
@@ -63,13 +63,22 @@
         self.server = server
         self.sent = sent
         self.over = False
-        self.link = -1  # which of the server's generations of connections it went by; -1 before one
+        self.link = -1  # the generation of the server's connections that it uses; -1 before it has one
         self.cross = sidecar.zone != server.zone
         self.fresh = False
         self.of = request.call.id
         self.key = request.call.key
 
 
+class ProbeResult(NamedTuple):
+    """What a health check of a sidecar found."""
+
+    incarnation: int  # of the sidecar
+    server: str
+    status: int  # a `model.Outcome`
+    spent: float  # ms
+
+
 class Pool:
     """The idle connections to one server, by when they were last used."""
 
@@ -81,7 +90,7 @@
 
 
 class Surroundings(ABC):
-    """The world of a play as its sidecars and its list see it."""
+    """The world of a play, as its sidecars and its list service use it."""
 
     day: Day
     ledger_writer: LedgerWriter
@@ -91,11 +100,11 @@
 
     @abstractmethod
     def at(self, when: float, what: Handler, arg: Any) -> None:
-        """Something happens then."""
+        """Schedule a handler with its argument for a time."""
 
     @abstractmethod
     def unless_over(self, when: float, what: Handler, arg: Any) -> None:
-        """Something happens then, unless `arg.over` by then."""
+        """Schedule a time limit: the handler is not called if `arg.over` by then."""
 
     @abstractmethod
     def answered(
@@ -106,6 +115,7 @@
         retry_after: float = 0.0,
         by: str = "",
         of: str = "",
+        *,
         excused: bool = False,
     ) -> None:
         """A client has its answer, or has given up waiting for it."""
@@ -120,19 +130,19 @@
 
     @abstractmethod
     def probe(self, now: float, sidecar: Sidecar, name: str) -> None:
-        """Look whether a server is alive."""
+        """Send a health check to a server."""
 
     @abstractmethod
     def watch(self, now: float, sidecar: Sidecar, ask: int) -> None:
         """A sidecar asks for the list, and for all changes from then on."""
 
     @abstractmethod
-    def begin_host(self, host: Host, now: float, warming_up: bool) -> None:
-        """A life of a server begins; whoever calls this sees to its place in the list."""
+    def begin_host(self, host: Host, now: float, *, warming_up: bool) -> None:
+        """Begin an incarnation of a server; the caller has it registered."""
 
 
 class Sidecar:
-    """One sidecar. `life` counts its starts: what belongs to an earlier one is void."""
+    """One sidecar; what belongs to an earlier `incarnation` of it is void."""
 
     def __init__(
         self, world: Surroundings, number: int, name: str, zone: int, group: int, settings: dict[str, Any]
@@ -142,16 +152,16 @@
         self.name = name
         self.zone = zone
         self.group = group
-        self.steer: model.Steer | None = None  # what it was last told; it outlives a restart
+        self.steer: model.Steer | None = None  # what it received last; it survives a restart
         self.settings = Settings.parse(settings)
         self.idle_ms = self.settings.idle_close
         self.max_attempts = self.settings.max_attempts
         self.incarnation = -1
         self.up = False
         self.watching = False
-        self.watch_asked = 0  # counts asks, so that an answer to an older one is void
+        self.watch_asked = 0  # number of the last request for the list; answers to earlier ones are void
         self.list_index = 0
-        self.list_heard = 0.0  # when what it holds was last known to be true
+        self.list_heard = 0.0  # when its list was last known to be true
         self.endpoints: dict[str, Listing] = {}
         self.requests: dict[int, Request] = {}
         self.pools: dict[str, Pool] = {}
@@ -170,10 +180,10 @@
             Log: self._log,
         }
 
-    # --- life -----------------------------------------------------------------
+    # --- start and end -----------------------------------------------------------------
 
     def start(self, now: float, seed: int) -> None:
-        """Begin anew, with nothing but the list that it last had."""
+        """Begin an incarnation, with nothing but the list that it had before."""
         self.incarnation += 1
         self.up, self.watching = True, False
         self.watch_asked += 1
@@ -185,13 +195,13 @@
             self.steered(now, self.steer)
 
     def steered(self, now: float, steer: model.Steer) -> None:
-        """Another plan, or other overrides."""
+        """A plan or overrides have changed."""
         self.steer = steer
         if self.up:
             self.do(now, self._balancer.steer(now, steer))
 
-    def kill(self, now: float) -> list[Call]:
-        """Its process dies; the tries that it had not answered."""
+    def kill(self) -> list[Call]:
+        """Its process dies; the calls that it had not answered."""
         self.up, self.watching = False, False
         open_calls = [request.call for request in self.requests.values() if not request.ended]
         for pool_name, pool in self.pools.items():
@@ -221,18 +231,18 @@
             None,
             None,
             call.hop > 0,
-            call.keyed_or_unsafe,
+            call.has_effect,
         )
         self.do(now, self._balancer.request(now, arrival))
 
     def client_gone(self, now: float, request: Request) -> None:
-        """The client has given up."""
+        """A client has given up on its call."""
         if self._end(request):
             self.do(now, self._balancer.client_gone(now, request.number))
             self._forget(request)
 
     def ended(self, now: float, attempt: Attempt, status: int, report: float | None = None) -> None:
-        """The one outcome of an attempt; the first OK answers its request."""
+        """An attempt has its one outcome; the first OK answers its request."""
         if attempt.over:
             return
         attempt.over = True
@@ -243,27 +253,27 @@
         if status == OK and self._end(request):
             self.served(now, request, attempt)
         spent = now - attempt.sent
-        list_received = None if report is None else {"inflight": report}
+        load_report = None if report is None else {"inflight": report}
         balancer = self._balancer
         self.do(
             now,
-            balancer.outcome(now, request.number, attempt.hop, status, spent, request.ended, list_received),
+            balancer.outcome(now, request.number, attempt.hop, status, spent, request.ended, load_report),
         )
         self._forget(request)
 
     def expire(self, now: float, attempt: Attempt) -> None:
-        """An attempt's time is over: its connection is closed."""
+        """An attempt has timed out: its connection is closed."""
         if not attempt.over:
             self._drop_connection(attempt)
             self.ended(now, attempt, TIMEOUT)
 
     def timer(self, now: float, token: tuple[int, str]) -> None:
-        """A timer of the module has come due."""
+        """A timer of the decision module has expired."""
         if token[0] == self.incarnation and self.up:
             self.do(now, self._balancer.timer(now, token[1]))
 
     def list_received(self, now: float, form: str, entries: list[Listing], index: int) -> None:
-        """News of the list."""
+        """The complete list, or changes of it, have arrived."""
         if form == "all":
             self.endpoints = {entry.server: entry for entry in entries}
         for entry in entries if form == "changes" else ():
@@ -274,21 +284,21 @@
         self.list_index = max(self.list_index, index)
         self.do(now, self._balancer.server_list(now, form, entries))
 
-    def refused_list(self, now: float) -> None:
-        """A call for the list has failed, or its watch has broken."""
+    def list_refused(self, now: float) -> None:
+        """A request for the list has failed, or its watch has broken."""
         self.watching = False
         self.do(now, self._balancer.server_list(now, "refused", ()))
 
-    def probed(self, now: float, list_received: tuple[int, str, int, float]) -> None:
-        """What a probe has found."""
-        incarnation, server, status, spent = list_received
+    def probed(self, now: float, result: ProbeResult) -> None:
+        """A health check has its result."""
+        incarnation, server, status, spent = result
         if incarnation == self.incarnation and self.up:
             self.do(now, self._balancer.probe_result(now, server, status, spent))
 
     # --- actions --------------------------------------------------------------
 
     def do(self, now: float, actions: Iterable[model.Action]) -> None:
-        """Carry out what the module has decided."""
+        """Carry out what the decision module has decided."""
         acts = self._acts
         for action in actions:
             acts[type(action)](now, action)
@@ -349,7 +359,7 @@
             self._drop_connection(attempt)
             self.ended(now, attempt, CANCELLED)
 
-    def _close_idle(self, now: float, action: CloseIdle) -> None:
+    def _close_idle(self, _now: float, action: CloseIdle) -> None:
         pool = self.pools.pop(action.server, None)
         if pool is not None:
             self.world.disconnect(action.server, pool, len(pool.idle))
@@ -360,14 +370,14 @@
         if action.on:
             self.world.watch(now, self, self.watch_asked)
 
-    def _fetch(self, now: float, action: Fetch) -> None:
+    def _fetch(self, now: float, _action: Fetch) -> None:
         self.world.watch(now, self, self.watch_asked)
 
     def _probe(self, now: float, action: Probe) -> None:
         self.world.probe(now, self, action.server)
 
-    def _log(self, now: float, action: Log) -> None:
-        pass
+    def _log(self, _now: float, _action: Log) -> None:
+        """Logs are for real sidecars."""
 
     # --- connections ----------------------------------------------------------
 
@@ -378,7 +388,7 @@
             self.pools[server.name] = Pool(server.link)
             return False
         idle = pool.idle
-        while idle and now - idle[0] >= self.idle_ms:  # the machine there has closed the oldest
+        while idle and now - idle[0] >= self.idle_ms:  # the server has closed the oldest
             del idle[0]
             self.world.disconnect(server.name, pool, 1)
         if not idle:
@@ -408,5 +418,5 @@
     def _forget(self, request: Request) -> None:
         if request.ended and request.out == 0:
             self.requests.pop(request.number, None)
-            # No cycles: what is over is given back at once, without a look for it.
+            # Without cycles the memory is freed at once, without garbage collection.
             request.attempts, request.call.request = [], None
--- a/brassfall/lab/sim/world.py
+++ b/brassfall/lab/sim/world.py
@@ -1,7 +1,7 @@
-"""The world of a simulated play: one heap of events, and all that happens between the parts.
+"""The world of a simulated play: one heap of events, and everything that happens between the parts.
 
-Everything is drawn from the day and its seed, and events of one time happen in the order in which they
-were set: the same day gives the same rows, byte for byte.
+Everything follows from the day and its seed, and events of the same time happen in the order in which they
+were scheduled: the same day gives the same rows, byte for byte.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from collections.abc import Callable, Sequence
 from dataclasses import replace
 from itertools import count
-from typing import Any
+from typing import Any, NamedTuple
 
 from brassfall.controlplane.registry.membership import Membership
 from brassfall.lab import ledger
@@ -27,7 +27,7 @@
 from brassfall.lab.models.server import ACCEPTED, Job, Server
 from brassfall.lab.models.server import BROKEN as ERROR_AT_ONCE
 from brassfall.lab.models.server import FULL as ROOM_FULL
-from brassfall.lab.sim.lists import Lists
+from brassfall.lab.sim.lists import Lists, MemberSession
 from brassfall.lab.sim.parts import Call, ClientRequest, Host
 from brassfall.lab.sim.sidecar import (
     CONNECT_FAILED,
@@ -40,16 +40,34 @@
     Attempt,
     Handler,
     Pool,
+    ProbeResult,
     Sidecar,
     Surroundings,
 )
 from brassfall.lab.steering import SteeringEvent
 
-ANSWER_SLACK_MS = 20.0  # how long past its time a client still reads an answer
-AFTER_MS = 1500.0  # how long a day runs on after the last deadline
-BIN_MS = 50.0  # of time limits that are most likely never reached
-SCRAMBLE = 0x9E3779B97F4A7C15  # ids tell nothing of their order
+ANSWER_SLACK_MS = 20.0  # how long after its budget a client still reads an answer
+AFTER_MS = 1500.0  # how long a play continues after the last deadline
+BIN_MS = 50.0  # of time limits, see `unless_over`
+SCRAMBLE = 0x9E3779B97F4A7C15  # so that ids do not show their order
 MASK = 0xFFFFFFFFFFFFFFFF
+PROGRESS_MS = 1000.0
+
+
+class _Wake(NamedTuple):
+    """When the next request of a server is finished."""
+
+    host: Host
+    incarnation: int
+    due: float
+
+
+class _Outcome(NamedTuple):
+    """The outcome of an attempt, on its way to the sidecar."""
+
+    attempt: Attempt
+    status: int  # a `model.Outcome`
+    report: float | None  # the load that the server reports
 
 
 class World(Surroundings):
@@ -79,7 +97,7 @@
             sidecar(self, number, app.name, app.zone, app.group, settings(number))
             for number, app in enumerate(day.apps)
         ]
-        self._unread: defaultdict[str, list[Attempt]] = defaultdict(list)  # by a server that stands still
+        self._unread: defaultdict[str, list[Attempt]] = defaultdict(list)  # by a suspended server
         self._parked: dict[int, list[tuple[float, int, Handler, Any]]] = {}
         self._end = day.lasts + max(row.deadline for row in day.classes) + AFTER_MS
         self._works: list[tuple[float, float]] = [
@@ -89,15 +107,14 @@
     # --- time -----------------------------------------------------------------
 
     def at(self, when: float, what: Handler, arg: Any) -> None:
-        """Something happens then."""
+        """Schedule a handler with its argument for a time."""
         heapq.heappush(self._heap, (when, self._count(), what, arg))
 
     def unless_over(self, when: float, what: Handler, arg: Any) -> None:
-        """A time limit: something happens then, unless `arg.over` by the time it comes near.
+        """Schedule a time limit: the handler is not called if `arg.over` by then.
 
-        Nearly all limits are never reached. Those wait in coarse bins, and only what is still open
-        when its bin comes up goes onto the heap, with the place in the order that it was given here.
-        """
+        Nearly all limits are never reached. They wait in coarse bins, and only what is still open when its
+        bin is due goes onto the heap, with its place in the order of scheduling."""
         bin_ = int(when / BIN_MS)
         parked = self._parked.get(bin_)
         if parked is None:
@@ -105,19 +122,19 @@
             self.at(max(bin_ * BIN_MS, 0.0), self._unpark, bin_)
         parked.append((when, self._count(), what, arg))
 
-    def _unpark(self, now: float, bin_: int) -> None:
+    def _unpark(self, _now: float, bin_: int) -> None:
         for entry in self._parked.pop(bin_):
             if not entry[3].over:
                 heapq.heappush(self._heap, entry)
 
-    def run(self, progress: Callable[[float], None] = lambda now: None) -> None:
-        """Play the whole day, after `begin`; `progress` is told the time each simulated second."""
-        # Cycles are few and die with the play; looking for them costs a tenth of the time.
+    def run(self, progress: Callable[[float], None] = lambda _now: None) -> None:
+        """Play the complete day, after `begin`; `progress` is given the time each simulated second."""
+        # There are few cycles, and they end with the play; collecting them costs a tenth of the time.
         gc.disable()
         try:
             self._loop(progress)
         finally:
-            gc.freeze()  # what there is by now has no use for a look at it either
+            gc.freeze()  # the objects of the play need no collection either
             gc.enable()
         self._close()
 
@@ -127,7 +144,7 @@
         columns = arrivals.app.tolist(), arrivals.cls.tolist(), arrivals.work.tolist()
         rows = [*zip(*columns, strict=True)]
         heap, pop, arrive = self._heap, heapq.heappop, self._arrive
-        end, next_at, message, events = self._end, 0, 1000.0, 0
+        end, next_at, report_at, events = self._end, 0, PROGRESS_MS, 0
         while True:
             due = times[next_at]
             if due <= heap[0][0]:
@@ -142,20 +159,20 @@
                     break
                 what(now, arg)
             events += 1
-            if now >= message:
-                message += 1000.0
+            if now >= report_at:
+                report_at += PROGRESS_MS
                 progress(now)
         self.events = events
 
     def begin(self) -> None:
-        """Start everybody, each with the whole list."""
+        """Start the servers, the list service and the sidecars, each with the complete list."""
         self.lists.begin()
         for at, between in self.day.routes[1:]:
             self.at(at, self._reroute, between)
         for event in self._steering:
             self.at(event.at, self._steer, event)
 
-    def _reroute(self, now: float, between: Delays) -> None:
+    def _reroute(self, _now: float, between: Delays) -> None:
         self.network.delays = replace(self.network.delays, between=between)
 
     def _steer(self, now: float, event: SteeringEvent) -> None:
@@ -187,7 +204,7 @@
         if not client_request.calls:
             client_request.first = id_
         key = f"k{client_request.first}" if row.effect == "keyed" else ""
-        call = Call(id_, client_request, now, budget, key, row.effect != "safe")
+        call = Call(id_, client_request, now, budget, key, has_effect=row.effect != "safe")
         client_request.calls += 1
         sidecar = self.sidecars[client_request.app]
         if not sidecar.up:
@@ -213,6 +230,7 @@
         retry_after: float = 0.0,
         by: str = "",
         of: str = "",
+        *,
         excused: bool = False,
     ) -> None:
         """A client has its answer, or has given up waiting for it."""
@@ -274,7 +292,7 @@
         attempt.sidecar.ended(now, attempt, CONNECT_FAILED)
 
     def _reach(self, now: float, attempt: Attempt) -> None:
-        """The last byte of an attempt is at its server."""
+        """The last byte of an attempt has arrived at its server."""
         host = attempt.server
         if attempt.link != host.link or not host.up:
             self._outcome_later(now, attempt, RESET, None)
@@ -303,14 +321,14 @@
             self._outcome_later(now, attempt, ERROR if at_once else FULL, core.report(now))
 
     def wake(self, host: Host) -> None:
-        """See to it that a server is looked at when its next request is done."""
+        """Schedule the time at which the next request of a server is finished."""
         due = host.core.due
         if due < host.wakes_at:
             host.wakes_at = due
-            self.at(due, self._woken, (host, host.incarnation, due))
+            self.at(due, self._wake_due, _Wake(host, host.incarnation, due))
 
-    def _woken(self, now: float, message: tuple[Host, int, float]) -> None:
-        host, incarnation, due = message
+    def _wake_due(self, now: float, wake: _Wake) -> None:
+        host, incarnation, due = wake
         if host.incarnation != incarnation or host.wakes_at != due or not host.up:
             return
         host.wakes_at = math.inf
@@ -328,10 +346,10 @@
             return
         delay_ms = self.network.to_sidecar(host.name, host.zone, attempt.sidecar.group)
         if delay_ms is not None and not attempt.over:
-            self.at(now + delay_ms, self._outcome, (attempt, status, report))
+            self.at(now + delay_ms, self._outcome, _Outcome(attempt, status, report))
 
-    def _outcome(self, now: float, message: tuple[Attempt, int, float | None]) -> None:
-        attempt, status, report = message
+    def _outcome(self, now: float, outcome: _Outcome) -> None:
+        attempt, status, report = outcome
         attempt.sidecar.ended(now, attempt, status, report)
 
     def disconnect(self, name: str, pool: Pool, closed: int) -> None:
@@ -341,14 +359,15 @@
             host.core.connections -= closed
 
     def probe(self, now: float, sidecar: Sidecar, name: str) -> None:
-        """Look whether a server is alive."""
+        """Send a health check to a server."""
         host = self.servers[name]
         delay_ms = self.network.to_server(sidecar.group, name, host.zone)
         if delay_ms is None or (host.up and host.core.is_stopped):
-            message = (sidecar.incarnation, name, TIMEOUT, PROBE_TIMEOUT_MS)
+            result = ProbeResult(sidecar.incarnation, name, TIMEOUT, PROBE_TIMEOUT_MS)
         else:
-            message = (sidecar.incarnation, name, OK if host.up else CONNECT_FAILED, 2.0 * delay_ms)
-        self.at(now + message[3], sidecar.probed, message)
+            status = OK if host.up else CONNECT_FAILED
+            result = ProbeResult(sidecar.incarnation, name, status, 2.0 * delay_ms)
+        self.at(now + result.spent, sidecar.probed, result)
 
     def watch(self, now: float, sidecar: Sidecar, ask: int) -> None:
         """A sidecar asks for the list, and for all changes from then on."""
@@ -356,8 +375,8 @@
 
     # --- servers --------------------------------------------------------------
 
-    def begin_host(self, host: Host, now: float, warming_up: bool) -> None:
-        """A life of a server begins; whoever calls this sees to its place in the list."""
+    def begin_host(self, host: Host, now: float, *, warming_up: bool) -> None:
+        """Begin an incarnation of a server; the caller has it registered."""
         host.incarnation += 1
         host.link += 1
         host.up, host.leaving = True, False
@@ -376,22 +395,22 @@
         }
         host.member = Membership(entry, int(self.day.ttl))
         host.member.due = now
-        host.speaking += 1
+        host.session += 1
 
     def start(self, now: float, host: Host) -> None:
-        """A server starts, cold, and registers itself."""
+        """A server starts, warming up, and registers itself."""
         self.begin_host(host, now, warming_up=True)
-        self.lists.speak(now, (host, host.speaking))
+        self.lists.speak(now, MemberSession(host, host.session))
 
     def successor(self, now: float, host: Host) -> None:
-        """Another server, of another name, takes a machine over."""
+        """A server of another name starts on the machine of one that has ended."""
         base, _, number = host.name.partition(".")
         made = Host(f"{base}.{int(number or 0) + 1}", host.machine)
         self.servers[made.name] = made
         self.start(now, made)
 
     def die(self, now: float, host: Host, why: str) -> None:
-        """A server's process ends; what it had is lost, and its connections are reset."""
+        """A server's process ends; its requests are lost, and its connections are reset."""
         for job in host.core.take_unfinished():
             self._note(host, job.data, now, "lost", job.work)
             self._outcome_later(now, job.data[0], RESET, None)
@@ -400,27 +419,27 @@
         self._note_incarnation(host, now, why)
         host.up = False
         host.link += 1
-        host.speaking += 1
+        host.session += 1
 
     def drain(self, now: float, host: Host) -> None:
-        """A server is asked to end: it tells the list service, and finishes what it has."""
+        """A server is to end: it tells the list service, and finishes its requests."""
         host.leaving = True
         host.core.drain(now)
         self._wish(now, host, "leaving")
 
     def leave(self, now: float, host: Host) -> None:
-        """A server that has drained is gone from the list, and ends."""
+        """A server that has drained leaves the list, and ends."""
         self._wish(now, host, "left")
         self.die(now, host, "left")
-        host.speaking -= 1  # its last call is still made
+        host.session -= 1  # its last call is still made
 
     def _wish(self, now: float, host: Host, status: str) -> None:
         host.member.wish(now, status)
-        host.speaking += 1
-        self.lists.speak(now, (host, host.speaking))
+        host.session += 1
+        self.lists.speak(now, MemberSession(host, host.session))
 
     def reset(self, now: float, host: Host) -> None:
-        """All its connections break; it goes on with what it has."""
+        """All connections of a server break; it continues with its requests."""
         waiting = host.core.unfinished()
         host.link += 1
         host.core.connections = 0
@@ -428,23 +447,23 @@
             self._outcome_later(now, job.data[0], RESET, None)
 
     def settle(self, now: float, host: Host) -> None:
-        """Let a server work until now, before what it can do changes."""
+        """Let a server work until now, before its speed or its requests change."""
         for job in host.core.advance(now):
             self._finish(now, host, job)
 
-    def stand_still(self, now: float, host: Host, stopped: bool) -> None:
-        """Its process is stopped, or goes on and reads what has come meanwhile."""
+    def suspend(self, now: float, host: Host, *, is_stopped: bool) -> None:
+        """A server's process is suspended, or resumed: it then reads what has arrived meanwhile."""
         self.settle(now, host)
-        host.core.suspend(is_stopped=stopped)
-        if stopped:
+        host.core.suspend(is_stopped=is_stopped)
+        if is_stopped:
             return
         for attempt in self._unread.pop(host.name, ()):
             if host.up:
                 self._reach(now, attempt)
         if host.up:
             self.wake(host)
-            host.speaking += 1
-            self.lists.speak(now, (host, host.speaking))
+            host.session += 1
+            self.lists.speak(now, MemberSession(host, host.session))
 
     def _note(self, host: Host, data: tuple[Attempt, float], end: float, outcome: str, work: float) -> None:
         attempt, at = data
@@ -482,11 +501,11 @@
         )
 
     def kill_sidecar(self, now: float, sidecar: Sidecar) -> None:
-        """A sidecar's process dies: its clients' connections are reset."""
+        """A sidecar's process dies: the connections of its clients are reset."""
         self.lists.leave(sidecar)
-        for call in sidecar.kill(now):
+        for call in sidecar.kill():
             self.answered(now, call, BROKEN, excused=True)
 
     def start_sidecar(self, now: float, sidecar: Sidecar, seed: int) -> None:
-        """It is back, with the list that it had."""
+        """A sidecar's process starts again, with the list that it had."""
         sidecar.start(now, seed)
--- a/tests/test_geo.py
+++ b/tests/test_geo.py
@@ -20,7 +20,7 @@
 from brassfall.lab.models import steered
 from brassfall.sidecar.agent import delays
 
-# --- the sidecar's sketch -------------------------------------------------------------------------------------
+# --- the sidecar's sketch ---------------------------------------------------------------------------------
 
 
 def test_buckets_are_the_same_on_both_sides():
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -50,7 +50,7 @@
     world = World(
         day.sample_day(experiment, seed), lambda me: day.wire_settings(experiment, me, {}), book, kind
     )
-    Faults(world).set()
+    Faults(world).schedule()
     world.begin()
     world.run()
     book.close()
--- a/tests/test_registry_simulated.py
+++ b/tests/test_registry_simulated.py
@@ -46,7 +46,7 @@
 
     def beat(self):
         if self.service.up and not self.service.stalled:
-            for key in self.service.look(self.now):
+            for key in self.service.expire(self.now):
                 # Whoever lives and could speak for longer than a lease may not be dropped.
                 quiet = self.now - self.disturbed_at.get(key, 0.0)
                 if key not in self.dead and key not in self.cut and quiet > TTL + 2000.0:
@@ -82,7 +82,7 @@
         self.at(until, self.service_up, lost)
 
     def service_up(self, lost):
-        self.service.start(self.now, lost)
+        self.service.start(self.now, disk_lost=lost)
 
     def stall(self, until):
         self.service.stalled = True
