--- a/brassfall/lab/ledger.py
+++ b/brassfall/lab/ledger.py
@@ -1,7 +1,7 @@
-"""What happened in a play, row by row: every attempt at every server, every answer at every client.
+"""The ledger of a play: every attempt at every server, every answer at every client, row by row.
 
-Rows go to one file of JSON lines a kind, so that a play that was cut off leaves what it saw. Times are
-milliseconds from the start of the play, on one clock. Nothing here is a sidecar's own word.
+Each kind of row has a file of JSON lines, so that an interrupted play leaves what happened until then.
+Times are ms from the start of the play, on one clock. No row comes from a sidecar itself.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 def ms(value: float) -> float:
-    """A time as it is written down, in whole microseconds; `round` takes four times as long."""
+    """A time in ms as it is written, in whole microseconds; `round` takes four times as long."""
     return int(value * 1000.0 + 0.5) / 1000.0 if value >= 0.0 else value
 
 
@@ -25,14 +25,14 @@
 
 
 class Answer(Row):
-    """One try of one request, as its client saw it."""
+    """One call of a request, as its client saw it."""
 
     id: str
     cls: str
     sidecar: str
-    first: str  # the id of the request's first try
-    hop: int  # which try of the request it is, from 0
-    due: float  # when the request was due: latency runs from here, whatever the client got round to
+    first: str  # the id of the request's first call
+    hop: int  # which call of the request it is, from 0
+    due: float  # when the request was due: latency counts from here
     sent: float
     budget: float
     end: float
@@ -60,12 +60,12 @@
 
     @property
     def ran(self) -> bool:
-        """Whether its server took it to work."""
+        """Whether its server worked on it."""
         return self.outcome not in ("full", "draining")
 
 
 class ListEvent(Row):
-    """A sidecar was told of a change in the list."""
+    """A sidecar was notified of a change in the list."""
 
     sidecar: str
     server: str
@@ -75,7 +75,7 @@
 
 
 class Incarnation(Row):
-    """One life of one server."""
+    """One incarnation of one server."""
 
     server: str
     incarnation: int = msgspec.field(name="life")
@@ -88,7 +88,7 @@
 
 
 class Event(Row):
-    """Something that was done to the fleet."""
+    """A fault, as it was carried out."""
 
     kind: str
     at: float
@@ -97,12 +97,12 @@
 
 
 class Age(Row):
-    """How old the lists that sidecars held were, at one moment."""
+    """How old the lists of the sidecars were, at one moment."""
 
     at: float
     median: float
     most: float
-    wrong: float  # mean share of entries that were not as the servers were
+    wrong: float  # mean part of the entries that were wrong
 
 
 KINDS: dict[str, type[Row]] = {
@@ -118,10 +118,10 @@
 
 
 class LedgerWriter:
-    """Writes the rows of one play into a folder."""
+    """Writes the rows of one play into a folder; unbuffered, each row is written at once."""
 
     def __init__(
-        self, folder: Path, buffered: bool = True, kinds: Collection[type[Row]] = tuple(KINDS.values())
+        self, folder: Path, *, buffered: bool = True, kinds: Collection[type[Row]] = tuple(KINDS.values())
     ) -> None:
         folder.mkdir(parents=True, exist_ok=True)
         self._most = FLUSH_ROWS if buffered else 1
@@ -133,7 +133,7 @@
         self._encode = msgspec.json.Encoder().encode_lines
 
     def add(self, row: Row) -> None:
-        """Write down one row."""
+        """Add one row."""
         kind = type(row)
         rows = self._rows[kind]
         rows.append(row)
@@ -146,19 +146,19 @@
         self._rows[kind].clear()
 
     def flush(self) -> None:
-        """Hand all rows to the system."""
+        """Write all rows to their files."""
         for kind in self._files:
             self._flush(kind)
 
     def close(self) -> None:
-        """The play is over."""
+        """Write all rows, and close the files."""
         self.flush()
         for file in self._files.values():
             file.close()
 
 
 def read(folder: Path, kind: type[R]) -> Iterator[R]:
-    """The rows of one kind; of a play that was cut off, all that are whole."""
+    """The rows of one kind; of an interrupted play, all complete ones."""
     path = folder / f"{NAMES[kind]}.jsonl"
     if not path.exists():
         return
--- a/brassfall/lab/play.py
+++ b/brassfall/lab/play.py
@@ -1,7 +1,7 @@
 """One play of one day, in a process of its own: `python -m brassfall.lab.play`, its order on standard input.
 
-A process of its own keeps versions apart, spreads seeds over the cores, and keeps one play that
-fails from the others. It ends when its standard input does: the lab that ordered it is gone.
+Processes of their own keep versions apart, spread seeds over the cores, and keep a play that fails from the
+others. The process ends when its standard input does: then the lab that started it has ended.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 import msgspec
 
 from brassfall.errors import BrassfallError
-from brassfall.lab import day, judge, ledger, spec, steering
+from brassfall.lab import day, judge, ledger, rules, spec, steering
 from brassfall.lab.arrivals import load_experiment
 from brassfall.settings import SettingsError
 
@@ -30,7 +30,7 @@
 
 
 class Order(msgspec.Struct, forbid_unknown_fields=True):
-    """What to play."""
+    """What to play, as JSON on standard input."""
 
     experiment: str
     version: str
@@ -40,7 +40,7 @@
 
 
 class Result(msgspec.Struct, omit_defaults=True):
-    """What came of a play; the last thing that is written of it."""
+    """The result of a play; it is written last."""
 
     version: str
     seed: int
@@ -77,22 +77,22 @@
 
 
 def judged(folder: Path, experiment: spec.Experiment) -> judge.Judgement:
-    """Hold the ledger in a folder against the rules."""
-    ledger_writer = judge.Records(
+    """Judge the ledger in a folder."""
+    records = rules.Records(
         list(ledger.read(folder, ledger.Answer)),
         list(ledger.read(folder, ledger.Attempt)),
         list(ledger.read(folder, ledger.ListEvent)),
         list(ledger.read(folder, ledger.Incarnation)),
     )
     slack = SLACK_MS[experiment.head.mode]
-    fall = (experiment.fleet.fall_multiple, float(experiment.fleet.fall_after))
+    collapse = rules.Collapse(experiment.fleet.fall_multiple, float(experiment.fleet.fall_after))
     return judge.judge(
-        ledger_writer, experiment.classes, experiment.head.lasts, slack, fall, experiment.measure
+        records, experiment.classes, experiment.head.lasts, slack, collapse, experiment.measure
     )
 
 
 def simulate(order: Order) -> Result:
-    """Play a day under simulated time."""
+    """Play a day under simulated time, and judge it."""
     experiment, recorded = load_experiment(Path(order.experiment))
     version = next(version for version in experiment.versions if version.name == order.version)
     if order.code:
@@ -128,11 +128,11 @@
         "memory_mb": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024.0,
     }
     events = list(ledger.read(folder, ledger.Event))
-    return Result(order.version, order.seed, True, "", judgement, events, cost)
+    return Result(order.version, order.seed, valid=True, judgement=judgement, events=events, cost=cost)
 
 
 def perform(order: Order) -> Result:
-    """Play a day with real processes."""
+    """Play a day with real processes, and judge it."""
     from brassfall.lab.real.controller import run_play
     from brassfall.lab.real.process_group import ROOT
 
@@ -152,7 +152,7 @@
 
     why, crashes, cost, events = asyncio.run(work())
     judgement = judged(folder, experiment)
-    judgement.findings += [judge.Finding("crashed", 1, crash) for crash in crashes]
+    judgement.findings += [rules.Finding("crashed", 1, crash) for crash in crashes]
     return Result(order.version, order.seed, not why, why, judgement, events, cost)
 
 
@@ -164,7 +164,7 @@
 
 
 def _end_with(source: int) -> None:
-    """End this process when the lab is gone."""
+    """End this process when the lab has ended."""
 
     def wait() -> None:
         while os.read(source, 4096):
--- a/brassfall/lab/plots.py
+++ b/brassfall/lab/plots.py
@@ -1,4 +1,4 @@
-"""The plots of a report: service by second with faults marked, latency, load by server, age of lists."""
+"""The plots of a report: service by second with the faults, latency, load by server, age of lists."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def write(experiment: spec.Experiment, results: Sequence[Result], out: Path) -> list[str]:
-    """Draw them all into a folder; the names of the files."""
+    """Write all plots into a folder; the names of the files."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -37,14 +37,14 @@
 
 
 def _mark(axes: Any, result: Result) -> None:
-    """The faults of a play, as bands."""
+    """Shade the times of the faults of a play."""
     for number, event in enumerate(result.events):
         begin, end = event.at / 1000.0, max(event.until, event.at + 200.0) / 1000.0
         axes.axvspan(begin, end, alpha=0.12, color=f"C{number % 10}")
         axes.text(begin, 0.02, event.kind, rotation=90, fontsize=7, transform=axes.get_xaxis_transform())
 
 
-def _service(axes: Any, experiment: spec.Experiment, results: Sequence[Result], out: Path) -> bool:
+def _service(axes: Any, experiment: spec.Experiment, results: Sequence[Result], _out: Path) -> bool:
     shown = False
     for number, version in enumerate(experiment.versions):
         mine = _of(results, version.name)
@@ -63,7 +63,7 @@
     return shown
 
 
-def _latency(axes: Any, experiment: spec.Experiment, results: Sequence[Result], out: Path) -> bool:
+def _latency(axes: Any, experiment: spec.Experiment, results: Sequence[Result], _out: Path) -> bool:
     names = ["p50", "p90", "p99", "p99.9"]
     shown = False
     for version in experiment.versions:
@@ -107,7 +107,7 @@
 
 
 def _in_flight(folder: Path, lasts: float) -> np.ndarray[Any, np.dtype[np.float64]]:
-    """Requests that each server held, a column every half second: from its attempts, nan where it was not."""
+    """Requests in flight by server and half second (servers, samples); nan while a server did not run."""
     incarnations = list(ledger.read(folder, ledger.Incarnation))
     names = list(
         dict.fromkeys(
--- a/brassfall/lab/report.py
+++ b/brassfall/lab/report.py
@@ -1,4 +1,4 @@
-"""What an experiment showed: `plays.jsonl`, a summary in Markdown, and plots."""
+"""The results of an experiment: `plays.jsonl`, a summary in Markdown, and plots."""
 
 from __future__ import annotations
 
@@ -10,6 +10,7 @@
 
 from brassfall.lab import plots, spec
 from brassfall.lab.play import Result
+from brassfall.lab.rules import Finding
 
 STATISTICS = ("service", "worst_window", "worst_class", "goal")
 
@@ -117,15 +118,17 @@
     lines = []
     for version in experiment.versions:
         for result in valid(results, version.name):
-            for finding in result.judgement.findings if result.judgement else ():
-                lines.append(
-                    f"- {version.name}, seed {result.seed}: **{finding.rule}**, {finding.count} times; "
-                    f"first: {finding.first}"
-                )
+            findings = result.judgement.findings if result.judgement else ()
+            lines += [_finding(result, finding) for finding in findings]
     counted = any(result.valid for result in results)
     return lines or ["All kept, by the ledger." if counted else "No play counts."]
 
 
+def _finding(result: Result, finding: Finding) -> str:
+    case = f"{finding.count} times; first: {finding.first}"
+    return f"- {result.version}, seed {result.seed}: **{finding.rule}**, {case}"
+
+
 def _events(results: Sequence[Result]) -> list[str]:
     lines = []
     first = {result.seed: result for result in results if result.valid}
--- a/brassfall/lab/runner.py
+++ b/brassfall/lab/runner.py
@@ -100,7 +100,9 @@
                 stdout=asyncio.subprocess.PIPE,
                 stderr=asyncio.subprocess.PIPE,
             )
-            assert play.process.stdin and play.process.stdout and play.process.stderr
+            assert play.process.stdin is not None
+            assert play.process.stdout is not None
+            assert play.process.stderr is not None
             play.process.stdin.write(msgspec.json.encode(order) + b"\n")
             errors = asyncio.create_task(play.process.stderr.read())
             async for line in play.process.stdout:
@@ -113,7 +115,7 @@
                 return
             why = text.splitlines()[-1] if text else f"ended with status {status}"
             (play.folder / "error.txt").write_text(text + "\n")
-            play.result = Result(play.version, play.seed, False, why)
+            play.result = Result(play.version, play.seed, valid=False, why=why)
             self.say(f"{play.version}, seed {play.seed}: failed: {why}")
 
     async def _tell(self) -> None:
--- a/brassfall/lab/spec.py
+++ b/brassfall/lab/spec.py
@@ -1,7 +1,7 @@
 """Experiment files: TOML to immutable typed values. Every error names file, key and reason.
 
-The figures that stand here as defaults are those of the operators' brief for their largest site;
-what an experiment does not name it takes from them.
+The defaults are those of the operators' brief for their largest site. Keys that read badly have another
+name in the code: `field(name=...)` gives the key.
 """
 
 from __future__ import annotations
@@ -16,7 +16,9 @@
 
 Part = Annotated[float, msgspec.Meta(ge=0.0, le=1.0)]
 Some = Annotated[int, msgspec.Meta(ge=1, le=100_000)]
-LASTS_MOST_MS = 86_400_000.0
+MAX_LASTS_MS = 86_400_000.0
+MAX_RATE = 1e6  # requests/s
+MAX_LOAD_SHARE = 20.0  # of what the fleet can do
 Name = Annotated[str, msgspec.Meta(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$")]
 
 
@@ -31,23 +33,25 @@
     share: Part
     cores: Some = 4
     speed: Spread = Spread((0.85, 1.1))  # work of a standard core that each core does in its time
-    slots_per_core: Spread = Spread((2.0, 6.0))  # requests in work at once
-    queue_per_core: Spread = Spread((1.0, 4.0))  # requests that wait; beyond them all are turned away
+    slots_per_core: Spread = Spread((2.0, 6.0))  # requests that run at once
+    queue_per_core: Spread = Spread((1.0, 4.0))  # requests that wait; more are rejected
     warmup_start: Spread = msgspec.field(
         name="cold_from", default=Spread((0.12, 0.35))
-    )  # share of its capacity after a start
-    warmup: Span = msgspec.field(name="cold", default=Span((10_000.0, 22_000.0)))  # until it has all of it
+    )  # part of its capacity after a start
+    warmup: Span = msgspec.field(
+        name="cold", default=Span((10_000.0, 22_000.0))
+    )  # until it has all of its capacity
     error_rate: Spread = Spread((0.0, 0.002))
 
 
 class OverloadSettings(Table, frozen=True, kw_only=True):
-    """When a crowded server turns slow, and stays so."""
+    """When an overloaded server becomes slow, and for how long."""
 
     servers: Part = 0.6  # of days; 0 for never
     in_flight_per_core: Spread = msgspec.field(name="held_per_core", default=Spread((4.0, 7.0)))
     after: Span = Span((1500.0, 2500.0))
     slower: Spread = Spread((2.2, 3.4))
-    rest_below: Spread = Spread((0.25, 0.4))  # held per core: mostly idle
+    rest_below: Spread = Spread((0.25, 0.4))  # in flight per core: mostly idle
     rest: Span = Span((2700.0, 4700.0))
     most: Span = Span((16_000.0, 34_000.0))
 
@@ -72,7 +76,7 @@
 
 
 class Fleet(Table, frozen=True, kw_only=True):
-    """Who there is."""
+    """The servers, the sidecars, and how they behave."""
 
     sidecars: Some = 4
     servers: Some = 12
@@ -86,7 +90,7 @@
     overload: OverloadSettings = msgspec.field(name="crowding", default=OverloadSettings())
     report: Report = Report()
     connections: Connections = Connections()
-    fall_multiple: float = 4.0  # of its present capacity, sent to a cold server
+    fall_multiple: float = 4.0  # of its present capacity: so much makes a server that warms up collapse
     fall_after: Ms = Ms(2000.0)
 
 
@@ -128,7 +132,7 @@
 
 
 class Clients(Table, frozen=True, kw_only=True):
-    """What applications do."""
+    """How applications behave."""
 
     retries: Spread = Spread((2.0, 3.99))
     try_share: Spread = Spread((0.5, 0.6))  # of a class's time, after which a try is given up
@@ -187,14 +191,14 @@
 
 
 class Wander(Table, frozen=True, kw_only=True):
-    """The load moves at random between these shares of the usual."""
+    """The load varies at random between these multiples of the usual."""
 
     between: Spread = Spread((0.9, 1.1))
     every: Ms = Ms(4000.0)
 
 
 class Load(Table, frozen=True, kw_only=True):
-    """What applications ask for."""
+    """How much applications ask for."""
 
     share: Spread | None = None  # of what the fleet can do
     rate: Rate | None = None
@@ -207,14 +211,14 @@
 
 
 class ListService(Table, frozen=True, kw_only=True):
-    """How servers stand in the list."""
+    """The list service."""
 
     ttl: Ms = Ms(6000.0)
-    delay: Span = Span((1.0, 3.0))  # of a call to it and of what it tells
+    delay: Span = Span((1.0, 3.0))  # of a call to it and of its messages
 
 
 class Fault(Table, frozen=True, kw_only=True):
-    """One thing that goes wrong, on the timetable."""
+    """One fault at a stated time."""
 
     kind: str
     at: Span
@@ -247,14 +251,14 @@
 
 
 class SampledFaults(Table, frozen=True, kw_only=True):
-    """Faults drawn from the seed, with the figures of the operators' brief."""
+    """Faults sampled by the seed, with the values of the operators' brief."""
 
     count: Spread = Spread((2.0, 4.0))
     kinds: list[str] = msgspec.field(default_factory=lambda: list(BRIEF))
 
 
 class Measure(Table, frozen=True, kw_only=True):
-    """A span of time, all classes or one, whose service is told by itself."""
+    """A span of time, for all classes or one, whose service is reported separately."""
 
     name: Name
     begin: Ms = msgspec.field(name="from", default=Ms(0.0))
@@ -263,7 +267,7 @@
 
 
 class Hold(Table, frozen=True, kw_only=True):
-    """A zone that sidecars are told to hold off for a time."""
+    """A zone that sidecars are steered away from for a time."""
 
     zone: Name
     begin: Ms = msgspec.field(name="from")
@@ -271,11 +275,11 @@
 
 
 class Version(Table, frozen=True, kw_only=True):
-    """One of the programs to compare: a revision, other settings, a seeded flaw, or steered otherwise."""
+    """One of the versions to compare: a revision, other settings, an injected defect, or other steering."""
 
     name: Name
     revision: str | None = None
-    settings: dict[str, Any] = {}  # laid over what sidecars are told
+    settings: dict[str, Any] = {}  # laid over the settings of the site
     defect: str | None = msgspec.field(name="flaw", default=None)
     steer: Literal["off", "true", "fixed"] = "off"  # by the true delays, or by the shares given here
     shares: dict[str, dict[str, float]] = {}  # by group and zone
@@ -291,12 +295,12 @@
     lasts: Ms = msgspec.field(name="for")
     repeats: Some = 1
     first_seed: Annotated[int, msgspec.Meta(ge=0)] = 1
-    workers: Annotated[int, msgspec.Meta(ge=0)] = 0  # plays side by side; 0 for one a core
+    workers: Annotated[int, msgspec.Meta(ge=0)] = 0  # plays at the same time; 0 for one each core
     compiled: bool = False  # a simulated one in machine code, with the same results
 
 
 class Experiment(Table, frozen=True, kw_only=True):
-    """A whole file."""
+    """A complete file."""
 
     head: Head = msgspec.field(name="experiment")
     load: Load
@@ -312,7 +316,7 @@
     versions: list[Version] = msgspec.field(default_factory=lambda: [Version(name="now")])
 
 
-# What each fault needs beside its time: who it strikes, how long, and how hard.
+# What each fault needs beside its time: its targets, how long it lasts, and its size.
 SERVERS, ZONE, LENGTH, SIZE, ANYONE = "servers", "zone", "for", "size", "sidecars"
 NEEDS: dict[str, tuple[str, ...]] = {
     "kill": (SERVERS, LENGTH),
@@ -347,22 +351,47 @@
 
 def check(experiment: Experiment) -> Experiment:
     """The same experiment, if its values make sense together; `ValueError` names the first that does not."""
-    if experiment.head.lasts <= 0.0:
+    _check_head(experiment.head)
+    _check_load(experiment.load)
+    _check_shares(experiment)
+    _check_names(experiment)
+    _check_geography(experiment)
+    for number, version in enumerate(experiment.versions):
+        _check_steering(f"versions[{number}]", version, experiment)
+    for number, measure in enumerate(experiment.measure):
+        _check_measure(f"measure[{number}]", measure, experiment)
+    for number, fault in enumerate(experiment.faults):
+        _check_fault(f"faults[{number}]", fault, experiment)
+    for kind in experiment.sampled_faults.kinds if experiment.sampled_faults is not None else ():
+        if kind not in BRIEF:
+            raise ValueError(f"drawn.kinds: {kind!r} is none of {', '.join(BRIEF)}")
+    return experiment
+
+
+def _check_head(head: Head) -> None:
+    if head.lasts <= 0.0:
         raise ValueError("experiment.for: nothing is played in no time")
-    if experiment.head.lasts > LASTS_MOST_MS:
+    if head.lasts > MAX_LASTS_MS:
         raise ValueError("experiment.for: a day is the most")
-    if (experiment.load.share is None) + (experiment.load.rate is None) + (
-        experiment.load.replay is None
-    ) != 2:
+
+
+def _check_load(load: Load) -> None:
+    if (load.share is None) + (load.rate is None) + (load.replay is None) != 2:
         raise ValueError("load: one of share, rate and replay is wanted")
-    if experiment.load.rate is not None and experiment.load.rate > 1e6:
-        raise ValueError(f"load.rate: {experiment.load.rate:g} a second is out of range")
-    if experiment.load.share is not None and not 0.0 < experiment.load.share[1] <= 20.0:
-        raise ValueError(f"load.share: {experiment.load.share[1]:g} is not above 0 and up to 20")
+    if load.rate is not None and load.rate > MAX_RATE:
+        raise ValueError(f"load.rate: {load.rate:g} a second is out of range")
+    if load.share is not None and not 0.0 < load.share[1] <= MAX_LOAD_SHARE:
+        raise ValueError(f"load.share: {load.share[1]:g} is not above 0 and up to 20")
+
+
+def _check_shares(experiment: Experiment) -> None:
     for part, rows in (("fleet.kinds", experiment.fleet.kinds), ("classes", experiment.classes)):
         total = sum(row.share for row in rows)
         if not 0.99 <= total <= 1.01:
             raise ValueError(f"{part}: the shares sum to {total:g}, not to 1")
+
+
+def _check_names(experiment: Experiment) -> None:
     for part, names in (
         ("fleet.zones", experiment.fleet.zones),
         ("fleet.kinds", [kind.name for kind in experiment.fleet.kinds]),
@@ -372,39 +401,37 @@
     ):
         if not names or len(set(names)) != len(names):
             raise ValueError(f"{part}: names are wanted, each once")
-    _check_geography(experiment)
-    for number, measure in enumerate(experiment.measure):
-        _check_measure(f"measure[{number}]", measure, experiment)
-    for number, fault in enumerate(experiment.faults):
-        _check_fault(f"faults[{number}]", fault, experiment)
-    for kind in experiment.sampled_faults.kinds if experiment.sampled_faults is not None else ():
-        if kind not in BRIEF:
-            raise ValueError(f"drawn.kinds: {kind!r} is none of {', '.join(BRIEF)}")
-    return experiment
 
 
 def _check_geography(experiment: Experiment) -> None:
-    zones, place = set(experiment.fleet.zones), experiment.geography
-    groups = [group.name for group in place.groups] if place is not None else []
-    if place is not None and (not groups or len(set(groups)) != len(groups)):
+    zones, geography = set(experiment.fleet.zones), experiment.geography
+    if geography is None:
+        return
+    groups = [group.name for group in geography.groups]
+    if not groups or len(set(groups)) != len(groups):
         raise ValueError("geography.groups: names are wanted, each once")
-    for number, group in enumerate(place.groups if place is not None else ()):
+    for number, group in enumerate(geography.groups):
         if group.zone not in zones or set(group.delays) != zones:
             raise ValueError(
                 f"geography.groups[{number}]: a zone and delays to {', '.join(zones)} are wanted"
             )
-    if place is not None and experiment.head.mode == "real" and {g.zone for g in place.groups} != zones:
+    if experiment.head.mode == "real" and {group.zone for group in geography.groups} != zones:
         raise ValueError("geography.groups: in real mode a group stands in each zone")
-    for number, change in enumerate(place.changes if place is not None else ()):
+    for number, change in enumerate(geography.changes):
         if change.group not in groups or not set(change.delays) <= zones or change.at <= 0.0:
             raise ValueError(f"geography.changes[{number}]: a time, a group and delays to zones are wanted")
-    for number, version in enumerate(experiment.versions):
-        at, steered = f"versions[{number}]", version.steer != "off" or version.holds
-        if steered and (place is None or experiment.head.mode == "real" or version.revision is not None):
+
+
+def _check_steering(at: str, version: Version, experiment: Experiment) -> None:
+    geography = experiment.geography
+    groups = {group.name for group in geography.groups} if geography is not None else set()
+    if version.steer != "off" or version.holds:
+        is_possible = geography is not None and experiment.head.mode != "real" and version.revision is None
+        if not is_possible:
             raise ValueError(f"{at}: steered are simulated plays of this program that have a geography")
-        named = {zone for row in version.shares.values() for zone in row} | {h.zone for h in version.holds}
-        if not named <= zones or not set(version.shares) <= set(groups):
-            raise ValueError(f"{at}: shares and holds name groups and zones that there are")
+    named = {zone for row in version.shares.values() for zone in row} | {h.zone for h in version.holds}
+    if not named <= set(experiment.fleet.zones) or not set(version.shares) <= groups:
+        raise ValueError(f"{at}: shares and holds name groups and zones that there are")
 
 
 def _check_measure(at: str, measure: Measure, experiment: Experiment) -> None:
@@ -420,20 +447,10 @@
     if needs is None:
         raise ValueError(f"{at}.kind: {fault.kind!r} is none of {', '.join(NEEDS)}")
     if fault.at[1] >= experiment.head.lasts:
-        raise ValueError(
-            f"{at}.at: {fault.at[1] / 1000.0:g} s is after the end, {experiment.head.lasts / 1000.0:g} s"
-        )
-    struck = [part for part in (fault.part, fault.servers, fault.zone) if part is not None]
-    if SERVERS in needs and len(struck) != 1:
-        raise ValueError(f"{at}: {fault.kind} wants one of part, servers and zone")
-    if ANYONE in needs and fault.part is None:
-        raise ValueError(f"{at}.part: {fault.kind} wants the part of the sidecars that it strikes")
-    if fault.part is not None and fault.part[1] > 1.0:
-        raise ValueError(f"{at}.part: {fault.part[1]:g} is more than all, 1.0")
-    if fault.zone is not None and fault.zone not in experiment.fleet.zones:
-        raise ValueError(f"{at}.zone: {fault.zone!r} is none of {', '.join(experiment.fleet.zones)}")
-    if ZONE in needs and fault.zone is None:
-        raise ValueError(f"{at}.zone: {fault.kind} wants the zone that it strikes")
+        begin_s, end_s = fault.at[1] / 1000.0, experiment.head.lasts / 1000.0
+        raise ValueError(f"{at}.at: {begin_s:g} s is after the end, {end_s:g} s")
+    _check_targets(at, fault, needs)
+    _check_places(at, fault, needs, experiment.fleet)
     if LENGTH in needs and fault.lasts[0] <= 0.0:
         raise ValueError(f"{at}.for: {fault.kind} wants to last for some time")
     if SIZE in needs and fault.size is None:
@@ -442,3 +459,20 @@
     for name in fault.servers or ():
         if name not in known:
             raise ValueError(f"{at}.servers: {name!r} is not between s0 and s{experiment.fleet.servers - 1}")
+
+
+def _check_targets(at: str, fault: Fault, needs: tuple[str, ...]) -> None:
+    named = [part for part in (fault.part, fault.servers, fault.zone) if part is not None]
+    if SERVERS in needs and len(named) != 1:
+        raise ValueError(f"{at}: {fault.kind} wants one of part, servers and zone")
+    if ANYONE in needs and fault.part is None:
+        raise ValueError(f"{at}.part: {fault.kind} wants the part of the sidecars that it strikes")
+    if fault.part is not None and fault.part[1] > 1.0:
+        raise ValueError(f"{at}.part: {fault.part[1]:g} is more than all, 1.0")
+
+
+def _check_places(at: str, fault: Fault, needs: tuple[str, ...], fleet: Fleet) -> None:
+    if fault.zone is not None and fault.zone not in fleet.zones:
+        raise ValueError(f"{at}.zone: {fault.zone!r} is none of {', '.join(fleet.zones)}")
+    if ZONE in needs and fault.zone is None:
+        raise ValueError(f"{at}.zone: {fault.kind} wants the zone that it strikes")
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -14,7 +14,7 @@
 import psutil
 import pytest
 
-from brassfall.lab import compare, day, judge, ledger, play, runner, spec
+from brassfall.lab import compare, day, judge, ledger, play, rules, runner, service, spec
 from brassfall.lab.models.server import ACCEPTED, FULL, Job, Server
 from brassfall.lab.real import controller
 from brassfall.lab.sim.defects import DEFECTS
@@ -90,9 +90,9 @@
         ledger.ListEvent("n0", "s1", 0, state, at) for state, at in (("left", 1000.0), ("active", 1800.0))
     )
     for news, found in (([gone], ["drain"]), ([gone, back], []), ([back], [])):
-        book = judge.Records([answer], [sent], news, [])
-        rules = judge.judge(book, experiment.classes, 5000.0, 30.0, (4.0, 2000.0)).findings
-        assert [finding.rule for finding in rules] == found
+        book = rules.Records([answer], [sent], news, [])
+        findings = judge.judge(book, experiment.classes, 5000.0, 30.0, rules.Collapse(4.0, 2000.0)).findings
+        assert [finding.rule for finding in findings] == found
 
 
 def test_the_load_is_as_the_experiment_says(tmp_path):
@@ -127,7 +127,7 @@
     def side(name, shifts):
         def judged(shift):
             spans = {"m": 0.4 + shift}
-            statistics = judge.Statistics(
+            statistics = service.Statistics(
                 1, 1, 1, 0.5 + shift, 0.5, 0.5, 0.5, {}, {}, 0, 0.0, 0.0, {}, [], spans
             )
             return judge.Judgement(statistics, [])
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -312,6 +312,8 @@
     "controlplane/geo/publisher.py",
     "lab/quantities.py",
     "lab/judge.py",
+    "lab/rules.py",
+    "lab/service.py",
     "lab/overrides/judge.py",
     "lab/overrides/parts.py",
     "lab/geography.py",
