--- a/brassfall/balancer/balancer.py
+++ b/brassfall/balancer/balancer.py
@@ -22,11 +22,11 @@
 from brassfall.balancer.pace import PaceTracker
 from brassfall.balancer.rates import SendRate
 from brassfall.balancer.records import (
+    ABANDONED,
     CANCELLED,
     CONNECT_FAILED,
     ERROR,
     FULL,
-    MOOT,
     OK,
     RESET,
     TIMEOUT,
@@ -44,7 +44,7 @@
 
 Report = Mapping[str, float] | None
 
-NEVER_RAN = frozenset((FULL, CONNECT_FAILED, MOOT))
+NEVER_RAN = frozenset((FULL, CONNECT_FAILED, ABANDONED))
 MAY_RUN_STILL = frozenset((TIMEOUT, RESET, CANCELLED))
 FAULTS = frozenset((ERROR, TIMEOUT, CONNECT_FAILED, RESET))
 
@@ -113,13 +113,13 @@
 
     # --- events -----------------------------------------------------------
 
-    def reload(self, now: float, settings: Settings, kept: Collection[int]) -> list[model.Action]:
+    def reload(self, now: float, settings: Settings, retained: Collection[int]) -> list[model.Action]:
         """Other settings from now on; requests in flight keep theirs. What was learned stays, but
-        for the classes that are not kept: their slots may be another's now."""
+        for the classes that are not retained: their slots may be another's now."""
         self.settings = settings
-        self._paces.keep_classes(kept)
-        self._shedder.reload(settings, kept)
-        self._zones.reload(settings, kept)
+        self._paces.keep_classes(retained)
+        self._shedder.reload(settings, retained)
+        self._zones.reload(settings, retained)
         self._connections.reload(settings)
         self._overload.reload(settings)
         self._endpoints.reload(settings)
@@ -137,19 +137,23 @@
 
     def request(self, now: float, arrival: model.Arrival) -> list[model.Action]:
         """A client's request: refuse it at once or send it. `ValueError` if there is no such class."""
-        if not 0 <= arrival.band < len(self.settings.profiles):
-            raise ValueError(f"request {arrival.request}: no class {arrival.band}")
+        if not 0 <= arrival.request_class < len(self.settings.profiles):
+            raise ValueError(f"request {arrival.request}: no class {arrival.request_class}")
         request = self._requests[arrival.request] = self._taken(now, arrival)
         self._paces.arrive(request.work)
         request.over_quota = self._shedder.arrive(
-            request.request_class, request.profile.worth, request.work, request.tenant, self._rng.random()
+            request.request_class,
+            request.profile.priority_weight,
+            request.work,
+            request.tenant,
+            self._rng.random(),
         )
         key = request.key
         if key is not None and self.settings.warm_keys:
             self._affinity.count(key)
         if self._too_heavy(now, request):
             self._give_up(now, request, "heavy")
-        elif key is not None and request.profile.in_turn:
+        elif key is not None and request.profile.ordered:
             self._enqueue(now, request, key)
         else:
             self._attempt(now, request)
@@ -214,7 +218,7 @@
         return self._take_actions()
 
     def body_gone(self, now: float, request_id: int) -> list[model.Action]:
-        """More of a large body has been forwarded than is kept: it can't be sent again."""
+        """More of a large body has been forwarded than is retained: it can't be sent again."""
         request = self._requests.get(request_id)
         if request is not None:
             request.body_forwarded = True
@@ -239,14 +243,14 @@
                 self._release(server, closings)
         elif kind == WATCH and self._watch_pending:
             self._watch_pending = False
-            self._actions.append(model.Watch(True))
+            self._actions.append(model.Watch(on=True))
         return self._take_actions()
 
     def server_list(self, now: float, form: str, entries: Iterable[model.Listing]) -> list[model.Action]:
         """What discovery says of the servers; `form` is "changes", "all", "remembered" or "refused"."""
         if form == "refused":
             self._watch_later(self._watch_retry_ms * (1.0 + self._rng.random()))
-            longest = min(model.ASK_MOST_MS, WATCH_RETRY_PART * self.settings.ask_within)
+            longest = min(model.MAX_POLL_BACKOFF_MS, WATCH_RETRY_PART * self.settings.ask_within)
             self._watch_retry_ms = min(2.0 * self._watch_retry_ms, longest)
             return self._take_actions()
         if form == "remembered":
@@ -287,10 +291,12 @@
 
     def _taken(self, now: float, arrival: model.Arrival) -> Request:
         """The record of a request that arrives."""
-        profile = self.settings.profiles[arrival.band]
+        profile = self.settings.profiles[arrival.request_class]
         # A figure that is not finite must not reach a time-out: the class's own serves.
         until = arrival.give_up_at if math.isfinite(arrival.give_up_at) else now + profile.deadline
-        request = Request(arrival.request, arrival.band, arrival.key, profile, self.settings, now, until)
+        request = Request(
+            arrival.request, arrival.request_class, arrival.key, profile, self.settings, now, until
+        )
         if arrival.work and 0.0 < arrival.work < math.inf:
             request.work, request.work_known = arrival.work, True
         request.tenant = arrival.tenant
@@ -299,7 +305,7 @@
 
     def _too_heavy(self, now: float, request: Request) -> bool:
         """Whether, under overload, a request would take a server and still come too late."""
-        if request.profile.late_worth > 0.0 or self._shedder.probability(now) <= SHED_IDLE:
+        if request.profile.late_weight > 0.0 or self._shedder.probability(now) <= SHED_IDLE:
             return False
         work = request.work if request.work_known else None
         return self._paces.expected_ms(request.request_class, work) > OVERRUN * request.profile.objective
@@ -307,7 +313,7 @@
     def _attempt(self, now: float, request: Request) -> None:
         """Throttle, sample candidates, then send to the least loaded of them."""
         drop = self._throttle.drop_chance(now)
-        chance = self._shedder.refusal_chance(now, drop, request.request_class, request.over_quota)
+        chance = self._shedder.refusal_chance(now, drop, request.request_class, over=request.over_quota)
         if chance > 0.0 and self._rng.random() < chance:
             self._refuse_locally(now, request, drop)
             return
@@ -484,18 +490,18 @@
         request.ended = True
         self._cancel_others(request, -1)
 
-    def _cancel_others(self, request: Request, kept: int) -> None:
+    def _cancel_others(self, request: Request, retained: int) -> None:
         """Cancel what is out of a request, but for one attempt."""
         if request.limits.may_cancel:
             for hop, attempt in enumerate(request.attempts):
-                if attempt.outstanding and hop != kept:
+                if attempt.outstanding and hop != retained:
                     self._actions.append(model.Cancel(request.id, hop))
 
     def _forget(self, now: float, request: Request) -> None:
         """Drop the record of a request that is over, and start the next one of its key."""
         if request.ended and request.outstanding == 0:
             self._requests.pop(request.id, None)
-            if request.profile.in_turn and request.key is not None:
+            if request.profile.ordered and request.key is not None:
                 self._advance(now, request.key)
 
     # --- the endpoint list ----------------------------------------------------
--- a/brassfall/balancer/model.py
+++ b/brassfall/balancer/model.py
@@ -1,4 +1,4 @@
-"""Plain typed values that the decision module takes and gives: no decisions."""
+"""The interface of the decisions: events and actions as plain typed values, without decisions."""
 
 from __future__ import annotations
 
@@ -8,34 +8,35 @@
 from types import MappingProxyType
 from typing import NamedTuple
 
-# What a change of the list may take to arrive, whatever a call to discovery met before: after so long
-# it counts as told. Waits before a call and limits of one are parts of it; the spare is for loops that lag.
-TOLD_MS = 6000.0
+# A change of the endpoint list counts as notified, whether or not it arrived, so long after discovery had
+# it and could be reached, whatever a call met before. Waits before a call and limits of one are parts of it;
+# the spare is for loops that lag.
+NOTIFIED_MS = 6000.0
 SPARE_MS = 500.0
 CALL_MS = 1000.0  # that a call takes which is answered in its turn, or fails
 # Up to twice this passes before a call is made again: discovery is back while a call is under way that
 # fails, and the next fails in its turn; the one after that is still in time.
-ASK_MOST_MS = (TOLD_MS - SPARE_MS - 3.0 * CALL_MS) / 4.0
+MAX_POLL_BACKOFF_MS = (NOTIFIED_MS - SPARE_MS - 3.0 * CALL_MS) / 4.0
 
 
 class Outcome(IntEnum):
-    """How one attempt or probe ended."""
+    """How one attempt or health check ended, by its number on the wire."""
 
     OK = 0
-    ERROR = 1
-    FULL = 2
-    TIMEOUT = 3
-    CONNECT_FAILED = 4
-    RESET = 5
-    CANCELLED = 6
-    MOOT = 7
+    ERROR = 1  # answered with an error: it may have run
+    FULL = 2  # rejected without being looked at: it never ran
+    TIMEOUT = 3  # no answer in time: it may run still
+    CONNECT_FAILED = 4  # no connection in time: it never ran
+    RESET = 5  # the connection broke: it may have run
+    CANCELLED = 6  # it may have run
+    ABANDONED = 7  # before it was sent: it never ran
 
 
 class Send(NamedTuple):
     """Start an attempt; it times out after `timeout` milliseconds.
 
-    A repeat under a key has to reach its server, to its last byte, before `write_by` by the
-    module's clock; what a connection that comes up late or a slow body keeps until then is not sent."""
+    A retry under a key has to reach its server, to its last byte, before `write_by` by the clock of the
+    events; what a connection that comes up late or a slow body delays until then is not sent."""
 
     request: int
     server: str
@@ -44,7 +45,7 @@
 
 
 class Refuse(NamedTuple):
-    """Final answer: refused, and a client's retry does no harm."""
+    """Final answer: refused, and a client's retry does no harm; not within `retry_after` milliseconds."""
 
     request: int
     retry_after: float
@@ -57,7 +58,7 @@
 
 
 class Cancel(NamedTuple):
-    """Stop waiting for one attempt."""
+    """Stop waiting for one attempt, by its number within the request."""
 
     request: int
     attempt: int
@@ -75,7 +76,7 @@
 
 
 class Fetch(NamedTuple):
-    """Ask discovery for the whole list once."""
+    """Ask discovery for the complete list once."""
 
 
 class Watch(NamedTuple):
@@ -85,7 +86,7 @@
 
 
 class Probe(NamedTuple):
-    """Ask one server how it is."""
+    """Check the health of one server."""
 
     server: str
 
@@ -113,50 +114,48 @@
 
 
 class Listing(NamedTuple):
-    """One entry of a server list."""
+    """One entry of the endpoint list; `zone`, `kind` and `cell` are numbers that it gives."""
 
     server: str
     zone: int = 0
-    kind: int = 0
-    cell: int = 0
-    state: str = "active"
+    kind: int = 0  # of machine
+    cell: int = 0  # servers of one cell share the idempotency keys that they have seen
+    state: str = "active"  # or "leaving" (draining), or "left"
     weight: float = 1.0
-    started: float = 0.0
+    started: float = 0.0  # when, in milliseconds of the clock of the events; 0: long ago
 
 
 class Arrival(NamedTuple):
-    """A client's request, with the clock time at which the client gives up."""
+    """A client's request, with the clock time, in milliseconds, at which the client gives up."""
 
     request: int
-    band: int
+    request_class: int  # its position in `Settings.profiles`
     give_up_at: float
     tenant: int = 0
     key: int | None = None
-    work: float | None = None
-    again: bool = False
+    work: float | None = None  # expected, in milliseconds on a standard core
+    retried: bool = False  # whether the client marked it as a retry
     mutates: bool = False
     large: bool = False  # its body is still coming, and only its beginning can be sent again
 
 
 class Steer(NamedTuple):
-    """How picks are steered, replaced whole by each new one; the neutral one changes nothing.
+    """How requests are steered, replaced as one by each new value; the neutral one changes nothing.
 
-    A zone is its position in `FailureDomains`. What shares leave of 1 goes by the present picks.
+    A zone is its position in `FailureDomains`. What shares leave of 1 goes as without a plan.
     """
 
-    shares: Mapping[int, float] = MappingProxyType(
-        {}
-    )  # zone -> share of first attempts; empty: present picks
+    shares: Mapping[int, float] = MappingProxyType({})  # zone -> share of first attempts; empty: no plan
     class_shares: Mapping[int, Mapping[int, float]] = MappingProxyType({})  # by class, instead of `shares`
     tenant_shares: Mapping[int, Mapping[int, float]] = MappingProxyType({})  # by tenant, instead of both
-    held_zones: frozenset[int] = frozenset()  # held off: no new send while any other server can take it
-    held_servers: frozenset[str] = frozenset()
+    excluded_zones: frozenset[int] = frozenset()  # no new send while any other server can take it
+    excluded_servers: frozenset[str] = frozenset()
     caps: Mapping[int, float] = MappingProxyType({})  # class -> most requests/s; over it: refused locally
-    weight: float = 1.0  # 0 to 1, how far shares count: a plan that ages fades to the present picks
-    look: float = 0.0  # share of repeatable first attempts with time to spare for zones of low share
+    weight: float = 1.0  # 0 to 1, how far shares count: a plan that ages fades out
+    explore: float = 0.0  # share of idempotent first attempts with time to spare for zones of low share
     pins: Mapping[int, int] = MappingProxyType({})  # tenant -> the one zone that may serve it; -1 is none
 
     @property
-    def holds(self) -> bool:
-        """Whether any zone or server is held off."""
-        return bool(self.held_zones or self.held_servers)
+    def excludes(self) -> bool:
+        """Whether any zone or server is excluded."""
+        return bool(self.excluded_zones or self.excluded_servers)
--- a/brassfall/controlplane/registry/geo.py
+++ b/brassfall/controlplane/registry/geo.py
@@ -21,8 +21,8 @@
 from brassfall.controlplane.registry.calls import answer
 from brassfall.controlplane.registry.entries import INSTANCES
 from brassfall.controlplane.registry.tasks import Tasks
-from brassfall.controlplane.revisions.core import Kept
-from brassfall.controlplane.revisions.edges import Report
+from brassfall.controlplane.revisions.reports import Report
+from brassfall.controlplane.revisions.state import DurableState
 from brassfall.controlplane.store.commands import Put
 from brassfall.controlplane.store.store import Store
 from brassfall.errors import Refused
@@ -51,7 +51,7 @@
 class Editions(Protocol):
     """The part of the configuration revisions that plans go through."""
 
-    def kept(self) -> Kept:
+    def durable_state(self) -> DurableState:
         """What is durable of the revisions."""
 
     def publish(self, **layers: Any) -> asyncio.Future[int]:
@@ -113,7 +113,7 @@
         rows = report.measures.get("delays")
         if rows:
             now_s = time.monotonic()
-            valid = self._add(name, report.life, report.group, rows, now_s)
+            valid = self._add(name, report.process_id, report.group, rows, now_s)
             answers = sum(evidence.sample_count(row.first_bytes) for row in valid)
             before = self._demand.get(name)
             before_s = before.reported_s if before else now_s - FIRST_REPORT_SPAN_S
@@ -141,7 +141,7 @@
         now_s = time.monotonic()
         for group, group_rows in self._by_group(rows).items():
             # The node is the part of a group that reports through one aggregator.
-            self._add(f"{name}/{group}", report.life, group, group_rows, now_s)
+            self._add(f"{name}/{group}", report.process_id, group, group_rows, now_s)
             for row in group_rows:
                 rate = _rate(row)
                 if rate is not None:
@@ -189,8 +189,8 @@
 
     async def _get(self, _request: web.Request) -> web.Response:
         estimate = await self._current_estimate()
-        committed = self.editions.kept().committed
-        body = GeoAnswer(estimate.pairs, committed.plan_edition, committed.plan)
+        committed = self.editions.durable_state().committed
+        body = GeoAnswer(estimate.pairs, committed.plan_revision, committed.plan)
         return answer(_encode(body))
 
     def _capacity(self) -> Mapping[str, float]:
@@ -261,7 +261,7 @@
         return row.version if row is not None else 0
 
     def _read_newest(self) -> publisher.NewestRead:
-        durable = self.editions.kept()
+        durable = self.editions.durable_state()
         newest = durable.waiting or durable.pending or durable.committed
         try:
             plan = plan_from_json(newest.plan) if newest.plan is not None else None
@@ -279,7 +279,7 @@
             demand=self._demand_by_group(now_s),
             capacity=self._ramped_capacity(now_s),
             prices={(p.group, p.region): settings.foreign_penalty_ms for p in pairs if p.group != p.region},
-            closed=self.editions.kept().committed.settings.get("regions", {}).get("held", []),
+            closed=self.editions.durable_state().committed.settings.get("regions", {}).get("held", []),
         )
         policy = PlanPolicy(settings.least_elsewhere, settings.migration_most, settings.exploration)
         compute = partial(make_plan, inputs, policy, before)
--- a/brassfall/controlplane/registry/reports.py
+++ b/brassfall/controlplane/registry/reports.py
@@ -5,7 +5,7 @@
 from aiohttp import web
 
 from brassfall.controlplane.registry.callers import Connection, LastReport
-from brassfall.controlplane.revisions.edges import Report, read
+from brassfall.controlplane.revisions.reports import Report, parse_delta
 
 
 def read_report(request: web.Request, name: str, body: bytes) -> Report:
@@ -15,6 +15,6 @@
     connection = request.protocol
     assert isinstance(connection, Connection)
     last, connection.last_report = connection.last_report, LastReport()
-    report, fields = read(body, last.fields if last.name == name else None)
+    report, fields = parse_delta(body, last.fields if last.name == name else None)
     connection.last_report = LastReport(name, fields)
     return report
--- a/brassfall/lab/models/delays.py
+++ b/brassfall/lab/models/delays.py
@@ -29,8 +29,8 @@
 class Sketch(Protocol):
     """Where a sidecar collects what it measures."""
 
-    def handshake(self, region: str, ms: float, warming_up: bool, /) -> None:  # noqa: FBT001 (the sidecar's)
-        """A connection was opened in `ms`; `warming_up` if the server has just started."""
+    def handshake(self, region: str, ms: float, *, cold: bool) -> None:
+        """A connection was opened in `ms`; `cold` if the server has just started."""
 
     def first_byte(self, region: str, ms: float, spent_ms: float, /) -> None:
         """An answer began after `ms`, of which the server says it spent `spent_ms`."""
@@ -152,7 +152,7 @@
         }[kind]
     sketch = world.sketches[node]
     if rng.random() < terms.handshakes:
-        sketch.handshake(region, float(handshake_ms), False)  # noqa: FBT003 (the sidecar's)
+        sketch.handshake(region, float(handshake_ms), cold=False)
     reported_ms = float(spent_ms) if world.reports_work[region] else 0.0
     sketch.first_byte(region, float(delay_ms + spent_ms), reported_ms)
 
--- a/brassfall/lab/sim/world.py
+++ b/brassfall/lab/sim/world.py
@@ -434,7 +434,7 @@
         host.session -= 1  # its last call is still made
 
     def _wish(self, now: float, host: Host, status: str) -> None:
-        host.member.wish(now, status)
+        host.member.request_status(now, status)
         host.session += 1
         self.lists.speak(now, MemberSession(host, host.session))
 
--- a/brassfall/lab/steering.py
+++ b/brassfall/lab/steering.py
@@ -66,11 +66,16 @@
     for now in sorted(times):
         closed = frozenset(zones.index(hold.zone) for hold in version.holds if hold.begin <= now < hold.end)
         for group, shares in enumerate(_shares(zones, geography, version, day, now)):
-            steer = model.Steer(shares=shares, held_zones=closed, look=version.look)
+            steer = _steer(shares, closed, version.look)
             events.append(SteeringEvent(now, group, steer))
     return events
 
 
+def _steer(shares: ZoneShares, excluded: frozenset[int], explore: float) -> model.Steer:
+    """By position: the decision module of an earlier revision has other names for the fields."""
+    return model.Steer(shares, {}, {}, excluded, frozenset(), {}, 1.0, explore)
+
+
 def _shares(
     zones: Sequence[str], geography: Geography, version: Version, day: Day, now: float
 ) -> list[ZoneShares]:
--- a/brassfall/sidecar/client_connection.py
+++ b/brassfall/sidecar/client_connection.py
@@ -13,7 +13,7 @@
 from brassfall.sidecar import framing
 from brassfall.sidecar.body import MAX_BUFFERED, MAX_FLOWING, Body, Budget
 from brassfall.sidecar.client_request import ClientRequest, RequestHandler
-from brassfall.sidecar.driver import Clock
+from brassfall.sidecar.clock import Clock
 from brassfall.sidecar.read_control import Hold, ReadControl
 from brassfall.sidecar.request_message import BadRequestError, RequestMessage, Reservation
 from brassfall.sidecar.request_parser import RequestParser
@@ -361,12 +361,16 @@
             if not self._write_answer(request):
                 return
             self._waiting.popleft()
-            self._answer_written(request)
+            request.reservation.release(self._owner.budget)
+            if request.reading and request.request is not None:
+                # Guards against an attempt that waits for ever for the rest of a body.
+                self._owner.handler.client_gone(request.request)
+            request.request = None  # which names it as its call: a circle that only the collector would free
             if request.last:
                 self._end()
                 return
             self.quiet_since = self._owner.clock.now()
-            if len(self._waiting) < MAX_WAITING:
+            if len(self._waiting) == MAX_WAITING - 1:
                 self.read_control.release(Hold.REQUESTS_WAIT)
         message = self._parser.message
         if message is not None and message.head_complete:
@@ -406,13 +410,6 @@
             return True
         return self._owner.closing and len(self._waiting) == 1 and self._parser.message is None
 
-    def _answer_written(self, request: ClientRequest) -> None:
-        request.reservation.release(self._owner.budget)
-        if request.reading and request.request is not None:
-            # Guards against an attempt that waits for ever for the rest of a body.
-            self._owner.handler.client_gone(request.request)
-        request.request = None  # which names it as its call: a circle that only the collector would free
-
     # --- the end of the connection ----------------------------------------------
 
     def _reject(self, status: int) -> None:
@@ -489,7 +486,7 @@
             more = message.size / BODY_BYTES_PER_S
             if not self.readable:
                 # More time comes with each byte to a client that goes on sending, not to one that stopped.
-                heard_at = max(self._owner.clock.at(self._read_at), self.read_control.resumed_at)
+                heard_at = max(self._owner.clock.to_loop(self._read_at), self.read_control.resumed_at)
                 more = min(more, max(0.0, heard_at + STOPPED_MS / 1000.0 - until))
             until += more
         return until + RESUME_S if self.read_control.held else until
--- a/brassfall/sidecar/known_classes.py
+++ b/brassfall/sidecar/known_classes.py
@@ -7,7 +7,7 @@
 from collections import deque
 
 from brassfall.sidecar.client_request import ClientRequest
-from brassfall.sidecar.config import Names
+from brassfall.sidecar.config_values import Names
 from brassfall.sidecar.request_message import BadRequestError, RequestMessage
 
 # Clients use other classes 1.2 s after a reload, and come again until their time is over.
@@ -47,7 +47,7 @@
     @property
     def slots(self) -> set[int]:
         """The places in the settings of the classes that clients may name."""
-        return {found.band for names in self.known for found in names.classes.values()}
+        return {found.slot for names in self.known for found in names.classes.values()}
 
     def read(self, request: ClientRequest, message: RequestMessage, not_forwarded: frozenset[bytes]) -> None:
         """Check a request and take it in; raises `BadRequestError` by the names that hold now."""
--- a/brassfall/sidecar/outbound.py
+++ b/brassfall/sidecar/outbound.py
@@ -12,10 +12,13 @@
 
 from brassfall.balancer.model import Listing, Outcome
 from brassfall.sidecar import health_checks
-from brassfall.sidecar.config import Address, Config, ServerList
+from brassfall.sidecar.clock import HOLD_UP_MS, Clock
+from brassfall.sidecar.config import Config
+from brassfall.sidecar.config_values import Address
 from brassfall.sidecar.connecting import Connector
-from brassfall.sidecar.driver import Call, Clock, Result, Watcher
+from brassfall.sidecar.endpoint_list import ServerList
 from brassfall.sidecar.exchange import Done, Exchange
+from brassfall.sidecar.interfaces import Call, Result, Watcher
 from brassfall.sidecar.server_answers import AnswerReader
 from brassfall.sidecar.server_connection import Connection, DelayObserver, Server
 
@@ -25,8 +28,8 @@
 SWEEP_MS = 200.0
 # A second answer may follow the first by some milliseconds, and is seen as one while the connection is idle.
 REST_MS = 20.0
-# A request that is begun so close to the end of a drain's grace might be seen past it.
-GRACE_MARGIN_MS = 50.0
+# A request that is begun so close to the end of a drain's grace might be written past it.
+GRACE_MARGIN_MS = HOLD_UP_MS
 POOL_SHARE = 0.5  # of the descriptors that this process may hold
 
 
@@ -226,7 +229,7 @@
         server = connection.server
         if self._servers.get(server.name, server) is not server:
             # Another one has its name now, which may be in slow start or elsewhere: decided anew.
-            never = Outcome.CONNECT_FAILED if exchange.watcher is None else Outcome.MOOT
+            never = Outcome.CONNECT_FAILED if exchange.watcher is None else Outcome.ABANDONED
             self.loop.call_soon(exchange.end, Result(never))
             connection.abort()
             return
@@ -242,7 +245,7 @@
         if self.stamp is not None and exchange.watcher is not None:
             if exchange.stamp is not self.stamp():
                 # It was decided under a revision that is no more in force: decided anew.
-                self.loop.call_soon(exchange.end, Result(Outcome.MOOT))
+                self.loop.call_soon(exchange.end, Result(Outcome.ABANDONED))
                 self.free(connection)
                 return
             message = message.replace(b"\r\n", b"\r\n" + exchange.stamp, 1)
--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -16,15 +16,18 @@
 from unittest import mock
 
 from brassfall.balancer.model import Listing, Steer
-from brassfall.sidecar import config, driver, framing, outbound
+from brassfall.sidecar import clock, config, driver, framing, outbound, reload
 from brassfall.sidecar.body import Body
-from brassfall.sidecar.config import Address, ServerList
+from brassfall.sidecar.config_values import Address
+from brassfall.sidecar.endpoint_list import ServerList
 
 GRID_S = 0.01
 DAY_S, REST_S = 2.0, 45.0  # the rest outlasts each guard against what has stalled
 ROUNDING_MS = 1e-3
 HOLD_UPS_S = (0.02, 0.08, 0.15)  # between reading the clock and writing
 HOLD_UPS_APART_S = 0.1
+UNREAD_S = (0.05, 0.13, 0.2)
+BEGIN_MOST_MS = 100.0  # after its client has closed, until an attempt begins
 BUDGET_SLACK_MS = 150.0
 TURNS_MOST = 50_000
 STEP_S, STILL_MOST = 1e-6, 100
@@ -74,7 +77,7 @@
         return await self.connect(factory, port)
 
 
-class Clock(driver.Clock):
+class Clock(clock.Clock):
     """The loop's time itself."""
 
     def __init__(self, loop):
@@ -242,11 +245,11 @@
 class Call:
     """A request, and what the oracle knows of it."""
 
-    again = mutates = False
+    client_retry = mutates = False
     work = None
 
-    def __init__(self, world, number, name, band, row, limits, budget, body):
-        self.world, self.number, self.name, self.band = world, number, name, band
+    def __init__(self, world, number, name, request_class, row, limits, budget, body):
+        self.world, self.number, self.name, self.request_class = world, number, name, request_class
         self.row, self.limits, self.budget, self.body = row, limits, budget, body
         self.arrived = world.now
         self.sent = bytearray() if body is None else bytearray(body._buffer)
@@ -256,6 +259,7 @@
         self.request = None
         self.final: str | None = None
         self.flow_over = self.gone = False
+        self.closed_at = None  # when its client closed, of which the program may be told later
         self.flow = None
         self.passed = 0
         self.writes: list[Write] = []
@@ -269,6 +273,9 @@
     def give_up_at(self):
         return min(self.read_at + self.budget - driver.DEADLINE_MARGIN_MS, self.until)
 
+    def client_left(self):
+        return self.closed_at is not None
+
     def wire(self, left):
         framing_of = b"" if self.body is None else self.body.header
         return b"POST /x HTTP/1.1\r\nX-Id: %d\r\nX-Left: %.3f\r\n%b\r\n" % (
@@ -378,7 +385,7 @@
         self.pool = outbound.Pool(self.loop, self.clock, self.running)
         self.driver.connect(Recorder(self.pool, self), self, self)
         if self.rng.random() < 0.25:
-            self.driver.before = self.pool.stamp = lambda: self.stamp
+            self.driver.revision_stamp = self.pool.stamp = lambda: self.stamp
 
     @property
     def now(self):
@@ -459,12 +466,12 @@
 
     def reload(self):
         raw = self.settings()
-        bands = {kind.band for names, _ in self.told_names for kind in names.classes.values()}
-        news = config.successor(self.running, self.parse(raw), self.driver.bands | bands)
+        slots = {kind.slot for names, _ in self.told_names for kind in names.classes.values()}
+        news = reload.successor(self.running, self.parse(raw), self.driver.request_classes | slots)
         self.say(f"reload {[(row['Name'], row['Semantics']) for row in raw['Profiles']]}")
         self.raw, self.running = raw, news.config
         self.told_names.insert(0, (news.config.names, raw))
-        self.driver.reload(news.config, news.kept)
+        self.driver.reload(news.config, news.same_classes)
         self.pool.reload(news.config)
 
     def list_news(self, form, entries):
@@ -552,7 +559,7 @@
         if rng.random() < 0.25:
             parts = rng.randrange(4)
             body = Body(Source(), b"part0", 5 * (parts + 1) if rng.random() < 0.5 else None)
-        call = self.calls[number] = Call(self, number, row["Name"], kind.band, row, limits, budget, body)
+        call = self.calls[number] = Call(self, number, row["Name"], kind.slot, row, limits, budget, body)
         call.budget += driver.DEADLINE_MARGIN_MS  # so that its end lies on the grid
         large = "" if body is None else " large"
         self.say(f"arrive {number} {row['Name']} {row['Semantics']} {row['Group']} {budget}{large}")
@@ -586,7 +593,21 @@
             self.leave(call)
 
     def leave(self, call):
-        if call.gone or call.request is None or call.flow_over or call.final not in (None, "begun"):
+        if call.closed_at is not None or not self.open(call):
+            return
+        self.say(f"closed {call.number}")
+        call.closed_at = self.now
+        if self.held_up and self.hold_ups.random() < 0.5:
+            # The end of its connection lies unread for as long as the process may stand still.
+            self.loop.call_later(self.hold_ups.choice(UNREAD_S), self.gone, call)
+        else:
+            self.gone(call)
+
+    def open(self, call):
+        return call.request is not None and not call.flow_over and call.final in (None, "begun")
+
+    def gone(self, call):
+        if call.gone or not self.open(call):
             return
         self.say(f"gone {call.number}")
         call.gone = True
@@ -632,6 +653,8 @@
         what = f"request {number}"
         if call.gone:
             self.breach(f"{what}: written after its client had gone")
+        if call.closed_at is not None and self.now - held_ms > call.closed_at + BEGIN_MOST_MS + ROUNDING_MS:
+            self.breach(f"{what}: begun long after its client had closed")
         if call.final is not None:
             self.breach(f"{what}: written after its final answer")
         if call.ended and self.now - held_ms >= call.give_up_at + ROUNDING_MS:
@@ -774,10 +797,10 @@
         self.driver.steer(
             Steer(
                 shares={zone: draw([0.0, 0.3, 1.0]) for zone in zones},
-                held_zones=frozenset(zone for zone in zones if self.rng.random() < 0.3),
-                held_servers=frozenset({f"s{draw(range(9))}"}),
+                excluded_zones=frozenset(zone for zone in zones if self.rng.random() < 0.3),
+                excluded_servers=frozenset({f"s{draw(range(9))}"}),
                 caps={draw(range(5)): draw([0.0, 3.0])},
-                look=draw([0.0, 0.5]),
+                explore=draw([0.0, 0.5]),
                 pins=draw([{}, {}, {0: 1}, {1: -1}]),
             )
         )
--- a/tests/test_agreement_agent.py
+++ b/tests/test_agreement_agent.py
@@ -11,15 +11,17 @@
 from aiohttp import web
 
 from brassfall.balancer import model
-from brassfall.controlplane.revisions import edges
+from brassfall.controlplane.revisions import reports
 from brassfall.sidecar.agent import agent as agents
 from brassfall.sidecar.agent import rules
 from brassfall.sidecar.agent.agent import Agent
 from brassfall.sidecar.agent.lease_client import ActiveConfiguration, LeaseClient
-from brassfall.sidecar.agent.lists import HeldList
+from brassfall.sidecar.agent.lists import EndpointList
 from brassfall.sidecar.agent.member import FleetMember
 from brassfall.sidecar.agent.steering import Steering
-from brassfall.sidecar.config import Address, Agreement, ConfigError, ServerList
+from brassfall.sidecar.config import Agreement, ConfigError
+from brassfall.sidecar.config_values import Address
+from brassfall.sidecar.endpoint_list import ServerList
 from tests.loopback import told
 
 RARELY_MS, SOON_S = 9_000.0, 3.0  # a report in time would come after 6 s or more
@@ -37,9 +39,11 @@
     async def report(self, request):
         body = await request.read()
         on, before = self.before
-        report, raw = edges.read(body, before if on is request.protocol else None)
+        report, raw = reports.parse_delta(body, before if on is request.protocol else None)
         self.before = (request.protocol, raw)
-        self.reports.put_nowait((report.prepared, report.held, report.life, "after" in json.loads(body)))
+        self.reports.put_nowait(
+            (report.prepared, report.newest_revision, report.process_id, "after" in json.loads(body))
+        )
         pending = 2 if self.edition == 1 else 0
         told = {"edition": self.edition, "permission_ms": 2700.0, "list_index": 0, "news": False}
         return web.json_response(told | {"pending": pending, "life": 1, "every_ms": RARELY_MS})
@@ -165,7 +169,7 @@
     assert asyncio.run(_left())["leaving"]
 
 
-NAMES = SimpleNamespace(zones={"a": 0}, classes={"c": SimpleNamespace(band=0)}, tenants={"t": 0})
+NAMES = SimpleNamespace(zones={"a": 0}, classes={"c": SimpleNamespace(slot=0)}, tenants={"t": 0})
 STRANGE = [
     {"settings": {key: value}}
     for key, value in [
@@ -189,7 +193,7 @@
     client = LeaseClient("l", rules.unknown)
     client.receive_update({"edition": 5, "state": "prepared", "committed": {"edition": 4}, **strange})
     assert "does not know this form" in client.report(0.0)["objection"]["reason"]
-    steering = Steering(Agreement(3000.0, "g", "a", {}), lambda: NAMES, HeldList)
+    steering = Steering(Agreement(3000.0, "g", "a", {}), lambda: NAMES, EndpointList)
     (_, odd), now = client.active(0.0).concurrent, 1.0
     for fallback in (True, False):
         for active in (
@@ -206,7 +210,7 @@
     def __init__(self):
         self.now, self.busy, self.list_version, self.steers = 0.0, (), 0, []
         self.running = told(raw={"fleet": {"registry": ["127.0.0.1:9"], "agreement": {"agree_ms": 3000}}})
-        self.listed = HeldList()
+        self.listed = EndpointList()
 
     def time(self):
         return self.now
@@ -308,6 +312,7 @@
     raise ConfigError("not now")
 
 
+FIELDS = ("process_id", "epoch", "newest_revision", "prepared", "refresh_times", "measures")
 BEFORE = {"life": "a", "seq": 4, "of": 9, "held": 7, "prepared": 7, "retell": True, "measures": {"x": 1}}
 
 
@@ -326,12 +331,12 @@
 def test_a_report_goes_on_from_none_but_the_one_before(raw, before, want):
     body = json.dumps(raw).encode()
     if want is None:
-        with pytest.raises(edges.ReportError):
-            edges.read(body, before)
+        with pytest.raises(reports.ReportError):
+            reports.parse_delta(body, before)
         return
-    report, _ = edges.read(body, before)
-    assert want == tuple(getattr(report, n) for n in ("life", "of", "held", "prepared", "retell", "measures"))
+    report, _ = reports.parse_delta(body, before)
+    assert want == tuple(getattr(report, n) for n in FIELDS)
 
 
 def test_both_sides_leave_out_the_same():
-    assert agents.DELTA_FIELDS == edges.KEPT <= set(edges.Report.__struct_fields__)
+    assert agents.DELTA_FIELDS == reports.CARRIED_FIELDS <= set(reports.Report.__struct_encode_fields__)
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -4,11 +4,15 @@
 
 import ast
 import graphlib
+import subprocess
+import sys
 import tomllib
 from pathlib import Path
 
 import pytest
 
+from tests.conftest import REAL_TIME
+
 ROOT = Path(__file__).resolve().parent.parent
 HOUSE = ROOT / "brassfall"
 PACKAGE = HOUSE / "balancer"
@@ -129,7 +133,7 @@
 
 
 FLEET = "brassfall.sidecar.agent"
-BODY, CONFIG, DRIVER = "brassfall.sidecar.body", "brassfall.sidecar.config", "brassfall.sidecar.driver"
+BODY, CONFIG = "brassfall.sidecar.body", "brassfall.sidecar.config"
 FRAMING = "brassfall.sidecar.framing"
 EXCHANGE, SERVER_ANSWERS = "brassfall.sidecar.exchange", "brassfall.sidecar.server_answers"
 SERVER_CONNECTION = "brassfall.sidecar.server_connection"
@@ -141,11 +145,19 @@
 REQUEST_PARSER = "brassfall.sidecar.request_parser"
 LIFECYCLE, LISTENER = "brassfall.sidecar.lifecycle", "brassfall.sidecar.listener"
 FLEET = "brassfall.sidecar.agent"
+ATTEMPTS, CLOCK = "brassfall.sidecar.attempts", "brassfall.sidecar.clock"
+CONSOLE, INTERFACES = "brassfall.sidecar.console", "brassfall.sidecar.interfaces"
+LIST, VALUES = "brassfall.sidecar.endpoint_list", "brassfall.sidecar.config_values"
+CHANNEL = "brassfall.sidecar.registry_channel"
 START_TIMES = "brassfall.sidecar.start_times"
 MODEL, MODULE = "brassfall.balancer.model", "brassfall.balancer.Balancer"
 SETTINGS = "brassfall.balancer.Settings"
 
 
+def own(*names: str) -> set[str]:
+    return {f"brassfall.sidecar.{name}" for name in names}
+
+
 def fleet(*names: str) -> set[str]:
     return {f"{FLEET}.{name}" for name in names}
 
@@ -153,40 +165,50 @@
 @pytest.mark.parametrize(
     ("name", "allowed"),
     [
-        ("config.py", {MODEL, SETTINGS}),
+        ("config_values.py", set()),
+        ("endpoint_list.py", {MODEL, VALUES}),
+        ("config.py", {LIST, SETTINGS, VALUES}),
+        ("reload.py", {CONFIG, VALUES, "brassfall.balancer.settings"}),
         ("framing.py", {BODY}),
         ("body.py", set()),
-        ("driver.py", {BODY, CONFIG, MODEL, MODULE, START_TIMES}),
-        ("start_times.py", {CONFIG, MODEL}),
+        ("console.py", set()),
+        ("clock.py", set()),
+        ("interfaces.py", {BODY, LIST, MODEL}),
+        ("attempts.py", {INTERFACES, MODEL}),
+        ("driver.py", {ATTEMPTS, CLOCK, CONFIG, CONSOLE, INTERFACES, LIST, MODEL, MODULE, START_TIMES}),
+        ("start_times.py", {LIST, MODEL}),
         ("lifecycle.py", set()),
-        ("handover.py", {CONFIG, DRIVER}),
-        ("listener.py", {CONFIG}),
-        ("admin.py", {CONFIG, DRIVER, LIFECYCLE, LISTENER}),
-        ("exchange.py", {BODY, DRIVER}),
+        ("handover.py", {CONSOLE, VALUES}),
+        ("listener.py", {VALUES}),
+        ("admin.py", {CONFIG, CONSOLE, LIFECYCLE, LISTENER, VALUES}),
+        ("exchange.py", {BODY, INTERFACES}),
         ("health_checks.py", set()),
-        ("server_answers.py", {DRIVER, FRAMING, MODEL, "brassfall.balancer.settings"}),
-        ("server_connection.py", {BODY, CONFIG, DRIVER, EXCHANGE, FRAMING, MODEL, SERVER_ANSWERS}),
-        ("connecting.py", {DRIVER, EXCHANGE, MODEL, SERVER_CONNECTION}),
+        ("server_answers.py", {FRAMING, INTERFACES, MODEL, "brassfall.balancer.settings"}),
+        ("server_connection.py", {BODY, EXCHANGE, FRAMING, INTERFACES, MODEL, SERVER_ANSWERS, VALUES}),
+        ("connecting.py", {EXCHANGE, INTERFACES, MODEL, SERVER_CONNECTION}),
         (
             "outbound.py",
             {
+                CLOCK,
                 CONFIG,
-                DRIVER,
                 EXCHANGE,
+                INTERFACES,
+                LIST,
                 MODEL,
                 SERVER_ANSWERS,
                 SERVER_CONNECTION,
+                VALUES,
                 "brassfall.sidecar.connecting",
                 "brassfall.sidecar.health_checks",
             },
         ),
         ("request_message.py", {BODY, FRAMING}),
-        ("request_checks.py", {CONFIG, REQUEST_MESSAGE}),
+        ("request_checks.py", {REQUEST_MESSAGE, VALUES}),
         ("request_parser.py", {BODY, FRAMING, REQUEST_CHECKS, REQUEST_MESSAGE}),
-        ("streamed_answer.py", {DRIVER, FRAMING}),
+        ("streamed_answer.py", {INTERFACES, FRAMING}),
         (
             "client_request.py",
-            {BODY, CONFIG, DRIVER, FRAMING, REQUEST_CHECKS, REQUEST_MESSAGE, STREAMED_ANSWER},
+            {ATTEMPTS, BODY, VALUES, INTERFACES, FRAMING, REQUEST_CHECKS, REQUEST_MESSAGE, STREAMED_ANSWER},
         ),
         ("read_control.py", {FRAMING}),
         (
@@ -194,7 +216,7 @@
             {
                 BODY,
                 CLIENT_REQUEST,
-                DRIVER,
+                CLOCK,
                 FRAMING,
                 READ_CONTROL,
                 REQUEST_MESSAGE,
@@ -203,7 +225,7 @@
             },
         ),
         ("connection_limits.py", {CLIENT_CONNECTION, CONFIG}),
-        ("known_classes.py", {CLIENT_REQUEST, CONFIG, REQUEST_MESSAGE}),
+        ("known_classes.py", {CLIENT_REQUEST, REQUEST_MESSAGE, VALUES}),
         (
             "inbound.py",
             {
@@ -212,44 +234,62 @@
                 CLIENT_REQUEST,
                 CONFIG,
                 CONNECTION_LIMITS,
-                DRIVER,
+                CLOCK,
                 FRAMING,
                 KNOWN_CLASSES,
                 LIFECYCLE,
                 LISTENER,
                 REQUEST_MESSAGE,
+                VALUES,
+            },
+        ),
+        (
+            "sidecar.py",
+            {
+                *own("admin", "agent.lists", "agent.member", "clock", "config", "config_values", "console"),
+                *own("discovery", "driver", "endpoint_list", "handover", "inbound", "lifecycle", "listener"),
+                *own("outbound", "peers", "reload", "shutdown"),
+                MODEL,
             },
         ),
-        ("shutdown.py", {DRIVER, INBOUND}),
-        ("agent/lists.py", {CONFIG, MODEL}),
+        ("__main__.py", own("config", "console", "sidecar")),
+        ("shutdown.py", {CLOCK, INBOUND, "brassfall.sidecar.driver"}),
+        ("agent/lists.py", {LIST, MODEL, VALUES}),
         ("agent/forms.py", set()),
         ("agent/lease_client.py", {FLEET, *fleet("forms")}),
         ("agent/rules.py", {"brassfall.sidecar.agent.lease_client"}),
-        ("agent/calls.py", {CONFIG}),
+        ("agent/calls.py", {VALUES}),
         (
             "agent/agent.py",
-            {CONFIG, DRIVER, "brassfall.sidecar.discovery", *fleet("calls", "lease_client", "lists")},
+            {CHANNEL, CONFIG, CONSOLE, VALUES, *fleet("calls", "lease_client", "lists")},
         ),
         ("agent/deadlines.py", set()),
         ("agent/overrides.py", {"brassfall.sidecar.agent.deadlines"}),
         ("agent/delays.py", set()),
         (
             "agent/steering.py",
-            {CONFIG, MODEL, FLEET, *fleet("deadlines", "lease_client", "lists", "overrides", "rules")},
+            {
+                CONFIG,
+                MODEL,
+                FLEET,
+                VALUES,
+                *fleet("deadlines", "lease_client", "lists", "overrides", "rules"),
+            },
         ),
         (
             "agent/member.py",
             {
                 CONFIG,
-                DRIVER,
+                CONSOLE,
                 MODEL,
                 FLEET,
-                "brassfall.sidecar.config",
+                "brassfall.sidecar.reload",
                 *fleet("agent", "delays", "lease_client", "lists", "rules", "steering"),
             },
         ),
-        ("discovery.py", {CONFIG, DRIVER, MODEL, "brassfall.sidecar.agent.lists"}),
-        ("peers.py", {CONFIG, DRIVER}),
+        ("registry_channel.py", {CONSOLE, MODEL}),
+        ("discovery.py", {CHANNEL, CONFIG, CONSOLE, LIST, MODEL, VALUES, "brassfall.sidecar.agent.lists"}),
+        ("peers.py", {CONFIG, CONSOLE, VALUES}),
     ],
 )
 def test_imports_run_from_sockets_to_driver_to_module(name, allowed):
@@ -257,8 +297,9 @@
 
 
 def test_the_driver_knows_no_sockets():
-    tree = ast.parse((SIDECAR / "driver.py").read_text())
-    met = {alias.name for node in ast.walk(tree) if isinstance(node, ast.Import) for alias in node.names}
+    trees = [ast.parse((SIDECAR / f"{name}.py").read_text()) for name in ("driver", "attempts", "interfaces")]
+    nodes = [node for tree in trees for node in ast.walk(tree)]
+    met = {alias.name for node in nodes if isinstance(node, ast.Import) for alias in node.names}
     assert not met & {"socket", "select", "ssl", "httptools"}
 
 
@@ -286,15 +327,28 @@
         f"controlplane/store/{name}.py"
         for name in ("records", "commands", "transaction", "state", "leases", "incarnations", "statistics")
     ),
-    "controlplane/revisions/document.py",
-    "controlplane/revisions/edges.py",
-    "controlplane/revisions/core.py",
-    "controlplane/aggregation/messages.py",
-    "controlplane/aggregation/core.py",
+    *(
+        f"controlplane/revisions/{name}.py"
+        for name in (
+            *("timing", "document", "validation", "state", "transitions", "reports", "messages"),
+            *("membership", "leases", "authority", "coordinator", "pace"),
+        )
+    ),
+    *(
+        f"controlplane/aggregation/{name}.py"
+        for name in (
+            *("timing", "messages", "events", "actions", "state", "aggregator", "report_builder"),
+            *("child_reports", "upstream_messages", "state_release", "objections", "admission"),
+            *("children", "child_leases", "upstream_lease", "revision_view", "directory", "child_orders"),
+            *("merged_delays", "override_times", "override_exceptions"),
+        )
+    ),
     *(f"controlplane/overrides/{name}.py" for name in ("document", "clock", "history", "book", "reconciler")),
     "controlplane/registry/entries.py",
     "controlplane/registry/limits.py",
     "controlplane/registry/membership.py",
+    *(f"controlplane/registry/{name}.py" for name in ("sidecar_rows", "aggregator_rows", "revision_state")),
+    "controlplane/registry/report_answer.py",
     "controlplane/geo/evidence.py",
     "controlplane/geo/sketches.py",
     "controlplane/geo/changes.py",
@@ -387,3 +441,25 @@
     met = {alias.name for node in ast.walk(tree) if isinstance(node, ast.Import) for alias in node.names}
     met |= {node.module or "" for node in ast.walk(tree) if isinstance(node, ast.ImportFrom)}
     assert not met & {"time", "random", "socket", "os", "asyncio", "sqlite3", "pathlib", "aiohttp", "secrets"}
+
+
+def test_every_module_of_tests_that_starts_processes_is_named_as_running_in_real_time():
+    files = {path.stem.removeprefix("test_"): path for path in (ROOT / "tests").glob("test_*.py")}
+    assert files.keys() >= REAL_TIME
+    for name, path in files.items():
+        if "\nfrom tests.processes import" in path.read_text():
+            assert name in REAL_TIME, name
+
+
+def test_a_sidecar_outside_of_a_fleet_loads_nothing_of_the_agent():
+    """It pays for no code of the control plane's client."""
+    program = (
+        "import asyncio, sys; from tests.loopback import told; "
+        "from brassfall.sidecar.sidecar import Sidecar; "
+        "asyncio.set_event_loop(loop := asyncio.new_event_loop()); Sidecar(loop, told()); "
+        "print([name for name in sys.modules if name.startswith('brassfall.sidecar.agent')])"
+    )
+    made = subprocess.run(
+        [sys.executable, "-c", program], capture_output=True, text=True, cwd=ROOT, check=True
+    )
+    assert made.stdout.strip() == "[]"
