--- a/brassfall/lab/compare.py
+++ b/brassfall/lab/compare.py
@@ -1,4 +1,4 @@
-"""Sets versions against each other: their plays paired by seed, and what of it is beyond noise."""
+"""Compares versions: their plays paired by seed, and which differences are beyond noise."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Difference(msgspec.Struct):
-    """One figure of one version against the first one, over the seeds that both have played."""
+    """One statistic of one version compared with the first one, over the seeds that both have played."""
 
     figure: str
     first: float
@@ -36,7 +36,7 @@
 
 
 class Comparison(msgspec.Struct):
-    """One version against the first one."""
+    """One version compared with the first one."""
 
     base: str
     version: str
@@ -62,7 +62,7 @@
 
 
 def difference(figure: str, base: Side, other: Side) -> Difference:
-    """One figure of two sides."""
+    """One statistic of two sides."""
     seeds = sorted(base.results.keys() & other.results.keys())
     pairs = [
         (_statistic(base.results[seed], figure), _statistic(other.results[seed], figure)) for seed in seeds
@@ -120,7 +120,7 @@
 
 
 def _day(experiment: dict[str, object]) -> dict[str, object]:
-    """What of an experiment decides its days."""
+    """The part of an experiment that its days depend on."""
     head_table = experiment.get("experiment")
     head = (
         {key: value for key, value in head_table.items() if key not in FREE_HEAD}
@@ -131,7 +131,7 @@
 
 
 def compare(folders: Sequence[Path]) -> list[Comparison]:
-    """Every version against the first one."""
+    """Every version compared with the first one."""
     base, *others = sides(folders)
     made = []
     for other in others:
--- a/brassfall/lab/day.py
+++ b/brassfall/lab/day.py
@@ -1,6 +1,7 @@
-"""One day, drawn from an experiment and a seed: who there is, what is asked, what goes wrong. Pure code.
+"""One day, sampled from an experiment by a seed: the fleet, the load and the faults. Pure code.
 
-Two plays of one day, simulated or real, with one version or another, get the same of all of it.
+All plays of a day, simulated or real and of whatever version, have the same fleet, load and faults. Times
+are ms, work is ms of a standard core.
 """
 
 from __future__ import annotations
@@ -8,7 +9,7 @@
 import math
 from collections.abc import Sequence
 from dataclasses import dataclass, replace
-from typing import Any
+from typing import Any, NamedTuple
 
 import numpy as np
 
@@ -17,50 +18,55 @@
 from brassfall.lab.quantities import Span
 from brassfall.lab.spec import ANYONE, BRIEF, NEEDS, SERVERS, Experiment, Fault, Kind, RequestClass
 
-GRID_MS = 100.0  # the load is the same for so long
+GRID_MS = 100.0  # the load is constant for so long
+GOLDEN_PART = 0.6180339887  # spreads kinds of servers evenly over their numbers
+MIN_WORK = 0.1
+
+Floats = np.ndarray[Any, np.dtype[np.float64]]
+Integers = np.ndarray[Any, np.dtype[np.int64]]
 
 
 @dataclass(frozen=True, slots=True)
 class Overload:
-    """When one server turns slow, and stays so."""
+    """When a server becomes overloaded, and how that ends."""
 
-    in_flight: float  # requests, from which it is crowded
-    after: float
-    slower: float
-    rest_below: float
-    rest: float
-    most: float
+    in_flight: float  # requests, from which it is overloaded
+    after: float  # ms with so many
+    slower: float  # how many times
+    rest_below: float  # requests in flight, for it to recover
+    rest: float  # ms with so few
+    most: float  # ms after which it recovers in any case
 
 
 @dataclass(frozen=True, slots=True)
 class Machine:
-    """One server as it truly is; sidecars are not told."""
+    """One server as it is; sidecars know only what they can measure."""
 
     name: str
     zone: int
-    kind: int
+    kind: int  # index of the experiment's kinds
     cores: int
-    speed: float
-    slots: int
-    queue: int
-    warmup_start: float
-    warmup_ms: float
+    speed: float  # work that each core does in a ms
+    slots: int  # requests that run at once
+    queue: int  # requests that wait
+    warmup_start: float  # the part of its capacity that it has after a start
+    warmup_ms: float  # until it has all of it
     error_rate: float
-    report_every: float
-    report_late: float
-    report_noise: float
-    handshake: float  # work, ms
-    round_trips: float
-    connections: int
-    full_tax: float
-    fall_multiple: float
-    fall_after: float
-    overload: Overload | None
+    report_every: float  # ms between samples of its load
+    report_late: float  # ms until a sample is reported
+    report_noise: float  # relative
+    handshake: float  # work of a new connection
+    round_trips: float  # of a new connection
+    connections: int  # at most
+    full_tax: float  # the part of its capacity that as many connections cost
+    fall_multiple: float  # times its present capacity: so much work makes it collapse while it warms up
+    fall_after: float  # ms in which that work counts
+    overload: Overload | None  # None: it is never overloaded
     seed: int
 
     @property
     def capacity(self) -> float:
-        """Work of a standard core that it does in its time, when warm."""
+        """The work that it does in a ms once it has warmed up."""
         return self.cores * self.speed
 
 
@@ -71,41 +77,41 @@
     name: str
     zone: int
     group: int
-    share: float
-    client_ms: float
+    share: float  # of all requests
+    client_ms: float  # one way between application and sidecar
     seed: int
 
 
 @dataclass(frozen=True, slots=True)
 class NetworkDelays:
-    """Delays one way from groups of sidecars to zones, in ms, and in which zone each group stands."""
+    """Delays one way from groups of sidecars to zones, and the zone in which each group is."""
 
     between: geography.Delays
-    jitter: float
-    homes: tuple[int, ...]
+    jitter: float  # at most, as a part of the delay
+    homes: tuple[int, ...]  # zone by group
 
 
 @dataclass(frozen=True, slots=True)
 class ClientBehaviour:
-    """What clients do on this day."""
+    """How clients behave on this day."""
 
-    retries: int
-    try_share: float
-    backoff: float
-    honour: float
+    retries: int  # at most
+    try_share: float  # of a class's deadline, after which a call is given up
+    backoff: float  # ms before a retry
+    honour: float  # the probability that Retry-After is followed
 
 
 @dataclass(frozen=True, slots=True)
 class ScheduledFault:
-    """One thing that goes wrong, with its targets named. Times are ms from the start."""
+    """One fault with its targets named. Times are ms from the start; see `spec.Fault` for its fields."""
 
     kind: str
     at: float
     until: float
-    targets: tuple[str, ...] = ()
+    targets: tuple[str, ...] = ()  # names of servers or sidecars
     size: float = 0.0
     zone: int = -1
-    batch: int = 1
+    batch: int = 1  # servers
     drain: float = 0.0
     swing: float = 0.0
     disk: str = "kept"
@@ -113,17 +119,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrivals:
-    """What applications ask, in order of time: one array a column."""
+    """The requests of all applications in order of time; each array is a column (requests,)."""
 
-    at: np.ndarray[Any, np.dtype[np.float64]]
-    app: np.ndarray[Any, np.dtype[np.int64]]
-    cls: np.ndarray[Any, np.dtype[np.int64]]
-    work: np.ndarray[Any, np.dtype[np.float64]]
+    at: Floats  # ms from the start
+    app: Integers  # index of the application
+    cls: Integers  # index of the class
+    work: Floats
 
 
 @dataclass(frozen=True, slots=True)
 class Day:
-    """All that a play needs to know."""
+    """Everything that a play depends on."""
 
     seed: int
     lasts: float
@@ -136,12 +142,12 @@
     client_behaviour: ClientBehaviour
     faults: tuple[ScheduledFault, ...]
     arrivals: Arrivals
-    list_delay: tuple[float, float]
-    ttl: float
+    list_delay: tuple[float, float]  # least and most, of a call to the list service
+    ttl: float  # of a registration
 
 
 class DayError(UsageError):
-    """An experiment whose day can't be drawn; its text is one line."""
+    """An experiment whose day can't be sampled; its text is one line."""
 
     action = "Mend the experiment there, or the arrivals file that it names."
 
@@ -149,9 +155,9 @@
 def sample_day(
     experiment: Experiment, seed: int, recorded: Sequence[tuple[float, str, int, float]] = ()
 ) -> Day:
-    """The day of a seed. `recorded` holds the rows of an arrivals file, if the load is a replay."""
-    # Each part has a source of its own, so that a change to one leaves the others as they were.
-    fleet, load, luck, clients = (np.random.default_rng([seed, part]) for part in range(4))
+    """The day of a seed; `recorded` has the rows of an arrivals file. `DayError` if they don't fit."""
+    # Each part has a random source of its own, so that a change to one part leaves the others the same.
+    fleet, load, chance, clients = (np.random.default_rng([seed, part]) for part in range(4))
     servers = tuple(_machines(experiment, fleet))
     apps = tuple(_applications(experiment, clients))
     client_behaviour = ClientBehaviour(
@@ -186,7 +192,7 @@
         routes=tuple(routes),
         client_behaviour=client_behaviour,
         faults=tuple(
-            sorted(_scheduled_faults(experiment, luck, servers, apps), key=lambda t: (t.at, t.kind))
+            sorted(_scheduled_faults(experiment, chance, servers, apps), key=lambda t: (t.at, t.kind))
         ),
         arrivals=arrivals,
         list_delay=experiment.lists.delay,
@@ -198,7 +204,7 @@
     """Servers of each kind by its share, spread over zones."""
     fleet = experiment.fleet
     overload_settings, links, report = fleet.overload, fleet.connections, fleet.report
-    chokes = rng.random() < overload_settings.servers
+    overloads = rng.random() < overload_settings.servers
     round_trips, tax = links.round_trips.at(rng.random()), links.full_tax.at(rng.random())
     handshake = links.handshake.at(rng.random())
     per_kind = {kind.name: _per_kind(kind, rng) for kind in fleet.kinds}
@@ -206,7 +212,7 @@
     for number in range(fleet.servers):
         index = _by_share([kind.share for kind in fleet.kinds], number, fleet.servers)
         kind = fleet.kinds[index]
-        slots, queue, warmup_start, warmup_ms, speed, errors = per_kind[kind.name]
+        values = per_kind[kind.name]
         overload = Overload(
             overload_settings.in_flight_per_core.at(rng.random()) * kind.cores,
             overload_settings.after.at(rng.random()),
@@ -221,12 +227,12 @@
                 zone=number % len(fleet.zones),
                 kind=index,
                 cores=kind.cores,
-                speed=speed * float(rng.uniform(0.9, 1.1)),
-                slots=max(kind.cores, round(slots * kind.cores)),
-                queue=max(1, round(queue * kind.cores)),
-                warmup_start=warmup_start,
-                warmup_ms=warmup_ms,
-                error_rate=errors,
+                speed=values.speed * float(rng.uniform(0.9, 1.1)),
+                slots=max(kind.cores, round(values.slots * kind.cores)),
+                queue=max(1, round(values.queue * kind.cores)),
+                warmup_start=values.warmup_start,
+                warmup_ms=values.warmup_ms,
+                error_rate=values.error_rate,
                 report_every=report.every.at(rng.random()),
                 report_late=report.late.at(rng.random()),
                 report_noise=report.noise.at(rng.random()),
@@ -236,15 +242,26 @@
                 full_tax=tax,
                 fall_multiple=fleet.fall_multiple,
                 fall_after=float(fleet.fall_after),
-                overload=overload if chokes else None,
+                overload=overload if overloads else None,
                 seed=int(rng.integers(2**32)),
             )
         )
     return made
 
 
-def _per_kind(kind: Kind, rng: np.random.Generator) -> tuple[float, float, float, float, float, float]:
-    return (
+class _KindValues(NamedTuple):
+    """What all servers of a kind have in common on a day; slots and queue are for each core."""
+
+    slots: float
+    queue: float
+    warmup_start: float
+    warmup_ms: float
+    speed: float
+    error_rate: float
+
+
+def _per_kind(kind: Kind, rng: np.random.Generator) -> _KindValues:
+    return _KindValues(
         kind.slots_per_core.at(rng.random()),
         kind.queue_per_core.at(rng.random()),
         kind.warmup_start.at(rng.random()),
@@ -255,8 +272,8 @@
 
 
 def _by_share(shares: Sequence[float], number: int, count: int) -> int:
-    """Which of the shares a number falls to; neighbours in number differ, so that zones are alike."""
-    place = (number * 0.6180339887 + 0.5) % 1.0 if count > 2 else (number + 0.5) / count
+    """The index of the share that a number falls to; neighbouring numbers differ, so that zones are alike."""
+    place = (number * GOLDEN_PART + 0.5) % 1.0 if count > 2 else (number + 0.5) / count
     for index, share in enumerate(shares):
         place -= share
         if place < 0.0:
@@ -295,8 +312,8 @@
 # --- load --------------------------------------------------------------------------------------
 
 
-def _level(experiment: Experiment, rng: np.random.Generator) -> np.ndarray[Any, np.dtype[np.float64]]:
-    """The load on a grid of `GRID_MS`, as a multiple of the usual."""
+def _level(experiment: Experiment, rng: np.random.Generator) -> Floats:
+    """The load on a grid of `GRID_MS`, as a multiple of the usual load."""
     load, lasts = experiment.load, experiment.head.lasts
     at = np.arange(0.0, lasts, GRID_MS)
     swing, phase = load.swing.at(rng.random()), rng.random()
@@ -320,7 +337,7 @@
     works: Sequence[float],
     cvs: Sequence[float],
 ) -> Arrivals:
-    """Open-loop arrivals: a Poisson stream whose rate follows the level, whatever is answered."""
+    """Open-loop arrivals: a Poisson process whose rate follows the level, whatever is answered."""
     shares = np.array([row.share for row in experiment.classes])
     shares = shares / shares.sum()
     if experiment.load.rate is not None:
@@ -339,7 +356,7 @@
     for index, (mean, cv) in enumerate(zip(works, cvs, strict=True)):
         mine = cls == index
         work[mine] = rng.gamma(1.0 / cv**2, mean * cv**2, int(mine.sum()))
-    return Arrivals(at, app, cls, np.maximum(work, 0.1))
+    return Arrivals(at, app, cls, np.maximum(work, MIN_WORK))
 
 
 def _replayed(
@@ -362,7 +379,7 @@
     )
 
 
-# --- troubles ----------------------------------------------------------------------------------
+# --- faults -------------------------------------------------------------------------------------
 
 
 def _scheduled_faults(
@@ -413,8 +430,8 @@
     )
 
 
-def wire_settings(experiment: Experiment, me: int, overlay: dict[str, Any]) -> dict[str, Any]:
-    """What a sidecar is told of the site, in the form of the wire's `Setup`."""
+def wire_settings(experiment: Experiment, number: int, overlay: dict[str, Any]) -> dict[str, Any]:
+    """The settings of a sidecar, in the form of the wire's `Setup`; `overlay` replaces some of them."""
     effects = {"safe": "pure", "keyed": "token", "unsafe": "side_effect"}
     links, homes = experiment.fleet.connections, geography.homes(experiment)
     settings: dict[str, Any] = {
@@ -425,8 +442,8 @@
         "FailureDomains": experiment.fleet.zones,
         "Goal": {"Whole": 0.75, "WorstClass": 0.2, "WorstTenant": 0.0, "WorstWindow": 0.05},
         "Kinds": [kind.name for kind in experiment.fleet.kinds],
-        "Locality": homes[me % len(homes)],
-        "Me": me,
+        "Locality": homes[number % len(homes)],
+        "Me": number,
         "OverShareWorth": 0.1,
         "PolicyLimits": {
             "ConnectTimeout": links.timeout,
@@ -475,7 +492,7 @@
 
 
 def overlaid(settings: dict[str, Any], overlay: dict[str, Any]) -> dict[str, Any]:
-    """Settings with some of them replaced, tables within tables too."""
+    """Settings with some of them replaced, in nested tables too."""
     merged = dict(settings)
     for name, value in overlay.items():
         old = merged.get(name)
--- a/brassfall/lab/runner.py
+++ b/brassfall/lab/runner.py
@@ -1,8 +1,8 @@
-"""Runs an experiment: every version on every seed, side by side, and what came of it into a folder.
+"""Runs an experiment: every version on every seed, several at a time, with the results in a folder.
 
-The folder holds `experiment.toml`, one folder a play under `plays/`, `plays.jsonl` with the figures of
-all of them, `report.md` and plots. A play that is there already is not played again: an
-experiment that was cut off goes on where it stopped.
+The folder has `experiment.toml`, a folder for each play under `plays/`, `plays.jsonl` with the results of
+all of them, `report.md` and plots. A play whose result is there is not played again: an interrupted
+experiment continues where it stopped.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 ROOT = Path(__file__).resolve().parent.parent.parent
 TELL_EVERY_S = 2.0
 END_S = 5.0
-# The threads that numpy's library would start spin beside the play, and use up its core.
+# The threads that numpy's library would start busy-wait beside the play, and use up its core.
 ONE_THREAD = {"OPENBLAS_NUM_THREADS": "1", "OMP_NUM_THREADS": "1", "MKL_NUM_THREADS": "1"}
 Say = Callable[[str], None]
 ELSEWHERE = "Name another folder in --out, or move what is there away."
@@ -41,7 +41,7 @@
 
 @dataclass(slots=True)
 class Play:
-    """One play that is to be, is, or has been played."""
+    """One play, before, while and after it is played."""
 
     version: str
     seed: int
@@ -63,13 +63,13 @@
     plays: list[Play] = field(default_factory=list)
 
     async def go(self) -> list[Result]:
-        """Play all that has not been played; the results, in order."""
+        """Play all that has no result yet; the results, in order. Cancelling ends the running plays."""
         head = self.experiment.head
         waiting = [play for play in self.plays if play.result is None]
         done = len(self.plays) - len(waiting)
         if done:
             self.say(f"{done} of {len(self.plays)} plays were there already")
-        # Real plays want the machine for themselves.
+        # Real plays need the machine for themselves.
         side_by_side = 1 if head.mode == "real" else os.cpu_count() or 1
         room = asyncio.Semaphore(head.workers or side_by_side)
         telling = asyncio.create_task(self._tell())
@@ -131,7 +131,7 @@
             self.say(f"{done} of {len(self.plays)} plays; {', '.join(now) or 'starting'}")
 
     async def _end(self) -> None:
-        """End what still runs, by its id; a real play first ends its own processes."""
+        """End the plays that still run; a real play first ends its own processes."""
         running = [play.process for play in self.plays if play.process and play.process.returncode is None]
         for process in running:
             process.terminate()
@@ -147,7 +147,7 @@
 
 
 def load(path: Path) -> Result:
-    """A result that was written down; `SettingsError` if it is none."""
+    """A result from its file; `SettingsError` if the file has none."""
     try:
         return msgspec.json.decode(path.read_bytes(), type=Result)
     except (msgspec.MsgspecError, ValueError) as error:
@@ -203,7 +203,7 @@
 
 
 def _check_settings(at: str, experiment: spec.Experiment, version: spec.Version) -> None:
-    """Whether the decision module that stands here takes the settings of a version."""
+    """Check the settings of a version with this program's decision module."""
     try:
         Settings.parse(day.wire_settings(experiment, 0, version.settings))
     except (ValueError, TypeError, KeyError, AttributeError, OverflowError) as error:
--- a/brassfall/lab/transcriber.py
+++ b/brassfall/lab/transcriber.py
@@ -1,13 +1,14 @@
-"""A server as PROTOCOL has it: small, real, and a member of the list.
+"""A small real server that follows the operators' protocol and registers itself with the list service.
 
-It writes down each call that it took, when and in which state, so that a judge need not take a
-sidecar's word. SIGTERM drains it: it tells the list service that it is leaving, serves what comes
-for as long as sidecars may still send, finishes, and leaves.
+It records each call with its time and the server's state, so that a judge needs nothing that a sidecar
+says. SIGTERM drains it: it tells the list service that it is leaving, serves what arrives for as long as
+sidecars may still send, finishes that, and leaves.
 """
 
 from __future__ import annotations
 
 import asyncio
+import os
 import signal
 import time
 from collections.abc import Sequence
@@ -23,9 +24,9 @@
 from brassfall.logs import logger
 from brassfall.settings import address
 
-TOLD_S = 0.55  # sidecars send nothing new from 500 ms on, and a little for the way
+NOTICE_S = 0.55  # 500 ms after the notice sidecars send nothing new; a little more for the network
 UNLISTED = "End the other process of that name, or mend what the list service refuses."
-REFUSED_FROM_S = 1.0  # after that what still comes is turned away
+REJECTS_FROM_S = 1.0  # after the notice, what still arrives is rejected
 
 log = logger("server")
 _encode = msgspec.json.Encoder().encode
@@ -44,14 +45,14 @@
     _idle: asyncio.Event = field(default_factory=asyncio.Event)
 
     async def serve(self, request: web.Request) -> web.Response:
-        """Take one call: do the work, or turn it away."""
+        """Answer one call: do the work, or reject it. Cancelling ends the work without an answer."""
         call_id = request.headers.get("X-Call-Id")
         body = await request.read()
         if call_id is None:
             return web.Response(status=404)
         late = None if self.leaving_at is None else time.monotonic() - self.leaving_at
-        rejected = late is not None and late > REFUSED_FROM_S
-        self._note(request, call_id, late, rejected)
+        rejected = late is not None and late > REJECTS_FROM_S
+        self._record(request, call_id, late, ran=not rejected)
         if rejected:
             return web.Response(status=503, headers={"X-Rejected": "1"})
         self.in_work += 1
@@ -67,11 +68,11 @@
         return web.Response(body=answer, headers={"X-Load-Report": report, "X-Served-By": self.name})
 
     async def finished(self) -> None:
-        """Wait until nothing is in work."""
+        """Wait until no call is in work."""
         while self.in_work:
             await self._idle.wait()
 
-    def _note(self, request: web.Request, call_id: str, late: float | None, rejected: bool) -> None:
+    def _record(self, request: web.Request, call_id: str, late: float | None, *, ran: bool) -> None:
         if self.ledger is None:
             return
         row: dict[str, Any] = {
@@ -83,7 +84,7 @@
             "key": request.headers.get("Idempotency-Key"),
             "at": time.monotonic(),
             "since_leaving_s": late,
-            "ran": not rejected,
+            "ran": ran,
         }
         self.ledger.write(_encode(row) + b"\n")
 
@@ -100,12 +101,13 @@
 ) -> int:
     """Serve until SIGTERM, then drain; the exit status.
 
-    `advertise` is what the list tells in place of the own address: a proxy that stands before it."""
+    `advertise` is the address for the list in place of the server's own: a proxy before it. Raises
+    `CantListen` if the address can't be used. Cancelling ends it without draining."""
     stop = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         asyncio.get_running_loop().add_signal_handler(number, stop.set)
-    with open(ledger, "ab", buffering=0) if ledger is not None else open("/dev/null", "wb") as book:
-        server = Transcriber(name, work_ms, zone, book if ledger is not None else None)
+    with _opened(ledger) as file:
+        server = Transcriber(name, work_ms, zone, file if ledger is not None else None)
         app = web.Application()
         app.router.add_route("*", "/{rest:.*}", server.serve)
         runner = web.AppRunner(app, access_log=None, keepalive_timeout=15.0)
@@ -141,10 +143,15 @@
     return 1 if lost.done() and not stop.is_set() else 0
 
 
+def _opened(ledger: Path | None) -> IO[bytes]:
+    """The ledger's file, unbuffered; one that keeps nothing where there is no ledger."""
+    return open(ledger or os.devnull, "ab", buffering=0)
+
+
 async def _drain(server: Transcriber, member: Member) -> None:
     log.info("leaving", told=await member.request_status("leaving", 2.0))
     server.leaving_at = time.monotonic()
-    await asyncio.sleep(TOLD_S)
+    await asyncio.sleep(NOTICE_S)
     await server.finished()
     log.info("left", told=await member.request_status("left", 2.0))
     await member.close()
