--- a/tests/test_crossings_property.py
+++ b/tests/test_crossings_property.py
@@ -82,7 +82,7 @@
         return end(self, request, by)
 
     monkeypatch.setattr(Driver, "_end", keep_guard)
-    monkeypatch.setattr(Driver, "_overdue", lambda self, request: request.call.failed(True))
+    monkeypatch.setattr(Driver, "_overdue", lambda self, request: request.call.failed(late=True))
     assert found("a second final answer")
 
 
