--- a/brassfall/cli.py
+++ b/brassfall/cli.py
@@ -11,7 +11,7 @@
 
 from brassfall import fleet_commands, lab_commands, registry_commands, settings
 from brassfall.commands import run
-from brassfall.errors import BrassfallError, SystemRefused
+from brassfall.errors import BrassfallError, OperatingSystemError
 
 
 class OneLineErrors(TyperGroup):
@@ -36,9 +36,9 @@
     if isinstance(error, BrassfallError):
         return error
     if isinstance(error, MemoryError):
-        return SystemRefused("the system", "there is not enough memory")
+        return OperatingSystemError("the system", "there is not enough memory")
     if isinstance(error, OSError) and error.errno != errno.EPIPE:
-        return SystemRefused(str(error.filename or "the system"), error.strerror or str(error))
+        return OperatingSystemError(str(error.filename or "the system"), error.strerror or str(error))
     return None
 
 
--- a/brassfall/commands.py
+++ b/brassfall/commands.py
@@ -49,9 +49,9 @@
 def instance_name(text: str) -> str:
     """The same name; `UsageError` where no instance can have it."""
     from brassfall.controlplane.registry import entries
-    from brassfall.errors import Refused
+    from brassfall.errors import RequestError
 
     try:
         return entries.name(text)
-    except Refused as error:
+    except RequestError as error:
         raise UsageError(error.what, action="Give a name of that form, as in `list`.") from None
--- a/brassfall/controlplane/aggregation/directory.py
+++ b/brassfall/controlplane/aggregation/directory.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 from brassfall.controlplane.aggregation.messages import MEMBERS_MOST, AggregatorReport, Member
-from brassfall.errors import Conflict, Unavailable
+from brassfall.errors import ConflictError, UnavailableError
 
 AGGREGATORS_MOST = 64
 FORMER_MOST = 4  # processes of one name that another has followed
@@ -20,7 +20,7 @@
 ORPHANS_MS = 60_000.0  # children of a process that another has followed count for so long
 
 
-class AggregatorNameError(Conflict):
+class AggregatorNameError(ConflictError):
     """The name of an aggregator is another's, who is alive (409)."""
 
     action = (
@@ -76,7 +76,7 @@
         """Take in a report; `AggregatorNameError` where the name is another's. `epoch`: the service's."""
         known = self._names.get(name)
         if known is None and len(self._names) >= AGGREGATORS_MOST:
-            raise Unavailable("no place", f"{AGGREGATORS_MOST} aggregators are known", retry_s=10.0)
+            raise UnavailableError("no place", f"{AGGREGATORS_MOST} aggregators are known", retry_s=10.0)
         if known is not None:
             self._check_owner(now, name, known.current, report)
         process = self._process(now, epoch, name, report)
--- a/brassfall/controlplane/aggregation/messages.py
+++ b/brassfall/controlplane/aggregation/messages.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from brassfall.errors import Refused
+from brassfall.errors import RequestError
 
 REPORT_EVERY_MS = 250.0
 MEMBERS_MOST = 256  # arrivals, and departures, in one report
@@ -28,7 +28,7 @@
 NUMBER_MOST = 2**53
 
 
-class AggregatorReportError(Refused):
+class AggregatorReportError(RequestError):
     """A report from an aggregator that can't be read, or contradicts itself."""
 
     action = "See which version of the aggregator runs there; its lease runs out, its children move on."
--- a/brassfall/controlplane/geo/plan.py
+++ b/brassfall/controlplane/geo/plan.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from brassfall.errors import Refused
+from brassfall.errors import RequestError
 
 Shares = Mapping[str, Mapping[str, float]]  # by group and region
 
@@ -19,7 +19,7 @@
 RAMP_START = 0.1  # the part of its capacity that is planned for at first
 
 
-class PlanError(Refused):
+class PlanError(RequestError):
     """A plan layer that cannot be used; `what` names the key."""
 
     action = "Publish a plan of the form in docs/geo.md; the plan that was published before stays."
--- a/brassfall/controlplane/overrides/book.py
+++ b/brassfall/controlplane/overrides/book.py
@@ -21,7 +21,7 @@
 
 from brassfall.controlplane.overrides.document import BadOverride, Document, Override
 from brassfall.controlplane.overrides.history import Entry, History, Ring
-from brassfall.errors import BrassfallError, Conflict, Missing, Unavailable
+from brassfall.errors import BrassfallError, ConflictError, NotFoundError, UnavailableError
 
 TABLE = "overrides"
 OVERRIDES_MOST = 4096
@@ -32,19 +32,19 @@
 RETRY_MS = 1000  # of a deletion that failed
 
 
-class TooManyOverrides(Conflict):
+class TooManyOverrides(ConflictError):
     """The book is full (409)."""
 
     action = "End overrides that are no longer needed, or put what they have in common into the settings."
 
 
-class NoSuchOverride(Missing):
+class NoSuchOverride(NotFoundError):
     """No override with that id is in force (404)."""
 
     action = "List the overrides, and name one of them; it may have ended by itself."
 
 
-class OverrideNotWritten(Unavailable):
+class OverrideNotWritten(UnavailableError):
     """The row could not be made durable; nothing has changed (503)."""
 
     action = "Look at /status and at the disk of the list service, then send the call again."
--- a/brassfall/controlplane/overrides/document.py
+++ b/brassfall/controlplane/overrides/document.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from brassfall.errors import Refused
+from brassfall.errors import RequestError
 
 LONGEST_MS = 24 * 3_600_000  # a measure that lasts longer belongs into the settings
 NAME = re.compile(r"[A-Za-z0-9._:-]{1,128}\Z")
@@ -23,7 +23,7 @@
 SUM_SLACK = 1e-6  # shares that add up to one, written as decimals
 
 
-class BadOverride(Refused):
+class BadOverride(RequestError):
     """A document that can't be an override (400)."""
 
     action = "Mend the document as the reason says, and send it again; docs/overrides.md has its form."
--- a/brassfall/controlplane/registry/aggregator/configuration.py
+++ b/brassfall/controlplane/registry/aggregator/configuration.py
@@ -67,7 +67,7 @@
             if made.status == 200:
                 self._step(read_state(made.body))
         except (UpstreamError, StateError) as error:
-            log.warning("state not fetched", reason=error.told)
+            log.warning("state not fetched", reason=error.summary)
         finally:
             self._fetching = False
 
--- a/brassfall/controlplane/registry/aggregator/forwarding.py
+++ b/brassfall/controlplane/registry/aggregator/forwarding.py
@@ -10,14 +10,14 @@
 from brassfall.controlplane.registry.aggregator.addresses import Addresses
 from brassfall.controlplane.registry.aggregator.upstream import Answer, Upstream, UpstreamError
 from brassfall.controlplane.registry.front import Front
-from brassfall.errors import Unavailable
+from brassfall.errors import UnavailableError
 
 REQUEST_HEADERS = ("If-Match", "X-Request-Id", "X-Lease", "X-Force", "Content-Type")
 RESPONSE_HEADERS = ("Content-Type", "Retry-After")
 RETRY_S = 1.0
 
 
-class NotForwardedError(Unavailable):
+class NotForwardedError(UnavailableError):
     """A call that was not forwarded, or got no answer in time; it may have been carried out."""
 
     action = (
@@ -73,6 +73,8 @@
         except UpstreamError as error:
             self.rejected += 1
             self._addresses.failed()
-            raise NotForwardedError("no answer from the list service", error.told, retry_s=RETRY_S) from error
+            raise NotForwardedError(
+                "no answer from the list service", error.summary, retry_s=RETRY_S
+            ) from error
         self._addresses.worked()
         return made
--- a/brassfall/controlplane/registry/aggregator/mirror.py
+++ b/brassfall/controlplane/registry/aggregator/mirror.py
@@ -15,7 +15,7 @@
 from brassfall.controlplane.registry.entries import INSTANCES, NAME
 from brassfall.controlplane.store.records import Change, Record, RecordKind, Row, Snapshot
 from brassfall.controlplane.store.state import State
-from brassfall.errors import Refused
+from brassfall.errors import RequestError
 
 DOUBT_MS = 30_000.0  # how long a list that is empty, or goes back, is not believed
 HEARTBEAT_MS = 2000.0  # the k-th heartbeat of a watch comes no sooner than k times this after the call
@@ -23,7 +23,7 @@
 LEFT = "left"
 
 
-class MirrorError(Refused):
+class MirrorError(RequestError):
     """A line of the list service that is no list, or not believed; the list held stays."""
 
     action = "Look at the list service, which lost its list or runs twice; past 30 s it is believed."
--- a/brassfall/controlplane/registry/aggregator/reporter.py
+++ b/brassfall/controlplane/registry/aggregator/reporter.py
@@ -92,7 +92,7 @@
             lease = await self.upstream.report(self._addresses.current, self.core.name, report)
         except UpstreamError as error:
             self.failed += 1
-            self._fails(error.told)
+            self._fails(error.summary)
             self.step(UpstreamFailed(report.seq))
             return self._addresses.failed(error.retry_s)
         self._addresses.worked()
--- a/brassfall/controlplane/registry/aggregator/state_lines.py
+++ b/brassfall/controlplane/registry/aggregator/state_lines.py
@@ -5,12 +5,12 @@
 import msgspec
 
 from brassfall.controlplane.aggregation.core import StateReceived
-from brassfall.errors import Refused
+from brassfall.errors import RequestError
 
 STATES = ("prepared", "committed", "halted")
 
 
-class StateError(Refused):
+class StateError(RequestError):
     """A line of the rules from above that can't be read."""
 
     action = "See which version of the list service runs there; its watch is opened again."
--- a/brassfall/controlplane/registry/aggregator/upstream.py
+++ b/brassfall/controlplane/registry/aggregator/upstream.py
@@ -13,7 +13,7 @@
 from brassfall.controlplane.aggregation.messages import AggregatorLease, AggregatorReport
 from brassfall.controlplane.registry.aggregator.addresses import Addresses
 from brassfall.controlplane.registry.client import UNANSWERED, UNREADABLE, read_bounded, retry_after_s
-from brassfall.errors import Refused, Unreachable
+from brassfall.errors import RequestError, UnreachableError
 from brassfall.logs import logger
 
 CALL_TIMEOUT_S = 1.0  # an answer that takes longer is of no use: a lease is counted from asking
@@ -28,7 +28,7 @@
 _lease = msgspec.json.Decoder(AggregatorLease)
 
 
-class UpstreamError(Unreachable):
+class UpstreamError(UnreachableError):
     """The list service gave no good answer; it is asked again by itself."""
 
     action = "See that the list service runs at its address; it is asked again, and what is held here serves."
@@ -128,7 +128,7 @@
     async def keep_watch(
         self, path: Callable[[], str], take: Callable[[Line], None], state: WatchState
     ) -> None:
-        """Watch until this task is cancelled. A line that `take` raises `Refused` for ends one connection."""
+        """Watch until this task is cancelled. A `RequestError` of `take` ends one connection only."""
         addresses = self.spread()
         while True:
             state.at, retry_s = addresses.current, 0.0
@@ -136,11 +136,11 @@
                 await self._watch(addresses, path(), take, state)
                 state.failing = "the watch has ended"
             except UpstreamError as error:
-                state.failing, retry_s = error.told, error.retry_s
-            except Refused as error:
-                state.failing = error.told
+                state.failing, retry_s = error.summary, error.retry_s
+            except RequestError as error:
+                state.failing = error.summary
                 state.refused_lines += 1
-                log.warning("line refused", at=state.at, reason=error.told, action=error.action)
+                log.warning("line refused", at=state.at, reason=error.summary, action=error.action)
             except Exception as error:  # without a watch the children would get no changes any more
                 state.failing = f"a fault here: {error!r}"
                 log.exception("fault")
--- a/brassfall/controlplane/registry/aggregators.py
+++ b/brassfall/controlplane/registry/aggregators.py
@@ -141,7 +141,7 @@
             lease = self.reported(name, report)
         except AggregatorNameError as error:
             self.figures.name_conflicts += 1
-            log.warning("name conflict", name=name, reason=error.told, action=error.action)
+            log.warning("name conflict", name=name, reason=error.summary, action=error.action)
             raise
         return calls.Brief(body=_encode(lease))
 
--- a/brassfall/controlplane/registry/calls.py
+++ b/brassfall/controlplane/registry/calls.py
@@ -6,7 +6,7 @@
 
 from brassfall.controlplane.registry import entries
 from brassfall.controlplane.registry.entries import INSTANCES
-from brassfall.errors import Refused
+from brassfall.errors import RequestError
 
 # Tables that are written under paths of their own, where each write is decided on first.
 OWNED = {
@@ -38,15 +38,15 @@
 
 
 def row_address(request: web.Request) -> tuple[str, str]:
-    """The table and key that the path names; `Refused` if they are none."""
+    """The table and key that the path names; `RequestError` if they are none."""
     return entries.name(request.match_info["table"]), entries.name(request.match_info["key"])
 
 
 def writable_row_address(request: web.Request) -> tuple[str, str]:
-    """The same, for a write; `Refused` where the table is written under another path."""
+    """The same, for a write; `RequestError` where the table is written under another path."""
     table, key = row_address(request)
     if table in OWNED:
-        raise Refused(f"{table} is written under {OWNED[table]}")
+        raise RequestError(f"{table} is written under {OWNED[table]}")
     return table, key
 
 
@@ -56,9 +56,9 @@
 
 
 def number(text: str, field: str) -> int:
-    """A whole number; `Refused` names the field."""
+    """A whole number; `RequestError` names the field."""
     if not (text.isascii() and text.isdigit() and len(text) <= 16):
-        raise Refused(f"{field}: {text[:40]!r} is no whole number from 0 up")
+        raise RequestError(f"{field}: {text[:40]!r} is no whole number from 0 up")
     return int(text)
 
 
@@ -72,5 +72,5 @@
     """`X-Request-Id`, or an empty text."""
     text = request.headers.get("X-Request-Id", "")
     if len(text) > 128 or not text.isprintable():
-        raise Refused("X-Request-Id: up to 128 printable characters are wanted")
+        raise RequestError("X-Request-Id: up to 128 printable characters are wanted")
     return text
--- a/brassfall/controlplane/registry/client.py
+++ b/brassfall/controlplane/registry/client.py
@@ -9,7 +9,7 @@
 import msgspec
 from aiohttp.http import HttpProcessingError
 
-from brassfall.errors import Unreachable
+from brassfall.errors import UnreachableError
 
 CALL_TIMEOUT_S = 2.0
 # The last two: an address that is no URL, and a line or a head without end.
@@ -33,7 +33,7 @@
 _error_answer = msgspec.json.Decoder(ErrorAnswer, strict=False).decode
 
 
-class CallError(Unreachable):
+class CallError(UnreachableError):
     """A call had no good answer; its text is one line."""
 
     action = "See that a list service runs at that address and is reachable from here; its log says more."
--- a/brassfall/controlplane/registry/entries.py
+++ b/brassfall/controlplane/registry/entries.py
@@ -11,7 +11,7 @@
 
 from brassfall.controlplane.store.commands import Delete, Patch, Put
 from brassfall.controlplane.store.records import Change, Row
-from brassfall.errors import Refused
+from brassfall.errors import RequestError
 from brassfall.settings import LeaseSettings, address
 
 INSTANCES = "instances"
@@ -70,27 +70,27 @@
 
 
 def name(text: str) -> str:
-    """A name of an instance, a table or a key; `Refused` if it is none."""
+    """A name of an instance, a table or a key; `RequestError` if it is none."""
     if not NAME.fullmatch(text):
-        raise Refused(f"name {text[:140]!r}: 1 to 128 letters, digits, '.', '_', ':' or '-' are wanted")
+        raise RequestError(f"name {text[:140]!r}: 1 to 128 letters, digits, '.', '_', ':' or '-' are wanted")
     return text
 
 
 def registration(key: str, body: bytes, leases: LeaseSettings) -> tuple[Registration, int]:
-    """What is to be registered, and its time to live in ms; `Refused` names what is wrong."""
+    """What is to be registered, and its time to live in ms; `RequestError` names what is wrong."""
     try:
         asked = msgspec.json.decode(body, type=Registration)
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
-        raise Refused(str(error)) from error
+        raise RequestError(str(error)) from error
     if asked.name not in (None, key):
-        raise Refused(f"name: the path says {key!r}, the entry says {str(asked.name)[:140]!r}")
+        raise RequestError(f"name: the path says {key!r}, the entry says {str(asked.name)[:140]!r}")
     try:
         address(asked.address)
     except ValueError as error:
-        raise Refused(f"address: {error}") from error
+        raise RequestError(f"address: {error}") from error
     for field in ("address", "zone", "type"):
         if not TEXT.fullmatch(getattr(asked, field)):
-            raise Refused(f"{field}: up to 128 printable characters are wanted")
+            raise RequestError(f"{field}: up to 128 printable characters are wanted")
     _weight(asked.weight)
     _check_range("since_ms", asked.since_ms)
     _check_range("group", asked.group)
@@ -98,11 +98,11 @@
 
 
 def ttl(asked: int | None, leases: LeaseSettings) -> int:
-    """A time to live in ms: the one asked for, or the usual one; `Refused` out of bounds."""
+    """A time to live in ms: the one asked for, or the usual one; `RequestError` out of bounds."""
     if asked is None:
         return leases.default_ms
     if asked != 0 and not leases.least_ms <= asked <= leases.most_ms:
-        raise Refused(f"ttl_ms: {asked} is not between {leases.least_ms} and {leases.most_ms}")
+        raise RequestError(f"ttl_ms: {asked} is not between {leases.least_ms} and {leases.most_ms}")
     return asked
 
 
@@ -125,18 +125,18 @@
 
 
 def alter(key: str, body: bytes, if_match: int | None, request_id: str) -> Patch:
-    """The command for a change of status or weight; `Refused` names what is wrong."""
+    """The command for a change of status or weight; `RequestError` names what is wrong."""
     try:
         asked = msgspec.json.decode(body, type=Alteration)
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
-        raise Refused(str(error)) from error
+        raise RequestError(str(error)) from error
     changes: dict[str, Any] = {}
     if asked.status is not None:
         changes["status"] = asked.status
     if asked.weight is not None:
         changes["weight"] = _weight(asked.weight)
     if not changes:
-        raise Refused("neither status nor weight is named")
+        raise RequestError("neither status nor weight is named")
     return Patch(
         table=INSTANCES,
         key=key,
@@ -148,13 +148,13 @@
 
 
 def holder(body: bytes) -> int | None:
-    """The incarnation that a call names, if it names one; `Refused` if the body is malformed."""
+    """The incarnation that a call names, if it names one; `RequestError` if the body is malformed."""
     if not body:
         return None
     try:
         return msgspec.json.decode(body, type=Holder).since_ms
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
-        raise Refused(str(error)) from error
+        raise RequestError(str(error)) from error
 
 
 def leave(key: str, fence: int | None, if_match: int | None, request_id: str) -> Delete:
@@ -179,10 +179,10 @@
 
 def _weight(weight: float) -> float:
     if not (math.isfinite(weight) and 0.0 < weight <= 1e6):
-        raise Refused(f"weight: {weight} is not above 0 and up to 1e6")
+        raise RequestError(f"weight: {weight} is not above 0 and up to 1e6")
     return weight
 
 
 def _check_range(field: str, value: int) -> None:
     if not 0 <= value < INTEGER_MOST:
-        raise Refused(f"{field}: {value} is not between 0 and 2^53")
+        raise RequestError(f"{field}: {value} is not between 0 and 2^53")
--- a/brassfall/controlplane/registry/front.py
+++ b/brassfall/controlplane/registry/front.py
@@ -19,7 +19,7 @@
 from brassfall.controlplane.registry.http_errors import UnknownPathError, error_response, status_response
 from brassfall.controlplane.registry.limits import CallerQuotas, CallRateLimiter, JoinLimiter
 from brassfall.controlplane.registry.watches import TICK_S, Channel, chunk
-from brassfall.errors import Refused, Unavailable
+from brassfall.errors import RequestError, UnavailableError
 from brassfall.logs import faults, logger
 from brassfall.settings import CallerLimits, address
 
@@ -120,10 +120,11 @@
             self._server.close()
         else:
             self.unbind()
-        if self._heartbeat is not None:
-            self._heartbeat.cancel()
         for channel in self.channels.values():
             channel.end()
+        if self._heartbeat is not None:
+            self._heartbeat.cancel()
+            await asyncio.wait({self._heartbeat})
         if self._runner is not None:
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(self._runner.cleanup(), SHUTDOWN_TIMEOUT_S)
@@ -164,9 +165,9 @@
     async def _handle(self, request: web.Request, handler: Handler) -> web.StreamResponse:
         try:
             return await handler(request)
-        except Unavailable as error:
+        except UnavailableError as error:
             return error_response(error, error.retry_s * (0.5 + self.rng.random()))
-        except Refused as error:
+        except RequestError as error:
             return error_response(error)
         except web.HTTPNotFound:
             return error_response(UnknownPathError("no such path", request.path[:200]))
--- a/brassfall/controlplane/registry/geo.py
+++ b/brassfall/controlplane/registry/geo.py
@@ -25,7 +25,7 @@
 from brassfall.controlplane.revisions.edges import Report
 from brassfall.controlplane.store.commands import Put
 from brassfall.controlplane.store.store import Store
-from brassfall.errors import Refused
+from brassfall.errors import RequestError
 from brassfall.logs import logger
 from brassfall.settings import GeoSettings
 
@@ -217,7 +217,7 @@
     async def _run(self, action: publisher.Action) -> None:
         try:
             event = await self._perform(action)
-        except Refused as error:
+        except RequestError as error:
             log.warning("no plan", reason=str(error))
             event = publisher.CallFailed()
         self._step(event)
--- a/brassfall/controlplane/registry/http_errors.py
+++ b/brassfall/controlplane/registry/http_errors.py
@@ -4,18 +4,26 @@
 
 from aiohttp import web
 
-from brassfall.errors import Conflict, Missing, Refused, Stale, TooLarge, TooOften, Unavailable
+from brassfall.errors import (
+    ConflictError,
+    NotFoundError,
+    PreconditionFailedError,
+    RateLimitError,
+    RequestError,
+    TooLargeError,
+    UnavailableError,
+)
 
 RETRY_LEAST_S = 0.05  # the least that `Retry-After` says
 
 
-class UnknownPathError(Missing):
+class UnknownPathError(NotFoundError):
     """The service has no such path (404)."""
 
     action = "See docs/registry.md for the paths; a service of an earlier version lacks the newer ones."
 
 
-class MethodNotAllowedError(Refused):
+class MethodNotAllowedError(RequestError):
     """The path has no such method (405)."""
 
     action = "See docs/registry.md for the methods of the path."
@@ -23,7 +31,7 @@
     slug = "method not allowed"
 
 
-class BodyTimeoutError(Refused):
+class BodyTimeoutError(RequestError):
     """The body of a call did not come in time (408)."""
 
     action = "Send the whole body at once; look at the network between the two."
@@ -31,7 +39,7 @@
     slug = "too slow"
 
 
-class InternalError(Refused):
+class InternalError(RequestError):
     """A defect of the service (500)."""
 
     action = "Report it with the traceback that the service's log has under `fault`."
@@ -39,7 +47,7 @@
     slug = "internal error"
 
 
-class AskElsewhereError(Refused):
+class AskElsewhereError(RequestError):
     """This process can't answer, and another address can (503, without a time to come back here)."""
 
     action = "Ask another aggregator, or the list service; /health/ready here says what is missing."
@@ -47,32 +55,34 @@
     slug = "unavailable"
 
 
-BY_STATUS: dict[int, type[Refused]] = {
+BY_STATUS: dict[int, type[RequestError]] = {
     kind.status: kind
     for kind in (
-        Refused,
-        Missing,
+        RequestError,
+        NotFoundError,
         MethodNotAllowedError,
         BodyTimeoutError,
-        Conflict,
-        Stale,
-        TooLarge,
-        TooOften,
+        ConflictError,
+        PreconditionFailedError,
+        TooLargeError,
+        RateLimitError,
         InternalError,
-        Unavailable,
+        UnavailableError,
     )
 }
 
 
 def status_response(status: int, reason: str, retry_s: float | None = None) -> web.Response:
     """The answer for a status and a reason; with `Retry-After` where `retry_s` is given."""
-    return error_response(BY_STATUS.get(status, Refused)(reason), retry_s, status)
+    return error_response(BY_STATUS.get(status, RequestError)(reason), retry_s, status)
 
 
-def error_response(error: Refused, retry_s: float | None = None, status: int | None = None) -> web.Response:
+def error_response(
+    error: RequestError, retry_s: float | None = None, status: int | None = None
+) -> web.Response:
     """The answer for an error; `retry_s` and `status` where they are others than its own."""
     status = error.status if status is None else status
     body = error.wire() if status in BY_STATUS else {**error.wire(), "error": "error"}
-    wait_s = error.retry_s if retry_s is None and isinstance(error, Unavailable) else retry_s
+    wait_s = error.retry_s if retry_s is None and isinstance(error, UnavailableError) else retry_s
     headers = {} if wait_s is None else {"Retry-After": f"{max(wait_s, RETRY_LEAST_S):.2f}"}
     return web.json_response(body, status=status, headers=headers)
--- a/brassfall/controlplane/registry/overrides.py
+++ b/brassfall/controlplane/registry/overrides.py
@@ -33,7 +33,7 @@
 from brassfall.controlplane.store.outcomes import OutcomeUnknownError
 from brassfall.controlplane.store.store import Store
 from brassfall.controlplane.store.writer import UNKNOWN_AFTER_S
-from brassfall.errors import Unavailable
+from brassfall.errors import UnavailableError
 from brassfall.logs import faults, logger
 
 CLOCK, MARK = "overrides-clock", "mark"
@@ -100,7 +100,7 @@
     async def start(self) -> None:
         """Load what is durable; the first mark of the clock is durable before anything is answered.
 
-        `Unavailable` while the disk fails: it may be called again."""
+        `UnavailableError` while the disk fails: it may be called again."""
         table = self.host.store.state
         ring = history.Ring()
         past = sorted(table.rows(history.TABLE), key=lambda row: row.key)
@@ -198,7 +198,7 @@
             # Submitted in one go, they are in one commit.
             for future in [self.host.store.submit(row) for row in rows]:
                 await future
-        except Unavailable as error:
+        except UnavailableError as error:
             return str(error)
         return ""
 
@@ -245,7 +245,7 @@
     async def _publish(self, due: list[dict[str, Any]]) -> None:
         try:
             await self.editions.publish(overrides=due)
-        except Unavailable as error:
+        except UnavailableError as error:
             log.warning("not published", reason=str(error))
         finally:
             self._publishing = False
--- a/brassfall/controlplane/registry/process.py
+++ b/brassfall/controlplane/registry/process.py
@@ -10,7 +10,7 @@
 
 from structlog.typing import FilteringBoundLogger
 
-from brassfall.errors import BrassfallError, CantListen
+from brassfall.errors import BrassfallError, ListenError
 from brassfall.logs import logger
 
 SWITCH_INTERVAL_S = 0.0002  # of the interpreter, between threads
@@ -43,7 +43,7 @@
     except BrassfallError as error:
         return _failed(own, error)
     except OSError as error:
-        return _failed(own, CantListen(listen, error.strerror or str(error)))
+        return _failed(own, ListenError(listen, error.strerror or str(error)))
     if at is not None:
         own.info("ready", listen=at, **ready_fields)
         await stop.wait()
@@ -54,7 +54,7 @@
 
 def _failed(log: FilteringBoundLogger, error: BrassfallError) -> int:
     """Log why it can't start; the exit status."""
-    log.error("can't start", reason=error.told, action=error.action)
+    log.error("can't start", reason=error.summary, action=error.action)
     return error.exit_status
 
 
@@ -64,6 +64,7 @@
     stopped = asyncio.ensure_future(stop.wait())
     await asyncio.wait({start, stopped}, return_when=asyncio.FIRST_COMPLETED)
     stopped.cancel()
+    await asyncio.wait({stopped})
     if start.done():
         return await start
     start.cancel()
--- a/brassfall/controlplane/registry/revision_state.py
+++ b/brassfall/controlplane/registry/revision_state.py
@@ -7,7 +7,7 @@
 
 from brassfall.controlplane.revisions.core import Kept
 from brassfall.controlplane.revisions.document import Edition
-from brassfall.errors import Missing
+from brassfall.errors import NotFoundError
 
 
 def current_state(kept: Kept, epoch: int) -> dict[str, Any]:
@@ -22,7 +22,7 @@
 
 
 def state_of(kept: Kept, epoch: int, outcomes: Mapping[int, str], number: int) -> dict[str, Any]:
-    """What became of one revision; `Missing` where that is not known any more."""
+    """What became of one revision; `NotFoundError` where that is not known any more."""
     if number == kept.committed.number:
         return _told(kept, epoch, kept.committed, "committed")
     for edition in (kept.pending, kept.waiting):
@@ -35,7 +35,9 @@
         state = "committed" if outcome == "committed" else "halted"
         reasons = [] if state == "committed" else [{"edge": "", "reason": outcome}]
         return {"edition": number, "life": epoch, "state": state, "objections": reasons}
-    raise Missing("no such edition", f"{number} is neither in force nor among the last that were published")
+    raise NotFoundError(
+        "no such edition", f"{number} is neither in force nor among the last that were published"
+    )
 
 
 def _told(
--- a/brassfall/controlplane/registry/rules.py
+++ b/brassfall/controlplane/registry/rules.py
@@ -29,7 +29,7 @@
 from brassfall.controlplane.store.commands import Delete, Put
 from brassfall.controlplane.store.outcomes import NotWrittenError
 from brassfall.controlplane.store.store import Store
-from brassfall.errors import Missing, Stale, Unavailable
+from brassfall.errors import NotFoundError, PreconditionFailedError, UnavailableError
 from brassfall.logs import faults, logger
 from brassfall.settings import AgreementSettings
 
@@ -70,7 +70,7 @@
         """What is wrong, by sidecar."""
 
 
-class UnwrittenError(Unavailable):
+class UnwrittenError(UnavailableError):
     """The disk took no edition: nothing has changed."""
 
     action = "Look at the disk of the list service (/status says what it answered), then publish again."
@@ -158,7 +158,9 @@
                 case deciding.Published(ticket, edition):
                     self._settle(ticket, edition)
                 case deciding.Conflict(ticket, newest):
-                    self._settle(ticket, Stale("not published", f"the newest edition is {newest}"))
+                    self._settle(
+                        ticket, PreconditionFailedError("not published", f"the newest edition is {newest}")
+                    )
                 case deciding.Unwritten(ticket):
                     self._settle(ticket, UnwrittenError("not published", "the disk refused it"))
                 case deciding.Told():
@@ -341,7 +343,7 @@
             raise AggregatorNameError(f"sidecar {name}", "an aggregator has this name")
         if name not in self.core.fleet.edges and len(self.core.fleet.edges) >= self.settings.members_most:
             self.figures.refused_reports += 1
-            raise Unavailable(
+            raise UnavailableError(
                 "no place", f"all {self.settings.members_most} sidecars are known", retry_s=10.0
             )
         return calls.Brief(body=_encode(self._permission(name, report)))
@@ -371,7 +373,7 @@
         if name not in self.core.fleet.names and name not in self.core.fleet.edges:
             via = self.directory.owner(name)
             why = f"reports to aggregator {via}: end it there" if via else "has not reported to this service"
-            raise Missing("no such member", f"{name} {why}")
+            raise NotFoundError("no such member", f"{name} {why}")
         self.step(deciding.Forget(name))
         self._gone(name)
         return answer(_encode({"name": name}))
--- a/brassfall/controlplane/registry/server.py
+++ b/brassfall/controlplane/registry/server.py
@@ -29,7 +29,7 @@
 from brassfall.controlplane.store.log import Log, LogOutcomeUnknownError, LogUnavailableError
 from brassfall.controlplane.store.records import Change
 from brassfall.controlplane.store.store import Options, Store
-from brassfall.errors import BrassfallError, Unavailable
+from brassfall.errors import BrassfallError, UnavailableError
 from brassfall.logs import logger
 from brassfall.settings import RegistrySettings
 
@@ -97,9 +97,9 @@
         """Begin a part; while the disk fails, answer calls about health alone, and try again."""
         pause_s = RETRY_S
         while (failure := await _attempt(begin)) is not None:
-            if self._not_started != failure.told:
-                log.error("not ready", reason=failure.told, action=failure.action)
-            self._not_started = failure.told
+            if self._not_started != failure.summary:
+                log.error("not ready", reason=failure.summary, action=failure.action)
+            self._not_started = failure.summary
             await self._serve()
             await asyncio.sleep(pause_s)
             pause_s = min(RETRY_MOST_S, 2.0 * pause_s)
@@ -114,7 +114,7 @@
 
         async def handle(request: web.Request) -> web.StreamResponse:
             if self._not_started:
-                raise Unavailable("the service has not started", self._not_started)
+                raise UnavailableError("the service has not started", self._not_started)
             made = route.handler(request)
             assert isinstance(made, Awaitable)  # the paths here are functions, no classes
             response: web.StreamResponse = await made
@@ -205,7 +205,7 @@
     """Begin a part; the error where the disk fails for now, None once it has begun."""
     try:
         await begin()
-    except (LogUnavailableError, LogOutcomeUnknownError, Unavailable) as error:
+    except (LogUnavailableError, LogOutcomeUnknownError, UnavailableError) as error:
         return error
     return None
 
--- a/brassfall/controlplane/registry/tables.py
+++ b/brassfall/controlplane/registry/tables.py
@@ -13,7 +13,7 @@
 from brassfall.controlplane.registry.writes import Writes
 from brassfall.controlplane.store.commands import Delete, Put
 from brassfall.controlplane.store.store import Store
-from brassfall.errors import Refused
+from brassfall.errors import RequestError
 from brassfall.settings import LeaseSettings
 
 LEASE = "X-Lease"  # the time to live of a row, in ms
@@ -59,7 +59,7 @@
         try:
             value = msgspec.json.decode(await self._front.body(request))
         except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
-            raise Refused(f"the value is no JSON: {error}") from error
+            raise RequestError(f"the value is no JSON: {error}") from error
         self._writes.check_room(table, key)
         command = Put(
             table=table,
--- a/brassfall/controlplane/registry/writes.py
+++ b/brassfall/controlplane/registry/writes.py
@@ -10,7 +10,7 @@
 from brassfall.controlplane.store.commands import Command
 from brassfall.controlplane.store.records import Result, Status
 from brassfall.controlplane.store.store import Store
-from brassfall.errors import Unavailable
+from brassfall.errors import UnavailableError
 from brassfall.settings import Limits
 
 MORE_ROOM = "Delete what is not needed, or raise the limit in the service's configuration."
@@ -50,10 +50,12 @@
         return status_response(HTTP_STATUS[result.status], result.reason)
 
     def check_room(self, table: str, key: str) -> None:
-        """`Unavailable` where a new row, or a new table, would exceed the limits."""
+        """`UnavailableError` where a new row, or a new table, would exceed the limits."""
         rows, limits = self._store.state, self._limits
         if rows.get(table, key) is None and sum(map(rows.count, rows.names)) >= limits.rows:
-            raise Unavailable("all rows are taken", str(limits.rows), MORE_ROOM, retry_s=FULL_RETRY_S)
+            raise UnavailableError("all rows are taken", str(limits.rows), MORE_ROOM, retry_s=FULL_RETRY_S)
         names = {name for name in rows.names if name not in OWNED}
         if table not in names and len(names) >= limits.tables:
-            raise Unavailable("all tables are taken", str(limits.tables), MORE_ROOM, retry_s=FULL_RETRY_S)
+            raise UnavailableError(
+                "all tables are taken", str(limits.tables), MORE_ROOM, retry_s=FULL_RETRY_S
+            )
--- a/brassfall/controlplane/revisions/document.py
+++ b/brassfall/controlplane/revisions/document.py
@@ -14,16 +14,16 @@
 
 import msgspec
 
-from brassfall.errors import Conflict, Refused
+from brassfall.errors import ConflictError, RequestError
 
 
-class DocumentError(Refused):
+class DocumentError(RequestError):
     """Settings that can't be published as they are."""
 
     action = "Mend the named key; docs/agreement.md lists the keys and their forms."
 
 
-class HarmfulError(Conflict):
+class HarmfulError(ConflictError):
     """Valid settings that would stop service, or a part of it, everywhere."""
 
     action = "Look at what it would do; publish it with --force only if just that is wanted."
--- a/brassfall/controlplane/revisions/edges.py
+++ b/brassfall/controlplane/revisions/edges.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from brassfall.errors import Refused
+from brassfall.errors import RequestError
 
 TEXT_MOST = 200
 # What a report may leave out that goes on from the one before it on its connection: it is as it was there.
@@ -23,7 +23,7 @@
 APART = 3 * 3_600_000 << 10  # of lives numbered by wall clocks that are an hour wrong, either way, and some
 
 
-class ReportError(Refused):
+class ReportError(RequestError):
     """A report that says nothing usable."""
 
     action = "See which version of the program runs there; the report is dropped, its permission runs out."
--- a/brassfall/controlplane/store/log.py
+++ b/brassfall/controlplane/store/log.py
@@ -23,7 +23,7 @@
 
 from brassfall.controlplane.store.records import Record, Snapshot
 from brassfall.controlplane.store.state import HISTORY_LENGTH, State
-from brassfall.errors import Damaged
+from brassfall.errors import StorageError
 
 FORMAT = 1
 LEAST_RECORDS = 4096  # between two snapshots; more where the table is larger
@@ -53,7 +53,7 @@
 LAST_SEQ = "select max(seq) from (select max(seq) as seq from log union all select max(seq) from snapshot)"
 
 
-class LogError(Damaged):
+class LogError(StorageError):
     """The log can't be read or written; its text is one line that names the file."""
 
     action = (
--- a/brassfall/controlplane/store/outcomes.py
+++ b/brassfall/controlplane/store/outcomes.py
@@ -7,18 +7,18 @@
 
 from brassfall.controlplane.store.commands import Command
 from brassfall.controlplane.store.records import Record, Result
-from brassfall.errors import Unavailable
+from brassfall.errors import UnavailableError
 
 SETTLE_PAUSE_S, SETTLE_PAUSE_MOST_S = 0.05, 1.0  # between two tries to learn an outcome; doubled each time
 
 
-class NotWrittenError(Unavailable):
+class NotWrittenError(UnavailableError):
     """A write can't be taken just now; it has not happened."""
 
     action = "Send it again after the time told; where that goes on, look at the disk of the list service."
 
 
-class OutcomeUnknownError(Unavailable):
+class OutcomeUnknownError(UnavailableError):
     """Whether a write has happened isn't known yet (503); repeat it with the same X-Request-Id."""
 
     action = (
@@ -43,7 +43,7 @@
         if not self.future.done():
             self.future.set_result(result)
 
-    def fail(self, error: Unavailable) -> None:
+    def fail(self, error: UnavailableError) -> None:
         """Give an error to whoever still waits."""
         if not self.future.done():
             self.future.set_exception(error)
--- a/brassfall/controlplane/store/row_leases.py
+++ b/brassfall/controlplane/store/row_leases.py
@@ -16,7 +16,7 @@
 from brassfall.controlplane.store.statistics import Statistics
 from brassfall.controlplane.store.transaction import newer_owner, older_owner
 from brassfall.controlplane.store.writer import Writer, monotonic_ms
-from brassfall.errors import Unavailable
+from brassfall.errors import UnavailableError
 from brassfall.logs import logger
 
 CHECK_S = 0.1
@@ -141,7 +141,7 @@
             if (await self._writer.submit(command, until_settled=True)).done:
                 self._statistics.expired += 1
                 log.info("expired", table=table, key=row.key)
-        except Unavailable:
+        except UnavailableError:
             if self._state.get(table, row.key) is row:
                 self._grant(table, row)
         finally:
--- a/brassfall/controlplane/store/writer.py
+++ b/brassfall/controlplane/store/writer.py
@@ -171,12 +171,12 @@
             await loop.run_in_executor(self._thread, self._log.append, records)
         except LogOutcomeUnknownError as error:
             self._disk_failed(error)
-            self._wait_for_outcome(UnsettledBatch(records, decided, error.told, 0.0))
+            self._wait_for_outcome(UnsettledBatch(records, decided, error.summary, 0.0))
             return False
         except LogError as error:
             self._disk_failed(error)
             for one in decided:
-                self._refuse(one.write, error.told)
+                self._refuse(one.write, error.summary)
             return False
         self.statistics.commit_s += loop.time() - begun
         self._disk_works()
@@ -203,8 +203,8 @@
     def _disk_failed(self, error: LogError) -> None:
         self.statistics.failures += 1
         if not self.statistics.disk:
-            log.error("disk", reason=error.told, action=error.action)
-        self.statistics.disk = error.told
+            log.error("disk", reason=error.summary, action=error.action)
+        self.statistics.disk = error.summary
 
     def _disk_works(self) -> None:
         if self.statistics.disk:
@@ -219,7 +219,7 @@
             await asyncio.get_running_loop().run_in_executor(self._thread, self._log.compact, snapshot)
         except LogError as error:
             self._compact_at_ms = monotonic_ms() + COMPACT_RETRY_MS
-            log.warning("no snapshot", reason=error.told, action=error.action)
+            log.warning("no snapshot", reason=error.summary, action=error.action)
         else:
             self.statistics.snapshots += 1
 
@@ -256,7 +256,7 @@
         try:
             there = await loop.run_in_executor(self._thread, self._log.settle)
         except LogError as error:
-            batch.reason = self.statistics.disk = error.told
+            batch.reason = self.statistics.disk = error.summary
             batch.retry_later(loop.time())
             return
         self._unsettled = None
--- a/brassfall/errors.py
+++ b/brassfall/errors.py
@@ -1,6 +1,6 @@
 """Errors with a type: what happened, why, and what an operator can do. Pure code.
 
-Every error of the house that reaches an operator or a caller belongs to one of these families, and its type
+Every error of the package that reaches an operator or a caller belongs to one of these families, and its type
 names an `action` of its own; `docs/operations.md` lists them all. `str()` gives all three parts in one line.
 """
 
@@ -19,9 +19,9 @@
 
     def __init_subclass__(cls, **options: Any) -> None:
         super().__init_subclass__(**options)
-        told = cls.__dict__.get("action")
+        action = cls.__dict__.get("action")
         # Not inherited: a family's general advice is too little for an error that has a name of its own.
-        if not isinstance(told, str) or not told.strip().endswith("."):
+        if not isinstance(action, str) or not action.strip().endswith("."):
             raise TypeError(f"{cls.__name__}: an error names in `action`, as a sentence, what can be done")
 
     def __init__(self, what: str, why: str = "", action: str = "") -> None:
@@ -32,12 +32,12 @@
             self.action = action
 
     @property
-    def told(self) -> str:
+    def summary(self) -> str:
         """What happened and why, in one line, without what can be done."""
         return " ".join((f"{self.what}: {self.why}" if self.why else self.what).split())
 
     def __str__(self) -> str:
-        return f"{self.told.rstrip('.')}. {' '.join(self.action.split())}"
+        return f"{self.summary.rstrip('.')}. {' '.join(self.action.split())}"
 
 
 class UsageError(BrassfallError):
@@ -47,7 +47,7 @@
     exit_status = 2
 
 
-class Refused(BrassfallError):
+class RequestError(BrassfallError):
     """A call that is not carried out, and never will be as it is: 400 unless a subclass says else.
 
     On the wire it is `status` and the JSON of `wire()`. `slug` is for programs: it stays as it is."""
@@ -61,7 +61,7 @@
         return {"error": self.slug, "reason": str(self)}
 
 
-class Missing(Refused):
+class NotFoundError(RequestError):
     """What the call names is not there (404)."""
 
     action = "List what there is, and name one of it; what had a lease may have run out."
@@ -69,7 +69,7 @@
     slug = "not found"
 
 
-class Conflict(Refused):
+class ConflictError(RequestError):
     """Somebody else has what the call wants (409)."""
 
     action = "Find who holds it, and end one of the two."
@@ -77,7 +77,7 @@
     slug = "conflict"
 
 
-class Stale(Refused):
+class PreconditionFailedError(RequestError):
     """The version that the call builds on is not the newest (412)."""
 
     action = "Read the newest version, decide anew, and send the call with that version."
@@ -85,7 +85,7 @@
     slug = "precondition failed"
 
 
-class TooLarge(Refused):
+class TooLargeError(RequestError):
     """More than the service takes (413)."""
 
     action = "Send less, or raise the limit in the service's configuration."
@@ -93,7 +93,7 @@
     slug = "too large"
 
 
-class Unavailable(Refused):
+class UnavailableError(RequestError):
     """Not now: it has not happened, and may succeed after `retry_s` seconds (503, `Retry-After`)."""
 
     action = "Send the call again after the time told; look at /status of the service if it goes on."
@@ -108,7 +108,7 @@
         return type(self), self.args, {"retry_s": self.retry_s}
 
 
-class TooOften(Unavailable):
+class RateLimitError(UnavailableError):
     """One caller calls more often than its limit (429, `Retry-After`)."""
 
     action = "Call less often, or raise the limit for one caller in the service's configuration."
@@ -116,25 +116,25 @@
     slug = "too many calls"
 
 
-class Damaged(BrassfallError):
+class StorageError(BrassfallError):
     """What should last can't be read or written; the text names the file."""
 
     action = "Look at the disk and at the file; start from a good copy, or empty where that is safe."
 
 
-class Unreachable(BrassfallError):
+class UnreachableError(BrassfallError):
     """A process that was asked gave no good answer."""
 
     action = "See that it runs at that address and is reachable from here; its log and /status say more."
 
 
-class CantListen(BrassfallError):
+class ListenError(BrassfallError):
     """The address that a process should listen on can't be had."""
 
     action = "End whoever has that address, or name another one that this machine has."
 
 
-class SystemRefused(BrassfallError):
+class OperatingSystemError(BrassfallError):
     """The operating system refused what a command needs, and no part of the program knows more."""
 
     action = "Look at that file or address, at the disk, and at this user's rights and limits."
--- a/brassfall/lab/agreement/command.py
+++ b/brassfall/lab/agreement/command.py
@@ -60,7 +60,7 @@
     outcome = Outcome(task, met=world.met, commits=len(world.judge.committed), events=world.kernel.events)
     if broken is not None:
         shrunk, broken = shrink(task, faults, broken) if shrinking else (faults, broken)
-        outcome.rule, outcome.what = broken.rule, broken.told
+        outcome.rule, outcome.what = broken.rule, broken.summary
         outcome.faults = [f"{fault.at_ms:.0f} ms {fault.name}" for fault in shrunk]
     outcome.took_s = time.perf_counter() - began
     return outcome
--- a/brassfall/lab/capacity/events.py
+++ b/brassfall/lab/capacity/events.py
@@ -272,7 +272,7 @@
         try:
             await event(stand)
         except BrassfallError as error:
-            options.progress(f"{role(topology)}: {size} sidecars, {event.__name__}: {error.told}")
+            options.progress(f"{role(topology)}: {size} sidecars, {event.__name__}: {error.summary}")
             with contextlib.suppress(BrassfallError):
                 await topology.hollow.leased(BACK_S)
     recorder.load("events", size)
--- a/brassfall/lab/capacity/overrides.py
+++ b/brassfall/lab/capacity/overrides.py
@@ -30,7 +30,7 @@
             await topology.hollow.leased()
             await _size(options, recorder, topology, size)
         except BrassfallError as error:
-            options.progress(f"overrides: {size} sidecars are not held: {error.told}")
+            options.progress(f"overrides: {size} sidecars are not held: {error.summary}")
 
 
 async def _size(options: Options, recorder: Recorder, topology: Topology, size: int) -> None:
--- a/brassfall/lab/capacity/reports.py
+++ b/brassfall/lab/capacity/reports.py
@@ -21,4 +21,4 @@
             await steady(options, recorder, topology, size)
             await fan_out(options, recorder, topology, size)
         except BrassfallError as error:
-            options.progress(f"reports: {size} sidecars: {error.told}")
+            options.progress(f"reports: {size} sidecars: {error.summary}")
--- a/brassfall/lab/capacity/revisions.py
+++ b/brassfall/lab/capacity/revisions.py
@@ -105,4 +105,4 @@
         try:
             await play(options, recorder, fleet, size, plan(options))
         except BrassfallError as error:
-            options.progress(f"revisions: {size} sidecars: {error.told}")
+            options.progress(f"revisions: {size} sidecars: {error.summary}")
--- a/brassfall/lab/capacity/steady.py
+++ b/brassfall/lab/capacity/steady.py
@@ -34,7 +34,7 @@
     try:
         took_s = await topology.hollow.leased(LEASED_S)
     except BrassfallError as error:
-        options.progress(f"{role}: {size} sidecars are not held: {error.told}")
+        options.progress(f"{role}: {size} sidecars are not held: {error.summary}")
         await _not_sustained(options, recorder, topology, size)
         return False
     recorder.add(role, "all sidecars act on a revision after the last start", "s", size, took_s)
--- a/brassfall/lab/capacity/tier.py
+++ b/brassfall/lab/capacity/tier.py
@@ -48,7 +48,7 @@
             await fan_out(options, recorder, topology, size)
             await play(options, recorder, fleet, size, plan(options))
         except BrassfallError as error:
-            options.progress(f"tier: {size} sidecars: {error.told}")
+            options.progress(f"tier: {size} sidecars: {error.summary}")
 
 
 async def measure_region(options: Options, recorder: Recorder, size: int) -> None:
--- a/brassfall/lab/runner.py
+++ b/brassfall/lab/runner.py
@@ -160,7 +160,7 @@
     try:
         day.draw(told, told.experiment.first_seed, recorded)
     except day.DayError as error:
-        raise SettingsError(str(file), error.told) from error
+        raise SettingsError(str(file), error.summary) from error
     _lay_out(file, told, out)
     run = Run(told, file.resolve(), out, say)
     for version in told.versions:
--- a/brassfall/lab/sim/listing.py
+++ b/brassfall/lab/sim/listing.py
@@ -15,7 +15,7 @@
 from brassfall.controlplane.store.leases import Guard, Leases
 from brassfall.controlplane.store.records import Change, Record, Result, Status
 from brassfall.controlplane.store.state import State
-from brassfall.errors import Refused
+from brassfall.errors import RequestError
 
 STATUS = {Status.DONE: 200, Status.MISSING: 404, Status.CONFLICT: 409, Status.STALE: 412}
 
@@ -86,7 +86,7 @@
             return self._renew(now, key, call.body["since_ms"])
         try:
             command = self._command(call.method, key, body)
-        except Refused:
+        except RequestError:
             return 400
         result = self.run(command)
         row = self.state.get(INSTANCES, key)
--- a/brassfall/lab/transcriber.py
+++ b/brassfall/lab/transcriber.py
@@ -19,7 +19,7 @@
 from aiohttp import web
 
 from brassfall.controlplane.registry.member import Member
-from brassfall.errors import CantListen
+from brassfall.errors import ListenError
 from brassfall.logs import logger
 from brassfall.settings import address
 
@@ -115,7 +115,7 @@
             await site.start()
         except OSError as error:
             await runner.cleanup()
-            raise CantListen(listen, error.strerror or str(error)) from error
+            raise ListenError(listen, error.strerror or str(error)) from error
         host, port = runner.addresses[0][:2]
         entry = {
             "name": name,
--- a/tests/test_store_disk.py
+++ b/tests/test_store_disk.py
@@ -17,7 +17,7 @@
 from brassfall.controlplane.store.outcomes import NotWrittenError, OutcomeUnknownError
 from brassfall.controlplane.store.records import Result, Status
 from brassfall.controlplane.store.store import Options, Store
-from brassfall.errors import Unavailable
+from brassfall.errors import UnavailableError
 from tests.disk_faults import Disk
 from tests.loopback import bounded, until
 
@@ -248,7 +248,7 @@
 async def test_nothing_is_answered_before_the_first_mark_is_durable(tmp_path):
     async with Running(tmp_path) as running, overrides_on(running) as overrides:
         running.lose_sight("write")
-        with pytest.raises(Unavailable):
+        with pytest.raises(UnavailableError):
             await overrides.start()
         assert running.store.state.get(CLOCK, MARK) is None
         running.disk.mend()
