--- a/brassfall/controlplane/registry/instances.py
+++ b/brassfall/controlplane/registry/instances.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from functools import partial
+
 import msgspec
 from aiohttp import web
 
@@ -36,7 +38,7 @@
         """The paths."""
         one = PATH + "/{name}"
         return [
-            web.get(PATH, self._list),
+            web.get(PATH, partial(self._lists.read, table=INSTANCES)),
             web.get(one, self._get),
             web.put(one, self._register),
             web.post(one + "/renew", self._renew),
@@ -44,9 +46,6 @@
             web.delete(one, self._leave),
         ]
 
-    async def _list(self, request: web.Request) -> web.StreamResponse:
-        return await self._lists.read(request, INSTANCES)
-
     async def _get(self, request: web.Request) -> web.Response:
         row = self._store.state.get(INSTANCES, _name(request))
         if row is None:
