--- a/brassfall/controlplane/registry/revision_service.py
+++ b/brassfall/controlplane/registry/revision_service.py
@@ -194,8 +194,8 @@
     def publish(self, **draft: Any) -> asyncio.Future[int]:
         """Have a revision published; its number, once it is durable.
 
-        `draft` has the fields of `Publish`. The future fails with `PreconditionFailedError` where another revision
-        is the newest, and with `UnwrittenError` where the disk refuses it; cancelling it ends nothing."""
+        `draft` has the fields of `Publish`. The future fails with `PreconditionFailedError` where another
+        revision is the newest, and with `UnwrittenError` where the disk refuses it; cancelling it ends nothing."""
         ticket = next(self._tickets)
         future: asyncio.Future[int] = asyncio.get_running_loop().create_future()
         self._publishers[ticket] = future
