--- a/brassfall/controlplane/registry/revision_service.py
+++ b/brassfall/controlplane/registry/revision_service.py
@@ -195,7 +195,8 @@
         """Have a revision published; its number, once it is durable.
 
         `draft` has the fields of `Publish`. The future fails with `PreconditionFailedError` where another
-        revision is the newest, and with `UnwrittenError` where the disk refuses it; cancelling it ends nothing."""
+        revision is the newest, and with `UnwrittenError` where the disk refuses it;
+        cancelling it ends nothing."""
         ticket = next(self._tickets)
         future: asyncio.Future[int] = asyncio.get_running_loop().create_future()
         self._publishers[ticket] = future
