--- a/brassfall/controlplane/registry/aggregators.py
+++ b/brassfall/controlplane/registry/aggregators.py
@@ -119,7 +119,7 @@
     def reported(self, name: str, report: AggregatorReport) -> AggregatorLease:
         """Take in a report of an aggregator; its lease, and what else it is answered.
 
-        `AggregatorNameError` where another has the name, `Unavailable` where there are too many."""
+        `AggregatorNameError` where another has the name, `UnavailableError` where there are too many."""
         now, service = self._service.now(), self._service
         self._check_name(now, name)
         received = service.directory.receive_report(now, service.coordinator.epoch, name, report)
