--- a/brassfall/controlplane/overrides/events.py
+++ b/brassfall/controlplane/overrides/events.py
@@ -9,10 +9,10 @@
 
 from brassfall.controlplane.overrides.document import Document, Override
 from brassfall.controlplane.overrides.history import WriteEntry
-from brassfall.errors import BrassfallError, Conflict, Missing, Unavailable
+from brassfall.errors import BrassfallError, ConflictError, NotFoundError, UnavailableError
 
 
-class TooManyOverridesError(Conflict):
+class TooManyOverridesError(ConflictError):
     """The override store is full (409)."""
 
     action = "End overrides that are no longer needed, or put what they have in common into the settings."
@@ -21,7 +21,7 @@
         super().__init__(f"override {override_id!r} is not taken", f"{most} are the most")
 
 
-class NoSuchOverrideError(Missing):
+class NoSuchOverrideError(NotFoundError):
     """No override with that id is in force (404)."""
 
     action = "List the overrides, and name one of them; it may have ended by itself."
@@ -30,7 +30,7 @@
         super().__init__(f"override {override_id!r} is not {what}", "it is not in force")
 
 
-class OverrideNotWrittenError(Unavailable):
+class OverrideNotWrittenError(UnavailableError):
     """The row could not be made durable; nothing has changed (503)."""
 
     action = "Look at /status and at the disk of the list service, then send the call again."
--- a/brassfall/controlplane/registry/override_clock.py
+++ b/brassfall/controlplane/registry/override_clock.py
@@ -10,7 +10,7 @@
 from brassfall.controlplane.registry.tasks import Tasks
 from brassfall.controlplane.store.commands import Put
 from brassfall.controlplane.store.store import Store
-from brassfall.errors import Unavailable
+from brassfall.errors import UnavailableError
 from brassfall.logs import logger
 
 TABLE, KEY = "overrides-clock", "mark"
@@ -43,7 +43,7 @@
     async def write_first_mark(self) -> None:
         """Make the time durable, before anything is answered by it.
 
-        `Unavailable` while the disk fails. Cancelling leaves a write that has begun under way."""
+        `UnavailableError` while the disk fails. Cancelling leaves a write that has begun under way."""
         await self._store.submit(self.mark(), until_settled=False)
 
     def mark(self) -> Put:
@@ -61,8 +61,8 @@
     async def _write_mark(self) -> None:
         try:
             await self._store.submit(self.mark())
-        except Unavailable as error:
-            log.warning("time not durable", reason=error.told)
+        except UnavailableError as error:
+            log.warning("time not durable", reason=error.summary)
 
 
 def _monotonic_ms() -> float:
--- a/brassfall/controlplane/registry/overrides.py
+++ b/brassfall/controlplane/registry/overrides.py
@@ -33,7 +33,7 @@
 from brassfall.controlplane.store.outcomes import OutcomeUnknownError
 from brassfall.controlplane.store.store import Store
 from brassfall.controlplane.store.writer import UNKNOWN_AFTER_S
-from brassfall.errors import Unavailable
+from brassfall.errors import UnavailableError
 from brassfall.logs import faults, logger
 
 TICK_S = 0.1
@@ -96,7 +96,7 @@
     async def start(self) -> None:
         """Load what is durable; the first mark of the clock is durable before anything is answered.
 
-        `Unavailable` while the disk fails: it may be called once more."""
+        `UnavailableError` while the disk fails: it may be called once more."""
         state = self.host.store.state
         ring = history.HistoryRing()
         entries_before = sorted(state.rows(history.TABLE), key=lambda row: row.key)
@@ -194,7 +194,7 @@
             # Submitted in one go, they are in one commit.
             for future in [self.host.store.submit(row) for row in rows]:
                 await future
-        except Unavailable as error:
+        except UnavailableError as error:
             return str(error)
         return ""
 
@@ -228,7 +228,7 @@
     async def _publish(self, layer: list[dict[str, Any]]) -> None:
         try:
             await self.revisions.publish(overrides=layer)
-        except Unavailable as error:
+        except UnavailableError as error:
             log.warning("not published", reason=str(error))
         finally:
             self._publishing = False
--- a/brassfall/controlplane/revisions/reports.py
+++ b/brassfall/controlplane/revisions/reports.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from brassfall.errors import Refused
+from brassfall.errors import RequestError
 
 NUMBER_MOST = 2**53  # what JSON readers keep exact
 AGE_MOST_MS = 1e12
@@ -29,7 +29,7 @@
 RawReport = dict[str, Any]  # by wire field
 
 
-class ReportError(Refused):
+class ReportError(RequestError):
     """A report that says nothing usable."""
 
     action = "See which version of the program runs there; the report is dropped, its lease runs out."
--- a/brassfall/lab/runner.py
+++ b/brassfall/lab/runner.py
@@ -162,7 +162,7 @@
     try:
         day.sample_day(experiment, experiment.head.first_seed, recorded)
     except day.DayError as error:
-        raise SettingsError(str(file), error.told) from error
+        raise SettingsError(str(file), error.summary) from error
     _lay_out(file, experiment, out)
     run = Run(experiment, file.resolve(), out, say)
     for version in experiment.versions:
