--- a/brassfall/controlplane/aggregation/admission.py
+++ b/brassfall/controlplane/aggregation/admission.py
@@ -1,6 +1,6 @@
 """Who is taken on as a child: processes that hold a lease at once, newcomers at a bounded rate. Pure code.
 
-A newcomer costs a complete list and a connection or two. It is given a slot, told to it as `Retry-After`, and
+A newcomer costs a complete list and a connection or two. It is given a slot, named by `Retry-After`, and
 admitted when it comes back in its slot or later; so a flood is spread over its number by the rate, and no
 newcomer is starved by another's retries.
 """
--- a/brassfall/controlplane/aggregation/aggregator.py
+++ b/brassfall/controlplane/aggregation/aggregator.py
@@ -160,6 +160,6 @@
         return self.membership.counts(now, self._state.child_leases)
 
     def may_end(self) -> bool:
-        """Whether, after `Leave`, nothing that was granted runs any more, and the service was told so or
+        """Whether, after `Leave`, nothing that was granted runs any more, and the service was notified or
         could not be."""
         return self._upstream.leaving_reported
--- a/brassfall/controlplane/aggregation/children.py
+++ b/brassfall/controlplane/aggregation/children.py
@@ -1,4 +1,4 @@
-"""The children of an aggregator: who they are, and which arrivals and departures the service has to be told.
+"""The children of an aggregator: who they are, and which arrivals and departures are to be reported.
 
 Pure code. A child is one process of a sidecar; what it may act on, and until when, is in `child_leases`.
 """
@@ -89,7 +89,7 @@
         return child
 
     def depart(self, key: ChildKey) -> Child | None:
-        """A child is one no longer, which the service is to be told; None where it was none."""
+        """A child is one no longer, which the next report says; None where it was none."""
         child = self.children.pop(key, None)
         if child is not None:
             self._arrivals.pop(key, None)
--- a/brassfall/controlplane/aggregation/directory.py
+++ b/brassfall/controlplane/aggregation/directory.py
@@ -1,7 +1,7 @@
 """Which sidecar reports to which aggregator process, as the service knows it. Pure code.
 
 Aggregators report arrivals and departures only. Each sidecar is counted once, by its name: the aggregator
-that heard it last owns it, and the one that owned it before is told that it has migrated. A call costs as
+that heard it last owns it, and the one that owned it before is notified that it has migrated. A call costs as
 much as has changed, and nothing more with more children.
 
 `now` is milliseconds of the service's monotonic clock.
@@ -37,7 +37,7 @@
     report: AggregatorReport
     reported_ms: float
     children: dict[str, str] = field(default_factory=dict)  # process id by name of the sidecar
-    migrated: dict[Member, int] = field(default_factory=dict)  # in how many more answers it is to be told
+    migrated: dict[Member, int] = field(default_factory=dict)  # how many more answers are to name it
     forgotten: bool = False  # it was known in this epoch before: not all of its children are known here
     complete: bool = False  # as of its newest report, it has reported all its children
     succeeded_ms: float | None = None  # since when another process has its name
--- a/brassfall/controlplane/aggregation/upstream_messages.py
+++ b/brassfall/controlplane/aggregation/upstream_messages.py
@@ -19,7 +19,7 @@
         self.members = 1  # sidecars in the whole fleet, as the service answered last
         self.report_every_ms = REPORT_EVERY_MS  # as the service asked for last
         self.list_index = 0  # of the service's list, as it answered last
-        self.leaving_reported = False  # the service was told that this process ends, or could not be
+        self.leaving_reported = False  # the service was notified that this process ends, or could not be
         self._release = release
         self._lower_since_ms: float | None = None  # since when none but a lower epoch answers
 
--- a/brassfall/controlplane/revisions/coordinator.py
+++ b/brassfall/controlplane/revisions/coordinator.py
@@ -365,7 +365,7 @@
         return [*write.answers, NotifyWatches()]
 
     def _persist_failed(self) -> list[Action]:
-        """Nothing has happened, and whoever published is told so."""
+        """Nothing has happened; publishers get that for an answer."""
         write, self._write = self._write, None
         answers = write.answers if write is not None else []
         return [PublishFailed(answer.ticket) for answer in answers]
--- a/brassfall/controlplane/revisions/transitions.py
+++ b/brassfall/controlplane/revisions/transitions.py
@@ -32,8 +32,8 @@
     stated: dict[str, Any] = {
         name: getattr(draft, name) for name in LAYERS if getattr(draft, name) is not None
     }
-    # Numbers start at the epoch's, above all of earlier epochs: one that was told by a service whose disk
-    # was lost afterwards stands for no other revision.
+    # Numbers start at the epoch's, above all of earlier epochs: a number that a
+    # service gave before its disk was lost stands for no other revision.
     number = max(state.newest + 1, epoch)
     base = state.latest
     of_waiting = state.waiting.layers if state.waiting is not None else ()
