--- a/brassfall/controlplane/registry/revision_service.py
+++ b/brassfall/controlplane/registry/revision_service.py
@@ -216,7 +216,7 @@
         try:
             await self.host.store.submit(row)
         except NotWrittenError as error:
-            log.error("not durable", reason=str(error))
+            log.error("not durable", reason=str(error))  # noqa: TRY400 - an operator reads the reason, no traceback
             self.step(messages.PersistFailed())
             return
         self.step(messages.Persisted())
--- a/brassfall/sidecar/agent/agent.py
+++ b/brassfall/sidecar/agent/agent.py
@@ -116,7 +116,7 @@
             self.stamp = f"X-Edition: {active.acting}\r\n".encode()
         try:
             until = self._act(active, now)
-        except Exception:  # asked before each decision: a fault would fail every request
+        except Exception:  # noqa: BLE001 - asked before each decision: a fault would fail every request
             log(f"agreement: {traceback.format_exc()}what was acted on before stays; report it")
             until = now + FAULT_S
         self.valid_until = min(self.valid_until, until)
@@ -155,7 +155,7 @@
             except CallError as error:
                 self._note_failure(str(error))
                 wait = self._wait_after(error)
-            except Exception as error:  # without reports it would stay on the fallback
+            except Exception as error:  # noqa: BLE001 - without reports it would stay on the fallback
                 self._note_failure(f"an answer that is none: {error!r}")
                 wait = min(wait, self._sources.failed())
             await pause(wait)
@@ -254,7 +254,7 @@
                 if channel.accepted:
                     sources.worked()
                     why = ""
-            except Exception as error:  # one that ends would never be opened again
+            except Exception as error:  # noqa: BLE001 - one that ends would never be opened again
                 if not why:
                     log(f"agreement: the watch on rules fails: {error!r}; reports bring editions meanwhile")
                 why = repr(error)
--- a/brassfall/sidecar/agent/member.py
+++ b/brassfall/sidecar/agent/member.py
@@ -141,7 +141,7 @@
             reload.successor(self._process.running, self._over(self._file, laid), self._process.busy)
         except ConfigError as error:
             return str(error)
-        except Exception as error:  # any fault must be told as an objection
+        except Exception as error:  # noqa: BLE001 - any fault must be told as an objection
             # Reported, it halts the revision; unreported, every sidecar would act on the fallback.
             return f"a fault in this program, report it: {error!r}"
         return ""
--- a/brassfall/sidecar/client_request.py
+++ b/brassfall/sidecar/client_request.py
@@ -129,7 +129,7 @@
         wait = [(b"Retry-After", b"%.3f" % (retry_after / 1000.0))] if retry_after > 0.0 else []
         self.finish(503, wait, b"")
 
-    def failed(self, late: bool) -> None:
+    def failed(self, *, late: bool) -> None:
         """The final answer: failed, for want of time if `late`."""
         self.finish(504 if late else 502, [], b"")
 
