--- a/tests/test_registry_start.py
+++ b/tests/test_registry_start.py
@@ -10,7 +10,7 @@
 import aiohttp
 import pytest
 
-from brassfall.controlplane.registry.overrides import CLOCK, MARK
+from brassfall.controlplane.registry.override_clock import KEY, TABLE
 from brassfall.controlplane.registry.server import Service as InProcess
 from brassfall.controlplane.store.log import FILE, Log
 from brassfall.settings import RegistrySettings
@@ -60,11 +60,11 @@
     async with Service(tmp_path) as service, aiohttp.ClientSession() as session:
         starting = await start_unready(service, spoil(service))
         assert await ask(session, service, "/health/live") == (200, {"live": True})
-        status, told = await ask(session, service, "/health/ready")
-        assert status == 503 and reason in told["reason"] and FILE in told["reason"]
+        status, answered = await ask(session, service, "/health/ready")
+        assert status == 503 and reason in answered["reason"] and FILE in answered["reason"]
         for path in ("/registry/instances", "/registry/instances?watch=1", "/rules", "/status", "/overrides"):
-            status, told = await ask(session, service, path)
-            assert status == 503 and "has not started" in told["reason"], path
+            status, answered = await ask(session, service, path)
+            assert status == 503 and "has not started" in answered["reason"], path
         assert not starting.done()
         mend(service)
         await starting
@@ -102,12 +102,12 @@
 @bounded(30.0)
 async def test_what_only_an_operator_can_mend_still_ends_the_process(tmp_path, spoil):
     async with Service(tmp_path) as service:
-        held = spoil(service.data)
+        other = spoil(service.data)
         with pytest.raises(AssertionError, match="can't start"):  # before it was ready
             await service.start()
         assert await service.end() == 1
-        if held is not None:
-            held.close()
+        if other is not None:
+            other.close()
 
 
 @bounded(30.0)
@@ -120,6 +120,6 @@
             document["until_ms"] = service.overrides.now() + 60_000
             async with session.put(f"http://{listen}/overrides/o", json=document) as response:
                 answered = await response.json()
-        assert service.store.state.get(CLOCK, MARK).value["mark"] >= answered["from_ms"]
+        assert service.store.state.get(TABLE, KEY).value["mark"] >= answered["from_ms"]
     finally:
         await service.close()
