--- a/brassfall/controlplane/registry/geo.py
+++ b/brassfall/controlplane/registry/geo.py
@@ -48,7 +48,7 @@
     store: Store
 
 
-class Editions(Protocol):
+class Revisions(Protocol):
     """The part of the configuration revisions that plans go through."""
 
     def durable_state(self) -> DurableState:
@@ -79,7 +79,7 @@
     """Delays between client groups and regions, as this process received them, and the plans made of them."""
 
     host: Host
-    editions: Editions
+    revisions: Revisions
     settings: GeoSettings
     rejected_rows: int = 0  # of all reports
     _evidence: evidence.State = field(default_factory=evidence.State)
@@ -189,7 +189,7 @@
 
     async def _get(self, _request: web.Request) -> web.Response:
         estimate = await self._current_estimate()
-        committed = self.editions.durable_state().committed
+        committed = self.revisions.durable_state().committed
         body = GeoAnswer(estimate.pairs, committed.plan_revision, committed.plan)
         return answer(_encode(body))
 
@@ -261,7 +261,7 @@
         return row.version if row is not None else 0
 
     def _read_newest(self) -> publisher.NewestRead:
-        durable = self.editions.durable_state()
+        durable = self.revisions.durable_state()
         newest = durable.waiting or durable.pending or durable.committed
         try:
             plan = plan_from_json(newest.plan) if newest.plan is not None else None
@@ -279,7 +279,7 @@
             demand=self._demand_by_group(now_s),
             capacity=self._ramped_capacity(now_s),
             prices={(p.group, p.region): settings.foreign_penalty_ms for p in pairs if p.group != p.region},
-            closed=self.editions.durable_state().committed.settings.get("regions", {}).get("held", []),
+            closed=self.revisions.durable_state().committed.settings.get("regions", {}).get("held", []),
         )
         policy = PlanPolicy(settings.least_elsewhere, settings.migration_most, settings.exploration)
         compute = partial(make_plan, inputs, policy, before)
@@ -305,7 +305,7 @@
     async def _publish(self, plan: Plan, follows: int, token: int) -> publisher.Event:
         if self._fencing_token() != token:
             return publisher.PublicationRejected()
-        number = await self.editions.publish(plan=plan.as_json(), if_match=follows)
+        number = await self.revisions.publish(plan=plan.as_json(), if_match=follows)
         log.info("plan", edition=number, moved=round(plan.shift, 3))
         return publisher.Published(number)
 
--- a/brassfall/lab/compiled.py
+++ b/brassfall/lab/compiled.py
@@ -78,9 +78,9 @@
     shutil.copytree(root / "brassfall", part / "brassfall", ignore=ignore)
     shutil.rmtree(part / "brassfall" / "balancer")
     shutil.copytree(decisions, part / "brassfall" / "balancer", ignore=ignore)
-    words = [sys.executable, "-m", "mypyc", *SOURCES, *module]
+    command = [sys.executable, "-m", "mypyc", *SOURCES, *module]
     try:
-        made = subprocess.run(words, cwd=part, capture_output=True, text=True, timeout=LIMIT_S)
+        made = subprocess.run(command, cwd=part, capture_output=True, text=True, timeout=LIMIT_S)
         if made.returncode:
             lines = (made.stdout + made.stderr).strip().splitlines()
             raise SettingsError("experiment.compiled", lines[-1] if lines else "mypyc failed", WITHOUT)
