--- a/brassfall/lab/play.py
+++ b/brassfall/lab/play.py
@@ -25,7 +25,8 @@
 from brassfall.lab.arrivals import load_experiment
 from brassfall.settings import SettingsError
 
-PACKAGE, EARLIER_PACKAGE = "brassfall.balancer", "poppypulley"
+PACKAGE = "brassfall.balancer"
+LATER_REVISION = 'Name a revision with brassfall/balancer as it is now, or play it with mode = "real".'
 SLACK_MS = {"simulated": 30.0, "real": 120.0}  # for transit, where rules have time limits
 
 
@@ -52,28 +53,25 @@
 
 
 def install(code: Path) -> None:
-    """Take the decision module from another folder; `SettingsError` if there is none.
+    """Take the decisions from another folder, in place of those that stand here.
 
-    A revision from before the packages were joined has it under an earlier name: its modules are
-    then found under today's as well.
+    `SettingsError` if there are none, or if their interface is not the one that the lab speaks.
     """
-    package, name = code / "brassfall" / "balancer", PACKAGE
-    if not package.is_dir():
-        package, name = code / EARLIER_PACKAGE, EARLIER_PACKAGE
+    package = code / "brassfall" / "balancer"
     found = importlib.util.spec_from_file_location(
-        name, package / "__init__.py", submodule_search_locations=[str(package)]
+        PACKAGE, package / "__init__.py", submodule_search_locations=[str(package)]
     )
     if found is None or found.loader is None or not (package / "__init__.py").exists():
-        raise SettingsError(
-            str(code), "no decision module there", "Name a revision that has the folder brassfall/balancer."
-        )
+        raise SettingsError(str(code), "no decision module there", LATER_REVISION)
+    # Modules that were imported before would be taken in the place of those of that folder.
+    for name in [name for name in sys.modules if f"{name}.".startswith(f"{PACKAGE}.")]:
+        del sys.modules[name]
     module = importlib.util.module_from_spec(found)
-    sys.modules[name] = module
+    sys.modules[PACKAGE] = module
     found.loader.exec_module(module)
-    if name != PACKAGE:
-        for part in [part for part in sys.modules if f"{part}.".startswith(f"{name}.")]:
-            sys.modules[PACKAGE + part.removeprefix(name)] = sys.modules[part]
     setattr(sys.modules["brassfall"], PACKAGE.rpartition(".")[2], module)
+    if not hasattr(sys.modules[f"{PACKAGE}.model"].Arrival, "request_class"):
+        raise SettingsError(str(code), "its decision module has an earlier interface", LATER_REVISION)
 
 
 def judged(folder: Path, experiment: spec.Experiment) -> judge.Judgement:
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -5,11 +5,13 @@
 import asyncio
 import json
 import math
+import shutil
 import signal
 import socket
 import subprocess
 import sys
 from collections import Counter
+from pathlib import Path
 
 import psutil
 import pytest
@@ -404,3 +406,33 @@
         ({"starved": 3}, "out of descriptors: 3 tries"),
     ):
         assert why in controller.lateness([fine, {**fine, **odd}])
+
+
+def installed(folder: Path, changes: dict[str, tuple[str, str]]) -> subprocess.CompletedProcess[str]:
+    """Install a changed copy of the decisions in a process that has imported those that stand here."""
+    shutil.copytree(ROOT / "brassfall" / "balancer", folder / "brassfall" / "balancer")
+    for name, (old, new) in changes.items():
+        file = folder / "brassfall" / "balancer" / name
+        assert old in file.read_text()
+        file.write_text(file.read_text().replace(old, new))
+    program = (
+        "import sys, pathlib, brassfall.balancer; from brassfall.lab import play; "
+        f"play.install(pathlib.Path({str(folder)!r})); from brassfall.balancer import Balancer; "
+        "print(sys.modules[Balancer.__module__].__file__, sys.modules['brassfall.balancer.model'].CALL_MS)"
+    )
+    return subprocess.run(
+        [sys.executable, "-c", program], cwd=ROOT, capture_output=True, text=True, timeout=60
+    )
+
+
+def test_the_decisions_of_another_revision_take_the_place_of_all_that_were_imported(tmp_path):
+    done = installed(tmp_path, {"model.py": ("CALL_MS = 1000.0", "CALL_MS = 1001.0")})
+    assert done.returncode == 0, done.stderr
+    assert done.stdout.split() == [str(tmp_path / "brassfall" / "balancer" / "balancer.py"), "1001.0"]
+
+
+def test_decisions_with_an_earlier_interface_are_refused_with_what_to_do(tmp_path):
+    done = installed(tmp_path, {"model.py": ("    request_class: int", "    band: int")})
+    assert (
+        done.returncode == 1 and "has an earlier interface" in done.stderr and 'mode = "real"' in done.stderr
+    )
