--- a/brassfall/controlplane/aggregation/directory.py
+++ b/brassfall/controlplane/aggregation/directory.py
@@ -1,7 +1,7 @@
 """Which sidecar reports to which aggregator process, as the service knows it. Pure code.
 
 Aggregators report arrivals and departures only. Each sidecar is counted once, by its name: the aggregator
-that heard it last owns it, and the one that owned it before is told that it has migrated. A call costs as
+that heard it last owns it, and the one that owned it before is notified that it has migrated. A call costs as
 much as has changed, and nothing more with more children.
 
 `now` is milliseconds of the service's monotonic clock.
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 
 from brassfall.controlplane.aggregation.messages import MEMBERS_MOST, AggregatorReport, Member
-from brassfall.errors import Conflict, Unavailable
+from brassfall.errors import ConflictError, UnavailableError
 
 AGGREGATORS_MOST = 64
 FORMER_MOST = 4  # processes of one name that another has succeeded
@@ -21,7 +21,7 @@
 ORPHANS_MS = 60_000.0  # children of a process that another has succeeded count for so long
 
 
-class AggregatorNameError(Conflict):
+class AggregatorNameError(ConflictError):
     """The name of an aggregator is another's, who is alive (409)."""
 
     action = (
@@ -37,7 +37,7 @@
     report: AggregatorReport
     reported_ms: float
     children: dict[str, str] = field(default_factory=dict)  # process id by name of the sidecar
-    migrated: dict[Member, int] = field(default_factory=dict)  # in how many more answers it is to be told
+    migrated: dict[Member, int] = field(default_factory=dict)  # how many more answers are to name it
     forgotten: bool = False  # it was known in this epoch before: not all of its children are known here
     complete: bool = False  # as of its newest report, it has reported all its children
     succeeded_ms: float | None = None  # since when another process has its name
@@ -87,7 +87,7 @@
     def receive_report(self, now: float, epoch: int, name: str, report: AggregatorReport) -> ReceivedReport:
         """Take in a report; `epoch` is the service's.
 
-        `AggregatorNameError` where the name is another's, `Unavailable` where there are too many."""
+        `AggregatorNameError` where the name is another's, `UnavailableError` where there are too many."""
         self._check_name(now, name, report)
         process = self._process(now, epoch, name, report)
         if process.succeeded_ms is not None:
@@ -106,7 +106,7 @@
         processes = self._names.get(name)
         if processes is None:
             if len(self._names) >= AGGREGATORS_MOST:
-                raise Unavailable("no place", f"{AGGREGATORS_MOST} aggregators are known", retry_s=10.0)
+                raise UnavailableError("no place", f"{AGGREGATORS_MOST} aggregators are known", retry_s=10.0)
             return
         current = processes.current
         if now - current.reported_ms > self.live_ms:
--- a/brassfall/controlplane/registry/aggregators.py
+++ b/brassfall/controlplane/registry/aggregators.py
@@ -112,14 +112,14 @@
             lease = self.reported(name, report)
         except AggregatorNameError as error:
             self._statistics.name_conflicts += 1
-            log.warning("name conflict", name=name, reason=error.told, action=error.action)
+            log.warning("name conflict", name=name, reason=error.summary, action=error.action)
             raise
         return calls.Brief(body=_encode(lease))
 
     def reported(self, name: str, report: AggregatorReport) -> AggregatorLease:
         """Take in a report of an aggregator; its lease, and what else it is answered.
 
-        `AggregatorNameError` where another has the name, `Unavailable` where there are too many."""
+        `AggregatorNameError` where another has the name, `UnavailableError` where there are too many."""
         now, service = self._service.now(), self._service
         self._check_name(now, name)
         received = service.directory.receive_report(now, service.coordinator.epoch, name, report)
--- a/brassfall/controlplane/registry/node_calls.py
+++ b/brassfall/controlplane/registry/node_calls.py
@@ -15,7 +15,7 @@
 from brassfall.controlplane.registry.revision_service import AnswerFields, RevisionService
 from brassfall.controlplane.revisions import messages, pace
 from brassfall.controlplane.revisions.reports import Report, ReportError
-from brassfall.errors import Missing, Unavailable
+from brassfall.errors import NotFoundError, UnavailableError
 
 FULL_RETRY_S = 10.0
 
@@ -48,20 +48,20 @@
             raise
         try:
             self._check_place(name)
-        except (AggregatorNameError, Unavailable):
+        except (AggregatorNameError, UnavailableError):
             self._service.statistics.refused_reports += 1
             raise
         return calls.Brief(body=_encode(self.answer(name, report)))
 
     def _check_place(self, name: str) -> None:
-        """`AggregatorNameError` where a live aggregator has the name, `Unavailable` where all places are
+        """`AggregatorNameError` where a live aggregator has the name, `UnavailableError` where all places are
         taken."""
         service = self._service
         if service.directory.live(service.now(), name):
             raise AggregatorNameError(f"sidecar {name}", "an aggregator has this name")
         nodes, most = service.coordinator.membership.nodes, service.settings.members_most
         if name not in nodes and len(nodes) >= most:
-            raise Unavailable("no place", f"all {most} sidecars are known", retry_s=FULL_RETRY_S)
+            raise UnavailableError("no place", f"all {most} sidecars are known", retry_s=FULL_RETRY_S)
 
     def answer(self, name: str, report: Report) -> ReportAnswer:
         """Take in a report; what the sidecar is answered."""
@@ -95,7 +95,7 @@
         if name not in membership.names and name not in membership.nodes:
             via = service.directory.owner(name)
             why = f"reports to aggregator {via}: end it there" if via else "has not reported to this service"
-            raise Missing("no such member", f"{name} {why}")
+            raise NotFoundError("no such member", f"{name} {why}")
         service.step(messages.RemoveMember(name))
         service.forget(name)
         return answer(_encode(RemovedAnswer(name)))
--- a/brassfall/controlplane/registry/revision_service.py
+++ b/brassfall/controlplane/registry/revision_service.py
@@ -28,7 +28,7 @@
 from brassfall.controlplane.store.commands import Delete, Put
 from brassfall.controlplane.store.outcomes import NotWrittenError
 from brassfall.controlplane.store.store import Store
-from brassfall.errors import Stale, Unavailable
+from brassfall.errors import PreconditionFailedError, UnavailableError
 from brassfall.logs import faults, logger
 from brassfall.settings import AgreementSettings
 
@@ -70,7 +70,7 @@
         """What is wrong, by sidecar."""
 
 
-class UnwrittenError(Unavailable):
+class UnwrittenError(UnavailableError):
     """The disk took no edition: nothing has changed."""
 
     action = "Look at the disk of the list service (/status says what it answered), then publish again."
@@ -157,7 +157,9 @@
             case messages.Published(ticket, revision):
                 self._settle(ticket, revision)
             case messages.PublishConflict(ticket, newest):
-                self._settle(ticket, Stale("not published", f"the newest edition is {newest}"))
+                self._settle(
+                    ticket, PreconditionFailedError("not published", f"the newest edition is {newest}")
+                )
             case messages.PublishFailed(ticket):
                 self._settle(ticket, UnwrittenError("not published", "the disk refused it"))
             case messages.NotifyWatches():
@@ -192,8 +194,9 @@
     def publish(self, **draft: Any) -> asyncio.Future[int]:
         """Have a revision published; its number, once it is durable.
 
-        `draft` has the fields of `Publish`. The future fails with `Stale` where another revision is the
-        newest, and with `UnwrittenError` where the disk refuses it; cancelling it ends nothing."""
+        `draft` has the fields of `Publish`. The future fails with `PreconditionFailedError` where another
+        revision is the newest, and with `UnwrittenError` where the disk refuses it;
+        cancelling it ends nothing."""
         ticket = next(self._tickets)
         future: asyncio.Future[int] = asyncio.get_running_loop().create_future()
         self._publishers[ticket] = future
@@ -216,7 +219,7 @@
         try:
             await self.host.store.submit(row)
         except NotWrittenError as error:
-            log.error("not durable", reason=str(error))
+            log.error("not durable", reason=str(error))  # noqa: TRY400 - an operator reads the reason, no traceback
             self.step(messages.PersistFailed())
             return
         self.step(messages.Persisted())
--- a/brassfall/controlplane/registry/revision_state.py
+++ b/brassfall/controlplane/registry/revision_state.py
@@ -11,7 +11,7 @@
 from brassfall.controlplane.revisions.coordinator import COMMITTED, HALTED
 from brassfall.controlplane.revisions.document import Revision
 from brassfall.controlplane.revisions.state import DurableState
-from brassfall.errors import Missing
+from brassfall.errors import NotFoundError
 
 PREPARED = "prepared"
 
@@ -70,7 +70,7 @@
 def state_of(
     state: DurableState, epoch: int, outcomes: Mapping[int, str], number: int
 ) -> StateLine | Outcome:
-    """What became of one revision; `Missing` where that is not known any more."""
+    """What became of one revision; `NotFoundError` where that is not known any more."""
     if number == state.committed.number:
         return _state_line(state, epoch, state.committed, COMMITTED)
     for revision in (state.pending, state.waiting):
@@ -80,7 +80,9 @@
         return _state_line(state, epoch, state.halted.revision, HALTED, state.halted.objections)
     if number in outcomes:
         return _outcome(epoch, number, outcomes[number])
-    raise Missing("no such edition", f"{number} is neither in force nor among the last that were published")
+    raise NotFoundError(
+        "no such edition", f"{number} is neither in force nor among the last that were published"
+    )
 
 
 def _outcome(epoch: int, number: int, outcome: str) -> Outcome:
--- a/brassfall/controlplane/revisions/validation.py
+++ b/brassfall/controlplane/revisions/validation.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from brassfall.controlplane.revisions.document import KeyKind, kind_of
-from brassfall.errors import Conflict, Refused
+from brassfall.errors import ConflictError, RequestError
 
 NAME_MOST = 128  # characters
 DEPTH_MOST = 32  # levels of objects and lists within each other
@@ -15,13 +15,13 @@
 Settings = Mapping[str, Any]
 
 
-class DocumentError(Refused):
+class DocumentError(RequestError):
     """Settings that can't be published as they are."""
 
     action = "Mend the named key; docs/agreement.md lists the keys and their forms."
 
 
-class HarmfulError(Conflict):
+class HarmfulError(ConflictError):
     """Valid settings that would stop service, or a part of it, everywhere."""
 
     action = "Look at what it would do; publish it with --force only if just that is wanted."
--- a/brassfall/lab/play.py
+++ b/brassfall/lab/play.py
@@ -1,7 +1,7 @@
 """One play of one day, in a process of its own: `python -m brassfall.lab.play`, its order on standard input.
 
-A process of its own keeps versions apart, spreads seeds over the cores, and keeps one play that
-fails from the others. It ends when its standard input does: the lab that ordered it is gone.
+Processes of their own keep versions apart, spread seeds over the cores, and keep a play that fails from the
+others. The process ends when its standard input does: then the lab that started it has ended.
 """
 
 from __future__ import annotations
@@ -21,16 +21,17 @@
 import msgspec
 
 from brassfall.errors import BrassfallError
-from brassfall.lab import day, judge, ledger, spec, steering
+from brassfall.lab import day, judge, ledger, rules, spec, steering
 from brassfall.lab.arrivals import load_experiment
 from brassfall.settings import SettingsError
 
-PACKAGE, EARLIER_PACKAGE = "brassfall.balancer", "poppypulley"
+PACKAGE = "brassfall.balancer"
+LATER_REVISION = 'Name a revision with brassfall/balancer as it is now, or play it with mode = "real".'
 SLACK_MS = {"simulated": 30.0, "real": 120.0}  # for transit, where rules have time limits
 
 
 class Order(msgspec.Struct, forbid_unknown_fields=True):
-    """What to play."""
+    """What to play, as JSON on standard input."""
 
     experiment: str
     version: str
@@ -40,7 +41,7 @@
 
 
 class Result(msgspec.Struct, omit_defaults=True):
-    """What came of a play; the last thing that is written of it."""
+    """The result of a play; it is written last."""
 
     version: str
     seed: int
@@ -52,47 +53,44 @@
 
 
 def install(code: Path) -> None:
-    """Take the decision module from another folder; `SettingsError` if there is none.
+    """Take the decisions from another folder, in place of those that stand here.
 
-    A revision from before the packages were joined has it under an earlier name: its modules are
-    then found under today's as well.
+    `SettingsError` if there are none, or if their interface is not the one that the lab speaks.
     """
-    package, name = code / "brassfall" / "balancer", PACKAGE
-    if not package.is_dir():
-        package, name = code / EARLIER_PACKAGE, EARLIER_PACKAGE
+    package = code / "brassfall" / "balancer"
     found = importlib.util.spec_from_file_location(
-        name, package / "__init__.py", submodule_search_locations=[str(package)]
+        PACKAGE, package / "__init__.py", submodule_search_locations=[str(package)]
     )
     if found is None or found.loader is None or not (package / "__init__.py").exists():
-        raise SettingsError(
-            str(code), "no decision module there", "Name a revision that has the folder brassfall/balancer."
-        )
+        raise SettingsError(str(code), "no decision module there", LATER_REVISION)
+    # Modules that were imported before would be taken in the place of those of that folder.
+    for name in [name for name in sys.modules if f"{name}.".startswith(f"{PACKAGE}.")]:
+        del sys.modules[name]
     module = importlib.util.module_from_spec(found)
-    sys.modules[name] = module
+    sys.modules[PACKAGE] = module
     found.loader.exec_module(module)
-    if name != PACKAGE:
-        for part in [part for part in sys.modules if f"{part}.".startswith(f"{name}.")]:
-            sys.modules[PACKAGE + part.removeprefix(name)] = sys.modules[part]
     setattr(sys.modules["brassfall"], PACKAGE.rpartition(".")[2], module)
+    if not hasattr(sys.modules[f"{PACKAGE}.model"].Arrival, "request_class"):
+        raise SettingsError(str(code), "its decision module has an earlier interface", LATER_REVISION)
 
 
 def judged(folder: Path, experiment: spec.Experiment) -> judge.Judgement:
-    """Hold the ledger in a folder against the rules."""
-    ledger_writer = judge.Records(
+    """Judge the ledger in a folder."""
+    records = rules.Records(
         list(ledger.read(folder, ledger.Answer)),
         list(ledger.read(folder, ledger.Attempt)),
         list(ledger.read(folder, ledger.ListEvent)),
         list(ledger.read(folder, ledger.Incarnation)),
     )
     slack = SLACK_MS[experiment.head.mode]
-    fall = (experiment.fleet.fall_multiple, float(experiment.fleet.fall_after))
+    collapse = rules.Collapse(experiment.fleet.fall_multiple, float(experiment.fleet.fall_after))
     return judge.judge(
-        ledger_writer, experiment.classes, experiment.head.lasts, slack, fall, experiment.measure
+        records, experiment.classes, experiment.head.lasts, slack, collapse, experiment.measure
     )
 
 
 def simulate(order: Order) -> Result:
-    """Play a day under simulated time."""
+    """Play a day under simulated time, and judge it."""
     experiment, recorded = load_experiment(Path(order.experiment))
     version = next(version for version in experiment.versions if version.name == order.version)
     if order.code:
@@ -113,7 +111,7 @@
         return day.wire_settings(experiment, number, version.settings)
 
     world = World(sampled_day, settings, ledger_writer, kind, steering_events)
-    Faults(world).set()
+    Faults(world).schedule()
     world.begin()
     ready = time.process_time()
     world.run(_progress(order))
@@ -128,11 +126,11 @@
         "memory_mb": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024.0,
     }
     events = list(ledger.read(folder, ledger.Event))
-    return Result(order.version, order.seed, True, "", judgement, events, cost)
+    return Result(order.version, order.seed, valid=True, judgement=judgement, events=events, cost=cost)
 
 
 def perform(order: Order) -> Result:
-    """Play a day with real processes."""
+    """Play a day with real processes, and judge it."""
     from brassfall.lab.real.controller import run_play
     from brassfall.lab.real.process_group import ROOT
 
@@ -152,7 +150,7 @@
 
     why, crashes, cost, events = asyncio.run(work())
     judgement = judged(folder, experiment)
-    judgement.findings += [judge.Finding("crashed", 1, crash) for crash in crashes]
+    judgement.findings += [rules.Finding("crashed", 1, crash) for crash in crashes]
     return Result(order.version, order.seed, not why, why, judgement, events, cost)
 
 
@@ -164,7 +162,7 @@
 
 
 def _end_with(source: int) -> None:
-    """End this process when the lab is gone."""
+    """End this process when the lab has ended."""
 
     def wait() -> None:
         while os.read(source, 4096):
--- a/brassfall/sidecar/listener.py
+++ b/brassfall/sidecar/listener.py
@@ -107,7 +107,7 @@
         self._pause_timer: asyncio.TimerHandle | None = None
         self._was_exhausted = False  # as it last tried
         self._finish_by: float | None = None  # by the loop's time, once `finish` was called
-        sock.setblocking(False)
+        sock.setblocking(False)  # noqa: FBT003 - the standard library takes it so
         loop.add_reader(sock.fileno(), self._accept_batch)
 
     @property
@@ -213,7 +213,7 @@
         except OSError as error:
             return AcceptOutcome.EXHAUSTED if error.errno in EXHAUSTED else AcceptOutcome.BROKEN
         self._was_exhausted = False
-        sock.setblocking(False)
+        sock.setblocking(False)  # noqa: FBT003 - the standard library takes it so
         # asyncio does so only where the listening socket was made with a protocol's number.
         with contextlib.suppress(OSError):
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
--- a/tests/test_rules_shell.py
+++ b/tests/test_rules_shell.py
@@ -18,7 +18,7 @@
     Member,
     Place,
 )
-from brassfall.controlplane.overrides import book as books
+from brassfall.controlplane.overrides import events
 from brassfall.controlplane.overrides import reconciler as comparing
 from brassfall.controlplane.overrides.document import parse
 from brassfall.controlplane.registry import client
@@ -52,12 +52,9 @@
     """An override is in force, for longer than news takes."""
     now = made.overrides.now()
     document = {"action": {"freeze": True}, "by": "a", "why": "b", "until_ms": now + 60_000}
-    call = lambda number: books.Put(number, "o", parse("o", msgspec.json.encode(document), now))  # noqa: E731
+    call = lambda number: events.Put(number, "o", parse("o", msgspec.json.encode(document), now))  # noqa: E731
     await made.overrides._call(call)
-    made.overrides._compare(comparing.Due(made.overrides.book.active(now)))
-    seen = made.overrides.reconciler._seen
-    for key, (rev, at, *rest) in seen.items():
-        seen[key] = (rev, at - 60_000, *rest)
+    made.overrides.reconciler.step(now - 60_000, comparing.Published(made.overrides.store.active(now)))
 
 
 @bounded(30.0)
@@ -67,8 +64,10 @@
     try:
         revisions, now = made.revisions, made.revisions.now()
         row = {"region": "a", "window": 1, "span_ms": 500.0, "shake": {}, "first": {"100": 5}}
-        for name, life in (("on", "p"), ("on", "q"), ("off", "p"), ("left", "p")):
-            made.nodes.answer(name, Report(process_id=life, seq=1, group="g", measures={"delays": [row]}))
+        for name, process_id in (("on", "p"), ("on", "q"), ("off", "p"), ("left", "p")):
+            made.nodes.answer(
+                name, Report(process_id=process_id, seq=1, group="g", measures={"delays": [row]})
+            )
         await until(lambda: revisions.coordinator.membership.names == {"on", "off", "left"})
         revisions.coordinator.membership.names.discard("off")  # it never became a member
         assert set(made.geo._demand) == {"on", "off", "left"} == set(revisions.coordinator.membership.nodes)
@@ -151,7 +150,7 @@
 
 
 @bounded(30.0)
-async def test_a_task_that_fails_is_told_and_those_that_run_end_with_their_part(capsys):
+async def test_a_task_that_fails_is_logged_and_those_that_run_end_with_their_part(capsys):
     async def fails():
         raise KeyError("a fault")
 
