--- a/brassfall/balancer/balancer.py
+++ b/brassfall/balancer/balancer.py
@@ -12,7 +12,7 @@
 import random
 from collections.abc import Collection, Iterable, Mapping
 
-from brassfall.balancer import model, retries
+from brassfall.balancer import events, model, retries
 from brassfall.balancer.affinity import KeyAffinity
 from brassfall.balancer.connections import CLOSINGS, IdleConnections
 from brassfall.balancer.ejection import OutlierEjector
@@ -111,8 +111,43 @@
         self._watch_retry_ms = WATCH_RETRY_MS
         self._actions: list[model.Action] = []
 
+    @property
+    def refusals(self) -> Mapping[model.RefusalReason, int]:
+        """How many requests got an answer that no server gave, by reason, since the start."""
+        return {model.RefusalReason(reason): count for reason, count in self.given_up.items()}
+
     # --- events -----------------------------------------------------------
 
+    def step(self, now: float, event: events.Event) -> list[model.Action]:  # noqa: C901 - a case an event
+        """Take in what happened at `now`; return the actions to carry out, in their order."""
+        match event:
+            case events.RequestArrived():
+                return self.request(now, model.Arrival(*event))
+            case events.AttemptEnded():
+                return self.outcome(now, *event)
+            case events.AttemptWithdrawn():
+                return self.unsent(now, *event)
+            case events.AnswerStarted():
+                return self.answer_started(now, *event)
+            case events.BodyDiscarded():
+                return self.body_gone(now, *event)
+            case events.ClientLeft():
+                return self.client_gone(now, *event)
+            case events.TimerDue():
+                return self.timer(now, *event)
+            case events.EndpointsListed():
+                return self.server_list(now, event.form.value, event.entries)
+            case events.DiscoveryFailed():
+                return self.server_list(now, "refused", ())
+            case events.HealthCheckEnded():
+                return self.probe_result(now, *event)
+            case events.PeerMessageReceived():
+                return self.peer_message(now, *event)
+            case events.SettingsReloaded():
+                return self.reload(now, *event)
+            case events.SteeringChanged():
+                return self.steer(now, event.steer)
+
     def reload(self, now: float, settings: Settings, retained: Collection[int]) -> list[model.Action]:
         """Other settings from now on; requests in flight keep theirs. What was learned stays, but
         for the classes that are not retained: their slots may be another's now."""
--- a/brassfall/balancer/model.py
+++ b/brassfall/balancer/model.py
@@ -4,7 +4,7 @@
 
 import math
 from collections.abc import Mapping
-from enum import IntEnum
+from enum import Enum, IntEnum, StrEnum
 from types import MappingProxyType
 from typing import NamedTuple
 
@@ -32,6 +32,26 @@
     ABANDONED = 7  # before it was sent: it never ran
 
 
+class RefusalReason(StrEnum):
+    """Why a request got an answer that no server gave; the value is its name in `REFUSALS`."""
+
+    THROTTLED = "formula"  # by the client-side throttle's formula
+    SHED = "level"  # by the shed probability beyond that formula
+    TOO_HEAVY = "heavy"  # under overload, its work can't end in time
+    NO_SERVER = "room"  # no server may be sent to
+    QUEUED_TOO_LONG = "line"  # its turn in the queue of its key would come too late
+    ATTEMPTS_FAILED = "failed"  # no attempt is left after a failure
+    TOO_MANY_OPEN = "full"  # this process holds as many requests as it may
+
+
+class ListForm(Enum):
+    """What an endpoint list contains; the value is its name on the simulator's wire."""
+
+    REMEMBERED = "remembered"  # the complete list that the configuration had
+    COMPLETE = "all"
+    CHANGES = "changes"
+
+
 class Send(NamedTuple):
     """Start an attempt; it times out after `timeout` milliseconds.
 
--- a/brassfall/sidecar/core/driver.py
+++ b/brassfall/sidecar/core/driver.py
@@ -10,10 +10,9 @@
 import asyncio
 import math
 import traceback
-from collections.abc import Callable, Iterable
-from typing import Any
+from collections.abc import Callable
 
-from brassfall.balancer import Balancer, model
+from brassfall.balancer import Balancer, events, model
 from brassfall.balancer.model import Outcome
 from brassfall.sidecar.config import Config
 from brassfall.sidecar.console import log
@@ -76,7 +75,7 @@
     @property
     def refusals(self) -> str:
         """How many requests got an answer that no server gave, by reason, since the start."""
-        counts = {**self._balancer.given_up, "full": self._rejected_full}
+        counts = {**self._balancer.refusals, model.RefusalReason.TOO_MANY_OPEN: self._rejected_full}
         return " ".join(f"{why}={count}" for why, count in counts.items())
 
     @property
@@ -90,11 +89,11 @@
         """Use other settings for the requests that come from now on; `unchanged` are the slots of classes
         that are the same as before."""
         self._settings, self._max_open = config.settings, config.max_open
-        self._ask(None, self._balancer.reload, config.settings, unchanged)
+        self._ask(None, events.SettingsReloaded(config.settings, unchanged))
 
     def steer(self, steer: model.Steer) -> None:
         """Use another steering plan and other overrides from now on."""
-        self._ask(None, self._balancer.steer, steer)
+        self._ask(None, events.SteeringChanged(steer))
 
     def arrive(self, call: Call, now: float) -> Request | None:
         """Take a request; its `call` gets one final answer.
@@ -113,7 +112,7 @@
         self._open += 1
         if not reading:
             self._guard(request)
-        arrival = model.Arrival(
+        arrival = events.RequestArrived(
             request.id,
             call.request_class,
             give_up_at,
@@ -124,7 +123,7 @@
             call.mutates,
             reading,
         )
-        self._ask(request, self._balancer.request, arrival)
+        self._ask(request, arrival)
         return request
 
     def _give_up_at(self, call: Call, now: float) -> float:
@@ -137,7 +136,7 @@
 
     def body_gone(self, request: Request) -> None:
         """More of its body has flowed on than is buffered: it can't be sent again."""
-        self._ask(request, self._balancer.body_gone, request.id)
+        self._ask(request, events.BodyDiscarded(request.id))
 
     def body_read(self, request: Request, now: float) -> None:
         """The last byte of a large request was read at `now`."""
@@ -151,7 +150,7 @@
                     self._expire_at(attempt, request.give_up_at)
             if now >= request.give_up_at and self._end(request):  # so late only while the process ends
                 request.call.failed(late=True)
-                self._ask(request, self._balancer.client_gone, request.id)
+                self._ask(request, events.ClientLeft(request.id))
 
     def stopping(self, until: float) -> None:
         """The process ends: answer all that is taken from now on by then."""
@@ -161,28 +160,26 @@
         """The client closed its connection before the answer was whole."""
         flowing = any(attempt.out and attempt.begun_at is not None for attempt in request.attempts)
         if self._end(request) or flowing:
-            self._ask(request, self._balancer.client_gone, request.id)
+            self._ask(request, events.ClientLeft(request.id))
         if request.call.reading or flowing:
             # No server can answer half a request, and nobody reads the rest of an answer.
             for hop in range(len(request.attempts)):
                 self._cancel(request.id, hop)
 
-    def server_list(self, form: str, update: ServerList | None) -> None:
-        """Take in what discovery says: an endpoint list, or None where it was refused.
+    def discovery_failed(self) -> None:
+        """A call to discovery failed, was rejected, or its watch ended."""
+        self._ask(None, events.DiscoveryFailed())
 
-        `form` is "remembered" for the list from the configuration, "all" or "changes" for one from discovery,
-        and "refused"."""
-        if update is None:
-            self._ask(None, self._balancer.server_list, form, ())
-            return
+    def endpoints_listed(self, form: model.ListForm, update: ServerList) -> None:
+        """Take in an endpoint list."""
         now = self._clock.now()
         update = self._starts.bounded(now, self._clock.from_loop(update.fresh_at), update)
-        self._upstreams.update(now, update, complete=form != "changes")
-        self._ask(None, self._balancer.server_list, form, update.entries)
+        self._upstreams.update(now, update, complete=form is not model.ListForm.CHANGES)
+        self._ask(None, events.EndpointsListed(form, update.entries))
 
     def peer_message(self, peer: int, data: bytes) -> None:
         """Take a message of another sidecar."""
-        self._ask(None, self._balancer.peer_message, peer, data)
+        self._ask(None, events.PeerMessageReceived(peer, data))
 
     def _new_id(self) -> int:
         while self._next_id in self._requests:
@@ -195,7 +192,7 @@
         if self._end(request):
             log(f"request {request.id}: no answer at its deadline; report it")
             request.call.failed(late=True)
-            self._ask(request, self._balancer.client_gone, request.id)
+            self._ask(request, events.ClientLeft(request.id))
 
     def attempt_due(self, attempt: Attempt) -> bool:
         """Return whether an attempt whose bytes are due is still wanted.
@@ -233,7 +230,7 @@
         if attempt.timeout is not None:
             attempt.timeout.cancel()
         request.call.begun(answer, flow)
-        self._ask(request, self._balancer.answer_started, request.id, attempt.hop)
+        self._ask(request, events.AnswerStarted(request.id, attempt.hop))
         return request.call.more
 
     def attempt_unsent(self, attempt: Attempt) -> None:
@@ -241,7 +238,7 @@
         count against those that its request may have."""
         if attempt.out:
             attempt.request.max_attempts += 1
-            self._ask(None, self._balancer.unsent, attempt.request.id, attempt.hop)
+            self._ask(None, events.AttemptWithdrawn(attempt.request.id, attempt.hop))
 
     def attempt_ended(self, attempt: Attempt, result: Result) -> None:
         """Take the one outcome of an attempt; the first OK answers its request."""
@@ -265,16 +262,10 @@
                 request.call.broken()
         elif result.outcome == Outcome.OK and result.answer is not None and self._end(request):
             request.call.served(result.answer)
-        self._ask(
-            request,
-            self._balancer.outcome,
-            request.id,
-            attempt.hop,
-            int(result.outcome),
-            spent,
-            request.ended,
-            result.report,
+        ended = events.AttemptEnded(
+            request.id, attempt.hop, result.outcome, spent, request.ended, result.report
         )
+        self._ask(request, ended)
         self._forget(request)
 
     def _expire_at(self, attempt: Attempt, until: float) -> None:
@@ -292,28 +283,28 @@
         attempt.ended(Result(outcome))
 
     def _timer(self, token: str) -> None:
-        self._ask(None, self._balancer.timer, token)
+        self._ask(None, events.TimerDue(token))
 
     def _probed(self, server: str, sent: float, result: Result) -> None:
         spent = self._clock.now() - sent
-        self._ask(None, self._balancer.probe_result, server, int(result.outcome), spent, result.report)
+        self._ask(None, events.HealthCheckEnded(server, result.outcome, spent, result.report))
 
     # --- actions ------------------------------------------------------------
 
-    def _ask(self, request: Request | None, event: Callable[..., Iterable[model.Action]], *args: Any) -> None:
+    def _ask(self, request: Request | None, event: events.Event) -> None:
         """Give the balancer an event and carry out what it decides.
 
         Guards against a fault in it: that fails the request at hand, never the process."""
         decided = b"" if self.revision_stamp is None else self.revision_stamp()
         try:
-            for action in event(self._clock.now(), *args):
+            for action in self._balancer.step(self._clock.now(), event):
                 self._decided = decided  # a send may have taken up another revision meanwhile
                 self._act(action)
         except Exception:  # noqa: BLE001 - whatever it raises, the other requests go on
             log(traceback.format_exc())
             if request is not None and self._end(request):
                 request.call.failed(late=False)
-                self._ask(None, self._balancer.client_gone, request.id)
+                self._ask(None, events.ClientLeft(request.id))
         if request is not None:
             self._forget(request)
 
--- a/brassfall/sidecar/lifecycle/sidecar.py
+++ b/brassfall/sidecar/lifecycle/sidecar.py
@@ -7,7 +7,7 @@
 from collections.abc import Mapping
 from typing import TYPE_CHECKING
 
-from brassfall.balancer.model import Steer
+from brassfall.balancer.model import ListForm, Steer
 from brassfall.sidecar import config, reload
 from brassfall.sidecar.clients.inbound import Inbound
 from brassfall.sidecar.clients.listener import retry_while_exhausted
@@ -73,7 +73,10 @@
         return member
 
     def _server_list(self, form: str, servers: ServerList | None) -> None:
-        self.driver.server_list(form, servers)
+        if servers is None:
+            self.driver.discovery_failed()
+        else:
+            self.driver.endpoints_listed(ListForm(form), servers)
         if self.member is not None:
             self.member.listed(self._loop.time())
 
--- a/tests/balancer/test_steering.py
+++ b/tests/balancer/test_steering.py
@@ -9,6 +9,7 @@
 import pytest
 
 from brassfall.balancer import Balancer, Settings
+from brassfall.balancer.events import SteeringChanged
 from brassfall.balancer.model import Arrival, Listing, Outcome, Refuse, Send, Steer
 from tests.support.helpers import of_type, raw_settings
 
@@ -245,6 +246,6 @@
     seen = []
     driver = object.__new__(Driver)
     driver._clock = type("Clock", (), {"now": staticmethod(lambda: 42.0)})
-    driver._balancer = type("Module", (), {"steer": staticmethod(lambda *told: seen.append(told) or [])})
+    driver._balancer = type("Module", (), {"step": staticmethod(lambda *step: seen.append(step) or [])})
     driver.steer(PLAN)
-    assert seen == [(42.0, PLAN)]
+    assert seen == [(42.0, SteeringChanged(PLAN))]
--- a/tests/sidecar/test_agent_rules.py
+++ b/tests/sidecar/test_agent_rules.py
@@ -11,6 +11,7 @@
 
 import pytest
 
+from brassfall.balancer.events import RequestArrived
 from brassfall.sidecar.agent import agent
 from tests.support.loopback import (
     OK,
@@ -311,16 +312,17 @@
         await side.acting(5)
         await side.ask()  # a connection is open
         driver, member = side.sidecar.driver, side.sidecar.member
-        request = driver._balancer.request
+        step = driver._balancer.step
 
-        def stopped(*args):
+        def stopped(now, event):
             """The permission ends between the decision and the send."""
-            actions = request(*args)
-            member.agent.lease_client._lease_end = member.agent.valid_until = -math.inf
+            actions = step(now, event)
+            if isinstance(event, RequestArrived):
+                member.agent.lease_client._lease_end = member.agent.valid_until = -math.inf
             return actions
 
         side.rules.open.clear()
-        driver._balancer.request = stopped
+        driver._balancer.step = stopped
         assert (await side.ask()).body != b"done"
         assert (editions(east), editions(west)) == (["5"], [])
 
--- a/tests/sidecar/test_hold_up.py
+++ b/tests/sidecar/test_hold_up.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from brassfall.balancer.model import Fail, Outcome, Send, Timer
+from brassfall.balancer.model import Fail, ListForm, Outcome, Send, Timer
 from brassfall.sidecar.core import driver
 from brassfall.sidecar.discovery.endpoint_list import parse_list
 from tests.support.loopback import (
@@ -159,7 +159,7 @@
         row = entry("s0", upstream.address, status="leaving")
         news = parse_list(listed(42, row, snapshot=False), sidecar.running.names)
         ends = held.clock.now() + grace_ms
-        sidecar.driver.server_list("changes", news)
+        sidecar.driver.endpoints_listed(ListForm.CHANGES, news)
         held.on(ends - before_ms - held.clock.now())
         gate.set()
         answer = await app.answer()
--- a/tests/sidecar/test_races_attempts.py
+++ b/tests/sidecar/test_races_attempts.py
@@ -12,7 +12,8 @@
 import pytest
 
 from brassfall.balancer import Settings
-from brassfall.balancer.model import Cancel, Fail, Listing, Outcome, Refuse, Send
+from brassfall.balancer.events import AttemptEnded
+from brassfall.balancer.model import Cancel, Fail, ListForm, Listing, Outcome, Refuse, Send
 from brassfall.sidecar.core import driver
 from brassfall.sidecar.core.clock import Clock
 from brassfall.sidecar.core.interfaces import Answer, Result
@@ -696,14 +697,15 @@
         self.driver.connect(self.carriers, None, None)
         self.outcomes = []
         module = self.driver._balancer
-        hear = module.outcome
+        step = module.step
 
-        def outcome(now, number, hop, *rest):
-            self.outcomes.append((number, hop))
-            return hear(now, number, hop, *rest)
+        def recorded(now, event):
+            if isinstance(event, AttemptEnded):
+                self.outcomes.append((event.request, event.attempt))
+            return step(now, event)
 
-        module.outcome = outcome
-        self.driver.server_list("remembered", config.known)
+        module.step = recorded
+        self.driver.endpoints_listed(ListForm.REMEMBERED, config.known)
         self.client = Client(large)
         self.request = self.driver.arrive(self.client, self.driver._clock.now())
         self.attempt = self.request.attempts[0]
--- a/tests/sidecar/test_wall_clock.py
+++ b/tests/sidecar/test_wall_clock.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from brassfall.balancer.model import Fail, Send
+from brassfall.balancer.model import Fail, ListForm, Send
 from brassfall.sidecar.agent.agent import Agent
 from brassfall.sidecar.config import Agreement
 from brassfall.sidecar.config_values import Address
@@ -115,8 +115,8 @@
         async with running(upstream, balancer=module, Rules={"StopSendingWithin": 800.0}) as sidecar:
             app = await App.connect(sidecar.address)
             row = entry("s0", upstream.address, status="leaving")
-            sidecar.driver.server_list(
-                "changes", parse_list(listed(42, row, snapshot=False), sidecar.running.names)
+            sidecar.driver.endpoints_listed(
+                ListForm.CHANGES, parse_list(listed(42, row, snapshot=False), sidecar.running.names)
             )
             faults.step(step_s)
             within = await app.ask()
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -9,7 +9,8 @@
 import socket
 from dataclasses import dataclass, field
 
-from brassfall.balancer.model import Fail, Send
+from brassfall.balancer import events
+from brassfall.balancer.model import Fail, ListForm, Send
 from brassfall.sidecar import config
 from brassfall.sidecar.discovery import endpoint_list
 from brassfall.sidecar.lifecycle.sidecar import Sidecar
@@ -210,19 +211,44 @@
     return {**row, "weight": 1.0, "since_ms": 0, **changes}
 
 
+SHORT_NAMES = {
+    events.AttemptEnded: "outcome",
+    events.AttemptWithdrawn: "unsent",
+    events.AnswerStarted: "answer_started",
+    events.BodyDiscarded: "body_gone",
+    events.ClientLeft: "client_gone",
+    events.TimerDue: "timer",
+    events.HealthCheckEnded: "probe_result",
+    events.PeerMessageReceived: "peer_message",
+    events.SettingsReloaded: "reload",
+    events.SteeringChanged: "steer",
+}
+
+
 class Scripted:
-    """Stands in for the decision module: records events, and answers each with a script's actions."""
+    """Stands in for the balancer: records events, and answers each with a script's actions.
+
+    A script has the short name of its event, and takes the time and the event's fields."""
 
     def __init__(self, **scripts):
-        self.events = []
+        self.events, self.refusals = [], {}
         self.scripts = {"request": lambda now, arrival: [Send(arrival.request, "s0", 0.0)], **scripts}
 
-    def __getattr__(self, name):
-        def event(now, *args):
-            self.events.append((name, *args))
-            return self.scripts.get(name, lambda now, *args: [])(now, *args)
-
-        return event
+    def step(self, now, event):
+        """The actions of the script for this event; none where it has no script."""
+        name, args = self._short(event)
+        self.events.append((name, *args))
+        return self.scripts.get(name, lambda now, *args: [])(now, *args)
+
+    def _short(self, event):
+        match event:
+            case events.RequestArrived():
+                return "request", (event,)
+            case events.EndpointsListed(form, entries):
+                return "server_list", (form.value, entries)
+            case events.DiscoveryFailed():
+                return "server_list", ("refused", ())
+        return SHORT_NAMES[type(event)], tuple(event)
 
     def named(self, name):
         """The events of one name, without it."""
@@ -409,8 +435,8 @@
 
 def hear(sidecar, *entries):
     """News of discovery."""
-    sidecar.driver.server_list(
-        "changes", endpoint_list.parse_list(listed(42, *entries, snapshot=False), told().names)
+    sidecar.driver.endpoints_listed(
+        ListForm.CHANGES, endpoint_list.parse_list(listed(42, *entries, snapshot=False), told().names)
     )
 
 
--- a/tests/support/random_day.py
+++ b/tests/support/random_day.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field
 from unittest import mock
 
-from brassfall.balancer.model import Listing, Steer
+from brassfall.balancer.model import ListForm, Listing, Steer
 from brassfall.sidecar import config, framing, reload
 from brassfall.sidecar.body import Body
 from brassfall.sidecar.config_values import Address
@@ -493,7 +493,8 @@
         self.say(f"list {form} {[(s.name, s.port, s.state) for s in entries]}")
         addresses = {server.name: Address("127.0.0.1", server.port) for server in entries}
         rows = [server.entry for server in entries]
-        self.driver.server_list(form, ServerList(self.version, form != "changes", rows, addresses))
+        update = ServerList(self.version, form != "changes", rows, addresses)
+        self.driver.endpoints_listed(ListForm(form), update)
         self.listed = {name: server for name, server in self.listed.items() if server.state != "left"}
 
     def start_server(self, name, port=None):
@@ -541,7 +542,7 @@
 
     def ask_answered(self):
         if self.rng.random() < 0.5:
-            self.driver.server_list("refused", None)
+            self.driver.discovery_failed()
         else:
             self.change_servers()
 
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -48,6 +48,7 @@
         "connections",
         "ejection",
         "endpoints",
+        "events",
         "load_shedding",
         "model",
         "overload",
@@ -90,7 +91,7 @@
     "zones": {"settings"},
 }
 # The interface: values without decisions.
-INTERFACE: dict[str, set[str]] = {"model": set(), "settings": set()}
+INTERFACE: dict[str, set[str]] = {"events": {"model", "settings"}, "model": set(), "settings": set()}
 
 
 def test_the_deploy_file_lists_every_module_that_decides():
@@ -174,6 +175,7 @@
 VALUES = "brassfall.sidecar.config_values"
 CHANNEL = "brassfall.sidecar.discovery.channel"
 START_TIMES = "brassfall.sidecar.discovery.start_times"
+EVENTS = "brassfall.balancer.events"
 MODEL, MODULE = "brassfall.balancer.model", "brassfall.balancer.Balancer"
 SETTINGS = "brassfall.balancer.Settings"
 
@@ -199,7 +201,10 @@
         ("core/clock.py", set()),
         ("core/interfaces.py", {BODY, LIST, MODEL}),
         ("core/attempts.py", {INTERFACES, MODEL}),
-        ("core/driver.py", {ATTEMPTS, CLOCK, CONFIG, CONSOLE, INTERFACES, LIST, MODEL, MODULE, START_TIMES}),
+        (
+            "core/driver.py",
+            {ATTEMPTS, CLOCK, CONFIG, CONSOLE, EVENTS, INTERFACES, LIST, MODEL, MODULE, START_TIMES},
+        ),
         ("discovery/start_times.py", {LIST, MODEL}),
         ("core/process_state.py", set()),
         ("lifecycle/handover.py", {CONSOLE, VALUES}),
