--- a/brassfall/cli/fleet.py
+++ b/brassfall/cli/fleet.py
@@ -1,4 +1,7 @@
-"""The commands on what a fleet acts on together: `rules`, `override` and `geo`."""
+"""The commands `rules`, `override` and `geo`: what all sidecars act on together.
+
+An answer is read into a typed value; with `--json` it is printed as the service sent it.
+"""
 
 from __future__ import annotations
 
@@ -15,44 +18,46 @@
 from brassfall.cli.options import At, Json, address, run
 from brassfall.errors import BrassfallError, UsageError
 
-POLL_S = 0.1
+POLL_S = 0.1  # between two looks at how far a revision is
 OVERRIDE_MOST_S = 86_400
 
-revisions = typer.Typer(no_args_is_help=True, help="Editions that all sidecars act on together.")
-overrides = typer.Typer(no_args_is_help=True, help="Temporary overrides, which end by themselves.")
+revisions = typer.Typer(
+    no_args_is_help=True, help="Configuration revisions (editions) that all sidecars act on together."
+)
+overrides = typer.Typer(no_args_is_help=True, help="Temporary overrides; each expires by itself.")
 geo = typer.Typer(no_args_is_help=True, help="Delays from client groups to regions.")
 
 
 class HaltedError(BrassfallError):
-    """An edition did not take effect."""
+    """A configuration revision was halted and did not take effect."""
 
-    action = "Mend what the sidecars named object to, and publish again; the edition before stays in force."
+    action = "Mend what the sidecars named object to, and publish again; the revision before stays active."
 
 
 class OverrideFileError(UsageError):
-    """A file that is no override."""
+    """A file does not describe an override."""
 
-    action = "Name the override's `id` in the file; docs/overrides.md has the form of the rest."
+    action = "Mend the file: it needs an `id`; docs/overrides.md has the form of the rest."
 
 
 # --- answers, as far as they are shown -----------------------------------------------------------
 
 
 class PublishAnswer(msgspec.Struct, frozen=True):
-    """The answer to a publication."""
+    """Answer to `PUT /rules`."""
 
     revision: int = msgspec.field(name="edition")
 
 
 class ObjectionRow(msgspec.Struct, frozen=True):
-    """Why one sidecar can't act on a revision."""
+    """Reason why one sidecar can't act on a revision."""
 
     sidecar: str = msgspec.field(name="edge")
     reason: str
 
 
 class RevisionState(msgspec.Struct, frozen=True):
-    """How far a revision is."""
+    """Progress of one revision, as `GET /rules` tells it."""
 
     revision: int = msgspec.field(name="edition")
     state: str
@@ -60,7 +65,7 @@
 
 
 class SidecarRow(msgspec.Struct, frozen=True):
-    """What one sidecar acts on."""
+    """Revision that one sidecar acts on, and why it is behind."""
 
     name: str
     newest: int | None = msgspec.field(name="held")
@@ -69,13 +74,13 @@
 
 
 class SidecarListing(msgspec.Struct, frozen=True):
-    """All sidecars."""
+    """Answer to `GET /edges`: all sidecars."""
 
     sidecars: list[SidecarRow] = msgspec.field(name="edges")
 
 
 class OverrideRow(msgspec.Struct, frozen=True):
-    """One override in force."""
+    """One override that is active."""
 
     id: str
     left_ms: float
@@ -84,44 +89,44 @@
 
 
 class OverrideListing(msgspec.Struct, frozen=True):
-    """All overrides in force, and what is wrong with sidecars, by name."""
+    """Answer to `GET /overrides`: active overrides, and findings by the name of a sidecar."""
 
     overrides: list[OverrideRow]
     findings: dict[str, list[str]]
 
 
 class TimeLeft(msgspec.Struct, frozen=True):
-    """How long an override lasts."""
+    """Time that an override has left."""
 
     left_ms: float
 
 
 class ServiceTime(msgspec.Struct, frozen=True):
-    """The time by which the service ends overrides, Unix ms."""
+    """Time by the clock of the service, which ends overrides; Unix ms."""
 
     now_ms: float
 
 
 class DelayRow(msgspec.Struct, frozen=True):
-    """The delay from one group to one region, and its interval of 90%."""
+    """Delay from one client group to one region, with its interval of 90%."""
 
     group: str
     region: str
     delay_ms: float
     low_ms: float
     high_ms: float
-    tried: bool
+    measured: bool = msgspec.field(name="tried")
     sidecars: int = msgspec.field(name="edges")
 
 
 class DelayListing(msgspec.Struct, frozen=True):
-    """All delays that are known."""
+    """Answer to `GET /geo`."""
 
     pairs: list[DelayRow]
 
 
-def _show(raw: Any, text: Callable[[], str], *, json: bool) -> None:
-    """An answer, as it came or as text."""
+def _show(raw: object, text: Callable[[], str], *, json: bool) -> None:
+    """Print an answer as it came, or as text."""
     typer.echo(msgspec.json.encode(raw).decode() if json else text())
 
 
@@ -133,21 +138,23 @@
     *,
     file: Annotated[Path, typer.Argument(help="Settings, as TOML.")],
     at: At,
-    wait: Annotated[bool, typer.Option("--wait", help="Until it is committed or halted.")] = False,
-    force: Annotated[bool, typer.Option("--force", help="Although it does harm.")] = False,
-    follows: Annotated[int | None, typer.Option(help="Only after this edition.")] = None,
+    wait: Annotated[bool, typer.Option("--wait", help="Return once it is committed or halted.")] = False,
+    force: Annotated[
+        bool, typer.Option("--force", help="Publish it although the service expects harm.")
+    ] = False,
+    follows: Annotated[int | None, typer.Option(help="Publish only if this revision is the newest.")] = None,
     json: Json = False,
 ) -> None:
-    """Publish settings as the next edition."""
+    """Publish settings as the next configuration revision."""
     headers = {"X-Force": "1"} if force else {}
     if follows is not None:
         headers["If-Match"] = str(follows)
     raw, state = run(_publish(address(at), settings.read_toml(file), headers, wait=wait))
-    _show(raw, lambda: f"edition {raw['edition']}: {state}", json=json)
+    _show(raw, lambda: f"revision {raw['edition']}: {state}", json=json)
 
 
 async def _publish(at: str, body: dict[str, Any], headers: dict[str, str], *, wait: bool) -> tuple[Any, str]:
-    """The answer, and how far the revision is when this returns; `HaltedError` where it was halted."""
+    """Return the answer and the state of the revision; raise `HaltedError` if it was halted."""
     from brassfall.controlplane.registry import client
 
     raw = await client.call(at, "PUT", "/rules", body, headers)
@@ -156,7 +163,8 @@
         found = client.read(at, RevisionState, await client.call(at, "GET", f"/rules?edition={revision}"))
         if found.state == "halted":
             why = "; ".join(f"{row.sidecar}: {row.reason}".strip(": ") for row in found.objections)
-            raise HaltedError(f"edition {revision} was halted", why)
+            halted = f"revision {revision} was halted"
+            raise HaltedError(halted, why)
         if found.state == "committed":
             return {**raw, "state": "committed"}, "committed"
         await asyncio.sleep(POLL_S)
@@ -165,7 +173,7 @@
 
 @revisions.command("show")
 def show_revision(*, at: At, json: Json = False) -> None:
-    """The edition that matters most now, and what each sidecar acts on."""
+    """Show the revision being committed or the newest one, and what each sidecar acts on."""
     from brassfall.controlplane.registry import client
 
     async def both() -> tuple[Any, Any]:
@@ -177,10 +185,11 @@
     listing = client.read(at, SidecarListing, raw_sidecars)
 
     def text() -> str:
-        lines = [f"edition {state.revision}: {state.state}"]
+        lines = [f"revision {state.revision}: {state.state}"]
         lines += [f"  {row.sidecar} objects: {row.reason}" for row in state.objections]
         lines += [
-            f"  {row.name:<24} held {row.newest} acting {row.acting} {row.behind}" for row in listing.sidecars
+            f"  {row.name:<24} newest {row.newest} acting {row.acting} {row.behind}"
+            for row in listing.sidecars
         ]
         return "\n".join(lines)
 
@@ -194,27 +203,27 @@
 def add_override(
     *, file: Annotated[Path, typer.Argument(help="One override, as TOML.")], at: At, json: Json = False
 ) -> None:
-    """Start or extend an override. The file may have `for_s` in place of `until_ms`."""
+    """Start or extend an override; the file may have `for_s` in place of `until_ms`."""
     from brassfall.controlplane.registry import client
 
     body = settings.read_toml(file)
     name = body.pop("id", None)
     if not isinstance(name, str) or not name:
-        raise OverrideFileError(f"{file}", "id: a name is wanted")
+        raise OverrideFileError(str(file), "id: a name is required")
     duration_s = body.pop("for_s", None)
     is_number = isinstance(duration_s, int | float) and not isinstance(duration_s, bool)
     if duration_s is not None and not (is_number and 0 < duration_s <= OVERRIDE_MOST_S):
-        raise OverrideFileError(f"{file}", "for_s: seconds, up to a day, are wanted")
+        raise OverrideFileError(str(file), "for_s: seconds are required, up to a day")
     raw = run(_add(address(at), name, body, duration_s))
     left_s = client.read(at, TimeLeft, raw).left_ms / 1000.0
     _show(raw, lambda: f"override {name}: {left_s:.1f} s left", json=json)
 
 
-async def _add(at: str, name: str, body: dict[str, Any], duration_s: float | None) -> Any:
+async def _add(at: str, name: str, body: dict[str, Any], duration_s: float | None) -> object:
     from brassfall.controlplane.registry import client
 
     if duration_s is not None:
-        # Counted by the service's clock, which says when it ends: the one here may be wrong by hours.
+        # By the clock of the service, which ends the override; the one here may be hours off.
         now_ms = client.read(at, ServiceTime, await client.call(at, "GET", "/overrides")).now_ms
         body["until_ms"] = int(now_ms + duration_s * 1000.0)
     return await client.call(at, "PUT", f"/overrides/{name}", body)
@@ -232,7 +241,7 @@
 
 @overrides.command("list")
 def list_overrides(*, at: At, json: Json = False) -> None:
-    """All overrides in force, and what is wrong with sidecars."""
+    """List all active overrides, and the sidecars that act on others."""
     from brassfall.controlplane.registry import client
 
     raw = run(client.call(address(at), "GET", "/overrides"))
@@ -244,7 +253,7 @@
             for row in listing.overrides
         ]
         lines += [f"{name}: {line}" for name, found in listing.findings.items() for line in found]
-        return "\n".join(lines) or "no override is in force"
+        return "\n".join(lines) or "no override is active"
 
     _show(raw, text, json=json)
 
@@ -254,7 +263,7 @@
 
 @geo.command("show")
 def show_delays(*, at: At, json: Json = False) -> None:
-    """Each pair's estimate, its interval of 90%, and its age."""
+    """Show the estimated delay of each pair of client group and region, with its interval of 90%."""
     from brassfall.controlplane.registry import client
 
     raw = run(client.call(address(at), "GET", "/geo"))
@@ -263,9 +272,9 @@
     def text() -> str:
         lines = [
             f"{row.group:<16} {row.region:<16} {row.delay_ms:>8.1f} ms ({row.low_ms:.1f} to "
-            f"{row.high_ms:.1f}) {'tried' if row.tried else 'guessed'}, {row.sidecars} sidecars"
+            f"{row.high_ms:.1f}) {'measured' if row.measured else 'predicted'}, {row.sidecars} sidecars"
             for row in listing.pairs
         ]
-        return "\n".join(lines) or "nothing was measured yet"
+        return "\n".join(lines) or "no delay has been measured yet"
 
     _show(raw, text, json=json)
--- a/brassfall/cli/main.py
+++ b/brassfall/cli/main.py
@@ -1,4 +1,7 @@
-"""The one command, `python -m brassfall`. Exit status: 0 done, 1 failed, 2 wrong usage or configuration."""
+"""The command `python -m brassfall`.
+
+Exit status: 0 done, 1 failed, 2 wrong usage or configuration.
+"""
 
 from __future__ import annotations
 
@@ -18,10 +21,10 @@
 
 
 class OneLineErrors(TyperGroup):
-    """All commands: what fails is one line on standard error, and its type says the exit status."""
+    """Command group that prints an error as one line and exits with the status of its type."""
 
     def invoke(self, ctx: Any) -> Any:
-        """Run the command that was asked for."""
+        """Run the command; an error ends it with one line on standard error."""
         try:
             return super().invoke(ctx)
         except (BrassfallError, OSError, MemoryError, ExceptionGroup) as error:
@@ -33,13 +36,13 @@
 
 
 def _reported(error: Exception) -> BrassfallError | None:
-    """The error to report; None for a defect, and for a reader that has gone."""
+    """Return the error to report; None for a defect, and where the reader of a pipe has closed it."""
     while isinstance(error, ExceptionGroup):
         error = error.exceptions[0]
     if isinstance(error, BrassfallError):
         return error
     if isinstance(error, MemoryError):
-        return OperatingSystemError("the system", "there is not enough memory")
+        return OperatingSystemError("the system", "out of memory")
     if isinstance(error, OSError) and error.errno != errno.EPIPE:
         return OperatingSystemError(str(error.filename or "the system"), error.strerror or str(error))
     return None
@@ -57,7 +60,7 @@
 
 @app.command()
 def check(file: Path) -> None:
-    """Is this configuration good? It may be a list service's, an aggregator's, or an experiment."""
+    """Check the configuration of a list service or an aggregator, or an experiment."""
     from brassfall.lab import spec
     from brassfall.lab.revision_chaos import spec as revision_chaos
 
@@ -74,12 +77,12 @@
 
 @app.command()
 def demo() -> None:
-    """Start a small fleet on loopback, send through it while parts fail, and end it again."""
+    """Run a small fleet on loopback and send through it while parts fail."""
     from brassfall.lab import demo as demo_
 
     run(demo_.run(typer.echo))
 
 
 def main() -> None:
-    """The entry point."""
+    """Run the command line."""
     app()
--- a/brassfall/cli/options.py
+++ b/brassfall/cli/options.py
@@ -1,57 +1,59 @@
-"""What the command modules share: options, checks of arguments, and how a coroutine is run until Ctrl-C."""
+"""Options and checks of arguments that the commands share."""
 
 from __future__ import annotations
 
 import asyncio
 import sys
 from collections.abc import Coroutine
-from typing import Annotated, Any
+from typing import Annotated, Any, TypeVar
 
 import typer
 
 from brassfall import settings
 from brassfall.errors import UsageError
 
+Result = TypeVar("Result")
+
 INTERRUPTED = 130  # the exit status after Ctrl-C
 
 At = Annotated[str, typer.Option(help="HOST:PORT of the list service.")]
 Json = Annotated[bool, typer.Option("--json", help="JSON instead of text.")]
-Rounds = Annotated[int, typer.Option(min=1, help="How often each is measured.")]
-Jobs = Annotated[int, typer.Option(min=0, max=256, help="Processes; 0 for one a core.")]
-Tier = Annotated[bool, typer.Option(help="With aggregators between sidecars and the service.")]
+Rounds = Annotated[int, typer.Option(min=1, help="Number of measurements of each kind.")]
+Jobs = Annotated[int, typer.Option(min=0, max=256, help="Number of processes; 0: one for each core.")]
+Tier = Annotated[bool, typer.Option(help="Put aggregators between sidecars and the list service.")]
 
 
-def run(work: Coroutine[Any, Any, Any]) -> Any:
-    """Run this until it ends, or until Ctrl-C, which cancels it and ends the command."""
+def run(work: Coroutine[Any, Any, Result]) -> Result:
+    """Run a coroutine and return its result; Ctrl-C cancels it and ends the command with `INTERRUPTED`."""
     try:
         return asyncio.run(work)
     except KeyboardInterrupt:
         raise typer.Exit(INTERRUPTED) from None
     except BrokenPipeError:
-        sys.stderr.close()  # whoever read this has gone; there is nobody to write to
+        sys.stderr.close()  # the reader of the pipe has closed it
         raise typer.Exit(0) from None
 
 
 def progress(text: str) -> None:
-    """Say on standard error how far a command is."""
+    """Print the progress of a command on standard error."""
     typer.echo(text, err=True)
 
 
 def address(text: str, option: str = "--at") -> str:
-    """The same HOST:PORT; `UsageError` names the option where it is none."""
+    """Return the same HOST:PORT; raise `UsageError`, which names the option, if it is none."""
     try:
         settings.address(text)
     except ValueError as error:
-        raise UsageError(option, str(error), "Name HOST:PORT, as in 127.0.0.1:8500.") from None
+        raise UsageError(option, str(error), "Give HOST:PORT, as in 127.0.0.1:8500.") from None
     return text
 
 
 def instance_name(text: str) -> str:
-    """The same name; `UsageError` where no instance can have it."""
+    """Return the same name; raise `UsageError` if no instance can have it."""
     from brassfall.controlplane.registry import entries
     from brassfall.errors import RequestError
 
     try:
         return entries.name(text)
     except RequestError as error:
-        raise UsageError(error.what, action="Give a name of that form, as in `list`.") from None
+        raise UsageError(error.what, action="Give a name of that form; `registry list` shows some.") from None
--- a/brassfall/cli/registry.py
+++ b/brassfall/cli/registry.py
@@ -16,20 +16,21 @@
 
 Config = Annotated[Path, typer.Option(help="A TOML file.")]
 ROW = "{name:<24} {status:<8} {address:<22} {zone:<8} {type:<8} {weight:>6g} {since_ms}"
+BENCH_OPTION = "--seconds"
 BENCH_LEAST_S, BENCH_MOST_S = 0.1, 600.0
 
-app = typer.Typer(no_args_is_help=True, help="The list service and its callers.")
+app = typer.Typer(no_args_is_help=True, help="The list service, aggregators, and calls to them.")
 
 
 class WriteAnswer(msgspec.Struct, frozen=True):
-    """The answer to a write."""
+    """Answer to a write."""
 
     index: int
 
 
 @app.command()
 def serve(config: Config) -> None:
-    """Run one list service, until SIGTERM."""
+    """Run a list service until SIGTERM."""
     from brassfall.controlplane.registry import server
 
     _serve(server.serve(settings.load(config)))
@@ -37,14 +38,14 @@
 
 @app.command()
 def aggregate(config: Config) -> None:
-    """Run one aggregator between sidecars and the list service that decides, until SIGTERM."""
+    """Run an aggregator between sidecars and the deciding list service, until SIGTERM."""
     from brassfall.controlplane.registry.aggregator import service
 
     _serve(service.serve(settings.load_aggregator(config)))
 
 
 def _serve(work: Coroutine[Any, Any, int]) -> None:
-    """Run a process of the registry, until SIGTERM; ends the command with its exit status."""
+    """Run a server process until SIGTERM, and end the command with its exit status."""
     import uvloop
 
     logs.set_up()
@@ -54,7 +55,7 @@
 
 @app.command("list")
 def list_(*, at: At, json: Json = False) -> None:
-    """The instances that are listed now."""
+    """List the instances."""
     from brassfall.controlplane.registry import client, entries
 
     raw = run(client.call(address(at), "GET", "/registry/instances"))
@@ -69,7 +70,7 @@
 
 @app.command()
 def watch(*, at: At, from_: Annotated[int, typer.Option("--from")] = 0, json: Json = False) -> None:
-    """Each change of the list as it is told, until Ctrl-C or the end of the watch."""
+    """Print each watch event, until Ctrl-C or the end of the watch."""
     run(_watch(address(at), from_, json=json))
 
 
@@ -81,7 +82,7 @@
             typer.echo(line.decode())
         elif line:
             listed = client.read(at, entries.Listed, line)
-            typer.echo(f"index {listed.index}, {'whole list' if listed.snapshot else 'changes'}")
+            typer.echo(f"index {listed.index}, {'complete list' if listed.snapshot else 'changes'}")
             for row in listed.endpoints:
                 typer.echo("  " + ROW.format_map(msgspec.structs.asdict(row)))
 
@@ -97,10 +98,10 @@
     group: int = 0,
     weight: float = 1.0,
     since_ms: int = 0,
-    ttl_ms: Annotated[int, typer.Option(help="0: until it is taken out.")] = 0,
+    ttl_ms: Annotated[int, typer.Option(help="Lease in ms; 0: until `leave`.")] = 0,
     json: Json = False,
 ) -> None:
-    """Put one instance into the list, by hand; without --ttl-ms it stays until `leave`."""
+    """Register an instance by hand; without --ttl-ms it stays until `leave`."""
     body = {"address": server_address, "zone": zone, "type": type_, "group": group, "weight": weight}
     body |= {"since_ms": since_ms, "ttl_ms": ttl_ms}
     _write(at, "PUT", name, body, done="registered", json=json)
@@ -108,7 +109,7 @@
 
 @app.command()
 def leave(*, at: At, name: str, json: Json = False) -> None:
-    """Take one instance out of the list; every watch is told that it has left."""
+    """Remove an instance from the list; every watch gets the event."""
     _write(at, "DELETE", name, None, done="left", json=json)
 
 
@@ -123,9 +124,10 @@
 
 @app.command()
 def bench(rounds: Rounds = 3, seconds: float = 3.0) -> None:
-    """Measure one list service on this machine; a table in Markdown, in about a minute a round."""
+    """Measure a list service on this machine; prints a Markdown table, in about a minute a round."""
     from brassfall.lab import registry_bench
 
     if not BENCH_LEAST_S <= seconds <= BENCH_MOST_S:
-        raise UsageError("--seconds", f"{seconds:g} is not between 0.1 and 600", "Name a time in between.")
+        reason = f"{seconds:g} is not between {BENCH_LEAST_S:g} and {BENCH_MOST_S:g}"
+        raise UsageError(BENCH_OPTION, reason, "Choose a time in between.")
     typer.echo(run(registry_bench.run(rounds, seconds, progress)))
--- a/brassfall/logs.py
+++ b/brassfall/logs.py
@@ -11,10 +11,10 @@
 
 
 class _StandardError:
-    """Writes to standard error as it is at the time: loggers are kept, and it may be another by then."""
+    """Sink that looks up standard error at each line, since cached loggers outlive a redirection."""
 
     def msg(self, line: str) -> None:
-        """Write a line, whole."""
+        """Write one line and flush it."""
         sys.stderr.write(f"{line}\n")
         sys.stderr.flush()
 
@@ -22,7 +22,7 @@
 
 
 def set_up() -> None:
-    """Write logs from now on; times are of the wall clock, for people."""
+    """Configure logging for this process; times are of the wall clock, in UTC."""
     structlog.configure(
         processors=[
             structlog.contextvars.merge_contextvars,
@@ -39,14 +39,14 @@
 
 
 def logger(part: str) -> structlog.typing.FilteringBoundLogger:
-    """The log of one part of the program."""
+    """Return the logger of one part of the program."""
     made: structlog.typing.FilteringBoundLogger = structlog.get_logger(part=part)
     return made
 
 
 @contextlib.contextmanager
 def faults(log: structlog.typing.FilteringBoundLogger) -> Iterator[None]:
-    """Log what is raised within, and go on: for tasks whose end nobody would see."""
+    """Log an exception raised within as `fault` and suppress it, for tasks that nothing awaits."""
     try:
         yield
     except Exception:
--- a/tests/cli/test_errors.py
+++ b/tests/cli/test_errors.py
@@ -2,9 +2,7 @@
 
 from __future__ import annotations
 
-import importlib
 import pickle
-import pkgutil
 import socket
 import threading
 from contextlib import contextmanager
@@ -12,10 +10,9 @@
 import pytest
 from typer.testing import CliRunner
 
-import brassfall
-import brassfall.sidecar
-from brassfall import cli, errors, logs
-from tests.support.processes import ROOT
+from brassfall import errors, logs
+from brassfall.cli import main as cli
+from tests.support import error_page
 
 
 @pytest.mark.parametrize("action", [None, "", "  ", "look"])
@@ -34,32 +31,15 @@
     assert str(errors.UsageError("--at.", action="Name HOST:PORT.")) == "--at. Name HOST:PORT."
 
 
-def error_types() -> dict[str, type[Exception]]:
-    """Every exception class that the house and the sidecar define, by its full name."""
-    found = {}
-    for module in pkgutil.walk_packages(brassfall.__path__, f"{brassfall.__name__}."):
-        if not module.name.endswith("__main__"):
-            for value in vars(importlib.import_module(module.name)).values():
-                if isinstance(value, type) and issubclass(value, Exception):
-                    found[f"{value.__module__}.{value.__qualname__}"] = value
-    return {name: kind for name, kind in found.items() if name.startswith("brassfall.")}
-
-
 def test_every_error_type_has_an_action_and_the_page_lists_it_and_no_other():
-    kinds = error_types()
+    kinds = error_page.error_types()
     assert len(kinds) > 20
     for name, kind in kinds.items():
         assert getattr(kind, "action", "").strip(), f"{name}: what can an operator do?"
         # The sidecar and the simulator's adapter run without the packages that the root of errors needs.
         if not name.startswith(("brassfall.sidecar.", "brassfall.simulator.")):
             assert issubclass(kind, errors.BrassfallError), name
-    page = (ROOT / "docs" / "operations.md").read_text().splitlines()
-    begin = page.index("# Errors")
-    listed = {line for line in page[begin:] if line.startswith("| `brassfall.")}
-    wanted = {
-        f"| `{name}` | {' '.join((kind.__doc__ or '').split(chr(10))[0].split())} | {kind.action} |"
-        for name, kind in kinds.items()
-    }
+    wanted, listed = {error_page.row(name, kind) for name, kind in kinds.items()}, error_page.listed_rows()
     assert (sorted(wanted - listed), sorted(listed - wanted)) == ([], [])  # missing rows, stale rows
 
 
--- a/tests/controlplane/test_revisions_shell.py
+++ b/tests/controlplane/test_revisions_shell.py
@@ -10,7 +10,8 @@
 import pytest
 from typer.testing import CliRunner
 
-from brassfall import cli, logs
+from brassfall import logs
+from brassfall.cli import main as cli
 from brassfall.controlplane.aggregation.messages import (
     AggregatorReport,
     ChildException,
