--- a/brassfall/balancer/balancer.py
+++ b/brassfall/balancer/balancer.py
@@ -1,180 +1,158 @@
-"""The decisions of one sidecar balancer: each event is passed to the parts that learn or decide from it.
+"""The decisions of one sidecar: events go in, actions come out.
 
-The ordinary path of a request is a client-side throttle before each send (`throttle`, `load_shedding`), then
-the server with fewest of this balancer's own requests in flight among a few sampled at random (`selection`).
-`docs/design.md` tells the departures and when each one acts. The interface is in `model` (events and actions)
-and `settings`. All times are in milliseconds of one clock, which the events bring.
+Before each send the client-side throttle may refuse a request (`throttle`, `load_shedding`). Then the server
+with fewest of this sidecar's own requests in flight is chosen from a few that are sampled at random
+(`selection`). `docs/design.md` lists the departures from this path and when each one acts. All times are in
+milliseconds of one clock, whose time comes with each event.
 """
 
 from __future__ import annotations
 
 import math
-import random
-from collections.abc import Collection, Iterable, Mapping
+from collections.abc import Callable, Collection, Mapping
+from typing import Any
 
 from brassfall.balancer import events, model, retries
-from brassfall.balancer.affinity import KeyAffinity
-from brassfall.balancer.connections import CLOSINGS, IdleConnections
-from brassfall.balancer.ejection import OutlierEjector
-from brassfall.balancer.endpoints import Endpoints
-from brassfall.balancer.load_shedding import SHED_IDLE, LoadShedder
-from brassfall.balancer.overload import OverloadEstimator
-from brassfall.balancer.pace import PaceTracker
-from brassfall.balancer.rates import SendRate
-from brassfall.balancer.records import (
+from brassfall.balancer.components import Components
+from brassfall.balancer.discovery_backoff import DiscoveryBackoff
+from brassfall.balancer.key_queues import KeyQueues
+from brassfall.balancer.learning import OutcomeLearner
+from brassfall.balancer.load_shedding import SHED_THRESHOLD
+from brassfall.balancer.model import (
     ABANDONED,
+    ATTEMPTS_FAILED,
     CANCELLED,
     CONNECT_FAILED,
     ERROR,
     FULL,
+    NO_SERVER,
     OK,
+    QUEUED_TOO_LONG,
     RESET,
+    SHED,
+    THROTTLED,
     TIMEOUT,
-    Attempt,
-    KeyQueue,
-    Request,
-    Server,
+    TOO_HEAVY,
+    TOO_MANY_OPEN,
+    ListForm,
+    Outcome,
+    RefusalReason,
 )
+from brassfall.balancer.records import Attempt, Request, Server
 from brassfall.balancer.selection import Selector
 from brassfall.balancer.settings import Settings
-from brassfall.balancer.slow_start import SlowStart
-from brassfall.balancer.steering import Steering
-from brassfall.balancer.throttle import Throttle
-from brassfall.balancer.zones import ZoneSpillover
-
-Report = Mapping[str, float] | None
 
 NEVER_RAN = frozenset((FULL, CONNECT_FAILED, ABANDONED))
-MAY_RUN_STILL = frozenset((TIMEOUT, RESET, CANCELLED))
-FAULTS = frozenset((ERROR, TIMEOUT, CONNECT_FAILED, RESET))
-
-LATE_ACCEPT = 0.5  # an answer past its objective shows a service that is falling behind
-OBJECTIVE_ROUNDING_MS = (
-    1.0  # sums are rounded: an attempt that ends at its objective is looked at before that
+MAY_STILL_RUN = frozenset((TIMEOUT, RESET, CANCELLED))
+CONNECTION_KEPT = frozenset((OK, ERROR, FULL))  # after these the attempt's connection becomes idle
+
+# An attempt's timer is due before a time-out at its objective, however the sums of times are rounded.
+OBJECTIVE_ROUNDING_MS = 1.0
+# Every reason but the one that the process counts before a request reaches the balancer.
+LOCAL_REFUSALS: tuple[RefusalReason, ...] = tuple(
+    reason for reason in RefusalReason if reason is not TOO_MANY_OPEN
 )
-STOOD_STILL_MS = 100.0  # a timer later than this shows a stall of one's own; a tick is far less
-MIN_SPENT_MS = 1e-3  # an answer that began before its request's end took no time: no pace is without any
-OVERRUN = 1.25  # under overload, work of so many objectives is not begun where late earns nothing
-
-WATCH_SPREAD_MS = 2500.0
-WATCH_RETRY_MS, WATCH_RETRY_PART = 500.0, 0.2  # doubled up to this share of what may pass without a call
-# Why a request is given up: the formula; the shed probability beyond it; work too heavy to end in time; no
-# server that may be sent to; its key's queue too long; no attempt left after a failure.
-REASONS = ("formula", "level", "heavy", "room", "line", "failed")
-# What a timer's token begins with; it ends with the request, key or server that it is about.
-WATCH = "watch"
-DUE = "due:"
-LATE = "late:"
-TURN = "turn:"
-CLOSE = "close:"
+MAX_OVERRUN = 1.25  # under overload, requests that take this multiple of their objective are refused
 
 
 class Balancer:
-    """The decisions of one sidecar: events in, actions out.
+    """The decisions of one sidecar.
 
-    Each event method takes the time first and returns the actions to carry out, in their order, at that
-    same time. Given the same events and the same seed, the actions are the same.
+    With the same events and the same seed the actions are the same.
     """
 
     def __init__(self, now: float, settings: Settings, seed: int) -> None:
-        """An instance that knows no server yet; `seed` is that of its random numbers."""
+        """Begin without servers; `seed` is that of the random numbers."""
         self.settings = settings
-        self.given_up = dict.fromkeys(REASONS, 0)  # what was answered without a server, by reason
-        self._rng = random.Random(seed)
+        self.components = components = Components(now, settings, seed)
+        self._rng = components.rng
+        self._throttle = components.throttle
+        self._shedder = components.shedder
+        self._rate = components.rate
+        self._paces = components.paces
+        self._connections = components.connections
+        self._overload = components.overload
+        self._endpoints = components.endpoints
+        self._steering = components.steering
+        self._ejector = components.ejector
+        self._slow_start = components.slow_start
+        self._selector = Selector(settings, components)
+        self._learner = OutcomeLearner(components)
+        self._discovery = DiscoveryBackoff(settings, components.rng)
         self._requests: dict[int, Request] = {}
-        self._key_queues: dict[int, KeyQueue] = {}
-        self._throttle = Throttle()
-        self._shedder = LoadShedder(settings)
-        self._rate = SendRate(now)
-        self._paces = PaceTracker()
-        self._affinity = KeyAffinity()
-        self._connections = IdleConnections(now, settings)
-        self._overload = OverloadEstimator(settings, self._rate)
-        self._endpoints = Endpoints(settings)
-        self._zones = ZoneSpillover(settings)
-        self._steering = Steering(self._rng)
-        self._ejector = OutlierEjector(self._endpoints, self._shedder, self._rng)
-        self._slow_start = SlowStart(now, settings, self._endpoints, self._zones, self._steering, self._rate)
-        self._selector = Selector(
-            settings,
-            self._rng,
-            self._endpoints,
-            self._zones,
-            self._steering,
-            self._slow_start,
-            self._ejector,
-            self._overload,
-            self._paces,
-            self._affinity,
-        )
-        self._watch_pending = False
-        self._watch_retry_ms = WATCH_RETRY_MS
+        self._key_queues = KeyQueues()
+        self._refusals: dict[RefusalReason, int] = dict.fromkeys(LOCAL_REFUSALS, 0)
         self._actions: list[model.Action] = []
+        # Functions and not bound methods: those would make a cycle, which only a garbage collection frees.
+        self._handlers: dict[type[events.Event], Callable[[Balancer, float, Any], None]] = {
+            events.RequestArrived: Balancer._request_arrived,
+            events.AttemptEnded: Balancer._attempt_ended,
+            events.AttemptWithdrawn: Balancer._attempt_withdrawn,
+            events.AnswerStarted: Balancer._answer_started,
+            events.BodyDiscarded: Balancer._body_discarded,
+            events.ClientLeft: Balancer._client_left,
+            events.TimerDue: Balancer._timer_due,
+            events.EndpointsListed: Balancer._endpoints_listed,
+            events.DiscoveryFailed: Balancer._discovery_failed,
+            events.HealthCheckEnded: Balancer._ignored,
+            events.PeerMessageReceived: Balancer._ignored,
+            events.SettingsReloaded: Balancer._settings_reloaded,
+            events.SteeringChanged: Balancer._steering_changed,
+        }
 
     @property
-    def refusals(self) -> Mapping[model.RefusalReason, int]:
-        """How many requests got an answer that no server gave, by reason, since the start."""
-        return {model.RefusalReason(reason): count for reason, count in self.given_up.items()}
-
-    # --- events -----------------------------------------------------------
-
-    def step(self, now: float, event: events.Event) -> list[model.Action]:  # noqa: C901 - a case an event
-        """Take in what happened at `now`; return the actions to carry out, in their order."""
-        match event:
-            case events.RequestArrived():
-                return self.request(now, model.Arrival(*event))
-            case events.AttemptEnded():
-                return self.outcome(now, *event)
-            case events.AttemptWithdrawn():
-                return self.unsent(now, *event)
-            case events.AnswerStarted():
-                return self.answer_started(now, *event)
-            case events.BodyDiscarded():
-                return self.body_gone(now, *event)
-            case events.ClientLeft():
-                return self.client_gone(now, *event)
-            case events.TimerDue():
-                return self.timer(now, *event)
-            case events.EndpointsListed():
-                return self.server_list(now, event.form.value, event.entries)
-            case events.DiscoveryFailed():
-                return self.server_list(now, "refused", ())
-            case events.HealthCheckEnded():
-                return self.probe_result(now, *event)
-            case events.PeerMessageReceived():
-                return self.peer_message(now, *event)
-            case events.SettingsReloaded():
-                return self.reload(now, *event)
-            case events.SteeringChanged():
-                return self.steer(now, event.steer)
-
-    def reload(self, now: float, settings: Settings, retained: Collection[int]) -> list[model.Action]:
-        """Other settings from now on; requests in flight keep theirs. What was learned stays, but
-        for the classes that are not retained: their slots may be another's now."""
-        self.settings = settings
-        self._paces.keep_classes(retained)
-        self._shedder.reload(settings, retained)
-        self._zones.reload(settings, retained)
-        self._connections.reload(settings)
-        self._overload.reload(settings)
-        self._endpoints.reload(settings)
-        self._slow_start.reload(settings)
+    def refusals(self) -> Mapping[RefusalReason, int]:
+        """The number of requests that got an answer which no server gave, by reason, since the start."""
+        return dict(self._refusals)
+
+    @property
+    def open_requests(self) -> Collection[int]:
+        """The numbers of the requests that have no final answer or still have an attempt in flight."""
+        return self._requests.keys()
+
+    @property
+    def key_queues(self) -> KeyQueues:
+        """The queues of the idempotency keys whose requests run one at a time."""
+        return self._key_queues
+
+    def step(self, now: float, event: events.Event) -> list[model.Action]:
+        """Take in what happened at `now`; return the actions to carry out, in their order.
+
+        `ValueError` for a request of an unknown class.
+        """
+        self._handlers[type(event)](self, now, event)
+        actions, self._actions = self._actions, []
+        return actions
+
+    # --- settings and steering ----------------------------------------------
+
+    def _settings_reloaded(self, now: float, event: events.SettingsReloaded) -> None:
+        """Apply other settings; requests in flight keep those of their arrival.
+
+        What was learned stays, except of classes that are not retained: another class may have their place.
+        """
+        self.settings = settings = event.settings
+        self.components.reload(settings, event.retained)
         self._selector.reload(settings)
+        self._discovery.reload(settings)
         for server in self._endpoints.servers.values():
-            self._release(server)
-        return self._take_actions()
+            self._actions += self._connections.close_if_draining(server)
 
-    def steer(self, now: float, steer: model.Steer) -> list[model.Action]:
-        """Another plan and other overrides from now on; the change is eased in."""
-        if self._steering.replace(now, steer):
+    def _steering_changed(self, now: float, event: events.SteeringChanged) -> None:
+        if self._steering.replace(now, event.steer):
             self._rebuild()
-        return self._take_actions()
 
-    def request(self, now: float, arrival: model.Arrival) -> list[model.Action]:
-        """A client's request: refuse it at once or send it. `ValueError` if there is no such class."""
-        if not 0 <= arrival.request_class < len(self.settings.profiles):
-            raise ValueError(f"request {arrival.request}: no class {arrival.request_class}")
-        request = self._requests[arrival.request] = self._taken(now, arrival)
+    def _ignored(self, now: float, event: events.Event) -> None:
+        """Do nothing: no health checks and no messages to peers are sent, so none are expected."""
+
+    # --- requests -------------------------------------------------------------
+
+    def _request_arrived(self, now: float, event: events.RequestArrived) -> None:
+        """Refuse a request at once, queue it behind others of its key, or send it."""
+        if not 0 <= event.request_class < len(self.settings.profiles):
+            message = f"request {event.request}: no class {event.request_class}"
+            raise ValueError(message)
+        request = self._requests[event.request] = self._record(now, event)
         self._paces.arrive(request.work)
         request.over_quota = self._shedder.arrive(
             request.request_class,
@@ -185,168 +163,38 @@
         )
         key = request.key
         if key is not None and self.settings.warm_keys:
-            self._affinity.count(key)
-        if self._too_heavy(now, request):
-            self._give_up(now, request, "heavy")
+            self.components.affinity.count(key)
+        if self._is_too_heavy(now, request):
+            self._give_up(now, request, TOO_HEAVY)
         elif key is not None and request.profile.ordered:
             self._enqueue(now, request, key)
         else:
             self._attempt(now, request)
-        return self._take_actions()
-
-    def outcome(
-        self,
-        now: float,
-        request_id: int,
-        hop: int,
-        status: int,
-        spent: float = 0.0,
-        last: bool = False,
-        report: Report = None,
-    ) -> list[model.Action]:
-        """The end of an attempt: learn from it, then answer, retry or wait.
-
-        `hop` is its number within the request, `status` an `Outcome`, `spent` milliseconds; `last` says that
-        the request has ended."""
-        request = self._requests.get(request_id)
-        if request is None or not 0 <= hop < len(request.attempts) or not request.attempts[hop].outstanding:
-            return []
-        attempt = request.attempts[hop]
-        if not math.isfinite(spent):
-            spent = now - attempt.sent_at
-        self._ended(now, request, attempt, status)
-        server = attempt.server
-        if report and self._overload.reports:
-            self._overload.observe_report(now, server, report)
-        if request.queue is not None and status in MAY_RUN_STILL:
-            # Its key pauses, whatever becomes of the request.
-            pause = max(request.limits.settle_after_doubt, self.settings.settle_after_doubt)
-            request.queue.paused_until = now + pause
-        self._learn(now, request, attempt, status, spent)
-        self._release(server)
-        if last:
-            self._close(request)
-        elif not request.ended and request.outstanding == 0:
-            if retries.may_retry(now, request):
-                self._attempt(now, request)
-            else:
-                self._give_up(now, request, "failed")
-        self._forget(now, request)
-        return self._take_actions()
-
-    def unsent(self, now: float, request_id: int, hop: int) -> list[model.Action]:
-        """An attempt whose end follows was never sent, since the rules changed: it counts as none."""
-        if request := self._requests.get(request_id):
-            request.limits = request.limits.one_more_attempt()
-            request.attempts[hop].excused = True
-        return self._take_actions()
-
-    def answer_started(self, now: float, request_id: int, hop: int) -> list[model.Action]:
-        """An answer has begun: it belongs to the client, other attempts are cancelled. How long it takes
-        from here on tells of its size and its reader, not of a server that has stalled."""
-        request = self._requests.get(request_id)
-        if request is not None and 0 <= hop < len(request.attempts):
-            attempt = request.attempts[hop]
-            attempt.answering = True
-            attempt.server.outstanding.pop(attempt, None)
-            self._cancel_others(request, hop)
-        return self._take_actions()
-
-    def body_gone(self, now: float, request_id: int) -> list[model.Action]:
-        """More of a large body has been forwarded than is retained: it can't be sent again."""
-        request = self._requests.get(request_id)
-        if request is not None:
-            request.body_forwarded = True
-        return self._take_actions()
-
-    def timer(self, now: float, token: str) -> list[model.Action]:
-        """A timer of this balancer's own has come due."""
-        kind, colon, about = token.partition(":")
-        kind += colon
-        if kind == DUE:
-            self._overdue(now, about)
-        elif kind == LATE:
-            request = self._requests.get(int(about))
-            if request is not None and not request.attempts:
-                self._give_up(now, request, "line")
-        elif kind == TURN:
-            self._advance(now, int(about))
-        elif kind == CLOSE:
-            server = self._endpoints.servers.get(about)
-            if server is not None and server.closings_left:
-                closings, server.closings_left = server.closings_left - 1, 0
-                self._release(server, closings)
-        elif kind == WATCH and self._watch_pending:
-            self._watch_pending = False
-            self._actions.append(model.Watch(on=True))
-        return self._take_actions()
-
-    def server_list(self, now: float, form: str, entries: Iterable[model.Listing]) -> list[model.Action]:
-        """What discovery says of the servers; `form` is "changes", "all", "remembered" or "refused"."""
-        if form == "refused":
-            self._watch_later(self._watch_retry_ms * (1.0 + self._rng.random()))
-            longest = min(model.MAX_POLL_BACKOFF_MS, WATCH_RETRY_PART * self.settings.ask_within)
-            self._watch_retry_ms = min(2.0 * self._watch_retry_ms, longest)
-            return self._take_actions()
-        if form == "remembered":
-            if self.settings.discovery == "subscribe":
-                spread = min(WATCH_SPREAD_MS, self.settings.ask_within / 4.0)
-                self._watch_later(self._rng.random() * spread)
-        else:
-            self._watch_retry_ms = WATCH_RETRY_MS
-        if form != "changes":
-            entries = list(entries)
-            for server in self._endpoints.remove_others(now, {entry.server for entry in entries}):
-                self._release(server)
-        for entry in entries:
-            self._release(self._endpoints.update(now, entry, self._paces, self._rng))
-        self._ejector.forget(self._endpoints.forget_gone(now))
-        self._rebuild()
-        return self._take_actions()
-
-    def probe_result(
-        self, now: float, server: str, status: int, spent: float = 0.0, report: Report = None
-    ) -> list[model.Action]:
-        """What a health check found; none are sent: one before each send cost more than it told."""
-        return self._take_actions()
-
-    def peer_message(self, now: float, peer: int, data: bytes) -> list[model.Action]:
-        """A message from a peer; none are used yet."""
-        return self._take_actions()
-
-    def client_gone(self, now: float, request_id: int) -> list[model.Action]:
-        """The client has left: nothing more is owed."""
-        request = self._requests.get(request_id)
-        if request is not None and not request.ended:
-            self._close(request)
-            self._forget(now, request)
-        return self._take_actions()
-
-    # --- the ordinary path ------------------------------------------------
 
-    def _taken(self, now: float, arrival: model.Arrival) -> Request:
-        """The record of a request that arrives."""
-        profile = self.settings.profiles[arrival.request_class]
-        # A figure that is not finite must not reach a time-out: the class's own serves.
-        until = arrival.give_up_at if math.isfinite(arrival.give_up_at) else now + profile.deadline
+    def _record(self, now: float, event: events.RequestArrived) -> Request:
+        profile = self.settings.profiles[event.request_class]
+        # A time that is not finite must not become a time-out.
+        give_up_at = event.give_up_at if math.isfinite(event.give_up_at) else now + profile.deadline
+        limits, arrived_at = self.settings, now
         request = Request(
-            arrival.request, arrival.request_class, arrival.key, profile, self.settings, now, until
+            event.request, event.request_class, event.key, profile, limits, arrived_at, give_up_at
         )
-        if arrival.work and 0.0 < arrival.work < math.inf:
-            request.work, request.work_known = arrival.work, True
-        request.tenant = arrival.tenant
-        request.large = arrival.large
+        request.tenant = event.tenant
+        request.large = event.large
+        if event.work and 0.0 < event.work < math.inf:
+            request.work, request.work_known = event.work, True
         return request
 
-    def _too_heavy(self, now: float, request: Request) -> bool:
-        """Whether, under overload, a request would take a server and still come too late."""
-        if request.profile.late_weight > 0.0 or self._shedder.probability(now) <= SHED_IDLE:
+    def _is_too_heavy(self, now: float, request: Request) -> bool:
+        """Return whether, under overload, a request would take a server's time and still end too late."""
+        if request.profile.late_weight > 0.0 or self._shedder.probability(now) <= SHED_THRESHOLD:
             return False
         work = request.work if request.work_known else None
-        return self._paces.expected_ms(request.request_class, work) > OVERRUN * request.profile.objective
+        expected_ms = self._paces.expected_ms(request.request_class, work)
+        return expected_ms > MAX_OVERRUN * request.profile.objective
 
     def _attempt(self, now: float, request: Request) -> None:
-        """Throttle, sample candidates, then send to the least loaded of them."""
+        """Refuse a request by the throttle or a cap, or send it to the least loaded candidate."""
         drop = self._throttle.drop_chance(now)
         chance = self._shedder.refusal_chance(now, drop, request.request_class, over=request.over_quota)
         if chance > 0.0 and self._rng.random() < chance:
@@ -354,35 +202,36 @@
             return
         caps = self._steering.steer.caps
         if caps and not request.attempts and self._steering.over_cap(now, request.request_class):
-            self._give_up(now, request, "room")
+            self._give_up(now, request, NO_SERVER)
             return
         candidates = self._selector.candidates(now, request)
         if candidates:
             self._send(now, request, self._selector.least_loaded(now, candidates))
         else:
             self._slow_start.refused += 1
-            self._give_up(now, request, "room")
+            self._give_up(now, request, NO_SERVER)
 
     def _refuse_locally(self, now: float, request: Request, drop: float) -> None:
         """Refuse a request by the throttle's formula or by the shed probability.
 
-        What that refuses beyond the formula tells nothing of the callee: counted as a request it would close
-        the window, which then refuses by itself, on no evidence but its own."""
-        if drop >= self._shedder.probability(now) - SHED_IDLE:
+        What the shed probability refuses beyond the formula is not counted by the throttle: it says nothing
+        of the servers, and the throttle would go on to refuse because of its own refusals.
+        """
+        if drop >= self._shedder.probability(now) - SHED_THRESHOLD:
             self._throttle.add(now, 0.0)
-            self._give_up(now, request, "formula")
+            self._give_up(now, request, THROTTLED)
         else:
-            self._give_up(now, request, "level")
+            self._give_up(now, request, SHED)
 
     def _send(self, now: float, request: Request, server: Server) -> None:
+        """Start an attempt, over an idle connection if there is one that may be trusted."""
         profile, bound = request.profile, request.bound()
-        objective = profile.objective
         timeout = retries.timeout(
             now, request, self._overload, self._ejector.silent_at, self._paces.usual_ms()
         )
+        sent_at, stalls_at = now, now + retries.STALL_SHARE * profile.objective
         idle_for = now - server.used_at if server.used_at and not server.in_flight else 0.0
-        stalls_at = now + retries.STALL * objective
-        attempt = Attempt(server, now, stalls_at, idle_for, server.group(profile.group))
+        attempt = Attempt(server, sent_at, stalls_at, idle_for, server.group(profile.group))
         if idle_for > self._connections.safe_ms(now):
             self._actions.append(model.CloseIdle(server.name))
             server.idle_connections = 0
@@ -392,9 +241,9 @@
         server.used_at = now
         request.attempts.append(attempt)
         if not request.large:
-            # A large body is long on its way: time since its send shows no stalled server.
+            # Sending a large body takes long: the time since the send does not show a stalled server.
             server.outstanding[attempt] = None
-            self._look_at_objective(request, min(objective, timeout - OBJECTIVE_ROUNDING_MS))
+            self._set_objective_timer(request, min(profile.objective, timeout - OBJECTIVE_ROUNDING_MS))
         request.outstanding += 1
         self._rate.count(now)
         server.budget -= 1.0
@@ -402,163 +251,192 @@
         self._endpoints.in_flight += 1
         self._actions.append(model.Send(request.id, server.name, timeout, retries.write_by(request, bound)))
 
-    def _look_at_objective(self, request: Request, due: float) -> None:
-        """Ask for a timer at the objective of the newest attempt, if it may be out until then."""
-        if due > request.profile.objective - 2.0 * OBJECTIVE_ROUNDING_MS:
-            token = f"{DUE}{request.id}:{len(request.attempts) - 1}"
-            self._actions.append(model.Timer(due, token, request.id))
+    def _set_objective_timer(self, request: Request, delay: float) -> None:
+        """Ask for a timer at the objective of the newest attempt, if it may be in flight until then."""
+        if delay > request.profile.objective - 2.0 * OBJECTIVE_ROUNDING_MS:
+            token = model.ObjectiveTimer(request.id, len(request.attempts) - 1)
+            self._actions.append(model.Timer(delay, token, request.id))
 
-    # --- learning ---------------------------------------------------------
+    # --- attempts -------------------------------------------------------------
 
-    def _ended(self, now: float, request: Request, attempt: Attempt, status: int) -> None:
-        """Count an attempt as over."""
+    def _attempt_ended(self, now: float, event: events.AttemptEnded) -> None:
+        """Learn from an outcome, then answer or retry its request, or wait for its other attempts."""
+        request = self._requests.get(event.request)
+        attempt = request.attempt(event.attempt) if request is not None else None
+        if request is None or attempt is None or not attempt.outstanding:
+            return
+        outcome, server = event.outcome, attempt.server
+        elapsed_ms = event.elapsed if math.isfinite(event.elapsed) else now - attempt.sent_at
+        self._count_ended(now, request, attempt, outcome)
+        if event.report and self._overload.reports:
+            self._overload.observe_report(now, server, event.report)
+        if request.queue is not None and outcome in MAY_STILL_RUN:
+            settle_ms = max(request.limits.settle_after_doubt, self.settings.settle_after_doubt)
+            request.queue.pause(now + settle_ms)
+        self._learner.learn(now, request, attempt, outcome, elapsed_ms)
+        self._actions += self._connections.close_if_draining(server)
+        if event.request_ended:
+            self._close(request)
+        elif not request.ended and request.outstanding == 0:
+            if retries.may_retry(now, request):
+                self._attempt(now, request)
+            else:
+                self._give_up(now, request, ATTEMPTS_FAILED)
+        self._forget_if_over(now, request)
+
+    def _count_ended(self, now: float, request: Request, attempt: Attempt, outcome: Outcome) -> None:
+        """Count an attempt as no longer in flight, and its connection as idle or lost."""
         server = attempt.server
         attempt.outstanding = False
-        attempt.may_have_run = status not in NEVER_RAN
+        attempt.may_have_run = outcome not in NEVER_RAN
         server.in_flight -= 1
         server.used_at = now
-        if status in (OK, ERROR, FULL):
+        if outcome in CONNECTION_KEPT:
             server.idle_connections += 1
-        elif status == RESET:
+        elif outcome is RESET:
             server.idle_connections = 0
         if attempt.new_connection:
-            self._ejector.count_connection(status)
+            self._ejector.count_connection(outcome)
         server.outstanding.pop(attempt, None)
         self._endpoints.in_flight -= 1
         request.outstanding -= 1
 
-    def _learn(self, now: float, request: Request, attempt: Attempt, status: int, spent: float) -> None:
-        """Charge an outcome to the server's own health or to the service."""
-        if status >= CANCELLED:  # or never sent: it tells nothing
+    def _attempt_withdrawn(self, now: float, event: events.AttemptWithdrawn) -> None:
+        """Allow one more attempt: this one does not count, and its server is not at fault."""
+        if request := self._requests.get(event.request):
+            request.limits = request.limits.one_more_attempt()
+            request.attempts[event.attempt].excused = True
+
+    def _answer_started(self, now: float, event: events.AnswerStarted) -> None:
+        """Cancel the other attempts of a request.
+
+        From here on the time that the answer takes depends on its size and its reader: the server no longer
+        counts as possibly stalled.
+        """
+        request = self._requests.get(event.request)
+        attempt = request.attempt(event.attempt) if request is not None else None
+        if request is None or attempt is None:
             return
-        server, objective = attempt.server, request.profile.objective
-        self._ejector.count(status)
-        if status in (OK, FULL, TIMEOUT):
-            self._shedder.observe(now, self._overload.signal(now, server, status))
-            least = MIN_SPENT_MS if status == OK else objective
-            self._paces.learn(server.pace, server.kind_pace, max(spent, least), request.work)
-        missed = float(status != OK or spent > objective)
-        if self._steering.on:
-            self._steering.learn(now, server.zone, missed)
-        if self._zones.active:
-            self._zones.learn(server.zone, request.request_class, missed)
-        if status == OK:
-            self._overload.observe_answer(spent, objective)
-            if not request.work_known:
-                self._paces.learn_class(request.request_class, spent)
-            self._ejector.answered(now, server)
-            self._throttle.add(now, 1.0 if spent <= objective else LATE_ACCEPT)
-        elif status == FULL:
-            self._ejector.rejected(now, server)
-            self._throttle.add(now, 0.0)
-        elif not self._connections.was_dropped(now, attempt, status, spent):
-            silent = status == TIMEOUT
-            if not silent or (not attempt.blamed and server.answered_at < attempt.sent_at):
-                self._ejector.blame(now, server, silent=silent)
-            self._throttle.add(now, 0.0)
+        attempt.answering = True
+        attempt.server.outstanding.pop(attempt, None)
+        self._cancel_attempts(request, retained=event.attempt)
+
+    def _body_discarded(self, now: float, event: events.BodyDiscarded) -> None:
+        request = self._requests.get(event.request)
+        if request is not None:
+            request.body_forwarded = True
 
-    def _overdue(self, now: float, about: str) -> None:
-        """An attempt still out at its objective is a signal of overload then, not at its end: where it
-        may go on, a service that has stalled would be noticed only as clients give up."""
-        request_id, _, hop = about.partition(":")
-        request = self._requests.get(int(request_id))
+    # --- timers ---------------------------------------------------------------
+
+    def _timer_due(self, now: float, event: events.TimerDue) -> None:
+        match event.token:
+            case model.ObjectiveTimer(request_id, number):
+                self._objective_reached(now, request_id, number)
+            case model.QueueDeadlineTimer(request_id):
+                request = self._requests.get(request_id)
+                if request is not None and not request.attempts:
+                    self._give_up(now, request, QUEUED_TOO_LONG)
+            case model.KeyPauseTimer(key):
+                self._advance_queue(now, key)
+            case model.IdleCloseTimer(name):
+                server = self._endpoints.servers.get(name)
+                if server is not None:
+                    self._actions += self._connections.close_again(server)
+            case model.DiscoveryRetryTimer():
+                if self._discovery.take_due():
+                    self._actions.append(model.Watch(on=True))
+
+    def _objective_reached(self, now: float, request_id: int, number: int) -> None:
+        request = self._requests.get(request_id)
         if request is None:
             return
-        attempt = request.attempts[int(hop)]
-        if not attempt.outstanding or attempt.answering:
-            return
-        if now - attempt.sent_at - request.profile.objective > STOOD_STILL_MS:
-            return  # this sidecar stood still itself: that tells nothing of the servers
-        self._shedder.observe(now, self._overload.late_signal(now))
-        if self._overload.quick and attempt.server.answered_at < attempt.sent_at:
-            attempt.blamed = True
-            self._ejector.blame(now, attempt.server, silent=True)
+        attempt = request.attempts[number]
+        if attempt.outstanding and not attempt.answering:
+            self._learner.observe_overdue(now, request, attempt)
 
-    # --- order per key ------------------------------------------------------
+    # --- order per idempotency key --------------------------------------------
 
     def _enqueue(self, now: float, request: Request, key: int) -> None:
-        """Take a request into its key's queue, unless it can't be served in time from there."""
-        queue = request.queue = self._key_queues.setdefault(key, KeyQueue())
-        usual = self._paces.usual_ms()
-        left = request.useful_until() - usual - now
-        if left < usual * len(queue.requests) and queue.requests:
-            self._give_up(now, request, "line")
+        """Take a request into its key's queue, or refuse it if it can't be served in time from there."""
+        deadline_ms = self._key_queues.join(now, request, key, self._paces.usual_ms())
+        if deadline_ms is None:
+            self._give_up(now, request, QUEUED_TOO_LONG)
             return
-        queue.requests.append(request)
-        self._advance(now, key)
+        self._advance_queue(now, key)
         if not request.ended and not request.attempts:
-            self._actions.append(model.Timer(max(left, 0.0), f"{LATE}{request.id}", request.id))
+            token = model.QueueDeadlineTimer(request.id)
+            self._actions.append(model.Timer(deadline_ms, token, request.id))
 
-    def _advance(self, now: float, key: int) -> None:
-        """Start the request whose turn it is: all before it are over, and the key pauses no more."""
-        queue = self._key_queues.get(key)
-        if queue is None or queue.advancing:
-            return
-        queue.advancing = True  # a refusal below ends a request and would come here again
-        while (request := queue.next_ready(now)) is not None:
-            self._attempt(now, request)
-            if not request.ended:
-                break
-        queue.advancing = False
-        if queue.requests and not queue.waits:
-            return
-        if now < queue.paused_until:
-            self._actions.append(model.Timer(queue.paused_until - now, f"{TURN}{key}"))
-        elif not queue.requests:
-            del self._key_queues[key]
+    def _advance_queue(self, now: float, key: int) -> None:
+        pause_ms = self._key_queues.advance(now, key, self._attempt)
+        if pause_ms is not None:
+            self._actions.append(model.Timer(pause_ms, model.KeyPauseTimer(key)))
+
+    # --- ends -----------------------------------------------------------------
 
-    # --- ends ---------------------------------------------------------------
+    def _client_left(self, now: float, event: events.ClientLeft) -> None:
+        request = self._requests.get(event.request)
+        if request is not None and not request.ended:
+            self._close(request)
+            self._forget_if_over(now, request)
 
-    def _give_up(self, now: float, request: Request, why: str) -> None:
-        """The final answer where no attempt has served."""
+    def _give_up(self, now: float, request: Request, reason: RefusalReason) -> None:
+        """Give a request its final answer without a server, unless an attempt is in flight."""
         if request.ended or request.outstanding:
             return
-        self.given_up[why] += 1
+        self._refusals[reason] += 1
         if retries.may_refuse(request):
             self._actions.append(model.Refuse(request.id, retries.retry_after(now, request)))
         else:
             self._actions.append(model.Fail(request.id))
         self._close(request)
-        self._forget(now, request)
+        self._forget_if_over(now, request)
 
     def _close(self, request: Request) -> None:
         request.ended = True
-        self._cancel_others(request, -1)
+        self._cancel_attempts(request)
 
-    def _cancel_others(self, request: Request, retained: int) -> None:
-        """Cancel what is out of a request, but for one attempt."""
+    def _cancel_attempts(self, request: Request, retained: int | None = None) -> None:
+        """Cancel the attempts of a request that are in flight, except the one to be retained."""
         if request.limits.may_cancel:
-            for hop, attempt in enumerate(request.attempts):
-                if attempt.outstanding and hop != retained:
-                    self._actions.append(model.Cancel(request.id, hop))
+            for number, attempt in enumerate(request.attempts):
+                if attempt.outstanding and number != retained:
+                    self._actions.append(model.Cancel(request.id, number))
 
-    def _forget(self, now: float, request: Request) -> None:
+    def _forget_if_over(self, now: float, request: Request) -> None:
         """Drop the record of a request that is over, and start the next one of its key."""
         if request.ended and request.outstanding == 0:
             self._requests.pop(request.id, None)
             if request.profile.ordered and request.key is not None:
-                self._advance(now, request.key)
+                self._advance_queue(now, request.key)
 
     # --- the endpoint list ----------------------------------------------------
 
-    def _rebuild(self) -> None:
-        self._endpoints.rebuild(self._steering.steer)
-        self._steering.listed([server.zone for server in self._endpoints.ring])
+    def _endpoints_listed(self, now: float, event: events.EndpointsListed) -> None:
+        """Take over an endpoint list; servers that a complete one does not name are gone."""
+        entries = event.entries
+        if event.form is ListForm.REMEMBERED:
+            self._call_discovery_after(self._discovery.started())
+        else:
+            self._discovery.succeeded()
+        if event.form is not ListForm.CHANGES:
+            entries = list(entries)
+            for server in self._endpoints.remove_others(now, {entry.server for entry in entries}):
+                self._actions += self._connections.close_if_draining(server)
+        for entry in entries:
+            server = self._endpoints.update(now, entry, self._paces, self._rng)
+            self._actions += self._connections.close_if_draining(server)
+        self._ejector.forget(self._endpoints.forget_gone(now))
+        self._rebuild()
 
-    def _release(self, server: Server, closings: int = CLOSINGS) -> None:
-        """Close idle connections to a server that drains: now, and again before the time is up."""
-        if self._connections.releases(server):
-            self._actions.append(model.CloseIdle(server.name))
-            delay = self._connections.schedule_closing(server, closings)
-            if delay is not None:
-                self._actions.append(model.Timer(delay, CLOSE + server.name))
+    def _discovery_failed(self, now: float, event: events.DiscoveryFailed) -> None:
+        self._call_discovery_after(self._discovery.failed())
 
-    def _watch_later(self, delay: float) -> None:
-        """Call discovery again later; with jitter, since every sidecar does."""
-        if not self._watch_pending:
-            self._watch_pending = True
-            self._actions.append(model.Timer(delay, WATCH))
+    def _call_discovery_after(self, delay_ms: float | None) -> None:
+        if delay_ms is not None:
+            self._actions.append(model.Timer(delay_ms, model.DiscoveryRetryTimer()))
 
-    def _take_actions(self) -> list[model.Action]:
-        actions, self._actions = self._actions, []
-        return actions
+    def _rebuild(self) -> None:
+        """Make the ring anew: other servers may be sent to."""
+        self._endpoints.rebuild(self._steering.steer)
+        self._steering.listed([server.zone for server in self._endpoints.ring])
--- /dev/null
+++ b/brassfall/balancer/components.py
@@ -0,0 +1,66 @@
+"""The parts of one balancer, made from its settings in the order in which they depend on each other."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Collection
+
+from brassfall.balancer.affinity import KeyAffinity
+from brassfall.balancer.connections import IdleConnections
+from brassfall.balancer.ejection import OutlierEjector
+from brassfall.balancer.endpoints import Endpoints
+from brassfall.balancer.load_shedding import LoadShedder
+from brassfall.balancer.overload import OverloadEstimator
+from brassfall.balancer.pace import PaceTracker
+from brassfall.balancer.rates import SendRate
+from brassfall.balancer.settings import Settings
+from brassfall.balancer.slow_start import SlowStart
+from brassfall.balancer.steering import Steering
+from brassfall.balancer.throttle import Throttle
+from brassfall.balancer.zones import ZoneSpillover
+
+
+class Components:
+    """What one balancer has learned and decides with; all parts share its random numbers."""
+
+    __slots__ = (
+        "affinity",
+        "connections",
+        "ejector",
+        "endpoints",
+        "overload",
+        "paces",
+        "rate",
+        "rng",
+        "shedder",
+        "slow_start",
+        "steering",
+        "throttle",
+        "zones",
+    )
+
+    def __init__(self, now: float, settings: Settings, seed: int) -> None:
+        """Make all parts, with nothing learned yet; `seed` is that of the random numbers."""
+        self.rng = random.Random(seed)
+        self.throttle = Throttle()
+        self.shedder = LoadShedder(settings)
+        self.rate = SendRate(now)
+        self.paces = PaceTracker()
+        self.affinity = KeyAffinity()
+        self.connections = IdleConnections(now, settings)
+        self.overload = OverloadEstimator(settings, self.rate)
+        self.endpoints = Endpoints(settings)
+        self.zones = ZoneSpillover(settings)
+        self.steering = Steering(self.rng)
+        self.ejector = OutlierEjector(self.endpoints, self.shedder, self.rng)
+        self.slow_start = SlowStart(settings, self.endpoints, self.zones, self.steering, self.rate)
+
+    def reload(self, settings: Settings, retained: Collection[int]) -> None:
+        """Apply other settings; what was learned of classes that are not `retained` is forgotten."""
+        self.paces.keep_classes(retained)
+        self.shedder.reload(settings, retained)
+        self.zones.reload(settings, retained)
+        self.connections.reload(settings)
+        self.overload.reload(settings)
+        self.endpoints.reload(settings)
+        self.slow_start.reload(settings)
--- a/brassfall/balancer/connections.py
+++ b/brassfall/balancer/connections.py
@@ -1,66 +1,78 @@
-"""Idle connections: which may have been dropped unseen, and which are closed when their server drains."""
+"""Idle connections: which may have been dropped unnoticed, and which are closed as their server drains."""
 
 from __future__ import annotations
 
 import math
 
-from brassfall.balancer.records import RESET, Attempt, Server
+from brassfall.balancer.model import RESET, CloseIdle, IdleCloseTimer, Outcome, Timer
+from brassfall.balancer.records import Attempt, Server
 from brassfall.balancer.settings import Settings
 
-# Connections dropped unseen while idle: those unused for so much of the time at which one failed
-# are closed; this is forgotten again.
-IDLE_KEEP = 0.7
-IDLE_LEAST_MS = 200.0
-IDLE_RESET_SHARE = 0.2  # a dropped connection answers at once
-IDLE_REGAIN_MS = 30000.0
+# Middle boxes and servers drop idle connections without a word. Once one was met, connections that were idle
+# for this part of its idle time are closed in place of being used; that is forgotten again.
+TRUSTED_IDLE_SHARE = 0.7
+MIN_LEARNED_IDLE_MS = 200.0
+MAX_RESET_SHARE = 0.2  # of the idle time: a dropped connection fails at once
+TRUST_REGAIN_MS = 30000.0  # the trusted time grows by a factor of e in this time
 
-CLOSINGS = 2  # after the last notice or outcome: a connection may come free late
-CLOSING_INTERVAL = 0.4  # of the time within which idle connections to a draining server have to be closed
+CLOSINGS = 2  # after the last notice or outcome: a connection may become idle late
+CLOSING_INTERVAL_SHARE = 0.4  # of the time limit for closing idle connections to a draining server
 
 
 class IdleConnections:
-    """How long an idle connection may be trusted."""
+    """How long an idle connection may be trusted, and when those to a draining server are closed."""
 
     __slots__ = ("_idle_close_ms", "_learned_at", "_learned_ms", "_release_within_ms")
 
     def __init__(self, now: float, settings: Settings) -> None:
-        """Nothing is known of dropped ones."""
-        self._learned_ms = math.inf  # until one is met that was dropped
+        """Begin without having met a dropped connection."""
+        self._learned_ms = math.inf  # idle time of a dropped connection, once one was met
         self._learned_at = now
         self.reload(settings)
 
     def reload(self, settings: Settings) -> None:
-        """Other settings from now on."""
+        """Apply other settings from now on."""
         self._idle_close_ms = settings.idle_close
         self._release_within_ms = settings.release_within
 
     def safe_ms(self, now: float) -> float:
-        """How long a connection may lie unused and still be trusted."""
-        regained = math.exp(min(10.0, (now - self._learned_at) / IDLE_REGAIN_MS))
+        """Return how long, in milliseconds, a connection may be idle and still be used."""
+        regained = math.exp(min(10.0, (now - self._learned_at) / TRUST_REGAIN_MS))
         return min(self._idle_close_ms, self._learned_ms * regained)
 
-    def was_dropped(self, now: float, attempt: Attempt, status: int, spent: float) -> bool:
-        """Whether an attempt met a connection dropped unseen while unused: no fault of the server.
+    def was_dropped(self, now: float, attempt: Attempt, outcome: Outcome, elapsed_ms: float) -> bool:
+        """Return whether an attempt met a connection that was dropped while idle: no fault of its server.
 
-        Guards against middle boxes and servers that reap idle connections. A server that dies
-        just as it is sent to looks alike, and is blamed at the next attempt."""
+        A server that dies just before the send looks the same; it is blamed at the next attempt.
+        """
         idle_for = attempt.idle_for
-        if status != RESET or idle_for < IDLE_LEAST_MS or spent > IDLE_RESET_SHARE * idle_for:
+        if outcome is not RESET or idle_for < MIN_LEARNED_IDLE_MS:
+            return False
+        if elapsed_ms > MAX_RESET_SHARE * idle_for:
             return False
         attempt.excused = True
         if idle_for <= self.safe_ms(now):
-            self._learned_ms, self._learned_at = max(IDLE_LEAST_MS, IDLE_KEEP * idle_for), now
+            self._learned_ms, self._learned_at = max(MIN_LEARNED_IDLE_MS, TRUSTED_IDLE_SHARE * idle_for), now
         return True
 
-    def releases(self, server: Server) -> bool:
-        """Whether idle connections to a server are to be closed, since it drains."""
-        return self._release_within_ms > 0.0 and not server.usable
-
-    def schedule_closing(self, server: Server, closings: int) -> float | None:
-        """Note that idle connections to a server are closed now; the milliseconds until the next time.
-
-        One may come free after a time-out without a word, so they are closed again before the time is up;
-        None if that is under way already, or was the last."""
-        repeats = closings and (closings < CLOSINGS or not server.closings_left)
+    def close_if_draining(self, server: Server, closings: int = CLOSINGS) -> list[CloseIdle | Timer]:
+        """Return the actions that close idle connections to a draining server, now and again later.
+
+        A connection may become idle later without an event, so they are closed again before the time limit,
+        `closings` times in all. No timer is asked for if one is running already.
+        """
+        if self._release_within_ms <= 0.0 or server.usable:
+            return []
+        actions: list[CloseIdle | Timer] = [CloseIdle(server.name)]
+        if closings and (closings < CLOSINGS or not server.closings_left):
+            delay_ms = self._release_within_ms * CLOSING_INTERVAL_SHARE
+            actions.append(Timer(delay_ms, IdleCloseTimer(server.name)))
         server.closings_left = closings
-        return self._release_within_ms * CLOSING_INTERVAL if repeats else None
+        return actions
+
+    def close_again(self, server: Server) -> list[CloseIdle | Timer]:
+        """Return the actions for a timer of `close_if_draining` that has come due."""
+        if not server.closings_left:
+            return []
+        closings, server.closings_left = server.closings_left - 1, 0
+        return self.close_if_draining(server, closings)
--- a/brassfall/balancer/ejection.py
+++ b/brassfall/balancer/ejection.py
@@ -1,29 +1,34 @@
-"""Outlier ejection: servers whose faults are their own are left alone for a while."""
+"""Outlier ejection: servers whose faults are their own are not sent to for a while."""
 
 from __future__ import annotations
 
 import math
 import random
+from collections.abc import Collection
 
 from brassfall.balancer.endpoints import Endpoints
 from brassfall.balancer.load_shedding import LoadShedder
+from brassfall.balancer.model import CONNECT_FAILED, OK, Outcome
 from brassfall.balancer.pace import PACE_MEMORY
-from brassfall.balancer.records import CANCELLED, CONNECT_FAILED, OK, Server
+from brassfall.balancer.records import EVIDENCE, Server
 
 EJECTION_MS = 2000.0  # the first; doubles with each further failure
-EJECTION_MAX_MS = 16000.0
-REJECTED_PAUSE_MS = 100.0  # doubles while a server rejects all, as one that drains unseen does
-REJECTED_PAUSES = 5
-EJECT_SHARE = 0.5  # beyond this the fault is not the servers' own
+MAX_EJECTION_MS = 16000.0
+EJECTION_JITTER = 0.5  # the ejection time varies by this part of it in all
+REJECTION_PAUSE_MS = (
+    100.0  # doubles while a server rejects all, as one does that drains before it is listed so
+)
+MAX_REJECTION_DOUBLINGS = 5
+MAX_EJECTED_SHARE = 0.5  # of the servers; if more look faulty, the fault is not their own
 
-# A fault is held to be the server's own where its faults exceed the service's this far.
-FAULT_MEMORY = 0.7
-FAULT_OVER = 1.5  # times the service's share of faults
-FAULT_LEAST = 0.35  # a lone fault brings 0.3: one tells nothing of a server
+# A fault counts as the server's own if its share of faults exceeds the service's by this much.
+FAULT_MEMORY = 0.7  # weight of the past in a server's share of faults; the newest fault weighs the rest
+FAULT_MULTIPLE = 1.5  # of the service's share of faults
+FAULT_MARGIN = 0.35  # more than a single fault brings: one says nothing of a server
 
 
 class OutlierEjector:
-    """Judges each server's faults against those of the whole service."""
+    """The servers that are ejected, and the faults by which the others are judged."""
 
     __slots__ = (
         "_ejected",
@@ -36,64 +41,68 @@
     )
 
     def __init__(self, endpoints: Endpoints, shedder: LoadShedder, rng: random.Random) -> None:
-        """No server is ejected; the parts handed in are those of the same balancer."""
+        """Begin with no server ejected; the arguments are parts of the same balancer."""
         self._ejected: dict[str, Server] = {}
         self._endpoints = endpoints
         self._shedder = shedder
         self._rng = rng
         self.silent_at = -math.inf  # when a server was last ejected for silence
         self.connect_failures = 0.0  # fading share of new connections that fail
-        self.not_accepted = 0.0  # fading share of sends that were not accepted: no refusal of one's own
+        self.not_accepted = 0.0  # fading share of sends that got no good answer; local refusals are no sends
+
+    @property
+    def ejected(self) -> Collection[str]:
+        """The servers that were ejected, until another one is ejected after the end of their time."""
+        return self._ejected.keys()
 
     def forget(self, names: list[str]) -> None:
-        """Drop the records of servers that are forgotten."""
+        """Drop the records of these servers."""
         for name in names:
             self._ejected.pop(name, None)
 
     def zones(self, now: float) -> list[int]:
-        """The zone of each ejected server."""
+        """Return the zone of each ejected server."""
         return [server.zone for server in self._ejected.values() if server.ejected_until > now]
 
-    def count(self, status: int) -> None:
-        """Count an outcome for the service; one that was cancelled or never sent is none."""
-        if status < CANCELLED:
-            self.not_accepted += (1.0 - PACE_MEMORY) * ((status != OK) - self.not_accepted)
+    def count(self, outcome: Outcome) -> None:
+        """Count an outcome for the service; it has to be one of `EVIDENCE`."""
+        self.not_accepted += (1.0 - PACE_MEMORY) * ((outcome is not OK) - self.not_accepted)
 
-    def count_connection(self, status: int) -> None:
+    def count_connection(self, outcome: Outcome) -> None:
         """Count the outcome of an attempt that opened a connection."""
-        if status < CANCELLED:
-            failed = status == CONNECT_FAILED
+        if outcome in EVIDENCE:
+            failed = outcome is CONNECT_FAILED
             self.connect_failures += (1.0 - FAULT_MEMORY) * (failed - self.connect_failures)
 
     def answered(self, now: float, server: Server) -> None:
-        """A server has answered: what it failed before in a row is over."""
+        """Count an answer: it ends a server's series of failures and rejections."""
         server.consecutive_failures = server.consecutive_rejections = 0
         server.answered_at = now
         server.fault_share *= FAULT_MEMORY
 
     def rejected(self, now: float, server: Server) -> None:
-        """A server has rejected a request: it is left alone for a moment."""
-        pause = REJECTED_PAUSE_MS * 2.0**server.consecutive_rejections
+        """Count a rejection: the server is not sent to for a moment."""
+        pause = REJECTION_PAUSE_MS * 2.0**server.consecutive_rejections
         server.ejected_until = max(server.ejected_until, now + pause)
-        server.consecutive_rejections = min(server.consecutive_rejections + 1, REJECTED_PAUSES)
+        server.consecutive_rejections = min(server.consecutive_rejections + 1, MAX_REJECTION_DOUBLINGS)
 
     def blame(self, now: float, server: Server, *, silent: bool) -> None:
-        """Count a fault; a server at fault far more than the service is ejected."""
+        """Count a fault; a server whose faults exceed the service's by far is ejected."""
         server.fault_share += (1.0 - FAULT_MEMORY) * (1.0 - server.fault_share)
         usual = self.not_accepted
-        if silent:  # under overload all are slow
+        if silent:  # under overload all servers are slow
             usual = max(usual, self._shedder.probability(now))
-        if server.fault_share > FAULT_LEAST + FAULT_OVER * usual:
+        if server.fault_share > FAULT_MARGIN + FAULT_MULTIPLE * usual:
             self._eject(now, server)
             if silent and server.consecutive_failures > 1:
                 self.silent_at = now
 
     def _eject(self, now: float, server: Server) -> None:
-        """Eject a server for a while, unless too many look bad to be believed."""
+        """Eject a server for a while, unless too many are ejected for the fault to be theirs."""
         self._ejected = {name: s for name, s in self._ejected.items() if s.ejected_until > now}
-        if len(self._ejected) >= EJECT_SHARE * len(self._endpoints.ring):
+        if len(self._ejected) >= MAX_EJECTED_SHARE * len(self._endpoints.ring):
             return
-        time = min(EJECTION_MS * 2.0**server.consecutive_failures, EJECTION_MAX_MS)
-        server.ejected_until = now + time * (0.75 + 0.5 * self._rng.random())
+        ejection_ms = min(EJECTION_MS * 2.0**server.consecutive_failures, MAX_EJECTION_MS)
+        server.ejected_until = now + ejection_ms * (0.75 + EJECTION_JITTER * self._rng.random())
         server.consecutive_failures += 1
         self._ejected[server.name] = server
--- a/brassfall/balancer/endpoints.py
+++ b/brassfall/balancer/endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoint list as this sidecar knows it, and which servers it may send to: its subset, zones, groups."""
+"""The endpoint list and what this sidecar sends to: its ring and subset, the zones and groups of servers."""
 
 from __future__ import annotations
 
@@ -12,24 +12,24 @@
 from brassfall.balancer.records import Group, Server
 from brassfall.balancer.settings import Settings
 
-# Subset: each sidecar keeps to a few servers: few connections, and something learned of each.
-SUBSET = 8
-SUBSET_PRICED = 4  # where open connections cost, at least: full tables also slow servers down
-SUBSET_PER_OPEN = 2  # a busy sidecar widens with its own requests in flight
-GOLDEN = (math.sqrt(5.0) - 1.0) / 2.0  # spreads sidecars' starting places evenly
-FORGET_MS = 600000.0  # servers gone for longer are forgotten: sidecars run for months
-MOST_SERVERS_MEMORY = 0.98  # at each list
+# A sidecar sends to a few servers: it needs few connections and learns something of each.
+SUBSET_SIZE = 8
+MIN_PRICED_SUBSET_SIZE = 4  # where open connections have a price
+SERVERS_PER_REQUEST_IN_FLIGHT = 2  # by which the subset of a busy sidecar widens
+GOLDEN_RATIO = (math.sqrt(5.0) - 1.0) / 2.0  # spreads the sidecars' starting points evenly over the ring
+FORGET_MS = 600000.0  # the records of servers that left the list are dropped after this time
+MOST_SERVERS_MEMORY = 0.98  # with each list, the largest number of servers fades by this factor
 
 
 class Endpoints:
-    """All known servers, and in which order this sidecar sees them."""
+    """All known servers, and their order on the ring of this sidecar."""
 
     __slots__ = (
         "_excluded",
         "_groups",
         "_locality",
-        "_me",
-        "_subset",
+        "_sidecar",
+        "subset_size",
         "far",
         "in_flight",
         "most_servers",
@@ -40,41 +40,47 @@
     )
 
     def __init__(self, settings: Settings) -> None:
-        """An empty list."""
+        """Begin with an empty list."""
         self.servers: dict[str, Server] = {}
-        self.ring: list[Server] = []  # the usable servers, from this sidecar's place on
-        self.near: list[Server] = []  # those of the ring in the own zone
+        self.ring: list[Server] = []  # the usable servers, from this sidecar's starting point on
+        self.near: list[Server] = []  # those of the ring in this sidecar's zone
         self.far: list[Server] = []
-        self.top_weight = 1.0
-        self.most_servers = 1.0  # there were lately
-        self.in_flight = 0  # own attempts at all servers
+        self.top_weight = 1.0  # the largest weight on the ring
+        self.most_servers = 1.0  # that were on the ring lately; fades
+        self.in_flight = 0  # this sidecar's own attempts, at all servers
         self._groups: dict[Group, list[Server]] = {}
         self._excluded: dict[Server, None] = {}
         self.reload(settings)
 
     def reload(self, settings: Settings) -> None:
-        """Other settings from now on."""
-        self._me = settings.me
+        """Apply other settings from now on."""
+        self._sidecar = settings.me
         self._locality = settings.locality
-        self._subset = SUBSET_PRICED if settings.prices.get("Connection") else SUBSET
+        self.subset_size = MIN_PRICED_SUBSET_SIZE if settings.prices.get("Connection") else SUBSET_SIZE
 
     def reach(self, attempts: int = 0) -> int:
-        """How many servers on the ring a request is sampled from after so many attempts."""
-        reach = self._subset * (1 + attempts)
-        if self._subset > SUBSET_PRICED:
-            return reach + SUBSET_PER_OPEN * self.in_flight
-        # Each open request has a connection, priced or not: a busy sidecar must not overload a few servers.
+        """Return how many servers of the ring a request is sampled from after so many attempts."""
+        reach = self.subset_size * (1 + attempts)
+        if self.subset_size > MIN_PRICED_SUBSET_SIZE:
+            return reach + SERVERS_PER_REQUEST_IN_FLIGHT * self.in_flight
+        # Each request in flight has a connection anyway, and a busy sidecar must not overload a few servers.
         return max(reach, self.in_flight)
 
+    @property
+    def known_groups(self) -> Collection[Group]:
+        """The groups whose members were asked for since the ring was last made."""
+        return self._groups.keys()
+
     def members(self, group: Group) -> list[Server]:
-        """The servers of a group on the ring, or the excluded ones if it has no others; made on demand."""
+        """Return the servers of a group that are on the ring, or its excluded ones if there are no others."""
         if group not in self._groups:
-            ring = [server for server in self.ring if server.group(group[0]) == group]
-            self._groups[group] = ring or [s for s in self._excluded if s.group(group[0]) == group]
+            scope, _ = group
+            ring = [server for server in self.ring if server.group(scope) == group]
+            self._groups[group] = ring or [s for s in self._excluded if s.group(scope) == group]
         return self._groups[group]
 
     def update(self, now: float, entry: Listing, paces: PaceTracker, rng: random.Random) -> Server:
-        """Take over one entry of the list; its server."""
+        """Take over one entry of the list; return its server."""
         server = self.servers.get(entry.server)
         if server is None:
             salt = int.from_bytes(blake2b(entry.server.encode(), digest_size=8).digest())
@@ -91,7 +97,7 @@
         return server
 
     def remove_others(self, now: float, names: Collection[str]) -> list[Server]:
-        """Take all servers but the named for gone; those that were usable until now."""
+        """Mark all servers but those named as gone; return the ones that were usable until now."""
         removed = [server for name, server in self.servers.items() if name not in names and server.usable]
         for server in removed:
             server.usable = False
@@ -99,7 +105,7 @@
         return removed
 
     def forget_gone(self, now: float) -> list[str]:
-        """Keep no record of servers long gone, or months of churn would fill the memory; their names."""
+        """Drop the records of servers that left long ago; return their names."""
         gone = [name for name, server in self.servers.items() if self._forgettable(now, server)]
         for name in gone:
             del self.servers[name]
@@ -110,20 +116,21 @@
         return not server.usable and not server.in_flight and now - server.gone_at > FORGET_MS
 
     def rebuild(self, steer: Steer) -> None:
-        """The servers to sample from, from this sidecar's place on the ring of known ones.
+        """Make the ring anew: the usable servers by name, from this sidecar's starting point on.
 
-        Servers that are gone keep their places, so a crash moves few subsets. Zones are
-        mixed unless a crossing is dear: a near zone may have more traffic than its own
-        servers can carry, and a preference for it builds a queue.
+        Servers that have left keep their places, so a crash changes few subsets. The ring mixes the zones:
+        the traffic of one zone may exceed the capacity of its servers.
         """
         ring = [self.servers[name] for name in sorted(self.servers)]
-        start = int((self._me * GOLDEN) % 1.0 * len(ring))
+        start = int((self._sidecar * GOLDEN_RATIO) % 1.0 * len(ring))
         usable = [server for server in ring[start:] + ring[:start] if server.usable]
         may_exclude = usable if steer.excludes else []
         self._excluded = {
-            s: None for s in may_exclude if s.zone in steer.excluded_zones or s.name in steer.excluded_servers
+            server: None
+            for server in may_exclude
+            if server.zone in steer.excluded_zones or server.name in steer.excluded_servers
         }
-        # Where all are excluded, or all of the group that a request is bound to, there is no other.
+        # Excluded servers are used where all are excluded, or all of the group that a request is bound to.
         self.ring = [server for server in usable if server not in self._excluded] or usable
         self.near = [server for server in self.ring if server.zone == self._locality]
         self.far = [server for server in self.ring if server.zone != self._locality]
--- a/brassfall/balancer/events.py
+++ b/brassfall/balancer/events.py
@@ -9,7 +9,7 @@
 from collections.abc import Collection, Iterable, Mapping
 from typing import NamedTuple
 
-from brassfall.balancer.model import ListForm, Listing, Outcome, Steer
+from brassfall.balancer.model import ListForm, Listing, Outcome, Steer, TimerToken
 from brassfall.balancer.settings import Settings
 
 LoadReport = Mapping[str, float]  # load measures by name, as a server puts them into its answers
@@ -72,7 +72,7 @@
 class TimerDue(NamedTuple):
     """A timer that a `Timer` action asked for has come due."""
 
-    token: str
+    token: TimerToken
 
 
 class EndpointsListed(NamedTuple):
--- a/brassfall/balancer/load_shedding.py
+++ b/brassfall/balancer/load_shedding.py
@@ -1,4 +1,4 @@
-"""Which requests are refused first under overload: those of the least priority weight per unit of work."""
+"""Load shedding: under overload, requests of the least priority weight per unit of work are refused first."""
 
 from __future__ import annotations
 
@@ -8,14 +8,13 @@
 
 from brassfall.balancer.settings import Settings
 
-# The probability leaks, and soon: one that outlasts what servers have recovered from is kept up by the
-# retries of the clients that it refused. The gain follows from its memory: the same overload leads to the
-# same probability, only sooner, and away sooner.
-SHED_LEAK_MS = 1000.0
-SHED_GAIN = 500.0 / SHED_LEAK_MS  # per rejected outcome
-SHED_IDLE = 0.1  # an accidental overload signal below this sheds nothing
-MIX_MEMORY = 0.98  # the mix of arrivals: about the last fifty
-MIX_LEAST = 10.0  # fewer arrivals tell nothing of a tenant's quota
+# Time constant with which the shed probability fades. It has to be short: a probability that outlasts an
+# overload is kept up by the retries of the clients that were refused.
+SHED_FADE_MS = 1000.0
+SHED_GAIN = 500.0 / SHED_FADE_MS  # per rejected outcome; the steady state does not depend on the fading
+SHED_THRESHOLD = 0.1  # a lower shed probability may be an accident and sheds nothing
+MIX_MEMORY = 0.98  # weight of the past in the mix of arrivals: about the last fifty
+MIN_QUOTA_ARRIVALS = 10.0  # fewer arrivals say nothing of a tenant's quota
 
 
 @dataclass(slots=True)
@@ -24,57 +23,62 @@
 
     work: float = 0.0  # fading sum
     requests: float = 0.0  # fading count
-    weight: float = 0.0  # priority weight of one request
+    weight: float = 0.0  # priority weight of one request, or of one unit of work
 
 
 class LoadShedder:
-    """Refuses what weighs least per unit of work while servers reject work.
+    """The shed probability, and the mix of recent arrivals that it is spread over.
 
-    A tenant's allowance is of the whole fleet, of which one sidecar sees a slice: so
-    its part of this sidecar's arrivals is held against its part of all allowances.
+    A tenant's allowance is for the whole fleet, and one sidecar sees a part of it. So the tenant's share of
+    this sidecar's arrivals is compared with its share of all allowances.
     """
 
     __slots__ = (
-        "_by_work",
-        "_level",
+        "weight_by_work",
+        "_probability",
         "_mix",
-        "_over_quota_weight",
-        "_quotas",
+        "over_quota_weight",
+        "quotas",
         "_seen",
         "_seen_all",
         "_updated_at",
-        "_worst_class",
+        "worst_class",
     )
 
     def __init__(self, settings: Settings) -> None:
-        """Nothing is shed at first."""
+        """Begin with a shed probability of 0."""
         self._seen = [0.0] * len(settings.allowances)
         self._seen_all = 0.0
         self._mix: dict[tuple[int, bool], MixEntry] = {}  # by class, and whether over the tenant's quota
-        self._level = 0.0
+        self._probability = 0.0
         self._updated_at = 0.0
         self.reload(settings, ())
 
     def reload(self, settings: Settings, retained: Collection[int]) -> None:
-        """Other settings; the mix remembers the classes that stay."""
-        self._by_work = settings.weight_by_work
-        self._over_quota_weight = settings.over_quota_weight
-        self._worst_class = settings.worst_class
+        """Apply other settings; arrivals of classes that are not `retained` are forgotten."""
+        self.weight_by_work = settings.weight_by_work
+        self.over_quota_weight = settings.over_quota_weight
+        self.worst_class = settings.worst_class
         total = sum(settings.allowances) or 1.0
-        self._quotas = [allowance / total for allowance in settings.allowances]
+        self.quotas = [allowance / total for allowance in settings.allowances]
         self._mix = {kind: entry for kind, entry in self._mix.items() if kind[0] in retained}
         for (request_class, _), entry in self._mix.items():
             entry.weight = settings.profiles[request_class].priority_weight
 
+    @property
+    def request_classes(self) -> set[int]:
+        """The classes of the recent arrivals."""
+        return {request_class for request_class, _ in self._mix}
+
     def arrive(self, request_class: int, weight: float, work: float, tenant: int, chance: float) -> bool:
-        """Count an arrival; whether it is held to be over its tenant's quota, by a random `chance`."""
+        """Count an arrival; return whether it counts as over its tenant's quota, by a random `chance`."""
         over = False
         self._seen_all = self._seen_all * MIX_MEMORY + 1.0
-        if tenant < len(self._quotas):
+        if tenant < len(self.quotas):
             self._seen = [seen * MIX_MEMORY for seen in self._seen]
             self._seen[tenant] += 1.0
-            within = self._quotas[tenant] * self._seen_all / self._seen[tenant]
-            over = self._seen_all >= MIX_LEAST and chance > within
+            within = self.quotas[tenant] * self._seen_all / self._seen[tenant]
+            over = self._seen_all >= MIN_QUOTA_ARRIVALS and chance > within
         for entry in self._mix.values():
             entry.work *= MIX_MEMORY
             entry.requests *= MIX_MEMORY
@@ -88,23 +92,23 @@
         return over
 
     def observe(self, now: float, overload: float) -> None:
-        """Learn from an outcome: 1 is a rejection, 0 an answer in time."""
-        self._level = min(1.0, self.probability(now) + SHED_GAIN * overload)
+        """Learn from a signal of overload: 1 for a rejection, 0 for an answer in time."""
+        self._probability = min(1.0, self.probability(now) + SHED_GAIN * overload)
         self._updated_at = now
 
     def probability(self, now: float) -> float:
-        """The shed probability, 0 to 1: the part of the work that should be refused."""
-        return self._level * math.exp((self._updated_at - now) / SHED_LEAK_MS)
+        """Return the shed probability, 0 to 1: the share of the work that should be refused."""
+        return self._probability * math.exp((self._updated_at - now) / SHED_FADE_MS)
 
     def refusal_chance(self, now: float, drop: float, request_class: int, *, over: bool) -> float:
-        """The chance of refusing this kind of request, so that `drop` of the work goes, or
-        what the shed probability asks, if more.
+        """Return the chance of refusing such a request.
 
-        What is over a tenant's quota goes first. The rest is taken evenly from the kinds of
-        least priority weight per work; from how many is weighed by the goal, which counts the worst
-        class by itself beside the weight lost in all.
+        In all, the share `drop` of the work is refused, or what the shed probability asks if that is more:
+        first the requests over their tenants' quotas, then evenly those of the classes with the least
+        priority weight per work. How many classes is weighed by the goal, which counts the worst class by
+        itself beside the weight lost in all.
         """
-        part = max(drop, self.probability(now) - SHED_IDLE)
+        part = max(drop, self.probability(now) - SHED_THRESHOLD)
         if part <= 0.0:
             return 0.0
         weights = self._weights()
@@ -123,27 +127,27 @@
         return self._chance_within_quota(need, order, weights, -1 if over else request_class)
 
     def _weights(self) -> dict[tuple[int, bool], float]:
-        """The priority weight of all recent requests of each kind."""
+        """Return the priority weight of all recent requests of each kind."""
         return {
             kind: entry.weight
-            * (entry.work if self._by_work else entry.requests)
-            * (self._over_quota_weight if kind[1] else 1.0)
+            * (entry.work if self.weight_by_work else entry.requests)
+            * (self.over_quota_weight if kind[1] else 1.0)
             for kind, entry in self._mix.items()
         }
 
     def _chance_within_quota(
         self, need: float, order: list[int], weights: dict[tuple[int, bool], float], request_class: int
     ) -> float:
-        """The chance for one class, where `need` of the work goes from the first few of `order`."""
+        """Return the chance for one class, where `need` work is refused from the first few of `order`."""
         chance, least, taken, lost = 0.0, math.inf, 0.0, 0.0
-        all_weights = sum(weights.values()) or 1.0  # all there is may weigh nothing
+        all_weights = sum(weights.values()) or 1.0  # all of it may have no weight
         included = False
         for kind in order:
             taken += self._mix[kind, False].work
             lost += weights[kind, False]
             included = included or kind == request_class
             part = need / taken
-            cost = part * ((1.0 - self._worst_class) * lost / all_weights + self._worst_class)
+            cost = part * ((1.0 - self.worst_class) * lost / all_weights + self.worst_class)
             if cost < least and (part <= 1.0 or kind == order[-1]):
                 least, chance = cost, part if included else 0.0
         return chance
--- a/brassfall/balancer/model.py
+++ b/brassfall/balancer/model.py
@@ -8,14 +8,13 @@
 from types import MappingProxyType
 from typing import NamedTuple
 
-# A change of the endpoint list counts as notified, whether or not it arrived, so long after discovery had
-# it and could be reached, whatever a call met before. Waits before a call and limits of one are parts of it;
-# the spare is for loops that lag.
+# Time limit for a change of the endpoint list to be in force, from when discovery has it and can be reached.
+# The backoff before a call to discovery and the call's own time limit are parts of it.
 NOTIFIED_MS = 6000.0
-SPARE_MS = 500.0
-CALL_MS = 1000.0  # that a call takes which is answered in its turn, or fails
-# Up to twice this passes before a call is made again: discovery is back while a call is under way that
-# fails, and the next fails in its turn; the one after that is still in time.
+SPARE_MS = 500.0  # left over for an event loop that lags
+CALL_MS = 1000.0  # time limit of one call to discovery
+# Jitter doubles the backoff at most. After discovery is back, the call under way and the next one may still
+# fail; the third has to be in time.
 MAX_POLL_BACKOFF_MS = (NOTIFIED_MS - SPARE_MS - 3.0 * CALL_MS) / 4.0
 
 
@@ -32,18 +31,26 @@
     ABANDONED = 7  # before it was sent: it never ran
 
 
+# The members as names of this module: a look-up on the enumeration costs more than a comparison.
+OK, ERROR, FULL, TIMEOUT, CONNECT_FAILED, RESET, CANCELLED, ABANDONED = Outcome
+
+
 class RefusalReason(StrEnum):
     """Why a request got an answer that no server gave; the value is its name in `REFUSALS`."""
 
     THROTTLED = "formula"  # by the client-side throttle's formula
-    SHED = "level"  # by the shed probability beyond that formula
+    SHED = "level"  # by the shed probability where that exceeds the formula
     TOO_HEAVY = "heavy"  # under overload, its work can't end in time
-    NO_SERVER = "room"  # no server may be sent to
+    NO_SERVER = "room"  # no server may have the request, or its class is over its cap
     QUEUED_TOO_LONG = "line"  # its turn in the queue of its key would come too late
     ATTEMPTS_FAILED = "failed"  # no attempt is left after a failure
     TOO_MANY_OPEN = "full"  # this process holds as many requests as it may
 
 
+# As with the outcomes; a refusal has to cost little under overload.
+THROTTLED, SHED, TOO_HEAVY, NO_SERVER, QUEUED_TOO_LONG, ATTEMPTS_FAILED, TOO_MANY_OPEN = RefusalReason
+
+
 class ListForm(Enum):
     """What an endpoint list contains; the value is its name on the simulator's wire."""
 
@@ -55,8 +62,9 @@
 class Send(NamedTuple):
     """Start an attempt; it times out after `timeout` milliseconds.
 
-    A retry under a key has to reach its server, to its last byte, before `write_by` by the clock of the
-    events; what a connection that comes up late or a slow body delays until then is not sent."""
+    The last byte of a retry with an idempotency key has to reach the server before `write_by`, a time of the
+    events' clock. An attempt that a slow connection or a slow body delays beyond that must not be sent.
+    """
 
     request: int
     server: str
@@ -65,42 +73,78 @@
 
 
 class Refuse(NamedTuple):
-    """Final answer: refused, and a client's retry does no harm; not within `retry_after` milliseconds."""
+    """Answer the client that its request was refused and did not run.
+
+    The client may retry it after `retry_after` milliseconds.
+    """
 
     request: int
     retry_after: float
 
 
 class Fail(NamedTuple):
-    """Final answer: failed, with no promise about effects."""
+    """Answer the client that its request failed; it may have run."""
 
     request: int
 
 
 class Cancel(NamedTuple):
-    """Stop waiting for one attempt, by its number within the request."""
+    """Stop waiting for an attempt; `attempt` is its place among those of its request."""
+
+    request: int
+    attempt: int
+
+
+class ObjectiveTimer(NamedTuple):
+    """Due when an attempt that is still in flight has reached its latency objective."""
 
     request: int
     attempt: int
 
 
+class QueueDeadlineTimer(NamedTuple):
+    """Due when a queued request can no longer be served in time."""
+
+    request: int
+
+
+class KeyPauseTimer(NamedTuple):
+    """Due when the next request with an idempotency key may start."""
+
+    key: int
+
+
+class IdleCloseTimer(NamedTuple):
+    """Due when the idle connections to a draining server are to be closed once more."""
+
+    server: str
+
+
+class DiscoveryRetryTimer(NamedTuple):
+    """Due when discovery is to be called again."""
+
+
+TimerToken = ObjectiveTimer | QueueDeadlineTimer | KeyPauseTimer | IdleCloseTimer | DiscoveryRetryTimer
+
+
 class Timer(NamedTuple):
-    """Ask for a timer event with this token after `delay` milliseconds.
+    """Ask for a `TimerDue` event with this token after `delay` milliseconds.
 
-    One that is about a `request` means nothing once that is answered and no attempt of it is out: its
-    event may come then, or be left out."""
+    A timer about a `request` may be left out once that has its answer and none of its attempts is in flight:
+    its event would change nothing then.
+    """
 
     delay: float
-    token: str
+    token: TimerToken
     request: int | None = None
 
 
 class Fetch(NamedTuple):
-    """Ask discovery for the complete list once."""
+    """Ask discovery for the complete endpoint list once."""
 
 
 class Watch(NamedTuple):
-    """Ask discovery to send changes from now on, or to stop."""
+    """Ask discovery to send changes of the endpoint list from now on, or to stop."""
 
     on: bool
 
@@ -145,37 +189,24 @@
     started: float = 0.0  # when, in milliseconds of the clock of the events; 0: long ago
 
 
-class Arrival(NamedTuple):
-    """A client's request, with the clock time, in milliseconds, at which the client gives up."""
-
-    request: int
-    request_class: int  # its position in `Settings.profiles`
-    give_up_at: float
-    tenant: int = 0
-    key: int | None = None
-    work: float | None = None  # expected, in milliseconds on a standard core
-    retried: bool = False  # whether the client marked it as a retry
-    mutates: bool = False
-    large: bool = False  # its body is still coming, and only its beginning can be sent again
-
-
 class Steer(NamedTuple):
-    """How requests are steered, replaced as one by each new value; the neutral one changes nothing.
+    """The steering plan and the overrides; a new value replaces the one before it as a whole.
 
-    A zone is its position in `FailureDomains`. What shares leave of 1 goes as without a plan.
+    Zones are positions in `FailureDomains`. Requests beyond the sum of the shares, where that is below 1, are
+    spread as without a plan. The default value changes nothing.
     """
 
     shares: Mapping[int, float] = MappingProxyType({})  # zone -> share of first attempts; empty: no plan
     class_shares: Mapping[int, Mapping[int, float]] = MappingProxyType({})  # by class, instead of `shares`
     tenant_shares: Mapping[int, Mapping[int, float]] = MappingProxyType({})  # by tenant, instead of both
-    excluded_zones: frozenset[int] = frozenset()  # no new send while any other server can take it
+    excluded_zones: frozenset[int] = frozenset()  # not sent to while any other server can take the request
     excluded_servers: frozenset[str] = frozenset()
-    caps: Mapping[int, float] = MappingProxyType({})  # class -> most requests/s; over it: refused locally
-    weight: float = 1.0  # 0 to 1, how far shares count: a plan that ages fades out
+    caps: Mapping[int, float] = MappingProxyType({})  # class -> requests/s; those beyond it are refused
+    weight: float = 1.0  # 0 to 1, how far the shares count; it falls as a plan ages
     explore: float = 0.0  # share of idempotent first attempts with time to spare for zones of low share
     pins: Mapping[int, int] = MappingProxyType({})  # tenant -> the one zone that may serve it; -1 is none
 
     @property
     def excludes(self) -> bool:
-        """Whether any zone or server is excluded."""
+        """True if any zone or server is excluded."""
         return bool(self.excluded_zones or self.excluded_servers)
--- a/brassfall/balancer/pace.py
+++ b/brassfall/balancer/pace.py
@@ -1,7 +1,7 @@
-"""How long servers take for the work that they are asked for.
+"""The pace of servers: the time that they take per unit of work.
 
-Work is in the unit of the clients' hints (milliseconds on a standard core), or 1 a request where
-clients give none; times are in milliseconds.
+Work is in the unit of the clients' hints (milliseconds on a standard core), or 1 per request where clients
+give none; times are in milliseconds.
 """
 
 from __future__ import annotations
@@ -9,69 +9,70 @@
 from collections.abc import Collection
 from dataclasses import dataclass
 
-PACE_MEMORY = 0.98  # kept at each new answer: about the last fifty
-PACE_PRIOR = 6.0  # answers' worth of belief in the wider figure
-PACE_POWER = 2.5  # how strongly candidates are sampled away from the slow
-MIN_SPEED = 0.2  # no server is avoided so far that it cannot show that it is better
-WORK_MEMORY = 0.05  # weight of the newest work hint in the mean
+PACE_MEMORY = 0.98  # weight of the past at each new answer: about the last fifty count
+PRIOR_ANSWERS = 6.0  # answers with which the wider pace counts
+PACE_POWER = 2.5  # how strongly sampling prefers faster servers
+MIN_SPEED = 0.2  # a slow server still gets enough requests to show that it has become faster
+WORK_GAIN = 0.05  # weight of the newest work hint in the mean
 
 
 @dataclass(slots=True, eq=False)
 class Pace:
-    """Time taken for the work asked, with the newest evidence weighing most."""
+    """Time taken and work done, both fading."""
 
-    spent: float = 0.0  # ms
+    elapsed_ms: float = 0.0
     work: float = 0.0
-    speed: float = 1.0  # compared with the wider figure; over 1 is faster
+    speed: float = 1.0  # compared with the wider pace; over 1 is faster
 
-    def add(self, spent: float, work: float) -> None:
+    def add(self, elapsed_ms: float, work: float) -> None:
         """Count one answer."""
-        self.spent = self.spent * PACE_MEMORY + spent
+        self.elapsed_ms = self.elapsed_ms * PACE_MEMORY + elapsed_ms
         self.work = self.work * PACE_MEMORY + work
 
-    def rate(self, wider: float, belief: float) -> float:
-        """Time per work, leaning on a wider figure by `belief` units of work."""
-        return (self.spent + wider * belief) / (self.work + belief)
+    def rate(self, wider: float, prior_work: float) -> float:
+        """Return the time per unit of work; the `wider` rate counts like `prior_work` units of work."""
+        return (self.elapsed_ms + wider * prior_work) / (self.work + prior_work)
 
 
 class PaceTracker:
     """The pace of the whole service, of each kind of machine and of each request class.
 
-    A few samples tell little, so a server is held to its kind's pace and a kind to the service's
-    until there is evidence.
+    A few answers say little, so a server's pace leans on that of its kind, and a kind's on the service's.
     """
 
     __slots__ = ("_by_class", "_by_kind", "_service", "mean_work")
 
     def __init__(self) -> None:
-        """Nothing is known yet."""
+        """Begin without answers."""
         self.mean_work = 0.0  # of the requests that arrive
         self._service = Pace()
         self._by_kind: dict[int, Pace] = {}
-        self._by_class: dict[int, Pace] = {}  # where no work is told: its answers' time over all answers'
+        self._by_class: dict[
+            int, Pace
+        ] = {}  # where clients give no work; work is then the time of a usual answer
 
     def of_kind(self, kind: int) -> Pace:
-        """The pace of a kind of machine."""
+        """Return the pace of a kind of machine."""
         return self._by_kind.setdefault(kind, Pace())
 
     def keep_classes(self, retained: Collection[int]) -> None:
-        """Forget the request classes that are not named."""
+        """Forget the request classes that are not `retained`."""
         self._by_class = {slot: pace for slot, pace in self._by_class.items() if slot in retained}
 
     def arrive(self, work: float) -> None:
         """Count the work of one request that arrives."""
-        gain = WORK_MEMORY if self.mean_work else 1.0
+        gain = WORK_GAIN if self.mean_work else 1.0
         self.mean_work += gain * (work - self.mean_work)
 
     def usual_ms(self) -> float:
-        """The time that an answer usually takes; 0 before the first."""
+        """Return the time that an answer usually takes, in milliseconds; 0 before the first."""
         return self.mean_work * self._service.rate(0.0, 0.0) if self._service.work else 0.0
 
     def expected_ms(self, request_class: int, work: float | None) -> float:
-        """The time that an answer to such a request takes; 0 where that is not known.
+        """Return the time that an answer to such a request takes, in milliseconds; 0 if that is not known.
 
-        Where a client tells no work (None), a class asks for what its own answers take: held to the
-        mean of all, a class of short requests could not pass.
+        Where the client gives no work, the answers of the same class count: the mean of all requests would be
+        too much for a class of short ones.
         """
         if not self._service.work:
             return 0.0
@@ -80,18 +81,18 @@
             work = of_class.rate(0.0, 0.0) if of_class else 0.0
         return work * self._service.rate(0.0, 0.0)
 
-    def learn(self, own: Pace, kind: Pace, spent: float, work: float) -> None:
-        """Count an answer for a server's own pace, its kind's and the service's, and compare them anew."""
+    def learn(self, own: Pace, kind: Pace, elapsed_ms: float, work: float) -> None:
+        """Count an answer for the pace of a server, of its kind and of the service, and update the speeds."""
         service = self._service
         for pace in (service, kind, own):
-            pace.add(spent, work)
-        belief = PACE_PRIOR * self.mean_work
+            pace.add(elapsed_ms, work)
+        prior_work = PRIOR_ANSWERS * self.mean_work
         of_service = service.rate(0.0, 0.0)
-        of_kind = kind.rate(of_service, belief)
+        of_kind = kind.rate(of_service, prior_work)
         kind.speed = max(MIN_SPEED, (of_service / of_kind) ** PACE_POWER)
-        own.speed = max(MIN_SPEED, (of_kind / own.rate(of_kind, belief)) ** PACE_POWER)
+        own.speed = max(MIN_SPEED, (of_kind / own.rate(of_kind, prior_work)) ** PACE_POWER)
 
-    def learn_class(self, request_class: int, spent: float) -> None:
-        """Count an answer to a request whose client told no work."""
+    def learn_class(self, request_class: int, elapsed_ms: float) -> None:
+        """Count an answer to a request whose client gave no work."""
         if usual := self._service.rate(0.0, 0.0):
-            self._by_class.setdefault(request_class, Pace()).add(spent, usual)
+            self._by_class.setdefault(request_class, Pace()).add(elapsed_ms, usual)
--- a/brassfall/balancer/slow_start.py
+++ b/brassfall/balancer/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: how much a server that has just started may be sent."""
+"""Slow start: how much may be sent to a server that has just started."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 from brassfall.balancer.endpoints import Endpoints
 from brassfall.balancer.rates import RATE_MS, SendRate
 from brassfall.balancer.records import Server
-from brassfall.balancer.settings import Settings
+from brassfall.balancer.settings import ZONE, Settings
 from brassfall.balancer.steering import Steering
 from brassfall.balancer.zones import ZoneSpillover
 
-BUDGET_SHARE = 0.5  # of what topples a server, were all warm ones fully loaded: subsets overlap unevenly
-REFUSED_COUNTS = 1.0 / 3.0  # of a send: what was refused comes again up to a few times
+BUDGET_SHARE = 0.5  # of the rate that makes a server collapse: subsets overlap unevenly
+REFUSED_WEIGHT = 1.0 / 3.0  # of a send: a refused request comes again up to a few times
 MIN_WARMTH = 0.02
-MAX_SPEED = 1.6  # how much faster than its kind a server is held to be at most
+MAX_SPEED = 1.6  # how much faster than its kind a server may count
 
 
 class SlowStart:
-    """Budgets of sends for the servers that are warming up."""
+    """The budgets of sends for servers that are warming up."""
 
     __slots__ = (
         "_endpoints",
@@ -37,16 +37,16 @@
 
     def __init__(
         self,
-        now: float,
         settings: Settings,
         endpoints: Endpoints,
         zones: ZoneSpillover,
         steering: Steering,
         rate: SendRate,
     ) -> None:
-        """Budgets from `now` on; the parts handed in are those of the same balancer."""
-        self.refused = 0  # requests refused for want of a server that could take them
-        self._refused_before, self._refused_before_at = 0.0, now  # as of a memory ago
+        """Begin without refused requests; the arguments are parts of the same balancer."""
+        self.refused = 0  # requests refused since no server could take them
+        # The value of `refused` about one time constant ago, and when it was brought up to date.
+        self._refused_before, self._refused_before_at = 0.0, rate.started_at
         self._endpoints = endpoints
         self._zones = zones
         self._steering = steering
@@ -54,17 +54,17 @@
         self.reload(settings)
 
     def reload(self, settings: Settings) -> None:
-        """Other settings from now on."""
+        """Apply other settings from now on."""
         self._warm_up_ms = settings.warm_up
         self._start_share = settings.slow_start_from
         self._fall_multiple = settings.fall_multiple
         self._span_ms = settings.overload_for or RATE_MS
         self._warm_keys = settings.warm_keys
         for server in self._endpoints.servers.values():
-            server.budget = max(0.0, server.budget)  # a warm one owes nothing, if it counts as cold now
+            server.budget = max(0.0, server.budget)  # a longer warm-up must not charge it for earlier sends
 
     def warmth(self, now: float, server: Server) -> float:
-        """The share of its capacity, 0 to 1, that a started server is sure to have."""
+        """Return the share of its capacity, 0 to 1, that a server has at least."""
         if server.started <= 0.0 or self._warm_up_ms <= 0.0:
             return 1.0
         age = max(0.0, now - server.started)
@@ -74,12 +74,12 @@
         return max(MIN_WARMTH, start + (1.0 - start) * age / self._warm_up_ms)
 
     def has_budget(self, now: float, server: Server) -> bool:
-        """Whether a server may have one more send from this sidecar.
+        """Return whether a server may have one more send from this sidecar; bring its budget up to date.
 
-        The odds of the sampling hold only while others are there to be sampled. Guards against a mass
-        restart, drains or ejections that leave few others, and against the only one known being
-        cold. Hundreds of sidecars act alike, so each counts its own part: its rate over the
-        servers there were lately. It costs refusals where a fleet is scaled down on purpose.
+        Sampling by warmth protects a server only while there are others to sample. The budget protects it
+        after a mass restart, or if the others drain or are ejected. Each of many sidecars allows its own
+        part: its rate over the number of servers that there were lately. A fleet that is scaled down on
+        purpose has some requests refused for it.
         """
         warmth = self.warmth(now, server)
         if warmth >= 1.0:
@@ -88,25 +88,28 @@
         per_ms = self._wanted_per_ms(now) * part * self._fall_multiple * BUDGET_SHARE
         server.budget = max(0.0, server.budget) + per_ms * (now - server.budget_at)
         server.budget_at = now
-        # What was not used within the span lapses, whole sends at a time: hundreds of sidecars may not save
-        # one send each, and with the fractions left as they are the sum of all stays the sum of their parts.
+        # Sends that were not used within the span lapse, or hundreds of sidecars would save up one each. Only
+        # whole sends lapse: dropping fractions would make the sum over all sidecars too small.
         server.budget -= max(0, math.floor(server.budget - per_ms * self._span_ms))
         return server.budget >= 1.0
 
     def _usual_part(self, server: Server) -> float:
-        """The part of this sidecar's sends that a warm server in this one's place would have."""
+        """Return the part of this sidecar's sends that a warm server in place of this one would have."""
         endpoints = self._endpoints
-        # The sidecars whose subset has it send to it; beyond that, and with warm keys, each is one of all.
+        # Sidecars whose subset contains the server send to it; otherwise, and with warm keys, all do.
         steered = self._zones.active or self._steering.on
-        ring = endpoints.members(server.group("zone")) if steered else endpoints.ring
+        ring = endpoints.members(server.group(ZONE)) if steered else endpoints.ring
         reach = len(endpoints.ring) if self._warm_keys else endpoints.reach()
         seen = min(1.0, reach / max(1, len(endpoints.ring))) if server in ring[:reach] else 1.0
         return max(1.0 / (endpoints.most_servers * seen), self._steering.part_per_server(server.zone))
 
     def _wanted_per_ms(self, now: float) -> float:
-        """Own sends per millisecond, or a part of what was refused for want of capacity if that is more: a
-        sidecar restarted where all are cold would else never begin."""
+        """Return the sends per millisecond that this sidecar wants to make.
+
+        A part of the requests refused for lack of a server counts if that is more: a sidecar that starts
+        while all servers are warming up has sent nothing yet.
+        """
         fade = math.exp((self._refused_before_at - now) / RATE_MS)
         self._refused_before = self.refused - (self.refused - self._refused_before) * fade
         self._refused_before_at = now
-        return self._rate.per_ms(now, REFUSED_COUNTS * (self.refused - self._refused_before))
+        return self._rate.per_ms(now, REFUSED_WEIGHT * (self.refused - self._refused_before))
--- a/brassfall/lab/play.py
+++ b/brassfall/lab/play.py
@@ -70,7 +70,9 @@
     sys.modules[PACKAGE] = module
     found.loader.exec_module(module)
     setattr(sys.modules["brassfall"], PACKAGE.rpartition(".")[2], module)
-    if not hasattr(sys.modules[f"{PACKAGE}.model"].Arrival, "request_class"):
+    model, events = sys.modules[f"{PACKAGE}.model"], sys.modules.get(f"{PACKAGE}.events")
+    request = getattr(events, "RequestArrived", None)
+    if not hasattr(request, "request_class") or not hasattr(model, "TimerToken"):
         raise SettingsError(str(code), "its decision module has an earlier interface", LATER_REVISION)
 
 
--- a/brassfall/lab/sim/defects.py
+++ b/brassfall/lab/sim/defects.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from brassfall.balancer.model import Listing, Send
+from brassfall.balancer.model import RESET, Listing, Outcome, Send
 from brassfall.lab.models.client import BROKEN, SERVED
-from brassfall.lab.sim.sidecar import RESET, Attempt, Request, Sidecar
+from brassfall.lab.sim.sidecar import Attempt, Request, Sidecar
 
 EVERY = 25  # a defect that concerns single requests concerns one in so many
 
@@ -105,12 +105,12 @@
 class LosesOnReset(Sidecar):
     """Loses a request whose connection to a server has broken."""
 
-    def ended(self, now: float, attempt: Attempt, status: int, report: float | None = None) -> None:
+    def ended(self, now: float, attempt: Attempt, outcome: Outcome, report: float | None = None) -> None:
         """The outcome of an attempt."""
-        if status == RESET and not attempt.over and not attempt.request.ended:
+        if outcome is RESET and not attempt.over and not attempt.request.ended:
             attempt.request.ended = True
             self.world.answered(now, attempt.request.call, BROKEN)
-        super().ended(now, attempt, status, report)
+        super().ended(now, attempt, outcome, report)
 
 
 class FloodsWarmingUp(Sidecar):
--- a/brassfall/lab/sim/sidecar.py
+++ b/brassfall/lab/sim/sidecar.py
@@ -10,18 +10,26 @@
 from collections.abc import Callable, Iterable
 from typing import Any, NamedTuple
 
-from brassfall.balancer import Balancer, Settings, model
+from brassfall.balancer import Balancer, Settings, events, model
 from brassfall.balancer.model import (
+    ABANDONED,
+    CANCELLED,
+    FULL,
+    OK,
+    TIMEOUT,
     Cancel,
     CloseIdle,
     Fail,
     Fetch,
+    ListForm,
     Listing,
     Log,
+    Outcome,
     Probe,
     Refuse,
     Send,
     Timer,
+    TimerToken,
     Watch,
 )
 from brassfall.lab.day import Day
@@ -32,7 +40,6 @@
 
 Handler = Callable[[float, Any], None]
 
-OK, ERROR, FULL, TIMEOUT, CONNECT_FAILED, RESET, CANCELLED, ABANDONED = map(int, model.Outcome)
 MARGIN_MS = 8.0  # between the deadline of the real driver and that of its client
 PROBE_TIMEOUT_MS = 1000.0
 
@@ -75,8 +82,8 @@
 
     incarnation: int  # of the sidecar
     server: str
-    status: int  # a `model.Outcome`
-    spent: float  # ms
+    outcome: Outcome
+    elapsed: float  # ms
 
 
 class Pool:
@@ -190,7 +197,8 @@
         self.requests, self.pools = {}, {}
         self._next = seed % 2**32
         self._balancer = Balancer(now, self.settings, seed)
-        self.do(now, self._balancer.server_list(now, "remembered", list(self.endpoints.values())))
+        known = events.EndpointsListed(ListForm.REMEMBERED, list(self.endpoints.values()))
+        self.do(now, self._balancer.step(now, known))
         if self.steer is not None:
             self.steered(now, self.steer)
 
@@ -198,7 +206,7 @@
         """A plan or overrides have changed."""
         self.steer = steer
         if self.up:
-            self.do(now, self._balancer.steer(now, steer))
+            self.do(now, self._balancer.step(now, events.SteeringChanged(steer)))
 
     def kill(self) -> list[Call]:
         """Its process dies; the calls that it had not answered."""
@@ -223,42 +231,41 @@
         request = Request(number, call, now + call.budget - MARGIN_MS)
         self.requests[number] = request
         call.request = request
-        arrival = model.Arrival(
-            number,
-            call.client_request.cls,
-            request.give_up_at,
-            0,
-            None,
-            None,
-            call.hop > 0,
-            call.has_effect,
+        arrived = events.RequestArrived(
+            request=number,
+            request_class=call.client_request.cls,
+            give_up_at=request.give_up_at,
+            retried=call.hop > 0,
+            mutates=call.has_effect,
         )
-        self.do(now, self._balancer.request(now, arrival))
+        self.do(now, self._balancer.step(now, arrived))
 
     def client_gone(self, now: float, request: Request) -> None:
         """A client has given up on its call."""
         if self._end(request):
-            self.do(now, self._balancer.client_gone(now, request.number))
+            self.do(now, self._balancer.step(now, events.ClientLeft(request.number)))
             self._forget(request)
 
-    def ended(self, now: float, attempt: Attempt, status: int, report: float | None = None) -> None:
+    def ended(self, now: float, attempt: Attempt, outcome: Outcome, report: float | None = None) -> None:
         """An attempt has its one outcome; the first OK answers its request."""
         if attempt.over:
             return
         attempt.over = True
         request = attempt.request
         request.out -= 1
-        if status <= FULL:
+        if outcome <= FULL:
             self._give_back(now, attempt)
-        if status == OK and self._end(request):
+        if outcome is OK and self._end(request):
             self.served(now, request, attempt)
-        spent = now - attempt.sent
-        load_report = None if report is None else {"inflight": report}
-        balancer = self._balancer
-        self.do(
-            now,
-            balancer.outcome(now, request.number, attempt.hop, status, spent, request.ended, load_report),
+        ended = events.AttemptEnded(
+            request=request.number,
+            attempt=attempt.hop,
+            outcome=outcome,
+            elapsed=now - attempt.sent,
+            request_ended=request.ended,
+            report=None if report is None else {"inflight": report},
         )
+        self.do(now, self._balancer.step(now, ended))
         self._forget(request)
 
     def expire(self, now: float, attempt: Attempt) -> None:
@@ -267,10 +274,10 @@
             self._drop_connection(attempt)
             self.ended(now, attempt, TIMEOUT)
 
-    def timer(self, now: float, token: tuple[int, str]) -> None:
+    def timer(self, now: float, token: tuple[int, TimerToken]) -> None:
         """A timer of the decision module has expired."""
         if token[0] == self.incarnation and self.up:
-            self.do(now, self._balancer.timer(now, token[1]))
+            self.do(now, self._balancer.step(now, events.TimerDue(token[1])))
 
     def list_received(self, now: float, form: str, entries: list[Listing], index: int) -> None:
         """The complete list, or changes of it, have arrived."""
@@ -282,18 +289,18 @@
             else:
                 self.endpoints[entry.server] = entry
         self.list_index = max(self.list_index, index)
-        self.do(now, self._balancer.server_list(now, form, entries))
+        self.do(now, self._balancer.step(now, events.EndpointsListed(ListForm(form), entries)))
 
     def list_refused(self, now: float) -> None:
         """A request for the list has failed, or its watch has broken."""
         self.watching = False
-        self.do(now, self._balancer.server_list(now, "refused", ()))
+        self.do(now, self._balancer.step(now, events.DiscoveryFailed()))
 
     def probed(self, now: float, result: ProbeResult) -> None:
         """A health check has its result."""
-        incarnation, server, status, spent = result
+        incarnation, server, outcome, elapsed = result
         if incarnation == self.incarnation and self.up:
-            self.do(now, self._balancer.probe_result(now, server, status, spent))
+            self.do(now, self._balancer.step(now, events.HealthCheckEnded(server, outcome, elapsed)))
 
     # --- actions --------------------------------------------------------------
 
--- a/brassfall/lab/sim/world.py
+++ b/brassfall/lab/sim/world.py
@@ -16,6 +16,7 @@
 from itertools import count
 from typing import Any, NamedTuple
 
+from brassfall.balancer.model import CONNECT_FAILED, ERROR, FULL, OK, RESET, TIMEOUT, Outcome
 from brassfall.controlplane.registry.membership import Membership
 from brassfall.lab import ledger
 from brassfall.lab.day import Day
@@ -30,13 +31,7 @@
 from brassfall.lab.sim.lists import Lists, MemberSession
 from brassfall.lab.sim.parts import Call, ClientRequest, Host
 from brassfall.lab.sim.sidecar import (
-    CONNECT_FAILED,
-    ERROR,
-    FULL,
-    OK,
     PROBE_TIMEOUT_MS,
-    RESET,
-    TIMEOUT,
     Attempt,
     Handler,
     Pool,
@@ -66,7 +61,7 @@
     """The outcome of an attempt, on its way to the sidecar."""
 
     attempt: Attempt
-    status: int  # a `model.Outcome`
+    outcome: Outcome
     report: float | None  # the load that the server reports
 
 
@@ -340,17 +335,17 @@
         self._note(host, job.data, now, "error" if job.failed else "ok", job.work)
         self._outcome_later(now, attempt, ERROR if job.failed else OK, host.core.report(now))
 
-    def _outcome_later(self, now: float, attempt: Attempt, status: int, report: float | None) -> None:
+    def _outcome_later(self, now: float, attempt: Attempt, outcome: Outcome, report: float | None) -> None:
         host = attempt.server
-        if status != RESET and attempt.link != host.link:
+        if outcome is not RESET and attempt.link != host.link:
             return
         delay_ms = self.network.to_sidecar(host.name, host.zone, attempt.sidecar.group)
         if delay_ms is not None and not attempt.over:
-            self.at(now + delay_ms, self._outcome, _Outcome(attempt, status, report))
+            self.at(now + delay_ms, self._outcome, _Outcome(attempt, outcome, report))
 
     def _outcome(self, now: float, outcome: _Outcome) -> None:
-        attempt, status, report = outcome
-        attempt.sidecar.ended(now, attempt, status, report)
+        attempt, end, report = outcome
+        attempt.sidecar.ended(now, attempt, end, report)
 
     def disconnect(self, name: str, pool: Pool, closed: int) -> None:
         """A sidecar has closed so many idle connections."""
@@ -365,9 +360,9 @@
         if delay_ms is None or (host.up and host.core.is_stopped):
             result = ProbeResult(sidecar.incarnation, name, TIMEOUT, PROBE_TIMEOUT_MS)
         else:
-            status = OK if host.up else CONNECT_FAILED
-            result = ProbeResult(sidecar.incarnation, name, status, 2.0 * delay_ms)
-        self.at(now + result.spent, sidecar.probed, result)
+            found = OK if host.up else CONNECT_FAILED
+            result = ProbeResult(sidecar.incarnation, name, found, 2.0 * delay_ms)
+        self.at(now + result.elapsed, sidecar.probed, result)
 
     def watch(self, now: float, sidecar: Sidecar, ask: int) -> None:
         """A sidecar asks for the list, and for all changes from then on."""
--- a/brassfall/sidecar/core/driver.py
+++ b/brassfall/sidecar/core/driver.py
@@ -282,7 +282,7 @@
             outcome = Outcome.ABANDONED if exchange.failed_here else outcome
         attempt.ended(Result(outcome))
 
-    def _timer(self, token: str) -> None:
+    def _timer(self, token: model.TimerToken) -> None:
         self._ask(None, events.TimerDue(token))
 
     def _probed(self, server: str, sent: float, result: Result) -> None:
--- a/brassfall/simulator.py
+++ b/brassfall/simulator.py
@@ -1,4 +1,4 @@
-"""The wire adapter: translates lines to events and actions to lines."""
+"""The adapter to the simulator's wire: lines become events, and actions become lines."""
 
 from __future__ import annotations
 
@@ -6,13 +6,14 @@
 import json
 import os
 import sys
-from collections.abc import Callable, Iterable
-from typing import Any, TextIO
+from collections.abc import Callable
+from typing import TextIO
 
-from brassfall.balancer import Balancer, Settings, model
+from brassfall.balancer import Balancer, Settings, events, model
 
-FORMS = ("changes", "all", "remembered", "refused")
 STATES = ("active", "leaving", "left")
+FORMS = {form.value: form for form in model.ListForm}
+DISCOVERY_FAILED = "refused"  # in place of a list's form
 
 
 class WireError(Exception):
@@ -27,57 +28,215 @@
     action = "report it with the traceback: a defect of the decision module"
 
 
-_FORMATS: dict[type, Callable[[Any], str]] = {
-    model.Send: lambda a: f"relay RequestId={a.request} Server={a.server} Timeout={a.timeout:.3f}",
-    model.Refuse: lambda a: f"busy RequestId={a.request} ComeBack={a.retry_after:.3f}",
-    model.Fail: lambda a: f"finish_error RequestId={a.request}",
-    model.Cancel: lambda a: f"retract RequestId={a.request} Hop={a.attempt}",
-    model.Timer: lambda a: f"defer SleepFor={a.delay:.3f} Tag={a.token}",
-    model.Fetch: lambda _: "resolve",
-    model.Watch: lambda a: f"subscribe Want={int(a.on)}",
-    model.Probe: lambda a: f"poll Server={a.server}",
-    model.CloseIdle: lambda a: f"close_idle Server={a.server}",
-    model.Tell: lambda a: (
-        f"tell Whom={'*' if a.peer is None else a.peer} Msg={base64.b64encode(a.data).decode() or '-'}"
-    ),
-    model.Log: lambda a: f"log ReasonText={a.text}",
-}
-
-
-def _members(line: str, text: str = "") -> dict[str, str]:
-    """The name=value pairs of a line; the member `text` runs to its end."""
+# --- timers on the wire: the prefix says what a timer is about -------------------------------------
+
+RETRY_TAG = "watch"
+OBJECTIVE_PREFIX = "due"
+QUEUE_DEADLINE_PREFIX = "late"
+KEY_PAUSE_PREFIX = "turn"
+IDLE_CLOSE_PREFIX = "close"
+
+
+def timer_token(token: model.TimerToken) -> str:
+    """Return a timer as its tag on the wire."""
+    match token:
+        case model.ObjectiveTimer(request, attempt):
+            return f"{OBJECTIVE_PREFIX}:{request}:{attempt}"
+        case model.QueueDeadlineTimer(request):
+            return f"{QUEUE_DEADLINE_PREFIX}:{request}"
+        case model.KeyPauseTimer(key):
+            return f"{KEY_PAUSE_PREFIX}:{key}"
+        case model.IdleCloseTimer(server):
+            return f"{IDLE_CLOSE_PREFIX}:{server}"
+        case model.DiscoveryRetryTimer():
+            return RETRY_TAG
+
+
+def parse_timer(tag: str) -> model.TimerToken | None:
+    """Return the timer that a tag on the wire stands for, or None if it is not one of the balancer's own.
+
+    `ValueError` if a number in it is none.
+    """
+    if tag == RETRY_TAG:
+        return model.DiscoveryRetryTimer()
+    prefix, _, rest = tag.partition(":")
+    if prefix == OBJECTIVE_PREFIX:
+        request, _, attempt = rest.partition(":")
+        return model.ObjectiveTimer(int(request), int(attempt))
+    if prefix == QUEUE_DEADLINE_PREFIX:
+        return model.QueueDeadlineTimer(int(rest))
+    if prefix == KEY_PAUSE_PREFIX:
+        return model.KeyPauseTimer(int(rest))
+    if prefix == IDLE_CLOSE_PREFIX:
+        return model.IdleCloseTimer(rest)
+    return None
+
+
+# --- actions on the wire ----------------------------------------------------------------------------
+
+
+def _line(action: model.Action) -> str:  # noqa: C901 - a case an action
+    """Return the line that asks the simulator for an action."""
+    match action:
+        case model.Send():
+            return f"relay RequestId={action.request} Server={action.server} Timeout={action.timeout:.3f}"
+        case model.Timer():
+            return f"defer SleepFor={action.delay:.3f} Tag={timer_token(action.token)}"
+        case model.Refuse():
+            return f"busy RequestId={action.request} ComeBack={action.retry_after:.3f}"
+        case model.Fail():
+            return f"finish_error RequestId={action.request}"
+        case model.Cancel():
+            return f"retract RequestId={action.request} Hop={action.attempt}"
+        case model.CloseIdle():
+            return f"close_idle Server={action.server}"
+        case model.Watch():
+            return f"subscribe Want={int(action.on)}"
+        case model.Fetch():
+            return "resolve"
+        case model.Probe():
+            return f"poll Server={action.server}"
+        case model.Tell():
+            peer = "*" if action.peer is None else action.peer
+            return f"tell Whom={peer} Msg={base64.b64encode(action.data).decode() or '-'}"
+        case model.Log():
+            return f"log ReasonText={action.text}"
+
+
+# --- events on the wire -----------------------------------------------------------------------------
+
+
+def _members(line: str, last: str = "") -> dict[str, str]:
+    """Return the name=value pairs of a line; the value of the member `last` runs to its end."""
     tail = None
-    if text:
-        line, found, tail = line.partition(f" {text}=")
+    if last:
+        line, found, tail = line.partition(f" {last}=")
         if not found:
-            raise WireError(f"{text} is missing")
+            message = f"{last} is missing"
+            raise WireError(message)
     members = {}
     for part in line.split(" ")[1:]:
         name, found, value = part.partition("=")
         if not found:
-            raise WireError(f"{part!r} is not name=value")
+            message = f"{part!r} is not name=value"
+            raise WireError(message)
         members[name] = value
     if tail is not None:
-        members[text] = tail
+        members[last] = tail
     return members
 
 
-def _report(text: str) -> dict[str, float]:
+def _load_report(text: str | None) -> events.LoadReport | None:
+    if text is None:
+        return None
     report = {}
     for pair in text.split(","):
         name, found, value = pair.partition(":")
         if not found:
-            raise WireError(f"Report: {pair!r} is not name:value")
+            message = f"Report: {pair!r} is not name:value"
+            raise WireError(message)
         report[name] = float(value)
     return report
 
 
+def _outcome(text: str) -> model.Outcome:
+    number = int(text)
+    if not 0 <= number <= model.Outcome.ABANDONED:
+        message = f"Status: {number} is not known"
+        raise WireError(message)
+    return model.Outcome(number)
+
+
 def _bytes(text: str) -> bytes:
     return b"" if text == "-" else base64.b64decode(text, validate=True)
 
 
+def _listing(members: dict[str, str]) -> model.Listing:
+    state = members.get("StageState", "active")
+    if state not in STATES:
+        message = f"StageState: {state!r} is not known"
+        raise WireError(message)
+    return model.Listing(
+        server=members["Server"],
+        zone=int(members.get("RegionPart", 0)),
+        kind=int(members.get("Sku", 0)),
+        cell=int(members.get("Stripe", 0)),
+        state=state,
+        weight=float(members.get("Weight", 1.0)),
+        started=float(members.get("BootTime", 0.0)),
+    )
+
+
+def _request_arrived(members: dict[str, str]) -> events.RequestArrived:
+    key, work = members.get("NameKey"), members.get("Work")
+    return events.RequestArrived(
+        request=int(members["RequestId"]),
+        request_class=int(members.get("Band", 0)),
+        give_up_at=float(members["GiveUpAt"]),
+        tenant=int(members.get("Tenant", 0)),
+        key=None if key is None else int(key),
+        work=None if work is None else float(work),
+        retried=members.get("AgainByClient") == "1",
+        mutates=members.get("Mutates") == "1",
+    )
+
+
+def _attempt_ended(members: dict[str, str]) -> events.AttemptEnded:
+    return events.AttemptEnded(
+        request=int(members["RequestId"]),
+        attempt=int(members.get("Hop", 0)),
+        outcome=_outcome(members["Status"]),
+        elapsed=float(members.get("Spent", 0.0)),
+        request_ended=members.get("Last") == "1",
+        report=_load_report(members.get("Report")),
+    )
+
+
+def _answer_started(members: dict[str, str]) -> events.AnswerStarted:
+    return events.AnswerStarted(int(members["RequestId"]), int(members.get("Hop", 0)))
+
+
+def _health_check_ended(members: dict[str, str]) -> events.HealthCheckEnded:
+    return events.HealthCheckEnded(
+        server=members["Server"],
+        outcome=_outcome(members["Status"]),
+        elapsed=float(members.get("Spent", 0.0)),
+        report=_load_report(members.get("Report")),
+    )
+
+
+def _peer_message(members: dict[str, str]) -> events.PeerMessageReceived:
+    return events.PeerMessageReceived(int(members["OriginPeer"]), _bytes(members.get("Msg", "-")))
+
+
+def _client_left(members: dict[str, str]) -> events.ClientLeft:
+    return events.ClientLeft(int(members["RequestId"]))
+
+
+def _timer_due(members: dict[str, str]) -> events.TimerDue | None:
+    """Return the event of a timer; a tag of ours that can't be read is a defect of the decisions."""
+    tag = members["Tag"]
+    try:
+        token = parse_timer(tag)
+    except ValueError as error:
+        raise ModuleError from error
+    return None if token is None else events.TimerDue(token)
+
+
+# Messages that become one event, from their members alone; None is no event.
+EVENTS: dict[str, Callable[[dict[str, str]], events.Event | None]] = {
+    "arrival": _request_arrived,
+    "verdict": _attempt_ended,
+    "tick_due": _timer_due,
+    "first": _answer_started,
+    "ping_result": _health_check_ended,
+    "whisper": _peer_message,
+    "aborted": _client_left,
+}
+
+
 class Host:
-    """The instances of one process, and the batch being read."""
+    """The balancers of one process, and the batch that is being read."""
 
     def __init__(self, source: TextIO, sink: TextIO) -> None:
         self._source = source
@@ -85,33 +244,26 @@
         self._line_number = 0
         self._balancers: dict[str, Balancer] = {}
         self._lists: dict[int, list[model.Listing]] = {}
-        self._instance: str | None = None
-        self._speaker: str | None = None
+        self._instance: str | None = None  # that the lines of the batch are about
+        self._answering: str | None = None  # that the last lines of the reply are about
         self._replies: list[str] = []
         self._now = 0.0
-        self._events: dict[str, Callable[[str], None]] = {
+        self._messages: dict[str, Callable[[str], None]] = {
             "context": self._context,
             "born": self._born,
+            "kill": self._kill,
             "snapshot_rows": self._snapshot_rows,
             "discovery": self._discovery,
-            "arrival": self._arrival,
-            "verdict": self._verdict,
-            "tick_due": self._tick_due,
-            "first": self._first,
-            "ping_result": self._ping_result,
-            "whisper": self._whisper,
-            "aborted": self._aborted,
-            "kill": self._kill,
         }
 
     def run(self) -> int:
-        """Answer batches until the input ends; the exit code."""
+        """Answer batches until the input ends; return the exit code."""
         try:
             while self._batch():
                 pass
         except (WireError, ValueError, KeyError) as error:
-            what = f"{error.args[0]} is missing" if isinstance(error, KeyError) else error
-            print(f"line {self._line_number}: {what}", file=sys.stderr)
+            problem = f"{error.args[0]} is missing" if isinstance(error, KeyError) else error
+            print(f"line {self._line_number}: {problem}", file=sys.stderr)
             return 1
         except ModuleError as error:
             self._fatal(error)
@@ -126,32 +278,43 @@
         return line.rstrip("\n")
 
     def _batch(self) -> bool:
+        """Answer one batch; return False at the end of the input."""
         line = self._read()
         if line is None:
             return False
         if line.partition(" ")[0] != "sync":
-            raise WireError(f"expected sync, found {line[:60]!r}")
+            message = f"expected sync, found {line[:60]!r}"
+            raise WireError(message)
         members = _members(line)
         self._now, sequence = float(members["Now"]), int(members["seq"])
-        self._instance = self._speaker = None
+        self._instance = self._answering = None
         self._replies = []
-        events = self._events
-        while True:
-            line = self._read()
-            if line is None:
-                raise WireError("the batch ends without over_to_you")
+        while (line := self._read()) is not None:
             kind = line.partition(" ")[0]
             if kind == "over_to_you":
                 break
-            event = events.get(kind)
-            if event is None:
-                raise WireError(f"unknown message {kind[:60]!r}")
-            event(line)
+            self._message(kind, line)
+        else:
+            message = "the batch ends without over_to_you"
+            raise WireError(message)
         self._replies.append(f"yield seq={sequence}\n")
         self._sink.write("\n".join(self._replies))
         self._sink.flush()
         return True
 
+    def _message(self, kind: str, line: str) -> None:
+        if (read := EVENTS.get(kind)) is not None:
+            members = _members(line)
+            balancer = self._balancer()
+            event = read(members)
+            if event is not None:
+                self._step(balancer, event)
+        elif (handle := self._messages.get(kind)) is not None:
+            handle(line)
+        else:
+            message = f"unknown message {kind[:60]!r}"
+            raise WireError(message)
+
     def _fatal(self, error: ModuleError) -> None:
         cause = error.__cause__
         text = " ".join(f"{type(cause).__name__}: {cause}".split())
@@ -160,41 +323,47 @@
         print(f"line {self._line_number}: {text}", file=sys.stderr)
 
     def _balancer(self) -> Balancer:
-        if self._instance is None:
-            raise WireError("an event before any context")
-        balancer = self._balancers.get(self._instance)
+        name = self._context_name()
+        balancer = self._balancers.get(name)
         if balancer is None:
-            raise WireError(f"{self._instance} is not born")
+            message = f"{name} is not born"
+            raise WireError(message)
         return balancer
 
-    def _call(self, method: Callable[..., Iterable[model.Action]], *args: Any) -> None:
-        """Call the module; what it raises is its own fault, not the wire's."""
+    def _context_name(self) -> str:
+        if self._instance is None:
+            message = "an event before any context"
+            raise WireError(message)
+        return self._instance
+
+    def _step(self, balancer: Balancer, event: events.Event) -> None:
+        """Give an event to a balancer and add its actions to the reply.
+
+        `ModuleError` for whatever the balancer raises: that is no fault of the wire.
+        """
         try:
-            actions = method(self._now, *args)
+            actions = balancer.step(self._now, event)
         except Exception as error:
             raise ModuleError from error
         if not actions:
             return
-        if self._speaker != self._instance:
-            self._speaker = self._instance
+        if self._answering != self._instance:
+            self._answering = self._instance
             self._replies.append(f"speaking SidecarId={self._instance}")
-        for action in actions:
-            self._replies.append(_FORMATS[type(action)](action))
+        self._replies += map(_line, actions)
 
     def _context(self, line: str) -> None:
         self._instance = _members(line)["SidecarId"]
 
     def _born(self, line: str) -> None:
-        if self._instance is None:
-            raise WireError("an event before any context")
-        members = _members(line, "Setup")
+        name = self._context_name()
+        members = _members(line, last="Setup")
         settings = Settings.parse(json.loads(members["Setup"]))
-        seed = int(members["RngSeed"])
-        self._balancers[self._instance] = Balancer(self._now, settings, seed)
+        self._balancers[name] = Balancer(self._now, settings, int(members["RngSeed"]))
 
     def _kill(self, _line: str) -> None:
         self._balancer()
-        del self._balancers[self._instance or ""]
+        del self._balancers[self._context_name()]
 
     def _snapshot_rows(self, line: str) -> None:
         members = _members(line)
@@ -202,107 +371,25 @@
         for _ in range(int(members["Elements"])):
             item = self._read()
             if item is None or item.partition(" ")[0] != "item":
-                raise WireError("a list is short of entries")
-            entries.append(self._item(_members(item)))
+                message = "a list is short of entries"
+                raise WireError(message)
+            entries.append(_listing(_members(item)))
         self._lists[int(members["List"])] = entries
 
-    def _item(self, members: dict[str, str]) -> model.Listing:
-        get = members.get
-        state = get("StageState", "active")
-        if state not in STATES:
-            raise WireError(f"StageState: {state!r} is not known")
-        return model.Listing(
-            server=members["Server"],
-            zone=int(get("RegionPart", 0)),
-            kind=int(get("Sku", 0)),
-            cell=int(get("Stripe", 0)),
-            state=state,
-            weight=float(get("Weight", 1.0)),
-            started=float(get("BootTime", 0.0)),
-        )
-
     def _discovery(self, line: str) -> None:
         members = _members(line)
         form = members["Form"]
+        if form == DISCOVERY_FAILED:
+            self._step(self._balancer(), events.DiscoveryFailed())
+            return
         if form not in FORMS:
-            raise WireError(f"Form: {form!r} is not known")
-        entries: list[model.Listing] = []
-        if form != "refused":
-            number = int(members["List"])
-            if number not in self._lists:
-                raise WireError(f"list {number} was not given")
-            entries = self._lists[number]
-        self._call(self._balancer().server_list, form, entries)
-
-    def _arrival(self, line: str) -> None:
-        members = _members(line)
-        get = members.get
-        key, work = get("NameKey"), get("Work")
-        arrival = model.Arrival(
-            int(members["RequestId"]),
-            int(get("Band", 0)),
-            float(members["GiveUpAt"]),
-            int(get("Tenant", 0)),
-            None if key is None else int(key),
-            None if work is None else float(work),
-            get("AgainByClient") == "1",
-            get("Mutates") == "1",
-        )
-        self._call(self._balancer().request, arrival)
-
-    def _verdict(self, line: str) -> None:
-        members = _members(line)
-        get = members.get
-        report = get("Report")
-        self._call(
-            self._balancer().outcome,
-            int(members["RequestId"]),
-            int(get("Hop", 0)),
-            _status(members),
-            float(get("Spent", 0.0)),
-            get("Last") == "1",
-            None if report is None else _report(report),
-        )
-
-    def _tick_due(self, line: str) -> None:
-        self._call(self._balancer().timer, _members(line)["Tag"])
-
-    def _first(self, line: str) -> None:
-        members = _members(line)
-        self._call(
-            self._balancer().answer_started,
-            int(members["RequestId"]),
-            int(members.get("Hop", 0)),
-        )
-
-    def _ping_result(self, line: str) -> None:
-        members = _members(line)
-        report = members.get("Report")
-        self._call(
-            self._balancer().probe_result,
-            members["Server"],
-            _status(members),
-            float(members.get("Spent", 0.0)),
-            None if report is None else _report(report),
-        )
-
-    def _whisper(self, line: str) -> None:
-        members = _members(line)
-        self._call(
-            self._balancer().peer_message,
-            int(members["OriginPeer"]),
-            _bytes(members.get("Msg", "-")),
-        )
-
-    def _aborted(self, line: str) -> None:
-        self._call(self._balancer().client_gone, int(_members(line)["RequestId"]))
-
-
-def _status(members: dict[str, str]) -> int:
-    status = int(members["Status"])
-    if not 0 <= status <= model.Outcome.ABANDONED:
-        raise WireError(f"Status: {status} is not known")
-    return status
+            message = f"Form: {form!r} is not known"
+            raise WireError(message)
+        number = int(members["List"])
+        if number not in self._lists:
+            message = f"list {number} was not given"
+            raise WireError(message)
+        self._step(self._balancer(), events.EndpointsListed(FORMS[form], self._lists[number]))
 
 
 def main() -> int:
@@ -310,7 +397,7 @@
     try:
         return Host(sys.stdin, sys.stdout).run()
     except BrokenPipeError:
-        # The reader has gone: leave nothing for the interpreter to flush.
+        # The simulator has closed the pipe: leave nothing for the interpreter to flush.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         return 0
 
--- a/tests/balancer/test_recovery.py
+++ b/tests/balancer/test_recovery.py
@@ -6,12 +6,14 @@
 
 import pytest
 
-from brassfall.balancer.balancer import REASONS
-from brassfall.balancer.model import Outcome, Refuse
+from brassfall.balancer.model import RefusalReason, Refuse
 from brassfall.lab import day, ledger, spec
 from brassfall.lab.sim.sidecar import Sidecar
 from brassfall.lab.sim.world import World
-from tests.support.helpers import arrival, balancer, of_type
+from tests.support.helpers import answered, arrival, balancer, of_type, selector
+
+# Every reason that the balancer itself has, by its name in `REFUSALS`.
+LOCAL_REFUSALS = ("formula", "level", "heavy", "room", "line", "failed")
 
 # Servers with room for twice the load, which no crowd slows down for good; a burst of 2.5 times.
 BURST = """
@@ -67,29 +69,32 @@
     # Found on calm+mass: refusals by the level filled windows, which then refused on no other evidence.
     made = balancer("safe", Report={"How": "inline", "Fields": ["inflight"]})
     for number in range(200):
-        made._shedder.observe(number, 1.0)
-        actions = made.request(float(number), arrival(number, number))
+        made.components.shedder.observe(number, 1.0)
+        actions = made.step(float(number), arrival(number, number))
         if not of_type(actions, Refuse):
-            made.outcome(number + 0.5, number, 0, Outcome.OK, 0.5, True, {"inflight": 1.0})
-    assert made.given_up["level"] > 100 and made.given_up["formula"] == 0
-    assert made._throttle.drop_chance(200.0) == 0.0
+            made.step(
+                number + 0.5,
+                answered(number, 0.5, in_flight=1.0),
+            )
+    assert made.refusals[RefusalReason.SHED] > 100 and made.refusals[RefusalReason.THROTTLED] == 0
+    assert made.components.throttle.drop_chance(200.0) == 0.0
 
 
 def test_each_request_given_up_is_counted_by_its_reason():
     made = balancer("safe", servers=0)
     for number in range(3):
-        assert of_type(made.request(0.0, arrival(number)), Refuse)
-    assert made.given_up == dict.fromkeys(REASONS, 0) | {"room": 3}
+        assert of_type(made.step(0.0, arrival(number)), Refuse)
+    assert made.refusals == dict.fromkeys(LOCAL_REFUSALS, 0) | {RefusalReason.NO_SERVER: 3}
     for _ in range(40):
-        made._throttle.add(1.0, 0.0)
-    refused = sum(bool(of_type(made.request(1.0, arrival(number, 1.0)), Refuse)) for number in range(10, 50))
-    assert made.given_up["formula"] > 20 and sum(made.given_up.values()) == refused + 3
+        made.components.throttle.add(1.0, 0.0)
+    refused = sum(bool(of_type(made.step(1.0, arrival(number, 1.0)), Refuse)) for number in range(10, 50))
+    assert made.refusals[RefusalReason.THROTTLED] > 20 and sum(made.refusals.values()) == refused + 3
 
 
 def test_a_server_never_heard_counts_as_the_mean_of_those_heard():
     # Found in the lab at 200 sidecars: a busy sidecar widens, and unknown servers drew all that came.
     made = balancer("safe", servers=2, Report={"How": "inline", "Fields": ["inflight"]})
-    known, unknown = made._endpoints.servers["s0"], made._endpoints.servers["s1"]
+    known, unknown = made.components.endpoints.servers["s0"], made.components.endpoints.servers["s1"]
     for number in range(30):
-        made._overload.observe_report(10.0 * number, known, {"inflight": 6.0})
-    assert made._selector.load(300.0, unknown) == pytest.approx(made._selector.load(300.0, known), rel=0.1)
+        made.components.overload.observe_report(10.0 * number, known, {"inflight": 6.0})
+    assert selector(made).load(300.0, unknown) == pytest.approx(selector(made).load(300.0, known), rel=0.1)
--- a/tests/balancer/test_rules_property.py
+++ b/tests/balancer/test_rules_property.py
@@ -10,21 +10,44 @@
 from hypothesis import strategies as st
 
 from brassfall.balancer import Balancer, Settings
+from brassfall.balancer.events import (
+    AnswerStarted,
+    AttemptEnded,
+    ClientLeft,
+    DiscoveryFailed,
+    EndpointsListed,
+    HealthCheckEnded,
+    PeerMessageReceived,
+    RequestArrived,
+    SteeringChanged,
+    TimerDue,
+)
 from brassfall.balancer.model import (
-    Arrival,
     Cancel,
     CloseIdle,
     Fail,
+    IdleCloseTimer,
+    KeyPauseTimer,
+    ListForm,
     Listing,
+    ObjectiveTimer,
     Outcome,
     Probe,
+    QueueDeadlineTimer,
     Refuse,
     Send,
     Steer,
     Timer,
     Watch,
 )
+from brassfall.simulator import timer_token
 
+STRAY_TIMERS = (
+    ObjectiveTimer(request=999_999, attempt=0),
+    QueueDeadlineTimer(request=999_999),
+    KeyPauseTimer(key=999_999),
+    IdleCloseTimer("nobody"),
+)
 NEVER_RAN = {Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.ABANDONED}
 ENDS = [
     Outcome.OK,
@@ -116,7 +139,7 @@
         self.balancer = Balancer(self.now, Settings.parse(self.told), self.rng.getrandbits(40))
         entries = [self.entry(i) for i in range(self.rng.choice([0, 1, 5, 9]))]
         self.listed = {entry.server: entry for entry in entries}
-        self.apply(self.balancer.server_list(self.now, "remembered", entries))
+        self.apply(self.balancer.step(self.now, EndpointsListed(ListForm.REMEMBERED, entries)))
 
     def entry(self, number, state="active", started=0.0):
         weight = 1.0 + number % 3
@@ -141,7 +164,7 @@
                 delay = self.rng.choice([TICK, 20.0, 500.0])
                 self.at(delay, "probed", action.server)
             elif isinstance(action, Timer):
-                assert action.delay >= 0.0 and 1 <= len(action.token) <= 64
+                assert action.delay >= 0.0 and 1 <= len(timer_token(action.token)) <= 64
                 self.at(max(action.delay, TICK), "timer", action.token)
             elif isinstance(action, CloseIdle):
                 assert action.server in self.listed
@@ -207,7 +230,7 @@
             draw([{}, shares]), {0: draw([{}, shares])}, {1: shares}, off, frozenset({f"s{draw(range(9))}"}),
             {1: draw([0.0, 3.0, float("nan"), -1.0])}, draw([0.0, 0.5, 1.0, 3.0]), draw([0.0, 0.5]),
         )  # fmt: skip
-        self.apply(self.balancer.steer(self.now, self.held))
+        self.apply(self.balancer.step(self.now, SteeringChanged(self.held)))
 
     def keep_order(self, number, request, profile):
         """The rule of order per key, by the oracle's own books."""
@@ -244,8 +267,8 @@
         }  # fmt: skip
         key = self.requests[number]["key"] = self.rng.choice([None, 1, 2])
         work = self.rng.choice([None, 10.0, 80.0])
-        made = Arrival(number, band, give_up, self.rng.randrange(3), key, work)
-        self.apply(self.balancer.request(self.now, made))
+        made = RequestArrived(number, band, give_up, self.rng.randrange(3), key, work)
+        self.apply(self.balancer.step(self.now, made))
 
     def outcome(self, number, hop, status):
         request = self.requests.get(number)
@@ -264,7 +287,11 @@
         spent = self.now - attempt["sent"]
         report = {"inflight": 5.0, "x0": 1.0} if self.rng.random() < 0.5 else None
         last = request["ended"]
-        self.apply(self.balancer.outcome(self.now, number, hop, status, spent, last, report))
+        self.apply(
+            self.balancer.step(
+                self.now, AttemptEnded(number, hop, status, spent, request_ended=last, report=report)
+            )
+        )
 
     def first(self, number, hop):
         request = self.requests.get(number)
@@ -276,26 +303,26 @@
         request["attempts"][hop]["begun"] = True
         # The answer belongs to the client now: no final answer is owed any more.
         request["ended"] = True
-        self.apply(self.balancer.answer_started(self.now, number, hop))
+        self.apply(self.balancer.step(self.now, AnswerStarted(number, hop)))
         end = self.rng.choice([Outcome.OK, Outcome.RESET])
         self.at(self.rng.choice([20.0, 900.0]), "outcome", number, hop, end)
 
     def timer(self, token):
-        self.apply(self.balancer.timer(self.now, token))
+        self.apply(self.balancer.step(self.now, TimerDue(token)))
 
     def probed(self, server):
         status = self.rng.choice([Outcome.OK, Outcome.OK, Outcome.FULL, Outcome.TIMEOUT])
         report = {"inflight": self.rng.choice([0.0, 9.0, 300.0])}
         found = report if status == Outcome.OK else None
-        self.apply(self.balancer.probe_result(self.now, server, status, TICK, found))
+        self.apply(self.balancer.step(self.now, HealthCheckEnded(server, status, TICK, found)))
 
     def gone(self):
         open_ids = [n for n, r in self.requests.items() if not r["ended"]]
         if open_ids:
             number = self.rng.choice(open_ids)
             self.requests[number]["ended"] = True
-            self.apply(self.balancer.client_gone(self.now, number))
-        self.apply(self.balancer.client_gone(self.now, 999_999))
+            self.apply(self.balancer.step(self.now, ClientLeft(number)))
+        self.apply(self.balancer.step(self.now, ClientLeft(999_999)))
 
     def change(self):
         number = self.rng.randrange(12)
@@ -303,7 +330,7 @@
         started = self.now - self.rng.choice([0.0, 500.0]) if state == "active" else 0.0
         made = self.entry(number, state, started)
         self.notice(made)
-        self.apply(self.balancer.server_list(self.now, "changes", [made]))
+        self.apply(self.balancer.step(self.now, EndpointsListed(ListForm.CHANGES, [made])))
 
     def whole(self):
         kept = [e for e in self.listed.values() if e.state == "active"]
@@ -311,7 +338,7 @@
         for entry in list(self.listed.values()):
             if entry not in kept:
                 self.notice(entry._replace(state="left"))
-        self.apply(self.balancer.server_list(self.now, "all", kept))
+        self.apply(self.balancer.step(self.now, EndpointsListed(ListForm.COMPLETE, kept)))
 
     def notice(self, entry):
         """The oracle's books of what the instance is told of one server."""
@@ -326,7 +353,7 @@
         if well:
             self.change()
         else:
-            self.apply(self.balancer.server_list(self.now, "refused", []))
+            self.apply(self.balancer.step(self.now, DiscoveryFailed()))
 
     def advance(self, until):
         while True:
@@ -378,11 +405,11 @@
         elif step == "long":
             world.advance(world.now + 600.0)
         elif step == "peer" and raw["PolicyLimits"]["PeerMessages"]:
-            world.apply(world.balancer.peer_message(world.now, 1, b"\x00hello"))
+            world.apply(world.balancer.step(world.now, PeerMessageReceived(1, b"\x00hello")))
         elif step == "stray":
-            world.apply(world.balancer.outcome(world.now, 999_999, 0, Outcome.OK))
-            for token in ("due:999999:0", "late:999999", "turn:999999", "close:nobody", "unknown"):
-                world.apply(world.balancer.timer(world.now, token))
+            world.apply(world.balancer.step(world.now, AttemptEnded(999_999, 0, Outcome.OK)))
+            for token in STRAY_TIMERS:
+                world.apply(world.balancer.step(world.now, TimerDue(token)))
         elif step == "restart":
             world.born()
         elif step == "refused":
@@ -393,8 +420,8 @@
         world.advance(world.now + TICK)
     world.advance(world.now + 3000.0)
     assert all(request["ended"] for request in world.requests.values())
-    assert not world.balancer._requests or any(r["begun_out"] for r in open_streams(world))
-    assert not world.balancer._key_queues or world.balancer._requests
+    assert not world.balancer.open_requests or any(r["begun_out"] for r in open_streams(world))
+    assert not world.balancer.key_queues or world.balancer.open_requests
 
 
 def open_streams(world):
--- a/tests/balancer/test_simulator.py
+++ b/tests/balancer/test_simulator.py
@@ -1,4 +1,4 @@
-"""The installed adapter, driven through its standard input."""
+"""The adapter to the simulator's wire, as a process with standard input and output."""
 
 from __future__ import annotations
 
@@ -11,6 +11,15 @@
 
 import pytest
 
+from brassfall.balancer.model import (
+    DiscoveryRetryTimer,
+    IdleCloseTimer,
+    KeyPauseTimer,
+    ObjectiveTimer,
+    QueueDeadlineTimer,
+)
+from brassfall.simulator import parse_timer, timer_token
+
 ROOT = Path(__file__).resolve().parents[2]
 SETUP = json.dumps(
     {
@@ -53,7 +62,7 @@
 
 
 def day(instances):
-    """A short day of several instances; each one's events are its own."""
+    """Return a short day of several balancers, each with events of its own."""
     text = batch(0, "") + batch(1, LIST + "".join(born(i, seed=i + 5) for i in instances))
     for number in range(2, 40):
         body = ""
@@ -80,13 +89,13 @@
     assert done.stdout.startswith("yield seq=0\n")
 
 
-def test_bytes_do_not_rest_on_hashing():
+def test_the_output_does_not_depend_on_the_hash_seed():
     text = day([0, 1, 2])
     assert run(text, "1").stdout == run(text, "2").stdout
 
 
-def spoken(output):
-    """Each instance's actions, in order."""
+def actions_by_instance(output):
+    """Return each balancer's actions, in order."""
     by_instance, speaker = {}, None
     for line in output.splitlines():
         if line.startswith("speaking "):
@@ -96,13 +105,13 @@
     return by_instance
 
 
-def test_actions_do_not_rest_on_who_shares_the_process():
-    together = spoken(run(day([0, 1, 2])).stdout)
+def test_the_actions_of_a_balancer_do_not_depend_on_others_in_the_process():
+    together = actions_by_instance(run(day([0, 1, 2])).stdout)
     for i in range(3):
-        assert spoken(run(day([i])).stdout) == {f"sidecar/{i}": together[f"sidecar/{i}"]}
+        assert actions_by_instance(run(day([i])).stdout) == {f"sidecar/{i}": together[f"sidecar/{i}"]}
 
 
-def test_lists_are_resolved_in_event_order_and_an_instance_restarts_in_a_batch():
+def test_lists_apply_in_the_order_of_events_and_a_balancer_may_restart_within_a_batch():
     other = "snapshot_rows List=3 Elements=1\nitem Server=s.9\n"
     body = LIST + born(0) + "kill\n" + other + born(0)
     ask = "context SidecarId=sidecar/0\narrival RequestId=1 Band=0 GiveUpAt=900\n"
@@ -126,7 +135,7 @@
         (f"sync seq=1 Now=1\n{LIST}", 5, "without over_to_you"),
     ],
 )
-def test_malformed_input_is_one_plain_message(text, line, message):
+def test_malformed_input_ends_with_one_line_that_names_it(text, line, message):
     done = run(text)
     assert done.returncode == 1
     assert len(done.stderr.splitlines()) == 1
@@ -135,14 +144,14 @@
     assert "Traceback" not in done.stderr + done.stdout
 
 
-def test_an_exception_inside_the_module_is_fatal_with_its_text():
+def test_an_exception_in_the_balancer_is_reported_as_fatal():
     body = LIST + born(0) + "arrival RequestId=1 Band=7 GiveUpAt=900\n"
     done = run(batch(1, body))
     assert done.returncode == 1
     assert re.search(r"^fatal ReasonText=ValueError: request 1: no class 7$", done.stdout, re.M)
 
 
-def test_a_closed_output_ends_it_quietly():
+def test_a_closed_output_ends_the_adapter_without_an_error():
     with subprocess.Popen(
         [sys.executable, "-m", "brassfall.simulator"],
         stdin=subprocess.PIPE,
@@ -156,3 +165,30 @@
         host.stdin.close()
         assert host.wait(timeout=60) == 0
         assert host.stderr.read() == ""
+
+
+@pytest.mark.parametrize(
+    ("token", "tag"),
+    [
+        (ObjectiveTimer(request=7, attempt=2), "due:7:2"),
+        (QueueDeadlineTimer(request=7), "late:7"),
+        (KeyPauseTimer(key=7), "turn:7"),
+        (IdleCloseTimer("s:1"), "close:s:1"),
+        (DiscoveryRetryTimer(), "watch"),
+    ],
+)
+def test_each_timer_has_its_tag_on_the_wire(token, tag):
+    assert timer_token(token) == tag
+    assert parse_timer(tag) == token and type(parse_timer(tag)) is type(token)
+
+
+def test_a_tag_that_is_not_the_balancers_own_is_ignored():
+    assert parse_timer("look:7:0") is None and parse_timer("watch:1") is None
+    done = run(batch(1, LIST + born(0) + "tick_due Tag=look:7:0\n"))
+    assert done.returncode == 0 and "fatal" not in done.stdout
+
+
+def test_a_tag_with_an_unreadable_number_is_reported_as_fatal():
+    done = run(batch(1, LIST + born(0) + "tick_due Tag=due:x:0\n"))
+    assert done.returncode == 1
+    assert "fatal ReasonText=ValueError" in done.stdout and "Traceback" not in done.stderr
--- a/tests/balancer/test_slow_start_fleet.py
+++ b/tests/balancer/test_slow_start_fleet.py
@@ -11,13 +11,20 @@
 import itertools
 import math
 import random
-from collections import deque
+from collections import Counter, deque
 
 import pytest
 
 from brassfall.balancer import Balancer, Settings
-from brassfall.balancer.model import Arrival, Fail, Listing, Outcome, Refuse, Send, Timer
-from tests.support.helpers import of_type, raw_settings
+from brassfall.balancer.events import (
+    AttemptEnded,
+    EndpointsListed,
+    RequestArrived,
+    SettingsReloaded,
+    TimerDue,
+)
+from brassfall.balancer.model import Fail, ListForm, Listing, Outcome, Refuse, Send, Timer
+from tests.support.helpers import answered, of_type, raw_settings
 
 MULTIPLE, SPAN, COLD_FROM, WARM_UP = 4.0, 2000.0, 0.12, 22_000.0
 RULES = {"ColdFrom": COLD_FROM, "WarmUp": WARM_UP, "FallMultiple": MULTIPLE, "OverloadFor": SPAN}
@@ -81,6 +88,7 @@
         self.parts = [*itertools.accumulate(parts)]
         self.sidecars = [settled(me, sidecars, seed * 1000 + me) for me in range(sidecars)]
         self.lives = [0] * sidecars
+        self.attempts = Counter()  # by request
         self.due = self.served = 0
         for _ in range(servers):
             self.begin(0.0, None)
@@ -112,14 +120,14 @@
             self.at(now + 300.0 * self.rng.random(), self.hear, me, entry)
 
     def hear(self, now, me, entry):
-        self.do(now, me, self.sidecars[me].server_list(now, "changes", [entry]))
+        self.do(now, me, self.sidecars[me].step(now, EndpointsListed(ListForm.CHANGES, [entry])))
 
     def restart(self, now, me):
         self.lives[me] += 1
         made = Balancer(now, self.sidecars[me].settings, self.rng.getrandbits(32))
         self.sidecars[me] = made
         here = [entry for entry in self.listed.values() if entry.state == "active"]
-        self.do(now, me, made.server_list(now, "all", here))
+        self.do(now, me, made.step(now, EndpointsListed(ListForm.COMPLETE, here)))
 
     def arrive(self, now):
         self.at(now + self.rng.expovariate(self.rate), self.arrive)
@@ -129,14 +137,15 @@
     def ask(self, now, me, first, tries):
         number = next(self.ids)
         self.taken[number] = (first, tries)
-        self.do(now, me, self.sidecars[me].request(now, Arrival(number, 0, first + DEADLINE)))
+        self.do(now, me, self.sidecars[me].step(now, RequestArrived(number, 0, first + DEADLINE)))
 
     def do(self, now, me, actions):
         life = self.lives[me]
         for action in actions:
             if isinstance(action, Send):
-                hop = len(self.sidecars[me]._requests[action.request].attempts) - 1
-                self.at(now + 0.3, self.reach, me, life, (action.request, hop, now), action)
+                number = self.attempts[action.request]
+                self.attempts[action.request] += 1
+                self.at(now + 0.3, self.reach, me, life, (action.request, number, now), action)
             elif isinstance(action, Timer):
                 self.at(now + action.delay, self.timer, me, life, action.token)
             elif isinstance(action, Refuse | Fail):
@@ -146,7 +155,7 @@
 
     def timer(self, now, me, life, token):
         if life == self.lives[me]:
-            self.do(now, me, self.sidecars[me].timer(now, token))
+            self.do(now, me, self.sidecars[me].step(now, TimerDue(token)))
 
     def reach(self, now, me, life, attempt, send):
         server = self.servers[send.server]
@@ -180,7 +189,11 @@
             self.served += now - first <= OBJECTIVE
         report = {"inflight": float(server.jobs)} if server else None
         made = self.sidecars[me]
-        self.do(now, me, made.outcome(now, number, hop, status, now - sent, ok, report))
+        self.do(
+            now,
+            me,
+            made.step(now, AttemptEnded(number, hop, status, now - sent, request_ended=ok, report=report)),
+        )
 
 
 @pytest.mark.parametrize(("sidecars", "able"), [(20, 0.7), (30, 1.0), (200, 5.0)])
@@ -192,22 +205,25 @@
     for me in range(sidecars):
         made = settled(me, sidecars, me)
         names = [f"s{n}" for n in range(10)]
-        made.server_list(0.0, "all", [Listing(name) for name in names])
+        made.step(0.0, EndpointsListed(ListForm.COMPLETE, [Listing(name) for name in names]))
         now, number = gap * ((me * 0.618) % 1.0), 0
         told = False
         while now < start + age:
             if now >= start and not told:
                 told = True
-                made.server_list(now, "changes", [Listing("s0", started=start)])
-            for send in of_type(made.request(now, Arrival(number, 0, now + DEADLINE)), Send):
+                made.step(now, EndpointsListed(ListForm.CHANGES, [Listing("s0", started=start)]))
+            for send in of_type(made.step(now, RequestArrived(number, 0, now + DEADLINE)), Send):
                 sent += [now] * (told and send.server == "s0")
-                made.outcome(now + 300.0, number, 0, Outcome.OK, 300.0, True, {"inflight": 1.0})
+                made.step(
+                    now + 300.0,
+                    answered(number, 300.0, in_flight=1.0),
+                )
             now, number = now + gap, number + 1
         now = start + age
         gone = [Listing(name, state="left") for name in names[1:]]
-        made.server_list(now, "changes", [Listing("s0", started=start), *gone])
+        made.step(now, EndpointsListed(ListForm.CHANGES, [Listing("s0", started=start), *gone]))
         for number in range(1000, 1005):
-            sent += [now] * len(of_type(made.request(now, Arrival(number, 0, now + DEADLINE)), Send))
+            sent += [now] * len(of_type(made.step(now, RequestArrived(number, 0, now + DEADLINE)), Send))
     assert sum(at > start + age - SPAN for at in sent) <= allowed(age, able / 1000.0)
 
 
@@ -247,16 +263,22 @@
 
 def test_a_longer_warm_up_told_later_leaves_no_debt_of_warm_days():
     made = settled(0, 1, 1)
-    made.server_list(0.0, "all", [Listing("s0", started=0.5)])
+    made.step(0.0, EndpointsListed(ListForm.COMPLETE, [Listing("s0", started=0.5)]))
     for number in range(200):
         now = 25_000.0 + 100.0 * number
-        made.request(now, Arrival(number, 0, now + DEADLINE))
-        made.outcome(now + 20.0, number, 0, Outcome.OK, 20.0, True, {"inflight": 1.0})
+        made.step(now, RequestArrived(number, 0, now + DEADLINE))
+        made.step(
+            now + 20.0,
+            answered(number, 20.0, in_flight=1.0),
+        )
     raw = raw_settings("safe", Rules={**RULES, "WarmUp": 400_000.0})
-    made.reload(45_000.0, Settings.parse(raw), [0])
+    made.step(45_000.0, SettingsReloaded(Settings.parse(raw), [0]))
     sends = 0
     for number in range(1000, 1040):
         now = 45_000.0 + 100.0 * (number - 1000)
-        sends += len(of_type(made.request(now, Arrival(number, 0, now + DEADLINE)), Send))
-        made.outcome(now + 20.0, number, 0, Outcome.OK, 20.0, True, {"inflight": 1.0})
+        sends += len(of_type(made.step(now, RequestArrived(number, 0, now + DEADLINE)), Send))
+        made.step(
+            now + 20.0,
+            answered(number, 20.0, in_flight=1.0),
+        )
     assert sends > 0
--- a/tests/balancer/test_standing_module.py
+++ b/tests/balancer/test_standing_module.py
@@ -16,7 +16,8 @@
 import pytest
 
 from brassfall.balancer import Balancer, Settings
-from brassfall.balancer.model import Arrival, Listing, Outcome, Refuse, Send, Timer
+from brassfall.balancer.events import AttemptEnded, EndpointsListed, RequestArrived, TimerDue
+from brassfall.balancer.model import ListForm, Listing, Outcome, Refuse, Send, Timer
 from tests.support.helpers import raw_settings
 
 RULES = {"ColdFrom": 0.12, "WarmUp": 22_000.0, "FallMultiple": 4.0, "OverloadFor": 2000.0}
@@ -67,7 +68,7 @@
 
     def sidecar(self, me, now, known):
         made = Balancer(now, Settings.parse({**self.raw, "Me": me}), 1000 * self.rng.randrange(10**6) + me)
-        made.server_list(now, "remembered", known)
+        made.step(now, EndpointsListed(ListForm.REMEMBERED, known))
         return made
 
     def later(self, at, deed, *args):
@@ -89,7 +90,7 @@
     def ask(self, now, me, band, tenant, born, tries):
         number, give_up_at = next(self.numbers), now + 0.55 * self.kinds[band].deadline
         self.requests[number] = (me, band, tenant, born, tries, give_up_at)
-        self.act(now, me, self.sidecars[me].request(now, Arrival(number, band, give_up_at, tenant)))
+        self.act(now, me, self.sidecars[me].step(now, RequestArrived(number, band, give_up_at, tenant)))
 
     def act(self, now, me, actions):
         for action in actions:
@@ -104,7 +105,7 @@
 
     def timer(self, now, me, made, token):
         if self.sidecars[me] is made:
-            self.act(now, me, made.timer(now, token))
+            self.act(now, me, made.step(now, TimerDue(token)))
 
     def send(self, now, me, action):
         name, attempt = action.server, (action.request, self.hops[action.request])
@@ -143,7 +144,8 @@
         held = {"inflight": float(len(self.lines[name]) + self.running[name])}
         report = held if status in (Outcome.OK, Outcome.FULL) else None
         spent = now - born
-        self.act(now, me, self.sidecars[me].outcome(now, *attempt, int(status), spent, answered, report))
+        ended = AttemptEnded(*attempt, status, spent, request_ended=answered, report=report)
+        self.act(now, me, self.sidecars[me].step(now, ended))
 
 
 # --- cold servers ---------------------------------------------------------------------------------
@@ -176,7 +178,7 @@
                 known = [Listing(name) for name in names[cold + gone :]] + news[:cold]
                 fleet.sidecars[me] = fleet.sidecar(me, now, known)
             else:
-                fleet.act(now, me, made.server_list(now, "changes", news))
+                fleet.act(now, me, made.step(now, EndpointsListed(ListForm.CHANGES, news)))
 
     fleet.later(START, start)
     fleet.run(START + 3000.0)
@@ -238,7 +240,7 @@
                 warm = [Listing(name) for name in names[start.joined + start.lost :]]
                 fleet.sidecars[me] = fleet.sidecar(me, now, warm + fresh)
             else:
-                fleet.act(now, me, made.server_list(now, "changes", news))
+                fleet.act(now, me, made.step(now, EndpointsListed(ListForm.CHANGES, news)))
 
     fleet.later(START, begin)
     fleet.run(START + 5000.0)
--- a/tests/balancer/test_steering.py
+++ b/tests/balancer/test_steering.py
@@ -9,9 +9,9 @@
 import pytest
 
 from brassfall.balancer import Balancer, Settings
-from brassfall.balancer.events import SteeringChanged
-from brassfall.balancer.model import Arrival, Listing, Outcome, Refuse, Send, Steer
-from tests.support.helpers import of_type, raw_settings
+from brassfall.balancer.events import AttemptEnded, EndpointsListed, RequestArrived, SteeringChanged
+from brassfall.balancer.model import ListForm, Listing, Outcome, Refuse, Send, Steer
+from tests.support.helpers import answered, of_type, raw_settings
 
 ZONES = ("a", "b", "c")
 PLAN = Steer(shares={0: 0.7, 1: 0.2, 2: 0.1})
@@ -35,10 +35,10 @@
             for z, zone in enumerate(ZONES)
             for n in range(per_zone)
         ]
-        self.balancer.server_list(self.now, "remembered", self.servers)
+        self.balancer.step(self.now, EndpointsListed(ListForm.REMEMBERED, self.servers))
 
     def steer(self, steer: Steer, wait: float = EASED) -> Play:
-        self.balancer.steer(self.now, steer)
+        self.balancer.step(self.now, SteeringChanged(steer))
         self.now += wait
         return self
 
@@ -50,8 +50,8 @@
             while self.out and self.out[0][0] <= self.now:
                 self.end(*heapq.heappop(self.out))
             self.count += 1
-            arrival = Arrival(self.count, request_class, self.now + 1000.0, tenant)
-            self.carry(self.balancer.request(self.now, arrival), 0, request_class)
+            arrival = RequestArrived(self.count, request_class, self.now + 1000.0, tenant)
+            self.carry(self.balancer.step(self.now, arrival), 0, request_class)
         return self.first
 
     def carry(self, actions: list, hop: int, request_class: int) -> None:
@@ -70,7 +70,9 @@
         self, at: float, request: int, hop: int, request_class: int, status: Outcome, took: float
     ) -> None:
         report = {"inflight": 1.0} if status == Outcome.FULL else None
-        actions = self.balancer.outcome(at, request, hop, status, took, status == Outcome.OK, report)
+        actions = self.balancer.step(
+            at, AttemptEnded(request, hop, status, took, request_ended=status == Outcome.OK, report=report)
+        )
         self.carry(actions, hop + 1, request_class)
 
 
@@ -103,8 +105,10 @@
     play.bad = {"a": Outcome.OK}
     for number in range(60):  # the usual answer takes a third of the aim from here on
         play.now += 10.0
-        sent = of_type(play.balancer.request(play.now, Arrival(90000 + number, 1, play.now + 1000.0)), Send)
-        play.balancer.outcome(play.now + 70.0, 90000 + number, 0, Outcome.OK, 70.0, True)
+        sent = of_type(
+            play.balancer.step(play.now, RequestArrived(90000 + number, 1, play.now + 1000.0)), Send
+        )
+        play.balancer.step(play.now + 70.0, answered(90000 + number, 70.0))
     assert sent[0].server[-1] == "a"
 
 
@@ -133,7 +137,7 @@
 
 def test_a_zone_that_loses_servers_keeps_no_more_than_their_part_of_its_share():
     play = Play().steer(Steer(shares={0: 1.0}))
-    play.balancer.server_list(play.now, "all", play.servers[1:])
+    play.balancer.step(play.now, EndpointsListed(ListForm.COMPLETE, play.servers[1:]))
     assert play.run(2000)["a"] / 2000 == pytest.approx(0.5 + 0.5 * 0.2, abs=0.15)
 
 
@@ -161,15 +165,15 @@
     assert sum(play.run(300).values()) == 300
     play.steer(Steer(excluded_zones=frozenset({0})), wait=0.0)
     assert set(play.run(300)) == {"b", "c"}
-    play.balancer.server_list(play.now, "all", play.servers[:2])
+    play.balancer.step(play.now, EndpointsListed(ListForm.COMPLETE, play.servers[:2]))
     assert play.run(300) == {"a": 300}
 
 
 def test_a_request_bound_to_a_group_follows_its_rule_before_a_hold_off():
     play = Play("keyed")
-    sent = of_type(play.balancer.request(0.0, Arrival(1, 0, 1000.0)), Send)[0]
+    sent = of_type(play.balancer.step(0.0, RequestArrived(1, 0, 1000.0)), Send)[0]
     play.steer(Steer(excluded_zones=frozenset({"abc".index(sent.server[-1])})), wait=0.0)
-    again = of_type(play.balancer.outcome(20.0, 1, 0, Outcome.ERROR, 20.0), Send)
+    again = of_type(play.balancer.step(20.0, AttemptEnded(1, 0, Outcome.ERROR, 20.0)), Send)
     assert again[0].server[-1] == sent.server[-1] and again[0].server != sent.server
 
 
@@ -178,7 +182,7 @@
 def test_what_was_excluded_is_eased_back_in(shares, names):
     play = Play(per_zone=8, names=names).steer(Steer(shares=shares, excluded_zones=frozenset({0})))
     play.run(500)
-    play.balancer.steer(play.now, Steer(shares=shares))
+    play.balancer.step(play.now, SteeringChanged(Steer(shares=shares)))
     parts = [play.run(500, gap=2.0)["a"] / 500 for _ in range(5)]  # a second each
     whole = play.run(2500, gap=2.0)["a"] / 2500
     for second, part in enumerate(parts):
@@ -190,9 +194,9 @@
 
 def test_shares_that_change_twice_within_the_time_are_eased_without_a_jump():
     play = Play(per_zone=8).steer(Steer(shares={0: 1.0}))
-    play.balancer.steer(play.now, Steer(shares={1: 1.0}))
+    play.balancer.step(play.now, SteeringChanged(Steer(shares={1: 1.0})))
     assert play.run(250)["b"] / 250 == pytest.approx(0.25, abs=0.07)
-    play.balancer.steer(play.now, Steer(shares={2: 1.0}))
+    play.balancer.step(play.now, SteeringChanged(Steer(shares={2: 1.0})))
     soon = play.run(100, gap=2.0)
     assert soon["a"] > 25 and soon["b"] > 25 and soon["c"] < 25
     play.now += EASED
@@ -203,7 +207,7 @@
     play = Play()
     for number in range(2000):
         play.steer(Steer(shares={number % 3: 1.0}), wait=10.0).run(1, gap=0.0)
-    assert len(play.balancer._steering._stages) <= 10
+    assert play.balancer.components.steering.stages <= 10
     assert play.steer(PLAN).run(1000)["a"] > 600
 
 
@@ -214,7 +218,7 @@
     play = Play(per_zone=8, Rules=rules).steer(Steer(shares=shares))
     play.run(5000, gap=1.0)
     cold = [entry._replace(started=play.now) for entry in play.servers if entry.zone == 0]
-    play.balancer.server_list(play.now, "changes", cold)
+    play.balancer.step(play.now, EndpointsListed(ListForm.CHANGES, cold))
     assert least < play.run(4000, gap=1.0)["a"] / 4 <= most
 
 
@@ -225,9 +229,9 @@
     play = Play("safe", "safe").steer(Steer(caps={0: cap}))
     play.run(1000, gap)
     assert sum(play.sent.values()) == pytest.approx(served, abs=6)
-    assert play.refused[0] == play.balancer._steering.capped == 1000 - sum(play.sent.values())
+    assert play.refused[0] == play.balancer.components.steering.capped == 1000 - sum(play.sent.values())
     # A cap tells nothing of the servers: the throttle lets the other class pass.
-    assert play.balancer._throttle.drop_chance(play.now) == 0.0
+    assert play.balancer.components.throttle.drop_chance(play.now) == 0.0
     assert sum(play.run(200, gap, request_class=1).values()) == 200
 
 
@@ -237,7 +241,7 @@
         play.bad = {"b": Outcome.FULL, "1a": Outcome.TIMEOUT}
         play.run(500)
     assert sides[0].sent == sides[1].sent
-    assert sides[0].balancer._rng.getstate() == sides[1].balancer._rng.getstate()
+    assert sides[0].balancer.components.rng.getstate() == sides[1].balancer.components.rng.getstate()
 
 
 def test_the_driver_hands_it_on_with_its_clock():
--- a/tests/balancer/test_throttle.py
+++ b/tests/balancer/test_throttle.py
@@ -2,13 +2,14 @@
 
 import pytest
 
+from brassfall.balancer.events import AttemptEnded
 from brassfall.balancer.model import Fail, Outcome, Refuse, Send
 from brassfall.balancer.throttle import Throttle
 from tests.support.helpers import arrival, balancer, of_type
 
 
 def filled(accepts, refusals, now=0.0):
-    throttle = Throttle(age=1e9, samples=1000)
+    throttle = Throttle(window_ms=1e9, max_requests=1000)
     for _ in range(accepts):
         throttle.add(now, 1.0)
     for _ in range(refusals):
@@ -31,7 +32,7 @@
 
 
 def test_window_forgets_by_age():
-    window = Throttle(age=100.0, samples=50)
+    window = Throttle(window_ms=100.0, max_requests=50)
     window.add(0.0, 1.0)
     window.add(60.0, 0.0)
     window.trim(99.0)
@@ -43,7 +44,7 @@
 
 
 def test_window_forgets_by_count():
-    window = Throttle(age=1e9, samples=3)
+    window = Throttle(window_ms=1e9, max_requests=3)
     for accepted in (1.0, 1.0, 0.0, 0.0, 0.0):
         window.add(0.0, accepted)
     assert (window.requests, window.accepts) == (3, 0.0)
@@ -51,13 +52,13 @@
 
 def test_half_accepted_stays_open_and_local_refusals_count():
     made = balancer("safe")
-    window = made._throttle
+    window = made.components.throttle
     for _ in range(20):
         window.add(0.0, 0.0)
     before = window.requests
     refused = 0
     for i in range(40):
-        actions = made.request(0.0, arrival(i))
+        actions = made.step(0.0, arrival(i))
         if of_type(actions, Refuse):
             refused += 1
             assert not of_type(actions, Send)
@@ -71,22 +72,22 @@
 )
 def test_five_outcomes_are_not_accepted(status):
     made = balancer("unsafe")
-    made.request(0.0, arrival(1))
-    made.outcome(10.0, 1, 0, status, 10.0)
-    assert made._throttle.requests == 1
-    assert made._throttle.accepts == 0.0
+    made.step(0.0, arrival(1))
+    made.step(10.0, AttemptEnded(1, 0, status, 10.0))
+    assert made.components.throttle.requests == 1
+    assert made.components.throttle.accepts == 0.0
 
 
 def test_fewest_in_flight_wins():
     made = balancer("safe", servers=2)
     counts = {"s0": 0, "s1": 0}
     for i in range(20):
-        (send,) = of_type(made.request(0.0, arrival(i)), Send)
+        (send,) = of_type(made.step(0.0, arrival(i)), Send)
         counts[send.server] += 1
         assert abs(counts["s0"] - counts["s1"]) <= 1
 
 
 def test_no_server_is_refused_at_once():
     made = balancer("unsafe", servers=0)
-    actions = made.request(0.0, arrival(1))
+    actions = made.step(0.0, arrival(1))
     assert of_type(actions, Refuse) and not of_type(actions, Fail)
--- a/tests/balancer/test_traces.py
+++ b/tests/balancer/test_traces.py
@@ -29,5 +29,5 @@
 
 
 def test_a_trace_shows_a_change_in_the_last_place_of_a_time(monkeypatch):
-    monkeypatch.setattr(retries, "COME_BACK", retries.COME_BACK * (1.0 + 1e-15))
+    monkeypatch.setattr(retries, "RETRY_AFTER_SHARE", retries.RETRY_AFTER_SHARE * (1.0 + 1e-15))
     assert digest(trace(1)) != RECORDED["1"]
--- a/tests/compare_traces.py
+++ b/tests/compare_traces.py
@@ -5,9 +5,10 @@
 OLD and NEW are folders that hold a revision, or names of revisions (then unpacked into a temporary folder).
 Each day is a function of its seed and of the actions taken so far: lists that change, arrivals of several
 classes with and without keys, outcomes of all kinds with and without load reports, timers, peers, steering,
-reloads, clients that leave, large bodies, zones, slow start and ejection. Only public events are used, given
-by position, and the tables below map each of today's names to the ones that it had before; so the script
-plays revisions from before a rename, too. The exit code is 1 where a trace differs.
+reloads, clients that leave, large bodies, zones, slow start and ejection. The script plays each revision
+through its public interface: one `step` with a typed event, or in earlier revisions one method for each event
+with its values by position. The tables below map each of today's names to the ones that it had before. Timers
+are printed as their tokens on the simulator's wire. The exit code is 1 where a trace differs.
 
 With `--times N` the processor time of the ten days is also measured, N times for each revision in turn.
 """
@@ -44,10 +45,10 @@
     "Balancer": ("Balancer",),
     "Settings": ("Settings",),
     "parse": ("parse",),
-    "Arrival": ("Arrival",),
+    "RequestArrived": ("RequestArrived", "Arrival"),
     "Listing": ("Listing",),
     "Steer": ("Steer",),
-    "given_up": ("given_up",),
+    "refusals": ("refusals", "given_up"),
     "request": ("request",),
     "outcome": ("outcome",),
     "unsent": ("unsent",),
@@ -74,11 +75,25 @@
     "Tell": ("Tell",),
     "Log": ("Log",),
 }
+# The event of each method whose values are those of the event.
+EVENTS = {
+    "unsent": "AttemptWithdrawn",
+    "answer_started": "AnswerStarted",
+    "body_gone": "BodyDiscarded",
+    "client_gone": "ClientLeft",
+    "peer_message": "PeerMessageReceived",
+    "reload": "SettingsReloaded",
+    "steer": "SteeringChanged",
+}
 OK, ERROR, FULL, TIMEOUT, CONNECT_FAILED, RESET, CANCELLED, UNSENT = range(8)
 
 
 class Revision:
-    """The decision package that is importable here, under whichever names it has."""
+    """The decision package that is importable here, under whichever names it has.
+
+    `events` is its module of typed events, and `wire` the one that maps typed timers to the simulator's wire;
+    each is None in revisions from before it.
+    """
 
     def __init__(self):
         for package in PACKAGES:
@@ -86,6 +101,11 @@
                 self.package = importlib.import_module(package)
                 self.model = importlib.import_module(f"{package}.model")
                 break
+        self.events = self.wire = None
+        with contextlib.suppress(ImportError):
+            self.events = importlib.import_module(f"{self.package.__name__}.events")
+            wire = importlib.import_module("brassfall.simulator")
+            self.wire = wire if hasattr(wire, "timer_token") else None
         kinds = {name: known for known, names in ACTIONS.items() for name in names}
         self._kinds = {
             getattr(self.model, name): kind for name, kind in kinds.items() if name in dir(self.model)
@@ -93,7 +113,46 @@
 
     def make(self, name, *args):
         """A value of one of the interface's classes, its fields by position."""
-        return self.get(self.model, name)(*args)
+        in_events = self.events is not None and hasattr(self.events, name)
+        return self.get(self.events if in_events else self.model, name)(*args)
+
+    def step(self, balancer, name, args):
+        """A function of the time that gives an event to a balancer, by the name that its method had."""
+        if self.events is None:
+            method = self.get(balancer, name)
+            return lambda now: method(now, *args)
+        event = self.event(name, args)
+        return (lambda now: balancer.step(now, event)) if event is not None else (lambda now: [])
+
+    def event(self, name, args):
+        """The typed event for what a method took; None for a timer that is not one of the balancer's own."""
+        events, model = self.events, self.model
+        if name == "request":
+            return args[0]
+        if name == "outcome":
+            number, attempt, status, *rest = args
+            return events.AttemptEnded(number, attempt, model.Outcome(status), *rest)
+        if name == "server_list":
+            form, entries = args
+            refused = form == "refused"
+            return (
+                events.DiscoveryFailed() if refused else events.EndpointsListed(model.ListForm(form), entries)
+            )
+        if name == "probe_result":
+            server, status, *rest = args
+            return events.HealthCheckEnded(server, model.Outcome(status), *rest)
+        if name == "timer":
+            (token,) = args
+            if self.wire is not None and isinstance(token, str):
+                token = self.wire.parse_timer(token)
+            return events.TimerDue(token) if token is not None else None
+        return getattr(events, EVENTS[name])(*args)
+
+    def printed(self, action):
+        """The values of an action as they are printed: a typed timer as its token on the wire."""
+        if self.wire is not None and isinstance(action, self.model.Timer):
+            return action._replace(token=self.wire.timer_token(action.token))
+        return action
 
     def settings(self, raw):
         """The settings read from the form on the wire."""
@@ -218,7 +277,7 @@
         for _ in range(50):
             self.now += 10.0
             self.ask()
-        self.lines.append(repr(list(self.revision.get(self.balancer, "given_up").values())))
+        self.lines.append(repr(list(self.revision.get(self.balancer, "refusals").values())))
         return "\n".join(self.lines)
 
     def later(self, delay, what, *args, birth=None):
@@ -230,14 +289,14 @@
 
     def tell(self, event, *args):
         """Give the sidecar an event and carry out what it decides."""
-        method = self.revision.get(self.balancer, event)
+        step = self.revision.step(self.balancer, event, args)
         begun = time.process_time()
-        actions = method(self.now, *args)
+        actions = step(self.now)
         self.spent_cpu += time.process_time() - begun
         self.lines.append(f"{self.now!r} {event}")
         for action in actions:
             kind = self.revision.kind(action)
-            self.lines.append(f"  {kind}({', '.join(map(repr, action))})")
+            self.lines.append(f"  {kind}({', '.join(map(repr, self.revision.printed(action)))})")
             handler = getattr(self, f"on_{kind.lower()}", None)
             if handler is not None:
                 handler(*action)
@@ -340,7 +399,7 @@
         flags = (self.rng.random() < 0.1, self.rng.random() < 0.1, large)
         self.tries[number] = (band, work or 10.0)
         made = (number, band, give_up_at, self.rng.randrange(4), key, work, *flags)
-        self.tell("request", self.revision.make("Arrival", *made))
+        self.tell("request", self.revision.make("RequestArrived", *made))
         if large:
             self.later(20.0, "flow", number, birth=self.births)
 
@@ -458,7 +517,7 @@
         self.tell("answer_started", number, 0)
         self.tell("timer", "other:1")
         try:
-            self.tell("request", self.revision.make("Arrival", number, 99, self.now + 100.0))
+            self.tell("request", self.revision.make("RequestArrived", number, 99, self.now + 100.0))
         except ValueError:
             self.lines.append("no such class")
 
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -431,8 +431,16 @@
     assert done.stdout.split() == [str(tmp_path / "brassfall" / "balancer" / "balancer.py"), "1001.0"]
 
 
-def test_decisions_with_an_earlier_interface_are_refused_with_what_to_do(tmp_path):
-    done = installed(tmp_path, {"model.py": ("    request_class: int", "    band: int")})
+@pytest.mark.parametrize(
+    "changes",
+    [
+        {"events.py": ("    request_class: int", "    band: int")},
+        {"model.py": ("TimerToken", "Token"), "events.py": ("TimerToken", "Token")},
+        {"events.py": ("RequestArrived", "Arrival"), "balancer.py": ("RequestArrived", "Arrival")},
+    ],
+)
+def test_decisions_with_an_earlier_interface_are_refused_with_what_to_do(tmp_path, changes):
+    done = installed(tmp_path, changes)
     assert (
         done.returncode == 1 and "has an earlier interface" in done.stderr and 'mode = "real"' in done.stderr
     )
--- a/tests/sidecar/test_admin.py
+++ b/tests/sidecar/test_admin.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from brassfall.balancer.balancer import REASONS
+from brassfall.balancer.model import RefusalReason
 from brassfall.sidecar.clients import inbound
 from brassfall.sidecar.config import MAX_ADMIN_CONNECTIONS
 from brassfall.sidecar.core.process_state import InvalidTransitionError, Lifecycle, State
@@ -75,7 +75,7 @@
         assert (await app.ask()).start.split(" ")[1] in ("429", "503")  # no server is known
         told = (await call(made, b"REFUSALS\n")).decode().split()
         assert told[0] == "done" and "room=1" in told
-        assert [field.partition("=")[0] for field in told[1:]] == [*REASONS, "full"]
+        assert [field.partition("=")[0] for field in told[1:]] == [*RefusalReason]
 
 
 @loopback
--- a/tests/sidecar/test_attempts.py
+++ b/tests/sidecar/test_attempts.py
@@ -11,6 +11,7 @@
 
 import pytest
 
+from brassfall.balancer.events import TimerDue
 from brassfall.balancer.model import Cancel, CloseIdle, Outcome, Probe, Refuse, Send, Timer
 from brassfall.sidecar.clients import client_request, request_message
 from brassfall.sidecar.core import driver
@@ -356,9 +357,10 @@
         await until(lambda: not sidecar.driver._requests)
         assert len(armed) >= 5  # the repeat after an error has one only where it follows within 1 ms
         assert timers_of(sidecar.driver) == before
-        level = balancer._shedder._level
-        assert not any(balancer.timer(sidecar.driver._clock.now(), token) for token in armed)
-        assert balancer._shedder._level == level, "a timer that was left out would have changed something"
+        now, shedder = sidecar.driver._clock.now(), balancer.components.shedder
+        before = shedder.probability(now)
+        assert not any(balancer.step(now, TimerDue(token)) for token in armed)
+        assert shedder.probability(now) == before, "a timer that was left out would have changed something"
 
 
 @pytest.mark.parametrize("replies", [[OK], [ERROR, OK], [FULL], [*[OK] * 5, hang]])
--- a/tests/sidecar/test_large.py
+++ b/tests/sidecar/test_large.py
@@ -7,7 +7,8 @@
 
 import pytest
 
-from brassfall.balancer.model import Arrival, Fail, Outcome, Send, Timer
+from brassfall.balancer.events import AnswerStarted, AttemptEnded, BodyDiscarded, RequestArrived, TimerDue
+from brassfall.balancer.model import Fail, Outcome, Send, Timer
 from brassfall.sidecar import body, framing
 from brassfall.sidecar.clients import client_connection
 from brassfall.sidecar.clients.read_control import Hold
@@ -630,22 +631,22 @@
 
 def test_the_decisions_resend_no_body_that_has_flowed_on():
     made = balancer("safe")
-    (send, *_) = of_type(made.request(0.0, Arrival(1, 0, 1000.0, large=True)), Send)
-    assert of_type(made.outcome(1.0, 1, 0, Outcome.CONNECT_FAILED, 1.0), Send)
-    made.body_gone(2.0, 1)
-    assert not of_type(made.outcome(3.0, 1, 1, Outcome.CONNECT_FAILED, 1.0), Send)
+    (send, *_) = of_type(made.step(0.0, RequestArrived(1, 0, 1000.0, large=True)), Send)
+    assert of_type(made.step(1.0, AttemptEnded(1, 0, Outcome.CONNECT_FAILED, 1.0)), Send)
+    made.step(2.0, BodyDiscarded(1))
+    assert not of_type(made.step(3.0, AttemptEnded(1, 1, Outcome.CONNECT_FAILED, 1.0)), Send)
     assert send.request == 1
 
 
 def test_a_large_request_or_an_answer_that_has_begun_is_no_stalled_server():
     made = balancer("safe", servers=1)
-    assert not of_type(made.request(0.0, Arrival(1, 0, 1000.0, large=True)), Timer)
-    (due,) = of_type(made.request(0.0, Arrival(2, 0, 1000.0)), Timer)
-    made.answer_started(100.0, 2, 0)
-    made.timer(due.delay, due.token)
+    assert not of_type(made.step(0.0, RequestArrived(1, 0, 1000.0, large=True)), Timer)
+    (due,) = of_type(made.step(0.0, RequestArrived(2, 0, 1000.0)), Timer)
+    made.step(100.0, AnswerStarted(2, 0))
+    made.step(due.delay, TimerDue(due.token))
     (server,) = made._endpoints.servers.values()
     assert server.fault_share == 0.0 and made._shedder.probability(200.0) == 0.0 and not server.outstanding
     assert server.in_flight == 2
-    made.outcome(5000.0, 2, 0, Outcome.OK, 100.0, True)
-    made.outcome(5000.0, 1, 0, Outcome.OK, 100.0, True)
+    made.step(5000.0, AttemptEnded(2, 0, Outcome.OK, 100.0, request_ended=True))
+    made.step(5000.0, AttemptEnded(1, 0, Outcome.OK, 100.0, request_ended=True))
     assert server.in_flight == 0 and not made._requests
--- a/tests/sidecar/test_races_attempts.py
+++ b/tests/sidecar/test_races_attempts.py
@@ -12,7 +12,7 @@
 import pytest
 
 from brassfall.balancer import Settings
-from brassfall.balancer.events import AttemptEnded
+from brassfall.balancer.events import AttemptEnded, EndpointsListed, SettingsReloaded
 from brassfall.balancer.model import Cancel, Fail, ListForm, Listing, Outcome, Refuse, Send
 from brassfall.sidecar.core import driver
 from brassfall.sidecar.core.clock import Clock
@@ -306,19 +306,19 @@
     made = balancer(
         Profiles=[{**CLASSES["keyed"], "Group": "zone"}, dict(CLASSES["safe"]), dict(CLASSES["unsafe"])]
     )
-    (send,) = of_type(made.request(100.0, arrival(1, 100.0)), Send)
+    (send,) = of_type(made.step(100.0, arrival(1, 100.0)), Send)
     assert send.write_by == float("inf")
-    (retry,) = of_type(made.outcome(110.0, 1, 0, Outcome.CONNECT_FAILED), Send)
+    (retry,) = of_type(made.step(110.0, AttemptEnded(1, 0, Outcome.CONNECT_FAILED)), Send)
     assert retry.write_by == float("inf")  # nothing has run: its window has not begun
-    (third,) = of_type(made.outcome(120.0, 1, 1, Outcome.RESET), Send)
+    (third,) = of_type(made.step(120.0, AttemptEnded(1, 1, Outcome.RESET)), Send)
     assert third.write_by == 110.0 + 500.0
-    (fourth,) = of_type(made.outcome(130.0, 1, 2, Outcome.RESET), Send)
+    (fourth,) = of_type(made.step(130.0, AttemptEnded(1, 2, Outcome.RESET)), Send)
     assert fourth.write_by == 110.0 + 500.0  # the first that may have run binds
     for band in (1, 2):
         made = balancer("keyed", "safe", "unsafe")
-        sends = of_type(made.request(500.0, arrival(2, 500.0, band)), Send)
-        sends += of_type(made.outcome(510.0, 2, 0, Outcome.CONNECT_FAILED), Send)
-        sends += of_type(made.outcome(520.0, 2, 1, Outcome.RESET), Send)
+        sends = of_type(made.step(500.0, arrival(2, 500.0, band)), Send)
+        sends += of_type(made.step(510.0, AttemptEnded(2, 0, Outcome.CONNECT_FAILED)), Send)
+        sends += of_type(made.step(520.0, AttemptEnded(2, 1, Outcome.RESET)), Send)
         assert [send.write_by for send in sends] == [float("inf")] * (4 - band)
 
 
@@ -353,10 +353,10 @@
 
 def test_the_window_is_that_of_the_settings_under_which_the_request_came():
     made = balancer("keyed")
-    made.request(0.0, arrival(1))
+    made.step(0.0, arrival(1))
     profile = {**CLASSES["keyed"], "KeyTtl": 60_000.0}
-    made.reload(5.0, Settings.parse(raw_settings(Profiles=[profile])), {0})
-    (retry,) = of_type(made.outcome(10.0, 1, 0, Outcome.RESET), Send)
+    made.step(5.0, SettingsReloaded(Settings.parse(raw_settings(Profiles=[profile])), {0}))
+    (retry,) = of_type(made.step(10.0, AttemptEnded(1, 0, Outcome.RESET)), Send)
     assert retry.write_by == 500.0
 
 
@@ -367,11 +367,11 @@
 def test_a_repeat_keeps_to_the_group_that_its_first_server_was_in(state):
     """A server of that name that comes back elsewhere, or is gone, moves no key."""
     made = balancer("keyed", servers=4)
-    (send,) = of_type(made.request(0.0, arrival(1)), Send)
+    (send,) = of_type(made.step(0.0, arrival(1)), Send)
     group = int(send.server[1:]) // 2
     back = Listing(send.server, cell=7, started=1.0, state=state)
-    made.server_list(1.0, "changes", [back, Listing("s9", cell=7)])
-    sends = of_type(made.outcome(2.0, 1, 0, Outcome.RESET), Send)
+    made.step(1.0, EndpointsListed(ListForm.CHANGES, [back, Listing("s9", cell=7)]))
+    sends = of_type(made.step(2.0, AttemptEnded(1, 0, Outcome.RESET)), Send)
     assert [int(retry.server[1:]) // 2 for retry in sends] == [group]
 
 
--- a/tests/sidecar/test_races_reload.py
+++ b/tests/sidecar/test_races_reload.py
@@ -11,7 +11,23 @@
 import pytest
 
 from brassfall.balancer import Balancer, Settings
-from brassfall.balancer.model import Arrival, CloseIdle, Listing, Outcome, Send, Timer
+from brassfall.balancer.events import (
+    AttemptEnded,
+    EndpointsListed,
+    RequestArrived,
+    SettingsReloaded,
+    TimerDue,
+)
+from brassfall.balancer.model import (
+    CloseIdle,
+    IdleCloseTimer,
+    KeyPauseTimer,
+    ListForm,
+    Listing,
+    Outcome,
+    Send,
+    Timer,
+)
 from brassfall.sidecar import config, reload
 from brassfall.sidecar.clients import inbound
 from brassfall.sidecar.core.clock import Clock
@@ -19,7 +35,7 @@
 from brassfall.sidecar.discovery.endpoint_list import parse_list
 from brassfall.sidecar.servers import pool as outbound
 from tests.sidecar.test_reload import raw, row, take
-from tests.support.helpers import arrival, balancer, listing, of_type, raw_settings
+from tests.support.helpers import answered, arrival, balancer, listing, of_type, raw_settings
 from tests.support.loopback import OK, App, Upstream, entry, listed, loopback, running, told
 
 EFFECTS = ("pure", "token", "side_effect")
@@ -29,15 +45,15 @@
 
 def reloaded(made, now, kept, *names, **changes):
     """The same balancer with other settings."""
-    return made.reload(now, Settings.parse(raw_settings(*names, **changes)), kept)
+    return made.step(now, SettingsReloaded(Settings.parse(raw_settings(*names, **changes)), kept))
 
 
 # --- figures that are made from settings ------------------------------------------------
 
 FIGURES = {
-    "_endpoints": ("_subset",),
-    "_zones": ("active", "_margins"),
-    "_shedder": ("_by_work", "_over_quota_weight", "_worst_class", "_quotas"),
+    "endpoints": ("subset_size",),
+    "zones": ("active", "margins"),
+    "shedder": ("weight_by_work", "over_quota_weight", "worst_class", "quotas"),
 }
 SITES = [
     {"Prices": {}},
@@ -56,7 +72,8 @@
     fresh = balancer("safe", "keyed", **after)
     for part, names in FIGURES.items():
         for name in names:
-            assert getattr(getattr(made, part), name) == getattr(getattr(fresh, part), name)
+            before, expected = getattr(made.components, part), getattr(fresh.components, part)
+            assert getattr(before, name) == getattr(expected, name)
 
 
 def test_each_setting_is_taken_from_the_file_or_named_as_one_that_waits():
@@ -91,9 +108,9 @@
 
 def test_connections_that_may_rest_for_longer_are_not_closed_by_the_time_of_before():
     def rested(made):
-        made.request(0.0, arrival(1))
-        made.outcome(10.0, 1, 0, Outcome.OK, 10.0, last=True)
-        return of_type(made.request(3010.0, arrival(2, 3010.0)), CloseIdle)
+        made.step(0.0, arrival(1))
+        made.step(10.0, answered(1, 10.0))
+        return of_type(made.step(3010.0, arrival(2, 3010.0)), CloseIdle)
 
     short, long = ({"PolicyLimits": {"MaxAttempts": 4, "IdleClose": idle}} for idle in (500.0, 5000.0))
     assert rested(balancer(servers=1, **short)) and not rested(balancer(servers=1, **long))
@@ -111,7 +128,7 @@
 def asked(made, count=100):
     for number in range(count):
         profile = made.settings.profiles[number % 2]
-        made._shedder.arrive(number % 2, profile.priority_weight, 1.0 + number % 2, 0, 1.0)
+        made.components.shedder.arrive(number % 2, profile.priority_weight, 1.0 + number % 2, 0, 1.0)
 
 
 @pytest.mark.parametrize(
@@ -122,50 +139,50 @@
     values = change.pop("values")
     made = Balancer(0.0, worths(1.0, 10.0), 1)
     asked(made)
-    made.reload(1.0, worths(*values, **change), {0, 1})
+    made.step(1.0, SettingsReloaded(worths(*values, **change), {0, 1}))
     fresh = Balancer(0.0, worths(*values, **change), 1)
     asked(fresh)
     for band in (0, 1):
-        assert made._shedder.refusal_chance(0.0, 0.2, band, over=False) == pytest.approx(
-            fresh._shedder.refusal_chance(0.0, 0.2, band, over=False)
+        assert made.components.shedder.refusal_chance(0.0, 0.2, band, over=False) == pytest.approx(
+            fresh.components.shedder.refusal_chance(0.0, 0.2, band, over=False)
         )
 
 
 def test_classes_worth_nothing_are_shed_as_others():
     made = Balancer(0.0, worths(0.0, 0.0), 1)
     asked(made)
-    assert 0.0 < made._shedder.refusal_chance(0.0, 0.2, 0, over=False) <= 1.0
+    assert 0.0 < made.components.shedder.refusal_chance(0.0, 0.2, 0, over=False) <= 1.0
 
 
 def test_a_shorter_release_holds_for_servers_that_leave_already():
     made = balancer()
-    made.server_list(1.0, "changes", [Listing("s0", state="leaving")])
+    made.step(1.0, EndpointsListed(ListForm.CHANGES, [Listing("s0", state="leaving")]))
     actions = reloaded(made, 2.0, {0}, Rules={"ReleaseWithin": 100.0})
     assert of_type(actions, CloseIdle) == [CloseIdle("s0")]
-    assert of_type(actions, Timer) == [Timer(40.0, "close:s0")]
+    assert of_type(actions, Timer) == [Timer(40.0, IdleCloseTimer("s0"))]
 
 
 @pytest.mark.parametrize(("before", "after"), [(100.0, 10.0), (10.0, 100.0)])
 def test_a_key_rests_for_as_long_as_either_settings_ask(before, after):
     turns = {"Semantics": "pure", "Objective": 200.0, "Deadline": 1000.0, "LateWorth": 0.5, "InTurn": True}
     made = balancer(Profiles=[turns], Rules={"SettleAfterDoubt": before})
-    made.request(0.0, Arrival(1, 0, 1000.0, key=7))
+    made.step(0.0, RequestArrived(1, 0, 1000.0, key=7))
     reloaded(made, 1.0, {0}, Profiles=[turns], Rules={"SettleAfterDoubt": after})
-    made.request(2.0, Arrival(2, 0, 1000.0, key=7))
-    assert not of_type(made.outcome(20.0, 1, 0, Outcome.RESET, 20.0, last=True), Send)
-    assert not of_type(made.timer(119.0, "turn:7"), Send)
-    assert of_type(made.timer(120.0, "turn:7"), Send)
+    made.step(2.0, RequestArrived(2, 0, 1000.0, key=7))
+    assert not of_type(made.step(20.0, AttemptEnded(1, 0, Outcome.RESET, 20.0, request_ended=True)), Send)
+    assert not of_type(made.step(119.0, TimerDue(KeyPauseTimer(7))), Send)
+    assert of_type(made.step(120.0, TimerDue(KeyPauseTimer(7))), Send)
 
 
 def test_a_server_that_counts_as_cold_by_a_reload_owes_nothing_for_what_it_took_while_warm():
     made = balancer(servers=0)
-    made.server_list(0.0, "changes", [Listing("s0", started=1.0)])
+    made.step(0.0, EndpointsListed(ListForm.CHANGES, [Listing("s0", started=1.0)]))
     for number in range(1, 201):
-        assert of_type(made.request(number * 10.0, arrival(number, number * 10.0)), Send)
-        made.outcome(number * 10.0 + 5.0, number, 0, Outcome.OK, 5.0, last=True)
+        assert of_type(made.step(number * 10.0, arrival(number, number * 10.0)), Send)
+        made.step(number * 10.0 + 5.0, answered(number, 5.0))
     cold = {"WarmUp": 20000.0, "ColdFrom": 0.2, "OverloadFor": 2000.0, "FallMultiple": 4.0}
     reloaded(made, 2010.0, {0}, Rules=cold)
-    assert of_type(made.request(2100.0, arrival(999, 2100.0)), Send)
+    assert of_type(made.step(2100.0, arrival(999, 2100.0)), Send)
 
 
 # --- slots of classes ---------------------------------------------------------------------
@@ -173,30 +190,30 @@
 
 def test_what_is_learned_of_a_class_stays_with_it_and_begins_anew_in_a_slot_that_changes():
     made = balancer("safe", "safe", "safe", Prices=CROSSING)
-    made._zones.spill = [0.1, 0.2, 0.3]
+    made.components.zones.spill = [0.1, 0.2, 0.3]
     reloaded(made, 1.0, {0, 2}, "safe", "keyed", "safe", "unsafe", Prices=CROSSING)
-    assert made._zones.spill == [0.1, 0.0, 0.3, 0.0]
+    assert made.components.zones.spill == [0.1, 0.0, 0.3, 0.0]
 
 
 def test_a_class_that_is_gone_does_not_set_what_a_crossing_costs_the_others():
     before = config.parse(raw(Profiles=[row("a", Worth=1.0), row("dear", Worth=100.0)], Prices=CROSSING), {})
     after = take(before, raw(Profiles=[row("a", Worth=1.0)], Prices=CROSSING))
-    margins = [Balancer(0.0, c.settings, 1)._zones._margins[0] for c in (before, after.config)]
+    margins = [Balancer(0.0, c.settings, 1).components.zones.margins[0] for c in (before, after.config)]
     alone = Balancer(0.0, config.parse(raw(Profiles=[row("a")], Prices=CROSSING), {}).settings, 1)
-    assert margins[0] > margins[1] == alone._zones._margins[0]
+    assert margins[0] > margins[1] == alone.components.zones.margins[0]
 
 
 def test_an_open_request_of_a_class_that_is_gone_is_learned_from():
     before = config.parse(raw(Profiles=[row("a"), row("b")], Prices=CROSSING), {})
     made = Balancer(0.0, before.settings, 1)
-    made.server_list(0.0, "remembered", listing(4))
-    made.request(0.0, Arrival(1, 1, 1000.0))
+    made.step(0.0, EndpointsListed(ListForm.REMEMBERED, listing(4)))
+    made.step(0.0, RequestArrived(1, 1, 1000.0))
     for names in ("ac", "ad", "ae"):
         news = take(before, raw(Profiles=[row(name) for name in names], Prices=CROSSING), busy={1})
         before = news.config
-        made.reload(1.0, before.settings, news.same_classes)
+        made.step(1.0, SettingsReloaded(before.settings, news.same_classes))
         assert all(kind.slot != 1 for kind in before.names.classes.values())
-    assert not made.outcome(5.0, 1, 0, Outcome.OK, 5.0, last=True) and not made._requests
+    assert not made.step(5.0, answered(1, 5.0)) and not made.open_requests
 
 
 def test_classes_whose_effect_leaves_a_key_without_meaning_need_not_have_it():
@@ -226,9 +243,9 @@
     assert zones_of["s0"] == zones_of["s2"] and len({0, -1, *zones_of.values()}) == 4
     for seed in range(20):
         made = Balancer(0.0, after.config.settings, seed)
-        made.server_list(0.0, "remembered", entries)
-        (first,) = of_type(made.request(0.0, Arrival(1, 0, 1000.0)), Send)
-        for again in of_type(made.outcome(1.0, 1, 0, Outcome.ERROR, 1.0), Send):
+        made.step(0.0, EndpointsListed(ListForm.REMEMBERED, entries))
+        (first,) = of_type(made.step(0.0, RequestArrived(1, 0, 1000.0)), Send)
+        for again in of_type(made.step(1.0, AttemptEnded(1, 0, Outcome.ERROR, 1.0)), Send):
             assert zones_of[again.server] == zones_of[first.server]
 
 
