--- a/tests/sidecar/test_reload.py
+++ b/tests/sidecar/test_reload.py
@@ -12,7 +12,8 @@
 import pytest
 
 from brassfall.balancer import Settings
-from brassfall.balancer.model import Arrival, Fail, Outcome, Refuse, Send
+from brassfall.balancer.events import AttemptEnded, RequestArrived, SettingsReloaded
+from brassfall.balancer.model import Fail, Outcome, Refuse, Send
 from brassfall.sidecar import config, reload
 from brassfall.sidecar.clients import known_classes
 from tests.support.helpers import balancer, of_type, raw_settings
@@ -139,33 +140,35 @@
 
 def test_an_open_request_keeps_its_attempts_and_a_later_one_has_the_new():
     made = balancer("safe")
-    made.request(0.0, Arrival(1, 0, 1000.0))
-    made.reload(1.0, settings("safe", attempts=1), {0})
-    made.request(2.0, Arrival(2, 0, 1000.0))
-    assert of_type(made.outcome(3.0, 1, 0, Outcome.ERROR, 3.0), Send)
-    assert not of_type(made.outcome(4.0, 2, 0, Outcome.ERROR, 2.0), Send)
+    made.step(0.0, RequestArrived(1, 0, 1000.0))
+    made.step(1.0, SettingsReloaded(settings("safe", attempts=1), {0}))
+    made.step(2.0, RequestArrived(2, 0, 1000.0))
+    assert of_type(made.step(3.0, AttemptEnded(1, 0, Outcome.ERROR, 3.0)), Send)
+    assert not of_type(made.step(4.0, AttemptEnded(2, 0, Outcome.ERROR, 2.0)), Send)
 
 
 def test_an_open_request_keeps_its_effect():
     made = balancer("unsafe")
-    made.request(0.0, Arrival(1, 0, 1000.0))
-    made.reload(1.0, settings("safe"), set())
-    actions = made.outcome(2.0, 1, 0, Outcome.TIMEOUT, 2.0)
+    made.step(0.0, RequestArrived(1, 0, 1000.0))
+    made.step(1.0, SettingsReloaded(settings("safe"), set()))
+    actions = made.step(2.0, AttemptEnded(1, 0, Outcome.TIMEOUT, 2.0))
     assert not of_type(actions, Send) and not of_type(actions, Refuse) and of_type(actions, Fail)
 
 
 def test_what_was_learned_of_servers_and_of_classes_that_stay_is_kept():
     made = balancer("safe", "unsafe")
     for number in range(40):
-        made.request(float(number), Arrival(number, number % 2, 1e6))
-        made.outcome(number + 0.5, number, 0, Outcome.FULL, 0.5)
-    strikes = {name: server.ejected_until for name, server in made._endpoints.servers.items()}
-    throttle, level = made._throttle.requests, made._shedder.probability(50.0)
-    made.reload(50.0, settings("safe", "keyed", "safe"), {0})
-    assert {name: server.ejected_until for name, server in made._endpoints.servers.items()} == strikes
-    assert (made._throttle.requests, made._shedder.probability(50.0)) == (throttle, level)
-    assert {band for band, _ in made._shedder._mix} == {0}
-    assert len(made._zones.spill) == len(made._zones._margins) == 3
+        made.step(float(number), RequestArrived(number, number % 2, 1e6))
+        made.step(number + 0.5, AttemptEnded(number, 0, Outcome.FULL, 0.5))
+    strikes = {name: server.ejected_until for name, server in made.components.endpoints.servers.items()}
+    throttle, level = made.components.throttle.requests, made.components.shedder.probability(50.0)
+    made.step(50.0, SettingsReloaded(settings("safe", "keyed", "safe"), {0}))
+    assert {
+        name: server.ejected_until for name, server in made.components.endpoints.servers.items()
+    } == strikes
+    assert (made.components.throttle.requests, made.components.shedder.probability(50.0)) == (throttle, level)
+    assert made.components.shedder.request_classes == {0}
+    assert len(made.components.zones.spill) == len(made.components.zones.margins) == 3
 
 
 @loopback
--- a/tests/support/helpers.py
+++ b/tests/support/helpers.py
@@ -1,11 +1,15 @@
-"""Builders shared by the tests."""
+"""Builders of settings, endpoint lists, events and balancers for tests."""
 
 from __future__ import annotations
 
-from typing import Any
+from typing import Any, TypeVar
 
 from brassfall.balancer import Balancer, Settings
-from brassfall.balancer.model import Arrival, Listing
+from brassfall.balancer.events import AttemptEnded, EndpointsListed, RequestArrived
+from brassfall.balancer.model import Action, ListForm, Listing, Outcome
+from brassfall.balancer.selection import Selector
+
+ActionType = TypeVar("ActionType", bound=Action)
 
 CLASSES = {
     "safe": {"Semantics": "pure", "Objective": 200.0, "Deadline": 1000.0},
@@ -21,7 +25,7 @@
 
 
 def raw_settings(*names: str, **changes: Any) -> dict[str, Any]:
-    """Plain settings with the named classes; `changes` replace whole members."""
+    """Return settings in their form on the wire, with the named classes; `changes` replace whole members."""
     raw: dict[str, Any] = {
         "Profiles": [dict(CLASSES[name]) for name in names or ("safe",)],
         "FailureDomains": ["left", "right"],
@@ -32,22 +36,41 @@
 
 
 def listing(count: int, **changes: Any) -> list[Listing]:
-    """`count` active servers, all near unless told otherwise."""
-    return [Listing(f"s{i}", cell=i // 2, **changes) for i in range(count)]
+    """Return the entries of `count` active servers, two in each cell, in one zone unless `changes` say so."""
+    return [Listing(f"s{number}", cell=number // 2, **changes) for number in range(count)]
 
 
 def balancer(*names: str, servers: int = 6, now: float = 0.0, seed: int = 1, **changes: Any) -> Balancer:
-    """A balancer that has its remembered list."""
+    """Return a balancer with the named classes that has its remembered list."""
     made = Balancer(now, Settings.parse(raw_settings(*names, **changes)), seed)
-    made.server_list(now, "remembered", listing(servers))
+    made.step(now, EndpointsListed(ListForm.REMEMBERED, listing(servers)))
     return made
 
 
-def arrival(request: int, now: float = 0.0, band: int = 0, left: float = 1000.0) -> Arrival:
-    """A request whose client gives up after `left`."""
-    return Arrival(request, band, now + left)
+def arrival(request: int, now: float = 0.0, request_class: int = 0, left: float = 1000.0) -> RequestArrived:
+    """Return the arrival of a request whose client gives up after `left` milliseconds."""
+    return RequestArrived(request, request_class, now + left)
+
+
+def answered(
+    request: int, elapsed: float, *, attempt: int = 0, in_flight: float | None = None
+) -> AttemptEnded:
+    """Return the end of an attempt whose answer went to the client, with its load report if there is one."""
+    return AttemptEnded(
+        request,
+        attempt,
+        Outcome.OK,
+        elapsed,
+        request_ended=True,
+        report=None if in_flight is None else {"inflight": in_flight},
+    )
+
+
+def selector(made: Balancer) -> Selector:
+    """Return a selector over the parts of a balancer."""
+    return Selector(made.settings, made.components)
 
 
-def of_type(actions: list[Any], kind: type) -> list[Any]:
-    """The actions of one kind, in order."""
+def of_type(actions: list[Action], kind: type[ActionType]) -> list[ActionType]:
+    """Return the actions of one kind, in order."""
     return [action for action in actions if isinstance(action, kind)]
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -44,54 +44,58 @@
 DECISIONS: dict[str, set[str]] = {
     "affinity": set(),
     "balancer": {
+        "components",
+        "discovery_backoff",
+        "events",
+        "key_queues",
+        "learning",
+        "load_shedding",
+        "model",
+        "records",
+        "retries",
+        "selection",
+        "settings",
+    },
+    "components": {
         "affinity",
         "connections",
         "ejection",
         "endpoints",
-        "events",
         "load_shedding",
-        "model",
         "overload",
         "pace",
         "rates",
-        "records",
-        "retries",
-        "selection",
         "settings",
         "slow_start",
         "steering",
         "throttle",
         "zones",
     },
-    "connections": {"records", "settings"},
-    "ejection": {"endpoints", "load_shedding", "pace", "records"},
+    "connections": {"model", "records", "settings"},
+    "discovery_backoff": {"model", "settings"},
+    "ejection": {"endpoints", "load_shedding", "model", "pace", "records"},
     "endpoints": {"model", "pace", "records", "settings"},
+    "key_queues": {"records"},
+    "learning": {"components", "model", "records"},
     "load_shedding": {"settings"},
-    "overload": {"load_shedding", "rates", "records", "settings"},
+    "overload": {"load_shedding", "model", "rates", "records", "settings"},
     "pace": set(),
     "rates": set(),
     "records": {"model", "pace", "settings"},
     "retries": {"overload", "records", "settings"},
-    "selection": {
-        "affinity",
-        "ejection",
-        "endpoints",
-        "overload",
-        "pace",
-        "records",
-        "retries",
-        "settings",
-        "slow_start",
-        "steering",
-        "zones",
-    },
+    "selection": {"components", "records", "retries", "settings", "slow_start"},
     "slow_start": {"endpoints", "rates", "records", "settings", "steering", "zones"},
     "steering": {"model"},
     "throttle": set(),
     "zones": {"settings"},
 }
 # The interface: values without decisions.
-INTERFACE: dict[str, set[str]] = {"events": {"model", "settings"}, "model": set(), "settings": set()}
+INTERFACE: dict[str, set[str]] = {
+    "events": {"model", "settings"},
+    "json_section": set(),
+    "model": set(),
+    "settings": {"json_section"},
+}
 
 
 def test_the_deploy_file_lists_every_module_that_decides():
@@ -135,7 +139,7 @@
 
 
 def test_the_wire_adapter_imports_the_interface_of_the_decisions_alone():
-    names = {"Balancer", "Settings", "model"}
+    names = {"Balancer", "Settings", "events", "model"}
     assert imported("../simulator.py") <= {f"brassfall.balancer.{name}" for name in names}
 
 
