--- a/tests/balancer/test_recovery.py
+++ b/tests/balancer/test_recovery.py
@@ -1,4 +1,4 @@
-"""Refusal in a closed loop: many decision modules, servers, and clients who come again when refused."""
+"""How soon refusals end after an overload, and how they are counted."""
 
 from __future__ import annotations
 
@@ -6,14 +6,16 @@
 
 import pytest
 
-from brassfall.balancer.balancer import REASONS
-from brassfall.balancer.model import Outcome, Refuse
+from brassfall.balancer.model import RefusalReason, Refuse
 from brassfall.lab import day, ledger, spec
 from brassfall.lab.sim.sidecar import Sidecar
 from brassfall.lab.sim.world import World
-from tests.support.helpers import arrival, balancer, of_type
+from tests.support.helpers import LOAD_REPORTS, answered, arrival, balancer, of_type, selector
 
-# Servers with room for twice the load, which no crowd slows down for good; a burst of 2.5 times.
+# Every reason that the balancer itself has, by its name in `REFUSALS`.
+LOCAL_REFUSALS = ("formula", "level", "heavy", "room", "line", "failed")
+
+# Servers with capacity for 2.5 times the load, and a burst of that; clients retry when they are refused.
 BURST = """
 [experiment]
 name = "a burst"
@@ -41,55 +43,60 @@
 share = 0.4
 bursts = [{ at = "3 s", for = "3 s", times = 2.5 }]
 """
-ROOM_AT, WITHIN = 6, 4  # s: when the burst is over, and the time stated for refusal to be over
+BURST_END_S, RECOVERY_S = 6, 4
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_refusal_is_over_four_seconds_after_servers_have_room(tmp_path, seed):
+def test_refusals_end_within_four_seconds_of_servers_having_capacity(tmp_path, seed):
     file = tmp_path / "e.toml"
     file.write_text(BURST)
-    told = spec.load(file)
-    book = ledger.LedgerWriter(tmp_path / "play")
-    world = World(day.sample_day(told, seed), lambda me: day.wire_settings(told, me, {}), book, Sidecar)
+    experiment = spec.load(file)
+    writer = ledger.LedgerWriter(tmp_path / "play")
+    sampled_day = day.sample_day(experiment, seed)
+    world = World(sampled_day, lambda me: day.wire_settings(experiment, me, {}), writer, Sidecar)
     world.begin()
     world.run()
-    book.close()
-    tries, refused = Counter(), Counter()
+    writer.close()
+    sent, refused = Counter(), Counter()
     for answer in ledger.read(tmp_path / "play", ledger.Answer):
-        tries[int(answer.sent // 1000)] += 1
+        sent[int(answer.sent // 1000)] += 1
         refused[int(answer.sent // 1000)] += answer.status == "refused"
-    assert max(refused[second] / tries[second] for second in range(3, ROOM_AT)) > 0.3  # the burst bites
-    after = range(ROOM_AT + WITHIN, 12)
-    assert sum(refused[second] for second in after) <= 0.02 * sum(tries[second] for second in after)
+    worst = max(refused[second] / sent[second] for second in range(3, BURST_END_S))
+    assert worst > 0.3, "the burst does not overload the servers"
+    after = range(BURST_END_S + RECOVERY_S, 12)
+    assert sum(refused[second] for second in after) <= 0.02 * sum(sent[second] for second in after)
 
 
-def test_what_the_level_refuses_closes_no_window():
-    # Found on calm+mass: refusals by the level filled windows, which then refused on no other evidence.
-    made = balancer("safe", Report={"How": "inline", "Fields": ["inflight"]})
+def test_requests_refused_by_the_shed_probability_do_not_count_for_the_throttle():
+    # The throttle would go on to refuse because of refusals that no server asked for.
+    made = balancer("safe", **LOAD_REPORTS)
     for number in range(200):
-        made._shedder.observe(number, 1.0)
-        actions = made.request(float(number), arrival(number, number))
+        made.components.shedder.observe(number, 1.0)
+        actions = made.step(float(number), arrival(number, number))
         if not of_type(actions, Refuse):
-            made.outcome(number + 0.5, number, 0, Outcome.OK, 0.5, True, {"inflight": 1.0})
-    assert made.given_up["level"] > 100 and made.given_up["formula"] == 0
-    assert made._throttle.drop_chance(200.0) == 0.0
+            made.step(
+                number + 0.5,
+                answered(number, 0.5, in_flight=1.0),
+            )
+    assert made.refusals[RefusalReason.SHED] > 100 and made.refusals[RefusalReason.THROTTLED] == 0
+    assert made.components.throttle.drop_chance(200.0) == 0.0
 
 
-def test_each_request_given_up_is_counted_by_its_reason():
+def test_each_refusal_is_counted_by_its_reason():
     made = balancer("safe", servers=0)
     for number in range(3):
-        assert of_type(made.request(0.0, arrival(number)), Refuse)
-    assert made.given_up == dict.fromkeys(REASONS, 0) | {"room": 3}
+        assert of_type(made.step(0.0, arrival(number)), Refuse)
+    assert made.refusals == dict.fromkeys(LOCAL_REFUSALS, 0) | {RefusalReason.NO_SERVER: 3}
     for _ in range(40):
-        made._throttle.add(1.0, 0.0)
-    refused = sum(bool(of_type(made.request(1.0, arrival(number, 1.0)), Refuse)) for number in range(10, 50))
-    assert made.given_up["formula"] > 20 and sum(made.given_up.values()) == refused + 3
+        made.components.throttle.add(1.0, 0.0)
+    refused = sum(bool(of_type(made.step(1.0, arrival(number, 1.0)), Refuse)) for number in range(10, 50))
+    assert made.refusals[RefusalReason.THROTTLED] > 20 and sum(made.refusals.values()) == refused + 3
 
 
-def test_a_server_never_heard_counts_as_the_mean_of_those_heard():
-    # Found in the lab at 200 sidecars: a busy sidecar widens, and unknown servers drew all that came.
-    made = balancer("safe", servers=2, Report={"How": "inline", "Fields": ["inflight"]})
-    known, unknown = made._endpoints.servers["s0"], made._endpoints.servers["s1"]
+def test_a_server_without_a_load_report_counts_as_the_mean_of_the_others():
+    # The subset of a busy sidecar widens, and new servers must not get all requests.
+    made = balancer("safe", servers=2, **LOAD_REPORTS)
+    known, unknown = made.components.endpoints.servers["s0"], made.components.endpoints.servers["s1"]
     for number in range(30):
-        made._overload.observe_report(10.0 * number, known, {"inflight": 6.0})
-    assert made._selector.load(300.0, unknown) == pytest.approx(made._selector.load(300.0, known), rel=0.1)
+        made.components.overload.observe_report(10.0 * number, known, {"inflight": 6.0})
+    assert selector(made).load(300.0, unknown) == pytest.approx(selector(made).load(300.0, known), rel=0.1)
--- a/tests/balancer/test_throttle.py
+++ b/tests/balancer/test_throttle.py
@@ -1,14 +1,15 @@
-"""The throttle against values worked by hand."""
+"""The client-side throttle, with values worked out by hand, and the choice of the least loaded server."""
 
 import pytest
 
+from brassfall.balancer.events import AttemptEnded
 from brassfall.balancer.model import Fail, Outcome, Refuse, Send
 from brassfall.balancer.throttle import Throttle
 from tests.support.helpers import arrival, balancer, of_type
 
 
 def filled(accepts, refusals, now=0.0):
-    throttle = Throttle(age=1e9, samples=1000)
+    throttle = Throttle(window_ms=1e9, max_requests=1000)
     for _ in range(accepts):
         throttle.add(now, 1.0)
     for _ in range(refusals):
@@ -26,12 +27,12 @@
         (10, 29, 0.4),  # (39 - 3 - 20) / 40
     ],
 )
-def test_drop_chance_is_the_formula(accepts, refusals, chance):
+def test_the_drop_chance_follows_the_formula(accepts, refusals, chance):
     assert filled(accepts, refusals).drop_chance(0.0) == pytest.approx(chance)
 
 
-def test_window_forgets_by_age():
-    window = Throttle(age=100.0, samples=50)
+def test_the_window_forgets_requests_by_age():
+    window = Throttle(window_ms=100.0, max_requests=50)
     window.add(0.0, 1.0)
     window.add(60.0, 0.0)
     window.trim(99.0)
@@ -42,22 +43,22 @@
     assert (window.requests, window.accepts) == (0, 0.0)
 
 
-def test_window_forgets_by_count():
-    window = Throttle(age=1e9, samples=3)
+def test_the_window_forgets_requests_by_number():
+    window = Throttle(window_ms=1e9, max_requests=3)
     for accepted in (1.0, 1.0, 0.0, 0.0, 0.0):
         window.add(0.0, accepted)
     assert (window.requests, window.accepts) == (3, 0.0)
 
 
-def test_half_accepted_stays_open_and_local_refusals_count():
+def test_refused_requests_are_not_sent_and_count_for_the_throttle():
     made = balancer("safe")
-    window = made._throttle
+    window = made.components.throttle
     for _ in range(20):
         window.add(0.0, 0.0)
     before = window.requests
     refused = 0
     for i in range(40):
-        actions = made.request(0.0, arrival(i))
+        actions = made.step(0.0, arrival(i))
         if of_type(actions, Refuse):
             refused += 1
             assert not of_type(actions, Send)
@@ -69,24 +70,24 @@
     "status",
     [Outcome.ERROR, Outcome.FULL, Outcome.TIMEOUT, Outcome.CONNECT_FAILED, Outcome.RESET],
 )
-def test_five_outcomes_are_not_accepted(status):
+def test_an_outcome_other_than_ok_is_not_an_accept(status):
     made = balancer("unsafe")
-    made.request(0.0, arrival(1))
-    made.outcome(10.0, 1, 0, status, 10.0)
-    assert made._throttle.requests == 1
-    assert made._throttle.accepts == 0.0
+    made.step(0.0, arrival(1))
+    made.step(10.0, AttemptEnded(1, 0, status, 10.0))
+    assert made.components.throttle.requests == 1
+    assert made.components.throttle.accepts == 0.0
 
 
-def test_fewest_in_flight_wins():
+def test_the_server_with_the_fewest_requests_in_flight_is_chosen():
     made = balancer("safe", servers=2)
     counts = {"s0": 0, "s1": 0}
     for i in range(20):
-        (send,) = of_type(made.request(0.0, arrival(i)), Send)
+        (send,) = of_type(made.step(0.0, arrival(i)), Send)
         counts[send.server] += 1
         assert abs(counts["s0"] - counts["s1"]) <= 1
 
 
-def test_no_server_is_refused_at_once():
+def test_without_a_server_a_request_is_refused_at_once():
     made = balancer("unsafe", servers=0)
-    actions = made.request(0.0, arrival(1))
+    actions = made.step(0.0, arrival(1))
     assert of_type(actions, Refuse) and not of_type(actions, Fail)
--- a/tests/sidecar/test_races_reload.py
+++ b/tests/sidecar/test_races_reload.py
@@ -1,4 +1,4 @@
-"""What a reload leaves of the settings before: in figures made from them, and in the slots of classes."""
+"""Reloads while requests are open: values derived from settings, and the positions of request classes."""
 
 from __future__ import annotations
 
@@ -11,7 +11,23 @@
 import pytest
 
 from brassfall.balancer import Balancer, Settings
-from brassfall.balancer.model import Arrival, CloseIdle, Listing, Outcome, Send, Timer
+from brassfall.balancer.events import (
+    AttemptEnded,
+    EndpointsListed,
+    RequestArrived,
+    SettingsReloaded,
+    TimerDue,
+)
+from brassfall.balancer.model import (
+    CloseIdle,
+    IdleCloseTimer,
+    KeyPauseTimer,
+    ListForm,
+    Listing,
+    Outcome,
+    Send,
+    Timer,
+)
 from brassfall.sidecar import config, reload
 from brassfall.sidecar.clients import inbound
 from brassfall.sidecar.core.clock import Clock
@@ -19,7 +35,7 @@
 from brassfall.sidecar.discovery.endpoint_list import parse_list
 from brassfall.sidecar.servers import pool as outbound
 from tests.sidecar.test_reload import raw, row, take
-from tests.support.helpers import arrival, balancer, listing, of_type, raw_settings
+from tests.support.helpers import CLASSES, answered, arrival, balancer, listing, of_type, raw_settings
 from tests.support.loopback import OK, App, Upstream, entry, listed, loopback, running, told
 
 EFFECTS = ("pure", "token", "side_effect")
@@ -28,16 +44,16 @@
 
 
 def reloaded(made, now, kept, *names, **changes):
-    """The same balancer with other settings."""
-    return made.reload(now, Settings.parse(raw_settings(*names, **changes)), kept)
+    """Give a balancer other settings; return its actions."""
+    return made.step(now, SettingsReloaded(Settings.parse(raw_settings(*names, **changes)), kept))
 
 
-# --- figures that are made from settings ------------------------------------------------
+# --- values derived from settings ------------------------------------------------
 
-FIGURES = {
-    "_endpoints": ("_subset",),
-    "_zones": ("active", "_margins"),
-    "_shedder": ("_by_work", "_over_quota_weight", "_worst_class", "_quotas"),
+DERIVED_VALUES = {
+    "endpoints": ("subset_size",),
+    "zones": ("active", "margins"),
+    "shedder": ("weight_by_work", "over_quota_weight", "worst_class", "quotas"),
 }
 SITES = [
     {"Prices": {}},
@@ -50,16 +66,17 @@
 
 @pytest.mark.parametrize("before", SITES)
 @pytest.mark.parametrize("after", SITES)
-def test_figures_are_those_of_a_balancer_that_began_with_the_settings(before, after):
+def test_values_derived_from_settings_are_those_of_a_new_balancer(before, after):
     made = balancer("safe", "keyed", **before)
     reloaded(made, 1.0, {0, 1}, "safe", "keyed", **after)
     fresh = balancer("safe", "keyed", **after)
-    for part, names in FIGURES.items():
+    for part, names in DERIVED_VALUES.items():
         for name in names:
-            assert getattr(getattr(made, part), name) == getattr(getattr(fresh, part), name)
+            before, expected = getattr(made.components, part), getattr(fresh.components, part)
+            assert getattr(before, name) == getattr(expected, name)
 
 
-def test_each_setting_is_taken_from_the_file_or_named_as_one_that_waits():
+def test_each_setting_is_applied_or_named_as_pending_a_restart():
     before = config.parse(raw(), {})
     other = replace(
         before.settings,
@@ -89,117 +106,117 @@
     assert waits == set(reload.FIXED_SETTINGS)
 
 
-def test_connections_that_may_rest_for_longer_are_not_closed_by_the_time_of_before():
-    def rested(made):
-        made.request(0.0, arrival(1))
-        made.outcome(10.0, 1, 0, Outcome.OK, 10.0, last=True)
-        return of_type(made.request(3010.0, arrival(2, 3010.0)), CloseIdle)
+def test_a_longer_idle_time_applies_to_connections_that_are_open():
+    def closes_idle(made):
+        made.step(0.0, arrival(1))
+        made.step(10.0, answered(1, 10.0))
+        return of_type(made.step(3010.0, arrival(2, 3010.0)), CloseIdle)
 
     short, long = ({"PolicyLimits": {"MaxAttempts": 4, "IdleClose": idle}} for idle in (500.0, 5000.0))
-    assert rested(balancer(servers=1, **short)) and not rested(balancer(servers=1, **long))
+    assert closes_idle(balancer(servers=1, **short)) and not closes_idle(balancer(servers=1, **long))
     made = balancer(servers=1, **short)
     reloaded(made, 1.0, {0}, **long)
-    assert not rested(made)
+    assert not closes_idle(made)
 
 
-def worths(*values, **changes):
-    """Settings of classes that differ in what they are worth."""
+def weighted_settings(*values, **changes):
+    """Return settings with one class for each priority weight."""
     profiles = [dict(raw_settings()["Profiles"][0], Worth=value) for value in values]
     return Settings.parse(raw_settings(Profiles=profiles, Goal={"Whole": 1.0}, **changes))
 
 
-def asked(made, count=100):
+def count_arrivals(made, count=100):
     for number in range(count):
         profile = made.settings.profiles[number % 2]
-        made._shedder.arrive(number % 2, profile.priority_weight, 1.0 + number % 2, 0, 1.0)
+        made.components.shedder.arrive(number % 2, profile.priority_weight, 1.0 + number % 2, 0, 1.0)
 
 
 @pytest.mark.parametrize(
     "change",
     [{"values": (10.0, 1.0)}, {"values": (1.5, 1.0), "WorthBy": "work"}],
 )
-def test_shedding_goes_by_the_worth_that_holds_now(change):
+def test_load_shedding_uses_the_priority_weights_in_force(change):
     values = change.pop("values")
-    made = Balancer(0.0, worths(1.0, 10.0), 1)
-    asked(made)
-    made.reload(1.0, worths(*values, **change), {0, 1})
-    fresh = Balancer(0.0, worths(*values, **change), 1)
-    asked(fresh)
+    made = Balancer(0.0, weighted_settings(1.0, 10.0), 1)
+    count_arrivals(made)
+    made.step(1.0, SettingsReloaded(weighted_settings(*values, **change), {0, 1}))
+    fresh = Balancer(0.0, weighted_settings(*values, **change), 1)
+    count_arrivals(fresh)
     for band in (0, 1):
-        assert made._shedder.refusal_chance(0.0, 0.2, band, over=False) == pytest.approx(
-            fresh._shedder.refusal_chance(0.0, 0.2, band, over=False)
+        assert made.components.shedder.refusal_chance(0.0, 0.2, band, over=False) == pytest.approx(
+            fresh.components.shedder.refusal_chance(0.0, 0.2, band, over=False)
         )
 
 
-def test_classes_worth_nothing_are_shed_as_others():
-    made = Balancer(0.0, worths(0.0, 0.0), 1)
-    asked(made)
-    assert 0.0 < made._shedder.refusal_chance(0.0, 0.2, 0, over=False) <= 1.0
+def test_classes_without_priority_weight_are_shed_like_others():
+    made = Balancer(0.0, weighted_settings(0.0, 0.0), 1)
+    count_arrivals(made)
+    assert 0.0 < made.components.shedder.refusal_chance(0.0, 0.2, 0, over=False) <= 1.0
 
 
-def test_a_shorter_release_holds_for_servers_that_leave_already():
+def test_a_time_limit_for_idle_connections_applies_to_servers_that_drain_already():
     made = balancer()
-    made.server_list(1.0, "changes", [Listing("s0", state="leaving")])
+    made.step(1.0, EndpointsListed(ListForm.CHANGES, [Listing("s0", state="leaving")]))
     actions = reloaded(made, 2.0, {0}, Rules={"ReleaseWithin": 100.0})
     assert of_type(actions, CloseIdle) == [CloseIdle("s0")]
-    assert of_type(actions, Timer) == [Timer(40.0, "close:s0")]
+    assert of_type(actions, Timer) == [Timer(40.0, IdleCloseTimer("s0"))]
 
 
 @pytest.mark.parametrize(("before", "after"), [(100.0, 10.0), (10.0, 100.0)])
-def test_a_key_rests_for_as_long_as_either_settings_ask(before, after):
-    turns = {"Semantics": "pure", "Objective": 200.0, "Deadline": 1000.0, "LateWorth": 0.5, "InTurn": True}
-    made = balancer(Profiles=[turns], Rules={"SettleAfterDoubt": before})
-    made.request(0.0, Arrival(1, 0, 1000.0, key=7))
-    reloaded(made, 1.0, {0}, Profiles=[turns], Rules={"SettleAfterDoubt": after})
-    made.request(2.0, Arrival(2, 0, 1000.0, key=7))
-    assert not of_type(made.outcome(20.0, 1, 0, Outcome.RESET, 20.0, last=True), Send)
-    assert not of_type(made.timer(119.0, "turn:7"), Send)
-    assert of_type(made.timer(120.0, "turn:7"), Send)
-
-
-def test_a_server_that_counts_as_cold_by_a_reload_owes_nothing_for_what_it_took_while_warm():
+def test_a_key_pauses_for_the_longer_time_of_both_settings(before, after):
+    ordered = {**CLASSES["late"], "InTurn": True}
+    made = balancer(Profiles=[ordered], Rules={"SettleAfterDoubt": before})
+    made.step(0.0, RequestArrived(1, 0, 1000.0, key=7))
+    reloaded(made, 1.0, {0}, Profiles=[ordered], Rules={"SettleAfterDoubt": after})
+    made.step(2.0, RequestArrived(2, 0, 1000.0, key=7))
+    assert not of_type(made.step(20.0, AttemptEnded(1, 0, Outcome.RESET, 20.0, request_ended=True)), Send)
+    assert not of_type(made.step(119.0, TimerDue(KeyPauseTimer(7))), Send)
+    assert of_type(made.step(120.0, TimerDue(KeyPauseTimer(7))), Send)
+
+
+def test_a_server_that_a_reload_puts_into_slow_start_is_not_charged_for_earlier_sends():
     made = balancer(servers=0)
-    made.server_list(0.0, "changes", [Listing("s0", started=1.0)])
+    made.step(0.0, EndpointsListed(ListForm.CHANGES, [Listing("s0", started=1.0)]))
     for number in range(1, 201):
-        assert of_type(made.request(number * 10.0, arrival(number, number * 10.0)), Send)
-        made.outcome(number * 10.0 + 5.0, number, 0, Outcome.OK, 5.0, last=True)
+        assert of_type(made.step(number * 10.0, arrival(number, number * 10.0)), Send)
+        made.step(number * 10.0 + 5.0, answered(number, 5.0))
     cold = {"WarmUp": 20000.0, "ColdFrom": 0.2, "OverloadFor": 2000.0, "FallMultiple": 4.0}
     reloaded(made, 2010.0, {0}, Rules=cold)
-    assert of_type(made.request(2100.0, arrival(999, 2100.0)), Send)
+    assert of_type(made.step(2100.0, arrival(999, 2100.0)), Send)
 
 
-# --- slots of classes ---------------------------------------------------------------------
+# --- positions of classes ---------------------------------------------------------------------
 
 
-def test_what_is_learned_of_a_class_stays_with_it_and_begins_anew_in_a_slot_that_changes():
+def test_what_was_learned_of_a_class_stays_and_is_not_inherited_by_another():
     made = balancer("safe", "safe", "safe", Prices=CROSSING)
-    made._zones.spill = [0.1, 0.2, 0.3]
+    made.components.zones.spill = [0.1, 0.2, 0.3]
     reloaded(made, 1.0, {0, 2}, "safe", "keyed", "safe", "unsafe", Prices=CROSSING)
-    assert made._zones.spill == [0.1, 0.0, 0.3, 0.0]
+    assert made.components.zones.spill == [0.1, 0.0, 0.3, 0.0]
 
 
-def test_a_class_that_is_gone_does_not_set_what_a_crossing_costs_the_others():
+def test_a_removed_class_does_not_affect_the_price_of_other_zones():
     before = config.parse(raw(Profiles=[row("a", Worth=1.0), row("dear", Worth=100.0)], Prices=CROSSING), {})
     after = take(before, raw(Profiles=[row("a", Worth=1.0)], Prices=CROSSING))
-    margins = [Balancer(0.0, c.settings, 1)._zones._margins[0] for c in (before, after.config)]
+    margins = [Balancer(0.0, c.settings, 1).components.zones.margins[0] for c in (before, after.config)]
     alone = Balancer(0.0, config.parse(raw(Profiles=[row("a")], Prices=CROSSING), {}).settings, 1)
-    assert margins[0] > margins[1] == alone._zones._margins[0]
+    assert margins[0] > margins[1] == alone.components.zones.margins[0]
 
 
-def test_an_open_request_of_a_class_that_is_gone_is_learned_from():
+def test_an_open_request_of_a_removed_class_is_learned_from():
     before = config.parse(raw(Profiles=[row("a"), row("b")], Prices=CROSSING), {})
     made = Balancer(0.0, before.settings, 1)
-    made.server_list(0.0, "remembered", listing(4))
-    made.request(0.0, Arrival(1, 1, 1000.0))
+    made.step(0.0, EndpointsListed(ListForm.REMEMBERED, listing(4)))
+    made.step(0.0, RequestArrived(1, 1, 1000.0))
     for names in ("ac", "ad", "ae"):
         news = take(before, raw(Profiles=[row(name) for name in names], Prices=CROSSING), busy={1})
         before = news.config
-        made.reload(1.0, before.settings, news.same_classes)
+        made.step(1.0, SettingsReloaded(before.settings, news.same_classes))
         assert all(kind.slot != 1 for kind in before.names.classes.values())
-    assert not made.outcome(5.0, 1, 0, Outcome.OK, 5.0, last=True) and not made._requests
+    assert not made.step(5.0, answered(1, 5.0)) and not made.open_requests
 
 
-def test_classes_whose_effect_leaves_a_key_without_meaning_need_not_have_it():
+def test_key_settings_are_required_only_of_classes_with_a_key():
     def keyed(name, **changes):
         return row(name, "token", KeyTtl=500.0, Group="all", **changes)
 
@@ -210,11 +227,11 @@
     del lame["KeyTtl"]
     with pytest.raises(config.ConfigError, match=r"Profiles\.KeyTtl is missing"):
         take(before, raw(Profiles=[row("a"), lame]))
-    # One that had no keyed class can't lack what binds those.
+    # Without a keyed class before, the settings of keys are not required.
     assert take(config.parse(raw(Profiles=[row("a")]), {}), raw(Profiles=[lame])).same_classes == frozenset()
 
 
-def test_zones_that_wait_for_a_restart_are_not_taken_for_one():
+def test_new_zones_that_wait_for_a_restart_are_kept_apart():
     zones = {"FailureDomains": ["east", "west"]}
     classes = [row("book", "token", Group="zone", KeyTtl=4000.0)]
     before = config.parse(raw(Profiles=classes, **zones), {})
@@ -226,14 +243,14 @@
     assert zones_of["s0"] == zones_of["s2"] and len({0, -1, *zones_of.values()}) == 4
     for seed in range(20):
         made = Balancer(0.0, after.config.settings, seed)
-        made.server_list(0.0, "remembered", entries)
-        (first,) = of_type(made.request(0.0, Arrival(1, 0, 1000.0)), Send)
-        for again in of_type(made.outcome(1.0, 1, 0, Outcome.ERROR, 1.0), Send):
+        made.step(0.0, EndpointsListed(ListForm.REMEMBERED, entries))
+        (first,) = of_type(made.step(0.0, RequestArrived(1, 0, 1000.0)), Send)
+        for again in of_type(made.step(1.0, AttemptEnded(1, 0, Outcome.ERROR, 1.0)), Send):
             assert zones_of[again.server] == zones_of[first.server]
 
 
-class Still:
-    """A loop and a clock that stand still."""
+class StoppedClock:
+    """A loop and a clock whose time does not pass."""
 
     def call_later(self, delay, what, *args):
         return asyncio.TimerHandle(delay, what, args, self)
@@ -248,9 +265,9 @@
         return 0.0
 
 
-def test_no_slot_is_taken_while_clients_may_name_its_class_of_before():
+def test_no_class_takes_a_position_while_clients_may_still_name_its_former_class():
     running, rng = config.parse(raw(), {}), random.Random(5)
-    made = inbound.Inbound(Still(), Still(), running, None, Lifecycle())
+    made = inbound.Inbound(StoppedClock(), StoppedClock(), running, None, Lifecycle())
     for _ in range(300):
         profiles = [row(name, rng.choice(EFFECTS)) for name in rng.sample("abcdef", 3)]
         running = take(running, raw(Profiles=profiles), made.request_classes).config
@@ -268,7 +285,7 @@
 
 
 @loopback
-async def test_a_request_in_flight_keeps_the_effect_that_its_class_had():
+async def test_a_request_in_flight_keeps_the_semantics_of_its_class():
     held, answer = asyncio.Event(), asyncio.Event()
 
     async def reset_then(reader, writer):
@@ -285,7 +302,7 @@
         answer.set()
         assert (await app.answer()).start.split(" ")[1] == "502"
         assert sum(len(upstream.seen) for upstream in upstreams) == 1
-        # The name stands for both now: what asks for it as before runs once, the new one as often as need be.
+        # The name stands for both classes now: a POST as before runs once, a GET may be retried.
         again, other = await App.connect(made.address), await App.connect(made.address)
         assert (await again.ask("GET", "/pay")).body == b"done"
         other.send("POST", "/pay", b"x")
@@ -300,7 +317,7 @@
 
 @pytest.mark.parametrize(("grace", "closed_from"), [(200.0, 1050.0), (5000.0, 1350.0)])
 @loopback
-async def test_a_shorter_grace_holds_for_servers_that_leave_already(grace, closed_from):
+async def test_a_shorter_grace_period_applies_to_servers_that_drain_already(grace, closed_from):
     loop = asyncio.get_running_loop()
     before, after = (told(Rules={"StopSendingWithin": ms}) for ms in (500.0, grace))
     pool = outbound.Pool(loop, Clock(loop), before)
