--- a/brassfall/sidecar/core/__init__.py
+++ b/brassfall/sidecar/core/__init__.py
@@ -1,1 +1,1 @@
-"""What drives requests and their attempts: the only caller of the balancer, without sockets."""
+"""The driver of requests, attempts and health checks: the only caller of the balancer, without sockets."""
--- /dev/null
+++ b/brassfall/sidecar/core/actions.py
@@ -0,0 +1,64 @@
+"""The dispatch of the balancer's actions to the parts that carry them out."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from brassfall.balancer import model
+from brassfall.sidecar.console import log
+from brassfall.sidecar.core.balancer_timers import BalancerTimers
+from brassfall.sidecar.core.health_checks import HealthChecks
+from brassfall.sidecar.core.interfaces import Gossip, Registry, Upstreams
+from brassfall.sidecar.core.request_lifecycle import RequestLifecycle
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class ActionDispatcher:
+    """Carries out actions, each at once."""
+
+    requests: RequestLifecycle
+    timers: BalancerTimers
+    health_checks: HealthChecks
+    upstreams: Upstreams
+    registry: Registry
+    gossip: Gossip
+
+    def perform(self, action: model.Action, stamp: bytes) -> None:
+        """Carry out one action, decided under the configuration revision of `stamp`."""
+        match action:
+            case model.Send():
+                self._send(action, stamp)
+            case model.Timer(request=number):
+                tracked = number is not None and self.requests.table.get(number) is not None
+                self.timers.arm(action, is_tracked=tracked)
+            case model.Refuse(number, retry_after):
+                self.requests.refuse(number, retry_after)
+            case model.Fail(number):
+                self.requests.fail_by_number(number)
+            case model.Cancel(number, attempt):
+                self.requests.cancel_attempt(number, attempt)
+            case model.CloseIdle(server):
+                self.upstreams.close_idle(server)
+            case model.Probe(server):
+                self.health_checks.start(server)
+            case _:
+                self._perform_outward(action)
+
+    def _perform_outward(self, action: model.Action) -> None:
+        """Carry out an action towards discovery, other sidecars or the log."""
+        match action:
+            case model.Watch(on):
+                self.registry.watch(on=on)
+            case model.Fetch():
+                self.registry.fetch()
+            case model.Tell(peer, data):
+                self.gossip.tell(peer, data)
+            case model.Log(text):
+                log(text)
+
+    def _send(self, send: model.Send, stamp: bytes) -> None:
+        request = self.requests.table.get(send.request)
+        if request is None:
+            log(f"attempt for an unknown request, not sent; report it: request={send.request}")
+        else:
+            self.requests.attempts.start(request, send, stamp)
--- a/brassfall/sidecar/core/attempts.py
+++ b/brassfall/sidecar/core/attempts.py
@@ -1,4 +1,7 @@
-"""What the driver keeps of each request and of its attempts; times are in ms of the sidecar's clock."""
+"""The records of requests and their attempts, with the states of each.
+
+Times are in milliseconds of the sidecar's clock.
+"""
 
 from __future__ import annotations
 
@@ -6,83 +9,163 @@
 import math
 from collections.abc import Callable
 from dataclasses import dataclass, field
+from enum import Enum, auto
 from typing import Protocol, cast
 
 from brassfall.balancer.model import Outcome
 from brassfall.sidecar.core.interfaces import Answer, Call, Exchange, Flow, Result
 
 
+class _State(Enum):
+    """A state, hashed by identity: `Enum.__hash__` would cost a call of Python code for each transition."""
+
+    __hash__ = object.__hash__
+
+
+class RequestState(_State):
+    """How far the final answer of a request is."""
+
+    AWAITING_ANSWER = auto()
+    STREAMING_ANSWER = auto()  # a server's answer is passed to the client while it arrives
+    ENDED = auto()  # answered completely, or its client has left
+
+
+class AttemptState(_State):
+    """How far an attempt is."""
+
+    STARTING = auto()  # not yet handed to the pool
+    UPLOADING = auto()  # of a large request, which is not written completely: its time limit is not running
+    AWAITING_ANSWER = auto()
+    STREAMING_ANSWER = auto()
+    STOPPED = auto()  # by this process; the outcome follows in a later turn of the loop
+    ENDED = auto()  # the outcome is known
+
+
+class StateTransitionError(Exception):
+    """A change of state that a request or an attempt can't make: a defect of the driver."""
+
+    action = "report it with the traceback"
+
+    def __init__(self, before: Enum, after: Enum) -> None:
+        super().__init__(f"{before.name} can't become {after.name}")
+
+
+REQUEST_TRANSITIONS = {
+    RequestState.AWAITING_ANSWER: frozenset((RequestState.STREAMING_ANSWER, RequestState.ENDED)),
+    RequestState.STREAMING_ANSWER: frozenset((RequestState.ENDED,)),
+    RequestState.ENDED: frozenset[RequestState](),
+}
+
+# States in which the attempt has an exchange, but no answer yet.
+UNANSWERED = frozenset((AttemptState.UPLOADING, AttemptState.AWAITING_ANSWER))
+IN_EXCHANGE = UNANSWERED | {AttemptState.STREAMING_ANSWER}
+
+ATTEMPT_TRANSITIONS = {
+    AttemptState.STARTING: UNANSWERED | {AttemptState.STOPPED},
+    AttemptState.UPLOADING: frozenset(AttemptState) - {AttemptState.STARTING, AttemptState.UPLOADING},
+    AttemptState.AWAITING_ANSWER: frozenset(
+        (AttemptState.STREAMING_ANSWER, AttemptState.STOPPED, AttemptState.ENDED)
+    ),
+    AttemptState.STREAMING_ANSWER: frozenset((AttemptState.STOPPED, AttemptState.ENDED)),
+    AttemptState.STOPPED: frozenset((AttemptState.ENDED,)),
+    AttemptState.ENDED: frozenset[AttemptState](),
+}
+
+
 class AttemptOwner(Protocol):
-    """Who is told what becomes of an attempt: the driver."""
+    """The part of the driver that follows attempts; see `Watcher` for the events."""
 
-    def attempt_due(self, attempt: Attempt) -> bool:
-        """Return whether an attempt is still wanted, now that its bytes are due."""
+    def may_write(self, attempt: Attempt) -> bool:
+        """Return whether an attempt whose bytes are due is still wanted."""
 
-    def attempt_written(self, attempt: Attempt) -> None:
-        """Take note that all of a large request is written."""
+    def uploaded(self, attempt: Attempt) -> None:
+        """Take note that a request has been written completely."""
 
-    def attempt_begun(self, attempt: Attempt, answer: Answer, flow: Flow) -> Callable[[bytes], None]:
+    def answer_begun(self, attempt: Attempt, answer: Answer, flow: Flow) -> Callable[[bytes], None]:
         """Begin to pass a large answer on; return what takes the rest of it."""
 
-    def attempt_unsent(self, attempt: Attempt) -> None:
-        """Take note that an attempt was abandoned before it was sent, by the pool."""
+    def withdrawn(self, attempt: Attempt) -> None:
+        """Take note that the pool abandoned an attempt before it was sent."""
 
-    def attempt_ended(self, attempt: Attempt, result: Result) -> None:
-        """Take the one outcome of an attempt."""
+    def ended(self, attempt: Attempt, result: Result) -> None:
+        """Take the outcome of an attempt; later ones are ignored."""
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One `Send`, until its outcome: the watcher of its exchange."""
+    """One attempt of a request, from the balancer's `Send` to its outcome; it watches its exchange."""
 
-    driver: AttemptOwner
+    owner: AttemptOwner
     request: Request
-    hop: int  # its number among the request's attempts
-    sent: float
-    wait: float  # for an answer, once all is written
-    stamp: bytes = b""  # the revision under which its server was picked, where there are any
-    write_by: float = math.inf  # when its key's window is over, less a margin
-    out: bool = True  # whether its outcome is yet to come
+    number: int  # among the request's attempts, from 0
+    started_at: float
+    time_limit: float  # for an answer, from when the request is written completely
+    stamp: bytes = b""  # the configuration revision under which the server was selected; empty: none
+    write_by: float = math.inf  # end of the idempotency key's window, less a margin
+    state: AttemptState = AttemptState.STARTING
     exchange: Exchange | None = None
     timeout: asyncio.TimerHandle | None = None
-    window: asyncio.TimerHandle | None = None  # of a retry under an idempotency key
-    filling: bool = False  # whether its time is yet to run, since it is large and not written
-    begun_at: float | None = None  # when its answer began to be passed on
+    window: asyncio.TimerHandle | None = None  # for `write_by`
+    answer_began_at: float | None = None  # when its answer began to be passed on
+
+    def enter(self, state: AttemptState) -> None:
+        """Change the state; raise `StateTransitionError` if the present one doesn't allow it."""
+        if state not in ATTEMPT_TRANSITIONS[self.state]:
+            raise StateTransitionError(self.state, state)
+        self.state = state
 
     def may_write(self) -> bool:
-        """Whether it is still wanted, now that its connection is there."""
-        return self.driver.attempt_due(self)
+        """Return whether the attempt is still wanted, now that its bytes can be written."""
+        return self.owner.may_write(self)
 
     def written(self) -> None:
-        """All of a large request is on its way: from here the server's time runs."""
-        self.driver.attempt_written(self)
+        """Take note that the request has been written completely."""
+        if self.state is AttemptState.UPLOADING:
+            self.owner.uploaded(self)
 
     def begun(self, answer: Answer, flow: Flow) -> Callable[[bytes], None]:
-        """A large answer begins."""
-        return self.driver.attempt_begun(self, answer, flow)
+        """Begin to pass a large answer on; return what takes the rest of it."""
+        return self.owner.answer_begun(self, answer, flow)
 
     def ended(self, result: Result) -> None:
-        """Its one outcome."""
-        if result.outcome == Outcome.ABANDONED:
-            self.driver.attempt_unsent(self)
-        self.driver.attempt_ended(self, result)
+        """Take the outcome that the pool gives."""
+        if result.outcome == Outcome.ABANDONED and self.state is not AttemptState.ENDED:
+            self.owner.withdrawn(self)
+        self.owner.ended(self, result)
 
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """A request taken, until its final answer and its last outcome."""
+    """One request, from its arrival until it has its final answer and every attempt its outcome."""
 
     id: int
     call: Call
-    give_up_at: float
-    max_attempts: int  # as allowed at its arrival
+    give_up_at: float  # infinite while its body is being read
+    max_attempts: int  # by the settings at its arrival, and one more for each withdrawn attempt
     read_at: float  # when its last byte was read; before that, when it arrived
-    ended: bool = False  # whether it has its final answer
+    state: RequestState = RequestState.AWAITING_ANSWER
     attempts: list[Attempt] = field(default_factory=list)
-    out: int = 0  # attempts whose outcome is yet to come
-    guard: asyncio.TimerHandle | None = None
-    timers: list[asyncio.TimerHandle] = field(default_factory=list)  # the balancer's, about this request
-
-
-# In place of a request that is over and forgotten: it has ended, and nobody holds it.
-FORGOTTEN = Request(-1, cast(Call, None), -math.inf, 0, -math.inf, ended=True)
+    attempts_in_flight: int = 0  # without an outcome
+    deadline_guard: asyncio.TimerHandle | None = None
+
+    @property
+    def answered(self) -> bool:
+        """True if the final answer is complete or has begun, or none is owed any more."""
+        return self.state is not RequestState.AWAITING_ANSWER
+
+    def enter(self, state: RequestState) -> None:
+        """Change the state; raise `StateTransitionError` if the present one doesn't allow it."""
+        if state not in REQUEST_TRANSITIONS[self.state]:
+            raise StateTransitionError(self.state, state)
+        self.state = state
+
+
+# Takes the place of a released request in the attempts that named it, which breaks the reference cycle.
+RELEASED = Request(
+    id=-1,
+    call=cast(Call, None),
+    give_up_at=-math.inf,
+    max_attempts=0,
+    read_at=-math.inf,
+    state=RequestState.ENDED,
+)
--- a/brassfall/sidecar/core/clock.py
+++ b/brassfall/sidecar/core/clock.py
@@ -5,7 +5,7 @@
 import asyncio
 import time
 
-# This process may be held up for so long between reading its clock and writing.
+# The longest time that this process may be held up between reading its clock and writing.
 HOLD_UP_MS = 150.0
 
 
@@ -13,20 +13,23 @@
     """Monotonic milliseconds plus one fixed offset to Unix time, so that `since_ms` compares.
 
     The wall clock is read once, at the start: where it is stepped later, no span changes. What a wrong one
-    means for the starts of servers is bounded in `start_times`."""
+    means for the starts of servers is bounded in `start_times`.
 
-    def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
+    `offset_ms` is what is added to the loop's time; by default, what makes Unix time of it.
+    """
+
+    def __init__(self, loop: asyncio.AbstractEventLoop, offset_ms: float | None = None) -> None:
         self._loop = loop
-        self._offset = time.time() * 1000.0 - loop.time() * 1000.0
+        self.offset_ms = time.time() * 1000.0 - loop.time() * 1000.0 if offset_ms is None else offset_ms
 
     def now(self) -> float:
-        """The time in milliseconds; it never steps back."""
-        return self._loop.time() * 1000.0 + self._offset
+        """Return the time in milliseconds; it never steps back."""
+        return self._loop.time() * 1000.0 + self.offset_ms
 
     def to_loop(self, at_ms: float) -> float:
-        """The loop's own time, in seconds, for a time of this clock."""
-        return (at_ms - self._offset) / 1000.0
+        """Return the loop's own time, in seconds, for a time of this clock."""
+        return (at_ms - self.offset_ms) / 1000.0
 
     def from_loop(self, at_s: float) -> float:
-        """This clock's time for a time of the loop in seconds."""
-        return at_s * 1000.0 + self._offset
+        """Return this clock's time for a time of the loop in seconds."""
+        return at_s * 1000.0 + self.offset_ms
--- a/brassfall/sidecar/core/interfaces.py
+++ b/brassfall/sidecar/core/interfaces.py
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True)
 class Answer:
-    """What a server answered, for the client; of a large answer the beginning."""
+    """A server's answer for the client: complete, or the beginning of a large one."""
 
     headers: list[tuple[bytes, bytes]]
     body: bytes
@@ -31,106 +31,113 @@
 
     outcome: Outcome
     answer: Answer | None = None
-    report: dict[str, float] | None = None  # the load report that came with it
+    report: dict[str, float] | None = None  # the load report in the answer
 
 
 class Call(Protocol):
     """A request as the application sent it, and the way of its answer.
 
     Exactly one of `served`, `refused`, `failed` and `begun` is called; after `begun` come any number of
-    `more` and then one of `finished` and `broken`."""
+    `more` and then one of `finished` and `broken`.
+    """
 
     request_class: int  # its slot in the settings' profiles
     tenant: int
     key: int | None  # its idempotency key, as a number
     work: float | None
-    client_retry: bool  # whether its client marked it as a retry
+    client_retry: bool  # True if the client marked it as a retry
     mutates: bool
-    budget: float  # ms that its client waits, from its last byte
+    budget: float  # how long its client waits for an answer, from its last byte
     body: Body | None  # of a large request
 
     @property
     def reading(self) -> bool:
-        """Whether its body is still coming."""
+        """True if its body is still arriving."""
 
     def client_left(self) -> bool:
-        """Return whether its client has closed its connection, by a look at the socket.
+        """Return whether its client has closed its connection, by a check of the socket.
 
-        The driver's `client_gone` follows soon where it has."""
+        The driver's `client_gone` follows soon if it has.
+        """
 
     def wire(self, left: float) -> bytes:
-        """Return the request's bytes for a server that has `left` ms."""
+        """Return the request's bytes for a server that has `left` to answer."""
 
     def served(self, answer: Answer) -> None:
         """Give the final answer: a server's."""
 
     def refused(self, retry_after: float) -> None:
-        """Give the final answer: rejected, and a retry after so many ms does no harm."""
+        """Give the final answer: rejected; a retry after `retry_after` does no harm."""
 
     def failed(self, *, late: bool) -> None:
-        """Give the final answer: failed, `late` where its time is over."""
+        """Give the final answer: failed, `late` if its budget is used up."""
 
     def begun(self, answer: Answer, flow: Flow) -> None:
-        """Begin the final answer: a server's, of which more is to come."""
+        """Begin the final answer: the first part of a server's."""
 
     def more(self, data: bytes) -> None:
-        """Pass on a part of it."""
+        """Pass on the next part of the answer."""
 
     def finished(self) -> None:
-        """End it: it is complete."""
+        """End the answer: it is complete."""
 
     def broken(self) -> None:
-        """Break it off: it can't be completed."""
+        """Break the answer off: it can't be completed."""
 
 
 class Flow(Protocol):
-    """The server's side of an answer that is passed on as it comes."""
+    """The server's side of an answer that is passed on while it arrives."""
 
     def pause(self) -> None:
-        """Stop reading: the client does not take it so fast."""
+        """Stop reading: the client is slower than the server."""
 
     def resume(self) -> None:
-        """Read on: the client has caught up."""
+        """Continue reading: the client has taken all that was read."""
 
 
 class Watcher(Protocol):
-    """Is told what becomes of an exchange."""
+    """Follows an exchange."""
 
-    stamp: bytes  # the revision under which its server was picked; empty where there are none
+    stamp: bytes  # header line of the revision under which the server was selected; empty: none
 
     def may_write(self) -> bool:
-        """Return whether its bytes, which are due now, are still wanted; if not, no more is told of it."""
+        """Return whether the request, which can be written now, is still wanted.
+
+        If not, the exchange has ended and nothing more of it is reported.
+        """
 
     def written(self) -> None:
-        """Take note that a large request has been written completely."""
+        """Take note that the request has been written completely."""
 
     def begun(self, answer: Answer, flow: Flow) -> Callable[[bytes], None]:
         """Begin to pass a large answer on; return what takes the rest of it."""
 
     def ended(self, result: Result) -> None:
-        """Take its outcome: called once, unless it was abandoned first."""
+        """Take the outcome: called once, unless the exchange was abandoned first."""
 
 
 class Exchange(Protocol):
-    """One attempt or health check on its way."""
+    """One attempt or health check under way."""
 
-    failed_here: bool  # this machine can't open its connection: it is not sent, and no server was silent
+    failed_here: bool  # True if this machine can't open a connection: nothing was sent
 
     def abandon(self) -> None:
-        """Stop waiting: its connection is closed, and nothing more comes of it."""
+        """Stop at any point: its connection is closed, and no outcome is reported."""
 
     def drop(self) -> bool:
-        """Abandon it unless it is written completely, so that no server ever has it; return whether it was
-        abandoned."""
+        """Abandon the exchange unless its request has been written completely.
+
+        Return True if it was abandoned: then no server has the request.
+        """
 
 
 class Upstreams(Protocol):
-    """The servers, seen as somewhere to send."""
+    """The connections to servers."""
 
     def send(self, server: str, call: Call, expires: float, watcher: Watcher) -> Exchange:
-        """Begin an attempt that may take until `expires`; its watcher is told later, never from within."""
+        """Begin an attempt that may take until `expires`; its outcome is reported in a later turn."""
 
-    def probe(self, server: str, done: Callable[[Result], None]) -> Exchange:
+    def check_health(self, server: str, done: Callable[[Result], None]) -> Exchange:
         """Begin a health check; `done` is called once, later, unless it is abandoned first."""
 
     def update(self, now: float, servers: ServerList, *, complete: bool) -> None:
@@ -141,17 +148,17 @@
 
 
 class Registry(Protocol):
-    """Discovery, seen as something to ask."""
+    """Discovery."""
 
     def watch(self, *, on: bool) -> None:
         """Ask for changes from now on, or stop."""
 
     def fetch(self) -> None:
-        """Ask for the whole list once."""
+        """Ask for the complete list once."""
 
 
 class Gossip(Protocol):
     """The way to other sidecars."""
 
     def tell(self, peer: int | None, data: bytes) -> None:
-        """Send a message to one peer, or to all where `peer` is None."""
+        """Send a message to one peer, or to all if `peer` is None."""
--- a/brassfall/sidecar/lifecycle/sidecar.py
+++ b/brassfall/sidecar/lifecycle/sidecar.py
@@ -15,7 +15,7 @@
 from brassfall.sidecar.config_values import Address
 from brassfall.sidecar.console import log
 from brassfall.sidecar.core.clock import Clock
-from brassfall.sidecar.core.driver import Driver
+from brassfall.sidecar.core.driver import DecisionMaker, Driver
 from brassfall.sidecar.core.process_state import Lifecycle, State
 from brassfall.sidecar.discovery.discovery import Discovery
 from brassfall.sidecar.discovery.endpoint_list import ServerList
@@ -38,7 +38,9 @@
 class Sidecar:
     """One sidecar in this process; all of it runs on one event loop."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, configuration: Config) -> None:
+    def __init__(
+        self, loop: asyncio.AbstractEventLoop, configuration: Config, *, balancer: DecisionMaker | None = None
+    ) -> None:
         """Wire the parts; nothing is listened on, and nobody called, before `start`."""
         self._loop = loop
         self._running = configuration
@@ -50,7 +52,7 @@
         inherits = configuration.inherited is not None
         self.handover = Handover(os.environ.get("TMPDIR"), configuration.name) if inherits else None
         self.admin = AdminEndpoint(loop, self.lifecycle)
-        self.driver = Driver(loop, self._clock, configuration)
+        self.driver = Driver(loop, self._clock, configuration, balancer)
         self.admin.add_command("REFUSALS", lambda: self.driver.refusals)
         self.pool = Pool(loop, self._clock, configuration)
         self.discovery = Discovery(loop, configuration, self._server_list)
--- a/brassfall/sidecar/servers/__init__.py
+++ b/brassfall/sidecar/servers/__init__.py
@@ -1,1 +1,1 @@
-"""Connections to servers: the pool, attempts written, answers read."""
+"""Connections to servers: the pool, how they are opened, attempts written and answers read."""
--- a/brassfall/sidecar/servers/exchange.py
+++ b/brassfall/sidecar/servers/exchange.py
@@ -1,12 +1,10 @@
-"""One attempt or health check at a server, from the wish for a connection to its outcome.
-
-An exchange has one outcome, which is told once, or is abandoned, after which nothing is told of it.
-"""
+"""One attempt or health check at a server, from the wait for a connection to its outcome."""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable
+from enum import Enum, auto
 from typing import Protocol
 
 from brassfall.sidecar.body import Body
@@ -18,28 +16,37 @@
 class Carrier(Protocol):
     """The connection that an exchange is on."""
 
-    written: bool  # whether the system has taken the last byte of the request
+    written: bool  # True if the system has taken the last byte of the request
 
     def give_up(self) -> None:
-        """Close at once; what is not sent yet never is."""
+        """Close at once; bytes that are not sent yet are dropped."""
+
+
+class ExchangeState(Enum):
+    """How far an exchange is."""
+
+    AWAITING_CONNECTION = auto()
+    ON_CONNECTION = auto()
+    ENDED = auto()  # its outcome was reported, or it was abandoned and none will be
 
 
 class Exchange:
-    """One attempt or health check: first waits for a connection, then is on one.
+    """One attempt or health check: it waits for a connection, then is on one, then has ended.
 
     `message` makes the request, given the milliseconds that are left until `expires` (milliseconds, by the
-    sidecar's clock). `done` is called with the outcome. An attempt has a `watcher`, a health check none."""
+    sidecar's clock). `done` is called with the outcome. An attempt has a `watcher`, a health check none.
+    """
 
     __slots__ = (
         "_connection",
         "_done",
         "_opening",
         "body",
-        "ended",
         "expires",
         "failed_here",
         "message",
         "stamp",
+        "state",
         "watcher",
     )
 
@@ -55,48 +62,59 @@
         self.expires = expires
         self.watcher = watcher
         self.body = body  # of a large request
-        self.stamp = b""  # the header line of the revision under which its server was picked, if there is any
-        self.ended = False
-        self.failed_here = False  # whether this machine could not open its connection
+        self.stamp = b"" if watcher is None else watcher.stamp
+        self.state = ExchangeState.AWAITING_CONNECTION
+        self.failed_here = False  # True if this machine could not open its connection
         self._done = done
         self._connection: Carrier | None = None
         self._opening: asyncio.Task[None] | None = None
 
-    def opening(self, task: asyncio.Task[None]) -> None:
-        """A connection is being opened for it; `abandon` cancels the task."""
+    @property
+    def ended(self) -> bool:
+        """True if its outcome was reported, or it was abandoned."""
+        return self.state is ExchangeState.ENDED
+
+    def await_connection(self, task: asyncio.Task[None]) -> None:
+        """Wait for the connection that `task` opens; `abandon` cancels the task."""
         self._opening = task
 
     def carried_by(self, connection: Carrier) -> None:
-        """It is on a connection from here on."""
+        """Take note of the connection that the request is written to."""
+        self.state = ExchangeState.ON_CONNECTION
         self._connection, self._opening = connection, None
         self.failed_here = False
 
     def end(self, result: Result) -> None:
-        """Tell its outcome; without effect if it has one, or was abandoned."""
-        if not self.ended:
-            self.ended = True
-            self._connection = self._opening = None
+        """Report the outcome; without effect if the exchange has ended."""
+        if self.state is not ExchangeState.ENDED:
+            self.withdraw()
             self._done(result)
 
+    def withdraw(self) -> None:
+        """End without an outcome, and leave the connection as it is."""
+        self.state = ExchangeState.ENDED
+        self._connection = self._opening = None
+
     def abandon(self) -> None:
-        """End it without an outcome: its connection, up or coming up, is closed at once."""
-        if self.ended:
+        """End without an outcome: its connection, or the opening of one, is stopped at once."""
+        if self.state is ExchangeState.ENDED:
             return
-        self.ended = True
-        if self._opening is not None:
-            self._opening.cancel()
-        if self._connection is not None:
-            self._connection.give_up()
-        self._connection = self._opening = None
+        connection, opening = self._connection, self._opening
+        self.withdraw()
+        if opening is not None:
+            opening.cancel()
+        if connection is not None:
+            connection.give_up()
 
     def drop(self) -> bool:
-        """Abandon it unless it is written whole; whether it was.
+        """Abandon the exchange unless its request has been written completely; return whether it was.
 
-        A connection that is coming up is left to do so: it has been paid for, and the next one may use it."""
-        if self.ended or (self._connection is not None and self._connection.written):
+        A connection that is being opened comes up all the same: the next exchange may use it.
+        """
+        connection = self._connection
+        if self.state is ExchangeState.ENDED or (connection is not None and connection.written):
             return False
-        self.ended = True
-        if self._connection is not None:
-            self._connection.give_up()
-        self._connection = self._opening = None
+        self.withdraw()
+        if connection is not None:
+            connection.give_up()
         return True
--- a/brassfall/sidecar/servers/server_answers.py
+++ b/brassfall/sidecar/servers/server_answers.py
@@ -1,4 +1,4 @@
-"""What a server's answer says: the outcome of its attempt or health check, and a load report."""
+"""What a server's answer means: the outcome of its attempt or health check, and a load report."""
 
 from __future__ import annotations
 
@@ -11,27 +11,27 @@
 REJECTED = b"x-rejected"
 NOT_FOR_CLIENTS = frozenset((LOAD_REPORT, REJECTED))
 OK = 200
-REJECTIONS = (503, 504)  # of an attempt with the header that says so; of a health check in any case
+REJECTIONS = (503, 504)  # of an attempt with the header `REJECTED`; of a health check in any case
 
 
 def client_headers(parser: framing.AnswerParser) -> framing.Headers:
-    """The headers of an answer that its client gets."""
+    """Return the headers of an answer that its client gets."""
     return framing.end_to_end(parser.headers, NOT_FOR_CLIENTS)
 
 
 class AnswerReader:
-    """Reads complete answers by what the settings say of load reports."""
+    """Reads complete answers; the settings say which fields a load report has."""
 
     def __init__(self, settings: Settings) -> None:
         self._fields = settings.report_fields if settings.report_how != "off" else ()
 
     @property
     def reports(self) -> bool:
-        """Whether servers report their load."""
+        """True if servers report their load."""
         return bool(self._fields)
 
     def result(self, parser: framing.AnswerParser, *, health_check: bool) -> Result:
-        """The outcome that a complete answer tells."""
+        """Return the outcome of a complete answer, with the answer for the client if it is OK."""
         report = self._report(parser, health_check=health_check)
         status = parser.status
         if status == OK:
@@ -41,7 +41,7 @@
         return Result(Outcome.ERROR, None, report)
 
     def _report(self, parser: framing.AnswerParser, *, health_check: bool) -> dict[str, float] | None:
-        """The known fields of a load report that are numbers; None if there are none."""
+        """Return the known fields of a load report that are numbers; None if there are none."""
         if not self._fields:
             return None
         text = parser.header(LOAD_REPORT) or (bytes(parser.body) if health_check else b"")
--- a/brassfall/sidecar/servers/server_connection.py
+++ b/brassfall/sidecar/servers/server_connection.py
@@ -1,9 +1,7 @@
-"""A server, and a connection to it: one request at a time, and which outcome its end has.
+"""A server, and a connection to it, which carries one exchange at a time.
 
-A connection is *idle* (no exchange), or carries an exchange. That is, in this order, *being written*
-(`written` is false), *waited for*, perhaps *passed on* to its client, and answered: then it is idle again, or
-closed. A break before the last byte of the request is written proves that the server never ran it
-(`CONNECT_FAILED`); a later one doesn't (`RESET`).
+A break before the last byte of a request is written proves that the server never ran it (`CONNECT_FAILED`); a
+later one doesn't (`RESET`).
 """
 
 from __future__ import annotations
@@ -14,6 +12,7 @@
 import socket
 import struct
 from dataclasses import dataclass, field
+from enum import Enum, auto
 from typing import Protocol
 
 from brassfall.balancer.model import Outcome
@@ -24,7 +23,7 @@
 from brassfall.sidecar.servers.exchange import Exchange
 from brassfall.sidecar.servers.server_answers import OK, client_headers
 
-# An answer of unknown length is buffered for so long at the most, and then passed on as it comes.
+# An answer of unknown length is buffered for so long at the most, and then passed on as it arrives.
 HOLD_S = 0.1
 # A server that takes or gives nothing for so long, where more is due, has stalled.
 STALLED_S = 30.0
@@ -32,14 +31,27 @@
 RESET_AT_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, for no time
 
 
+class ConnectionState(Enum):
+    """What a connection does; whether the request is written is `Connection.written`."""
+
+    IDLE = auto()  # no exchange: not established yet, or between two
+    AWAITING_ANSWER = auto()  # a request is being written, or its answer awaited or buffered
+    STREAMING_ANSWER = auto()  # the answer is passed to the client as it arrives
+    CLOSING = auto()  # nothing more is read or written
+    CLOSED = auto()
+
+
+CARRYING = (ConnectionState.AWAITING_ANSWER, ConnectionState.STREAMING_ANSWER)
+
+
 class DelayObserver(Protocol):
-    """Is told the delays to regions that ordinary traffic shows, in milliseconds."""
+    """Takes the delays to regions that ordinary traffic shows, in milliseconds."""
 
     def handshake(self, region: str, ms: float, *, cold: bool) -> None:
-        """A connection was opened; that of a `cold` server, in slow start, tells little of the network."""
+        """Take the time to open a connection; `cold` if the server is in slow start."""
 
     def first_byte(self, region: str, ms: float, spent_ms: float = 0.0) -> None:
-        """The first byte of an answer came so long after its request was written."""
+        """Take the time from a written request to the first byte of its answer."""
 
 
 class ConnectionOwner(Protocol):
@@ -49,28 +61,34 @@
     delays: DelayObserver | None
 
     def free(self, connection: Connection) -> None:
-        """The connection is idle, and may be used again."""
+        """Take back a connection that is idle and may be used again."""
 
     def connection_closed(self, connection: Connection) -> None:
-        """The connection is closed."""
+        """Forget a connection that is closed."""
 
     def result(self, parser: framing.AnswerParser, *, health_check: bool) -> Result:
-        """The outcome that a complete answer tells."""
+        """Return the outcome of a complete answer."""
 
 
 @dataclass(slots=True, eq=False)
 class Server:
-    """A server that discovery has named, from one start of it to the next.
+    """A server in the endpoint list, from one start of it to the next.
 
-    What comes back under its name at another address, or with another start, is another server, with
-    connections and a drain of its own."""
+    A server of the same name at another address, or with another start, is another one, with connections and
+    a draining time of its own.
+    """
 
     name: str
     address: Address
     started: float = 0.0  # Unix time in milliseconds; 0: long ago
     region: str = ""  # the name of its zone
     closed_from: float = math.inf  # no request is begun on its connections from then on (ms, sidecar's clock)
-    idle: list[Connection] = field(default_factory=list)  # the one that was used last is last
+    idle: list[Connection] = field(default_factory=list)  # in the order in which they became idle
+
+    @property
+    def draining(self) -> bool:
+        """True if no request may be begun, now or after a grace: it drains, has left or was replaced."""
+        return self.closed_from < math.inf
 
 
 class Connection(framing.SharedBufferProtocol):
@@ -79,131 +97,119 @@
     def __init__(self, pool: ConnectionOwner, server: Server) -> None:
         self._pool = pool
         self.server = server
+        self.state = ConnectionState.IDLE
+        self.written = True  # True if the system has taken the last byte of the request
         self.idle_since = 0.0  # milliseconds, by the sidecar's clock
-        self.sent_at = 0.0  # by the loop's clock: of a small request, until its answer begins, if measured
-        self.written = True
-        self.closed = False
+        # When a small request was written, by the loop's clock; 0: not measured, or its answer has begun.
+        self.sent_at = 0.0
         self._transport: asyncio.Transport
         self._parser = framing.AnswerParser()
-        self._exchange: Exchange | None = None
-        self._body: Body | None = None  # a large one, until it is written whole
-        self._wait: asyncio.TimerHandle | None = None  # for an answer's length, then for its next part
-        self._stalled: asyncio.TimerHandle | None = None  # for a server that takes no more of a body
-        self._heard_at = 0.0  # by the loop's clock
-        self._earlier = False  # whether it has carried an answer before this one
-        self._paused = False
+        self._exchange: Exchange | None = None  # in the states `CARRYING`
+        self._body: Body | None = None  # a large one, until it is written completely
+        self._hold_timer: asyncio.TimerHandle | None = None  # while an answer of unknown length is buffered
+        self._silence_timer: asyncio.TimerHandle | None = None  # while an answer is passed on
+        self._write_timer: asyncio.TimerHandle | None = None  # while the server takes no more of a body
+        self._last_read = 0.0  # by the loop's clock
+        self._reused = False  # True if it has carried an exchange before this one
+        self._reading_paused = False
+
+    @property
+    def closed(self) -> bool:
+        """True if the connection is closed on this side and its transport released."""
+        return self.state is ConnectionState.CLOSED
+
+    @property
+    def busy(self) -> bool:
+        """True if it carries an exchange."""
+        return self.state in CARRYING
+
+    @property
+    def answer_begun(self) -> bool:
+        """True if the head of the present or the last answer has been read."""
+        return self._parser.status != 0
+
+    @property
+    def transport(self) -> asyncio.Transport:
+        """The transport under the connection, once it is established."""
+        return self._transport
+
+    def usable(self) -> bool:
+        """Return whether a request can be written: the connection is open, with nothing unread."""
+        closed = self.state in (ConnectionState.CLOSING, ConnectionState.CLOSED)
+        return not (closed or self._transport.is_closing() or framing.readable(self._transport))
+
+    # --- a request ------------------------------------------------------------------
 
     def begin(self, exchange: Exchange, message: bytes) -> None:
         """Write a request. It counts as written once the system has its last byte."""
+        self.state = ConnectionState.AWAITING_ANSWER
         self._exchange = exchange
         exchange.carried_by(self)
-        self._earlier = self._parser.complete
+        self._reused = self._parser.complete
         self._parser.reset()
         self._transport.write(message)
         self._body = exchange.body
         if exchange.body is not None:
             exchange.body.attach(self)
-        self._note_written()
+        self._check_written()
+
+    def _check_written(self) -> None:
+        """Set `written` unless bytes are buffered in this process: a break now proves that nothing ran.
 
-    def _note_written(self) -> None:
-        """What is merely buffered here is not written: a break now proves that it never ran. A write that
-        fails empties the buffer, too, and closes."""
+        A write that fails empties the buffer, too, and closes the transport.
+        """
         unsent = self._transport.is_closing() or self._transport.get_write_buffer_size()
         self.written = not (unsent or self._body)
         if self.written and self._exchange is not None and self._exchange.watcher is not None:
             self._exchange.watcher.written()
 
-    def usable(self) -> bool:
-        """Whether a request may be written: it is neither closed, nor has it unread bytes or its end."""
-        return not (self.closed or self._transport.is_closing() or framing.readable(self._transport))
-
-    def give_up(self) -> None:
-        """Close at once by a reset, so that the system drops what it still holds of a request.
-
-        Else that would reach its server long after it was given up, as a partition ends or a hung server
-        reads on."""
-        sock = self._transport.get_extra_info("socket")
-        if sock is not None:
-            with contextlib.suppress(OSError):
-                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_AT_CLOSE)
-        self.abort()
-
-    def abort(self) -> None:
-        """Close at once, and drop what is buffered here; its exchange is told nothing."""
-        self._release()
-        self._transport.abort()
-
-    def _release(self) -> Exchange | None:
-        """Carry nothing from here on; what was carried."""
-        exchange, self._exchange = self._exchange, None
-        for timer in (self._wait, self._stalled):
-            if timer is not None:
-                timer.cancel()
-        self._wait = self._stalled = None
-        if self._body is not None:
-            self._body.detach(self)
-            self._body = None
-        self._parser.sink = None
-        return exchange
-
-    # --- called by a large body ---------------------------------------------
+    # Called by a large body (`body.Writer`).
 
     def write_part(self, data: bytes) -> None:
-        """Write a part of the body, unless nobody wants the request any more: then close."""
+        """Write a part of the body; close if the request is no longer wanted."""
         exchange = self._exchange
         if exchange is not None and exchange.watcher is not None and not exchange.watcher.may_write():
-            exchange.ended = True
+            exchange.withdraw()
             self.abort()
         else:
             self._transport.write(data)
 
     def body_complete(self) -> None:
-        """The body's last part has been handed to the transport."""
+        """Take note that the last part of the body has been handed to the transport."""
         self._body = None
-        self._note_written()
-
-    # --- called by the client's side of an answer that is passed on ------------
-
-    def pause(self) -> None:
-        """Read no more for now: the client is slower than the server."""
-        self._paused = True
-        self._transport.pause_reading()
+        self._check_written()
 
-    def resume(self) -> None:
-        """Read on: the client has taken what there was."""
-        self._paused = False
-        self._heard_at = self._pool.loop.time()
-        self._transport.resume_reading()
-
-    # --- called by the loop -------------------------------------------------
+    # Called by the loop.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is up."""
+        """Take the transport of the established connection."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         transport.set_write_buffer_limits(0)  # so that `resume_writing` tells when all is written
 
     def pause_writing(self) -> None:
-        """The server takes no more for now."""
+        """Stop a large body: the server takes no more for now."""
         if self._exchange is not None and self._exchange.body is not None:
             self._exchange.body.pause()
-            self._stalled = self._pool.loop.call_later(STALLED_S, self._break)
+            self._write_timer = self._pool.loop.call_later(STALLED_S, self._break)
 
     def resume_writing(self) -> None:
-        """The buffer is empty."""
-        if self._stalled is not None:
-            self._stalled.cancel()
-            self._stalled = None
+        """Go on with a large body: the write buffer is empty."""
+        if self._write_timer is not None:
+            self._write_timer.cancel()
+            self._write_timer = None
         if self._body is not None:
             self._body.resume()
         if not self.written:
-            self._note_written()
+            self._check_written()
+
+    # --- its answer -----------------------------------------------------------------
 
     def data_received(self, data: bytes) -> None:
-        """An answer, or a part of one."""
+        """Take a part of an answer; called by the loop."""
         if self._exchange is None:
-            # Nothing was asked: it can't be told what it answers.
-            self._transport.abort()
+            # Bytes that answer no request: neither can an answer after them be trusted.
+            self.abort()
             return
         try:
             self._parser.feed(data)
@@ -211,40 +217,41 @@
             self._break()
             return
         if self._exchange is None:
-            return  # its client left as it was passed on
-        if self._parser.status == OK and self._earlier and not self.written:
-            # A server begins on a request when it has all of it: this is the earlier one's second answer.
+            return  # the client left while this part was passed on
+        if self._parser.status == OK and self._reused and not self.written:
+            # A server begins on a request when it has all of it: this is a second answer to the earlier one.
             self._break()
             return
-        self._heard_at = self._pool.loop.time()
+        self._last_read = self._pool.loop.time()
         if self.sent_at and self._pool.delays is not None:
-            spent = (self._heard_at - self.sent_at) * 1000.0
+            spent = (self._last_read - self.sent_at) * 1000.0
             self._pool.delays.first_byte(self.server.region, spent)
             self.sent_at = 0.0
         if self._parser.complete:
-            self._answered(reusable=self._parser.keep_alive and not self._parser.extra and self.written)
-        elif self._parser.status == OK and self._parser.sink is None:
-            self._buffer_or_pass_on()
+            self._finish(reusable=self._parser.keep_alive and not self._parser.extra and self.written)
+        elif self._parser.status == OK and self.state is ConnectionState.AWAITING_ANSWER:
+            self._buffer_or_stream()
 
     def eof_received(self) -> bool:
-        """The server has ended its sending; that may complete an answer."""
+        """Take the end of the server's sending, which may complete an answer; called by the loop."""
         if self._exchange is not None and self._parser.end():
-            self._answered(reusable=False)
+            self._finish(reusable=False)
         # The loop would first write out what is buffered: a request that counts as never written.
         self._break()
         return False
 
     def connection_lost(self, _error: Exception | None) -> None:
-        """The connection is closed, by whichever side and error."""
-        self.closed = True
+        """Take the end of the connection, whichever side closed it; called by the loop."""
+        self.state = ConnectionState.CLOSED
         self._pool.connection_closed(self)
         self._break()
 
-    # --- how an answer goes on, and ends ------------------------------------------
+    def _buffer_or_stream(self) -> None:
+        """Buffer an incomplete answer, or begin to pass it on if it is large.
 
-    def _buffer_or_pass_on(self) -> None:
-        """A part of an answer is here. A large one is passed on at once. One of unknown length is buffered
-        for a moment, since a small one that breaks can still be asked for elsewhere."""
+        One of unknown length is buffered for a moment: if it is small and breaks, the request can still be
+        sent to another server.
+        """
         assert self._exchange is not None
         if self._exchange.watcher is None:
             if len(self._parser.body) > MAX_BUFFERED:
@@ -252,47 +259,96 @@
             return
         length = self._parser.length
         if len(self._parser.body) > MAX_BUFFERED or (length is not None and length > MAX_BUFFERED):
-            self._pass_on()
-        elif length is None and self._wait is None:
-            self._wait = self._pool.loop.call_later(HOLD_S, self._pass_on)
-
-    def _pass_on(self) -> None:
-        """Give the client what there is, and then what comes."""
-        if self._wait is not None:
-            self._wait.cancel()
-            self._wait = None
+            self._stream()
+        elif length is None and self._hold_timer is None:
+            self._hold_timer = self._pool.loop.call_later(HOLD_S, self._stream)
+
+    def _stream(self) -> None:
+        """Give the client the beginning of the answer, and then each part as it arrives."""
+        if self._hold_timer is not None:
+            self._hold_timer.cancel()
+            self._hold_timer = None
         if self._exchange is None or self._exchange.watcher is None:
             return
+        self.state = ConnectionState.STREAMING_ANSWER
         answer = Answer(client_headers(self._parser), bytes(self._parser.body), self._parser.length)
         self._parser.body.clear()
-        self._wait = self._pool.loop.call_later(STALLED_S, self._check_for_stall)
+        self._silence_timer = self._pool.loop.call_later(STALLED_S, self._check_silence)
         self._parser.sink = self._exchange.watcher.begun(answer, self)
 
-    def _check_for_stall(self) -> None:
-        """End an answer whose server has gone silent within it; a slow client is no reason."""
-        silent = 0.0 if self._paused else self._pool.loop.time() - self._heard_at
+    def _check_silence(self) -> None:
+        """Break off an answer whose server has stalled; time in which the client was slow doesn't count."""
+        silent = 0.0 if self._reading_paused else self._pool.loop.time() - self._last_read
         if silent >= STALLED_S:
             self._break()
         else:
-            self._wait = self._pool.loop.call_later(STALLED_S - silent, self._check_for_stall)
+            self._silence_timer = self._pool.loop.call_later(STALLED_S - silent, self._check_silence)
+
+    # Called by the client's side of an answer that is passed on (`interfaces.Flow`).
 
-    def _answered(self, *, reusable: bool) -> None:
-        """The answer is complete."""
-        if self._paused:
+    def pause(self) -> None:
+        """Stop reading: the client is slower than the server."""
+        self._reading_paused = True
+        self._transport.pause_reading()
+
+    def resume(self) -> None:
+        """Continue reading: the client has taken all that was read."""
+        self._reading_paused = False
+        self._last_read = self._pool.loop.time()
+        self._transport.resume_reading()
+
+    # --- the end of an exchange, and of the connection ----------------------------------
+
+    def _finish(self, *, reusable: bool) -> None:
+        """Report a complete answer, and become idle if the connection is `reusable`."""
+        if self._reading_paused:
             self.resume()
         exchange = self._release()
         if exchange is None:
             return
         result = self._pool.result(self._parser, health_check=exchange.watcher is None)
         if reusable:
+            self.state = ConnectionState.IDLE
             self._pool.free(self)
         else:
             self._transport.abort()
         exchange.end(result)
 
     def _break(self) -> None:
-        """Close: the exchange, if any, can't be finished here."""
+        """Close: the exchange, if any, can't be completed here."""
         exchange = self._release()
         self._transport.abort()
         if exchange is not None:
             exchange.end(Result(Outcome.RESET if self.written else Outcome.CONNECT_FAILED))
+
+    def give_up(self) -> None:
+        """Close at once by a reset, so that the system drops the bytes of a request that it still holds.
+
+        Otherwise they would reach the server long after it was given up, when a partition ends or a hung
+        server reads on.
+        """
+        sock = self._transport.get_extra_info("socket")
+        if sock is not None:
+            with contextlib.suppress(OSError):
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_AT_CLOSE)
+        self.abort()
+
+    def abort(self) -> None:
+        """Close at once and drop what is buffered here; no outcome is reported to its exchange."""
+        self._release()
+        self._transport.abort()
+
+    def _release(self) -> Exchange | None:
+        """Carry nothing from here on; return the exchange that was carried."""
+        if self.state is not ConnectionState.CLOSED:
+            self.state = ConnectionState.CLOSING
+        exchange, self._exchange = self._exchange, None
+        for timer in (self._hold_timer, self._silence_timer, self._write_timer):
+            if timer is not None:
+                timer.cancel()
+        self._hold_timer = self._silence_timer = self._write_timer = None
+        if self._body is not None:
+            self._body.detach(self)
+            self._body = None
+        self._parser.sink = None
+        return exchange
--- a/tests/sidecar/test_hold_up.py
+++ b/tests/sidecar/test_hold_up.py
@@ -13,7 +13,7 @@
 import pytest
 
 from brassfall.balancer.model import Fail, ListForm, Outcome, Send, Timer
-from brassfall.sidecar.core import driver
+from brassfall.sidecar.core.request_lifecycle import DEADLINE_MARGIN_MS
 from brassfall.sidecar.discovery.endpoint_list import parse_list
 from tests.support.loopback import (
     OK,
@@ -46,7 +46,7 @@
     """Holds the process up before each attempt is written, by its clock: no timer runs for it."""
 
     def __init__(self, monkeypatch, sidecar):
-        self.clock = sidecar.driver._clock
+        self.clock = sidecar.driver.clock
         self.writes: list[Write] = []
         self._write = selector_events._SelectorSocketTransport.write
         held = self
@@ -60,7 +60,7 @@
         monkeypatch.setattr(selector_events._SelectorSocketTransport, "write", write)
 
     def on(self, ms):
-        self.clock._offset += ms
+        self.clock.offset_ms += ms
 
 
 def hedged(now, arrival):
@@ -99,7 +99,7 @@
         app.send(X_Budget=f"{budget_ms}m")
         await until(lambda: len(held.writes) == (1 if way == "the first attempt" else 2))
         ((arrival,),) = module.named("request")
-        deadline = arrival.give_up_at + driver.DEADLINE_MARGIN_MS
+        deadline = arrival.give_up_at + DEADLINE_MARGIN_MS
         for write in held.writes:
             assert 0.0 < write.left_ms <= max(0.0, deadline - write.at) + SLACK_MS
         app.close()
@@ -187,7 +187,7 @@
         time.sleep(0.15)
         if late == "a retry":
             first.writers[0].transport.abort()
-        sidecar.driver._act(Send(number, "s1", 0.0))
+        sidecar.driver.perform(Send(number, "s1", 0.0))
         await until(lambda: module.named("client_gone"))
         await asyncio.sleep(0.05)
         assert len(second.seen) == 1
--- a/tests/sidecar/test_large.py
+++ b/tests/sidecar/test_large.py
@@ -553,10 +553,9 @@
     upstream = await Server([LENGTH % len(LARGE) + LARGE]).start()
     async with running(upstream) as sidecar:
         seen = []
-        took = sidecar.driver.attempt_begun
-        sidecar.driver.attempt_begun = lambda *args: (took(*args), seen.append(sidecar.inbound.budget.used))[
-            0
-        ]
+        attempts = sidecar.driver.lifecycle.attempts
+        took = attempts.answer_begun
+        attempts.answer_begun = lambda *args: (took(*args), seen.append(sidecar.inbound.budget.used))[0]
         app = await App.connect(sidecar.address)
         app.send("POST", "/pay", LARGE)
         assert await answer_of(app) == (200, LARGE)
--- a/tests/sidecar/test_lists.py
+++ b/tests/sidecar/test_lists.py
@@ -105,14 +105,14 @@
     module = Scripted()
     async with running(balancer=module, registry=registry, Discovery="subscribe") as sidecar:
         assert registry.asked == []
-        sidecar.driver._act(Watch(True))
+        sidecar.driver.perform(Watch(True))
         await until(lambda: registry.watches)
         registry.watches[0].close()
         await until(lambda: len(told_of(module)) == 2)
-        sidecar.driver._act(Fetch())
+        sidecar.driver.perform(Fetch())
         await until(lambda: len(told_of(module)) == 3)
         registry.stop()
-        sidecar.driver._act(Fetch())
+        sidecar.driver.perform(Fetch())
         await until(lambda: len(told_of(module)) == 4)
         assert told_of(module)[1:] == [("refused", []), ("all", ["s5"]), ("refused", [])]
         assert len(registry.watches) == 1
@@ -126,7 +126,7 @@
     settings = {"Discovery": "automatic" if pushed else "subscribe"}
     async with running(balancer=module, registry=old, **settings) as sidecar:
         if not pushed:
-            sidecar.driver._act(Watch(True))
+            sidecar.driver.perform(Watch(True))
         await until(lambda: old.watches)
         old.tell(44, entry("s1"))
         await until(lambda: len(told_of(module)) == 2)
@@ -146,7 +146,7 @@
     gone.stop()
     module = Scripted()
     async with running(balancer=module, registry=gone, Discovery="subscribe") as sidecar:
-        sidecar.driver._act(Watch(True))
+        sidecar.driver.perform(Watch(True))
         await until(lambda: ("refused", []) in told_of(module))
         sidecar.discovery.move(config_values.parse_address(new.address))
         await until(lambda: new.watches)
@@ -174,9 +174,9 @@
         peer.sendto(b"x" * 256, here)
         await until(lambda: module.named("peer_message"))
         assert module.named("peer_message") == [[1, b"x" * 256]]
-        sidecar.driver._act(Tell(1, b"x" * 257))
-        sidecar.driver._act(Tell(1, b"one"))
-        sidecar.driver._act(Tell(None, b"all"))
+        sidecar.driver.perform(Tell(1, b"x" * 257))
+        sidecar.driver.perform(Tell(1, b"one"))
+        sidecar.driver.perform(Tell(None, b"all"))
         loop = asyncio.get_running_loop()
         assert await loop.run_in_executor(None, peer.recv, 999) == b"one"
         assert await loop.run_in_executor(None, everyone.recv, 999) == b"all"
--- /dev/null
+++ b/tests/sidecar/test_pool.py
@@ -0,0 +1,282 @@
+"""The pool: which connection carries what, when connections are closed, and draining servers."""
+
+from __future__ import annotations
+
+import asyncio
+import functools
+import math
+import socket
+import time
+
+import pytest
+
+from brassfall.balancer.model import CloseIdle, Outcome, Send
+from tests.support.loopback import (
+    OK,
+    App,
+    Scripted,
+    Upstream,
+    entry,
+    failing,
+    hang,
+    loopback,
+    running,
+    until,
+)
+from tests.support.pools import pool_of, servers_of
+
+
+@loopback
+async def test_connections_are_reused_newest_first_and_closed_ones_are_noticed():
+    upstream = await Upstream([OK]).start()
+    async with running(upstream) as sidecar:
+        one, two = await App.connect(sidecar.address), await App.connect(sidecar.address)
+        one.send()
+        two.send()
+        assert (await one.answer()).body == (await two.answer()).body == b"done"
+        idle = sidecar.pool.servers["s0"].idle
+        oldest, newest = idle
+        assert (await one.ask()).body == b"done"
+        assert idle == [oldest, newest]
+        upstream.writers[upstream.seen[-1].connection].close()
+        await until(lambda: idle == [oldest])
+        assert (await one.ask()).body == b"done"
+        assert len(upstream.writers) == 2
+
+
+@loopback
+async def test_an_end_that_the_loop_has_not_read_yet_is_seen_before_a_write():
+    upstream = await Upstream([OK]).start()
+    async with running(upstream) as sidecar:
+        await (await App.connect(sidecar.address)).ask()
+        (connection,) = sidecar.pool.servers["s0"].idle
+        assert connection.usable()
+        # No await from here on: the loop gets no chance to hand out the end.
+        upstream.writers[0].get_extra_info("socket").shutdown(socket.SHUT_WR)
+        assert not connection.usable()
+
+
+@loopback
+async def test_idle_connections_are_retired_before_the_server_closes_them():
+    upstream = await Upstream([OK]).start()
+    limits = {"MaxAttempts": 3, "IdleClose": 400.0}
+    async with running(upstream, PolicyLimits=limits) as sidecar:
+        app = await App.connect(sidecar.address)
+        await app.ask()
+        (connection,) = sidecar.pool.servers["s0"].idle
+        connection.idle_since -= 360.0
+        assert (await app.ask()).body == b"done"
+        assert [seen.connection for seen in upstream.seen] == [0, 1]
+        await until(lambda: not sidecar.pool.servers["s0"].idle)
+        await until(lambda: not sidecar.pool.idle.sweeping)
+
+
+@pytest.mark.parametrize("turns", range(6))
+@loopback
+async def test_a_connection_that_came_up_while_the_loop_stood_still_is_up(turns):
+    """Otherwise it would count as failed: the server would be blamed, and requests to idle ones refused."""
+    upstream, done = await Upstream([OK]).start(), []
+    limits = {"MaxAttempts": 3, "ConnectTimeout": 30.0, "IdleClose": 5000.0}
+    pool = pool_of(upstream.address, PolicyLimits=limits)
+    pool.check_health("s0", done.append)
+    for _ in range(turns):
+        await asyncio.sleep(0)
+    time.sleep(0.06)
+    await until(lambda: done)
+    assert done[0].outcome == Outcome.OK
+    pool.close()
+    upstream.stop()
+
+
+@loopback
+async def test_a_connection_that_never_comes_up_is_given_up_in_time():
+    with socket.create_server(("127.0.0.1", 0), backlog=0) as full:
+        filling = [socket.socket() for _ in range(3)]
+        for sock in filling:
+            sock.setblocking(False)
+            sock.connect_ex(full.getsockname())
+        loop, done = asyncio.get_running_loop(), []
+        address = "{}:{}".format(*full.getsockname())
+        pool = pool_of(address, PolicyLimits={"ConnectTimeout": 30.0})
+        pool.check_health("s0", done.append)
+        begun = loop.time()
+        await until(lambda: done)
+        assert done[0].outcome == Outcome.CONNECT_FAILED and loop.time() - begun >= 0.03
+        await until(lambda: not pool.opening)
+        for sock in filling:
+            sock.close()
+
+
+@loopback
+async def test_close_idle_closes_only_what_is_idle():
+    upstream = await Upstream([OK, OK, hang]).start()
+    balancer = Scripted(outcome=failing)
+    async with running(upstream, balancer=balancer) as sidecar:
+        one, two = await App.connect(sidecar.address), await App.connect(sidecar.address)
+        one.send()
+        two.send()
+        await one.answer()
+        await two.answer()
+        one.send()
+        await until(lambda: len(upstream.seen) == 3)
+        busy = upstream.seen[2].connection
+        sidecar.driver.perform(CloseIdle("s0"))
+        await until(lambda: upstream.writers[1 - busy].is_closing())
+        assert not upstream.writers[busy].is_closing()
+
+
+@loopback
+async def test_a_full_pool_closes_idle_connections_first_and_then_fails_to_connect():
+    first, second = await Upstream([OK]).start(), await Upstream([OK, hang]).start()
+    balancer = Scripted(outcome=failing)
+    servers = iter(["s0", "s1", "s1", "s1"])
+    balancer.scripts["request"] = lambda now, arrival: [Send(arrival.request, next(servers), 0.0)]
+    async with running(first, second, balancer=balancer) as sidecar:
+        sidecar.pool.max_connections = 1
+        app, other = await App.connect(sidecar.address), await App.connect(sidecar.address)
+        assert (await app.ask()).body == b"done"
+        assert (await app.ask()).body == b"done"
+        await until(lambda: first.writers[0].is_closing())
+        app.send()
+        await until(lambda: len(second.seen) == 2)
+        await other.ask()
+        assert balancer.outcomes()[-1] == (0, Outcome.CONNECT_FAILED, False)
+
+
+@loopback
+async def test_a_pool_whose_limit_falls_closes_what_is_idle():
+    upstream = await Upstream([OK]).start()
+    async with running(upstream, raw={"limits": {"sockets": 64}}) as sidecar:
+        apps = [await App.connect(sidecar.address) for _ in range(12)]
+        for app in apps:
+            app.send()
+        for app in apps:
+            await app.answer()
+        before = len(sidecar.pool.connections)
+        sidecar.pool.share(0.5)
+        assert len(sidecar.pool.connections) == min(before, sidecar.pool.max_connections) < before
+
+
+@loopback
+async def test_a_sweep_visits_no_more_servers_than_have_idle_connections():
+    """With a list of thousands it would hold up the loop five times a second."""
+    upstream = await Upstream([OK]).start()
+    async with running(*[upstream] * 50) as sidecar:
+        app = await App.connect(sidecar.address)
+        await app.ask()
+        idle = sidecar.pool.idle
+        (server,) = idle.servers
+        idle.sweep()
+        assert idle.servers == [server] and server.idle
+        server.idle[0].idle_since -= 1e6
+        idle.sweep()
+        assert not server.idle and not idle.servers and not idle.sweeping
+        await app.ask()
+        assert idle.sweeping and len(idle.servers) == 1
+
+
+# --- draining servers -----------------------------------------------------------------------
+
+
+@pytest.mark.parametrize("state", ["leaving", "left"])
+@loopback
+async def test_nothing_is_first_written_past_the_grace_even_if_it_connects_already(state):
+    upstream = await Upstream([OK]).start()
+    balancer = Scripted(outcome=failing)
+    leaving = servers_of(entry("s0", upstream.address, status=state))
+    async with running(upstream, balancer=balancer, Rules={"StopSendingWithin": 0.0}) as sidecar:
+
+        def send_then_hear(now, arrival):
+            # The news comes while the attempt waits for its connection.
+            hear = functools.partial(sidecar.pool.update, now, leaving, complete=False)
+            asyncio.get_running_loop().call_soon(hear)
+            return [Send(arrival.request, "s0", 0.0)]
+
+        balancer.scripts["request"] = send_then_hear
+        app = await App.connect(sidecar.address)
+        await app.ask()
+        assert balancer.outcomes() == [(0, Outcome.CONNECT_FAILED, False)]
+        assert upstream.seen == []
+
+
+@loopback
+async def test_within_the_grace_an_attempt_may_still_be_written():
+    upstream = await Upstream([OK]).start()
+    async with running(upstream, balancer=Scripted(), Rules={"StopSendingWithin": 60_000.0}) as sidecar:
+        app = await App.connect(sidecar.address)
+        leaving = servers_of(entry("s0", upstream.address, status="leaving"))
+        sidecar.pool.update(sidecar.driver.clock.now(), leaving, complete=False)
+        assert (await app.ask()).body == b"done"
+
+
+@loopback
+async def test_a_repeated_watch_event_does_not_prolong_the_grace():
+    upstream = await Upstream([OK]).start()
+    pool = pool_of(upstream.address)
+    leaving = servers_of(entry("s0", upstream.address, status="leaving"))
+    pool.update(1000.0, leaving, complete=False)
+    pool.update(1400.0, leaving, complete=False)
+    assert 1000.0 < pool.servers["s0"].closed_from <= 1500.0
+    upstream.stop()
+
+
+@loopback
+async def test_connections_from_before_a_restart_are_not_reused():
+    upstream = await Upstream([OK]).start()
+    async with running(upstream, balancer=Scripted()) as sidecar:
+        app = await App.connect(sidecar.address)
+        await app.ask()
+        # A machine that vanished reset nothing: its connections look open until they are used.
+        sidecar.pool.update(
+            0.0, servers_of(entry("s0", upstream.address, since_ms=1_790_000_000_000)), complete=False
+        )
+        await app.ask()
+        assert [seen.connection for seen in upstream.seen] == [0, 1]
+
+
+class AwaitedCall:
+    """A small request that watches its own exchange; `result` has the outcome."""
+
+    body, stamp = None, b""
+
+    def __init__(self):
+        self.result = asyncio.get_running_loop().create_future()
+
+    def wire(self, left):
+        return b"GET / HTTP/1.1\r\n\r\n"
+
+    def may_write(self):
+        return True
+
+    def written(self):
+        pass
+
+    def ended(self, result):
+        self.result.set_result(result)
+
+
+@loopback
+async def test_nothing_is_written_to_an_incarnation_when_the_next_of_its_name_has_left(monkeypatch):
+    loop, gate = asyncio.get_running_loop(), asyncio.Event()
+    upstream = await Upstream().start()
+    connect = loop.create_connection
+
+    async def late(*args):
+        made = await connect(*args)
+        await gate.wait()
+        return made
+
+    def notify(**changes):
+        pool.update(0.0, servers_of(entry("s0", upstream.address, **changes)), complete=False)
+
+    monkeypatch.setattr(loop, "create_connection", late)
+    pool = pool_of(upstream.address, Rules={"StopSendingWithin": 500.0})
+    call = AwaitedCall()
+    pool.send("s0", call, math.inf, call)
+    notify(since_ms=5)
+    notify(since_ms=5, status="left")
+    gate.set()
+    result = await call.result
+    assert result.outcome == Outcome.CONNECT_FAILED and not upstream.seen
+    pool.close()
+    upstream.stop()
--- a/tests/sidecar/test_races_clients.py
+++ b/tests/sidecar/test_races_clients.py
@@ -93,7 +93,7 @@
         gone = {number for (number,) in self.named("client_gone")}
         for (arrival,) in self.named("request"):
             if arrival.request not in gone:
-                sidecar.driver._act(Send(arrival.request, "s0", 0.0))
+                sidecar.driver.perform(Send(arrival.request, "s0", 0.0))
 
 
 @LEAVE
--- a/tests/sidecar/test_races_discovery.py
+++ b/tests/sidecar/test_races_discovery.py
@@ -208,7 +208,7 @@
         return await self.places.get(port, self.place).connect(factory, host, port)
 
     def act(self, action):
-        self.sidecar.driver._act(action)
+        self.sidecar.driver.perform(action)
 
     def move(self, place):
         """SIGHUP: discovery is at another address from now on."""
--- a/tests/sidecar/test_races_servers.py
+++ b/tests/sidecar/test_races_servers.py
@@ -16,6 +16,7 @@
 
 from brassfall.balancer.model import Fail, Outcome, Send
 from brassfall.sidecar.servers import connecting, server_connection
+from tests.support.balancer_records import blame, ejection_of, fault_shares, left_over
 from tests.support.loopback import (
     OK,
     App,
@@ -71,15 +72,6 @@
     return (await app.ask("GET" if target == "/look" else "POST", target, **headers)).status
 
 
-def blamed(sidecar):
-    """All that the decisions hold against servers, or count towards refusals."""
-    module = sidecar.driver._balancer
-    servers = module._endpoints.servers.values()
-    of_servers = [(it.fault_share, it.consecutive_failures, it.ejected_until) for it in servers]
-    ejector = module._ejector
-    return [*of_servers, ejector.connect_failures, ejector.not_accepted, module._throttle.drop_chance(0.0)]
-
-
 # --- failures of this machine -------------------------------------------------------------
 
 
@@ -95,33 +87,33 @@
 async def test_a_failure_of_this_machine_blames_no_server_and_uses_up_no_attempt(call, error):
     upstream = await Upstream([OK]).start()
     async with client_of(upstream, PolicyLimits={"MaxAttempts": 1}) as (sidecar, app, faults):
-        before = blamed(sidecar)
+        before = blame(sidecar.driver.balancer)
         faults.script(call, error, error, error, error)
         assert await ask(app, "/look") == 200
         assert (faults.injected[call, error], len(upstream.seen)) == (4, 1)
-        assert blamed(sidecar) == before
+        assert blame(sidecar.driver.balancer) == before
 
 
 @pytest.mark.parametrize("error", [errno.ECONNREFUSED, errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNRESET])
 @loopback
 async def test_what_the_server_or_the_network_causes_is_a_failure_to_connect(error):
     upstream = await Upstream([OK]).start()
-    module = Scripted(outcome=failing)
-    async with client_of(upstream, balancer=module) as (_, app, faults):
+    balancer = Scripted(outcome=failing)
+    async with client_of(upstream, balancer=balancer) as (_, app, faults):
         faults.script("connect", error)
         assert await ask(app, "/look") == 502
-        assert module.outcomes() == [(0, Outcome.CONNECT_FAILED, False)]
+        assert balancer.outcomes() == [(0, Outcome.CONNECT_FAILED, False)]
 
 
 @loopback
 async def test_a_connect_that_is_interrupted_goes_on():
     upstream = await Upstream([OK]).start()
-    module = Scripted(outcome=failing)
-    async with client_of(upstream, balancer=module) as (_, app, faults):
+    balancer = Scripted(outcome=failing)
+    async with client_of(upstream, balancer=balancer) as (_, app, faults):
         faults.script("connect", errno.EINTR)
         assert await ask(app, "/look") == 200
         assert faults.injected["connect", errno.EINTR] == 1
-        assert module.outcomes() == [(0, Outcome.OK, True)]
+        assert balancer.outcomes() == [(0, Outcome.OK, True)]
 
 
 @pytest.mark.parametrize("target", ["/look", "/pay", "/book"])
@@ -131,12 +123,12 @@
     upstreams = [await Upstream([OK]).start() for _ in range(2)]
     loop = asyncio.get_running_loop()
     async with client_of(*upstreams) as (sidecar, app, faults):
-        before, began = blamed(sidecar), loop.time()
+        before, began = blame(sidecar.driver.balancer), loop.time()
         faults.share("socket", 1.0, (errno.ENOMEM,))
         assert await ask(app, target, X_Budget="400m") == 503
         assert loop.time() - began < 0.4 + 0.5
         assert 3 <= faults.injected["socket", errno.ENOMEM] <= 12  # pauses double, by 5 ms at first
-        assert blamed(sidecar) == before
+        assert blame(sidecar.driver.balancer) == before
         faults.clear()
         assert await ask(app, target) == 200
 
@@ -146,16 +138,16 @@
     upstream = await Upstream([OK]).start()
     monkeypatch.setattr(connecting, "LOCAL_PAUSE_S", 60.0)
     monkeypatch.setattr(connecting, "LOCAL_PAUSE_MOST_S", 60.0)
-    module = Scripted()
-    async with client_of(upstream, balancer=module, **never_cancels()) as (sidecar, app, faults):
+    balancer = Scripted()
+    async with client_of(upstream, balancer=balancer, **never_cancels()) as (sidecar, app, faults):
         faults.script("socket", errno.ENOMEM)
         app.send()
         await until(lambda: faults.injected and not sidecar.pool.opening)
-        assert module.outcomes() == []
+        assert balancer.outcomes() == []
         app.close()
-        await until(lambda: module.outcomes())
-        assert module.outcomes() == [(0, Outcome.ABANDONED, True)]
-        assert not module.named("unsent")
+        await until(lambda: balancer.outcomes())
+        assert balancer.outcomes() == [(0, Outcome.ABANDONED, True)]
+        assert not balancer.named("unsent")
 
 
 @pytest.mark.parametrize(("call", "error"), [("socket", errno.ENFILE), ("connect", errno.EADDRNOTAVAIL)])
@@ -175,8 +167,7 @@
             if len(joining.seen) >= 8:
                 break
         assert faults.injected[call, error] == failures
-        server = sidecar.driver._balancer._endpoints.servers["s1"]
-        assert (server.fault_share, server.consecutive_failures, server.ejected_until) == (0.0, 0, 0.0)
+        assert ejection_of(sidecar.driver.balancer, "s1") == (0.0, 0, 0.0)
         assert len(joining.seen) >= 8
     joining.stop()
 
@@ -195,8 +186,7 @@
         assert await ask(app, target) == status
         sent = sum(len(upstream.seen) for upstream in upstreams)
         assert (faults.injected["recv", error], sent) == (1, 2 if status == 200 else 1)
-        servers = sidecar.driver._balancer._endpoints.servers.values()
-        (fault_share,) = [server.fault_share for server in servers if server.fault_share]
+        (fault_share,) = fault_shares(sidecar.driver.balancer)
         assert fault_share > 0.0
 
 
@@ -220,8 +210,8 @@
 @loopback
 async def test_reads_and_writes_of_one_byte_between_interruptions_carry_all(reply, error):
     upstream = await Upstream([reply]).start()
-    module = Scripted(outcome=failing)
-    async with client_of(upstream, balancer=module) as (_, app, faults):
+    balancer = Scripted(outcome=failing)
+    async with client_of(upstream, balancer=balancer) as (_, app, faults):
         for call in ("recv", "send"):
             faults.shorten(call, 1, on=to(upstream))
             faults.script(call, error, None, None, error, error, on=to(upstream))
@@ -231,32 +221,32 @@
         assert [seen.body for seen in upstream.seen] == [b"", b"x" * 300]
         assert {seen.connection for seen in upstream.seen} == {0}
         assert faults.injected["recv", error] == faults.injected["send", error] == 3
-        assert module.outcomes() == [(0, Outcome.OK, True)] * 2
+        assert balancer.outcomes() == [(0, Outcome.OK, True)] * 2
 
 
 @loopback
 async def test_a_body_that_flows_in_short_writes_is_complete_and_has_never_run_if_one_breaks():
     body = b"0123456789abcdef" * 16384
     upstream = await Upstream([OK]).start()
-    module = Scripted(outcome=failing)
-    async with client_of(upstream, balancer=module) as (_, app, faults):
+    balancer = Scripted(outcome=failing)
+    async with client_of(upstream, balancer=balancer) as (_, app, faults):
         faults.shorten("send", 10_000, on=to(upstream))
         assert (await app.ask("POST", "/pay", body)).status == 200
         assert [seen.body for seen in upstream.seen] == [body]
         faults.script("send", *[None] * 12, errno.ETIMEDOUT, on=to(upstream))
         assert (await app.ask("POST", "/pay", body)).status == 502
-        assert module.outcomes() == [(0, Outcome.OK, True), (0, Outcome.CONNECT_FAILED, False)]
+        assert balancer.outcomes() == [(0, Outcome.OK, True), (0, Outcome.CONNECT_FAILED, False)]
         assert len(upstream.seen) == 1
 
 
 @loopback
 async def test_a_look_at_a_connection_that_fails_costs_that_connection_and_no_request(monkeypatch):
     upstream = await Upstream([OK]).start()
-    module = Scripted(outcome=failing)
-    async with client_of(upstream, balancer=module) as (sidecar, app, _):
+    balancer = Scripted(outcome=failing)
+    async with client_of(upstream, balancer=balancer) as (sidecar, app, _):
         assert await ask(app, "/pay") == 200
-        (connection,) = sidecar.pool._connections
-        descriptor = connection._transport.get_extra_info("socket").fileno()
+        (connection,) = sidecar.pool.connections
+        descriptor = connection.transport.get_extra_info("socket").fileno()
         real, failed = select.poll, []
 
         class Poll:
@@ -278,7 +268,7 @@
         monkeypatch.setattr(select, "poll", Poll)
         assert await ask(app, "/pay") == 200
         assert failed
-        assert module.outcomes() == [(0, Outcome.OK, True)] * 2
+        assert balancer.outcomes() == [(0, Outcome.OK, True)] * 2
         assert [seen.connection for seen in upstream.seen] == [0, 1]
 
 
@@ -366,7 +356,7 @@
             assert status == 200
             assert sent <= 3 if how == "forgotten" else sent == 1
         assert await ask(app, "/look") == 200
-        assert all(it.in_flight == 0 for it in sidecar.driver._balancer._endpoints.servers.values())
+        assert left_over(sidecar.driver.balancer)["servers' attempts in flight"] == 0
 
 
 @pytest.mark.parametrize("limits", [{}, PARALLEL], ids=["one at a time", "hedged"])
@@ -398,8 +388,8 @@
     """The sidecar's clock, which moves by the test's hand alone."""
 
     def __init__(self, sidecar):
-        self.time = sidecar.driver._clock.now()
-        sidecar.driver._clock.now = lambda: self.time
+        self.time = sidecar.driver.clock.now()
+        sidecar.driver.clock.now = lambda: self.time
 
 
 @pytest.mark.parametrize("late_ms", [0.0, 1500.0, 3900.0])
@@ -413,7 +403,7 @@
     second = await Upstream([OK]).start()
     gate = Gate(monkeypatch, [second])
     retries = [lambda number: Send(number, "s1", 0.0)]
-    module = Scripted(
+    balancer = Scripted(
         request=lambda now, arrival: [
             Send(arrival.request, "s0", 0.0),
             *(Send(arrival.request, "s1", 0.0) for _ in range(kind == "hedge")),
@@ -422,7 +412,7 @@
             [] if last else [retries.pop()(number)] if retries and kind == "retry" else [Fail(number)]
         ),
     )
-    async with tidy(first, second, balancer=module, **PARALLEL | never_cancels()) as sidecar:
+    async with tidy(first, second, balancer=balancer, **PARALLEL | never_cancels()) as sidecar:
         writes = []
         begin = server_connection.Connection.begin
         clock = StoppedClock(sidecar)
--- a/tests/sidecar/test_random_days.py
+++ b/tests/sidecar/test_random_days.py
@@ -1,26 +1,28 @@
-"""Hundreds of random days for driver, module and pool, and days with a fault put in, which must show."""
+"""Hundreds of random days for driver, balancer and pool; days with an injected defect must show it."""
 
 from __future__ import annotations
 
 import asyncio
 import copy
-import math
 from dataclasses import replace
 
 import pytest
 
-from brassfall.balancer import balancer
-from brassfall.balancer.model import Fail, Outcome, Refuse, Timer
+from brassfall.balancer import Balancer
+from brassfall.balancer.events import RequestArrived
+from brassfall.balancer.model import Fail, Refuse, Send, Timer
 from brassfall.sidecar.body import Body
-from brassfall.sidecar.core.clock import Clock
+from brassfall.sidecar.core.attempt_runner import AttemptRunner
 from brassfall.sidecar.core.driver import Driver
-from brassfall.sidecar.discovery.endpoint_list import parse_list
-from brassfall.sidecar.servers import pool as outbound
-from tests.support.loopback import Scripted, Upstream, entry, listed, loopback, told
-from tests.support.random_day import Call, Source, World, play
+from brassfall.sidecar.core.request_lifecycle import RequestLifecycle
+from brassfall.sidecar.core.request_table import RequestTable
+from brassfall.sidecar.servers.pool import Pool
+from tests.support.loopback import Scripted
+from tests.support.random_day import Day, play
+from tests.support.random_day.clients import BodySource, ClientCall
 
 SEEDS = range(300)
-FAULTY_SEEDS = range(300)  # of these one at least shows each fault
+FAULTY_SEEDS = range(300)  # of these one at least shows each defect
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -29,15 +31,18 @@
     assert not breaches, "\n".join([f"seed {seed}", *breaches, "", *trace])
 
 
-def found(breach, told=lambda raw: raw):
-    """Whether one of these days shows it."""
-    return any(breach in line for seed in FAULTY_SEEDS for line in play(seed, told)[0])
+# --- injected defects -----------------------------------------------------------------
 
 
-def told_otherwise(**changes):
-    """The program goes by other settings than those that it is held to."""
+def found(breach, distort=lambda raw: raw):
+    """Return whether one of the days shows a breach."""
+    return any(breach in line for seed in FAULTY_SEEDS for line in play(seed, distort)[0])
 
-    def tell(raw):
+
+def distorted(**changes):
+    """Let the program go by other settings than those that the oracle holds it to."""
+
+    def distort(raw):
         made = copy.deepcopy(raw)
         for row in made["Profiles"]:
             row |= changes.get("classes", {})
@@ -45,11 +50,11 @@
         made["Rules"] |= changes.get("rules", {})
         return made
 
-    return tell
+    return distort
 
 
 @pytest.mark.parametrize(
-    ("told", "breach"),
+    ("changes", "breach"),
     [
         ({"classes": {"Semantics": "pure"}}, "an unsafe request sent again"),
         ({"classes": {"Semantics": "pure"}}, "refused though it may have run"),
@@ -60,145 +65,119 @@
         ({"rules": {"StopSendingWithin": 9000.0}}, "past the grace of a process that leaves"),
     ],
 )
-def test_a_program_that_goes_by_other_rules_is_found(told, breach):
-    assert found(breach, told_otherwise(**told))
+def test_a_program_that_goes_by_other_rules_is_found(changes, breach):
+    assert found(breach, distorted(**changes))
 
 
-def test_a_client_that_is_not_told_to_have_gone_is_found(monkeypatch):
+def test_a_client_whose_leaving_is_not_reported_is_found(monkeypatch):
     monkeypatch.setattr(Driver, "client_gone", lambda self, request: None)
     assert found("written after its client had gone")
 
 
-def test_bytes_that_are_held_after_the_client_has_gone_are_found(monkeypatch):
-    monkeypatch.setattr(Driver, "_drop", lambda self, attempt: None)
+def test_bytes_that_are_held_back_after_the_client_has_gone_are_found(monkeypatch):
+    monkeypatch.setattr(AttemptRunner, "drop_unwritten", lambda self, attempt: None)
     assert found("whole after its client had gone")
 
 
 def test_a_request_that_is_answered_twice_is_found(monkeypatch):
-    end = Driver._end
+    end = RequestTable.end
 
-    def keep_guard(self, request, by=None):
-        request.guard = None  # so that it is not cancelled
-        return end(self, request, by)
+    def keep_guard(self, request):
+        request.deadline_guard = None  # so that it is not cancelled
+        end(self, request)
 
-    monkeypatch.setattr(Driver, "_end", keep_guard)
-    monkeypatch.setattr(Driver, "_overdue", lambda self, request: request.call.failed(late=True))
+    monkeypatch.setattr(RequestTable, "end", keep_guard)
+    monkeypatch.setattr(
+        RequestLifecycle, "fail_overdue", lambda self, request: request.call.failed(late=True)
+    )
     assert found("a second final answer")
 
 
 def test_a_second_copy_beside_the_first_is_found(monkeypatch):
-    send = balancer.Balancer._send
+    step = Balancer.step
 
-    def twice(self, now, request, server):
-        send(self, now, request, server)
-        if len(request.attempts) == 1:
-            send(self, now, request, server)
+    def twice(self, now, event):
+        actions = list(step(self, now, event))
+        if isinstance(event, RequestArrived):
+            actions += [action for action in actions if isinstance(action, Send)]
+        return actions
 
-    monkeypatch.setattr(balancer.Balancer, "_send", twice)
+    monkeypatch.setattr(Balancer, "step", twice)
     assert found("two copies at once") and found("an unsafe request sent again")
 
 
 def test_a_pool_that_knows_servers_by_name_alone_is_found(monkeypatch):
-    update = outbound.Pool.update
+    update = Pool.update
 
     def by_name(self, now, servers, *, complete):
-        fresh = [entry for entry in servers.entries if entry.server not in self._servers]
+        fresh = [entry for entry in servers.entries if entry.server not in self.servers]
         update(self, now, replace(servers, entries=fresh), complete=False)
 
-    monkeypatch.setattr(outbound.Pool, "update", by_name)
+    monkeypatch.setattr(Pool, "update", by_name)
     assert found("sent to a process that was known to have left")
 
 
-def test_an_outcome_that_is_lost_is_found(monkeypatch):
-    monkeypatch.setattr(Driver, "_forget", lambda self, request: None)
-    assert found("driver._requests is")
+def test_a_request_that_is_never_released_is_found(monkeypatch):
+    monkeypatch.setattr(RequestTable, "release_if_over", lambda self, request: None)
+    assert found("requests is")
 
 
-def test_a_fault_that_the_driver_swallows_is_found(monkeypatch):
-    def faulty(self, now, request, server):
-        raise ValueError("a fault")
+def test_an_exception_that_the_driver_catches_is_found(monkeypatch):
+    step = Balancer.step
 
-    monkeypatch.setattr(balancer.Balancer, "_send", faulty)
+    def faulty(self, now, event):
+        if isinstance(event, RequestArrived):
+            raise ValueError("a fault")
+        return step(self, now, event)
+
+    monkeypatch.setattr(Balancer, "step", faulty)
     assert found("a line in the log")
 
 
 # --- what these days have found -------------------------------------------------------
 
 
-def test_a_large_request_read_whole_after_the_last_moment_is_failed_at_once():
-    world = World(0)
-    made = world.driver
-    made._balancer = Scripted(request=lambda now, arrival: [])
-    call = Call(world, 1, "a", 0, world.raw["Profiles"][0], {}, 300.0, Body(Source(), b"x", 1))
-    call.request = made.arrive(call, world.now)
-    made.stopping(world.now - 1.0)
-    call.body.end()
-    made.body_read(call.request, world.now)
-    assert call.final == "failed" and made._open == 0
-    world.loop.close()
-
-
-@pytest.mark.parametrize("answer", [lambda number: Refuse(number, 0.0), Fail])
-def test_a_request_that_a_timer_answers_is_forgotten(answer):
-    world = World(0)
-    made = world.driver
-    made._balancer = Scripted(
-        request=lambda now, arrival: [Timer(10.0, f"{arrival.request}")],
-        timer=lambda now, token: [answer(int(token))],
-    )
-    call = Call(world, 1, "a", 0, world.raw["Profiles"][0], {}, 300.0, None)
-    made.arrive(call, world.now)
-    world.loop.run_until_complete(asyncio.sleep(1.0))
-    assert call.final and not made._requests and not made.request_classes
-    world.loop.close()
-
-
-class Waiting:
-    """A small request, and who awaits what becomes of it."""
-
-    body, stamp = None, b""
+@pytest.fixture
+def day_of():
+    """Makes the first day with a scripted balancer, and closes it at the end."""
+    made = []
 
-    def __init__(self):
-        self.result = asyncio.get_running_loop().create_future()
+    def make(balancer):
+        made.append(Day(0, balancer=balancer))
+        return made[-1]
 
-    def wire(self, left):
-        return b"GET / HTTP/1.1\r\n\r\n"
+    yield make
+    for day in made:
+        day.loop.close()
 
-    def may_write(self):
-        return True
 
-    def written(self):
-        pass
+def call_in(day, body=None, source=None):
+    """A call of the first class that has not arrived yet."""
+    row = day.settings.raw["Profiles"][0]
+    return ClientCall(
+        day.clients, 1, request_class=0, row=row, limits={}, budget=300.0, body=body, source=source
+    )
 
-    def ended(self, result):
-        self.result.set_result(result)
 
+def test_a_large_request_that_is_complete_after_its_deadline_is_failed_at_once(day_of):
+    day = day_of(Scripted(request=lambda now, arrival: []))
+    source = BodySource()
+    call = call_in(day, Body(source, b"x", 1), source)
+    call.request = day.driver.arrive(call, day.oracle.now)
+    day.driver.stopping(day.oracle.now - 1.0)
+    call.body.end()
+    day.driver.body_read(call.request, day.oracle.now)
+    assert call.final == "failed" and day.driver.counts.awaiting_answer == 0
 
-@loopback
-async def test_nothing_is_written_to_a_process_when_the_one_that_took_its_name_has_left(monkeypatch):
-    loop, gate = asyncio.get_running_loop(), asyncio.Event()
-    upstream = await Upstream().start()
-    config_told = told([upstream], Rules={"StopSendingWithin": 500.0})
-    pool = outbound.Pool(loop, Clock(loop), config_told)
-    connect = loop.create_connection
 
-    async def late(*args):
-        made = await connect(*args)
-        await gate.wait()
-        return made
-
-    def news(**changes):
-        row = entry("s0", upstream.address, **changes)
-        pool.update(0.0, parse_list(listed(42, row, snapshot=False), config_told.names), complete=False)
-
-    monkeypatch.setattr(loop, "create_connection", late)
-    news()
-    waiting = Waiting()
-    pool.send("s0", waiting, math.inf, waiting)
-    news(since_ms=5)
-    news(since_ms=5, status="left")
-    gate.set()
-    result = await waiting.result
-    assert result.outcome == Outcome.CONNECT_FAILED and not upstream.seen
-    pool.close()
-    upstream.stop()
+@pytest.mark.parametrize("answer", [lambda number: Refuse(number, 0.0), Fail])
+def test_a_request_that_a_timer_answers_is_released(day_of, answer):
+    scripted = Scripted(
+        request=lambda now, arrival: [Timer(10.0, f"{arrival.request}")],
+        timer=lambda now, token: [answer(int(token))],
+    )
+    day = day_of(scripted)
+    call = call_in(day)
+    day.driver.arrive(call, day.oracle.now)
+    day.loop.run_until_complete(asyncio.sleep(1.0))
+    assert call.final and not any(day.driver.counts) and not day.driver.request_classes
--- /dev/null
+++ b/tests/sidecar/test_server_incarnations.py
@@ -0,0 +1,77 @@
+"""A server that restarts or moves is another server: connections and draining times stay with the old one."""
+
+from __future__ import annotations
+
+import asyncio
+
+import pytest
+
+from tests.support.balancer_records import blame_of
+from tests.support.loopback import (
+    OK,
+    Scripted,
+    Upstream,
+    asked,
+    entry,
+    hear,
+    loopback,
+    never_cancels,
+    request_that_waits,
+    tidy,
+    until,
+)
+
+
+@pytest.mark.parametrize("drained", [False, True])
+@loopback
+async def test_a_connection_to_the_incarnation_before_carries_nothing_once_it_is_established(
+    monkeypatch, drained
+):
+    """The server came back at another address while it was opening; a drain, if any, was the old one's."""
+    new = await Upstream([OK]).start()
+    async with request_that_waits(monkeypatch, Rules={"StopSendingWithin": 0.0}) as waiting:
+        sidecar, old = waiting.sidecar, waiting.upstream
+        if drained:
+            hear(sidecar, entry("s0", old.address, status="leaving"))
+        hear(sidecar, entry("s0", new.address, since_ms=1))
+        waiting.gate.open.set()
+        assert (await waiting.app.answer()).body == b"done"
+        assert (len(old.seen), len(new.seen)) == (0, 1)
+        assert not blame_of(sidecar.driver.balancer, "s0")
+    new.stop()
+
+
+@pytest.mark.parametrize("changes", [{"address": True}, {"since_ms": 1_790_000_000_000}])
+@loopback
+async def test_a_busy_connection_to_the_incarnation_before_is_not_reused_for_the_next(changes):
+    go_on = asyncio.Event()
+
+    async def wait(reader, writer):
+        await go_on.wait()
+        return OK
+
+    old, new = await Upstream([wait]).start(), await Upstream([OK]).start()
+    address = new.address if changes.pop("address", False) else old.address
+    async with tidy(old, balancer=Scripted(), **never_cancels()) as sidecar:
+        app = await asked(sidecar)
+        await until(lambda: old.seen)
+        hear(sidecar, entry("s0", old.address, status="leaving"))
+        hear(sidecar, entry("s0", address, **changes))
+        go_on.set()
+        assert (await app.answer()).body == b"done"  # what it had taken it may end
+        assert (await app.ask()).body == b"done"
+        carried = [seen.connection for seen in old.seen]
+        assert (carried, len(new.seen)) in (([0, 1], 0), ([0], 1))
+    new.stop()
+
+
+@loopback
+async def test_draining_stays_with_the_incarnation_that_drains():
+    old, new = await Upstream([OK]).start(), await Upstream([OK]).start()
+    async with tidy(old, balancer=Scripted(), **never_cancels()) as sidecar:
+        before = sidecar.pool.servers["s0"]
+        hear(sidecar, entry("s0", old.address, status="leaving"))
+        hear(sidecar, entry("s0", new.address, since_ms=1))
+        assert before.draining
+        assert not sidecar.pool.servers["s0"].draining
+    new.stop()
--- /dev/null
+++ b/tests/sidecar/test_simultaneous_events.py
@@ -0,0 +1,298 @@
+"""Events that meet in one turn of the loop or in the turns after a send: one answer, one outcome each."""
+
+from __future__ import annotations
+
+import asyncio
+import os
+
+import pytest
+
+from brassfall.balancer import Balancer
+from brassfall.balancer.events import AttemptEnded
+from brassfall.balancer.model import Cancel, ListForm, Outcome
+from brassfall.sidecar.core.clock import Clock
+from brassfall.sidecar.core.driver import Driver
+from brassfall.sidecar.core.interfaces import Answer, Result
+from brassfall.sidecar.servers.exchange import Exchange
+from tests.support.balancer_records import left_over
+from tests.support.loopback import (
+    OK,
+    App,
+    Scripted,
+    Upstream,
+    entry,
+    failing,
+    hear,
+    loopback,
+    never_cancels,
+    nothing_left,
+    tidy,
+    told,
+    until,
+)
+
+
+class RecordedCall:
+    """A request (`interfaces.Call`) that keeps every final answer that it is given."""
+
+    request_class, tenant, key, work, client_retry, mutates, budget = 0, 0, None, None, False, False, 4000.0
+
+    def __init__(self, large):
+        self.reading, self.body, self.given = large, None, []
+
+    def wire(self, left):
+        return b""
+
+    def client_left(self):
+        return False
+
+    def served(self, answer):
+        self.given.append("served")
+
+    def refused(self, retry_after):
+        self.given.append("refused")
+
+    def failed(self, late):
+        self.given.append("failed")
+
+    def begun(self, answer, flow):
+        self.given.append("begun")
+
+    def more(self, data):
+        assert self.given[-1] == "begun"
+
+    def finished(self):
+        self.given.append("finished")
+
+    def broken(self):
+        self.given.append("broken")
+
+    @property
+    def finals(self):
+        """The final answers, without the ends of those that were passed on."""
+        return [given for given in self.given if given not in ("finished", "broken")]
+
+
+class ConnectionStub:
+    """Stands in for a connection to a server (`exchange.Carrier`)."""
+
+    def __init__(self, written):
+        self.written, self.aborted = written, False
+
+    def give_up(self):
+        self.aborted = True
+
+
+class UpstreamsStub:
+    """Stands in for the pool: the first exchange is the test's, later ones are answered."""
+
+    def __init__(self, loop, state):
+        self.loop, self.state, self.sent = loop, state, []
+
+    def send(self, server, call, expires, watcher):
+        exchange = Exchange(call.wire, expires, watcher.ended, watcher)
+        if self.sent:
+            self.loop.call_soon(exchange.end, Result(Outcome.OK, Answer([], b"")))
+        elif self.state == "waits":
+            exchange.await_connection(self.loop.create_task(asyncio.sleep(60.0)))
+        else:
+            exchange.carried_by(ConnectionStub(self.state == "written"))
+        self.sent.append(exchange)
+        return exchange
+
+    def check_health(self, server, done):
+        raise AssertionError("no health check is asked for")
+
+    def update(self, now, servers, *, complete):
+        pass
+
+    def close_idle(self, server):
+        pass
+
+
+class OutcomeRecorder:
+    """The real balancer, with a note of each attempt that has ended."""
+
+    def __init__(self, balancer):
+        self.real, self.ended = balancer, []
+
+    @property
+    def refusals(self):
+        return self.real.refusals
+
+    def step(self, now, event):
+        if isinstance(event, AttemptEnded):
+            self.ended.append(event.attempt)
+        return self.real.step(now, event)
+
+
+class AttemptRace:
+    """A driver with the real balancer and one attempt in flight, and all that may happen to it."""
+
+    EVENTS = (
+        "answer",
+        "spoilt",
+        "reset",
+        "rules_changed",
+        "starts",
+        "expire",
+        "overdue",
+        "cancel",
+        "gone",
+        "window",
+        "body_read",
+    )
+
+    def __init__(self, state, cancels, large=False):
+        self.loop = asyncio.get_running_loop()
+        limits = {"MaxAttempts": 3, "MayCancel": cancels, "ConnectTimeout": 250.0}
+        config = told([Upstream(address=f"127.0.0.1:{port}") for port in (9, 10, 11)], PolicyLimits=limits)
+        self.clock = Clock(self.loop)
+        self.balancer = OutcomeRecorder(Balancer(self.clock.now(), config.settings, config.seed))
+        self.driver = Driver(self.loop, self.clock, config, self.balancer)
+        self.attempts = self.driver.lifecycle.attempts
+        self.upstreams = UpstreamsStub(self.loop, state)
+        self.driver.connect(self.upstreams, None, None)
+        self.driver.endpoints_listed(ListForm.REMEMBERED, config.known)
+        self.call = RecordedCall(large)
+        self.request = self.driver.arrive(self.call, self.clock.now())
+        self.attempt = self.request.attempts[0]
+        self.exchange = self.upstreams.sent[0]
+        self.left = False
+
+    def happen(self, event):
+        getattr(self, event)()
+
+    def answer(self):
+        self.exchange.end(Result(Outcome.OK, Answer([], b"")))
+
+    def spoilt(self):
+        self.exchange.end(Result(Outcome.ERROR))
+
+    def reset(self):
+        self.exchange.end(Result(Outcome.RESET))
+
+    def rules_changed(self):
+        self.loop.call_soon(self.exchange.end, Result(Outcome.ABANDONED))
+
+    def starts(self):
+        """Begin a large answer, which is complete a turn later."""
+        if not self.exchange.ended and self.exchange.watcher is not None:
+            self.exchange.watcher.begun(Answer([], b"", None), None)
+            self.loop.call_soon(self.exchange.end, Result(Outcome.OK))
+
+    def expire(self):
+        self.attempts.expire(self.attempt)
+
+    def overdue(self):
+        self.driver.lifecycle.fail_overdue(self.request)
+
+    def cancel(self):
+        self.driver.perform(Cancel(self.request.id, 0))
+
+    def gone(self):
+        self.left, self.sent_then = True, len(self.upstreams.sent)
+        self.driver.client_gone(self.request)
+
+    def window(self):
+        self.attempts.drop_unwritten(self.attempt)
+
+    def body_read(self):
+        self.driver.body_read(self.request, self.clock.now())
+
+    def check(self):
+        """Check that there was one answer and one outcome for each attempt, and that nothing is left."""
+        finals = self.call.finals
+        assert len(finals) == (0 if self.left and not finals else 1)
+        assert sorted(self.balancer.ended) == list(range(len(self.request.attempts)))
+        assert not any(self.driver.counts), self.driver.counts
+        held = left_over(self.balancer.real)
+        assert not any(held.values()), held
+        timers = (self.attempt.timeout, self.attempt.window, self.request.deadline_guard)
+        assert all(timer is None or timer.cancelled() for timer in timers)
+        if self.left:  # nothing begins once the client has left
+            assert len(self.upstreams.sent) <= self.sent_then
+
+
+PAIRS = [(first, second) for first in AttemptRace.EVENTS for second in AttemptRace.EVENTS]
+
+
+async def turns(count=40):
+    for _ in range(count):
+        await asyncio.sleep(0)
+
+
+@pytest.mark.parametrize("state", ["waits", "half", "written"])
+@pytest.mark.parametrize("cancels", [True, False])
+@loopback
+async def test_two_events_in_one_turn_make_one_answer_and_one_outcome(state, cancels):
+    """Each pair, in either order, in the same turn and with a turn between."""
+    for first, second in PAIRS:
+        for between in (0, 1):
+            race = AttemptRace(state, cancels)
+            race.happen(first)
+            await turns(between)
+            race.happen(second)
+            await turns()
+            if not race.request.answered or race.request.attempts_in_flight:
+                race.answer()  # an attempt that nothing has ended goes on, and ends in the usual way
+                await turns()
+            try:
+                race.check()
+            except AssertionError as error:
+                error.add_note(f"{first}, {second}, {between} turns between")
+                raise
+
+
+def descriptors():
+    return len(os.listdir("/proc/self/fd"))
+
+
+@pytest.mark.parametrize("event", ["gone", "cancel", "expire", "overdue", "window", "restart", "close_idle"])
+@pytest.mark.parametrize("fresh", [True, False])
+@loopback
+async def test_an_event_in_each_turn_between_a_send_and_its_end_leaves_nothing_open(event, fresh):
+    """On real sockets, where opening, writing and reading each take turns of the loop."""
+    upstream = await Upstream([OK]).start()
+    async with tidy(upstream, balancer=Scripted(outcome=failing), **never_cancels()) as sidecar:
+        driver, attempts = sidecar.driver, sidecar.driver.lifecycle.attempts
+        await (await App.connect(sidecar.address)).ask()
+        before = descriptors()
+        sent = asyncio.Event()
+        send = sidecar.pool.send
+
+        def seen(*args):
+            sent.set()
+            return send(*args)
+
+        sidecar.pool.send = seen
+        for after in range(24):
+            if fresh:
+                sidecar.pool.close_idle("s0")
+            sent.clear()
+            app = await App.connect(sidecar.address)
+            app.send()
+            await sent.wait()
+            (request,) = driver.requests
+            await turns(after)
+            match event:
+                case "gone":
+                    driver.client_gone(request)
+                case "cancel":
+                    driver.perform(Cancel(request.id, len(request.attempts) - 1))
+                case "expire":
+                    attempts.expire(request.attempts[-1])
+                case "overdue":
+                    driver.lifecycle.fail_overdue(request)
+                case "window":
+                    attempts.drop_unwritten(request.attempts[-1])
+                case "restart":
+                    hear(sidecar, entry("s0", upstream.address, since_ms=1 + after))
+                case "close_idle":
+                    sidecar.pool.close_idle("s0")
+            await until(lambda: nothing_left(sidecar))
+            if event != "gone":
+                assert (await app.answer()).status in (200, 502, 503, 504)
+            app.close()
+        sidecar.pool.close_idle("s0")
+        await until(lambda: descriptors() <= before)
--- a/tests/sidecar/test_standing.py
+++ b/tests/sidecar/test_standing.py
@@ -110,7 +110,7 @@
 async def test_a_silent_call_for_the_whole_list_is_over_in_time_for_another():
     agent, module = await Agent("mute").start(), Scripted()
     async with running(registry=agent, balancer=module, Discovery="subscribe") as sidecar:
-        sidecar.driver._act(Fetch())
+        sidecar.driver.perform(Fetch())
         while ["refused", ()] not in module.named("server_list"):
             await asyncio.sleep(0.01)
         assert now() - agent.silent_from < TOLD_S - 1.0  # the module asks again within a second
--- a/tests/sidecar/test_standing_brink.py
+++ b/tests/sidecar/test_standing_brink.py
@@ -75,7 +75,7 @@
 
 async def answer_a_call(agent, sidecar):
     """The whole list is asked for."""
-    sidecar.driver._act(Fetch())
+    sidecar.driver.perform(Fetch())
 
 
 @pytest.mark.parametrize("deed", [tell_on_the_open_watch, end_the_watch, answer_a_call])
--- /dev/null
+++ b/tests/sidecar/test_unwanted_attempts.py
@@ -0,0 +1,182 @@
+"""An attempt whose request has ended meanwhile: nothing of it is written that is not written yet."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import socket
+
+import pytest
+
+from brassfall.balancer.model import Cancel, Fail, Outcome, Refuse, Send
+from tests.support.balancer_records import blame_of
+from tests.support.loopback import (
+    OK,
+    App,
+    Gate,
+    Scripted,
+    Upstream,
+    asked,
+    entry,
+    hang,
+    hear,
+    loopback,
+    never_cancels,
+    request_that_waits,
+    tidy,
+    until,
+)
+
+
+@pytest.mark.parametrize("real", [True, False])
+@loopback
+async def test_an_attempt_that_waits_for_its_connection_is_not_written_once_its_client_has_left(
+    monkeypatch, real
+):
+    balancer = None if real else Scripted()
+    async with request_that_waits(monkeypatch, balancer) as waiting:
+        sidecar, upstream = waiting.sidecar, waiting.upstream
+        waiting.app.close()
+        await until(lambda: not sidecar.driver.requests)  # at once, not when the connection is up
+        assert not waiting.gate.open.is_set()
+        waiting.gate.open.set()
+        await until(lambda: sidecar.pool.servers["s0"].idle)  # it was paid for: the next one has it
+        if balancer is not None:
+            assert balancer.outcomes() == [(0, Outcome.ABANDONED, True)]
+            assert len(balancer.named("client_gone")) == 1 and not balancer.named("unsent")
+        else:
+            assert not blame_of(sidecar.driver.balancer, "s0")
+        assert (await (await App.connect(sidecar.address)).ask()).body == b"done"
+        assert [seen.connection for seen in upstream.seen] == [0]
+
+
+@pytest.mark.parametrize("answer", [Refuse, Fail, "guard"])
+@loopback
+async def test_an_attempt_that_waits_for_its_connection_is_not_written_after_the_final_answer(
+    monkeypatch, answer
+):
+    balancer = Scripted()
+    async with request_that_waits(monkeypatch, balancer) as waiting:
+        sidecar = waiting.sidecar
+        (request,) = sidecar.driver.requests
+        if answer == "guard":
+            sidecar.driver.lifecycle.fail_overdue(request)
+        else:
+            sidecar.driver.perform(Refuse(request.id, 0.0) if answer is Refuse else Fail(request.id))
+        waiting.gate.open.set()
+        assert (await waiting.app.answer()).status in (502, 503, 504)
+        await until(lambda: sidecar.pool.servers["s0"].idle)
+        assert balancer.outcomes() == [(0, Outcome.ABANDONED, True)]
+        assert waiting.upstream.seen == []
+
+
+@loopback
+async def test_a_hedged_request_that_waits_for_its_connection_is_not_written_once_the_other_was_answered(
+    monkeypatch,
+):
+    late, quick = await Upstream([OK]).start(), await Upstream([OK]).start()
+    gate = Gate(monkeypatch, [late])
+    balancer = Scripted(
+        request=lambda now, arrival: [Send(arrival.request, "s0", 0.0), Send(arrival.request, "s1", 0.0)]
+    )
+    async with tidy(late, quick, balancer=balancer, **never_cancels()) as sidecar:
+        app = await App.connect(sidecar.address)
+        assert (await app.ask()).body == b"done"
+        gate.open.set()
+        await until(lambda: sidecar.pool.servers["s0"].idle)
+        assert balancer.outcomes() == [(1, Outcome.OK, True), (0, Outcome.ABANDONED, True)]
+        assert late.seen == []
+
+
+@loopback
+async def test_a_connection_established_for_an_ended_attempt_is_closed_if_its_server_drains(monkeypatch):
+    async with request_that_waits(monkeypatch, Scripted()) as waiting:
+        sidecar = waiting.sidecar
+        waiting.app.close()
+        await until(lambda: not sidecar.driver.requests)
+        hear(sidecar, entry("s0", waiting.upstream.address, status="leaving"))
+        waiting.gate.open.set()
+        await until(lambda: waiting.upstream.writers and not sidecar.pool.opening)
+        assert not sidecar.pool.servers["s0"].idle
+
+
+@loopback
+async def test_a_connection_opened_for_an_ended_attempt_makes_room_if_the_pool_is_full(monkeypatch):
+    late, quick = await Upstream([OK]).start(), await Upstream([OK]).start()
+    gate = Gate(monkeypatch, [late])
+    servers = iter(["s0", "s1"])
+    balancer = Scripted(request=lambda now, arrival: [Send(arrival.request, next(servers), 0.0)])
+    async with tidy(late, quick, balancer=balancer, **never_cancels()) as sidecar:
+        sidecar.pool.max_connections = 1
+        app = await asked(sidecar)
+        await until(lambda: gate.waiting)
+        app.close()
+        await until(lambda: not sidecar.driver.requests)
+        assert (await (await App.connect(sidecar.address)).ask()).body == b"done"
+        assert balancer.outcomes() == [(0, Outcome.ABANDONED, True), (0, Outcome.OK, True)]
+
+
+@loopback
+async def test_a_request_that_the_kernel_has_not_taken_completely_is_dropped_when_its_client_leaves(
+    monkeypatch,
+):
+    upstream = await Upstream([hang]).start()
+    balancer = Scripted()
+    async with tidy(upstream, balancer=balancer, **never_cancels()) as sidecar:
+        app = await asked(sidecar)
+        await until(lambda: upstream.seen)
+        (connection,) = sidecar.pool.connections
+        connection.written = False  # as if its last byte were still held back here
+        app.close()
+        await until(lambda: balancer.outcomes())
+        assert balancer.outcomes() == [(0, Outcome.ABANDONED, True)]
+
+
+@loopback
+async def test_a_request_that_is_written_completely_goes_on_if_cancelling_is_not_allowed():
+    go_on = asyncio.Event()
+
+    async def wait(reader, writer):
+        await go_on.wait()
+        return OK
+
+    upstream = await Upstream([wait]).start()
+    balancer = Scripted()
+    async with tidy(upstream, balancer=balancer, **never_cancels()) as sidecar:
+        app = await asked(sidecar)
+        await until(lambda: upstream.seen)
+        app.close()
+        await until(lambda: balancer.named("client_gone"))
+        assert balancer.outcomes() == []
+        go_on.set()
+        await until(lambda: balancer.outcomes())
+        assert balancer.outcomes() == [(0, Outcome.OK, True)]
+
+
+@loopback
+async def test_a_cancelled_request_does_not_reach_its_server_later_from_the_kernel():
+    """It is written, so far as can be told here, while its server takes no more of it."""
+    loop = asyncio.get_running_loop()
+    balancer = Scripted(outcome=lambda now, number, hop, status, *rest: [Fail(number)])
+    with socket.socket() as listener:
+        listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+        listener.bind(("127.0.0.1", 0))
+        listener.listen()
+        listener.setblocking(False)
+        upstream = Upstream(address=f"127.0.0.1:{listener.getsockname()[1]}")
+        upstream.stop = lambda: None
+        body = b"x" * 60_000
+        async with tidy(upstream, balancer=balancer, **never_cancels()) as sidecar:
+            app = await App.connect(sidecar.address)
+            app.send("POST", "/book", body)
+            server, _ = await loop.sock_accept(listener)
+            with server:
+                await until(lambda: any(it.written and it.busy for it in sidecar.pool.connections))
+                (request,) = sidecar.driver.requests
+                sidecar.driver.perform(Cancel(request.id, 0))
+                await app.answer()
+                got = b""
+                with contextlib.suppress(ConnectionResetError):
+                    while part := await loop.sock_recv(server, 65_536):
+                        got += part
+                assert 0 < len(got) < len(body)
--- a/tests/sidecar/test_upgrade.py
+++ b/tests/sidecar/test_upgrade.py
@@ -111,7 +111,7 @@
     await until(lambda: old.inbound.limits.open < whole[0])
     held = 2 * 24
     for one in made:
-        held += one.inbound.limits.open + one.pool._most
+        held += one.inbound.limits.open + one.pool.max_connections
         assert one.inbound.budget.limit == 5 * 2**20
     assert held <= 192
     old.close()
--- /dev/null
+++ b/tests/sidecar/test_write_deadlines.py
@@ -0,0 +1,154 @@
+"""Attempts are written within the window of their idempotency key and before their deadline, or never."""
+
+from __future__ import annotations
+
+import contextlib
+
+import pytest
+
+from brassfall.balancer.model import Outcome, Send
+from brassfall.sidecar.core.attempt_runner import KEY_MARGIN_MS
+from tests.support.loopback import (
+    OK,
+    SETTINGS,
+    App,
+    Gate,
+    Hands,
+    Scripted,
+    Upstream,
+    Waiting,
+    asked,
+    break_off,
+    failing,
+    hang,
+    loopback,
+    never_cancels,
+    request,
+    request_that_waits,
+    small_buffers,
+    tidy,
+    until,
+)
+
+LARGE = b"0123456789abcdef" * 16384
+
+
+def keyed(**changes):
+    """One class under a key, of which every server of a zone may have a copy within its window."""
+    profile = {**SETTINGS["Profiles"][1], **changes}
+    return {**never_cancels(), "Profiles": [SETTINGS["Profiles"][0], profile]}
+
+
+@contextlib.asynccontextmanager
+async def retry_that_waits(monkeypatch, **changes):
+    """A request under a key whose first attempt was reset, and whose retry waits for its connection."""
+    servers = [await Upstream([break_off]).start() for _ in range(2)]
+    async with tidy(*servers, **keyed(**changes)) as sidecar:
+        gate = Gate(monkeypatch, servers, free=1)
+        app = await asked(sidecar, "/book", "POST")
+        await until(lambda: gate.waiting == 2)
+        yield Waiting(sidecar, servers, gate, app)
+
+
+def sent(servers):
+    """How many requests these servers have read."""
+    return sum(len(server.seen) for server in servers)
+
+
+@loopback
+async def test_a_retry_whose_connection_is_established_past_its_window_is_not_written(monkeypatch):
+    async with retry_that_waits(monkeypatch) as waiting:
+        Hands(waiting.sidecar).on(1200.0 - KEY_MARGIN_MS)  # its timer has not run
+        waiting.gate.open.set()
+        assert (await waiting.app.answer()).status == 502
+        assert sent(waiting.upstream) == 1
+
+
+@loopback
+async def test_a_retry_that_waits_past_its_window_ends_then_with_the_final_answer(monkeypatch):
+    async with retry_that_waits(monkeypatch, KeyTtl=700.0) as waiting:
+        assert (await waiting.app.answer()).status == 502  # while it waits still
+        assert not waiting.gate.open.is_set()
+        waiting.gate.open.set()
+        await until(lambda: any(server.idle for server in waiting.sidecar.pool.servers.values()))
+        assert sent(waiting.upstream) == 1
+
+
+@loopback
+async def test_a_retry_within_its_window_is_written_though_its_connection_was_late(monkeypatch):
+    async with retry_that_waits(monkeypatch, KeyTtl=60_000.0) as waiting:
+        for server in waiting.upstream:
+            server.replies = [OK]
+        waiting.gate.open.set()
+        assert (await waiting.app.answer()).body == b"done"
+        assert sent(waiting.upstream) == 2
+
+
+@pytest.mark.parametrize("part", [LARGE[:100_000], LARGE])
+@loopback
+async def test_a_body_that_still_flows_when_the_window_ends_is_broken_off_before_its_last_byte(part):
+    """Whether its end comes from the client or is still held back here."""
+    upstream = await Upstream([hang]).start()
+    balancer = Scripted(
+        request=lambda now, arrival: [Send(arrival.request, "s0", 0.0, now + KEY_MARGIN_MS + 130.0)],
+        outcome=failing,
+    )
+    async with tidy(upstream, balancer=balancer, **never_cancels()) as sidecar:
+        app = await App.connect(sidecar.address)
+        app.writer.write(request("POST", "/book", LARGE)[: -len(LARGE)] + part[:-1])
+        assert (await app.answer()).status == 502
+        assert balancer.outcomes() == [(0, Outcome.ABANDONED, False)]  # half of it never runs
+        assert upstream.seen == []
+        app.close()
+
+
+@loopback
+async def test_a_part_of_a_body_that_comes_past_the_window_is_not_written():
+    upstream = await Upstream([hang]).start()
+    balancer = Scripted(
+        request=lambda now, arrival: [Send(arrival.request, "s0", 0.0, now + 9000.0)],
+        outcome=failing,
+    )
+    async with tidy(upstream, balancer=balancer, **never_cancels()) as sidecar:
+        app = await App.connect(sidecar.address)
+        message = request("POST", "/book", LARGE)
+        app.writer.write(message[:-1])
+        await until(lambda: balancer.named("body_gone") and upstream.writers)
+        Hands(sidecar).on(9000.0)  # its timer has not run
+        app.writer.write(message[-1:])
+        assert (await app.answer()).status == 502
+        assert balancer.outcomes() == [(0, Outcome.ABANDONED, False)]
+        assert upstream.seen == []
+
+
+@loopback
+async def test_a_retry_that_the_kernel_does_not_take_is_never_sent(monkeypatch):
+    """Held back here until its window ends: it is dropped with its connection."""
+    upstream = await Upstream([OK, hang]).start()
+    windows = iter([float("inf"), KEY_MARGIN_MS + 80.0])
+    balancer = Scripted(
+        request=lambda now, arrival: [Send(arrival.request, "s0", 0.0, now + next(windows))],
+        outcome=failing,
+    )
+    async with tidy(upstream, balancer=balancer, **never_cancels()) as sidecar:
+        app = await App.connect(sidecar.address)
+        await app.ask()
+        (connection,) = sidecar.pool.connections
+        small_buffers(connection.transport, upstream.writers[0].transport)
+        upstream.writers[0].transport.pause_reading()
+        connection.transport.write(b"x" * 4_000_000)  # stands for what the kernel is full of
+        assert connection.transport.get_write_buffer_size()
+        assert (await app.ask("POST", "/book", b"body")).status == 502
+        assert balancer.outcomes()[1:] == [(0, Outcome.ABANDONED, False)]
+        upstream.writers[0].transport.resume_reading()
+
+
+@loopback
+async def test_past_its_deadline_a_request_is_not_written(monkeypatch):
+    balancer = Scripted(outcome=failing)
+    async with request_that_waits(monkeypatch, balancer) as waiting:
+        Hands(waiting.sidecar).on(4000.0)  # its timer has not run
+        waiting.gate.open.set()
+        assert (await waiting.app.answer()).status == 504
+        assert balancer.outcomes() == [(0, Outcome.ABANDONED, False)]
+        assert waiting.upstream.seen == []
--- /dev/null
+++ b/tests/support/balancer_records.py
@@ -0,0 +1,54 @@
+"""The balancer's own records, for tests that check what it holds at the end and whom it blames.
+
+Its decisions show neither: a leaked count or a fault that is held against the wrong server changes them only
+much later, if at all. This module is the one place that reads these records.
+"""
+
+from __future__ import annotations
+
+
+def left_over(balancer):
+    """Return the counts that should be 0 when no request is under way, by name."""
+    endpoints = balancer._endpoints
+    servers = endpoints.servers.values()
+    return {
+        "balancer's requests": len(balancer._requests),
+        "balancer's attempts in flight": endpoints.in_flight,
+        "balancer's key queues": len(balancer._key_queues),
+        "servers' attempts in flight": sum(abs(server.in_flight) for server in servers),
+        "servers' outstanding attempts": sum(len(server.outstanding) for server in servers),
+        # Below 0: more connections were counted as used than had become idle.
+        "servers' idle connections missing": sum(-min(0, server.idle_connections) for server in servers),
+    }
+
+
+def blame(balancer):
+    """Return all that is held against servers, or counts towards refusals; equal if nothing changed."""
+    servers = balancer._endpoints.servers.values()
+    of_servers = [(it.fault_share, it.consecutive_failures, it.ejected_until) for it in servers]
+    ejector = balancer._ejector
+    return [*of_servers, ejector.connect_failures, ejector.not_accepted, balancer._throttle.drop_chance(0.0)]
+
+
+def blame_of(balancer, server):
+    """Return what is held against one server, and against new connections; empty if nothing is."""
+    record = balancer._endpoints.servers[server]
+    faults = (record.fault_share, record.consecutive_failures, balancer._ejector.connect_failures)
+    return [fault for fault in faults if fault != 0]
+
+
+def ejection_of(balancer, server):
+    """Return a server's share of faults, its consecutive failures and the end of its ejection."""
+    record = balancer._endpoints.servers[server]
+    return (record.fault_share, record.consecutive_failures, record.ejected_until)
+
+
+def fault_shares(balancer):
+    """Return the share of faults of each server that has one."""
+    servers = balancer._endpoints.servers.values()
+    return [server.fault_share for server in servers if server.fault_share]
+
+
+def shed_probability(balancer, now):
+    """Return the probability with which requests are refused for overload."""
+    return balancer._shedder.probability(now)
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -14,6 +14,7 @@
 from brassfall.sidecar import config
 from brassfall.sidecar.discovery import endpoint_list
 from brassfall.sidecar.lifecycle.sidecar import Sidecar
+from tests.support.balancer_records import left_over
 
 PATIENCE_S = 15.0
 BUDGET = "4000m"
@@ -279,11 +280,8 @@
     """A sidecar in this process, and the upstreams it knows."""
     own = registry is None
     registry = await Registry(current=True).start() if own else registry
-    made = Sidecar(
-        asyncio.get_running_loop(), told(upstreams, registry=registry.address, raw=raw, **settings)
-    )
-    if balancer is not None:
-        made.driver._balancer = balancer
+    configuration = told(upstreams, registry=registry.address, raw=raw, **settings)
+    made = Sidecar(asyncio.get_running_loop(), configuration, balancer=balancer)
     if not registry.current:
         made.discovery._called.set()  # this test's watches tell nothing before it has started
     made.address = await made.start()
@@ -362,18 +360,15 @@
 
 
 def nothing_left(sidecar):
-    """Whether every count is back at none, and each open connection is an idle one."""
+    """Return whether the driver and the balancer hold nothing, and each open connection is an idle one."""
     driver, pool = sidecar.driver, sidecar.pool
-    idle = [connection for server in pool._servers.values() for connection in server.idle]
-    counts = [driver._open, driver._flowing, len(driver._requests), pool.opening]
-    balancer = driver._balancer
-    if not isinstance(balancer, Scripted):
-        servers = balancer._endpoints.servers.values()
-        counts += [balancer._endpoints.in_flight, len(balancer._requests)]
-        counts += [server.in_flight for server in servers]
-        counts += [-min(0, server.idle_connections) for server in servers]
-    free = all(connection._exchange is None for connection in idle)
-    return not any(counts) and free and set(idle) == pool._connections and len(set(idle)) == len(idle)
+    if any(driver.counts) or not driver.idle or pool.opening:
+        return False
+    if not isinstance(driver.balancer, Scripted) and any(left_over(driver.balancer).values()):
+        return False
+    idle = pool.idle_connections
+    free = not any(connection.busy for connection in idle)
+    return free and set(idle) == pool.connections and len(set(idle)) == len(idle)
 
 
 @contextlib.asynccontextmanager
@@ -382,9 +377,9 @@
     async with running(*upstreams, **settings) as sidecar:
         yield sidecar
         await until(lambda: nothing_left(sidecar))
-        module = sidecar.driver._balancer
-        if isinstance(module, Scripted):
-            ends = [(number, hop) for number, hop, *_ in module.named("outcome")]
+        balancer = sidecar.driver.balancer
+        if isinstance(balancer, Scripted):
+            ends = [(number, hop) for number, hop, *_ in balancer.named("outcome")]
             assert len(ends) == len(set(ends))
 
 
@@ -392,10 +387,10 @@
     """The driver's clock, moved on by hand: no timer runs for it."""
 
     def __init__(self, sidecar):
-        self.clock = sidecar.driver._clock
+        self.clock = sidecar.driver.clock
 
     def on(self, ms):
-        self.clock._offset += ms
+        self.clock.offset_ms += ms
 
 
 def never_cancels():
@@ -406,9 +401,9 @@
 async def asked(sidecar, target="/look", method="GET", **headers):
     """A client whose request has been taken."""
     app = await App.connect(sidecar.address)
-    before = len(sidecar.driver._requests)
+    before = len(sidecar.driver.requests)
     app.send(method, target, **headers)
-    await until(lambda: len(sidecar.driver._requests) > before)
+    await until(lambda: len(sidecar.driver.requests) > before)
     return app
 
 
--- /dev/null
+++ b/tests/support/random_day/settings.py
@@ -0,0 +1,97 @@
+"""Random settings for the program, and their reloads."""
+
+from __future__ import annotations
+
+from brassfall.sidecar import config, reload
+
+EFFECTS = ("pure", "token", "side_effect")
+
+
+def draw(rng):
+    """Return random settings in the form of the configuration file."""
+    rows = []
+    for name in rng.sample("abcdefgh", rng.randrange(2, 6)):
+        deadline = rng.choice([120.0, 300.0, 600.0])
+        effect, group = rng.choice(EFFECTS), rng.choice(["all", "cell", "zone"])
+        objective, window = deadline / rng.choice([1.0, 2.0]), rng.choice([30.0, 60.0, 300.0])
+        late_weight, weight = rng.choice([0.0, 0.5]), rng.choice([1.0, 10.0])
+        rows.append(
+            {
+                "Name": name, "Semantics": effect, "Group": group, "KeyTtl": window,
+                "Objective": objective, "Deadline": deadline, "LateWorth": late_weight, "Worth": weight,
+                "InTurn": rng.random() < 0.15,
+            }
+        )  # fmt: skip
+    limits = {
+        "MaxAttempts": rng.randrange(1, 5), "MayCancel": rng.random() < 0.5,
+        "MaxOpen": rng.choice([4, 40]), "ParallelTries": rng.random() < 0.3,
+        "ConnectTimeout": rng.choice([30.0, 100.0, 250.0]),
+        "IdleClose": rng.choice([100.0, 1000.0]), "RetryAfter": True, "MaxRetryAfter": 100.0,
+    }  # fmt: skip
+    return {
+        "Profiles": rows, "PolicyLimits": limits, "FailureDomains": ["east", "west"],
+        "Kinds": ["big"], "Discovery": "subscribe", "Me": 0, "Balancers": 2,
+        "Rules": {
+            "StopSendingWithin": rng.choice([0.0, 100.0, 300.0]), "AskWithin": 2000.0,
+            "ReleaseWithin": rng.choice([0.0, 100.0]), "SettleAfterDoubt": rng.choice([0.0, 40.0]),
+            "WarmUp": rng.choice([0.0, 1000.0]), "ColdFrom": 0.2, "OverloadFor": 500.0,
+        },
+        "Report": {"How": "inline", "Fields": ["inflight"]},
+        "Prices": {"CrossZone": rng.choice([0.0, 0.2]), "Connection": rng.choice([0.0, 0.1])},
+        "Domain": {"WarmKeys": rng.random() < 0.2}, "OverShareWorth": rng.choice([0.1, 1.0]),
+        "Tenants": [{"Name": "one", "AllowancePerS": 5.0}, {"Name": "two", "AllowancePerS": 9.0}],
+    }  # fmt: skip
+
+
+class SettingsHistory:
+    """The settings in force, and those before them, whose classes clients may still name.
+
+    `distort` changes the settings that the program gets, not those that the oracle holds it to.
+    """
+
+    def __init__(self, chance, distort):
+        self._chance = chance
+        self._distort = distort
+        self.raw = draw(chance.rng)
+        self.config = self._parse(self.raw)
+        self._known = [(self.config.names, self.raw)]  # newest first
+
+    @property
+    def limits(self):
+        return self.raw["PolicyLimits"]
+
+    @property
+    def grace_ms(self):
+        """How long after the notice that a server drains requests may be begun there."""
+        return self.raw["Rules"]["StopSendingWithin"]
+
+    def _parse(self, raw):
+        return config.parse(
+            {
+                "name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "seed": "1",
+                "limits": {"memory_mb": 64, "sockets": self._chance.sockets},
+                "known": {"index": 1, "endpoints": []}, "settings": self._distort(raw),
+            },
+            {},
+        )  # fmt: skip
+
+    def reload(self, classes_in_use):
+        """Draw other settings; return the parsed configuration and the classes that are the same."""
+        raw = draw(self._chance.rng)
+        slots = {kind.slot for names, _ in self._known for kind in names.classes.values()}
+        successor = reload.successor(self.config, self._parse(raw), classes_in_use | slots)
+        self.raw, self.config = raw, successor.config
+        self._known.insert(0, (successor.config.names, raw))
+        return successor
+
+    def draw_class(self):
+        """Return the class of a request and its row in the settings.
+
+        A client may name a class of before, whose figures are the last that its slot had.
+        """
+        rng = self._chance.rng
+        names, raw = rng.choice(self._known) if rng.random() < 0.3 else self._known[0]
+        kind = names.classes[rng.choice(raw["Profiles"])["Name"]]
+        name = next(name for name, other in names.classes.items() if other is kind)
+        newest = next(raw for names, raw in self._known if names.classes.get(name) == kind)
+        return kind, next(row for row in newest["Profiles"] if row["Name"] == name)
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -168,6 +168,7 @@
 LISTENER = "brassfall.sidecar.clients.listener"
 FLEET = "brassfall.sidecar.agent"
 ATTEMPTS = "brassfall.sidecar.core.attempts"
+EVENT_SINK = "brassfall.sidecar.core.event_sink"
 CLOCK = "brassfall.sidecar.core.clock"
 CONSOLE = "brassfall.sidecar.console"
 INTERFACES = "brassfall.sidecar.core.interfaces"
@@ -201,9 +202,32 @@
         ("core/clock.py", set()),
         ("core/interfaces.py", {BODY, LIST, MODEL}),
         ("core/attempts.py", {INTERFACES, MODEL}),
+        ("core/event_sink.py", {ATTEMPTS, EVENTS}),
+        ("core/attempt_runner.py", {ATTEMPTS, CLOCK, INTERFACES, MODEL}),
+        ("core/request_table.py", {ATTEMPTS, INTERFACES}),
+        ("core/balancer_timers.py", {EVENT_SINK, EVENTS, MODEL}),
+        ("core/health_checks.py", {CLOCK, EVENT_SINK, EVENTS, INTERFACES, MODEL}),
+        (
+            "core/request_lifecycle.py",
+            {
+                *own("core.attempt_runner", "core.balancer_timers", "core.request_table"),
+                *(ATTEMPTS, CLOCK, CONSOLE, EVENT_SINK, EVENTS, INTERFACES, MODEL),
+            },
+        ),
+        (
+            "core/actions.py",
+            {
+                *own("core.balancer_timers", "core.health_checks", "core.request_lifecycle"),
+                *(CONSOLE, INTERFACES, MODEL),
+            },
+        ),
         (
             "core/driver.py",
-            {ATTEMPTS, CLOCK, CONFIG, CONSOLE, EVENTS, INTERFACES, LIST, MODEL, MODULE, START_TIMES},
+            {
+                *own("core.actions", "core.balancer_timers", "core.health_checks"),
+                *own("core.request_lifecycle", "core.request_table"),
+                *(ATTEMPTS, CLOCK, CONFIG, CONSOLE, EVENTS, INTERFACES, LIST, MODEL, MODULE, START_TIMES),
+            },
         ),
         ("discovery/start_times.py", {LIST, MODEL}),
         ("core/process_state.py", set()),
@@ -218,6 +242,7 @@
             {BODY, EXCHANGE, FRAMING, INTERFACES, MODEL, SERVER_ANSWERS, VALUES},
         ),
         ("servers/connecting.py", {EXCHANGE, INTERFACES, MODEL, SERVER_CONNECTION}),
+        ("servers/idle_connections.py", {CLOCK, SERVER_CONNECTION}),
         (
             "servers/pool.py",
             {
@@ -232,6 +257,7 @@
                 VALUES,
                 "brassfall.sidecar.servers.connecting",
                 "brassfall.sidecar.servers.health_checks",
+                "brassfall.sidecar.servers.idle_connections",
             },
         ),
         ("clients/request_message.py", {BODY, FRAMING}),
@@ -341,7 +367,11 @@
 def test_the_driver_knows_no_sockets():
     trees = [
         ast.parse((SIDECAR / f"{name}.py").read_text())
-        for name in ("core/driver", "core/attempts", "core/interfaces")
+        for name in (
+            *("core/driver", "core/actions", "core/attempt_runner", "core/attempts", "core/balancer_timers"),
+            *("core/event_sink", "core/health_checks", "core/interfaces", "core/request_lifecycle"),
+            "core/request_table",
+        )
     ]
     nodes = [node for tree in trees for node in ast.walk(tree)]
     met = {alias.name for node in nodes if isinstance(node, ast.Import) for alias in node.names}
