--- a/tests/sidecar/test_attempts.py
+++ b/tests/sidecar/test_attempts.py
@@ -220,30 +220,40 @@
 
 
 @loopback
-async def test_no_timer_about_a_request_outlasts_it():
+async def test_no_timer_about_a_request_outlasts_it(monkeypatch):
     """Each would wake the process once more, at the objective, when the request is long answered."""
     upstream = await Upstream([OK, OK, ERROR, OK]).start()
     async with running(upstream, upstream) as sidecar:
         driver, balancer = sidecar.driver, sidecar.driver.balancer
-        step, armed = balancer.step, []
+        loop, step, wanted, armed = asyncio.get_running_loop(), balancer.step, [], []
+        call_later = loop.call_later
 
-        def recorded(now, event):
+        def recorded_step(now, event):
             actions = step(now, event)
             timers = [action for action in actions if isinstance(action, Timer)]
-            armed.extend(timer.token for timer in timers if timer.request is not None)
+            wanted.extend(timer for timer in timers if timer.request is not None)
             return actions
 
-        balancer.step = recorded
+        def recorded_call(delay, callback, *args):
+            handle = call_later(delay, callback, *args)
+            if args and args[0] in wanted:
+                armed.append(handle)
+            return handle
+
+        balancer.step = recorded_step
+        monkeypatch.setattr(loop, "call_later", recorded_call)
         assert driver.counts.armed_timers == 0
         app = await App.connect(sidecar.address)
         for _ in range(5):
             assert (await app.ask()).status == 200
         await until(lambda: not driver.requests)
-        assert len(armed) >= 5  # the retry after an error has one only where it follows within 1 ms
+        assert len(wanted) >= 5  # the retry after an error has one only where it follows within 1 ms
+        assert len(armed) == len(wanted)
+        assert all(handle.cancelled() or handle.when() <= loop.time() for handle in armed)
         assert driver.counts.armed_timers == 0
         now = driver.clock.now()
         before = shed_probability(balancer, now)
-        assert not any(step(now, TimerDue(token)) for token in armed)
+        assert not any(step(now, TimerDue(timer.token)) for timer in wanted)
         assert shed_probability(balancer, now) == before, "a timer that was cancelled would have mattered"
 
 
--- a/tests/sidecar/test_random_days.py
+++ b/tests/sidecar/test_random_days.py
@@ -119,7 +119,7 @@
 
 def test_a_request_that_is_never_released_is_found(monkeypatch):
     monkeypatch.setattr(RequestTable, "release_if_over", lambda self, request: None)
-    assert found("requests is")
+    assert found("driver's requests is")
 
 
 def test_an_exception_that_the_driver_catches_is_found(monkeypatch):
--- a/tests/support/random_day/day.py
+++ b/tests/support/random_day/day.py
@@ -183,7 +183,7 @@
 
     def _left_over(self):
         return {
-            **self.driver.counts._asdict(),
+            **{f"driver's {name}": count for name, count in self.driver.counts._asdict().items()},
             **left_over(self.driver.balancer),
             "connections": len(self.pool.connections),
             "connections being opened": self.pool.opening,
