--- a/brassfall/sidecar/core/actions.py
+++ b/brassfall/sidecar/core/actions.py
@@ -29,8 +29,7 @@
             case model.Send():
                 self._send(action, stamp)
             case model.Timer(request=number):
-                tracked = number is not None and self.requests.table.get(number) is not None
-                self.timers.arm(action, is_tracked=tracked)
+                self.timers.arm(action, is_tracked=number in self.requests.table.by_number)
             case model.Refuse(number, retry_after):
                 self.requests.refuse(number, retry_after)
             case model.Fail(number):
@@ -57,7 +56,7 @@
                 log(text)
 
     def _send(self, send: model.Send, stamp: bytes) -> None:
-        request = self.requests.table.get(send.request)
+        request = self.requests.table.by_number.get(send.request)
         if request is None:
             log(f"attempt for an unknown request, not sent; report it: request={send.request}")
         else:
--- a/brassfall/sidecar/core/attempt_runner.py
+++ b/brassfall/sidecar/core/attempt_runner.py
@@ -23,6 +23,9 @@
 # held up meanwhile, with the end of the client's connection not read yet.
 CHECK_CLIENT_AFTER_MS = 10.0
 
+# The members as names of this module: a look-up on the enumeration costs more than a comparison.
+_, UPLOADING, AWAITING_ANSWER, STREAMING_ANSWER, STOPPED, ENDED = AttemptState
+
 
 class AttemptObserver(Protocol):
     """The part of the driver that acts on what attempts bring."""
@@ -76,9 +79,9 @@
             return
         expires = now + attempt.time_limit
         if uploading:
-            attempt.enter(AttemptState.UPLOADING)
+            attempt.enter(UPLOADING)
         else:
-            attempt.enter(AttemptState.AWAITING_ANSWER)
+            attempt.enter(AWAITING_ANSWER)
             self._limit(attempt, expires)
         if attempt.write_by < math.inf:
             attempt.window = self._loop.call_at(
@@ -139,29 +142,31 @@
         A connection that came up late, or a body that came slowly, may find that the request is answered or
         its time over before the timer for that has run.
         """
-        if attempt.state is AttemptState.STREAMING_ANSWER:
-            return True
-        if attempt.state in UNANSWERED and self._in_time(attempt) and not self._client_left(attempt.request):
+        if attempt.state is STREAMING_ANSWER:
             return True
         if attempt.state in UNANSWERED:
+            if self._wanted(attempt):
+                return True
             self._stop(attempt, Outcome.ABANDONED)
         return False
 
-    def _in_time(self, attempt: Attempt) -> bool:
-        request, timeout = attempt.request, attempt.timeout
-        if request.answered or (timeout is not None and timeout.when() <= self._loop.time()):
+    def _wanted(self, attempt: Attempt) -> bool:
+        request, timeout, now = attempt.request, attempt.timeout, self._clock.now()
+        if (
+            request.answered
+            or (timeout is not None and timeout.when() <= self._loop.time())
+            or now >= attempt.write_by
+            or now >= request.give_up_at
+        ):
             return False
-        return self._clock.now() < min(attempt.write_by, request.give_up_at)
-
-    def _client_left(self, request: Request) -> bool:
-        late = self._clock.now() - request.read_at >= CHECK_CLIENT_AFTER_MS and not request.call.reading
-        return late and request.call.client_left()
+        check_client = now - request.read_at >= CHECK_CLIENT_AFTER_MS and not request.call.reading
+        return not (check_client and request.call.client_left())
 
     def uploaded(self, attempt: Attempt) -> None:
         """Start the time limit of a large request's attempt, now that all is written."""
         limit = min(self._clock.now() + attempt.time_limit, attempt.request.give_up_at)
         self._limit(attempt, limit)
-        attempt.enter(AttemptState.AWAITING_ANSWER)
+        attempt.enter(AWAITING_ANSWER)
 
     def answer_begun(self, attempt: Attempt, answer: Answer, flow: Flow) -> Callable[[bytes], None]:
         """Begin to pass a large answer on; the attempt has no time limit from here on."""
@@ -174,7 +179,7 @@
 
     def stream(self, attempt: Attempt) -> None:
         """Take note that an attempt gives its request the final answer, which is passed on."""
-        attempt.enter(AttemptState.STREAMING_ANSWER)
+        attempt.enter(STREAMING_ANSWER)
         attempt.answer_began_at = self._clock.now()
         if attempt.timeout is not None:
             attempt.timeout.cancel()
@@ -189,11 +194,11 @@
 
     def ended(self, attempt: Attempt, result: Result) -> None:
         """Take the outcome of an attempt; without effect if it has one."""
-        if attempt.state is AttemptState.ENDED:
+        if attempt.state is ENDED:
             return
         request = attempt.request
         answered_at = attempt.answer_began_at or self._clock.now()
-        attempt.enter(AttemptState.ENDED)
+        attempt.enter(ENDED)
         for timer in (attempt.timeout, attempt.window):
             if timer is not None:
                 timer.cancel()
@@ -204,7 +209,7 @@
 
     def _stop(self, attempt: Attempt, outcome: Outcome) -> None:
         attempt.exchange = None
-        attempt.enter(AttemptState.STOPPED)
+        attempt.enter(STOPPED)
         self._loop.call_soon(self.ended, attempt, Result(outcome))
 
     def _limit(self, attempt: Attempt, until: float) -> None:
@@ -212,7 +217,7 @@
         at, timeout = self._clock.to_loop(until), attempt.timeout
         if timeout is not None:
             timeout.cancel()
-            if attempt.state is not AttemptState.UPLOADING:
+            if attempt.state is not UPLOADING:
                 at = min(at, timeout.when())
         attempt.timeout = self._loop.call_at(at, self.expire, attempt)
 
--- a/brassfall/sidecar/core/attempts.py
+++ b/brassfall/sidecar/core/attempts.py
@@ -51,24 +51,30 @@
 
 
 REQUEST_TRANSITIONS = {
-    RequestState.AWAITING_ANSWER: frozenset((RequestState.STREAMING_ANSWER, RequestState.ENDED)),
-    RequestState.STREAMING_ANSWER: frozenset((RequestState.ENDED,)),
-    RequestState.ENDED: frozenset[RequestState](),
+    RequestState.AWAITING_ANSWER: (RequestState.STREAMING_ANSWER, RequestState.ENDED),
+    RequestState.STREAMING_ANSWER: (RequestState.ENDED,),
+    RequestState.ENDED: (),
 }
 
+# The members as names of this module: a look-up on the enumeration costs more than a comparison.
+_AWAITING_ANSWER, _UPLOADING = RequestState.AWAITING_ANSWER, AttemptState.UPLOADING
+
 # States in which the attempt has an exchange, but no answer yet.
-UNANSWERED = frozenset((AttemptState.UPLOADING, AttemptState.AWAITING_ANSWER))
-IN_EXCHANGE = UNANSWERED | {AttemptState.STREAMING_ANSWER}
+UNANSWERED = (AttemptState.UPLOADING, AttemptState.AWAITING_ANSWER)
+IN_EXCHANGE = (*UNANSWERED, AttemptState.STREAMING_ANSWER)
 
 ATTEMPT_TRANSITIONS = {
-    AttemptState.STARTING: UNANSWERED | {AttemptState.STOPPED},
-    AttemptState.UPLOADING: frozenset(AttemptState) - {AttemptState.STARTING, AttemptState.UPLOADING},
-    AttemptState.AWAITING_ANSWER: frozenset(
-        (AttemptState.STREAMING_ANSWER, AttemptState.STOPPED, AttemptState.ENDED)
+    AttemptState.STARTING: (*UNANSWERED, AttemptState.STOPPED),
+    AttemptState.UPLOADING: (
+        AttemptState.AWAITING_ANSWER,
+        AttemptState.STREAMING_ANSWER,
+        AttemptState.STOPPED,
+        AttemptState.ENDED,
     ),
-    AttemptState.STREAMING_ANSWER: frozenset((AttemptState.STOPPED, AttemptState.ENDED)),
-    AttemptState.STOPPED: frozenset((AttemptState.ENDED,)),
-    AttemptState.ENDED: frozenset[AttemptState](),
+    AttemptState.AWAITING_ANSWER: (AttemptState.STREAMING_ANSWER, AttemptState.STOPPED, AttemptState.ENDED),
+    AttemptState.STREAMING_ANSWER: (AttemptState.STOPPED, AttemptState.ENDED),
+    AttemptState.STOPPED: (AttemptState.ENDED,),
+    AttemptState.ENDED: (),
 }
 
 
@@ -120,7 +126,7 @@
 
     def written(self) -> None:
         """Take note that the request has been written completely."""
-        if self.state is AttemptState.UPLOADING:
+        if self.state is _UPLOADING:
             self.owner.uploaded(self)
 
     def begun(self, answer: Answer, flow: Flow) -> Callable[[bytes], None]:
@@ -151,7 +157,7 @@
     @property
     def answered(self) -> bool:
         """True if the final answer is complete or has begun, or none is owed any more."""
-        return self.state is not RequestState.AWAITING_ANSWER
+        return self.state is not _AWAITING_ANSWER
 
     def enter(self, state: RequestState) -> None:
         """Change the state; raise `StateTransitionError` if the present one doesn't allow it."""
--- a/brassfall/sidecar/core/request_lifecycle.py
+++ b/brassfall/sidecar/core/request_lifecycle.py
@@ -53,15 +53,15 @@
         if not reading:
             self._guard_deadline(request)
         arrival = events.RequestArrived(
-            request=request.id,
-            request_class=call.request_class,
-            give_up_at=give_up_at,
-            tenant=call.tenant,
-            key=call.key,
-            work=call.work,
-            retried=call.client_retry,
-            mutates=call.mutates,
-            large=reading,
+            request.id,
+            call.request_class,
+            give_up_at,
+            call.tenant,
+            call.key,
+            call.work,
+            call.client_retry,
+            call.mutates,
+            reading,
         )
         self._events.notify(arrival, request)
         return request
@@ -103,7 +103,7 @@
 
     def refuse(self, number: int, retry_after: float) -> None:
         """Reject a request; without effect if it is answered or released."""
-        request = self.table.get(number)
+        request = self.table.by_number.get(number)
         if request is not None and not request.answered:
             self._end(request)
             request.call.refused(retry_after)
@@ -111,7 +111,7 @@
 
     def fail_by_number(self, number: int) -> None:
         """Fail a request; without effect if it is answered or released."""
-        request = self.table.get(number)
+        request = self.table.by_number.get(number)
         if request is not None and not request.answered:
             self._end(request)
             request.call.failed(late=self._clock.now() >= request.give_up_at)
@@ -119,7 +119,7 @@
 
     def cancel_attempt(self, number: int, attempt: int) -> None:
         """Stop one attempt; without effect if it is over."""
-        request = self.table.get(number)
+        request = self.table.by_number.get(number)
         if request is not None and 0 <= attempt < len(request.attempts):
             self.attempts.cancel(request.attempts[attempt])
 
@@ -169,12 +169,7 @@
             self._end(request)
             request.call.served(result.answer)
         ended = events.AttemptEnded(
-            request=request.id,
-            attempt=attempt.number,
-            outcome=result.outcome,
-            elapsed=elapsed,
-            request_ended=request.answered,
-            report=result.report,
+            request.id, attempt.number, result.outcome, elapsed, request.answered, result.report
         )
         self._events.notify(ended, request)
 
--- a/brassfall/sidecar/core/request_table.py
+++ b/brassfall/sidecar/core/request_table.py
@@ -10,9 +10,12 @@
 
 REQUEST_NUMBERS = 2**32  # numbers wrap around here
 
+# The members as names of this module: a look-up on the enumeration costs more than a comparison.
+_, STREAMING_ANSWER, ENDED = RequestState
+
 
 class RequestTable:
-    """All requests that are not answered, or of which an attempt is in flight.
+    """All requests that are not answered, or of which an attempt is in flight; `by_number` has them.
 
     `on_release` is called with the number of each request that is released.
     """
@@ -20,25 +23,21 @@
     def __init__(self, first_number: int, on_release: Callable[[int], None]) -> None:
         self.awaiting = 0  # requests without a final answer
         self.streaming = 0  # requests whose answer is being passed on
-        self._requests: dict[int, Request] = {}
+        self.by_number: dict[int, Request] = {}
         self._next_number = first_number % REQUEST_NUMBERS
         self._on_release = on_release
 
     def __len__(self) -> int:
-        return len(self._requests)
+        return len(self.by_number)
 
     def __iter__(self) -> Iterator[Request]:
-        return iter(self._requests.values())
+        return iter(self.by_number.values())
 
     @property
     def incomplete(self) -> int:
         """The number of requests without a complete answer."""
         return self.awaiting + self.streaming
 
-    def get(self, number: int) -> Request | None:
-        """Return a request by its number; None if it was released."""
-        return self._requests.get(number)
-
     def add(self, call: Call, now: float, give_up_at: float, max_attempts: int) -> Request:
         """Add a request that arrived at `now`; it has no deadline before its last byte is read."""
         request = Request(
@@ -48,20 +47,20 @@
             max_attempts=max_attempts,
             read_at=now,
         )
-        self._requests[request.id] = request
+        self.by_number[request.id] = request
         self.awaiting += 1
         return request
 
     def start_answer(self, request: Request) -> None:
         """Take note that the final answer has begun and is passed on."""
-        request.enter(RequestState.STREAMING_ANSWER)
+        request.enter(STREAMING_ANSWER)
         self.awaiting -= 1
         self.streaming += 1
 
     def end(self, request: Request) -> None:
         """Take note that no more answer is owed."""
-        streaming = request.state is RequestState.STREAMING_ANSWER
-        request.enter(RequestState.ENDED)
+        streaming = request.state is STREAMING_ANSWER
+        request.enter(ENDED)
         if streaming:
             self.streaming -= 1
         else:
@@ -69,15 +68,15 @@
 
     def release_if_over(self, request: Request) -> None:
         """Release a request that has ended and has no attempt in flight; without effect otherwise."""
-        if request.state is not RequestState.ENDED or request.attempts_in_flight:
+        if request.state is not ENDED or request.attempts_in_flight:
             return
-        if self._requests.pop(request.id, None) is not None:
+        if self.by_number.pop(request.id, None) is not None:
             self._on_release(request.id)
             for attempt in request.attempts:
                 attempt.request = RELEASED
 
     def _new_number(self) -> int:
-        while self._next_number in self._requests:
+        while self._next_number in self.by_number:
             self._next_number = (self._next_number + 1) % REQUEST_NUMBERS
         number = self._next_number
         self._next_number = (number + 1) % REQUEST_NUMBERS
--- a/brassfall/sidecar/servers/exchange.py
+++ b/brassfall/sidecar/servers/exchange.py
@@ -30,6 +30,10 @@
     ENDED = auto()  # its outcome was reported, or it was abandoned and none will be
 
 
+# The members as names of this module: a look-up on the enumeration costs more than a comparison.
+AWAITING_CONNECTION, ON_CONNECTION, ENDED = ExchangeState
+
+
 class Exchange:
     """One attempt or health check: it waits for a connection, then is on one, then has ended.
 
@@ -63,7 +67,7 @@
         self.watcher = watcher
         self.body = body  # of a large request
         self.stamp = b"" if watcher is None else watcher.stamp
-        self.state = ExchangeState.AWAITING_CONNECTION
+        self.state = AWAITING_CONNECTION
         self.failed_here = False  # True if this machine could not open its connection
         self._done = done
         self._connection: Carrier | None = None
@@ -72,7 +76,7 @@
     @property
     def ended(self) -> bool:
         """True if its outcome was reported, or it was abandoned."""
-        return self.state is ExchangeState.ENDED
+        return self.state is ENDED
 
     def await_connection(self, task: asyncio.Task[None]) -> None:
         """Wait for the connection that `task` opens; `abandon` cancels the task."""
@@ -80,24 +84,25 @@
 
     def carried_by(self, connection: Carrier) -> None:
         """Take note of the connection that the request is written to."""
-        self.state = ExchangeState.ON_CONNECTION
+        self.state = ON_CONNECTION
         self._connection, self._opening = connection, None
         self.failed_here = False
 
     def end(self, result: Result) -> None:
         """Report the outcome; without effect if the exchange has ended."""
-        if self.state is not ExchangeState.ENDED:
-            self.withdraw()
+        if self.state is not ENDED:
+            self.state = ENDED
+            self._connection = self._opening = None
             self._done(result)
 
     def withdraw(self) -> None:
         """End without an outcome, and leave the connection as it is."""
-        self.state = ExchangeState.ENDED
+        self.state = ENDED
         self._connection = self._opening = None
 
     def abandon(self) -> None:
         """End without an outcome: its connection, or the opening of one, is stopped at once."""
-        if self.state is ExchangeState.ENDED:
+        if self.state is ENDED:
             return
         connection, opening = self._connection, self._opening
         self.withdraw()
@@ -112,7 +117,7 @@
         A connection that is being opened comes up all the same: the next exchange may use it.
         """
         connection = self._connection
-        if self.state is ExchangeState.ENDED or (connection is not None and connection.written):
+        if self.state is ENDED or (connection is not None and connection.written):
             return False
         self.withdraw()
         if connection is not None:
--- a/brassfall/sidecar/servers/pool.py
+++ b/brassfall/sidecar/servers/pool.py
@@ -159,7 +159,7 @@
     def free(self, connection: Connection) -> None:
         """Keep a connection that carries nothing now, unless its server drains or has left."""
         server = connection.server
-        if self._servers.get(server.name) is not server or server.draining:
+        if self._servers.get(server.name) is not server or server.closed_from < math.inf:
             connection.abort()
         else:
             self.idle.add(connection)
--- a/brassfall/sidecar/servers/server_connection.py
+++ b/brassfall/sidecar/servers/server_connection.py
@@ -41,7 +41,9 @@
     CLOSED = auto()
 
 
-CARRYING = (ConnectionState.AWAITING_ANSWER, ConnectionState.STREAMING_ANSWER)
+# The members as names of this module: a look-up on the enumeration costs more than a comparison.
+IDLE, AWAITING_ANSWER, STREAMING_ANSWER, CLOSING, CLOSED = ConnectionState
+CARRYING = (AWAITING_ANSWER, STREAMING_ANSWER)
 
 
 class DelayObserver(Protocol):
@@ -97,7 +99,7 @@
     def __init__(self, pool: ConnectionOwner, server: Server) -> None:
         self._pool = pool
         self.server = server
-        self.state = ConnectionState.IDLE
+        self.state = IDLE
         self.written = True  # True if the system has taken the last byte of the request
         self.idle_since = 0.0  # milliseconds, by the sidecar's clock
         # When a small request was written, by the loop's clock; 0: not measured, or its answer has begun.
@@ -116,7 +118,7 @@
     @property
     def closed(self) -> bool:
         """True if the connection is closed on this side and its transport released."""
-        return self.state is ConnectionState.CLOSED
+        return self.state is CLOSED
 
     @property
     def busy(self) -> bool:
@@ -135,14 +137,14 @@
 
     def usable(self) -> bool:
         """Return whether a request can be written: the connection is open, with nothing unread."""
-        closed = self.state in (ConnectionState.CLOSING, ConnectionState.CLOSED)
+        closed = self.state is CLOSING or self.state is CLOSED
         return not (closed or self._transport.is_closing() or framing.readable(self._transport))
 
     # --- a request ------------------------------------------------------------------
 
     def begin(self, exchange: Exchange, message: bytes) -> None:
         """Write a request. It counts as written once the system has its last byte."""
-        self.state = ConnectionState.AWAITING_ANSWER
+        self.state = AWAITING_ANSWER
         self._exchange = exchange
         exchange.carried_by(self)
         self._reused = self._parser.complete
@@ -229,7 +231,7 @@
             self.sent_at = 0.0
         if self._parser.complete:
             self._finish(reusable=self._parser.keep_alive and not self._parser.extra and self.written)
-        elif self._parser.status == OK and self.state is ConnectionState.AWAITING_ANSWER:
+        elif self._parser.status == OK and self.state is AWAITING_ANSWER:
             self._buffer_or_stream()
 
     def eof_received(self) -> bool:
@@ -242,7 +244,7 @@
 
     def connection_lost(self, _error: Exception | None) -> None:
         """Take the end of the connection, whichever side closed it; called by the loop."""
-        self.state = ConnectionState.CLOSED
+        self.state = CLOSED
         self._pool.connection_closed(self)
         self._break()
 
@@ -270,7 +272,7 @@
             self._hold_timer = None
         if self._exchange is None or self._exchange.watcher is None:
             return
-        self.state = ConnectionState.STREAMING_ANSWER
+        self.state = STREAMING_ANSWER
         answer = Answer(client_headers(self._parser), bytes(self._parser.body), self._parser.length)
         self._parser.body.clear()
         self._silence_timer = self._pool.loop.call_later(STALLED_S, self._check_silence)
@@ -308,7 +310,7 @@
             return
         result = self._pool.result(self._parser, health_check=exchange.watcher is None)
         if reusable:
-            self.state = ConnectionState.IDLE
+            self.state = IDLE
             self._pool.free(self)
         else:
             self._transport.abort()
@@ -340,8 +342,8 @@
 
     def _release(self) -> Exchange | None:
         """Carry nothing from here on; return the exchange that was carried."""
-        if self.state is not ConnectionState.CLOSED:
-            self.state = ConnectionState.CLOSING
+        if self.state is not CLOSED:
+            self.state = CLOSING
         exchange, self._exchange = self._exchange, None
         for timer in (self._hold_timer, self._silence_timer, self._write_timer):
             if timer is not None:
