--- a/brassfall/sidecar/core/attempt_runner.py
+++ b/brassfall/sidecar/core/attempt_runner.py
@@ -63,30 +63,23 @@
         now = self._clock.now()
         uploading = request.call.reading
         left = request.call.budget if uploading else request.give_up_at - now
-        attempt = Attempt(
-            owner=self,
-            request=request,
-            number=len(request.attempts),
-            started_at=now,
-            time_limit=min(send.timeout, left) if send.timeout > 0.0 else left,
-            stamp=stamp,
-            write_by=send.write_by - KEY_MARGIN_MS,
-        )
+        number = len(request.attempts)
+        time_limit = min(send.timeout, left) if send.timeout > 0.0 else left
+        write_by = send.write_by - KEY_MARGIN_MS
+        attempt = Attempt(self, request, number, now, time_limit, stamp, write_by)
         request.attempts.append(attempt)
         request.attempts_in_flight += 1
         if not self._may_start(attempt, send, left, now):
             self._stop(attempt, Outcome.ABANDONED)
             return
-        expires = now + attempt.time_limit
+        expires = now + time_limit
         if uploading:
             attempt.enter(UPLOADING)
         else:
             attempt.enter(AWAITING_ANSWER)
             self._limit(attempt, expires)
-        if attempt.write_by < math.inf:
-            attempt.window = self._loop.call_at(
-                self._clock.to_loop(attempt.write_by), self.drop_unwritten, attempt
-            )
+        if write_by < math.inf:
+            attempt.window = self._loop.call_at(self._clock.to_loop(write_by), self.drop_unwritten, attempt)
         attempt.exchange = self._upstreams.send(send.server, request.call, expires, attempt)
 
     @staticmethod
--- a/brassfall/sidecar/core/attempts.py
+++ b/brassfall/sidecar/core/attempts.py
@@ -56,8 +56,10 @@
     RequestState.ENDED: (),
 }
 
-# The members as names of this module: a look-up on the enumeration costs more than a comparison.
-_AWAITING_ANSWER, _UPLOADING = RequestState.AWAITING_ANSWER, AttemptState.UPLOADING
+# Members as names of this module: a look-up on the enumeration costs more than a comparison.
+_AWAITING_ANSWER = RequestState.AWAITING_ANSWER
+_UPLOADING, _ENDED = AttemptState.UPLOADING, AttemptState.ENDED
+_ABANDONED = Outcome.ABANDONED
 
 # States in which the attempt has an exchange, but no answer yet.
 UNANSWERED = (AttemptState.UPLOADING, AttemptState.AWAITING_ANSWER)
@@ -135,7 +137,7 @@
 
     def ended(self, result: Result) -> None:
         """Take the outcome that the pool gives."""
-        if result.outcome == Outcome.ABANDONED and self.state is not AttemptState.ENDED:
+        if result.outcome == _ABANDONED and self.state is not _ENDED:
             self.owner.withdrawn(self)
         self.owner.ended(self, result)
 
--- a/brassfall/sidecar/core/request_lifecycle.py
+++ b/brassfall/sidecar/core/request_lifecycle.py
@@ -24,6 +24,8 @@
 # The balancer answers at the deadline; a request without an answer so long after it is failed.
 DEADLINE_GUARD_MS = 25.0
 
+OK = Outcome.OK  # a look-up on the enumeration costs more than a comparison
+
 
 class RequestLifecycle:
     """Accepts requests, gives each its final answer and reports to the balancer what happens to it."""
@@ -146,8 +148,8 @@
         if request.answered:
             return False
         self.table.start_answer(request)
-        self._stop_waiting(request, attempt)
         self.attempts.stream(attempt)
+        self._stop_waiting(request)
         request.call.begun(answer, flow)
         self._events.notify(events.AnswerStarted(request.id, attempt.number), request)
         return True
@@ -161,11 +163,11 @@
         request = attempt.request
         if attempt.answer_began_at is not None:
             self.table.end(request)
-            if result.outcome == Outcome.OK:
+            if result.outcome == OK:
                 request.call.finished()
             else:
                 request.call.broken()
-        elif result.outcome == Outcome.OK and result.answer is not None and not request.answered:
+        elif result.outcome == OK and result.answer is not None and not request.answered:
             self._end(request)
             request.call.served(result.answer)
         ended = events.AttemptEnded(
@@ -178,12 +180,11 @@
     def _end(self, request: Request) -> None:
         """Owe no more answer: nothing that is not yet written to a server is written."""
         self.table.end(request)
-        self._stop_waiting(request, None)
+        self._stop_waiting(request)
 
-    def _stop_waiting(self, request: Request, answered_by: Attempt | None) -> None:
+    def _stop_waiting(self, request: Request) -> None:
         for attempt in request.attempts:
-            if attempt is not answered_by:
-                self.attempts.drop_unwritten(attempt)
+            self.attempts.drop_unwritten(attempt)
         if request.deadline_guard is not None:
             request.deadline_guard.cancel()
 
--- a/brassfall/sidecar/core/request_table.py
+++ b/brassfall/sidecar/core/request_table.py
@@ -40,14 +40,9 @@
 
     def add(self, call: Call, now: float, give_up_at: float, max_attempts: int) -> Request:
         """Add a request that arrived at `now`; it has no deadline before its last byte is read."""
-        request = Request(
-            id=self._new_number(),
-            call=call,
-            give_up_at=math.inf if call.reading else give_up_at,
-            max_attempts=max_attempts,
-            read_at=now,
-        )
-        self.by_number[request.id] = request
+        number = self._new_number()
+        request = Request(number, call, math.inf if call.reading else give_up_at, max_attempts, now)
+        self.by_number[number] = request
         self.awaiting += 1
         return request
 
--- a/brassfall/sidecar/servers/idle_connections.py
+++ b/brassfall/sidecar/servers/idle_connections.py
@@ -55,9 +55,10 @@
 
         Connections that are found closing, or idle for too long, are closed on the way.
         """
+        now = self._clock.now()
         while server.idle:
-            connection = self._newest_settled(server)
-            if self._clock.now() - connection.idle_since < self.max_idle_ms and connection.usable():
+            connection = self._newest_settled(server, now)
+            if now - connection.idle_since < self.max_idle_ms and connection.usable():
                 return connection
             connection.abort()
         return None
@@ -98,8 +99,11 @@
         if self.sweeping:
             self._loop.call_later(SWEEP_MS / 1000.0, self.sweep)
 
-    def _newest_settled(self, server: Server) -> Connection:
+    @staticmethod
+    def _newest_settled(server: Server, now: float) -> Connection:
         """Remove and return the newest of the connections that have settled, or else the newest."""
-        until = self._clock.now() - SETTLE_MS
-        places = reversed(range(len(server.idle)))
-        return server.idle.pop(next((i for i in places if server.idle[i].idle_since <= until), -1))
+        idle, until = server.idle, now - SETTLE_MS
+        for place in range(len(idle) - 1, -1, -1):
+            if idle[place].idle_since <= until:
+                return idle.pop(place)
+        return idle.pop()
