--- a/tests/sidecar/test_answer_boundaries.py
+++ b/tests/sidecar/test_answer_boundaries.py
@@ -83,7 +83,7 @@
 
 @loopback
 async def test_a_connection_that_has_just_given_an_answer_is_not_used_while_another_has_settled():
-    """A second answer that comes some milliseconds later meets no request that way."""
+    """A second answer that arrives some milliseconds later is recognised on the idle connection."""
     upstream = await Upstream([OK]).start()
     async with tidy(upstream, balancer=Scripted(), **never_cancels()) as sidecar:
         one, two = await App.connect(sidecar.address), await App.connect(sidecar.address)
@@ -94,7 +94,7 @@
         idle = sidecar.pool.servers["s0"].idle
         rested, newest = idle
         rested.idle_since -= SETTLE_MS
-        newest.idle_since += 60_000.0  # however slow this test is
+        newest.idle_since += 60_000.0  # newer for the pool, however slow this test is
         far = newest.transport.get_extra_info("sockname")
 
         async def second_answer(reader, writer):
@@ -156,7 +156,7 @@
 @pytest.mark.parametrize("passed_on", [False, True])
 @loopback
 async def test_an_answer_without_length_that_is_reset_has_not_ended(monkeypatch, passed_on):
-    """Whether it is still held here or is being passed on already."""
+    """Whether it is still buffered or already being passed on."""
     monkeypatch.setattr(server_connection, "HOLD_S", 0.0 if passed_on else 60.0)
 
     async def reset(reader, writer):
--- a/tests/sidecar/test_attempts.py
+++ b/tests/sidecar/test_attempts.py
@@ -81,7 +81,7 @@
     ],
 )
 @loopback
-async def test_what_follows_an_answer_is_no_part_of_it_and_ends_the_connection(more):
+async def test_bytes_after_an_answer_are_no_part_of_it_and_end_the_connection(more):
     upstream = await Upstream([OK + more, OK]).start()
     balancer = Scripted(outcome=failing)
     async with running(upstream, balancer=balancer) as sidecar:
@@ -107,7 +107,7 @@
 
 
 @loopback
-async def test_a_refused_connection_could_not_connect():
+async def test_a_refused_connection_is_a_failure_to_connect():
     upstream = await Upstream().start()
     balancer = Scripted(outcome=failing)
     async with running(upstream, balancer=balancer) as sidecar:
@@ -132,7 +132,7 @@
 
 
 @loopback
-async def test_a_time_out_closes_the_connection_and_its_outcome_comes_once():
+async def test_a_timeout_closes_the_connection_and_has_one_outcome():
     upstream = await Upstream([hang]).start()
     balancer = Scripted(request=lambda now, arrival: [Send(arrival.request, "s0", 500.0)], outcome=failing)
     async with running(upstream, balancer=balancer) as sidecar:
@@ -157,7 +157,7 @@
         (request,) = sidecar.driver.requests
         sidecar.driver.perform(Cancel(request.id, 0))
         sidecar.driver.perform(Cancel(request.id, 0))
-        # Its time runs out, too, before the outcome is told.
+        # Its time runs out, too, before the outcome is reported.
         sidecar.driver.lifecycle.attempts.expire(request.attempts[0])
         assert (await app.answer()).body == b"done"
         assert balancer.outcomes() == [(0, Outcome.TIMEOUT, False), (1, Outcome.OK, True)]
@@ -166,7 +166,7 @@
 
 
 @loopback
-async def test_past_the_most_attempts_and_after_the_answer_a_send_is_abandoned():
+async def test_an_attempt_beyond_max_attempts_or_after_the_answer_is_abandoned():
     upstream = await Upstream([FULL, FULL, FULL, OK]).start()
 
     def retry(now, number, hop, status, spent, last, report):
@@ -184,7 +184,7 @@
 
 
 @loopback
-async def test_two_copies_may_be_out_and_only_the_first_answer_counts():
+async def test_of_two_hedged_attempts_only_the_first_answer_counts():
     slow = asyncio.Event()
 
     async def wait(reader, writer):
@@ -205,7 +205,7 @@
 
 
 @loopback
-async def test_a_request_on_a_dropped_connection_is_reset_and_never_resent_by_itself():
+async def test_a_request_on_a_dropped_connection_is_reset_and_not_sent_again_by_the_pool():
     upstream = await Upstream([OK, break_off]).start()
     balancer = Scripted(outcome=failing)
     async with running(upstream, balancer=balancer) as sidecar:
--- a/tests/sidecar/test_pool.py
+++ b/tests/sidecar/test_pool.py
@@ -51,7 +51,7 @@
         await (await App.connect(sidecar.address)).ask()
         (connection,) = sidecar.pool.servers["s0"].idle
         assert connection.usable()
-        # No await from here on: the loop gets no chance to hand out the end.
+        # No await from here on: the loop gets no turn to report the end.
         upstream.writers[0].get_extra_info("socket").shutdown(socket.SHUT_WR)
         assert not connection.usable()
 
@@ -73,7 +73,7 @@
 
 @pytest.mark.parametrize("turns", range(6))
 @loopback
-async def test_a_connection_that_came_up_while_the_loop_stood_still_is_up(turns):
+async def test_a_connection_established_during_a_hold_up_counts_as_established(turns):
     """Otherwise it would count as failed: the server would be blamed, and requests to idle ones refused."""
     upstream, done = await Upstream([OK]).start(), []
     limits = {"MaxAttempts": 3, "ConnectTimeout": 30.0, "IdleClose": 5000.0}
@@ -89,7 +89,7 @@
 
 
 @loopback
-async def test_a_connection_that_never_comes_up_is_given_up_in_time():
+async def test_a_connection_that_is_never_established_fails_in_time():
     with socket.create_server(("127.0.0.1", 0), backlog=0) as full:
         filling = [socket.socket() for _ in range(3)]
         for sock in filling:
@@ -108,7 +108,7 @@
 
 
 @loopback
-async def test_close_idle_closes_only_what_is_idle():
+async def test_close_idle_closes_only_idle_connections():
     upstream = await Upstream([OK, OK, hang]).start()
     balancer = Scripted(outcome=failing)
     async with running(upstream, balancer=balancer) as sidecar:
@@ -144,7 +144,7 @@
 
 
 @loopback
-async def test_a_pool_whose_limit_falls_closes_what_is_idle():
+async def test_a_pool_whose_limit_falls_closes_idle_connections():
     upstream = await Upstream([OK]).start()
     async with running(upstream, raw={"limits": {"sockets": 64}}) as sidecar:
         apps = [await App.connect(sidecar.address) for _ in range(12)]
@@ -180,14 +180,14 @@
 
 @pytest.mark.parametrize("state", ["leaving", "left"])
 @loopback
-async def test_nothing_is_first_written_past_the_grace_even_if_it_connects_already(state):
+async def test_no_request_is_begun_past_the_grace_even_on_a_connection_that_is_being_opened(state):
     upstream = await Upstream([OK]).start()
     balancer = Scripted(outcome=failing)
     leaving = servers_of(entry("s0", upstream.address, status=state))
     async with running(upstream, balancer=balancer, Rules={"StopSendingWithin": 0.0}) as sidecar:
 
         def send_then_hear(now, arrival):
-            # The news comes while the attempt waits for its connection.
+            # The watch event comes while the attempt waits for its connection.
             hear = functools.partial(sidecar.pool.update, now, leaving, complete=False)
             asyncio.get_running_loop().call_soon(hear)
             return [Send(arrival.request, "s0", 0.0)]
@@ -226,7 +226,7 @@
     async with running(upstream, balancer=Scripted()) as sidecar:
         app = await App.connect(sidecar.address)
         await app.ask()
-        # A machine that vanished reset nothing: its connections look open until they are used.
+        # A machine that vanished resets nothing: its connections look open until they are used.
         sidecar.pool.update(
             0.0, servers_of(entry("s0", upstream.address, since_ms=1_790_000_000_000)), complete=False
         )
--- a/tests/sidecar/test_races_servers.py
+++ b/tests/sidecar/test_races_servers.py
@@ -42,7 +42,7 @@
 
 
 def to(*upstreams):
-    """Picks the sidecar's sockets to these servers, for faults in what is read and written there."""
+    """Return a filter of the sidecar's sockets to these servers, for faults as they are read and written."""
     ports = {int(upstream.address.rpartition(":")[2]) for upstream in upstreams}
 
     def picked(sock):
@@ -55,8 +55,10 @@
 
 @contextlib.asynccontextmanager
 async def client_of(*upstreams, seed=0, **settings):
-    """A sidecar, a client of it that is connected, and faults to be injected from now on: discovery's
-    connection is open, so that whatever is opened next is to a server."""
+    """A sidecar, a client that is connected to it, and faults to be injected from now on.
+
+    Discovery's connection is open: the next one that is opened is to a server.
+    """
     registry = await Registry(current=True).start()
     async with tidy(*upstreams, registry=registry, **settings) as sidecar:
         app = await App.connect(sidecar.address)
@@ -68,7 +70,7 @@
 
 
 async def ask(app, target, **headers):
-    """The status that a request gets."""
+    """Return the status that a request gets."""
     return (await app.ask("GET" if target == "/look" else "POST", target, **headers)).status
 
 
@@ -96,7 +98,7 @@
 
 @pytest.mark.parametrize("error", [errno.ECONNREFUSED, errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNRESET])
 @loopback
-async def test_what_the_server_or_the_network_causes_is_a_failure_to_connect(error):
+async def test_an_error_of_the_server_or_the_network_is_a_failure_to_connect(error):
     upstream = await Upstream([OK]).start()
     balancer = Scripted(outcome=failing)
     async with client_of(upstream, balancer=balancer) as (_, app, faults):
@@ -118,8 +120,8 @@
 
 @pytest.mark.parametrize("target", ["/look", "/pay", "/book"])
 @loopback
-async def test_where_nothing_opens_a_request_is_refused_in_time_after_few_attempts(target):
-    """Nothing was sent: it may be refused whatever its class, and no server is told to have been silent."""
+async def test_a_request_is_refused_in_time_after_few_attempts_if_no_connection_can_be_opened(target):
+    """Nothing was sent: a request of any class may be refused, and no server counts as silent."""
     upstreams = [await Upstream([OK]).start() for _ in range(2)]
     loop = asyncio.get_running_loop()
     async with client_of(*upstreams) as (sidecar, app, faults):
@@ -154,8 +156,10 @@
 @pytest.mark.parametrize("failures", [1, 3])
 @loopback
 async def test_a_server_that_joins_while_this_machine_fails_gets_its_calls(call, error, failures):
-    """It has no connection yet: each of its first sends opens one, so that it alone meets the failures. Two
-    in a row ejected it, and one alone left it the last of all that have nothing in flight."""
+    """It has no connection yet: each of its first attempts opens one, so that it alone meets the failures.
+
+    Two in a row must not eject it, and one alone must not rank it behind all others with nothing in flight.
+    """
     known, joining = await Upstream([OK]).start(), await Upstream([OK]).start()
     async with client_of(known, Report={"How": "off"}) as (sidecar, app, faults):
         for _ in range(4):
@@ -179,7 +183,7 @@
 @pytest.mark.parametrize(("target", "status"), [("/look", 200), ("/book", 200), ("/pay", 502)])
 @loopback
 async def test_a_broken_read_is_a_reset_by_whatever_error_it_shows(error, target, status):
-    """The request was written whole: it may have run, and what may run once is not sent again."""
+    """The request was written completely and may have run: one that may run only once is not sent again."""
     upstreams = [await Upstream([OK]).start() for _ in range(2)]
     async with client_of(*upstreams) as (sidecar, app, faults):
         faults.script("recv", error, on=to(*upstreams))
@@ -195,7 +199,7 @@
 @pytest.mark.parametrize("target", ["/look", "/book", "/pay"])
 @loopback
 async def test_a_broken_write_proves_that_nothing_ran_by_whatever_error_it_shows(error, before, target):
-    """The whole request is not written, though some of its bytes may be: it is sent elsewhere, once."""
+    """The request is not written completely, though some bytes may be: it is sent elsewhere, once."""
     upstreams = [await Upstream([OK]).start() for _ in range(2)]
     async with client_of(*upstreams) as (_, app, faults):
         faults.shorten("send", 20, on=to(*upstreams))
@@ -324,15 +328,15 @@
 
 
 async def forgotten(reader, writer):
-    """Whatever is asked on a forgotten connection is met with a reset."""
+    """A reply that resets a connection which the server has forgotten."""
     reset(writer)
 
 
 @pytest.mark.parametrize("how", ["closed", "reset", "forgotten"])
 @pytest.mark.parametrize("target", ["/look", "/book", "/pay"])
 @loopback
-async def test_what_becomes_of_idle_connections_keeps_no_request_from_its_answer(how, target):
-    """An end that was told before the request is seen; one that shows only at the request is a reset."""
+async def test_idle_connections_that_a_server_closes_keep_no_request_from_its_answer(how, target):
+    """An end that arrives before the request is seen; one that shows only at the request is a reset."""
     upstreams = [await Upstream([OK]).start() for _ in range(3)]
     async with client_of(*upstreams, Report={"How": "off"}) as (sidecar, app, _):
         for _ in range(200):
@@ -385,7 +389,7 @@
 
 
 class StoppedClock:
-    """The sidecar's clock, which moves by the test's hand alone."""
+    """The sidecar's clock, which only the test moves."""
 
     def __init__(self, sidecar):
         self.time = sidecar.driver.clock.now()
@@ -398,7 +402,7 @@
 async def test_a_later_attempt_passes_on_at_most_the_time_left_though_its_write_is_delayed(
     monkeypatch, kind, late_ms
 ):
-    """On a connection that comes up late, and with 0.15 s between its look at the clock and its write."""
+    """On a connection that is established late, with 0.15 s between reading the clock and the write."""
     first = await Upstream([break_off if kind == "retry" else hang]).start()
     second = await Upstream([OK]).start()
     gate = Gate(monkeypatch, [second])
--- a/tests/sidecar/test_random_days.py
+++ b/tests/sidecar/test_random_days.py
@@ -59,7 +59,7 @@
         ({"classes": {"Semantics": "pure"}}, "an unsafe request sent again"),
         ({"classes": {"Semantics": "pure"}}, "refused though it may have run"),
         ({"classes": {"KeyTtl": 5000.0}}, "sent again past its window"),
-        ({"classes": {"KeyTtl": 5000.0}}, "whole past its window"),
+        ({"classes": {"KeyTtl": 5000.0}}, "complete past its window"),
         ({"classes": {"Group": "all"}}, "sent again outside its group"),
         ({"limits": {"MaxAttempts": 9}}, "more attempts than allowed"),
         ({"rules": {"StopSendingWithin": 9000.0}}, "past the grace of a process that leaves"),
@@ -71,12 +71,12 @@
 
 def test_a_client_whose_leaving_is_not_reported_is_found(monkeypatch):
     monkeypatch.setattr(Driver, "client_gone", lambda self, request: None)
-    assert found("written after its client had gone")
+    assert found("written after its client had left")
 
 
-def test_bytes_that_are_held_back_after_the_client_has_gone_are_found(monkeypatch):
+def test_bytes_that_are_written_after_the_client_has_left_are_found(monkeypatch):
     monkeypatch.setattr(AttemptRunner, "drop_unwritten", lambda self, attempt: None)
-    assert found("whole after its client had gone")
+    assert found("complete after its client had left")
 
 
 def test_a_request_that_is_answered_twice_is_found(monkeypatch):
--- a/tests/sidecar/test_unwanted_attempts.py
+++ b/tests/sidecar/test_unwanted_attempts.py
@@ -40,7 +40,7 @@
         await until(lambda: not sidecar.driver.requests)  # at once, not when the connection is up
         assert not waiting.gate.open.is_set()
         waiting.gate.open.set()
-        await until(lambda: sidecar.pool.servers["s0"].idle)  # it was paid for: the next one has it
+        await until(lambda: sidecar.pool.servers["s0"].idle)  # the next attempt may use it
         if balancer is not None:
             assert balancer.outcomes() == [(0, Outcome.ABANDONED, True)]
             assert len(balancer.named("client_gone")) == 1 and not balancer.named("unsent")
@@ -126,7 +126,7 @@
         app = await asked(sidecar)
         await until(lambda: upstream.seen)
         (connection,) = sidecar.pool.connections
-        connection.written = False  # as if its last byte were still held back here
+        connection.written = False  # as if its last byte were still buffered in this process
         app.close()
         await until(lambda: balancer.outcomes())
         assert balancer.outcomes() == [(0, Outcome.ABANDONED, True)]
@@ -155,7 +155,7 @@
 
 @loopback
 async def test_a_cancelled_request_does_not_reach_its_server_later_from_the_kernel():
-    """It is written, so far as can be told here, while its server takes no more of it."""
+    """The kernel holds its last bytes, while its server reads no more."""
     loop = asyncio.get_running_loop()
     balancer = Scripted(outcome=lambda now, number, hop, status, *rest: [Fail(number)])
     with socket.socket() as listener:
--- a/tests/sidecar/test_write_deadlines.py
+++ b/tests/sidecar/test_write_deadlines.py
@@ -34,14 +34,14 @@
 
 
 def keyed(**changes):
-    """One class under a key, of which every server of a zone may have a copy within its window."""
+    """Settings of a class with an idempotency key, whose requests any server of a zone may retry."""
     profile = {**SETTINGS["Profiles"][1], **changes}
     return {**never_cancels(), "Profiles": [SETTINGS["Profiles"][0], profile]}
 
 
 @contextlib.asynccontextmanager
 async def retry_that_waits(monkeypatch, **changes):
-    """A request under a key whose first attempt was reset, and whose retry waits for its connection."""
+    """A request with a key whose first attempt was reset, and whose retry waits for its connection."""
     servers = [await Upstream([break_off]).start() for _ in range(2)]
     async with tidy(*servers, **keyed(**changes)) as sidecar:
         gate = Gate(monkeypatch, servers, free=1)
@@ -51,7 +51,7 @@
 
 
 def sent(servers):
-    """How many requests these servers have read."""
+    """Return how many requests these servers have read."""
     return sum(len(server.seen) for server in servers)
 
 
@@ -87,7 +87,7 @@
 @pytest.mark.parametrize("part", [LARGE[:100_000], LARGE])
 @loopback
 async def test_a_body_that_still_flows_when_the_window_ends_is_broken_off_before_its_last_byte(part):
-    """Whether its end comes from the client or is still held back here."""
+    """Whether the client has yet to send its end, or this process has it in a buffer."""
     upstream = await Upstream([hang]).start()
     balancer = Scripted(
         request=lambda now, arrival: [Send(arrival.request, "s0", 0.0, now + KEY_MARGIN_MS + 130.0)],
@@ -123,7 +123,7 @@
 
 @loopback
 async def test_a_retry_that_the_kernel_does_not_take_is_never_sent(monkeypatch):
-    """Held back here until its window ends: it is dropped with its connection."""
+    """It stays in a buffer of this process until its window ends, and is dropped with its connection."""
     upstream = await Upstream([OK, hang]).start()
     windows = iter([float("inf"), KEY_MARGIN_MS + 80.0])
     balancer = Scripted(
@@ -136,7 +136,7 @@
         (connection,) = sidecar.pool.connections
         small_buffers(connection.transport, upstream.writers[0].transport)
         upstream.writers[0].transport.pause_reading()
-        connection.transport.write(b"x" * 4_000_000)  # stands for what the kernel is full of
+        connection.transport.write(b"x" * 4_000_000)  # fills the buffers of the kernel
         assert connection.transport.get_write_buffer_size()
         assert (await app.ask("POST", "/book", b"body")).status == 502
         assert balancer.outcomes()[1:] == [(0, Outcome.ABANDONED, False)]
--- a/tests/support/balancer_records.py
+++ b/tests/support/balancer_records.py
@@ -1,7 +1,7 @@
-"""The balancer's own records, for tests that check what it holds at the end and whom it blames.
+"""The balancer's own records, for tests of what is left in it at the end and of which servers it blames.
 
-Its decisions show neither: a leaked count or a fault that is held against the wrong server changes them only
-much later, if at all. This module is the one place that reads these records.
+Its decisions show neither: a leaked count, or a fault of the wrong server, changes them only much later, if
+at all. This module is the one place that reads these records.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 def blame(balancer):
-    """Return all that is held against servers, or counts towards refusals; equal if nothing changed."""
+    """Return the faults of all servers and what counts towards refusals; equal if nothing changed."""
     servers = balancer._endpoints.servers.values()
     of_servers = [(it.fault_share, it.consecutive_failures, it.ejected_until) for it in servers]
     ejector = balancer._ejector
@@ -31,7 +31,7 @@
 
 
 def blame_of(balancer, server):
-    """Return what is held against one server, and against new connections; empty if nothing is."""
+    """Return the faults of one server and those of new connections that are not 0."""
     record = balancer._endpoints.servers[server]
     faults = (record.fault_share, record.consecutive_failures, balancer._ejector.connect_failures)
     return [fault for fault in faults if fault != 0]
--- a/tests/support/random_day/chance.py
+++ b/tests/support/random_day/chance.py
@@ -14,10 +14,10 @@
     def __init__(self, seed, loop):
         self._loop = loop
         self.rng = random.Random(seed)
-        # Drawn apart, so that a day with hold-ups is the same otherwise.
+        # A generator of its own, so that a day with hold-ups is the same otherwise.
         self.hold_ups = random.Random(f"hold-ups {seed}")
         self.hold_up_rate = self.hold_ups.choice([0.0, 0.1, 0.5])  # share of the writes
-        self._held_until = 0.0
+        self._hold_up_ended = 0.0
         self.mild = self.rng.random() < 0.5
         self.clogged = self.rng.choice([0.05, 0.15, 0.6])  # share of requests whose bytes are held back
         self.drains = self.rng.random() < 0.15  # servers drain one by one, and connections come up late
@@ -29,8 +29,11 @@
 
     def hold_up(self):
         """Hold the process up between reading its clock and writing, perhaps; return for how many ms."""
-        if self.hold_ups.random() >= self.hold_up_rate or self._loop.at < self._held_until + HOLD_UPS_APART_S:
+        if (
+            self.hold_ups.random() >= self.hold_up_rate
+            or self._loop.at < self._hold_up_ended + HOLD_UPS_APART_S
+        ):
             return 0.0
         length = self.hold_ups.choice(HOLD_UPS_S)
-        self._loop.at = self._held_until = self._loop.at + length
+        self._loop.at = self._hold_up_ended = self._loop.at + length
         return length * 1000.0
--- a/tests/support/random_day/day.py
+++ b/tests/support/random_day/day.py
@@ -166,7 +166,7 @@
         await asyncio.sleep(GRID_S)
 
     def play(self):
-        """Play the whole day; return the breaches found."""
+        """Play the day to its end; return the breaches found."""
         with contextlib.ExitStack() as patches:
             patches.enter_context(contextlib.redirect_stderr(LogLines(self.oracle.log_written)))
             patches.enter_context(
--- a/tests/support/random_day/oracle.py
+++ b/tests/support/random_day/oracle.py
@@ -40,25 +40,28 @@
 
     # --- attempts ------------------------------------------------------------------------
 
-    def attempt_written(self, call, write, *, held_ms, grace_ms):
+    def attempt_written(self, call, write, *, hold_up_ms, grace_ms):
         """Judge the first byte of an attempt.
 
-        The program last read its clock `held_ms` ago: windows and graces have to cover that, as has the slack
-        of the time left that it passes on.
+        The program last read its clock `hold_up_ms` ago: windows and graces have to cover that, as has the
+        slack of the time left that it passes on.
         """
         earlier = call.writes[:-1]
         what = f"request {call.number}"
         if call.gone:
-            self.breach(f"{what}: written after its client had gone")
-        if call.closed_at is not None and self.now - held_ms > call.closed_at + BEGIN_MOST_MS + ROUNDING_MS:
+            self.breach(f"{what}: written after its client had left")
+        if (
+            call.closed_at is not None
+            and self.now - hold_up_ms > call.closed_at + BEGIN_MOST_MS + ROUNDING_MS
+        ):
             self.breach(f"{what}: begun long after its client had closed")
         if call.final is not None:
             self.breach(f"{what}: written after its final answer")
-        if call.ended and self.now - held_ms >= call.give_up_at + ROUNDING_MS:
+        if call.ended and self.now - hold_up_ms >= call.give_up_at + ROUNDING_MS:
             self.breach(f"{what}: written after its time")
         left = call.read_at + call.budget - self.now if call.ended else call.budget
         if float(TIME_LEFT.search(write.head + b"\r\n")[1]) > left + BUDGET_SLACK_MS + ROUNDING_MS:
-            self.breach(f"{what}: tells its server more time than the client has left")
+            self.breach(f"{what}: gives its server more time than the client has left")
         if len(call.writes) > call.limits["MaxAttempts"]:
             self.breach(f"{what}: more attempts than allowed")
         if not call.limits["ParallelTries"] and any(not other.over for other in earlier):
@@ -93,14 +96,14 @@
     def attempt_complete(self, call, write):
         """Judge the last byte of an attempt."""
         if call.gone:
-            self.breach(f"request {call.number}: whole after its client had gone")
+            self.breach(f"request {call.number}: complete after its client had left")
         if call.final not in (None, "begun"):
-            self.breach(f"request {call.number}: whole after its final answer")
+            self.breach(f"request {call.number}: complete after its final answer")
         if call.row["Semantics"] == "token":
             earlier = call.writes[: call.writes.index(write)]
             ran = [other for other in earlier if other.complete and not other.never_ran]
             if ran and self.now - ran[0].at > call.row["KeyTtl"] + ROUNDING_MS:
-                self.breach(f"request {call.number}: whole past its window")
+                self.breach(f"request {call.number}: complete past its window")
 
     # --- answers --------------------------------------------------------------------------
 
@@ -108,7 +111,7 @@
         """Judge a final answer, or its beginning, and keep it in the call."""
         self.note(f"answer {call.number} {how}")
         if call.gone:
-            self.breach(f"request {call.number}: answered after its client had gone")
+            self.breach(f"request {call.number}: answered after its client had left")
         if call.final is not None:
             self.breach(f"request {call.number}: a second final answer")
         call.final = call.final or how
--- a/tests/support/random_day/servers.py
+++ b/tests/support/random_day/servers.py
@@ -14,7 +14,7 @@
 ANSWERS = ("ok", "ok", "halves", "last", "second", "more", "error", "full", "full", "unmarked", "spoilt")
 REACTIONS = (*ANSWERS, "reset", "eof", "hang", "open", "cut", "large", "torn", "endless")
 CONNECTS = ("at once", "at once", "soon", "late", "late", "refused", "full", "never", "closed")
-# On mild days few retries are held back, so that more of them are there to be judged.
+# On mild days few retries are prevented, so that more of them are there to be judged.
 MILD_REACTIONS = (*("ok",) * 10, "error", "error", "spoilt", "reset", "eof", "hang")
 MILD_CONNECTS = (*("at once",) * 8, "soon", "late", "closed")
 REQUEST_NUMBER = re.compile(rb"X-Id: (\d+)\r\n")
@@ -54,13 +54,13 @@
 
 
 class ServerConnection(asyncio.Transport):
-    """A connection to one process; what is written arrives at once, or is held back for a while."""
+    """A connection to one process; what is written arrives at once, or is buffered for a while."""
 
     def __init__(self, servers, protocol, server):
         super().__init__()
         self.servers, self.chance, self.protocol, self.server = servers, servers.chance, protocol, server
         self.current: Write | None = None
-        self.held = bytearray()
+        self.buffered = bytearray()
         self.inbox: list = []
         self.reading_paused = self.closed = self.writing_paused = self.choked = False
         server.connections.append(self)
@@ -70,7 +70,7 @@
     def write(self, data):
         if self.closed or not data:
             return
-        held_ms = self.chance.hold_up()
+        hold_up_ms = self.chance.hold_up()
         if self.current is None or self.current.over:
             number = REQUEST_NUMBER.search(data)
             if number is None:
@@ -78,13 +78,13 @@
                 return
             head, _, rest = data.partition(b"\r\n\r\n")
             self.current = Write(self, self.servers.oracle.now, head)
-            self.servers.attempt_written(int(number[1]), self.current, held_ms)
-            self.held += rest
+            self.servers.attempt_written(int(number[1]), self.current, hold_up_ms)
+            self.buffered += rest
             self.choked = self.chance.rng.random() < self.chance.clogged
             if self.choked:
                 self.chance.later((0.01, 0.05, 0.1, 0.3), self.unchoke)
         else:
-            self.held += data
+            self.buffered += data
         if not self.choked:
             self.flush()
         elif not self.writing_paused:
@@ -92,12 +92,12 @@
             self.protocol.pause_writing()
 
     def get_write_buffer_size(self):
-        return len(self.held) + self.choked
+        return len(self.buffered) + self.choked
 
     def flush(self):
         write, call = self.current, self.servers.carried[self.current]
-        write.body += self.held
-        self.held.clear()
+        write.body += self.buffered
+        self.buffered.clear()
         if not write.complete and call.is_complete(write.body):
             write.complete = True
             self.servers.attempt_complete(write, call)
@@ -138,7 +138,7 @@
         if self.closed:
             return
         self.closed = True
-        self.held.clear()
+        self.buffered.clear()
         if self.current is not None:
             self.current.over = True
         self.servers.loop.call_soon(self.protocol.connection_lost, error)
@@ -220,8 +220,8 @@
         old = self.listed.get(name)
         what = rng.choice(["leave", "leave", "left", "restart", "restart", "here", "back", "complete"])
         if what == "complete":
-            kept = [server for server in self.listed.values() if rng.random() < 0.8]
-            self.list_to_program(ListForm.COMPLETE, kept)
+            listed = [server for server in self.listed.values() if rng.random() < 0.8]
+            self.list_to_program(ListForm.COMPLETE, listed)
         elif old is None:
             self.list_to_program(ListForm.CHANGES, [self.start(name)])
         elif what in ("restart", "here"):
@@ -269,14 +269,14 @@
 
     # --- requests -------------------------------------------------------------------------
 
-    def attempt_written(self, number, write, held_ms):
-        """Take the first byte of an attempt; the program read its clock `held_ms` before."""
+    def attempt_written(self, number, write, hold_up_ms):
+        """Take the first byte of an attempt; the program read its clock `hold_up_ms` before."""
         call = self.clients.calls[number]
         server = write.connection.server
         self.oracle.note(f"write {number} to {server.name} at {server.port}")
         call.writes.append(write)
         self.carried[write] = call
-        self.oracle.attempt_written(call, write, held_ms=held_ms, grace_ms=self.settings.grace_ms)
+        self.oracle.attempt_written(call, write, hold_up_ms=hold_up_ms, grace_ms=self.settings.grace_ms)
 
     def attempt_complete(self, write, call):
         """Take the last byte of an attempt, and react to it later."""
