--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -49,6 +49,7 @@
         "sidecar/answer_boundaries",
         "sidecar/attempts",
         "sidecar/configuration",
+        "sidecar/driver",
         "sidecar/hold_up",
         "sidecar/large",
         "sidecar/lists",
--- /dev/null
+++ b/tests/sidecar/test_driver.py
@@ -0,0 +1,162 @@
+"""The driver without sockets: the states of requests and attempts, its views and its log."""
+
+from __future__ import annotations
+
+import asyncio
+import itertools
+
+import pytest
+
+from brassfall.balancer.model import Outcome, Send, Timer
+from brassfall.sidecar.core import attempts
+from brassfall.sidecar.core.attempts import (
+    Attempt,
+    AttemptState,
+    Request,
+    RequestState,
+    StateTransitionError,
+)
+from brassfall.sidecar.core.clock import Clock
+from brassfall.sidecar.core.driver import Driver, DriverCounts
+from brassfall.sidecar.core.interfaces import Answer, Result
+from tests.support.driver_stubs import RecordedCall, UpstreamsStub
+from tests.support.loopback import Scripted, loopback, told, until
+
+NOTHING = DriverCounts(
+    awaiting_answer=0, streaming_answer=0, requests=0, attempts_in_flight=0, armed_timers=0
+)
+
+
+def driver_of(balancer, state="written"):
+    """A driver with a scripted balancer, and the stand-in for the pool."""
+    loop = asyncio.get_running_loop()
+    driver = Driver(loop, Clock(loop), told(), balancer)
+    upstreams = UpstreamsStub(loop, state)
+    driver.connect(upstreams, None, None)
+    return driver, upstreams
+
+
+# --- states -----------------------------------------------------------------------
+
+
+def request_in(state):
+    made = Request(id=1, call=RecordedCall(), give_up_at=0.0, max_attempts=1, read_at=0.0)
+    made.state = state
+    return made
+
+
+def attempt_in(state):
+    made = Attempt(owner=None, request=None, number=0, started_at=0.0, time_limit=0.0)
+    made.state = state
+    return made
+
+
+@pytest.mark.parametrize(
+    ("make", "transitions"),
+    [(request_in, attempts.REQUEST_TRANSITIONS), (attempt_in, attempts.ATTEMPT_TRANSITIONS)],
+)
+def test_a_state_changes_as_its_table_says_and_in_no_other_way(make, transitions):
+    states = list(transitions)
+    assert states in (list(RequestState), list(AttemptState))
+    for before, after in itertools.product(states, states):
+        record = make(before)
+        if after in transitions[before]:
+            record.enter(after)
+            assert record.state is after
+        else:
+            with pytest.raises(StateTransitionError, match=f"{before.name} can't become {after.name}"):
+                record.enter(after)
+            assert record.state is before
+
+
+@pytest.mark.parametrize("transitions", [attempts.REQUEST_TRANSITIONS, attempts.ATTEMPT_TRANSITIONS])
+def test_the_last_state_can_be_reached_from_every_other_and_is_left_for_none(transitions):
+    *others, last = transitions
+    assert not transitions[last]
+    for state in others:
+        reached, found = {state}, transitions[state]
+        while new := set(found) - reached:
+            reached |= new
+            found = [after for before in new for after in transitions[before]]
+        assert last in reached
+
+
+# --- views ------------------------------------------------------------------------
+
+
+@loopback
+async def test_the_counts_follow_a_request_from_its_arrival_to_a_streamed_answer():
+    send_and_wait = Scripted(
+        request=lambda now, arrival: [
+            Send(arrival.request, "s0", 0.0),
+            Timer(60_000.0, "later", arrival.request),
+        ]
+    )
+    driver, upstreams = driver_of(send_and_wait)
+    assert driver.counts == NOTHING and driver.idle
+    call = RecordedCall()
+    request = driver.arrive(call, driver.clock.now())
+    assert driver.counts == DriverCounts(
+        awaiting_answer=1, streaming_answer=0, requests=1, attempts_in_flight=1, armed_timers=1
+    )
+    assert list(driver.requests) == [request] and driver.in_flight == 1 and not driver.idle
+    (exchange,) = upstreams.sent
+    exchange.watcher.begun(Answer([], b"", None), None)
+    assert driver.counts == DriverCounts(
+        awaiting_answer=0, streaming_answer=1, requests=1, attempts_in_flight=1, armed_timers=1
+    )
+    assert driver.in_flight == 1 and not driver.idle
+    exchange.end(Result(Outcome.OK))
+    assert driver.counts == NOTHING and driver.idle
+    assert call.given == ["begun", "finished"]
+
+
+@loopback
+async def test_more_requests_than_may_be_open_are_rejected_and_counted():
+    driver, _ = driver_of(Scripted(request=lambda now, arrival: []))
+    calls = [RecordedCall() for _ in range(3)]
+    driver.reload(told(PolicyLimits={"MaxOpen": 2}), frozenset())
+    requests = [driver.arrive(call, driver.clock.now()) for call in calls]
+    assert [call.given for call in calls] == [[], [], ["refused"]]
+    assert requests[2] is None and driver.counts.awaiting_answer == 2
+    assert driver.refusals == "full=1"
+
+
+# --- what is logged ------------------------------------------------------------------
+
+
+@loopback
+async def test_an_attempt_for_an_unknown_request_is_logged_and_not_sent(capsys):
+    driver, upstreams = driver_of(Scripted())
+    driver.perform(Send(99, "s0", 0.0))
+    assert capsys.readouterr().err == "attempt for an unknown request, not sent; report it: request=99\n"
+    assert not upstreams.sent
+
+
+@loopback
+async def test_a_request_without_a_decision_is_failed_after_its_deadline_and_logged(capsys):
+    balancer = Scripted(request=lambda now, arrival: [])
+    driver, _ = driver_of(balancer)
+    call = RecordedCall()
+    call.budget = 30.0
+    request = driver.arrive(call, driver.clock.now())
+    await until(lambda: not driver.requests)
+    assert call.given == ["failed"] and driver.counts == NOTHING
+    line = f"no decision by the deadline, request failed; report it: request={request.id}\n"
+    assert capsys.readouterr().err == line
+    assert balancer.named("client_gone") == [[request.id]]
+
+
+@loopback
+async def test_an_exception_of_the_balancer_is_logged_and_fails_the_request_at_hand(capsys):
+    def faulty(now, arrival):
+        raise ValueError("a defect")
+
+    balancer = Scripted(request=faulty)
+    driver, _ = driver_of(balancer)
+    call = RecordedCall()
+    request = driver.arrive(call, driver.clock.now())
+    assert call.given == ["failed"] and driver.counts == NOTHING
+    assert balancer.named("client_gone") == [[request.id]]
+    log = capsys.readouterr().err
+    assert log.startswith("Traceback") and log.endswith("ValueError: a defect\n")
--- a/tests/sidecar/test_simultaneous_events.py
+++ b/tests/sidecar/test_simultaneous_events.py
@@ -13,8 +13,8 @@
 from brassfall.sidecar.core.clock import Clock
 from brassfall.sidecar.core.driver import Driver
 from brassfall.sidecar.core.interfaces import Answer, Result
-from brassfall.sidecar.servers.exchange import Exchange
 from tests.support.balancer_records import left_over
+from tests.support.driver_stubs import RecordedCall, UpstreamsStub
 from tests.support.loopback import (
     OK,
     App,
@@ -32,84 +32,6 @@
 )
 
 
-class RecordedCall:
-    """A request (`interfaces.Call`) that keeps every final answer that it is given."""
-
-    request_class, tenant, key, work, client_retry, mutates, budget = 0, 0, None, None, False, False, 4000.0
-
-    def __init__(self, large):
-        self.reading, self.body, self.given = large, None, []
-
-    def wire(self, left):
-        return b""
-
-    def client_left(self):
-        return False
-
-    def served(self, answer):
-        self.given.append("served")
-
-    def refused(self, retry_after):
-        self.given.append("refused")
-
-    def failed(self, late):
-        self.given.append("failed")
-
-    def begun(self, answer, flow):
-        self.given.append("begun")
-
-    def more(self, data):
-        assert self.given[-1] == "begun"
-
-    def finished(self):
-        self.given.append("finished")
-
-    def broken(self):
-        self.given.append("broken")
-
-    @property
-    def finals(self):
-        """The final answers, without the ends of those that were passed on."""
-        return [given for given in self.given if given not in ("finished", "broken")]
-
-
-class ConnectionStub:
-    """Stands in for a connection to a server (`exchange.Carrier`)."""
-
-    def __init__(self, written):
-        self.written, self.aborted = written, False
-
-    def give_up(self):
-        self.aborted = True
-
-
-class UpstreamsStub:
-    """Stands in for the pool: the first exchange is the test's, later ones are answered."""
-
-    def __init__(self, loop, state):
-        self.loop, self.state, self.sent = loop, state, []
-
-    def send(self, server, call, expires, watcher):
-        exchange = Exchange(call.wire, expires, watcher.ended, watcher)
-        if self.sent:
-            self.loop.call_soon(exchange.end, Result(Outcome.OK, Answer([], b"")))
-        elif self.state == "waits":
-            exchange.await_connection(self.loop.create_task(asyncio.sleep(60.0)))
-        else:
-            exchange.carried_by(ConnectionStub(self.state == "written"))
-        self.sent.append(exchange)
-        return exchange
-
-    def check_health(self, server, done):
-        raise AssertionError("no health check is asked for")
-
-    def update(self, now, servers, *, complete):
-        pass
-
-    def close_idle(self, server):
-        pass
-
-
 class OutcomeRecorder:
     """The real balancer, with a note of each attempt that has ended."""
 
