--- /dev/null
+++ b/brassfall/sidecar/core/request_table.py
@@ -0,0 +1,78 @@
+"""The requests that this process has accepted: their numbers, states and counts."""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Callable, Iterator
+
+from brassfall.sidecar.core.attempts import RELEASED, Request, RequestState
+from brassfall.sidecar.core.interfaces import Call
+
+REQUEST_NUMBERS = 2**32  # numbers wrap around here
+
+# The members as names of this module: a look-up on the enumeration costs more than a comparison.
+_, STREAMING_ANSWER, ENDED = RequestState
+
+
+class RequestTable:
+    """All requests that are not answered, or of which an attempt is in flight; `by_number` has them.
+
+    `on_release` is called with the number of each request that is released.
+    """
+
+    def __init__(self, first_number: int, on_release: Callable[[int], None]) -> None:
+        self.awaiting = 0  # requests without a final answer
+        self.streaming = 0  # requests whose answer is being passed on
+        self.by_number: dict[int, Request] = {}
+        self._next_number = first_number % REQUEST_NUMBERS
+        self._on_release = on_release
+
+    def __len__(self) -> int:
+        return len(self.by_number)
+
+    def __iter__(self) -> Iterator[Request]:
+        return iter(self.by_number.values())
+
+    @property
+    def incomplete(self) -> int:
+        """The number of requests without a complete answer."""
+        return self.awaiting + self.streaming
+
+    def add(self, call: Call, now: float, give_up_at: float, max_attempts: int) -> Request:
+        """Add a request that arrived at `now`; it has no deadline before its last byte is read."""
+        number = self._new_number()
+        request = Request(number, call, math.inf if call.reading else give_up_at, max_attempts, now)
+        self.by_number[number] = request
+        self.awaiting += 1
+        return request
+
+    def start_answer(self, request: Request) -> None:
+        """Take note that the final answer has begun and is passed on."""
+        request.enter(STREAMING_ANSWER)
+        self.awaiting -= 1
+        self.streaming += 1
+
+    def end(self, request: Request) -> None:
+        """Take note that no more answer is owed."""
+        streaming = request.state is STREAMING_ANSWER
+        request.enter(ENDED)
+        if streaming:
+            self.streaming -= 1
+        else:
+            self.awaiting -= 1
+
+    def release_if_over(self, request: Request) -> None:
+        """Release a request that has ended and has no attempt in flight; without effect otherwise."""
+        if request.state is not ENDED or request.attempts_in_flight:
+            return
+        if self.by_number.pop(request.id, None) is not None:
+            self._on_release(request.id)
+            for attempt in request.attempts:
+                attempt.request = RELEASED
+
+    def _new_number(self) -> int:
+        while self._next_number in self.by_number:
+            self._next_number = (self._next_number + 1) % REQUEST_NUMBERS
+        number = self._next_number
+        self._next_number = (number + 1) % REQUEST_NUMBERS
+        return number
--- a/tests/sidecar/test_races_servers.py
+++ b/tests/sidecar/test_races_servers.py
@@ -16,6 +16,7 @@
 
 from brassfall.balancer.model import Fail, Outcome, Send
 from brassfall.sidecar.servers import connecting, server_connection
+from tests.support.balancer_records import blame, ejection_of, fault_shares, left_over
 from tests.support.loopback import (
     OK,
     App,
@@ -41,7 +42,7 @@
 
 
 def to(*upstreams):
-    """Picks the sidecar's sockets to these servers, for faults in what is read and written there."""
+    """Return a filter of the sidecar's sockets to these servers, for faults as they are read and written."""
     ports = {int(upstream.address.rpartition(":")[2]) for upstream in upstreams}
 
     def picked(sock):
@@ -54,8 +55,10 @@
 
 @contextlib.asynccontextmanager
 async def client_of(*upstreams, seed=0, **settings):
-    """A sidecar, a client of it that is connected, and faults to be injected from now on: discovery's
-    connection is open, so that whatever is opened next is to a server."""
+    """A sidecar, a client that is connected to it, and faults to be injected from now on.
+
+    Discovery's connection is open: the next one that is opened is to a server.
+    """
     registry = await Registry(current=True).start()
     async with tidy(*upstreams, registry=registry, **settings) as sidecar:
         app = await App.connect(sidecar.address)
@@ -67,19 +70,10 @@
 
 
 async def ask(app, target, **headers):
-    """The status that a request gets."""
+    """Return the status that a request gets."""
     return (await app.ask("GET" if target == "/look" else "POST", target, **headers)).status
 
 
-def blamed(sidecar):
-    """All that the decisions hold against servers, or count towards refusals."""
-    module = sidecar.driver._balancer
-    servers = module._endpoints.servers.values()
-    of_servers = [(it.fault_share, it.consecutive_failures, it.ejected_until) for it in servers]
-    ejector = module._ejector
-    return [*of_servers, ejector.connect_failures, ejector.not_accepted, module._throttle.drop_chance(0.0)]
-
-
 # --- failures of this machine -------------------------------------------------------------
 
 
@@ -95,48 +89,48 @@
 async def test_a_failure_of_this_machine_blames_no_server_and_uses_up_no_attempt(call, error):
     upstream = await Upstream([OK]).start()
     async with client_of(upstream, PolicyLimits={"MaxAttempts": 1}) as (sidecar, app, faults):
-        before = blamed(sidecar)
+        before = blame(sidecar.driver.balancer)
         faults.script(call, error, error, error, error)
         assert await ask(app, "/look") == 200
         assert (faults.injected[call, error], len(upstream.seen)) == (4, 1)
-        assert blamed(sidecar) == before
+        assert blame(sidecar.driver.balancer) == before
 
 
 @pytest.mark.parametrize("error", [errno.ECONNREFUSED, errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNRESET])
 @loopback
-async def test_what_the_server_or_the_network_causes_is_a_failure_to_connect(error):
+async def test_an_error_of_the_server_or_the_network_is_a_failure_to_connect(error):
     upstream = await Upstream([OK]).start()
-    module = Scripted(outcome=failing)
-    async with client_of(upstream, balancer=module) as (_, app, faults):
+    balancer = Scripted(outcome=failing)
+    async with client_of(upstream, balancer=balancer) as (_, app, faults):
         faults.script("connect", error)
         assert await ask(app, "/look") == 502
-        assert module.outcomes() == [(0, Outcome.CONNECT_FAILED, False)]
+        assert balancer.outcomes() == [(0, Outcome.CONNECT_FAILED, False)]
 
 
 @loopback
 async def test_a_connect_that_is_interrupted_goes_on():
     upstream = await Upstream([OK]).start()
-    module = Scripted(outcome=failing)
-    async with client_of(upstream, balancer=module) as (_, app, faults):
+    balancer = Scripted(outcome=failing)
+    async with client_of(upstream, balancer=balancer) as (_, app, faults):
         faults.script("connect", errno.EINTR)
         assert await ask(app, "/look") == 200
         assert faults.injected["connect", errno.EINTR] == 1
-        assert module.outcomes() == [(0, Outcome.OK, True)]
+        assert balancer.outcomes() == [(0, Outcome.OK, True)]
 
 
 @pytest.mark.parametrize("target", ["/look", "/pay", "/book"])
 @loopback
-async def test_where_nothing_opens_a_request_is_refused_in_time_after_few_attempts(target):
-    """Nothing was sent: it may be refused whatever its class, and no server is told to have been silent."""
+async def test_a_request_is_refused_in_time_after_few_attempts_if_no_connection_can_be_opened(target):
+    """Nothing was sent: a request of any class may be refused, and no server counts as silent."""
     upstreams = [await Upstream([OK]).start() for _ in range(2)]
     loop = asyncio.get_running_loop()
     async with client_of(*upstreams) as (sidecar, app, faults):
-        before, began = blamed(sidecar), loop.time()
+        before, began = blame(sidecar.driver.balancer), loop.time()
         faults.share("socket", 1.0, (errno.ENOMEM,))
         assert await ask(app, target, X_Budget="400m") == 503
         assert loop.time() - began < 0.4 + 0.5
         assert 3 <= faults.injected["socket", errno.ENOMEM] <= 12  # pauses double, by 5 ms at first
-        assert blamed(sidecar) == before
+        assert blame(sidecar.driver.balancer) == before
         faults.clear()
         assert await ask(app, target) == 200
 
@@ -146,24 +140,26 @@
     upstream = await Upstream([OK]).start()
     monkeypatch.setattr(connecting, "LOCAL_PAUSE_S", 60.0)
     monkeypatch.setattr(connecting, "LOCAL_PAUSE_MOST_S", 60.0)
-    module = Scripted()
-    async with client_of(upstream, balancer=module, **never_cancels()) as (sidecar, app, faults):
+    balancer = Scripted()
+    async with client_of(upstream, balancer=balancer, **never_cancels()) as (sidecar, app, faults):
         faults.script("socket", errno.ENOMEM)
         app.send()
         await until(lambda: faults.injected and not sidecar.pool.opening)
-        assert module.outcomes() == []
+        assert balancer.outcomes() == []
         app.close()
-        await until(lambda: module.outcomes())
-        assert module.outcomes() == [(0, Outcome.ABANDONED, True)]
-        assert not module.named("unsent")
+        await until(lambda: balancer.outcomes())
+        assert balancer.outcomes() == [(0, Outcome.ABANDONED, True)]
+        assert not balancer.named("unsent")
 
 
 @pytest.mark.parametrize(("call", "error"), [("socket", errno.ENFILE), ("connect", errno.EADDRNOTAVAIL)])
 @pytest.mark.parametrize("failures", [1, 3])
 @loopback
 async def test_a_server_that_joins_while_this_machine_fails_gets_its_calls(call, error, failures):
-    """It has no connection yet: each of its first sends opens one, so that it alone meets the failures. Two
-    in a row ejected it, and one alone left it the last of all that have nothing in flight."""
+    """It has no connection yet: each of its first attempts opens one, so that it alone meets the failures.
+
+    Two in a row must not eject it, and one alone must not rank it behind all others with nothing in flight.
+    """
     known, joining = await Upstream([OK]).start(), await Upstream([OK]).start()
     async with client_of(known, Report={"How": "off"}) as (sidecar, app, faults):
         for _ in range(4):
@@ -175,8 +171,7 @@
             if len(joining.seen) >= 8:
                 break
         assert faults.injected[call, error] == failures
-        server = sidecar.driver._balancer._endpoints.servers["s1"]
-        assert (server.fault_share, server.consecutive_failures, server.ejected_until) == (0.0, 0, 0.0)
+        assert ejection_of(sidecar.driver.balancer, "s1") == (0.0, 0, 0.0)
         assert len(joining.seen) >= 8
     joining.stop()
 
@@ -188,15 +183,14 @@
 @pytest.mark.parametrize(("target", "status"), [("/look", 200), ("/book", 200), ("/pay", 502)])
 @loopback
 async def test_a_broken_read_is_a_reset_by_whatever_error_it_shows(error, target, status):
-    """The request was written whole: it may have run, and what may run once is not sent again."""
+    """The request was written completely and may have run: one that may run only once is not sent again."""
     upstreams = [await Upstream([OK]).start() for _ in range(2)]
     async with client_of(*upstreams) as (sidecar, app, faults):
         faults.script("recv", error, on=to(*upstreams))
         assert await ask(app, target) == status
         sent = sum(len(upstream.seen) for upstream in upstreams)
         assert (faults.injected["recv", error], sent) == (1, 2 if status == 200 else 1)
-        servers = sidecar.driver._balancer._endpoints.servers.values()
-        (fault_share,) = [server.fault_share for server in servers if server.fault_share]
+        (fault_share,) = fault_shares(sidecar.driver.balancer)
         assert fault_share > 0.0
 
 
@@ -205,7 +199,7 @@
 @pytest.mark.parametrize("target", ["/look", "/book", "/pay"])
 @loopback
 async def test_a_broken_write_proves_that_nothing_ran_by_whatever_error_it_shows(error, before, target):
-    """The whole request is not written, though some of its bytes may be: it is sent elsewhere, once."""
+    """The request is not written completely, though some bytes may be: it is sent elsewhere, once."""
     upstreams = [await Upstream([OK]).start() for _ in range(2)]
     async with client_of(*upstreams) as (_, app, faults):
         faults.shorten("send", 20, on=to(*upstreams))
@@ -220,8 +214,8 @@
 @loopback
 async def test_reads_and_writes_of_one_byte_between_interruptions_carry_all(reply, error):
     upstream = await Upstream([reply]).start()
-    module = Scripted(outcome=failing)
-    async with client_of(upstream, balancer=module) as (_, app, faults):
+    balancer = Scripted(outcome=failing)
+    async with client_of(upstream, balancer=balancer) as (_, app, faults):
         for call in ("recv", "send"):
             faults.shorten(call, 1, on=to(upstream))
             faults.script(call, error, None, None, error, error, on=to(upstream))
@@ -231,32 +225,32 @@
         assert [seen.body for seen in upstream.seen] == [b"", b"x" * 300]
         assert {seen.connection for seen in upstream.seen} == {0}
         assert faults.injected["recv", error] == faults.injected["send", error] == 3
-        assert module.outcomes() == [(0, Outcome.OK, True)] * 2
+        assert balancer.outcomes() == [(0, Outcome.OK, True)] * 2
 
 
 @loopback
 async def test_a_body_that_flows_in_short_writes_is_complete_and_has_never_run_if_one_breaks():
     body = b"0123456789abcdef" * 16384
     upstream = await Upstream([OK]).start()
-    module = Scripted(outcome=failing)
-    async with client_of(upstream, balancer=module) as (_, app, faults):
+    balancer = Scripted(outcome=failing)
+    async with client_of(upstream, balancer=balancer) as (_, app, faults):
         faults.shorten("send", 10_000, on=to(upstream))
         assert (await app.ask("POST", "/pay", body)).status == 200
         assert [seen.body for seen in upstream.seen] == [body]
         faults.script("send", *[None] * 12, errno.ETIMEDOUT, on=to(upstream))
         assert (await app.ask("POST", "/pay", body)).status == 502
-        assert module.outcomes() == [(0, Outcome.OK, True), (0, Outcome.CONNECT_FAILED, False)]
+        assert balancer.outcomes() == [(0, Outcome.OK, True), (0, Outcome.CONNECT_FAILED, False)]
         assert len(upstream.seen) == 1
 
 
 @loopback
 async def test_a_look_at_a_connection_that_fails_costs_that_connection_and_no_request(monkeypatch):
     upstream = await Upstream([OK]).start()
-    module = Scripted(outcome=failing)
-    async with client_of(upstream, balancer=module) as (sidecar, app, _):
+    balancer = Scripted(outcome=failing)
+    async with client_of(upstream, balancer=balancer) as (sidecar, app, _):
         assert await ask(app, "/pay") == 200
-        (connection,) = sidecar.pool._connections
-        descriptor = connection._transport.get_extra_info("socket").fileno()
+        (connection,) = sidecar.pool.connections
+        descriptor = connection.transport.get_extra_info("socket").fileno()
         real, failed = select.poll, []
 
         class Poll:
@@ -278,7 +272,7 @@
         monkeypatch.setattr(select, "poll", Poll)
         assert await ask(app, "/pay") == 200
         assert failed
-        assert module.outcomes() == [(0, Outcome.OK, True)] * 2
+        assert balancer.outcomes() == [(0, Outcome.OK, True)] * 2
         assert [seen.connection for seen in upstream.seen] == [0, 1]
 
 
@@ -334,15 +328,15 @@
 
 
 async def forgotten(reader, writer):
-    """Whatever is asked on a forgotten connection is met with a reset."""
+    """A reply that resets a connection which the server has forgotten."""
     reset(writer)
 
 
 @pytest.mark.parametrize("how", ["closed", "reset", "forgotten"])
 @pytest.mark.parametrize("target", ["/look", "/book", "/pay"])
 @loopback
-async def test_what_becomes_of_idle_connections_keeps_no_request_from_its_answer(how, target):
-    """An end that was told before the request is seen; one that shows only at the request is a reset."""
+async def test_idle_connections_that_a_server_closes_keep_no_request_from_its_answer(how, target):
+    """An end that arrives before the request is seen; one that shows only at the request is a reset."""
     upstreams = [await Upstream([OK]).start() for _ in range(3)]
     async with client_of(*upstreams, Report={"How": "off"}) as (sidecar, app, _):
         for _ in range(200):
@@ -366,7 +360,7 @@
             assert status == 200
             assert sent <= 3 if how == "forgotten" else sent == 1
         assert await ask(app, "/look") == 200
-        assert all(it.in_flight == 0 for it in sidecar.driver._balancer._endpoints.servers.values())
+        assert left_over(sidecar.driver.balancer)["servers' attempts in flight"] == 0
 
 
 @pytest.mark.parametrize("limits", [{}, PARALLEL], ids=["one at a time", "hedged"])
@@ -395,11 +389,11 @@
 
 
 class StoppedClock:
-    """The sidecar's clock, which moves by the test's hand alone."""
+    """The sidecar's clock, which only the test moves."""
 
     def __init__(self, sidecar):
-        self.time = sidecar.driver._clock.now()
-        sidecar.driver._clock.now = lambda: self.time
+        self.time = sidecar.driver.clock.now()
+        sidecar.driver.clock.now = lambda: self.time
 
 
 @pytest.mark.parametrize("late_ms", [0.0, 1500.0, 3900.0])
@@ -408,12 +402,12 @@
 async def test_a_later_attempt_passes_on_at_most_the_time_left_though_its_write_is_delayed(
     monkeypatch, kind, late_ms
 ):
-    """On a connection that comes up late, and with 0.15 s between its look at the clock and its write."""
+    """On a connection that is established late, with 0.15 s between reading the clock and the write."""
     first = await Upstream([break_off if kind == "retry" else hang]).start()
     second = await Upstream([OK]).start()
     gate = Gate(monkeypatch, [second])
     retries = [lambda number: Send(number, "s1", 0.0)]
-    module = Scripted(
+    balancer = Scripted(
         request=lambda now, arrival: [
             Send(arrival.request, "s0", 0.0),
             *(Send(arrival.request, "s1", 0.0) for _ in range(kind == "hedge")),
@@ -422,7 +416,7 @@
             [] if last else [retries.pop()(number)] if retries and kind == "retry" else [Fail(number)]
         ),
     )
-    async with tidy(first, second, balancer=module, **PARALLEL | never_cancels()) as sidecar:
+    async with tidy(first, second, balancer=balancer, **PARALLEL | never_cancels()) as sidecar:
         writes = []
         begin = server_connection.Connection.begin
         clock = StoppedClock(sidecar)
