--- a/brassfall/sidecar/body.py
+++ b/brassfall/sidecar/body.py
@@ -1,7 +1,7 @@
-"""A request body that is too large to be buffered whole: it flows from the client to one server.
+"""A request body that is too large to be buffered completely: it flows from the client to one server.
 
 Its beginning, up to `MAX_BUFFERED` bytes, is buffered until a server has been chosen, and can be sent again
-to another server. Once more than that has flowed on, it can't be.
+to another server. Once more than that has been sent, it can't be.
 """
 
 from __future__ import annotations
@@ -11,6 +11,7 @@
 
 MAX_BUFFERED = 64 * 1024  # bytes of a message that are buffered, and can be sent again
 MAX_FLOWING = 2 * MAX_BUFFERED  # bytes of a large message in memory at a time: the buffer and one read
+LAST_CHUNK = b"0\r\n\r\n"
 
 
 class Budget:
@@ -33,32 +34,35 @@
 
 
 class Source(Protocol):
-    """Where a body comes from: a client's connection."""
+    """The sender of a body: a client's connection."""
 
     def pause(self) -> None:
         """Stop reading the body, until `resume`."""
 
     def resume(self) -> None:
-        """Go on reading it."""
+        """Resume reading the body."""
 
 
 class Writer(Protocol):
-    """Where a body goes to: a server's connection."""
+    """The receiver of a body: a server's connection."""
 
     def write_part(self, data: bytes) -> None:
         """Write a part of the body, with its framing."""
 
     def body_complete(self) -> None:
-        """The last part has been written."""
+        """Take note that the last part has been written."""
 
 
 class Body:
-    """A large body on its way: buffers what no server has taken yet, and paces the client by the server."""
+    """A large body on its way from a client to a server.
+
+    It buffers what no server has received yet, and reads from the client as fast as the server takes it.
+    """
 
     def __init__(self, source: Source, beginning: bytes, length: int | None) -> None:
-        self.length = length  # in bytes; None: not known, sent in chunks
-        self.complete = False  # whether its last part has come from the client
-        self.gone = False  # whether more has flowed on than is buffered: it can't be sent again
+        self.length = length  # in bytes; None if it is not known, and sent in chunks
+        self.complete = False  # its last part has come from the client
+        self.gone = False  # more has been sent than is buffered: it can't be sent again
         self.on_gone: Callable[[], None] = lambda: None
         self._source = source
         self._buffer = bytearray(beginning)
@@ -66,7 +70,7 @@
 
     @property
     def header(self) -> bytes:
-        """The header line that tells its framing."""
+        """The header line of its framing."""
         if self.length is None:
             return b"Transfer-Encoding: chunked\r\n"
         return b"Content-Length: %d\r\n" % self.length
@@ -74,10 +78,10 @@
     # --- from the client -------------------------------------------------------
 
     def feed(self, data: bytes) -> None:
-        """Take a part from the client. The first one that goes on to a server unbuffered calls `on_gone`."""
+        """Take a part from the client; call `on_gone` at the first one that is sent unbuffered."""
         writer = self._writer
         if writer is None:
-            if not self.gone:  # or else no server takes it any more
+            if not self.gone:  # once it is, no server gets the rest
                 self._buffer += data
                 self._source.pause()
             return
@@ -88,16 +92,16 @@
         writer.write_part(self._framed(data))
 
     def end(self) -> None:
-        """The last part has come from the client."""
+        """Take note that the last part has come from the client, which may send its next request."""
         self.complete = True
-        self._source.resume()  # what comes next is another request
+        self._source.resume()
         if self._writer is not None:
             self._finish(self._writer)
 
     # --- to the server ----------------------------------------------------------
 
     def attach(self, writer: Writer) -> None:
-        """Send it to a server, from its beginning."""
+        """Send the body to a server, from its beginning."""
         self._writer = writer
         writer.write_part(self._framed(bytes(self._buffer)))
         if self.complete:
@@ -106,19 +110,19 @@
             self._source.resume()
 
     def detach(self, writer: Writer) -> None:
-        """Send no more to this server; without effect if another one has it by now."""
+        """Send no more to this server; do nothing if another one receives the body by now."""
         if self._writer is writer:
             self._writer = None
             if not self.complete:
                 self._source.pause()
 
     def pause(self) -> None:
-        """The server takes no more for now: neither does the client's connection read."""
+        """Stop reading from the client: the server takes no more for now."""
         if not self.complete:
             self._source.pause()
 
     def resume(self) -> None:
-        """The server has taken all that was written."""
+        """Resume reading from the client: the server has taken all that was written."""
         if not self.complete:
             self._source.resume()
 
@@ -129,5 +133,5 @@
 
     def _finish(self, writer: Writer) -> None:
         if self.length is None:
-            writer.write_part(b"0\r\n\r\n")
+            writer.write_part(LAST_CHUNK)
         writer.body_complete()
--- a/brassfall/sidecar/config.py
+++ b/brassfall/sidecar/config.py
@@ -1,4 +1,4 @@
-"""What a sidecar is told at its start: from the environment and a JSON file to typed values."""
+"""The configuration of a sidecar: read from the environment and a JSON file into typed values."""
 
 from __future__ import annotations
 
@@ -16,6 +16,7 @@
     Address,
     Names,
     amount,
+    as_object,
     count,
     named,
     own_address,
@@ -25,52 +26,55 @@
 )
 from brassfall.sidecar.discovery.endpoint_list import ServerList, parse_list
 
-RESERVED = 24  # descriptors for the log, the loop, discovery, peers and what opens for a moment
-MAX_ADMIN_CONNECTIONS = 8  # at once; where there is an admin endpoint, their descriptors are kept free
-FILE_MOST = 4 * 1024 * 1024
-AGREE_MS, AGREE_LEAST_MS, AGREE_MOST_MS = 3000.0, 100.0, 600_000.0
-OF_KEYED = frozenset(("KeyTtl", "Group"))  # the keys of a class that bind keyed ones alone
+RESERVED_DESCRIPTORS = 24  # for the log, the loop, discovery, peers and files that are open briefly
+MAX_ADMIN_CONNECTIONS = 8  # at once; with an admin endpoint their descriptors are reserved
+MIB = 2**20
+MAX_FILE_BYTES = 4 * MIB
+DEFAULT_SOCKETS, DEFAULT_MEMORY_MB = 1024, 64.0
+NO_MAX_OPEN = 2**31
+DEFAULT_AGREE_MS, MIN_AGREE_MS, MAX_AGREE_MS = 3000.0, 100.0, 600_000.0
+KEYED_CLASS_KEYS = frozenset(("KeyTtl", "Group"))  # keys of a class that bind only keyed classes
 
 
 class ConfigError(Exception):
-    """A configuration that no sidecar can start from; its text is one line."""
+    """An invalid configuration; its text is one line."""
 
     action = "mend the file or the variable, and start it again, or send SIGHUP to one that runs"
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What this sidecar may hold, in one process or, while one replaces another, in two."""
+    """The resources of this sidecar, in one process or, while one replaces another, in two."""
 
     descriptors: int
-    reserved: int  # of them, in each process: for what is no client's and no server's connection
+    reserved: int  # descriptors in each process for other uses than connections of clients and servers
     memory: int  # bytes
 
     def connections(self, part: float) -> int:
-        """The descriptors for connections in a process that has this part of all."""
+        """Return how many connections a process may have that has this part of all descriptors."""
         return max(4, int(self.descriptors * part) - self.reserved)
 
 
 @dataclass(frozen=True, slots=True)
 class Agreement:
-    """With the key `fleet.agreement`: what this sidecar's part in the configuration revisions rests on."""
+    """The part of this sidecar in the configuration revisions, by the key `fleet.agreement`."""
 
     agree_ms: float
-    group: str  # where it stands: its clients' group and the region that is near
-    region: str
-    raw: Mapping[str, Any]  # the file, over which revisions are laid
+    group: str  # the group of its clients
+    region: str  # the region near it
+    raw: Mapping[str, Any]  # the file, which revisions are merged into
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """All that this sidecar knows before its first event."""
+    """The configuration of a sidecar."""
 
     name: str
     listen: Address
     inherited: int | None  # the descriptor of the listening socket, where the platform holds it
-    operator: Address | None  # where operators call
+    operator: Address | None  # of the admin endpoint
     discovery: Address
-    registry: tuple[Address, ...]  # with the key `fleet`: the addresses of the list service, else none
+    registry: tuple[Address, ...]  # the addresses of the list service; none without the key `fleet`
     seed: int
     limits: Limits
     peer_listen: Address | None
@@ -81,174 +85,209 @@
     names: Names
     max_open: int
     drain_grace: float
-    shape: frozenset[str]  # the keys that were there
+    shape: frozenset[str]  # the keys of the file
     agreement: Agreement | None = None
 
 
 def load(environment: Mapping[str, str]) -> Config:
-    """Return the configuration that the environment names; `ConfigError` says what is wrong with it."""
+    """Return the configuration from the file that the environment names; raise `ConfigError` if invalid."""
     path = environment.get("NODE_CONFIG")
     if not path:
-        raise ConfigError("NODE_CONFIG is not set")
+        message = "NODE_CONFIG is not set"
+        raise ConfigError(message)
     try:
         return parse(json.loads(_text(path)), environment)
     except OSError as error:
-        raise ConfigError(f"configuration {path}: {error.strerror}") from error
+        message = f"configuration {path}: {error.strerror}"
+        raise ConfigError(message) from error
     except MALFORMED as error:
-        raise ConfigError(" ".join(f"configuration {path}: {reason(error)}".split())) from error
+        message = " ".join(f"configuration {path}: {reason(error)}".split())
+        raise ConfigError(message) from error
 
 
 def _text(path: str) -> str:
-    """The file. Guards against a pipe or a device, which would hold up, or fill, a process that serves."""
+    """Return the text of the file.
+
+    Guards against a pipe or a device, which would block a process that serves, or fill its memory.
+    """
     with open(path, "rb", opener=lambda name, flags: os.open(name, flags | os.O_NONBLOCK)) as file:
         if not stat.S_ISREG(os.fstat(file.fileno()).st_mode):
-            raise ValueError("is no file")
-        data = file.read(FILE_MOST + 1)
-    if len(data) > FILE_MOST:
-        raise ValueError(f"is larger than {FILE_MOST} bytes")
+            message = "is not a regular file"
+            raise ValueError(message)
+        data = file.read(MAX_FILE_BYTES + 1)
+    if len(data) > MAX_FILE_BYTES:
+        message = f"is larger than {MAX_FILE_BYTES} bytes"
+        raise ValueError(message)
     return data.decode()
 
 
-def parse(raw: Any, environment: Mapping[str, str]) -> Config:
-    """Return the configuration from its JSON; the environment has the last word on addresses.
+def parse(raw: object, environment: Mapping[str, str]) -> Config:
+    """Return the configuration from its JSON; for addresses the environment takes precedence.
 
-    One of `MALFORMED` says what is wrong with it."""
-    if not isinstance(raw, Mapping):
-        raise ValueError("expected an object")
-    settings = _object(raw, "settings", needed=True)
+    Raise one of `MALFORMED` if it is invalid.
+    """
+    root = as_object(raw)
+    settings = _object(root, "settings", needed=True)
     with named("settings"):
         names = read_names(settings)
-    limits, rules = _object(settings, "PolicyLimits"), _object(settings, "Rules")
-    operator = _address_in(raw, "operator", environment.get("NODE_OPERATOR"))
-    registry = _fleet(raw["fleet"]) if raw.get("fleet") is not None else ()
-    known_list = _object(raw, "known", needed=True)
-    with named("known"):
-        known = parse_list(known_list, names)
-    with named("seed"):
-        seed = stable_number(str(raw.get("seed", "")))
-    with named("peers"):
-        peers = tuple(own_address(peer) for peer in raw.get("peers") or ())
+    operator = _address(root, "operator", environment.get("NODE_OPERATOR"))
+    registry = _registry(root)
+    discovery = registry[0] if registry else _needed_address(root, "discovery", environment)
     with named("settings"):
-        parsed = Settings.parse(settings)
-        max_open = int(count(limits.get("MaxOpen", 2**31), "PolicyLimits.MaxOpen", 0))
-        with named("Rules.StopSendingWithin"):
-            drain_grace = amount(rules.get("StopSendingWithin", 0.0))
-    with named("NODE_INHERITED_FD"):
-        inherited = _descriptor(environment.get("NODE_INHERITED_FD"))
+        parsed_settings = Settings.parse(settings)
     return Config(
-        name=environment.get("NODE_NAME") or str(raw["name"]),
-        listen=_needed_address(raw, "listen", environment.get("NODE_LISTEN")),
-        inherited=inherited,
+        name=environment.get("NODE_NAME") or str(root["name"]),
+        listen=_needed_address(root, "listen", environment),
+        inherited=_descriptor(environment, "NODE_INHERITED_FD"),
         operator=operator,
-        discovery=registry[0]
-        if registry
-        else _needed_address(raw, "discovery", environment.get("NODE_DISCOVERY")),
+        discovery=discovery,
         registry=registry,
-        seed=seed,
-        limits=_limits(_object(raw, "limits"), RESERVED + (MAX_ADMIN_CONNECTIONS + 1 if operator else 0)),
-        peer_listen=_address_in(raw, "peer_listen"),
-        peers=peers,
-        peers_all=_address_in(raw, "peers_all"),
-        known=known,
-        settings=parsed,
+        seed=_seed(root),
+        limits=_limits(root, admin_endpoint=operator is not None),
+        peer_listen=_address(root, "peer_listen"),
+        peers=_peers(root),
+        peers_all=_address(root, "peers_all"),
+        known=_known(root, names),
+        settings=parsed_settings,
         names=names,
-        max_open=max_open,
-        drain_grace=drain_grace,
-        shape=_shape(raw),
-        agreement=_agreement(raw),
+        max_open=_max_open(settings),
+        drain_grace=_drain_grace(settings),
+        shape=_shape(root),
+        agreement=_agreement(root),
     )
 
 
 def _object(raw: Mapping[str, Any], key: str, *, needed: bool = False) -> Mapping[str, Any]:
-    """A part that is an object; one that may be missing is empty then."""
+    """Return a member that is an object; an optional one that is missing counts as empty."""
     part = raw[key] if needed else raw.get(key)
-    if part is None and not needed:
-        return {}
-    if not isinstance(part, Mapping):
-        raise ValueError(f"{key}: expected an object")
-    return part
+    return {} if part is None and not needed else as_object(part, key)
 
 
-def _address_in(raw: Mapping[str, Any], key: str, instead: str | None = None) -> Address | None:
-    """The address that a key tells, or the environment in its place; None where neither does."""
+def _address(raw: Mapping[str, Any], key: str, instead: str | None = None) -> Address | None:
+    """Return the address in `instead`, from the environment, or else in a member; None if in neither."""
     text = instead or raw.get(key)
-    with named(f"NODE_{key.upper()}" if instead else key):
+    with named(_variable(key) if instead else key):
         return own_address(text) if text else None
 
 
-def _needed_address(raw: Mapping[str, Any], key: str, instead: str | None) -> Address:
-    address = _address_in(raw, key, instead)
+def _needed_address(raw: Mapping[str, Any], key: str, environment: Mapping[str, str]) -> Address:
+    address = _address(raw, key, environment.get(_variable(key)))
     if address is None:
-        raise ValueError(f"{key} is missing")
+        message = f"{key} is missing"
+        raise ValueError(message)
     return address
 
 
+def _variable(key: str) -> str:
+    """Return the environment variable that takes precedence over a key."""
+    return f"NODE_{key.upper()}"
+
+
+def _known(raw: Mapping[str, Any], names: Names) -> ServerList:
+    known = _object(raw, "known", needed=True)
+    with named("known"):
+        return parse_list(known, names)
+
+
+def _seed(raw: Mapping[str, Any]) -> int:
+    with named("seed"):
+        return stable_number(str(raw.get("seed", "")))
+
+
+def _peers(raw: Mapping[str, Any]) -> tuple[Address, ...]:
+    with named("peers"):
+        return tuple(own_address(peer) for peer in raw.get("peers") or ())
+
+
+def _max_open(settings: Mapping[str, Any]) -> int:
+    with named("settings"):
+        limits = _object(settings, "PolicyLimits")
+        return int(count(limits.get("MaxOpen", NO_MAX_OPEN), "PolicyLimits.MaxOpen", 0))
+
+
+def _drain_grace(settings: Mapping[str, Any]) -> float:
+    with named("settings"):
+        rules = _object(settings, "Rules")
+        with named("Rules.StopSendingWithin"):
+            return amount(rules.get("StopSendingWithin", 0.0))
+
+
 def _shape(raw: Mapping[str, Any]) -> frozenset[str]:
-    """The keys of a configuration: those of its objects, and those that all classes have, or all
-    keyed ones where they bind only those."""
+    """Return the keys that a configuration has: those of its objects, and those that all classes have.
+
+    Keys that bind only keyed classes count if all keyed classes have them.
+    """
     settings = raw["settings"]
     parts = {"": raw, "settings.": settings}
     parts |= {f"{name}.": part for name, part in settings.items() if isinstance(part, Mapping)}
     found = {f"{at}{key}" for at, part in parts.items() for key, value in part.items() if value is not None}
     rows = settings["Profiles"]
     keyed = [row for row in rows if row["Semantics"] == "token"]
-    keys = (_keys_of_all(rows) - OF_KEYED) | (_keys_of_all(keyed) & OF_KEYED)
+    keys = (_keys_of_all(rows) - KEYED_CLASS_KEYS) | (_keys_of_all(keyed) & KEYED_CLASS_KEYS)
     return frozenset(found | {f"Profiles.{key}" for key in keys})
 
 
 def _keys_of_all(rows: list[Mapping[str, Any]]) -> set[str]:
-    named = [{key for key, value in row.items() if value is not None} for row in rows]
-    return set.intersection(*named) if named else set()
-
-
-def _fleet(raw: Any) -> tuple[Address, ...]:
-    """The addresses of the list service, from the object `fleet`."""
-    if not isinstance(raw, Mapping):
-        raise ValueError("fleet: expected an object")
-    unknown = sorted(raw.keys() - {"registry", "sharing", "place", "agreement"})
-    if unknown:
-        raise ValueError(f"fleet.{unknown[0]}: not known")
-    addresses = raw["registry"]
+    keys = [{key for key, value in row.items() if value is not None} for row in rows]
+    return set.intersection(*keys) if keys else set()
+
+
+def _registry(raw: Mapping[str, Any]) -> tuple[Address, ...]:
+    """Return the addresses of the list service, from the object `fleet`; none without that."""
+    if raw.get("fleet") is None:
+        return ()
+    fleet = _known_keys("fleet", raw["fleet"], {"registry", "sharing", "place", "agreement"})
+    addresses = fleet["registry"]
     if not isinstance(addresses, list) or not addresses:
-        raise ValueError("fleet.registry: expected a list of addresses")
+        message = "fleet.registry: expected a list of addresses"
+        raise ValueError(message)
     with named("fleet.registry"):
         return tuple(own_address(text) for text in addresses)
 
 
 def _agreement(raw: Mapping[str, Any]) -> Agreement | None:
-    """What this sidecar's part in the revisions rests on, from the object `fleet`; None where it has none."""
+    """Return the part in the configuration revisions, from the object `fleet`; None if it has none."""
     fleet = raw.get("fleet") or {}
-    place, found = fleet.get("place") or {}, fleet.get("agreement")
-    _check_part("fleet.place", place, {"group", "region"})
-    _check_part("fleet.agreement", {} if found is None else found, {"agree_ms"})
-    if found is None:
+    place = _known_keys("fleet.place", fleet.get("place") or {}, {"group", "region"})
+    if fleet.get("agreement") is None:
         return None
-    agree_ms = amount(found.get("agree_ms", AGREE_MS))
-    if not AGREE_LEAST_MS <= agree_ms <= AGREE_MOST_MS:
-        raise ValueError("fleet.agreement.agree_ms: from 100 to 600000 is wanted")
-    overlaid = {**raw, "known": {"index": 0, "endpoints": []}}
-    return Agreement(agree_ms, str(place.get("group", "")), str(place.get("region", "")), overlaid)
+    agreement = _known_keys("fleet.agreement", fleet["agreement"], {"agree_ms"})
+    agree_ms = amount(agreement.get("agree_ms", DEFAULT_AGREE_MS))
+    if not MIN_AGREE_MS <= agree_ms <= MAX_AGREE_MS:
+        message = f"fleet.agreement.agree_ms: expected {MIN_AGREE_MS:g} to {MAX_AGREE_MS:g}"
+        raise ValueError(message)
+    return Agreement(
+        agree_ms=agree_ms,
+        group=str(place.get("group", "")),
+        region=str(place.get("region", "")),
+        raw={**raw, "known": {"index": 0, "endpoints": []}},
+    )
 
 
-def _check_part(name: str, part: Any, known: set[str]) -> None:
-    """Refuse a part that is no object, or has keys that are not known."""
-    if not isinstance(part, Mapping):
-        raise ValueError(f"{name}: expected an object")
-    if unknown := sorted(part.keys() - known):
-        raise ValueError(f"{name}.{unknown[0]}: not known")
+def _known_keys(name: str, part: object, known: set[str]) -> Mapping[str, Any]:
+    """Return an object; raise `ValueError` if it is none, or has keys that are not known."""
+    found = as_object(part, name)
+    if unknown := sorted(found.keys() - known):
+        message = f"{name}.{unknown[0]}: not known"
+        raise ValueError(message)
+    return found
 
 
-def _descriptor(text: str | None) -> int | None:
+def _descriptor(environment: Mapping[str, str], variable: str) -> int | None:
+    text = environment.get(variable)
     if not text:
         return None
     if not (text.isascii() and text.isdigit()):
-        raise ValueError(f"{text!r} is no descriptor")
+        message = f"{variable}: {text!r} is not a descriptor"
+        raise ValueError(message)
     return int(text)
 
 
-def _limits(raw: Mapping[str, Any], reserved: int) -> Limits:
-    """What is granted, by the configuration and by the system."""
+def _limits(raw: Mapping[str, Any], *, admin_endpoint: bool) -> Limits:
+    """Return what the configuration and the system allow."""
+    limits = _object(raw, "limits")
+    reserved = RESERVED_DESCRIPTORS + (MAX_ADMIN_CONNECTIONS + 1 if admin_endpoint else 0)
     allowed = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-    given = int(count(raw.get("sockets", 1024), "limits.sockets"))
-    memory = int(count(raw.get("memory_mb", 64.0), "limits.memory_mb") * 2**20)
-    return Limits(given if allowed < 0 else min(given, allowed), reserved, memory)
+    given = int(count(limits.get("sockets", DEFAULT_SOCKETS), "limits.sockets"))
+    memory = int(count(limits.get("memory_mb", DEFAULT_MEMORY_MB), "limits.memory_mb") * MIB)
+    return Limits(descriptors=given if allowed < 0 else min(given, allowed), reserved=reserved, memory=memory)
--- a/brassfall/sidecar/config_values.py
+++ b/brassfall/sidecar/config_values.py
@@ -1,18 +1,19 @@
-"""What configuration files and endpoint lists are made of: addresses, names, and checks of single values.
+"""The values of configuration files and endpoint lists: addresses, names, and checks of single values.
 
-The checks raise `ValueError`, or another of `MALFORMED`, whose text names the value that is wrong.
+The checks raise `ValueError`, or another of `MALFORMED`, whose text names the invalid value.
 """
 
 from __future__ import annotations
 
 import contextlib
 import math
-from collections.abc import Iterator, Mapping
+from collections.abc import Iterable, Iterator, Mapping
 from dataclasses import dataclass
 from hashlib import blake2b
 from typing import Any, NamedTuple
 
-KEY_BELOW = 2**53
+NUMBERS_BELOW = 2**53  # integers up to here are exact in JSON
+PORTS_BELOW = 2**16
 
 
 class Address(NamedTuple):
@@ -24,16 +25,16 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A class as requests name it: its place in the settings and the method that it asks for."""
+    """A class as requests name it: its slot in the settings and the method that it requires."""
 
-    slot: int  # its place in the settings' profiles; after a reload the one that is kept for it
+    slot: int  # its index in the settings' profiles; a reload keeps it
     method: str
     keyed: bool  # whether its requests carry an idempotency key
 
 
 @dataclass(frozen=True, slots=True)
 class Names:
-    """The names on the sockets, and the index in the settings that each stands for."""
+    """The names on the wire, each with its index in the settings."""
 
     classes: Mapping[str, RequestClass]
     tenants: Mapping[str, int]
@@ -44,44 +45,47 @@
 def stable_number(text: str) -> int:
     """Return a number below 2^53 for a text, the same in every process.
 
-    Guards against `hash()`, which differs between processes: sidecars would disagree on a key."""
-    return int.from_bytes(blake2b(text.encode(), digest_size=8).digest()) % KEY_BELOW
+    Guards against `hash()`, which differs between processes: sidecars would disagree on a key.
+    """
+    return int.from_bytes(blake2b(text.encode(), digest_size=8).digest()) % NUMBERS_BELOW
 
 
-# What is raised by values that are not what they should be; each is logged as a line.
+# Raised for invalid values; each is logged as one line.
 MALFORMED = (ValueError, TypeError, KeyError, AttributeError, OverflowError, RecursionError)
 
 
 def reason(error: Exception) -> str:
-    """Return what is wrong with a value, by one of `MALFORMED`."""
+    """Return why a value is invalid, by one of `MALFORMED`."""
     if isinstance(error, KeyError):
         return f"{error.args[0]} is missing"
     if isinstance(error, AttributeError | TypeError):
-        return f"of the wrong kind: {error}"
+        return f"of the wrong type: {error}"
     return str(error)
 
 
 @contextlib.contextmanager
 def named(key: str) -> Iterator[None]:
-    """Put the key in front of what is wrong with a value: `ValueError`, whatever was raised."""
+    """Put the key in front of the text of any of `MALFORMED`, and raise it as `ValueError`."""
     try:
         yield
     except MALFORMED as error:
-        raise ValueError(f"{key}: {reason(error)}") from error
+        message = f"{key}: {reason(error)}"
+        raise ValueError(message) from error
 
 
 def read_names(settings: Mapping[str, Any]) -> Names:
-    """Return the names in the settings; one of `MALFORMED` where they are none."""
+    """Return the names in the settings; raise one of `MALFORMED` if they are invalid."""
     rows = settings["Profiles"]
     with named("Profiles"):
         class_names = [row["Name"] for row in rows]
-    good = all(isinstance(name, str) and name for name in class_names)
-    if len(set(class_names)) < len(class_names) or not good:
-        raise ValueError("Profiles: each class needs a name of its own")
+    valid = all(isinstance(name, str) and name for name in class_names)
+    if len(set(class_names)) < len(class_names) or not valid:
+        message = "Profiles: each class needs a name of its own"
+        raise ValueError(message)
     with named("Tenants"):
         tenants = _indices(row["Name"] for row in settings.get("Tenants") or ())
     return Names(
-        classes={row["Name"]: _request_class(i, row) for i, row in enumerate(rows)},
+        classes={row["Name"]: _request_class(slot, row) for slot, row in enumerate(rows)},
         tenants=tenants,
         zones=_indices(settings.get("FailureDomains") or ()),
         kinds=_indices(settings.get("Kinds") or ()),
@@ -90,47 +94,79 @@
 
 def _request_class(slot: int, row: Mapping[str, Any]) -> RequestClass:
     semantics = row["Semantics"]
-    return RequestClass(slot, "GET" if semantics == "pure" else "POST", semantics == "token")
+    return RequestClass(
+        slot=slot, method="GET" if semantics == "pure" else "POST", keyed=semantics == "token"
+    )
 
 
-def _indices(names: Any) -> dict[str, int]:
-    return {str(name): i for i, name in enumerate(names)}
+def _indices(names: Iterable[object]) -> dict[str, int]:
+    return {str(name): index for index, name in enumerate(names)}
 
 
-def parse_address(text: Any) -> Address:
-    """Return the address that `host:port` means."""
+def parse_address(text: object) -> Address:
+    """Return the address in `host:port`; raise `ValueError` if it is none."""
     host, found, port = str(text).rpartition(":")
-    numbered = port.isascii() and port.isdigit() and int(port) < 65536
+    numbered = port.isascii() and port.isdigit() and int(port) < PORTS_BELOW
     if not (found and host and numbered):
-        raise ValueError(f"{text!r} is not an address")
+        raise _not_an_address(text)
     return Address(host.strip("[]"), int(port))
 
 
-def own_address(text: Any) -> Address:
-    """Return an address to listen at or to call.
+def own_address(text: object) -> Address:
+    """Return an address to listen at or to call; raise `ValueError` if it is none.
 
-    Guards against a name at which a look-up fails by other errors than those of the network; a server with
-    such a name just can't be connected to."""
+    Guards against names whose look-up fails by other errors than those of the network. A server with such a
+    name is merely one that can't be connected to.
+    """
     address = parse_address(text)
     try:
         address.host.encode("idna")
     except UnicodeError:
-        raise ValueError(f"{text!r} is not an address") from None
+        raise _not_an_address(text) from None
     if not address.host.isprintable() or " " in address.host:
-        raise ValueError(f"{text!r} is not an address")
+        raise _not_an_address(text)
     return address
 
 
-def count(value: Any, key: str, low: int = 1) -> float:
-    """Return how much there may be of something, `low` or more."""
-    if isinstance(value, bool) or not isinstance(value, int | float) or not low <= value < KEY_BELOW:
-        raise ValueError(f"{key}: {value!r} is no number from {low} on")
+def _not_an_address(text: object) -> ValueError:
+    return ValueError(f"{text!r} is not an address")
+
+
+def as_object(value: object, key: str = "") -> Mapping[str, Any]:
+    """Return a JSON object; raise `ValueError` if it is of another type."""
+    if not isinstance(value, Mapping):
+        message = f"{key}: expected an object" if key else "expected an object"
+        raise ValueError(message)
+    return value
+
+
+def count(value: object, key: str, low: int = 1) -> float:
+    """Return a number from `low` on; raise `ValueError` if it is none."""
+    if isinstance(value, bool) or not isinstance(value, int | float) or not low <= value < NUMBERS_BELOW:
+        message = f"{key}: {value!r} is not a number from {low} on"
+        raise ValueError(message)
     return value
 
 
-def amount(value: Any) -> float:
-    """Return a finite number from 0 on."""
-    number = float(value)
+def amount(value: object) -> float:
+    """Return a finite number from 0 on, which may be written as text; raise one of `MALFORMED` if none."""
+    number = float(_numeric(value))
     if not math.isfinite(number) or number < 0.0:
-        raise ValueError(f"{value!r} is no amount")
+        message = f"{value!r} is not a number from 0 on"
+        raise ValueError(message)
     return number
+
+
+def integer(value: object) -> int:
+    """Return a number, which may be written as text, without its fraction.
+
+    Raise one of `MALFORMED` if it is none.
+    """
+    return int(_numeric(value))
+
+
+def _numeric(value: object) -> str | float:
+    if not isinstance(value, str | int | float):
+        message = f"expected a number, not {type(value).__name__}"
+        raise TypeError(message)
+    return value
--- a/brassfall/sidecar/framing.py
+++ b/brassfall/sidecar/framing.py
@@ -1,6 +1,6 @@
 """HTTP/1.1 framing that the client's and the server's side share: headers, answers, and their parser.
 
-Also what both sides ask the system about a connection. Sizes are in bytes.
+Also the state of a connection, as the system knows it. Sizes are in bytes.
 """
 
 from __future__ import annotations
@@ -20,6 +20,7 @@
 
 MAX_BODY = 32 * 1024 * 1024  # of a request
 MAX_HEAD = 16 * 1024  # of any message: its head, or its trailers
+OK_STATUS = HTTPStatus.OK.value
 FIRST_FINAL_STATUS = 200  # below are interim answers
 REASONS = {status.value: status.phrase for status in HTTPStatus}
 
@@ -44,8 +45,10 @@
 
 
 def end_to_end(headers: Headers, leave_out: frozenset[bytes] = frozenset()) -> Headers:
-    """The end-to-end headers: all but hop-by-hop ones, those that `Connection` names, and `leave_out`
-    (in lower case)."""
+    """Return the end-to-end headers.
+
+    These are all but hop-by-hop ones, those that `Connection` names, and `leave_out`, in lower case.
+    """
     named = {
         part.strip().lower()
         for name, value in headers
@@ -57,7 +60,7 @@
 
 
 def origin_form(target: bytes) -> bytes:
-    """A request's target in origin form: without the scheme and host of an absolute one."""
+    """Return a request's target in origin form: without the scheme and host of an absolute one."""
     scheme, found, rest = target.partition(b"://")
     if not found or scheme.lower() not in (b"http", b"https"):
         return target
@@ -66,12 +69,12 @@
 
 
 def header_lines(headers: Iterable[tuple[bytes, bytes]]) -> bytes:
-    """Headers as lines on the wire, each with its CRLF."""
+    """Return headers as lines on the wire, each with its CRLF."""
     return b"".join(b"%b: %b\r\n" % header for header in headers)
 
 
 def answer(status: int, headers: Headers, body: bytes, *, close: bool) -> bytes:
-    """A complete answer in one piece; with `close` it announces the end of its connection."""
+    """Return a complete answer; with `close` it announces the end of its connection."""
     return b"HTTP/1.1 %d %b\r\n%bContent-Length: %d\r\n%b\r\n%b" % (
         status,
         REASONS.get(status, "").encode(),
@@ -83,9 +86,10 @@
 
 
 def readable(transport: asyncio.BaseTransport) -> bool:
-    """Whether a connection has unread bytes or its end, which the loop has not read yet.
+    """Return whether a connection has bytes, or its end, that the loop has not read yet.
 
-    True also where the connection is closed, or the system can't say: it is not to be trusted then."""
+    Return True also if the connection is closed, or if the system can't tell: it must not be used then.
+    """
     sock = transport.get_extra_info("socket")
     if sock is None or sock.fileno() < 0:
         return True
@@ -98,24 +102,26 @@
 
 
 def peer_closed(transport: asyncio.BaseTransport) -> bool:
-    """Whether the peer is known to have closed or reset a connection, whatever is unread before that.
+    """Return whether the peer has closed or reset a connection, even if bytes before that are unread.
 
-    False where the system can't say: the loop will find out as it reads."""
+    Return False if the system can't tell: the loop notices as it reads.
+    """
     sock = transport.get_extra_info("socket")
     if sock is None or sock.fileno() < 0:
         return True
     poll = select.poll()
-    poll.register(sock.fileno(), select.POLLRDHUP)  # a reset is told with it, asked for or not
+    poll.register(sock.fileno(), select.POLLRDHUP)  # a reset is reported in any case
     try:
         return bool(poll.poll(0))
-    except OSError:  # no memory for the call: the loop will find out
+    except OSError:  # no memory for the call
         return False
 
 
 def unacknowledged(transport: asyncio.WriteTransport) -> int:
-    """How many bytes of what was written the peer has not acknowledged, buffered ones included.
+    """Return how many bytes the peer has not acknowledged, those still buffered included.
 
-    Where the system can't say, the buffered ones alone."""
+    If the system can't tell, only the buffered ones count.
+    """
     size = transport.get_write_buffer_size()
     sock = transport.get_extra_info("socket")
     with contextlib.suppress(OSError, ValueError):
@@ -124,28 +130,30 @@
 
 
 class SharedBufferProtocol(asyncio.BufferedProtocol):
-    """A protocol whose reads all go through one buffer of `MAX_BUFFERED` bytes, which all connections share.
+    """A protocol whose connections all read through one shared buffer of `MAX_BUFFERED` bytes.
 
-    It bounds memory: asyncio would read up to 256 KiB for each connection."""
+    It bounds memory: asyncio would read up to 256 KiB for each connection.
+    """
 
     _buffer = memoryview(bytearray(MAX_BUFFERED))
 
     def get_buffer(self, _sizehint: int) -> memoryview:
-        """Called by the loop, which at once reads into the buffer and calls `buffer_updated`."""
+        """Return the buffer, into which the loop reads at once, before it calls `buffer_updated`."""
         return self._buffer
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Called by the loop: so many bytes of the buffer are new."""
+        """Take the bytes that the loop has read into the buffer."""
         self.data_received(bytes(self._buffer[:nbytes]))
 
     def data_received(self, data: bytes) -> None:
-        """Bytes have come from the peer."""
+        """Take bytes of the peer."""
 
 
 class BadAnswerError(Exception):
     """A server's answer is not HTTP, or has a head or trailers larger than allowed.
 
-    `reason` says what is wrong with it."""
+    `reason` tells what is wrong with it.
+    """
 
     action = "look at the server: the attempt counts as broken, and others serve the request"
 
@@ -158,28 +166,30 @@
     """Parses the answers that come on one connection, one at a time.
 
     `status` is 0 until the head is complete. The body goes to `body`, or to `sink` once that is set.
-    `complete` tells the end; `keep_alive` and `extra` then tell whether the connection may be used again."""
+    Once `complete` is set, `keep_alive` and `extra` tell whether the connection may be used again.
+    """
 
     def __init__(self) -> None:
         self._parser = httptools.HttpResponseParser(self)
-        self.extra = False  # whether bytes came past the answer: the connection can't be trusted
+        self.extra = False  # bytes came past the answer: the connection must not be used again
         self.reset()
 
     def reset(self) -> None:
-        """Forget this answer, and expect the next one."""
+        """Discard this answer, and expect the next one."""
         self.status = 0
         self.headers: Headers = []
         self.body = bytearray()
-        self.sink: Callable[[bytes], None] | None = None  # takes the body in place of `body`
+        self.sink: Callable[[bytes], None] | None = None  # receives the body in place of `body`
         self.complete = False
         self.keep_alive = False
-        self._framed = False  # whether the head tells where the body ends
+        self._framed = False  # the head tells where the body ends
         self._overhead = 0  # bytes since the body last grew: of heads, framing and trailers
 
     def feed(self, data: bytes) -> None:
         """Parse the next bytes.
 
-        Raises `BadAnswerError` if they are not HTTP, or if a head or trailers grow past `MAX_HEAD`."""
+        Raise `BadAnswerError` if they are not HTTP, or if a head or trailers grow past `MAX_HEAD`.
+        """
         self._overhead += len(data)
         try:
             self._parser.feed_data(data)
@@ -188,56 +198,59 @@
                 raise BadAnswerError(str(error)) from error
             self.extra = True
         if self._overhead > MAX_HEAD and not self.complete:
-            raise BadAnswerError("the head is too large")
+            message = "the head is too large"
+            raise BadAnswerError(message)
 
     def end(self) -> bool:
-        """The server has ended its sending: whether the answer is complete, as one of no known length is."""
+        """Return whether the answer is complete once the server has closed, as one of unknown length is."""
         return self.complete or (self.status >= FIRST_FINAL_STATUS and not self._framed)
 
     def header(self, name: bytes) -> bytes | None:
-        """A header's first value, by its name in lower case; None if it is not there."""
+        """Return a header's first value, by its name in lower case; None if the header is missing."""
         return next((value for key, value in self.headers if key.lower() == name), None)
 
     @property
     def length(self) -> int | None:
-        """The length of the body, where the head tells it."""
+        """The length of the body in bytes; None if the head does not tell it."""
         value = self.header(b"content-length")
         return int(value) if value is not None and value.isdigit() else None
 
+    # --- called by the parser -----------------------------------------------
+
     def on_message_begin(self) -> None:
-        """Called by the parser; a second message is none that was asked for."""
+        """Take note of a second message, which belongs to no request."""
         self.extra = self.extra or self.complete
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Called by the parser for each header, and for each trailer, which is ignored."""
+        """Take a header; ignore a trailer."""
         if self.complete or self.status:
             return
-        self.headers.append((name, value.rstrip(b" \t")))  # the parser leaves blanks after it
+        self.headers.append((name, value.rstrip(b" \t")))  # the parser leaves trailing blanks
         self._framed = self._framed or name.lower() in (b"content-length", b"transfer-encoding")
 
     def on_headers_complete(self) -> None:
-        """Called by the parser at the end of the head."""
+        """Take the status: the head is complete."""
         if not self.complete:
             self.status = self._parser.get_status_code()
 
     def on_body(self, data: bytes) -> None:
-        """Called by the parser. Of an answer that no client gets, only the beginning is buffered."""
+        """Take a part of the body; of an answer that no client gets, only the beginning is buffered."""
         if self.complete:
             return
         self._overhead = 0
         if self.sink is not None:
             self.sink(data)
-        elif self.status == 200 or len(self.body) < MAX_BUFFERED:
+        elif self.status == OK_STATUS or len(self.body) < MAX_BUFFERED:
             self.body += data
 
     def on_message_complete(self) -> None:
-        """Called by the parser; an interim answer (1xx) is skipped."""
+        """Complete the answer; skip an interim one (1xx)."""
         if self.complete:
             return
         if self.status < FIRST_FINAL_STATUS:
             overhead = self._overhead
             self.reset()
-            self._overhead = overhead  # interim answers have to end as well
+            self._overhead = overhead  # or a server could send interim answers for ever
             return
         self.complete = True
         self.keep_alive = self._parser.should_keep_alive()
--- a/brassfall/sidecar/peers.py
+++ b/brassfall/sidecar/peers.py
@@ -1,42 +1,45 @@
-"""Short messages between sidecars, over UDP: late or not at all."""
+"""Gossip between sidecars: short messages over UDP, which may be late or lost."""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable
-from typing import Any
+from typing import cast
 
 from brassfall.sidecar.config import Config
 from brassfall.sidecar.config_values import Address
 from brassfall.sidecar.console import log
 
-MESSAGE_MOST = 256
+MAX_MESSAGE = 256  # bytes
 
 
 class Peers(asyncio.DatagramProtocol):
-    """The other sidecars of the tier."""
+    """The other sidecars of the tier, known by their addresses.
 
-    def __init__(self, config: Config, hear: Callable[[int, bytes], None]) -> None:
+    `receive` is called with the number of a peer and a message of it.
+    """
+
+    def __init__(self, config: Config, receive: Callable[[int, bytes], None]) -> None:
         self._bind = config.peer_listen if config.settings.peer_messages else None
         self._shared = config.inherited is not None  # with the process that this one replaces
         self._me = config.settings.me
         self._addresses = config.peers
         self._all = config.peers_all
         self._numbers = {address: number for number, address in enumerate(config.peers)}
-        self._hear = hear
+        self._receive = receive
         self._transport: asyncio.DatagramTransport | None = None
 
     async def listen(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Bind where messages arrive, if the settings allow them."""
+        """Bind the address for messages, if the settings allow them; raise `OSError` if that fails."""
         if self._bind is not None:
             await loop.create_datagram_endpoint(
                 lambda: self, local_addr=self._bind, reuse_port=self._shared or None
             )
 
     def tell(self, peer: int | None, data: bytes) -> None:
-        """Send a message to one peer, or to all."""
-        if self._transport is None or len(data) > MESSAGE_MOST:
-            log(f"a message of {len(data)} bytes to peer {peer} can't be sent")
+        """Send a message to one peer, or to all if `peer` is None."""
+        if self._transport is None or len(data) > MAX_MESSAGE:
+            log(f"peers: message not sent, peer={peer} bytes={len(data)}; report it")
             return
         if peer is not None:
             if 0 <= peer < len(self._addresses):
@@ -44,18 +47,19 @@
         elif self._all is not None:
             self._transport.sendto(data, self._all)
 
-    def connection_made(self, transport: Any) -> None:
-        """The socket is bound."""
-        self._transport = transport
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Take the socket, which is bound."""
+        # Up to Python 3.11 the loop's own datagram transport is no `DatagramTransport`.
+        self._transport = cast("asyncio.DatagramTransport", transport)
 
-    def datagram_received(self, data: bytes, source: tuple[str | Any, int]) -> None:
-        """A message; what is too long, unknown or one's own is junk."""
+    def datagram_received(self, data: bytes, source: tuple[str, int]) -> None:
+        """Pass on a message; drop one that is too long, of an unknown sender or of this sidecar itself."""
         number = self._numbers.get(Address(source[0], source[1]))
-        if number is not None and number != self._me and len(data) <= MESSAGE_MOST:
-            self._hear(number, data)
+        if number is not None and number != self._me and len(data) <= MAX_MESSAGE:
+            self._receive(number, data)
 
     def error_received(self, error: Exception) -> None:
-        """A peer is not there: messages may be lost."""
+        """Ignore that a peer is not there: messages may be lost."""
 
     def close(self) -> None:
         """Close the socket."""
--- a/tests/sidecar/test_configuration.py
+++ b/tests/sidecar/test_configuration.py
@@ -122,7 +122,7 @@
         b"[" * 200_000,
         b'{"a":' * 100_000,
         b"1" * 10_000,
-        b" " * (config.FILE_MOST + 1),
+        b" " * (config.MAX_FILE_BYTES + 1),
         json.dumps(WHOLE).encode() + b"}",
     ],
     ids=range(9),
