--- a/brassfall/lab/capacity/hollow.py
+++ b/brassfall/lab/capacity/hollow.py
@@ -28,6 +28,7 @@
 
 config_module: Any = importlib.import_module("brassfall.sidecar.config")
 reload_module: Any = importlib.import_module("brassfall.sidecar.reload")
+channel_module: Any = importlib.import_module("brassfall.sidecar.discovery.channel")
 discovery_module: Any = importlib.import_module("brassfall.sidecar.discovery.discovery")
 member_module: Any = importlib.import_module("brassfall.sidecar.agent.member")
 
@@ -109,7 +110,7 @@
         """As the loop's, from the address."""
         options["local_addr"] = (self._source, 0)
         transport, protocol = await super().create_connection(protocol_factory, *arguments, **options)
-        kind = control.WATCHES if isinstance(protocol, discovery_module.Channel) else control.REPORTS
+        kind = control.WATCHES if isinstance(protocol, channel_module.Channel) else control.REPORTS
         made = transport.get_extra_info("socket")
         self.connections.add(kind, made)
         self._count_at_end(protocol, kind, made)
@@ -137,7 +138,7 @@
         self.acted: dict[int, float] = {}  # revision to when it was first acted on
         self.listed: dict[int, float] = {}  # version of the list to when it was held
         self.reports = 0
-        self.discovery = discovery_module.Discovery(loop, config, self._list_changed)
+        self.discovery = discovery_module.Discovery(loop, config, self)
         self.member = member_module.FleetMember(loop, self, {})
         agent = self.member.agent
         agent.report_extensions.append(self.discovery.report)
@@ -191,9 +192,16 @@
     def _answered(self, asked: float, heard: float, answer: Any) -> None:
         self.reports += 1
 
-    def _list_changed(self, form: str, event: Any) -> None:
-        if event is not None:
-            _keep(self.listed, event.version, self._loop.time())
+    # --- what discovery notifies of -----------------------------------------------------
+
+    def endpoints_listed(self, form: Any, update: Any) -> None:
+        """Take note of an endpoint list, or of changes."""
+        now = self._loop.time()
+        _keep(self.listed, update.version, now)
+        self.member.listed(now)
+
+    def discovery_failed(self) -> None:
+        """Take note that a poll failed or has ended."""
         self.member.listed(self._loop.time())
 
     # --- what a sidecar's control part asks of its process ------------------------------
--- a/brassfall/sidecar/lifecycle/sidecar.py
+++ b/brassfall/sidecar/lifecycle/sidecar.py
@@ -26,8 +26,8 @@
 from brassfall.sidecar.servers.pool import Pool
 
 if TYPE_CHECKING:
-    from brassfall.sidecar.agent.lists import EndpointList
     from brassfall.sidecar.agent.member import FleetMember
+    from brassfall.sidecar.discovery.endpoint_index import EndpointList
 
 HANDOVER_POLL_S = 0.25  # for another process of this sidecar, which takes longer to start
 # A process that replaces another says yes within 6 s; the balancer asks discovery within 2.5 s.
@@ -53,7 +53,7 @@
         self.driver = Driver(loop, self._clock, configuration)
         self.admin.add_command("REFUSALS", lambda: self.driver.refusals)
         self.pool = Pool(loop, self._clock, configuration)
-        self.discovery = Discovery(loop, configuration, self._server_list)
+        self.discovery = Discovery(loop, configuration, self)
         if configuration.registry:
             self.admin.add_command("LIST", lambda: self.discovery.state)
         self.inbound = Inbound(loop, self._clock, configuration, self.driver, self.lifecycle)
@@ -72,11 +72,17 @@
         self.admin.add_command("RULES", lambda: member.agent.state)
         return member
 
-    def _server_list(self, form: str, servers: ServerList | None) -> None:
-        if servers is None:
-            self.driver.discovery_failed()
-        else:
-            self.driver.endpoints_listed(ListForm(form), servers)
+    # --- what discovery notifies of (discovery.interfaces.ListListener) ------------
+
+    def endpoints_listed(self, form: ListForm, update: ServerList) -> None:
+        """Take in an endpoint list, or the changes of one."""
+        self.driver.endpoints_listed(form, update)
+        if self.member is not None:
+            self.member.listed(self._loop.time())
+
+    def discovery_failed(self) -> None:
+        """Take note that a poll failed or was rejected, or that its watch has ended."""
+        self.driver.discovery_failed()
         if self.member is not None:
             self.member.listed(self._loop.time())
 
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -285,7 +285,7 @@
     if balancer is not None:
         made.driver._balancer = balancer
     if not registry.current:
-        made.discovery._called.set()  # this test's watches tell nothing before it has started
+        made.discovery.skip_first_call()  # this test's watches tell nothing before it has started
     made.address = await made.start()
     try:
         yield made
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -174,7 +174,14 @@
 LIST = "brassfall.sidecar.discovery.endpoint_list"
 VALUES = "brassfall.sidecar.config_values"
 CHANNEL = "brassfall.sidecar.discovery.channel"
+CURRENT_LIST = "brassfall.sidecar.discovery.current_list"
+DISCOVERY_INTERFACES = "brassfall.sidecar.discovery.interfaces"
+ENDPOINT_INDEX = "brassfall.sidecar.discovery.endpoint_index"
+LIST_CALL = "brassfall.sidecar.discovery.list_call"
+NOTIFIER = "brassfall.sidecar.discovery.notifier"
+SOURCES = "brassfall.sidecar.discovery.sources"
 START_TIMES = "brassfall.sidecar.discovery.start_times"
+WATCH_CALL = "brassfall.sidecar.discovery.watch_call"
 EVENTS = "brassfall.balancer.events"
 MODEL, MODULE = "brassfall.balancer.model", "brassfall.balancer.Balancer"
 SETTINGS = "brassfall.balancer.Settings"
@@ -282,8 +289,8 @@
                     "lifecycle.admin",
                     "lifecycle.handover",
                     "lifecycle.shutdown",
-                    "agent.lists",
                     "agent.member",
+                    "discovery.endpoint_index",
                 ),
                 *own("config", "config_values", "console", "core.clock", "core.driver", "core.process_state"),
                 *own("clients.inbound", "clients.listener", "discovery.discovery", "discovery.endpoint_list"),
@@ -293,7 +300,7 @@
         ),
         ("__main__.py", own("config", "console", "lifecycle.sidecar")),
         ("lifecycle/shutdown.py", {CLOCK, INBOUND, "brassfall.sidecar.core.driver"}),
-        ("agent/lists.py", {LIST, MODEL, VALUES}),
+        ("agent/lists.py", {ENDPOINT_INDEX, SOURCES}),
         ("agent/forms.py", set()),
         ("agent/lease_client.py", {FLEET, *fleet("forms")}),
         ("agent/rules.py", {"brassfall.sidecar.agent.lease_client"}),
@@ -326,10 +333,49 @@
                 *fleet("agent", "delays", "lease_client", "lists", "rules", "steering"),
             },
         ),
-        ("discovery/channel.py", {CONSOLE, MODEL}),
+        ("discovery/channel.py", {CONSOLE, MODEL, VALUES}),
+        ("discovery/interfaces.py", {LIST, MODEL, VALUES}),
+        ("discovery/endpoint_index.py", {LIST, MODEL, VALUES}),
+        ("discovery/list_age.py", set()),
+        ("discovery/current_list.py", {CHANNEL, ENDPOINT_INDEX, LIST, VALUES}),
+        (
+            "discovery/fleet_list.py",
+            {
+                CHANNEL,
+                CONSOLE,
+                CURRENT_LIST,
+                ENDPOINT_INDEX,
+                LIST,
+                VALUES,
+                "brassfall.sidecar.discovery.list_age",
+            },
+        ),
+        ("discovery/single_address.py", {CHANNEL, DISCOVERY_INTERFACES, VALUES}),
+        ("discovery/sources.py", {DISCOVERY_INTERFACES, VALUES}),
+        ("discovery/notifier.py", {CHANNEL, CURRENT_LIST, DISCOVERY_INTERFACES, LIST, MODEL}),
+        (
+            "discovery/watch_call.py",
+            {CHANNEL, CURRENT_LIST, DISCOVERY_INTERFACES, MODEL, NOTIFIER, VALUES},
+        ),
+        (
+            "discovery/list_call.py",
+            {CHANNEL, CURRENT_LIST, DISCOVERY_INTERFACES, LIST, MODEL, NOTIFIER, VALUES, WATCH_CALL},
+        ),
+        ("discovery/pushed_watch.py", {CHANNEL, DISCOVERY_INTERFACES, NOTIFIER, WATCH_CALL}),
+        ("discovery/polled_watch.py", {CHANNEL, DISCOVERY_INTERFACES, LIST_CALL, NOTIFIER, WATCH_CALL}),
         (
             "discovery/discovery.py",
-            {CHANNEL, CONFIG, CONSOLE, LIST, MODEL, VALUES, "brassfall.sidecar.agent.lists"},
+            {
+                *own("config", "config_values"),
+                *(
+                    f"brassfall.sidecar.discovery.{name}"
+                    for name in (
+                        *("current_list", "endpoint_index", "fleet_list", "interfaces", "list_call"),
+                        *("notifier", "polled_watch", "pushed_watch", "single_address", "sources"),
+                        "watch_call",
+                    )
+                ),
+            },
         ),
         ("peers.py", {CONFIG, CONSOLE, VALUES}),
     ],
@@ -338,6 +384,24 @@
     assert imported(name, SIDECAR) <= allowed
 
 
+# Folders of the sidecar, from the highest down: each may import those that stand after it. What stands beside
+# them (configuration, framing, log) is used by all.
+FOLDERS = ("lifecycle", "agent", "clients", "servers", "core", "discovery")
+
+
+@pytest.mark.parametrize("folder", FOLDERS)
+def test_folders_of_the_sidecar_import_in_one_direction(folder):
+    known = {path.name for path in SIDECAR.iterdir() if (path / "__init__.py").exists()}
+    assert known == set(FOLDERS)
+    met = {
+        module.split(".")[2]
+        for path in (SIDECAR / folder).glob("*.py")
+        for module in imported(path.name, path.parent)
+        if module.startswith("brassfall.sidecar.")
+    }
+    assert met & known <= set(FOLDERS[FOLDERS.index(folder) :])
+
+
 def test_the_driver_knows_no_sockets():
     trees = [
         ast.parse((SIDECAR / f"{name}.py").read_text())
@@ -503,13 +567,21 @@
             assert name in REAL_TIME, name
 
 
+# What only a sidecar in a fleet loads: the folder of the agent, and a fleet's part of discovery.
+FLEET_ONLY = (
+    "brassfall.sidecar.agent",
+    *own("discovery.endpoint_index", "discovery.fleet_list", "discovery.list_age", "discovery.sources"),
+)
+
+
 def test_a_sidecar_outside_of_a_fleet_loads_nothing_of_the_agent():
-    """It pays for no code of the control plane's client."""
+    """It pays for no code of the control plane's client, nor for a fleet's part of discovery."""
+    assert all((ROOT / name.replace(".", "/")).with_suffix(".py").exists() for name in FLEET_ONLY[1:])
     program = (
         "import asyncio, sys; from tests.support.loopback import told; "
         "from brassfall.sidecar.lifecycle.sidecar import Sidecar; "
         "asyncio.set_event_loop(loop := asyncio.new_event_loop()); Sidecar(loop, told()); "
-        "print([name for name in sys.modules if name.startswith('brassfall.sidecar.agent')])"
+        f"print([name for name in sys.modules if name.startswith({FLEET_ONLY})])"
     )
     made = subprocess.run(
         [sys.executable, "-c", program], capture_output=True, text=True, cwd=ROOT, check=True
