--- a/brassfall/lab/capacity/hollow.py
+++ b/brassfall/lab/capacity/hollow.py
@@ -231,7 +231,7 @@
 
     def ask_for_list(self) -> None:
         """Open the watch on the list anew."""
-        self.discovery.again()
+        self.discovery.reopen()
 
 
 def _keep(times: dict[int, float], number: int, now: float) -> None:
--- a/tests/lab/test_capacity.py
+++ b/tests/lab/test_capacity.py
@@ -16,7 +16,7 @@
 from brassfall.lab.capacity.environment import Environment, register, start_service
 from brassfall.lab.capacity.hollow import HollowSidecar, SourceLoop, sidecar_config
 from brassfall.lab.capacity.measurements import Measurement
-from tests.support.loopback import bounded
+from tests.support.loopback import Registry, bounded, until
 
 ROOT = Path(__file__).parents[2]
 SIDECARS, LISTED = 60, 20
@@ -114,6 +114,22 @@
         assert (made.acting, made.list_version) == ("safe", 0)
 
 
+def test_a_hollow_sidecar_opens_its_watch_anew_once_it_has_fallen_behind():
+    async def play():
+        registry = await Registry(current=True).start()
+        start = control.Start(0, 9, [registry.address], region="c")
+        made = HollowSidecar(asyncio.get_running_loop(), sidecar_config(7, start))
+        made.discovery.start()
+        await until(lambda: len(registry.watches) == 1)
+        made.ask_for_list()
+        await until(lambda: len(registry.watches) == 2)
+        made.discovery.close()
+        registry.stop()
+
+    with SourceLoopOf("127.0.0.9") as loop:
+        loop.run_until_complete(play())
+
+
 class SourceLoopOf:
     """A loop that is closed at the end."""
 
