--- a/tests/sidecar/test_wall_clock.py
+++ b/tests/sidecar/test_wall_clock.py
@@ -1,5 +1,6 @@
-"""A wall clock that is stepped while the sidecar runs: every deadline, window, wait and grace is a span of
-real time. What a clock that is wrong at the start means for servers' ages is in test_races_discovery."""
+"""A wall clock that is stepped while the sidecar runs: each deadline, window, wait and grace is real time.
+
+What a clock that is wrong at the start means for the ages of servers is in `test_start_times`."""
 
 from __future__ import annotations
 
@@ -43,20 +44,20 @@
     "gmtime",
 }
 STEPS_S = [5.0, -5.0, 3600.0, -3600.0]
-LATE_S = 0.5  # what a busy machine may add
+LATE_S = 0.5  # that a busy machine may add
 
 
 def test_the_wall_clock_is_read_once_at_the_start_and_nowhere_else():
-    met = []
+    uses = []
     for path in sorted(SIDECAR.rglob("*.py")):
         for node in ast.walk(ast.parse(path.read_text())):
             if isinstance(node, ast.ImportFrom) and node.module in ("time", "datetime"):
-                met += [(path.name, alias.name) for alias in node.names]
+                uses += [(path.name, alias.name) for alias in node.names]
             elif isinstance(node, ast.Attribute) and node.attr in WALL_CLOCK:
                 owner = node.value
                 if isinstance(owner, ast.Name) and owner.id in ("time", "datetime", "date"):
-                    met.append((path.name, node.attr))
-    assert met == [("clock.py", "time")]
+                    uses.append((path.name, node.attr))
+    assert uses == [("clock.py", "time")]
 
 
 @pytest.mark.parametrize("step_s", STEPS_S)
@@ -66,20 +67,20 @@
     with Faults() as faults:
         async with running(upstream) as sidecar:
             app = await App.connect(sidecar.address)
-            asked = loop.time()
+            sent = loop.time()
             app.send("POST", "/pay", X_Budget="600m")
             await until(lambda: upstream.seen)
             faults.step(step_s)
             answer = await app.answer()
             assert answer.start.split(" ")[1] == "504"
-            assert 0.5 <= loop.time() - asked <= 0.6 + LATE_S
+            assert 0.5 <= loop.time() - sent <= 0.6 + LATE_S
             app.close()
 
 
 @pytest.mark.parametrize("step_s", STEPS_S)
 @loopback
 async def test_the_window_of_a_key_is_a_span_of_real_time(step_s):
-    """A retry within it is written, though by the wall clock it has been over for long or is yet to begin."""
+    """A retry within it is written, though by the wall clock it is over or has not begun."""
     loop, sent_at = asyncio.get_running_loop(), []
     ends = []
 
@@ -106,13 +107,13 @@
 
 @pytest.mark.parametrize("step_s", STEPS_S)
 @loopback
-async def test_the_grace_of_a_server_that_drains_is_a_span_of_real_time(step_s):
+async def test_the_grace_of_a_draining_server_is_a_span_of_real_time(step_s):
     upstream = await Upstream([OK]).start()
-    module = Scripted(
+    balancer = Scripted(
         outcome=lambda now, number, hop, status, spent, last, report: [] if last else [Fail(number)]
     )
     with Faults() as faults:
-        async with running(upstream, balancer=module, Rules={"StopSendingWithin": 800.0}) as sidecar:
+        async with running(upstream, balancer=balancer, Rules={"StopSendingWithin": 800.0}) as sidecar:
             app = await App.connect(sidecar.address)
             row = entry("s0", upstream.address, status="leaving")
             sidecar.driver.endpoints_listed(
@@ -129,7 +130,7 @@
 @pytest.mark.parametrize("step_s", STEPS_S)
 @loopback
 async def test_a_watch_is_opened_anew_after_a_span_of_real_time(step_s):
-    """Beats that come in time keep it, whatever the wall clock does; discovery is asked once."""
+    """Heartbeats keep it open, whatever the wall clock does; discovery is called once."""
     registry = await Registry(current=True).start()
     with Faults() as faults:
         async with running(registry=registry) as sidecar:
