--- a/brassfall/sidecar/discovery/channel.py
+++ b/brassfall/sidecar/discovery/channel.py
@@ -10,6 +10,7 @@
 import contextlib
 import math
 from collections.abc import Callable
+from enum import Enum
 from http import HTTPStatus
 from typing import Protocol
 
@@ -74,6 +75,16 @@
     return stated if stated >= 0.0 else math.inf
 
 
+class End(Enum):
+    """How the answer to a call ended."""
+
+    NONE = "it goes on"
+    COMPLETE = "with its last byte"
+    CLOSED = "with the connection, which either side closed"
+    REJECTED = "since it is invalid, which is logged"
+    SILENT = "since nothing more came"
+
+
 class Channel(asyncio.Protocol):
     """One connection to discovery, with the one call that is made on it.
 
@@ -100,10 +111,8 @@
         self.accepted = False  # the call was accepted: the answer has status 200
         self.heard = False  # a complete line came: what discovery had then is notified
         self.updated = False  # a list, or a change of it, came
-        self.complete = False  # the answer is complete
-        self.malformed = False  # no valid list came, which is logged
-        self.silent = False  # the connection was given up since nothing more came
-        self.broken = self._loop.create_future()  # done when nothing more comes
+        self.end = End.NONE
+        self.ended = self._loop.create_future()  # done when nothing more comes
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Write the request."""
@@ -123,7 +132,7 @@
 
     def data_received(self, data: bytes) -> None:
         """Take a part of the answer; invalid HTTP, an invalid list or an error status ends the connection."""
-        if self.broken.done():
+        if self.ended.done():
             return
         self._unfinished += len(data)
         try:
@@ -138,8 +147,8 @@
         """Close after an invalid answer, and log it."""
         if not isinstance(cause, ImplausibleListError) or cause.first:
             log_failure(cause)
-        self.malformed = True
-        self.close()
+        self._finish(End.REJECTED)
+        self._transport.abort()
 
     def eof_received(self) -> bool:
         """Let the loop close the connection: the answer has ended."""
@@ -147,28 +156,32 @@
 
     def connection_lost(self, error: Exception | None) -> None:  # noqa: ARG002 - called by the loop
         """Take note that the connection is closed."""
-        self._done()
+        self._finish(End.CLOSED)
 
     async def wait_for_end(self) -> None:
-        """Wait until the connection has ended or fallen silent, as `silent` then tells.
+        """Wait until the answer has ended or the connection has fallen silent, as `end` then tells.
 
         Guards against a machine that is cut off: its connections stay open and silent. Cancelling leaves the
         connection as it is.
         """
         while (left := self.due_at - self._loop.time()) > CLOCK_STEP_S:
-            await asyncio.wait((self.broken,), timeout=left)
-            if self.broken.done():
-                break
-        self.silent = not self.broken.done()
+            await asyncio.wait((self.ended,), timeout=left)
+            if self.ended.done():
+                return
+        if not self.ended.done():
+            self.end = End.SILENT
 
     def close(self) -> None:
         """Close the connection at once: nothing more of the answer is read."""
         self._transport.abort()
-        self._done()
+        self._finish(End.CLOSED)
 
-    def _done(self) -> None:
-        if not self.broken.done():
-            self.broken.set_result(None)
+    def _finish(self, end: End) -> None:
+        """Read nothing more; the first end of an answer is the one that counts."""
+        if self.end is End.NONE:
+            self.end = end
+        if not self.ended.done():
+            self.ended.set_result(None)
 
     # --- called by the parser -----------------------------------------------
 
@@ -204,11 +217,10 @@
         self._buffer = bytearray()
         if self._object:
             self._deliver()  # incomplete: `on_line` raises what is wrong with it
-        self.complete = True
-        self._done()
+        self._finish(End.COMPLETE)
 
     def _take_line(self, line: bytearray) -> None:
-        if self.broken.done():
+        if self.ended.done():
             return
         text = line.strip()
         if text:
--- a/brassfall/sidecar/discovery/list_call.py
+++ b/brassfall/sidecar/discovery/list_call.py
@@ -12,6 +12,7 @@
     NOTIFIED_S,
     SPARE_S,
     Channel,
+    End,
     log_failure,
     open_channel,
 )
@@ -59,7 +60,7 @@
         try:
             update = self._read(channel, objects)
         except MALFORMED as error:
-            if channel is None or not channel.malformed:
+            if channel is None or channel.end is not End.REJECTED:
                 log_failure(error)
             self._route.failed(channel.retry_after if channel is not None else 0.0)
             self._notifier.failed()
@@ -85,14 +86,14 @@
         )
         if channel is not None:
             try:
-                await asyncio.wait((channel.broken,), timeout=max(0.0, until - self._loop.time()))
+                await asyncio.wait((channel.ended,), timeout=max(0.0, until - self._loop.time()))
             finally:
                 channel.close()
         return channel, objects
 
     def _read(self, channel: Channel | None, objects: list[bytes]) -> ServerList:
         """Return the list; raise one of `MALFORMED` if the call failed or the list is invalid."""
-        if channel is None or not channel.complete:
+        if channel is None or channel.end is not End.COMPLETE:
             message = "the call failed"
             raise ValueError(message)
         return self._current.read_complete(json.loads(b"".join(objects)))
--- a/brassfall/sidecar/discovery/watch_call.py
+++ b/brassfall/sidecar/discovery/watch_call.py
@@ -6,7 +6,7 @@
 
 from brassfall.balancer.model import ListForm
 from brassfall.sidecar.config_values import MALFORMED
-from brassfall.sidecar.discovery.channel import ImplausibleListError, open_channel
+from brassfall.sidecar.discovery.channel import End, ImplausibleListError, open_channel
 from brassfall.sidecar.discovery.current_list import CurrentList
 from brassfall.sidecar.discovery.interfaces import Route, WatchEnd
 from brassfall.sidecar.discovery.notifier import Notifier
@@ -42,7 +42,7 @@
             self._notifier.watch_closed()
         return WatchEnd(
             heard=channel.heard,
-            silent=channel.silent,
+            silent=channel.end is End.SILENT,
             heard_at=channel.heard_at,
             retry_after=channel.retry_after,
         )
