--- a/tests/sidecar/test_agent_rules.py
+++ b/tests/sidecar/test_agent_rules.py
@@ -312,7 +312,7 @@
         await side.acting(5)
         await side.ask()  # a connection is open
         driver, member = side.sidecar.driver, side.sidecar.member
-        step = driver._balancer.step
+        step = driver.balancer.step
 
         def stopped(now, event):
             """The permission ends between the decision and the send."""
@@ -322,7 +322,7 @@
             return actions
 
         side.rules.open.clear()
-        driver._balancer.step = stopped
+        driver.balancer.step = stopped
         assert (await side.ask()).body != b"done"
         assert (editions(east), editions(west)) == (["5"], [])
 
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -283,7 +283,7 @@
     configuration = told(upstreams, registry=registry.address, raw=raw, **settings)
     made = Sidecar(asyncio.get_running_loop(), configuration, balancer=balancer)
     if not registry.current:
-        made.discovery._called.set()  # this test's watches tell nothing before it has started
+        made.discovery.skip_first_call()  # this test's watches tell nothing before it has started
     made.address = await made.start()
     try:
         yield made
