--- a/brassfall/sidecar/clients/client_connection.py
+++ b/brassfall/sidecar/clients/client_connection.py
@@ -1,41 +1,47 @@
-"""One connection of a client: requests in, answers out in their order, and an end that loses neither.
+"""One connection of a client: requests in, answers out in the order of the requests.
 
-All runs on the event loop, without awaiting. Times of the sidecar's clock are in ms, the loop's in s."""
+`connection_state` has the states of a connection and says which may follow on which. The state decides what
+a connection does with input, whether it is idle and whether it may be evicted. `RequestParser` reads the
+requests, `AnswerQueue` writes the answers, `ConnectionTimeouts` limits the time of the client, and
+`ReadControl` pauses reading.
+
+All of it runs on the event loop, without awaiting. Times of the sidecar's clock are in ms, the loop's in s.
+"""
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
-import math
-from collections import deque
 from typing import Protocol
 
 from brassfall.sidecar import framing
 from brassfall.sidecar.body import MAX_BUFFERED, MAX_FLOWING, Body, Budget
+from brassfall.sidecar.clients.answer_queue import AnswerQueue
 from brassfall.sidecar.clients.client_request import ClientRequest, RequestHandler
+from brassfall.sidecar.clients.connection_state import (
+    ACCEPTS_INPUT,
+    BETWEEN_REQUESTS,
+    TRANSPORT_CLOSING,
+    ConnectionState,
+    checked_transition,
+)
+from brassfall.sidecar.clients.connection_timeouts import MAX_UNSENT, ConnectionTimeouts
 from brassfall.sidecar.clients.read_control import Hold, ReadControl
 from brassfall.sidecar.clients.request_message import BadRequestError, RequestMessage, Reservation
 from brassfall.sidecar.clients.request_parser import RequestParser
-from brassfall.sidecar.clients.streamed_answer import StreamedAnswer
 from brassfall.sidecar.core.clock import Clock
 
-MAX_WAITING = 16  # requests without an answer, past which no more are read
-MAX_UNSENT = 32 * 1024  # bytes of answers that wait to be sent, past which nothing is read
-UNREAD_S = 20.0  # a client that reads nothing of its answer for so long has left
-# A client that sends no complete request is owed an error or a close within 3 s of connecting; half a second
-# is left for a loop that lags.
-INCOMPLETE_S = 2.5
-BODY_BYTES_PER_S = 32_000  # half of what the slowest client gives: more time comes with each byte
-STOPPED_MS = 700.0  # a request of which nothing came for so long has been left incomplete
-NEW_MS = 100.0  # a connection that has just come is left alone for so long: its request follows
-LINGER_S = 1.0  # for a client to read its last answer, while it is still sending
-RECHECK_S = 0.05  # whether what came at the end of a client's time is a request
-CLOCK_STEP_S = 0.001
-RESUME_S = 0.1  # for a client to be read again, once a pause in reading is over
+MAX_PENDING = 16  # requests without an answer, past which no more are read
+JUST_OPENED_MS = 100.0  # from accept, in which the first request of a client is expected
+
+# Looked up once: access to an enum member by its class is slow in CPython 3.11.
+READING_REQUEST = ConnectionState.READING_REQUEST
+AWAITING_NEXT_REQUEST = ConnectionState.AWAITING_NEXT_REQUEST
+CLOSED = ConnectionState.CLOSED
 
 
 class Owner(Protocol):
-    """What a connection reports to, and asks."""
+    """The owner of the connections, which serves their requests."""
 
     loop: asyncio.AbstractEventLoop
     clock: Clock
@@ -44,130 +50,161 @@
 
     @property
     def closing(self) -> bool:
-        """Whether each answer is the last on its connection."""
+        """True if each answer is to be the last on its connection."""
 
     def opened(self, connection: ClientConnection) -> None:
-        """It is up."""
+        """Take note that the connection is up."""
 
-    def closed(self, connection: ClientConnection) -> None:
-        """It is gone."""
+    def closed(self, connection: ClientConnection, last_state: ConnectionState) -> None:
+        """Take note that the connection is gone; `last_state` is the one before `CLOSED`."""
 
     def serve(self, request: ClientRequest, message: RequestMessage, read_at: float) -> None:
-        """A request was read at `read_at`: complete, or a large one up to what is buffered."""
+        """Serve a request that was read at `read_at`, complete or as far as a large one is buffered."""
 
 
 class ClientConnection(framing.SharedBufferProtocol):
     """One connection of a client."""
 
     def __init__(self, owner: Owner) -> None:
-        """A connection that is not up yet."""
+        self.transport: asyncio.Transport
+        self.read_control = ReadControl(owner.loop, self._client_gone)
+        self.timeouts = ConnectionTimeouts(self, owner.loop, owner.clock)
+        self.read_at = 0.0  # time of the last bytes read
+        self.quiet_since = 0.0  # time of the opening, the last bytes read or the last answer
         self._owner = owner
+        self._state = ConnectionState.CONNECTING
         self._parser = RequestParser(self, owner.budget)
-        self.read_control = ReadControl(owner.loop, self._leave)
-        self.transport: asyncio.Transport
-        self._waiting: deque[ClientRequest] = deque()  # for their answers, in the order of the requests
-        self._large: ClientRequest | None = None  # whose body is being read
-        self._parsing = False
-        self._read_at = 0.0  # the last bytes
-        self._timeout_from = 0.0  # by the loop's time: when the connection, or a later request on it, began
-        self._paused_until_then_s = 0.0
-        self._timer: asyncio.TimerHandle | None = (
-            None  # for a request that is not complete, or the last answer
-        )
-        self._unread_timer: asyncio.TimerHandle | None = None  # for a client that reads no answer
-        self._rejected = False  # its last request was answered before its end, or was none
-        self._lost = False
-        self._answered = False
-        self.quiet_since = 0.0  # the last bytes read, answer given, or the opening
-
-    # --- what its owner asks --------------------------------------------------
+        self._answers = AnswerQueue(self, owner.budget, owner.handler)
+        self._large_request: ClientRequest | None = None  # whose body is being read
+        self._parsing = False  # while the parser reads bytes, answers wait
+
+    # --- state ------------------------------------------------------------------
+
+    @property
+    def state(self) -> ConnectionState:
+        """The state of the connection."""
+        return self._state
 
     @property
-    def requests_waiting(self) -> list[ClientRequest]:
+    def pending_requests(self) -> list[ClientRequest]:
         """The requests that have no complete answer yet, in their order."""
-        return list(self._waiting)
+        return list(self._answers.pending)
+
+    @property
+    def has_pending_requests(self) -> bool:
+        """True if a request has no complete answer yet."""
+        return bool(self._answers.pending)
+
+    @property
+    def incomplete_size(self) -> int:
+        """The size in bytes of what was read of the incomplete request; 0 without one."""
+        message = self._parser.message
+        return 0 if message is None else message.size
 
     @property
     def idle(self) -> bool:
-        """Whether it stands between requests, with nothing unread."""
-        parser = self._parser
-        quiet = not self._waiting and parser.message is None and not parser.stopped
-        return quiet and not self.readable
+        """True if no request is being read or answered and the socket buffer is empty."""
+        return self._state in BETWEEN_REQUESTS and not self._answers.pending and not self.readable
 
     @property
     def readable(self) -> bool:
-        """Whether something has come that is not read yet; looks at the socket."""
+        """True if the socket has unread bytes or the end of the stream; polls the socket."""
         return framing.readable(self.transport)
 
     @property
     def busy(self) -> bool:
-        """Whether it carries a request, or the rest of an answer."""
-        return bool(self._waiting) or self.transport.get_write_buffer_size() > 0
+        """True if a request is pending or a part of an answer is not sent."""
+        return bool(self._answers.pending) or self.transport.get_write_buffer_size() > 0
 
     @property
-    def resting(self) -> bool:
-        """Whether it had its answer, and nothing came since."""
-        return self._answered and self._parser.message is None
+    def just_opened(self) -> bool:
+        """True if the connection was accepted less than `JUST_OPENED_MS` ago and no request has begun."""
+        awaiting = self._state is ConnectionState.AWAITING_FIRST_REQUEST
+        return awaiting and self._owner.clock.now() - self.quiet_since < JUST_OPENED_MS
 
     @property
-    def begun(self) -> bool:
-        """Whether a part of a request has come."""
-        return self._parser.message is not None
+    def transferring(self) -> bool:
+        """True if a part of a request is still arriving, or a part of an answer not sent."""
+        if self.transport.get_write_buffer_size() > 0:
+            return True
+        if self._state is READING_REQUEST and not self.timeouts.client_stopped:
+            return True
+        return self._state in ACCEPTS_INPUT and self.readable
 
     @property
-    def new(self) -> bool:
-        """Whether it has only just come, and nothing on it yet."""
-        silent = not self._answered and self._parser.message is None
-        return silent and self._owner.clock.now() - self.quiet_since < NEW_MS
+    def ends_with_pending(self) -> bool:
+        """True if the connection is to end once all requests that were read are answered."""
+        return self._owner.closing and self._state is not READING_REQUEST
 
-    @property
-    def unfinished(self) -> bool:
-        """Whether a request is still coming here, or the rest of an answer still going."""
-        if self.transport.get_write_buffer_size() > 0:
-            return True
-        silent_ms = self._owner.clock.now() - self._read_at
-        sending = self._parser.message is not None and silent_ms < STOPPED_MS
-        return not self._parser.stopped and (sending or self.readable)
+    def _enter(self, state: ConnectionState) -> None:
+        """Change the state; raises `ConnectionStateError` if the present one does not allow it."""
+        self._state = checked_transition(self._state, state)
+        if state not in ACCEPTS_INPUT:
+            self._parser.stop()
+
+    # --- closing ------------------------------------------------------------------
 
     def close(self) -> None:
-        """Close it, between requests."""
-        self._parser.stopped = True
-        # The loop closes it a turn later: who looks before a send has to see it now, or what is sent
-        # meanwhile is taken and never answered. Where the client was first, there is nothing to tell.
-        with contextlib.suppress(OSError):
-            self.transport.write_eof()
+        """Close the connection. What is buffered of its answers is still sent."""
+        if self._state is not CLOSED:
+            self._begin_closing()
+            self._end_sending()
+            self.transport.close()
+
+    def evict(self) -> None:
+        """Close the connection to make room for another one; nothing may be pending on it."""
+        self._enter(ConnectionState.EVICTED)
+        self._end_sending()
         self.transport.close()
 
     def abort(self) -> None:
-        """Close it whatever it holds."""
-        if not self._lost:  # its transport is no more
+        """Close the connection at once, even with requests pending."""
+        if self._state is not CLOSED:
+            self._begin_closing()
             self.transport.abort()
 
+    def _begin_closing(self) -> None:
+        if self._state not in TRANSPORT_CLOSING:
+            self._enter(ConnectionState.CLOSING)
+
+    def _end_sending(self) -> None:
+        """Send the end of the stream in this turn of the loop.
+
+        `transport.close` does so a turn later. A client that looks at the socket before it sends a request
+        has to see the end by then, or the request would be lost.
+        """
+        with contextlib.suppress(OSError):  # the client has reset the connection
+            self.transport.write_eof()
+
     # --- called by the loop ---------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Called by the loop: the client has connected."""
+        """Take the transport: the client has connected. Called by the loop."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         transport.set_write_buffer_limits(MAX_UNSENT)
+        self._enter(ConnectionState.AWAITING_FIRST_REQUEST)
         self.read_control.connected(transport)
-        self._start_timeout()
+        self.timeouts.start_request()
         self._owner.opened(self)
 
     def data_received(self, data: bytes) -> None:
-        """Called by the loop: bytes of requests."""
-        if self._parser.stopped:
+        """Read requests from these bytes. Called by the loop."""
+        if self._state not in ACCEPTS_INPUT:
             return
-        self._read_at = self.quiet_since = self._owner.clock.now()
+        self.read_at = self.quiet_since = self._owner.clock.now()
         error = self._parse(data)
         if error is not None:
-            self._reject(error.status)
+            self.reject(error.status)
         self.flush()
         if len(data) < MAX_BUFFERED:
-            self.read_control.may_be_stale = False  # all of it is read now
+            self.read_control.may_be_stale = False  # nothing more was in the socket buffer
 
     def _parse(self, data: bytes) -> BadRequestError | None:
-        """Serve the requests in these bytes; what is wrong with them, if anything. Answers wait meanwhile."""
+        """Serve the requests in these bytes; return what is wrong with them, if anything.
+
+        Answers are written afterwards: more requests may follow in the same bytes.
+        """
         self._parsing = True
         try:
             self._parser.feed(data)
@@ -176,262 +213,205 @@
             return error
         finally:
             self._parsing = False
-        if self._parser.message is not None and self._timer is None:
-            self._start_timeout()
+        if self._state is READING_REQUEST:
+            self.timeouts.ensure_request()
         return None
 
     def pause_writing(self) -> None:
-        """Called by the loop: answers pile up unread. Guards against a peer that only asks and fills the
-        memory."""
-        self._expect_reading()
+        """Pause reading: the client does not read its answers. Called by the loop.
+
+        Guards the memory against a client that only sends requests.
+        """
+        self.timeouts.start_answer()
         self.read_control.hold(Hold.UNREAD_ANSWERS)
-        if self._waiting and self._waiting[0].stream is not None:
-            self._waiting[0].stream.flow.pause()
+        self._answers.pause_stream()
 
     def resume_writing(self) -> None:
-        """Called by the loop: the client has read on."""
-        if self._unread_timer is not None and not self.transport.is_closing():  # or else it has to end
-            self._unread_timer.cancel()
-            self._unread_timer = None
+        """Resume reading: the client has read its answers. Called by the loop."""
+        if not self.transport.is_closing():  # a closing connection keeps its limit
+            self.timeouts.stop_answer()
         self.read_control.release(Hold.UNREAD_ANSWERS)
-        if self._waiting and self._waiting[0].stream is not None:
-            self._waiting[0].stream.flow.resume()
+        self._answers.resume_stream()
 
     def eof_received(self) -> bool:
-        """Called by the loop: the client has closed."""
-        self._leave()
+        """Close the connection: the client has ended its sending. Called by the loop."""
+        self._client_gone()
         return False
 
     def connection_lost(self, _error: Exception | None) -> None:
-        """Called by the loop: the connection is gone."""
-        self._lost = True
-        self._stop_timeout()
+        """Release what the connection holds. Called by the loop."""
+        last_state = self._state
+        self._enter(CLOSED)
+        self.timeouts.stop()
         self.read_control.disconnected()
-        if self._unread_timer is not None:
-            self._unread_timer.cancel()
-        self._owner.closed(self)
-        self._forget_waiting()
-
-    def _expect_reading(self, left: float = math.inf) -> None:
-        """Give a client time to read, and more as long as it reads as much as is buffered here: the buffer
-        itself falls late, since the kernel takes more only when a large part of what it holds is read."""
-        unread = framing.unacknowledged(self.transport)
-        if unread <= left - MAX_UNSENT:
-            self._unread_timer = self._owner.loop.call_later(UNREAD_S, self._expect_reading, unread)
-        else:
-            self.abort()
+        self._owner.closed(self, last_state)
+        self._abandon_pending()
 
     # --- a body that flows (body.Source) --------------------------------------
 
     def pause(self) -> None:
-        """The body that comes is not taken so fast."""
+        """Stop reading: the body arrives faster than the server takes it."""
         self.read_control.hold(Hold.SLOW_SERVER)
 
     def resume(self) -> None:
-        """More of the body is taken."""
+        """Read on: the server takes more of the body."""
         self.read_control.release(Hold.SLOW_SERVER)
 
-    # --- a client that leaves -------------------------------------------------
+    # --- the client's end -----------------------------------------------------
 
     def leave_if_closed(self) -> bool:
-        """Leave if the client of a request just read is gone already; whether it is. The loop tells that in
-        time, but for what lay here before it was read, or came behind another request."""
-        stale = self.read_control.may_be_stale or len(self._waiting) > 1
+        """Close the connection if the client of a request just read has closed it; return whether it has.
+
+        Polls the socket only where the loop can't have reported the end yet: if the request may have waited
+        in the socket buffer, or came behind another one.
+        """
+        stale = self.read_control.may_be_stale or len(self._answers.pending) > 1
         if not stale or not framing.peer_closed(self.transport):
             return False
-        self._leave()
+        self._client_gone()
         return True
 
     def client_left(self) -> bool:
-        """Whether the client is gone by now; if so, the requests here are told of it in the next turn."""
-        if self._lost:
+        """Return whether the client has closed the connection; polls the socket.
+
+        If it has, the handler gets `client_gone` for each pending request in the next turn of the loop.
+        """
+        if self._state is CLOSED:
             return True
         gone = framing.peer_closed(self.transport)
-        if gone and not self._parser.stopped:
-            self._owner.loop.call_soon(self._leave_unless_lost)
+        if gone and self._state in ACCEPTS_INPUT:
+            self._owner.loop.call_soon(self._client_gone)
         return gone
 
-    def _leave_unless_lost(self) -> None:
-        if not self._lost:
-            self._leave()
-
-    def _leave(self) -> None:
-        """Its client is gone, though answers may still be on their way: nothing that waits is forwarded."""
-        self._parser.stopped = True
-        self._forget_waiting()
+    def _client_gone(self) -> None:
+        """Abandon the pending requests and close: the client has gone, or reads buffered answers at most."""
+        if self._state is CLOSED:
+            return
+        self._begin_closing()
+        self._abandon_pending()
         self.read_control.stop_looking()
         self.transport.close()
-        if self._unread_timer is None:
-            # It may have left a part of an answer unread, and never say so.
-            self._expect_reading()
-
-    def _forget_waiting(self) -> None:
-        """Nobody is there any more to read what was asked for here."""
-        waiting = list(self._waiting)
-        self._waiting.clear()
-        self._parser.stop()
-        self._large = None
-        for request in waiting:
-            request.reservation.release(self._owner.budget)
-            taken, request.request = request.request, None
-            if taken is not None:
-                self._owner.handler.client_gone(taken)
+        # The client may have left a part of an answer unread without ever closing its end.
+        self.timeouts.ensure_answer()
+
+    def _abandon_pending(self) -> None:
+        self._large_request = None
+        self._answers.abandon()
 
     # --- called by the parser (request_parser.Receiver) -----------------------
 
+    def request_begun(self) -> None:
+        """Take note that the first byte of a request was read."""
+        self._enter(READING_REQUEST)
+
     def head_read(self, message: RequestMessage) -> None:
-        """A client that asks before it sends its body is told, once its request is the first here."""
-        if self._waiting or message.continue_sent or self._parser.stopped:
+        """Answer `Expect: 100-continue` once all earlier requests are answered."""
+        if self._answers.pending or message.continue_sent or self._state not in ACCEPTS_INPUT:
             return
         if (message.header("expect") or "").lower() == "100-continue":
             message.continue_sent = True
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def large_body_begun(self, message: RequestMessage) -> Body:
-        """A request is too large to be buffered: what there is of it goes to a server now."""
+        """Serve a request that is too large to be buffered; return what takes the rest of its body."""
         length = message.header("content-length")
         body = Body(self, bytes(message.body), int(length) if length is not None else None)
         message.body.clear()
-        request = self._large = self._begin(message, keep_alive=True)
+        request = self._large_request = self._append_request(message, keep_alive=True)
         request.body = body
         body.on_gone = lambda: self._body_gone(request)
-        self._owner.serve(request, message, self._read_at)
+        self._owner.serve(request, message, self.read_at)
         return body
 
     def request_read(self, message: RequestMessage) -> None:
-        """The last byte of a request has been read."""
-        self._stop_timeout()
-        if self._large is not None:
-            self._end_large(self._large)
+        """Serve a request whose last byte has been read."""
+        self._enter(AWAITING_NEXT_REQUEST)
+        self.timeouts.stop_request()
+        if self._large_request is not None:
+            self._end_large_request(self._large_request)
             return
-        request = self._begin(message, keep_alive=self._parser.keep_alive)
-        self._owner.serve(request, message, self._read_at)
-        self._read_none_after(request)
-        if len(self._waiting) >= MAX_WAITING:
+        request = self._append_request(message, keep_alive=self._parser.keep_alive)
+        self._owner.serve(request, message, self.read_at)
+        self._stop_after_last(request)
+        if len(self._answers.pending) >= MAX_PENDING:
             self.read_control.hold(Hold.REQUESTS_WAIT)
 
-    def _begin(self, message: RequestMessage, *, keep_alive: bool) -> ClientRequest:
+    def _append_request(self, message: RequestMessage, *, keep_alive: bool) -> ClientRequest:
         request = ClientRequest(self, message.reservation, keep_alive=keep_alive)
         request.can_chunk = self._parser.can_chunk
-        self._waiting.append(request)
+        self._answers.append(request)
         return request
 
-    def _end_large(self, request: ClientRequest) -> None:
+    def _end_large_request(self, request: ClientRequest) -> None:
         assert request.body is not None
-        self._large = None
+        self._large_request = None
         request.keep_alive = request.keep_alive and self._parser.keep_alive
-        self._read_none_after(request)
+        self._stop_after_last(request)
         if request.last:
             self.read_control.hold(Hold.ENDED)
         request.body.end()
         if request.request is not None:
-            self._owner.handler.body_read(request.request, self._read_at)
+            self._owner.handler.body_read(request.request, self.read_at)
 
     def _body_gone(self, request: ClientRequest) -> None:
-        """More of its body has been forwarded than is buffered."""
         if request.request is not None:
             self._owner.handler.body_gone(request.request)
 
-    def _read_none_after(self, request: ClientRequest) -> None:
-        """Guards against a request that is forwarded behind an answer that ends the connection."""
-        if not request.keep_alive:
-            self._parser.stopped = True
+    def _stop_after_last(self, request: ClientRequest) -> None:
+        """Read no request behind one whose answer ends the connection."""
+        if not request.keep_alive and self._state in ACCEPTS_INPUT:
+            self._enter(ConnectionState.LAST_REQUEST_READ)
 
     # --- answers ----------------------------------------------------------------
 
     def reserve_stream(self, request: ClientRequest) -> None:
-        """An answer that is passed on takes its memory, at the cost of requests that come later."""
+        """Reserve the memory of an answer that is passed on, even past the limit of the budget."""
         self._owner.budget.used += MAX_FLOWING
         request.reservation.size += MAX_FLOWING
 
     def write(self, data: bytes) -> None:
-        """Write a part of an answer."""
+        """Write a part of an answer, unless the transport is closing."""
         if not self.transport.is_closing():
             self.transport.write(data)
 
     def flush(self) -> None:
-        """Write what answers there are, in the order of the requests; while what was read is parsed they
-        wait, since more requests may lie in it."""
-        if self._parsing:
+        """Write the answers that are there, in the order of the requests."""
+        if self._parsing or self._state is CLOSED:
             return
-        while self._waiting and not self._lost:
-            request = self._waiting[0]
-            if request.answer is None and request.stream is None:
-                return
-            if not self._write_answer(request):
+        pending = self._answers.pending
+        while pending:
+            request = self._answers.write_first()
+            if request is None:
                 return
-            self._waiting.popleft()
-            request.reservation.release(self._owner.budget)
-            if request.reading and request.request is not None:
-                # Guards against an attempt that waits for ever for the rest of a body.
-                self._owner.handler.client_gone(request.request)
-            request.request = None  # which names it as its call: a circle that only the collector would free
             if request.last:
                 self._end()
                 return
             self.quiet_since = self._owner.clock.now()
-            if len(self._waiting) == MAX_WAITING - 1:
+            if len(pending) == MAX_PENDING - 1:
                 self.read_control.release(Hold.REQUESTS_WAIT)
         message = self._parser.message
         if message is not None and message.head_complete:
             self.head_read(message)
 
-    def _write_answer(self, request: ClientRequest) -> bool:
-        """Write what there is of an answer, and whether it is the last one; whether that was all of it."""
-        self._answered = True
-        if request.stream is not None:
-            return self._write_stream(request, request.stream)
-        assert request.answer is not None
-        request.last = self._is_last(request)
-        status, headers, body = request.answer
-        self.transport.write(framing.answer(status, headers, body, close=request.last))
-        return True
-
-    def _write_stream(self, request: ClientRequest, stream: StreamedAnswer) -> bool:
-        """Write what there is of an answer that is passed on; whether that was all."""
-        if not stream.started:
-            request.last = self._is_last(request) or stream.until_close
-            stream.start(last=request.last)
-            if request.last and not request.reading:
-                self.read_control.hold(Hold.ENDED)
-            if self.read_control.holds(Hold.UNREAD_ANSWERS):
-                stream.flow.pause()
-            elif not stream.complete:
-                stream.flow.resume()
-        if stream.complete:
-            stream.end()
-        return stream.complete
-
-    def _is_last(self, request: ClientRequest) -> bool:
-        """Whether the answer to the first request ends the connection. Guards against a close with no answer
-        to what was read already; what lies unread then may come again on another connection."""
-        # An answer before the body's end leaves the rest unread: nothing can follow it.
-        if not request.keep_alive or request.reading:
-            return True
-        return self._owner.closing and len(self._waiting) == 1 and self._parser.message is None
-
-    # --- the end of the connection ----------------------------------------------
-
-    def _reject(self, status: int) -> None:
-        """Answer what can't be read on from; requests before it are answered first."""
-        if self._parser.stopped:
+    def reject(self, status: int) -> None:
+        """Answer input from which no request can be read; earlier requests are answered first."""
+        if self._state not in ACCEPTS_INPUT:
             return
-        sending = self._parser.stop() is not None
-        self._rejected = True
-        large, self._large = self._large, None
-        if sending and large is not None:
-            self._abandon_large(large, status)
+        self._enter(ConnectionState.REJECTED)
+        large, self._large_request = self._large_request, None
+        if large is not None:
+            self._reject_large_request(large, status)
             return
         request = ClientRequest(self, Reservation(), keep_alive=False)
-        self._waiting.append(request)
+        self._answers.append(request)
         request.finish(status, [], b"")
 
-    def _abandon_large(self, request: ClientRequest, status: int) -> None:
-        """A large request will never be complete: no server is to wait for the rest."""
+    def _reject_large_request(self, request: ClientRequest, status: int) -> None:
+        """End a large request that will not be complete: no server is to wait for the rest."""
         if request.request is not None:
             self._owner.handler.client_gone(request.request)
         if request.stream is not None:
-            self.abort()  # it was being answered already
+            self.abort()  # its answer had begun
             return
         request.keep_alive = False
         if request.answer is None:
@@ -439,70 +419,24 @@
         self.flush()
 
     def _end(self) -> None:
-        """Close after the last answer. Guards against a reset that takes the answer with it: a client that
-        is still sending has a while to read it. The rest of what was answered before its end is read and
-        dropped, or its client might go on writing; a request behind it is left unread, and may come again."""
-        self._parser.stopped = True
-        self._stop_timeout()
-        sending = self._parser.message is not None
-        if sending or self._rejected:
+        """Close after the last answer.
+
+        A client that is still sending gets time to read the answer, which a reset would destroy. The rest of
+        an incomplete or invalid request is read and dropped, or its client might block in sending. A request
+        behind the last one stays unread, so that the client may send it again.
+        """
+        self.timeouts.stop_request()
+        incomplete = self._state is READING_REQUEST
+        if incomplete or self._state is ConnectionState.REJECTED:
             self.read_control.release(Hold.SLOW_SERVER)
         else:
             self.read_control.hold(Hold.ENDED)
-        self._forget_waiting()  # an answer that only the end of the connection ends may have some behind it
-        if not sending and not self.readable:
+        # An answer that only the end of the connection delimits may have requests behind it.
+        self._abandon_pending()
+        if self._state in TRANSPORT_CLOSING or not (incomplete or self.readable):
+            self._begin_closing()
             self.transport.close()
             return
-        with contextlib.suppress(OSError):  # the client has reset it, as the loop will find in a turn
-            self.transport.write_eof()
-        self._timer = self._owner.loop.call_later(LINGER_S, self._stop_lingering)
-
-    def _stop_lingering(self) -> None:
-        """The client has had its time, unless it is still reading a long answer."""
-        if self.transport.get_write_buffer_size() > 0:
-            self._timer = self._owner.loop.call_later(LINGER_S, self._stop_lingering)
-        else:
-            self.transport.abort()
-
-    # --- requests that are not completed in time ----------------------------------
-
-    def _start_timeout(self) -> None:
-        self._timeout_from = self._owner.loop.time()
-        self._paused_until_then_s = self.read_control.paused_s
-        self._timer = self._owner.loop.call_later(INCOMPLETE_S, self._incomplete)
-
-    def _stop_timeout(self) -> None:
-        if self._timer is not None:
-            self._timer.cancel()
-            self._timer = None
-
-    def _complete_by(self) -> float:
-        """By when, in the loop's time, a complete request has to have come, by what has come. Time in which
-        nothing is read of the client is not its own."""
-        message = self._parser.message
-        begun = self._timeout_from + self.read_control.paused_s - self._paused_until_then_s
-        until = begun + INCOMPLETE_S
-        if message is not None:
-            more = message.size / BODY_BYTES_PER_S
-            if not self.readable:
-                # More time comes with each byte to a client that goes on sending, not to one that stopped.
-                heard_at = max(self._owner.clock.to_loop(self._read_at), self.read_control.resumed_at)
-                more = min(more, max(0.0, heard_at + STOPPED_MS / 1000.0 - until))
-            until += more
-        return until + RESUME_S if self.read_control.paused else until
-
-    def _incomplete(self) -> None:
-        """No complete request has come: one that was begun is told so, once its time is over."""
-        loop = self._owner.loop
-        until = self._complete_by()
-        if until > loop.time() + CLOCK_STEP_S:
-            self._timer = loop.call_at(until, self._incomplete)
-            return
-        self._timer = None
-        if self._parser.message is not None:
-            self._reject(408)
-        elif self.idle:
-            self.close()
-        elif not self._waiting and not self._parser.stopped:
-            # Something came just now: it may be a request, and may be more of nothing.
-            self._timer = loop.call_later(RECHECK_S, self._incomplete)
+        self._enter(ConnectionState.LINGERING)
+        self._end_sending()
+        self.timeouts.start_linger()
--- a/brassfall/sidecar/clients/client_request.py
+++ b/brassfall/sidecar/clients/client_request.py
@@ -1,4 +1,4 @@
-"""A client's request: what the driver needs to know of it, its form for a server, and its one answer."""
+"""A client's request: its properties for the driver, its bytes for a server, and its answer."""
 
 from __future__ import annotations
 
@@ -15,58 +15,59 @@
 
 
 class AnswerWriter(Protocol):
-    """The connection on which a request came, as its answer needs it."""
+    """The connection that a request came on and its answer goes to."""
 
     def flush(self) -> None:
-        """Write the answers whose turn it is."""
+        """Write the answers that are there, in the order of the requests."""
 
     def write(self, data: bytes) -> None:
         """Write a part of an answer."""
 
     def reserve_stream(self, request: ClientRequest) -> None:
-        """An answer begins that is passed on as it comes: count the memory that it takes."""
+        """Reserve the memory of an answer that is passed on."""
 
     def leave_if_closed(self) -> bool:
-        """Leave if the client of a request just read is gone already; whether it is."""
+        """Close if the client of a request just read has closed the connection; return whether it has."""
 
     def client_left(self) -> bool:
-        """Whether the client has closed; looks at the socket."""
+        """Return whether the client has closed the connection; polls the socket."""
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close the connection at once, even with requests pending."""
 
 
 class RequestHandler(Protocol):
-    """What requests are given to once they are checked: the driver."""
+    """The driver, which serves requests that have passed the checks."""
 
     def arrive(self, call: ClientRequest, now: float) -> Request | None:
-        """Take a request that was read at `now`; it gets one final answer."""
+        """Serve a request that was read at `now`, in ms; exactly one final answer follows."""
 
     def client_gone(self, request: Request) -> None:
-        """Its client has closed the connection."""
+        """Take note that the client has closed the connection, or that the body will not be complete."""
 
     def body_gone(self, request: Request) -> None:
-        """More of its body has been forwarded than is buffered."""
+        """Take note that more of the body was forwarded than is buffered: it can't be sent again."""
 
     def body_read(self, request: Request, now: float) -> None:
-        """The last byte of its body was read at `now`."""
+        """Take note that the last byte of the body was read at `now`, in ms."""
 
 
 class ClientRequest:
     """One request on a client's connection, and its answer once there is one.
 
-    The methods that name an outcome are the driver's: the first one called gives the final answer."""
+    Implements `core.interfaces.Call`. The first of the methods that answer gives the final answer.
+    """
 
     def __init__(self, connection: AnswerWriter, reservation: Reservation, *, keep_alive: bool) -> None:
-        """A request on `connection`, which may carry more after it if `keep_alive` says so."""
+        """Create a request on `connection`, which may carry more requests if `keep_alive`."""
         self.connection = connection
         self.keep_alive = keep_alive
-        self.last = False  # as its client was told with the head of an answer that is passed on
-        self.request: Request | None = None  # as the driver holds it, until it is answered
+        self.last = False  # whether the head of the answer announces the end of the connection
+        self.request: Request | None = None  # the driver's record of it, until it is answered
         self.answer: tuple[int, framing.Headers, bytes] | None = None
         self.stream: StreamedAnswer | None = None  # in place of a complete answer
         self.body: Body | None = None  # of a large request, in place of a buffered one
-        self.can_chunk = True  # whether its client knows chunks: not before HTTP/1.1
+        self.can_chunk = True  # whether its client understands chunked answers, as of HTTP/1.1
         self.reservation = reservation
         self.request_class = self.tenant = 0
         self.key: int | None = None
@@ -78,18 +79,21 @@
 
     @property
     def reading(self) -> bool:
-        """Whether its body is still coming."""
+        """True if the body is still arriving."""
         return self.body is not None and not self.body.complete
 
     def client_left(self) -> bool:
-        """Whether its client has closed the connection, though the loop may not have told so yet: it looks
-        at the socket. Nothing that has not begun may be begun then."""
+        """Return whether the client has closed the connection; polls the socket.
+
+        The loop may not have reported the end yet. No attempt may begin for such a client.
+        """
         return self.connection.client_left()
 
     def read(self, message: RequestMessage, names: Names, not_forwarded: frozenset[bytes]) -> None:
-        """Check a request for servers and take it in, without the headers that are `not_forwarded`.
+        """Check a request for servers and read its properties.
 
-        Raises `BadRequestError`, which says what is wrong with it."""
+        Headers in `not_forwarded` are left out. Raises `BadRequestError` with the answer to a bad request.
+        """
         request_class = request_checks.request_class(message, names)
         self.request_class = request_class.slot
         self.budget = request_checks.budget_ms(message)
@@ -103,7 +107,7 @@
         self.mutates = "Mutates=1" in (message.header("x-call-info") or "").split(",")
         self._body = b"" if self.body is not None else bytes(message.body)
         headers = framing.end_to_end(message.headers, not_forwarded)
-        # Guards against a body without a length, which a server would read as the next request.
+        # A server would read a body without a length as the next request.
         bare = message.method == "GET" and not self._body
         length = b"" if bare else b"Content-Length: %d\r\n" % len(self._body)
         if self.body is not None:
@@ -116,45 +120,47 @@
         )
 
     def wire(self, left: float) -> bytes:
-        """The request for a server that has `left` milliseconds; of a large one the head."""
+        """Return the request's bytes for a server that has `left` ms; of a large request the head."""
         return b"%bX-Budget: %du\r\n\r\n%b" % (self._head, max(0.0, left) * 1000.0, self._body)
 
-    # --- its final answer ---------------------------------------------------
+    # --- the final answer ---------------------------------------------------
 
     def served(self, answer: Answer) -> None:
-        """The final answer: a server's, its body unchanged."""
+        """Give a server's answer."""
         self.finish(200, answer.headers, answer.body)
 
     def refused(self, retry_after: float) -> None:
-        """The final answer: refused, with when to come again (in milliseconds) if that was said."""
+        """Reject the request, with a Retry-After of `retry_after` ms if that is positive."""
         wait = [(b"Retry-After", b"%.3f" % (retry_after / 1000.0))] if retry_after > 0.0 else []
         self.finish(503, wait, b"")
 
     def failed(self, *, late: bool) -> None:
-        """The final answer: failed, for want of time if `late`."""
+        """Fail the request, because its deadline is over if `late`."""
         self.finish(504 if late else 502, [], b"")
 
     def begun(self, answer: Answer, flow: Flow) -> None:
-        """The final answer: a server's, of which more is to come."""
+        """Begin to pass on a server's answer of which more is to come."""
         if self.answer is None and self.stream is None:
             self.stream = StreamedAnswer(self.connection.write, answer, flow, can_chunk=self.can_chunk)
             self.connection.reserve_stream(self)
             self.connection.flush()
 
     def more(self, data: bytes) -> None:
-        """A part of the answer that has begun."""
+        """Pass on a part of the answer that has begun."""
         if self.stream is not None:
             self.stream.add(data)
 
     def finished(self) -> None:
-        """The answer that has begun is complete."""
+        """End the answer that has begun: it is complete."""
         if self.stream is not None:
             self.stream.complete = True
             self.connection.flush()
 
     def broken(self) -> None:
-        """The answer that has begun can't be finished: its client can tell by the connection's end, which
-        comes too soon, or gets another answer where nothing of it was written."""
+        """End the answer that has begun and can't be completed.
+
+        Aborts the connection, by which the client can tell, or fails the request where nothing was written.
+        """
         if self.stream is None:
             return
         if self.stream.started:
@@ -164,7 +170,7 @@
             self.failed(late=False)
 
     def finish(self, status: int, headers: framing.Headers, body: bytes) -> None:
-        """Give the final answer, complete; without effect where there is one."""
+        """Give a complete final answer; without effect if there is one."""
         if self.answer is None and self.stream is None:
             self.answer = (status, headers, body)
             self.connection.flush()
--- a/brassfall/sidecar/clients/inbound.py
+++ b/brassfall/sidecar/clients/inbound.py
@@ -1,4 +1,4 @@
-"""The clients' side: accepts connections, bounds how many there are, and serves the requests on them."""
+"""The client side: accepts connections, bounds their number, and serves the requests on them."""
 
 from __future__ import annotations
 
@@ -8,7 +8,8 @@
 from brassfall.sidecar.body import Budget
 from brassfall.sidecar.clients.client_connection import ClientConnection
 from brassfall.sidecar.clients.client_request import ClientRequest, RequestHandler
-from brassfall.sidecar.clients.connection_limits import RESERVED, ConnectionLimits, by_least_progress
+from brassfall.sidecar.clients.connection_limits import RESERVED, ConnectionLimits, eviction_candidates
+from brassfall.sidecar.clients.connection_state import ConnectionState
 from brassfall.sidecar.clients.known_classes import KnownClasses
 from brassfall.sidecar.clients.listener import Listener, inherited_socket, listening_socket
 from brassfall.sidecar.clients.request_message import BadRequestError, RequestMessage
@@ -19,18 +20,17 @@
 
 READY_PATH = b"/health/ready"
 MEMORY_SHARE = 0.25  # of all memory, for the bytes of messages
-QUIET_MS = 1000.0  # a true sender's pieces come faster
-LOOK_PAUSE_MS = 20.0  # after a look through a crowd in which nothing gave way
-# Clients are sent away: new connections come for 0.3 s more, and 4 s after the call none may be idle.
-SENT_AWAY_S = 1.0
-SENT_AWAY_SWEEP_S = 0.1
+QUIET_MS = 1000.0  # longer than any pause between the pieces of a request that is being sent
+LOOK_PAUSE_MS = 20.0  # between two searches for a connection to evict, after one without success
+# In lame duck clients open connections for 0.3 s more, and 4 s after the command none may be idle.
+LAME_DUCK_DELAY_S = 1.0
+LAME_DUCK_SWEEP_S = 0.1
 NOT_FORWARDED = frozenset((b"x-budget",))
-# With a part in the configuration revisions: no client speaks for this sidecar.
-SIDECARS_OWN = frozenset((b"x-edition",))
+REVISION_HEADERS = frozenset((b"x-edition",))  # set by the sidecar alone, where it follows revisions
 
 
 class Inbound:
-    """The listening socket and its connections."""
+    """The listening socket and the connections of clients."""
 
     def __init__(
         self,
@@ -45,26 +45,30 @@
         self.clock = clock
         self.handler = handler
         self.budget = Budget(0)
+        self.classes = KnownClasses(loop, config.names)
+        self.listener: Listener | None = None
+        self._listens_alone = True  # no other process shares the listening socket
         self._lifecycle = lifecycle
         lifecycle.on_change(self._state_changed)
         self._sweep: asyncio.TimerHandle | None = None
-        self.classes = KnownClasses(loop, config.names)
-        self._not_forwarded = NOT_FORWARDED | (SIDECARS_OWN if config.agreement is not None else frozenset())
-        self._connections: dict[ClientConnection, None] = {}  # in the order in which they came
-        self._leaving: set[ClientConnection] = set()  # made to give way: the loop closes them a turn later
-        self._look_from = 0.0  # for one that may give way, short of the limit
+        self._not_forwarded = (
+            NOT_FORWARDED | REVISION_HEADERS if config.agreement is not None else NOT_FORWARDED
+        )
+        self._connections: dict[ClientConnection, None] = {}  # up and not lost, in the order of accept
+        self.open_connections = 0  # how many of them are not evicted
+        self._search_from = 0.0  # for a connection to evict, below the limit
+        self._last_answers = False
         self._machine_limits = config.limits
         self.limits: ConnectionLimits
         self.share(1.0)
-        self.listener: Listener | None = None
-        self._own = True  # the listening socket, which no other process has
-        self._ending = False
 
     def listen(self, address: Address, descriptor: int | None = None) -> Address:
-        """Accept connections from now on, on an inherited socket if there is one; where that is.
+        """Accept connections from now on; return the address.
 
-        Raises `OSError` if the address can't be had."""
-        self._own = descriptor is None
+        Listens on the inherited socket `descriptor` if there is one. Raises `OSError` if the address can't
+        be had.
+        """
+        self._listens_alone = descriptor is None
         sock = listening_socket(address) if descriptor is None else inherited_socket(descriptor)
         self.listener = Listener(
             self.loop, sock, lambda: ClientConnection(self), self._capacity, lambda: self.make_room(1)
@@ -72,73 +76,80 @@
         return self.listener.address
 
     def share(self, part: float) -> None:
-        """Hold no more than what a process with this part of all memory and descriptors may."""
+        """Set the limits for a process with this part (0 to 1) of all memory and descriptors."""
         self.limits = ConnectionLimits.of(self._machine_limits, part)
         self.budget.limit = int(self._machine_limits.memory * part * MEMORY_SHARE)
-        # Where the limit has fallen below what is here, each new connection would be one too many.
-        self.make_room(max(0, len(self._connections) - self.limits.high_water))
+        self.make_room(max(0, self.open_connections - self.limits.high_water))
 
     def reload(self, names: Names, deadline_ms: float = 0.0) -> None:
-        """Other classes hold; clients whose requests have this deadline use the earlier ones for a while."""
+        """Replace the names of request classes; earlier ones are known for a while.
+
+        `deadline_ms` is the longest deadline of the requests that may still use the earlier names.
+        """
         self.classes.replace(names, deadline_ms)
 
     @property
     def request_classes(self) -> set[int]:
-        """The classes that clients may name."""
+        """The slots of the classes that clients may name."""
         return self.classes.slots
 
-    # --- the end ------------------------------------------------------------------
+    # --- shutdown and lame duck ---------------------------------------------------
 
     def last_answers(self) -> None:
-        """Each answer from now on is the last on its connection."""
-        self._ending = True
+        """Make each answer from now on the last on its connection."""
+        self._last_answers = True
 
     def stop_listening(self) -> None:
-        """Take no new connection but those that the system has accepted for this process alone; each
-        answer from now on is the last on its own."""
+        """Stop accepting, and make each answer from now on the last on its connection.
+
+        Connections that the system has accepted are still taken, unless another process shares the listening
+        socket and takes them.
+        """
         self.last_answers()
         if self.listener is None:
             return
-        if self._own:
+        if self._listens_alone:
             self.listener.finish()
         else:
             self.listener.close()
 
     @property
     def closing(self) -> bool:
-        """Whether each answer is the last on its connection."""
-        return self._ending or self._lifecycle.lame_duck or len(self._connections) > self.limits.high_water
+        """True if each answer is the last on its connection."""
+        return (
+            self._last_answers or self._lifecycle.lame_duck or self.open_connections > self.limits.high_water
+        )
 
     def _state_changed(self) -> None:
         if self._sweep is not None:
             self._sweep.cancel()
             self._sweep = None
         if self._lifecycle.lame_duck:
-            self._sweep = self.loop.call_later(SENT_AWAY_S, self._send_away)
+            self._sweep = self.loop.call_later(LAME_DUCK_DELAY_S, self._sweep_idle)
 
-    def _send_away(self) -> None:
-        """Close what stands idle, as often as it takes until clients are to come again."""
-        self.close_idle(but_new=True)
-        self._sweep = self.loop.call_later(SENT_AWAY_SWEEP_S, self._send_away)
+    def _sweep_idle(self) -> None:
+        """Close idle connections, repeatedly until the end of lame duck."""
+        self.close_idle(keep_just_opened=True)
+        self._sweep = self.loop.call_later(LAME_DUCK_SWEEP_S, self._sweep_idle)
 
-    def close_idle(self, *, but_new: bool = False) -> None:
-        """Close what stands between requests, at will but for what has only just come."""
-        for connection in list(self._connections):
-            if not (but_new and connection.new) and connection.idle:
+    def close_idle(self, *, keep_just_opened: bool = False) -> None:
+        """Close idle connections, but on request not those that were just opened."""
+        for connection in self.connections:
+            if not (keep_just_opened and connection.just_opened) and connection.idle:
                 connection.close()
 
     @property
-    def unfinished(self) -> bool:
-        """Whether a connection or a request is still coming, or the rest of an answer still going."""
-        return self._accepting_rest or any(connection.unfinished for connection in self._connections)
+    def transferring(self) -> bool:
+        """True if connections are being accepted, or requests arriving, or answers not sent completely."""
+        return self._finishing_accept or any(connection.transferring for connection in self.connections)
 
     @property
     def empty(self) -> bool:
-        """Whether all connections are closed, those included that are only just accepted."""
-        return not (self._accepting_rest or self._connections or self._leaving or self._opening)
+        """True if no connection is open, being closed or being accepted."""
+        return not (self._finishing_accept or self._connections or self._opening)
 
     @property
-    def _accepting_rest(self) -> bool:
+    def _finishing_accept(self) -> bool:
         return self.listener is not None and self.listener.finishing
 
     @property
@@ -146,81 +157,89 @@
         return 0 if self.listener is None else self.listener.opening
 
     def close(self) -> None:
-        """Close all at the end."""
+        """Stop accepting and close all connections, even with requests pending."""
         if self.listener is not None:
             self.listener.close()
         self.classes.close()
         if self._sweep is not None:
             self._sweep.cancel()
-        for connection in (*self._connections, *self._leaving):
-            connection.close()  # seen at once, where nothing is left to be written
+        for connection in list(self._connections):
+            connection.close()  # sends the end of the stream where nothing is left to be written
             connection.abort()
 
-    # --- how many connections there are -------------------------------------------
+    # --- connections --------------------------------------------------------------
 
     @property
     def connections(self) -> list[ClientConnection]:
-        """The connections that are open, but for those that were made to give way."""
-        return list(self._connections)
+        """The connections that are open, without evicted ones, in the order of accept."""
+        return [c for c in self._connections if c.state is not ConnectionState.EVICTED]
 
     @property
     def busy_connections(self) -> int:
-        """How many of them carry a request, or the rest of an answer."""
+        """The number of connections with a pending request or an unsent part of an answer."""
         return sum(connection.busy for connection in self._connections)
 
     def opened(self, connection: ClientConnection) -> None:
-        """A new connection is up; in a crowd one that makes no progress gives way to it."""
+        """Take in a new connection; past the limits, one that makes no progress is evicted for it."""
         now = connection.quiet_since = self.clock.now()
-        if len(self._connections) >= self.limits.open:
-            self.make_room(max(1, self._opening))  # for those too that came with it: one look is dear
+        if self.open_connections >= self.limits.open:
+            # One search makes room for all that were accepted together: a search is expensive.
+            self.make_room(max(1, self._opening))
         elif (
-            len(self._connections) >= self.limits.high_water
-            and now >= self._look_from
+            self.open_connections >= self.limits.high_water
+            and now >= self._search_from
             and not self.make_room(1)
         ):
-            # Guards against a look for each of a crowd, of which none rests and none is quiet for long.
-            self._look_from = now + LOOK_PAUSE_MS
+            self._search_from = now + LOOK_PAUSE_MS
         self._connections[connection] = None
-        if len(self._connections) > self.limits.open:
-            self._part_with(connection)
+        self.open_connections += 1
+        if self.open_connections > self.limits.open:
+            self._evict(connection)
 
-    def closed(self, connection: ClientConnection) -> None:
-        """A connection is gone."""
-        self._connections.pop(connection, None)
-        self._leaving.discard(connection)
+    def closed(self, connection: ClientConnection, last_state: ConnectionState) -> None:
+        """Take out a connection that is gone."""
+        del self._connections[connection]
+        if last_state is not ConnectionState.EVICTED:
+            self.open_connections -= 1
 
     def _capacity(self) -> int:
-        """How many connections may be accepted now. Guards against a crowd that takes, for a turn or
-        two, the descriptors that are kept for discovery, or more than there may be."""
-        return self.limits.open + RESERVED - len(self._connections) - len(self._leaving)
+        """Return how many connections may be accepted now.
 
-    def _part_with(self, connection: ClientConnection) -> None:
-        """Close one that has to give way."""
-        del self._connections[connection]
-        self._leaving.add(connection)
-        connection.close()
+        Evicted connections count until the loop has closed them: `RESERVED` bounds how many descriptors a
+        burst of connections can take of those that discovery needs.
+        """
+        return self.limits.open + RESERVED - len(self._connections)
+
+    def _evict(self, connection: ClientConnection) -> None:
+        connection.evict()
+        self.open_connections -= 1
 
     def make_room(self, most: int) -> bool:
-        """Close at most so many connections, by least progress. Short of the limit they have some time.
-        Whether any was closed."""
-        full = len(self._connections) >= self.limits.open
+        """Evict at most this many connections, by least progress; return whether any was evicted.
+
+        Below the limit of open connections, only those are evicted that are idle or quiet for `QUIET_MS`.
+        """
+        full = self.open_connections >= self.limits.open
         quiet_since = self.clock.now() - (0.0 if full else QUIET_MS)
-        before = len(self._connections)
-        for connection in by_least_progress(self._connections, quiet_since):
-            if before - len(self._connections) == most:
+        before = self.open_connections
+        for connection in eviction_candidates(self._connections, quiet_since):
+            if before - self.open_connections == most:
                 break
             if not connection.readable:
-                self._part_with(connection)
-        return len(self._connections) < before
+                self._evict(connection)
+        return self.open_connections < before
 
-    # --- requests -------------------------------------------------------------------
+    # --- requests -----------------------------------------------------------------
 
     def serve(self, request: ClientRequest, message: RequestMessage, read_at: float) -> None:
-        """A request that was read at `read_at`, complete or large: it is answered here, or given on."""
+        """Answer a request that was read at `read_at` here, or give it to the handler.
+
+        The request is complete, or a large one of which the beginning has been read.
+        """
         message.target = framing.origin_form(message.target)
         if message.target.partition(b"?")[0] == READY_PATH:
             request.answer = (200 if self._lifecycle.ready else 503, [], b"")
-        elif len(self._connections) > self.limits.requests and self.busy_connections > self.limits.requests:
+        elif self.open_connections > self.limits.requests and self.busy_connections > self.limits.requests:
             request.refused(0.0)
         elif not request.connection.leave_if_closed():
             self._admit(request, message, read_at)
@@ -233,5 +252,5 @@
             request.answer = (error.status, [], text.encode())
             return
         taken = self.handler.arrive(request, read_at)
-        # One that was answered at once is over.
+        # A request that was answered at once is not pending.
         request.request = taken if request.answer is None else None
--- a/brassfall/sidecar/clients/known_classes.py
+++ b/brassfall/sidecar/clients/known_classes.py
@@ -1,4 +1,4 @@
-"""The names of request classes that clients may use: those that hold, and for a while earlier ones."""
+"""The names of request classes that clients may use: the present ones, and for a while earlier ones."""
 
 from __future__ import annotations
 
@@ -10,23 +10,26 @@
 from brassfall.sidecar.clients.request_message import BadRequestError, RequestMessage
 from brassfall.sidecar.config_values import Names
 
-# Clients use other classes 1.2 s after a reload, and come again until their time is over.
-LEARNED_S, KEEP_S = 1.2, 4.0
+LEARNED_S = 1.2  # from a reload, until clients know the new classes
+KEEP_S = 4.0  # from a reload, in which earlier names are known at least: clients may retry
 
 
 class KnownClasses:
-    """Checks requests against the names that hold now, and those that held lately."""
+    """The present and the recent names, against which requests are checked."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, names: Names) -> None:
-        """Begin with these names."""
+        """Start with these names."""
         self._loop = loop
         self._names = names
         self._earlier: deque[Names] = deque()  # newest first
         self._timers: list[asyncio.TimerHandle] = []
 
     def replace(self, names: Names, deadline_ms: float) -> None:
-        """Other names hold. Clients learn of them later: what they knew is served for a while, however often
-        others follow, and as long as one that began before, with that deadline, may come again."""
+        """Replace the present names, and keep the earlier ones for a while.
+
+        Clients learn of a reload later, and may retry a request with earlier names until its deadline of at
+        most `deadline_ms` is over. Each replacement has a time of its own.
+        """
         if names == self._names:
             return
         earlier, self._names = self._names, names
@@ -35,22 +38,25 @@
         self._timers.append(self._loop.call_later(keep_s, self.forget, earlier))
 
     def forget(self, names: Names) -> None:
-        """The time of these earlier names is over."""
+        """Forget earlier names whose time is over."""
         self._earlier.remove(names)
         self._timers = [timer for timer in self._timers if timer.when() > self._loop.time()]
 
     @property
     def known(self) -> list[Names]:
-        """All names that clients may use, newest first."""
+        """The names that clients may use, newest first."""
         return [self._names, *self._earlier]
 
     @property
     def slots(self) -> set[int]:
-        """The places in the settings of the classes that clients may name."""
+        """The slots in the settings of the classes that clients may name."""
         return {found.slot for names in self.known for found in names.classes.values()}
 
     def read(self, request: ClientRequest, message: RequestMessage, not_forwarded: frozenset[bytes]) -> None:
-        """Check a request and take it in; raises `BadRequestError` by the names that hold now."""
+        """Check a request and read its properties.
+
+        Raises the `BadRequestError` of the present names if no names that are known fit.
+        """
         try:
             request.read(message, self._names, not_forwarded)
         except BadRequestError:
@@ -61,6 +67,6 @@
             raise
 
     def close(self) -> None:
-        """Cancel its timers."""
+        """Cancel the timers."""
         for timer in self._timers:
             timer.cancel()
--- a/brassfall/sidecar/clients/listener.py
+++ b/brassfall/sidecar/clients/listener.py
@@ -1,4 +1,4 @@
-"""A listening socket whose accepting is bounded: by the batch, and by the descriptors there are."""
+"""A listening socket that accepts a bounded number of connections in a turn of the loop, and in all."""
 
 from __future__ import annotations
 
@@ -13,35 +13,33 @@
 from brassfall.sidecar.config_values import Address
 
 BACKLOG = 2048
-# asyncio's own server accepts as many as the backlog in one turn, and stands still for a second where
-# descriptors run out: both hold up all that is being served.
+# asyncio's own server accepts as many as the backlog in one turn, and pauses for a second where descriptors
+# run out: both would delay the requests on all connections.
 BATCH = 32
 EXHAUSTED_PAUSE_S = 0.02
-# Where the owner has no capacity for more: what it closes for them is closed within a turn or two.
-CAPACITY_PAUSE_S = 0.002
+CAPACITY_PAUSE_S = 0.002  # without capacity; evicted connections are closed within a turn or two
 # No descriptor or no memory for one more socket, in this process or in the system.
 EXHAUSTED = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
-# At the end the last connections are accepted for so long at most, where there is no room for them.
-FINISH_S = 3.0
-# A start waits for so long for the system to have room for a socket.
-START_S = 3.0
+FINISH_S = 3.0  # for the last connections to be accepted, where there is no capacity for them
+START_S = 3.0  # for the system to have a descriptor for a listening socket
 
 T = TypeVar("T")
 
 
 class AcceptOutcome(Enum):
-    """What one call of `accept` came to."""
+    """The outcome of one call of `accept`."""
 
     CONNECTION = auto()
     NONE_WAITS = auto()
-    BROKEN = auto()  # one that broke as it waited, or an interrupted call: others may wait behind it
-    EXHAUSTED = auto()  # there is no descriptor for one more, at this moment
+    BROKEN = auto()  # a connection that broke as it waited, or an interrupted call: others may wait
+    EXHAUSTED = auto()  # no descriptor for one more connection, at this moment
 
 
 async def retry_while_exhausted(listen: Callable[[], Awaitable[T]]) -> T:
-    """Begin to listen, again for up to `START_S` where the system has no room for a socket just then.
+    """Call `listen` until the system has a descriptor for a socket, for up to `START_S`; return its result.
 
-    Raises the last `OSError` after that, and every other one at once."""
+    Raises the last `OSError` after that time, and any other error at once. Cancelling ends the wait.
+    """
     loop = asyncio.get_running_loop()
     until = loop.time() + START_S
     while True:
@@ -54,7 +52,7 @@
 
 
 def listening_socket(address: Address, backlog: int = BACKLOG) -> socket.socket:
-    """A new socket that listens on an address; raises `OSError` if it can't be had."""
+    """Return a new socket that listens on an address; raises `OSError` if the address can't be had."""
     family = socket.AF_INET6 if ":" in address.host else socket.AF_INET
     sock = socket.socket(family, socket.SOCK_STREAM)
     try:
@@ -68,24 +66,27 @@
 
 
 def inherited_socket(descriptor: int) -> socket.socket:
-    """The socket that the platform holds and listens on; it is not bound, shut down or set up here.
+    """Return the listening socket that the platform has opened, without changing its options.
 
-    Raises `OSError` if the descriptor is no listening socket."""
+    Raises `OSError` if the descriptor is not a listening socket.
+    """
     try:
         sock = socket.socket(fileno=descriptor)
     except OSError as error:
-        raise OSError(f"NODE_INHERITED_FD: {descriptor} is no socket ({error.strerror})") from error
+        message = f"NODE_INHERITED_FD: {descriptor} is no socket ({error.strerror})"
+        raise OSError(message) from error
     try:
         listens = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
     except OSError:
         listens = 0
     if not listens or sock.type != socket.SOCK_STREAM:
-        raise OSError(f"NODE_INHERITED_FD: {descriptor} is not listening")
+        message = f"NODE_INHERITED_FD: {descriptor} is not listening"
+        raise OSError(message)
     return sock
 
 
 class Listener:
-    """Accepts connections on a socket that listens already."""
+    """A listening socket and the accepting of connections on it."""
 
     def __init__(
         self,
@@ -95,39 +96,41 @@
         capacity: Callable[[], int] = lambda: BATCH,
         on_exhausted: Callable[[], object] = lambda: None,
     ) -> None:
-        """Give each connection a protocol, as long as `capacity` says that its owner may have more.
+        """Accept connections on `sock`, and give each a protocol from `protocol_factory`.
 
-        `on_exhausted` is called where no descriptor is left, and may close some."""
+        `capacity` returns how many more connections the owner may have; those that are opening count in
+        addition. `on_exhausted` is called where no descriptor is left, and may close connections.
+        """
         self._loop = loop
         self._sock = sock
         self._protocol_factory = protocol_factory
         self._capacity = capacity
         self._on_exhausted = on_exhausted
-        self._opening: set[asyncio.Task[object]] = set()
+        self._opening: set[asyncio.Task[object]] = set()  # that create the transports; the loop keeps none
         self._pause_timer: asyncio.TimerHandle | None = None
-        self._was_exhausted = False  # as it last tried
+        self._was_exhausted = False  # at the last call of `accept`
         self._finish_by: float | None = None  # by the loop's time, once `finish` was called
         sock.setblocking(False)  # noqa: FBT003 - the standard library takes it so
         loop.add_reader(sock.fileno(), self._accept_batch)
 
     @property
     def address(self) -> Address:
-        """Where it listens."""
+        """The address that the socket listens on."""
         host, port = self._sock.getsockname()[:2]
         return Address(host, port)
 
     @property
     def open(self) -> bool:
-        """Whether it still accepts."""
+        """True if the socket is open."""
         return self._sock.fileno() >= 0
 
     @property
     def opening(self) -> int:
-        """How many connections were accepted of which its owner may not know yet."""
+        """The number of accepted connections that may not have called `connection_made` yet."""
         return len(self._opening)
 
     def close(self) -> None:
-        """Accept no more. An inherited socket stays open in the processes that share it."""
+        """Close the socket. An inherited one stays open in the processes that share it."""
         if self.open:
             self._loop.remove_reader(self._sock.fileno())
             self._sock.close()
@@ -135,11 +138,12 @@
             self._pause_timer.cancel()
 
     def finish(self) -> None:
-        """Accept what waits, and then no more. Guards against a reset of connections that clients
-        hold for open, and have sent on, and that only the system has accepted.
+        """Accept the connections that the system has completed, and then close.
 
-        Returns after the first look. Where accepting fails, or the owner may hold no more, it goes on by
-        itself, `finishing` meanwhile, and closes once nothing waits or `FINISH_S` is over."""
+        A close at once would reset connections on which clients may have sent requests. Returns after the
+        first try. Where accepting fails, or the owner has no capacity, accepting goes on in the background,
+        with `finishing` True, until no connection waits or `FINISH_S` is over.
+        """
         if self.open and not self.finishing:
             self._finish_by = self._loop.time() + FINISH_S
             self._loop.remove_reader(self._sock.fileno())
@@ -147,16 +151,16 @@
 
     @property
     def finishing(self) -> bool:
-        """Whether it still accepts what waited as `finish` was called."""
+        """True if connections are still being accepted after `finish`."""
         return self._finish_by is not None and self.open
 
     def pause(self, pause_s: float) -> None:
-        """Accept nothing for so long."""
+        """Accept nothing for this time, or until `resume`."""
         self._loop.remove_reader(self._sock.fileno())
         self._call_after(pause_s, self.resume)
 
     def resume(self) -> None:
-        """Accept again."""
+        """Accept again, unless `finish` was called."""
         if self.open and self._finish_by is None:
             self._loop.add_reader(self._sock.fileno(), self._accept_batch)
 
@@ -179,7 +183,7 @@
 
     @property
     def _remaining(self) -> int:
-        """How many may be accepted: those that the owner does not know yet count, too."""
+        """The number of connections that may be accepted now."""
         return self._capacity() - len(self._opening)
 
     def _accept_batch(self) -> None:
@@ -189,7 +193,8 @@
             if outcome is AcceptOutcome.NONE_WAITS:
                 return
             if outcome is AcceptOutcome.EXHAUSTED:
-                # The system says so before it looks whether one more waits: only the first surely does.
+                # The system reports this before it checks for a waiting connection: only on the first try
+                # one waits for certain.
                 if not tried:
                     self.pause(EXHAUSTED_PAUSE_S)
                     self._note_exhausted()
@@ -198,14 +203,13 @@
             self.pause(CAPACITY_PAUSE_S)
 
     def _note_exhausted(self) -> None:
-        """The owner makes room where there is none for a second time: what was short for a moment only
-        closes nobody's connection."""
+        """Call `on_exhausted` on the second failure in a row: a short lack is to close no connection."""
         if self._was_exhausted:
             self._on_exhausted()
         self._was_exhausted = True
 
     def _accept(self) -> AcceptOutcome:
-        """Accept one connection, if one waits and there is a descriptor for it."""
+        """Try to accept one connection, and return the outcome."""
         try:
             sock, _ = self._sock.accept()
         except BlockingIOError:
@@ -214,7 +218,7 @@
             return AcceptOutcome.EXHAUSTED if error.errno in EXHAUSTED else AcceptOutcome.BROKEN
         self._was_exhausted = False
         sock.setblocking(False)  # noqa: FBT003 - the standard library takes it so
-        # asyncio does so only where the listening socket was made with a protocol's number.
+        # asyncio does so only where the listening socket was created with a protocol number.
         with contextlib.suppress(OSError):
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         opening = self._loop.connect_accepted_socket(self._protocol_factory, sock)
@@ -231,4 +235,4 @@
     def _opened(self, task: asyncio.Task[object]) -> None:
         self._opening.discard(task)
         if not task.cancelled():
-            task.exception()  # looked at: a connection that broke at once is no fault
+            task.exception()  # retrieved, or asyncio would log it: the connection broke at once
--- a/brassfall/sidecar/clients/read_control.py
+++ b/brassfall/sidecar/clients/read_control.py
@@ -1,4 +1,4 @@
-"""Whether bytes of a client are read, and how its leaving is noticed while they are not."""
+"""Pauses in the reading of a client connection, and the look for its close during a pause."""
 
 from __future__ import annotations
 
@@ -8,27 +8,29 @@
 
 from brassfall.sidecar import framing
 
-# A client that closes has gone, and nothing may be begun for it 0.1 s later; while nothing is read of it,
-# only a look at the socket shows it.
+# No attempt may begin 0.1 s after its client has closed. While reading is paused, only a poll of the socket
+# shows the close.
 LOOK_S = 0.05
 
 
 class Hold(Enum):
-    """Why nothing is read of a client for now."""
+    """The reason for a pause in reading."""
 
-    UNREAD_ANSWERS = auto()  # its answers pile up
-    SLOW_SERVER = auto()  # its body comes faster than a server takes it
-    REQUESTS_WAIT = auto()  # many of its requests have no answer yet
-    ENDED = auto()  # it was told that its connection ends
+    UNREAD_ANSWERS = auto()  # the client does not read its answers
+    SLOW_SERVER = auto()  # the body arrives faster than a server takes it
+    REQUESTS_WAIT = auto()  # many requests of the client have no answer yet
+    ENDED = auto()  # the last answer has announced the end of the connection
 
 
 class ReadControl:
-    """Pauses the reading of one connection as long as there is a reason to, and looks for its close then."""
+    """Control of the reading of one connection.
+
+    Reading is paused as long as there is a reason to; during a pause the socket is polled for a close.
+    """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, on_closed: Callable[[], None]) -> None:
-        """Call `on_closed` once the client is seen to have closed while nothing is read."""
-        # Whether what is read next may have come long ago.
-        self.may_be_stale = True
+        """Call `on_closed` once the client has closed the connection during a pause."""
+        self.may_be_stale = True  # whether the next bytes may have waited in the socket buffer
         self.resumed_at = 0.0  # by the loop's time
         self._loop = loop
         self._on_closed = on_closed
@@ -39,26 +41,26 @@
         self._look: asyncio.TimerHandle | None = None
 
     def connected(self, transport: asyncio.Transport) -> None:
-        """The connection is up, and read."""
+        """Take the transport of a connection that is up and being read."""
         self._transport = transport
 
     @property
     def paused(self) -> bool:
-        """Whether nothing is read for now."""
+        """True if reading is paused."""
         return bool(self._holds)
 
     @property
     def paused_s(self) -> float:
-        """For how many seconds nothing was read, in all."""
+        """The sum of all pauses, in seconds."""
         now = self._loop.time() - self._paused_since if self._holds else 0.0
         return self._paused_before_s + now
 
     def holds(self, reason: Hold) -> bool:
-        """Whether this is one of the reasons why nothing is read."""
+        """Return whether reading is paused for this reason, perhaps among others."""
         return reason in self._holds
 
     def hold(self, reason: Hold) -> None:
-        """Read nothing until `release` is called with the same reason."""
+        """Pause reading until `release` is called with the same reason."""
         if self._transport is None or reason in self._holds:
             return
         if not self._holds:
@@ -68,7 +70,7 @@
         self._holds.add(reason)
 
     def release(self, reason: Hold) -> None:
-        """Read on, if this was the last reason not to."""
+        """Resume reading if this was the last reason for the pause."""
         if self._transport is None or reason not in self._holds:
             return
         self._holds.remove(reason)
@@ -80,7 +82,7 @@
             self._transport.resume_reading()
 
     def disconnected(self) -> None:
-        """The connection is gone: nothing is paused or looked for any more."""
+        """Drop the transport: the connection is gone."""
         self.stop_looking()
         self._transport = None
 
@@ -93,7 +95,7 @@
             self._look = self._loop.call_later(LOOK_S, self._look_for_close)
 
     def stop_looking(self) -> None:
-        """Look no more for the client's close: it is known, or does not matter."""
+        """Stop polling for the client's close: it is known, or reading goes on."""
         if self._look is not None:
             self._look.cancel()
             self._look = None
--- a/brassfall/sidecar/clients/request_checks.py
+++ b/brassfall/sidecar/clients/request_checks.py
@@ -1,6 +1,7 @@
-"""What the head of a client's request has to say before the request is admitted.
+"""Checks of the head of a client's request, before the request is admitted.
 
-Each check returns what it has read, or raises `BadRequestError` with the answer to give."""
+Each check returns the value that it has read, or raises `BadRequestError` with the answer to the request.
+"""
 
 from __future__ import annotations
 
@@ -16,11 +17,11 @@
 
 
 def request_class(message: RequestMessage, names: Names) -> RequestClass:
-    """The class, which the path and a header name alike; the method follows from it."""
+    """Return the class, which the path and `X-Call-Class` have to name alike, and which fixes the method."""
     path = message.target.partition(b"?")[0].decode("latin-1")
     first = path.split("/")[1] if path.startswith("/") else ""
     if first not in names.classes:
-        # With a class in the header it is a request for servers, though of no class there is.
+        # A request with the header is meant for servers, but its class does not exist.
         status = 400 if message.header("x-call-class") is not None else 404
         raise BadRequestError(status, "no such path")
     found = names.classes[first]
@@ -34,13 +35,13 @@
 
 
 def check_call_id(message: RequestMessage) -> None:
-    """The id of the request has to be printable, without blanks, of at most 128 characters."""
+    """Check that the id of the request has 1 to 128 printable characters and no blanks."""
     if not CALL_ID.fullmatch(message.required_header("x-call-id")):
         raise BadRequestError(400, "X-Call-Id: not an id")
 
 
 def budget_ms(message: RequestMessage) -> float:
-    """How long the client waits for its answer, in milliseconds: more than 0, at most an hour."""
+    """Return the time that the client waits for its answer, in ms: more than 0, at most an hour."""
     match = BUDGET.fullmatch(message.required_header("x-budget"))
     if match is None:
         raise BadRequestError(400, "X-Budget: not a time")
@@ -51,7 +52,7 @@
 
 
 def tenant(message: RequestMessage, names: Names) -> int:
-    """The index of the client's tenant, where the settings name any."""
+    """Return the index of the client's tenant."""
     found = names.tenants.get(message.required_header("x-caller"))
     if found is None:
         raise BadRequestError(400, "X-Caller: not known")
@@ -59,7 +60,7 @@
 
 
 def work_ms(message: RequestMessage) -> float | None:
-    """The work of the request in milliseconds, given in microseconds; None where nothing tells it."""
+    """Return the work of the request in ms; None without `X-Call-Cost`, which has it in microseconds."""
     text = message.header("x-call-cost")
     if text is None:
         return None
@@ -73,7 +74,7 @@
 
 
 def cookie(text: str, name: str) -> str | None:
-    """The value of one cookie in a `Cookie` header; None if it is missing."""
+    """Return the value of one cookie in a `Cookie` header; None if it is missing."""
     for pair in text.split(";"):
         key, found, value = pair.strip().partition("=")
         if found and key == name:
@@ -82,8 +83,10 @@
 
 
 def check_framing(message: RequestMessage, version: str, *, upgrade: bool) -> None:
-    """Guards against a body that would not be forwarded as it was meant: `version` is HTTP's, and `upgrade`
-    whether the request offers another protocol."""
+    """Check that the body will be forwarded as the client meant it.
+
+    `version` is the version of HTTP, and `upgrade` whether the request offers another protocol.
+    """
     if version not in ("1.0", "1.1"):
         raise BadRequestError(505, "HTTP/1.1 is spoken here")
     coding = message.header("transfer-encoding")
@@ -91,5 +94,5 @@
         raise BadRequestError(501, "Transfer-Encoding: only chunked")
     bare = coding is None and message.header("content-length") in (None, "0")
     if upgrade and not bare:
-        # The parser takes such a body for the other protocol's.
+        # The parser would read such a body as the other protocol's.
         raise BadRequestError(400, "Upgrade: not with a body")
--- a/brassfall/sidecar/clients/request_message.py
+++ b/brassfall/sidecar/clients/request_message.py
@@ -1,4 +1,4 @@
-"""A client's request as it is parsed: its head, its buffered body, and the memory that it takes."""
+"""A client's request while it is parsed: its head, its buffered body, and the memory that it takes."""
 
 from __future__ import annotations
 
@@ -9,7 +9,8 @@
 class BadRequestError(Exception):
     """A request that is answered here, with this status.
 
-    `status` is the HTTP status of the answer; the reason is one line of text for the client."""
+    `status` is the HTTP status of the answer; the reason is one line of text for the client.
+    """
 
     action = "the client has to mend its request as the answer says; 503 may be sent again"
 
@@ -20,20 +21,21 @@
 
 
 class Reservation:
-    """What one message takes of the memory for messages, in bytes."""
+    """The part of the memory budget that one message takes, in bytes."""
+
+    __slots__ = ("size",)
 
     def __init__(self) -> None:
-        """Nothing is reserved at first."""
         self.size = 0
 
     def grow(self, budget: Budget, size: int) -> bool:
-        """Reserve `size` bytes more; False, and nothing more reserved, if there is no room."""
+        """Reserve `size` bytes more; return False, without reserving any, if they are not free."""
         reserved = budget.reserve(size)
         self.size += size * reserved
         return reserved
 
     def release(self, budget: Budget) -> None:
-        """Free all of it: nothing of the message is in memory any more."""
+        """Free all bytes: the message is no longer in memory."""
         budget.release(self.size)
         self.size = 0
 
@@ -42,21 +44,20 @@
     """A request while it is read."""
 
     def __init__(self) -> None:
-        """An empty message, of which nothing has been read."""
         self.method = ""
         self.target = b""
         self.headers: Headers = []
-        self.body = bytearray()  # as long as it is buffered whole
-        self.flowing_body: Body | None = None  # of a large one, which is forwarded as it comes
-        self.size = 0  # bytes read of it, framing included
-        self.body_size = 0  # bytes read of its body
+        self.body = bytearray()  # of a request that is buffered completely
+        self.flowing_body: Body | None = None  # of a large request, which is forwarded as it comes
+        self.size = 0  # bytes read, framing included
+        self.body_size = 0  # bytes of the body read
         self.reservation = Reservation()
         self.head_complete = False
-        self.continue_sent = False  # its client was told to send the body
+        self.continue_sent = False  # "100 Continue" was sent
         self._values: dict[str, str] = {}
 
     def header(self, name: str) -> str | None:
-        """The value of a header, by its lower-case name; None if it is missing."""
+        """Return the value of a header, by its lower-case name; None if it is missing."""
         if not self._values:
             self._values = {
                 key.decode("latin-1").lower(): value.decode("latin-1") for key, value in self.headers
@@ -64,12 +65,15 @@
         return self._values.get(name)
 
     def required_header(self, name: str) -> str:
-        """The value of a header that has to be there once; raises `BadRequestError` otherwise."""
+        """Return the value of a header that has to be there exactly once.
+
+        Raises `BadRequestError` if it is missing or repeated: a server might read another one of repeated
+        values than this sidecar.
+        """
         value = self.header(name)
         if value is None:
             raise BadRequestError(400, f"{name}: missing")
-        # Guards against a server that goes by another of them than this sidecar.
-        repeated = len(self._values) < len(self.headers)  # some header is
+        repeated = len(self._values) < len(self.headers)  # at least one header is
         if repeated and sum(key.lower() == name.encode() for key, _ in self.headers) > 1:
             raise BadRequestError(400, f"{name}: more than once")
         return value
--- a/brassfall/sidecar/clients/request_parser.py
+++ b/brassfall/sidecar/clients/request_parser.py
@@ -1,4 +1,4 @@
-"""The parser of one client connection: bytes in, requests out, with bounds on what does not end."""
+"""The parser of one client connection: bytes in, requests out, within bounds on their size."""
 
 from __future__ import annotations
 
@@ -8,34 +8,39 @@
 
 from brassfall.sidecar import framing
 from brassfall.sidecar.body import MAX_BUFFERED, MAX_FLOWING, Body, Budget
+from brassfall.sidecar.clients.connection_state import ConnectionStateError
 from brassfall.sidecar.clients.request_checks import check_framing
 from brassfall.sidecar.clients.request_message import BadRequestError, RequestMessage
 
 BLANK = b"\r\n"
-# Of a request, beside eight bytes for each of its body.
+# Bytes of a request that are not its body, beside eight for each byte of the body.
+BODY_OVERHEAD = 8
 MAX_FRAMING = 2 * framing.MAX_HEAD + MAX_BUFFERED
 
 
 class Receiver(Protocol):
-    """The connection, which is told what was read."""
+    """The connection that gets the requests."""
+
+    def request_begun(self) -> None:
+        """Take note that the first byte of a request has been read."""
 
     def head_read(self, message: RequestMessage) -> None:
-        """The head of a request is complete."""
+        """Take note that the head of a request is complete."""
 
     def large_body_begun(self, message: RequestMessage) -> Body:
-        """A body is too large to be buffered; what takes the rest of it."""
+        """Serve a request whose body is too large to be buffered; return what takes the rest of it."""
 
     def request_read(self, message: RequestMessage) -> None:
-        """The last byte of a request has been read."""
+        """Serve a request whose last byte has been read."""
 
 
 class RequestParser:
     """Parses the requests on one connection, one after the other."""
 
     def __init__(self, receiver: Receiver, budget: Budget) -> None:
-        """Tell `receiver` of requests, and take the memory for their bodies out of `budget`."""
+        """Give requests to `receiver`, and reserve the memory for their bodies from `budget`."""
         self.message: RequestMessage | None = None  # that is being read
-        self.stopped = False  # nothing more is taken for a request
+        self._stopped = False
         self._receiver = receiver
         self._budget = budget
         self._parser = httptools.HttpRequestParser(self)
@@ -44,20 +49,21 @@
 
     @property
     def keep_alive(self) -> bool:
-        """Whether the connection may carry more after the request just read."""
+        """True if the connection may carry more requests after the one just read."""
         return self._parser.should_keep_alive()
 
     @property
     def can_chunk(self) -> bool:
-        """Whether the client of the request just read knows chunks."""
+        """True if the client of the request just read understands chunked answers."""
         return self._parser.get_http_version() != "1.0"
 
     def feed(self, data: bytes) -> None:
-        """Parse bytes; raises `BadRequestError` if they are no request, or too large a one.
+        """Parse bytes.
 
-        Guards against a second answer to a request that offers another protocol: it is served, or was
-        rejected, in this one, and what follows it is read in this one."""
-        while data and not self.stopped:
+        Raises `BadRequestError` if they are not a request, or part of one that is too large. An offer to
+        upgrade to another protocol is ignored: that request and those behind it are read as HTTP/1.1.
+        """
+        while data and not self._stopped:
             try:
                 self._parser.feed_data(data)
             except httptools.HttpParserUpgrade as error:
@@ -67,6 +73,8 @@
                 cause = error.__context__
                 if isinstance(cause, BadRequestError):
                     raise BadRequestError(cause.status, cause.reason) from error
+                if isinstance(cause, ConnectionStateError):
+                    raise cause from error
                 raise BadRequestError(400, "not a request") from error
             except httptools.HttpParserError as error:
                 raise BadRequestError(400, "not HTTP") from error
@@ -74,7 +82,10 @@
                 return
 
     def check_size(self, data: bytes) -> None:
-        """Count bytes that were fed; raises `BadRequestError` if an incomplete request has too many."""
+        """Count bytes that were fed.
+
+        Raises `BadRequestError` if an incomplete request, or the empty lines before one, have too many.
+        """
         message, count = self.message, len(data)
         if message is None:
             if data[0] in BLANK and not data.strip(BLANK):
@@ -83,47 +94,48 @@
                     raise BadRequestError(400, "too many empty lines")
             return
         message.size += count
-        if message.size - 8 * message.body_size > MAX_FRAMING:
+        if message.size - BODY_OVERHEAD * message.body_size > MAX_FRAMING:
             raise BadRequestError(413, "too much framing")
         if not message.head_complete:
             self._head_bytes += count
             if self._head_bytes > 2 * framing.MAX_HEAD:
                 raise BadRequestError(431, "headers too large")
 
-    def stop(self) -> RequestMessage | None:
-        """Take nothing more for a request; the message that was being read, whose memory is freed."""
-        self.stopped = True
+    def stop(self) -> None:
+        """Read no more requests, and drop an incomplete one."""
+        self._stopped = True
         message, self.message = self.message, None
         if message is not None:
             message.reservation.release(self._budget)
-        return message
 
     # --- called by httptools --------------------------------------------------
 
     def on_message_begin(self) -> None:
-        """Called by httptools: a request begins."""
+        """Begin a request. Called by httptools."""
+        if self._stopped:
+            return
         self.message = RequestMessage()
         self._head_bytes = self._blank_bytes = 0
+        self._receiver.request_begun()
 
     def on_url(self, target: bytes) -> None:
-        """Called by httptools, once or in parts."""
+        """Take the target, or a part of it. Called by httptools."""
         if self.message is not None:
             self.message.target += target
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Called by httptools, for trailers too."""
+        """Take a header. Called by httptools, for trailers too, which are dropped: they are not checked."""
         message = self.message
-        # Trailers are no part of the head: forwarded, they would stand as headers nobody checked.
         if message is None or message.head_complete:
             return
-        # httptools leaves the blanks that may follow a value.
+        # httptools leaves blanks behind a value.
         message.headers.append((name, value.rstrip(b" \t")))
         self._head_bytes += len(name) + len(value)
         if self._head_bytes > framing.MAX_HEAD:
             raise BadRequestError(431, "headers too large")
 
     def on_headers_complete(self) -> None:
-        """Called by httptools: the head is complete."""
+        """Check a complete head. Called by httptools."""
         message = self.message
         if message is None:
             return
@@ -136,9 +148,9 @@
         self._receiver.head_read(message)
 
     def on_body(self, data: bytes) -> None:
-        """Called by httptools: a part of the body."""
+        """Take a part of the body. Called by httptools."""
         message = self.message
-        if message is None or self.stopped:
+        if message is None or self._stopped:
             return
         message.body_size += len(data)
         if message.body_size > framing.MAX_BODY:
@@ -155,7 +167,7 @@
             message.flowing_body = self._receiver.large_body_begun(message)
 
     def on_message_complete(self) -> None:
-        """Called by httptools: the last byte of a request."""
+        """Give a complete request to the receiver. Called by httptools."""
         message, self.message = self.message, None
-        if message is not None and not self.stopped:
+        if message is not None and not self._stopped:
             self._receiver.request_read(message)
--- a/brassfall/sidecar/clients/streamed_answer.py
+++ b/brassfall/sidecar/clients/streamed_answer.py
@@ -1,4 +1,4 @@
-"""A large answer that is passed on to its client as it comes from a server."""
+"""A large answer that is passed on to its client as it arrives from a server."""
 
 from __future__ import annotations
 
@@ -9,22 +9,25 @@
 
 
 class StreamedAnswer:
-    """An answer of which the beginning is here, and the rest is to come."""
+    """An answer whose beginning has arrived, and the rest is to come."""
 
     def __init__(
         self, write: Callable[[bytes], None], answer: Answer, flow: Flow, *, can_chunk: bool
     ) -> None:
-        """Write `answer`, and what follows out of `flow`, to a client that `can_chunk` or knows no chunks."""
+        """Pass on `answer` with `write`, and pause and resume its server with `flow`.
+
+        `can_chunk` is whether the client understands chunked answers.
+        """
         self.flow = flow
-        self.started = False  # whether its head is written
-        self.complete = False  # whether its last part has come
+        self.started = False  # whether the head is written
+        self.complete = False  # whether the last part has arrived
         self._write = write
         self._answer = answer
         self._can_chunk = can_chunk
-        self._parts = [answer.body]  # that wait for their turn
+        self._parts = [answer.body]  # buffered until `start`
 
     def add(self, data: bytes) -> None:
-        """A part has come. Before its turn it is buffered, and the server's side is paused."""
+        """Write a part, or buffer it before `start` and pause the server."""
         if self.started:
             self._write(self._framed(data))
         else:
@@ -32,7 +35,10 @@
             self.flow.pause()
 
     def start(self, *, last: bool) -> None:
-        """It is its turn: write the head, which tells a `last` answer from others, and what there is."""
+        """Write the head and the parts that have arrived.
+
+        The head of the `last` answer announces the end of the connection.
+        """
         headers, length = list(self._answer.headers), self._answer.length
         if length is not None:
             headers.append((b"Content-Length", b"%d" % length))
@@ -46,13 +52,13 @@
         self._write(b"HTTP/1.1 200 OK\r\n%b\r\n%b" % (header_lines(headers), body))
 
     def end(self) -> None:
-        """Write what ends it, where its framing asks for something."""
+        """Write the end of a chunked answer."""
         if self._chunked:
             self._write(b"0\r\n\r\n")
 
     @property
     def until_close(self) -> bool:
-        """Whether only the end of the connection shows that it is complete."""
+        """True if only the end of the connection shows that the answer is complete."""
         return self._answer.length is None and not self._can_chunk
 
     @property
--- a/tests/sidecar/test_admin.py
+++ b/tests/sidecar/test_admin.py
@@ -129,7 +129,7 @@
 
 @loopback
 async def test_a_drain_sends_clients_away_and_serves_those_that_come(monkeypatch):
-    monkeypatch.setattr(inbound, "SENT_AWAY_S", 0.3)
+    monkeypatch.setattr(inbound, "LAME_DUCK_DELAY_S", 0.3)
     release = asyncio.Event()
 
     async def wait(reader, writer):
@@ -165,7 +165,7 @@
 
 @loopback
 async def test_a_rejoin_in_the_middle_keeps_connections(monkeypatch):
-    monkeypatch.setattr(inbound, "SENT_AWAY_S", 0.1)
+    monkeypatch.setattr(inbound, "LAME_DUCK_DELAY_S", 0.1)
     async with running(raw=ADMIN) as made:
         idle = await App.connect(made.address)
         await until(lambda: not made.inbound.empty)
--- a/tests/sidecar/test_large.py
+++ b/tests/sidecar/test_large.py
@@ -9,7 +9,8 @@
 
 from brassfall.balancer.model import Arrival, Fail, Outcome, Send, Timer
 from brassfall.sidecar import body, framing
-from brassfall.sidecar.clients import client_connection
+from brassfall.sidecar.clients import connection_timeouts
+from brassfall.sidecar.clients.connection_state import ConnectionState
 from brassfall.sidecar.clients.read_control import Hold
 from brassfall.sidecar.servers import server_connection
 from tests.support import loopback as partners
@@ -193,8 +194,8 @@
 
 @loopback
 async def test_a_client_that_stops_within_a_large_request_gets_an_error_and_frees_the_server(monkeypatch):
-    monkeypatch.setattr(client_connection, "INCOMPLETE_S", 0.1)
-    monkeypatch.setattr(client_connection, "BODY_BYTES_PER_S", 10_000_000)
+    monkeypatch.setattr(connection_timeouts, "INCOMPLETE_S", 0.1)
+    monkeypatch.setattr(connection_timeouts, "BODY_BYTES_PER_S", 10_000_000)
     upstream = await Server([OK]).start()
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
@@ -405,7 +406,7 @@
         )
         (connection,) = sidecar.inbound.connections
         buffered = connection.transport.get_write_buffer_size()
-        assert buffered <= client_connection.MAX_UNSENT + 2 * body.MAX_BUFFERED
+        assert buffered <= connection_timeouts.MAX_UNSENT + 2 * body.MAX_BUFFERED
         (server,) = sidecar.pool._connections
         assert not server._transport.is_reading()
         enough.set()
@@ -415,25 +416,44 @@
 
 @loopback
 async def test_a_slow_reader_is_given_the_end_though_it_has_sent_more(monkeypatch):
-    monkeypatch.setattr(client_connection, "LINGER_S", 0.05)
-    async with running() as sidecar:
+    monkeypatch.setattr(connection_timeouts, "LINGER_S", 0.1)
+    count, size = 12, 60_000  # more than the sockets hold
+    release = asyncio.Event()
+
+    async def last(reader, writer):
+        await release.wait()
+        return LENGTH % size + LARGE[:size]
+
+    upstream, slow = await Upstream([LENGTH % size + LARGE[:size]]).start(), await Upstream([last]).start()
+    module = Scripted(
+        request=lambda now, arrival: [Send(arrival.request, "s1" if arrival.request_class else "s0", 0.0)]
+    )
+    async with running(upstream, slow, balancer=module) as sidecar:
         app = await App.connect(sidecar.address)
         await until(lambda: sidecar.inbound.connections)
         (connection,) = sidecar.inbound.connections
         small_buffers(connection.transport, app.writer.transport)
-        connection.write(10 * LARGE)  # past what the sockets hold
+        app.writer.transport.pause_reading()
+        for _ in range(count - 1):
+            app.send(X_Budget="60000m")
+        app.send("POST", "/pay", X_Budget="60000m", Connection="close")
+        await until(lambda: slow.seen and len(connection.pending_requests) == 1)
+        assert connection.read_control.paused
         app.send()
         await until(lambda: connection.readable)
-        connection._end()
-        await asyncio.sleep(0.2)
-        async with asyncio.timeout(PATIENCE_S):
-            assert len(await app.reader.read()) == 10 * len(LARGE)
+        release.set()
+        await until(lambda: connection.state is ConnectionState.LINGERING)
+        await asyncio.sleep(0.3)
+        app.writer.transport.resume_reading()
+        for _ in range(count):
+            answer = await app.answer()
+            assert answer is not None and answer.body == LARGE[:size]
         await until(lambda: sidecar.inbound.empty)
 
 
 @loopback
 async def test_a_client_that_reads_nothing_is_closed(monkeypatch):
-    monkeypatch.setattr(client_connection, "UNREAD_S", 0.1)
+    monkeypatch.setattr(connection_timeouts, "UNREAD_S", 0.1)
 
     async def endless(reader, writer):
         writer.write(CHUNKED)
--- a/tests/sidecar/test_races_clients.py
+++ b/tests/sidecar/test_races_clients.py
@@ -11,7 +11,8 @@
 
 from brassfall.balancer.model import Refuse, Send, Timer
 from brassfall.sidecar import framing
-from brassfall.sidecar.clients import client_connection, read_control
+from brassfall.sidecar.clients import client_connection, connection_timeouts, read_control
+from brassfall.sidecar.clients.connection_state import ConnectionState
 from brassfall.sidecar.clients.read_control import Hold
 from tests.support import loopback as partners
 from tests.support import system_calls
@@ -171,7 +172,7 @@
 
 @loopback
 async def test_a_client_that_ends_its_sending_and_reads_nothing_is_let_go(monkeypatch):
-    monkeypatch.setattr(client_connection, "UNREAD_S", 0.1)
+    monkeypatch.setattr(connection_timeouts, "UNREAD_S", 0.1)
     async with running() as sidecar:
         app = await App.connect(sidecar.address)
         connection = await connection_of(sidecar)
@@ -310,7 +311,7 @@
         connection = await connection_of(sidecar)
         app.send("POST", "/pay", b"x")
         await until(lambda: module.named("request"))
-        (exchange,) = connection.requests_waiting
+        (exchange,) = connection.pending_requests
         assert not exchange.client_left()
         leave(app)
         if leave is not end_sending:
@@ -394,10 +395,10 @@
         (connection,) = sidecar.inbound.connections
         soft, sidecar.inbound.limits.requests = sidecar.inbound.limits.requests, 0
         app.send("POST", "/pay", b"refused")
-        await until(lambda: len(connection.requests_waiting) == 2)
+        await until(lambda: len(connection.pending_requests) == 2)
         sidecar.inbound.limits.requests = soft
         app.send()
-        await until(lambda: len(connection.requests_waiting) == 3)
+        await until(lambda: len(connection.pending_requests) == 3)
         release.set()
         answers = [await app.answer() for _ in range(3)]
         assert [status_of(answer) for answer in answers] == [200, 503, 200]
@@ -445,15 +446,15 @@
     async with running(upstream, balancer=module) as sidecar:
         app = await App.connect(sidecar.address)
         connection = await connection_of(sidecar)
-        for sent in range(1, client_connection.MAX_WAITING + 1):
+        for sent in range(1, client_connection.MAX_PENDING + 1):
             app.send(X_Budget="400m")
             await until(lambda sent=sent: len(module.named("request")) == sent)
         app.send()
         await until(lambda: connection.readable)
-        assert len(module.named("request")) == client_connection.MAX_WAITING
-        answers = [await app.answer() for _ in range(client_connection.MAX_WAITING)]
+        assert len(module.named("request")) == client_connection.MAX_PENDING
+        answers = [await app.answer() for _ in range(client_connection.MAX_PENDING)]
         assert {status_of(answer) for answer in answers} == {504}
-        await until(lambda: len(module.named("request")) == client_connection.MAX_WAITING + 1)
+        await until(lambda: len(module.named("request")) == client_connection.MAX_PENDING + 1)
         app.close()
         for writer in upstream.writers:
             writer.transport.abort()
@@ -493,7 +494,7 @@
 
 @loopback
 async def test_what_waits_behind_an_answer_that_the_end_of_its_connection_ends_is_not_awaited(monkeypatch):
-    monkeypatch.setattr(client_connection, "LINGER_S", 60.0)
+    monkeypatch.setattr(connection_timeouts, "LINGER_S", 60.0)
     first = asyncio.Event()
 
     async def till_end(reader, writer):
@@ -523,7 +524,7 @@
 
 @loopback
 async def test_no_attempt_waits_for_the_rest_of_a_body_that_was_answered(monkeypatch):
-    monkeypatch.setattr(client_connection, "LINGER_S", 0.05)
+    monkeypatch.setattr(connection_timeouts, "LINGER_S", 0.05)
 
     class ReadsOn(Upstream):
         async def _serve(self, reader, writer):
@@ -621,8 +622,8 @@
 @pytest.mark.parametrize("what", BAD)
 @loopback
 async def test_bad_input_is_answered_or_closed_and_reaches_no_server(monkeypatch, caplog, what):
-    monkeypatch.setattr(client_connection, "INCOMPLETE_S", 0.1)
-    monkeypatch.setattr(client_connection, "LINGER_S", 0.1)
+    monkeypatch.setattr(connection_timeouts, "INCOMPLETE_S", 0.1)
+    monkeypatch.setattr(connection_timeouts, "LINGER_S", 0.1)
     raw, status = BAD[what]
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
@@ -642,15 +643,15 @@
 
 
 @loopback
-async def test_a_peer_that_sent_something_at_the_end_of_its_time_is_closed_all_the_same():
+async def test_a_peer_that_sent_something_at_the_end_of_its_time_is_closed_all_the_same(monkeypatch):
     async with running() as sidecar:
         app = await App.connect(sidecar.address)
         connection = await connection_of(sidecar)
-        connection._stop_timeout()
-        connection._timeout_from -= client_connection.INCOMPLETE_S
+        connection.timeouts.stop_request()
+        monkeypatch.setattr(connection_timeouts, "INCOMPLETE_S", 0.0)
         app.writer.write(b"\r\n")
         assert connection.readable
-        connection._incomplete()
+        connection.timeouts.check_request()
         assert await app.answer() is None
         await nothing_left(sidecar)
 
@@ -691,8 +692,8 @@
 
 @loopback
 async def test_a_body_in_endless_chunks_that_drip_is_cut_off_and_frees_the_server(monkeypatch):
-    monkeypatch.setattr(client_connection, "INCOMPLETE_S", 0.2)
-    monkeypatch.setattr(client_connection, "BODY_BYTES_PER_S", 10_000_000)
+    monkeypatch.setattr(connection_timeouts, "INCOMPLETE_S", 0.2)
+    monkeypatch.setattr(connection_timeouts, "BODY_BYTES_PER_S", 10_000_000)
     module = Scripted()
     reads = asyncio.Event()
 
@@ -736,7 +737,7 @@
         await until(lambda: len(module.named("client_gone")) == len(module.named("request")))
         app.close()
         await nothing_left(sidecar)
-        assert len(module.named("request")) <= 1 + client_connection.MAX_WAITING
+        assert len(module.named("request")) <= 1 + client_connection.MAX_PENDING
 
 
 @loopback
@@ -754,36 +755,60 @@
 
 
 @loopback
-async def test_an_answer_ends_its_connection_though_the_client_has_just_reset_it():
-    async with running() as sidecar:
-        peer = socket.create_connection(sidecar.address)
+async def test_an_answer_ends_its_connection_though_the_client_has_just_reset_it(monkeypatch):
+    monkeypatch.setattr(read_control, "LOOK_S", 60.0)
+    release = asyncio.Event()
+
+    async def without_length(reader, writer):
+        writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+        writer.write(b"%x\r\n%b\r\n" % (len(LARGE), LARGE))
+        await release.wait()
+        return b"0\r\n\r\n"
+
+    upstream = await Upstream([without_length]).start()
+    async with running(upstream) as sidecar:
+        app = await App.connect(sidecar.address)
         connection = await connection_of(sidecar)
-        peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-        peer.close()
-        assert connection.readable  # the reset is here, and the loop has not got to it
-        connection._end()
+        # Without chunks, nothing is left to be written at the end of the answer.
+        app.writer.write(partners.request(X_Budget=LONG_BUDGET).replace(b"HTTP/1.1", b"HTTP/1.0"))
+        async with asyncio.timeout(PATIENCE_S):
+            await app.reader.readuntil(b"\r\n\r\n")
+            assert await app.reader.readexactly(len(LARGE)) == LARGE
+        (request,) = connection.pending_requests
+        reset(app)
+        await asyncio.sleep(0)
+        # The reset is here, and the loop has not reported it.
+        assert connection.readable and connection.state is ConnectionState.LAST_REQUEST_READ
+        request.finished()
+        assert connection.state is ConnectionState.LINGERING
+        release.set()
         await nothing_left(sidecar)
 
 
 @loopback
 async def test_the_time_in_which_nothing_is_read_of_a_client_is_not_its_own(monkeypatch):
-    monkeypatch.setattr(client_connection, "INCOMPLETE_S", 0.1)
+    monkeypatch.setattr(connection_timeouts, "INCOMPLETE_S", 0.3)
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
         connection = await connection_of(sidecar)
         small_buffers(connection.transport, app.writer.transport)
         app.writer.write(WHOLE[:-1])
-        await until(lambda: connection.begun)
+        await until(lambda: connection.state is ConnectionState.READING_REQUEST)
         app.writer.transport.pause_reading()
         connection.write(LARGE)  # of an answer before
         app.writer.write(WHOLE[-1:])
-        checked = connection._incomplete
-        late = asyncio.Event()
-        connection._incomplete = lambda: (checked(), late.set())
-        connection._stop_timeout()
-        connection._timer = asyncio.get_running_loop().call_later(0.15, connection._incomplete)
-        await late.wait()
+        checks, check = [], connection.timeouts.check_request
+        monkeypatch.setattr(
+            connection_timeouts.ConnectionTimeouts,
+            "check_request",
+            lambda timeouts: checks.append(check()),
+        )
+        connection.timeouts.stop_request()
+        connection.timeouts.start_request()
+        await asyncio.sleep(0.4)
+        assert checks and connection.read_control.paused
+        assert connection.state is ConnectionState.READING_REQUEST
         app.writer.transport.resume_reading()
         async with asyncio.timeout(PATIENCE_S):
             await app.reader.readexactly(len(LARGE))
@@ -794,7 +819,7 @@
 
 @loopback
 async def test_a_client_that_left_and_stops_reading_shortly_before_the_end_is_let_go(monkeypatch):
-    monkeypatch.setattr(client_connection, "UNREAD_S", 0.3)
+    monkeypatch.setattr(connection_timeouts, "UNREAD_S", 0.3)
     async with running() as sidecar:
         app = await App.connect(sidecar.address)
         connection = await connection_of(sidecar)
@@ -809,7 +834,7 @@
 
 @loopback
 async def test_a_client_that_reads_on_slowly_is_given_all_of_a_long_answer(monkeypatch):
-    monkeypatch.setattr(client_connection, "UNREAD_S", 0.3)
+    monkeypatch.setattr(connection_timeouts, "UNREAD_S", 0.3)
     async with running() as sidecar:
         app = await App.connect(sidecar.address)
         connection = await connection_of(sidecar)
--- a/tests/sidecar/test_races_shutdown.py
+++ b/tests/sidecar/test_races_shutdown.py
@@ -19,13 +19,14 @@
 
 from brassfall.balancer.model import Fail
 from brassfall.sidecar.clients import (
-    client_connection,
     client_request,
     connection_limits,
+    connection_timeouts,
     inbound,
     known_classes,
     listener,
 )
+from brassfall.sidecar.clients.connection_state import ConnectionState
 from brassfall.sidecar.config_values import parse_address
 from brassfall.sidecar.lifecycle import shutdown
 from brassfall.sidecar.lifecycle.sidecar import Sidecar
@@ -164,7 +165,14 @@
     async with running(upstream) as made:
         sock = connected(made.address, 1)[0]
         sock.sendall(request())
-        await until(lambda: upstream.seen and held(made) and held(made)[0].resting)
+        await until(
+            lambda: (
+                upstream.seen
+                and held(made)
+                and held(made)[0].state is ConnectionState.AWAITING_NEXT_REQUEST
+                and not held(made)[0].busy
+            )
+        )
         assert sock.recv(4096).endswith(b"done")
         made.inbound.make_room(1)
         # No turn of the loop: what is sent from now on, on a connection that looks open, is lost.
@@ -181,7 +189,7 @@
 @pytest.fixture
 def at_once(monkeypatch):
     """Nothing is waited for at the end."""
-    monkeypatch.setattr(shutdown, "STILL_LISTEN_S", 0.0)
+    monkeypatch.setattr(shutdown, "LISTEN_S", 0.0)
     monkeypatch.setattr(shutdown, "LAST_ANSWERS_S", 0.0)
 
 
@@ -237,7 +245,7 @@
 
 
 @loopback
-async def test_what_waits_for_room_at_the_end_is_accepted_once_there_is_some(at_once):
+async def test_what_waits_for_room_at_the_end_is_accepted_once_there_is_some(at_once, monkeypatch):
     release = asyncio.Event()
 
     async def wait(reader, writer):
@@ -246,7 +254,8 @@
 
     upstream = await Upstream([wait]).start()
     async with running(upstream) as made:
-        made.inbound.listener._capacity = lambda: 3 - len(held(made))
+        monkeypatch.setattr(inbound, "RESERVED", 0)
+        made.inbound.limits.open = 3
         made.inbound.listener.pause(PATIENCE_S)
         crossed = connected(made.address, 5)
         for sock in crossed:
@@ -306,7 +315,7 @@
 
 @loopback
 async def test_clients_are_told_of_the_end_with_an_answer_while_new_ones_are_still_taken(monkeypatch):
-    for name in ("STILL_LISTEN_S", "LAST_ANSWERS_S"):
+    for name in ("LISTEN_S", "LAST_ANSWERS_S"):
         monkeypatch.setattr(shutdown, name, PATIENCE_S)
     upstream = await Upstream([OK]).start()
     async with running(upstream) as made:
@@ -345,7 +354,7 @@
         (sock,) = connected(made.address, 1)
         await until(lambda: held(made))
         made.inbound.stop_listening()
-        made.inbound.close_idle(but_new=True)
+        made.inbound.close_idle(keep_just_opened=True)
         sock.sendall(request())
         assert (await answer_to(sock)).body == b"done"
         assert made.inbound.empty
@@ -354,13 +363,13 @@
 @loopback
 async def test_nothing_is_read_any_more_after_the_last_look_at_the_end(at_once, monkeypatch):
     # What comes between the two, while the list service is told of the end, was taken and cut off.
-    monkeypatch.setattr(shutdown, "LAST_BYTES_S", 0.0)
-    monkeypatch.setattr(client_connection, "STOPPED_MS", 0.0)
+    monkeypatch.setattr(shutdown, "QUIET_S", 0.0)
+    monkeypatch.setattr(connection_timeouts, "STOPPED_MS", 0.0)
     upstream = await Upstream([OK]).start()
     async with running(upstream) as made:
         (sock,) = connected(made.address, 1)
         sock.sendall(request()[:-2])
-        await until(lambda: held(made) and held(made)[0].begun)
+        await until(lambda: held(made) and held(made)[0].state is ConnectionState.READING_REQUEST)
         await made.drain()
         assert closed(sock)
         with contextlib.suppress(OSError):
@@ -378,7 +387,7 @@
         await until(lambda: held(made))
 
         def gone():
-            made.inbound.close_idle(but_new=True)
+            made.inbound.close_idle(keep_just_opened=True)
             return made.inbound.empty
 
         await until(gone)
@@ -570,10 +579,9 @@
     rows = [{"Name": "look", "Semantics": "pure", "Objective": 200.0, "Deadline": 9000.0}]
     async with running(Profiles=rows) as made:
         waits = []
-        later = made._loop.call_later
-        monkeypatch.setattr(
-            made._loop, "call_later", lambda wait, *rest: waits.append(wait) or later(wait, *rest)
-        )
+        loop = asyncio.get_running_loop()
+        later = loop.call_later
+        monkeypatch.setattr(loop, "call_later", lambda wait, *rest: waits.append(wait) or later(wait, *rest))
         made.adopt(told(Profiles=[{**rows[0], "Name": "view", "Deadline": 100.0}]))
         assert 10.2 in [pytest.approx(wait) for wait in waits]
         waits.clear()
@@ -591,7 +599,7 @@
         made.adopt(with_deadline("view", 400.0))
         until_ms = []
         made.driver.stopping = until_ms.append
-        now = made._clock.now()
+        now = made.inbound.clock.now()
         await made.drain()
         assert until_ms[0] - now == pytest.approx(400.0 + shutdown.ANSWERED_MS, abs=100.0)
 
--- a/tests/sidecar/test_requests.py
+++ b/tests/sidecar/test_requests.py
@@ -10,7 +10,8 @@
 
 from brassfall.balancer.model import Fail, Refuse, Timer
 from brassfall.sidecar import config_values, framing
-from brassfall.sidecar.clients import client_connection, inbound, request_parser
+from brassfall.sidecar.clients import connection_timeouts, inbound, request_parser
+from brassfall.sidecar.clients.connection_state import ConnectionState
 from brassfall.sidecar.core.clock import Clock
 from brassfall.sidecar.discovery import endpoint_list
 from tests.support import loopback as partners
@@ -34,6 +35,11 @@
     return int(answer.start.split(" ")[1])
 
 
+def reading_requests(sidecar):
+    """The number of connections on which a request is being read."""
+    return sum(c.state is ConnectionState.READING_REQUEST for c in sidecar.inbound.connections)
+
+
 # --- one clock, ids ---------------------------------------------------------------
 
 
@@ -241,7 +247,7 @@
 
 @loopback
 async def test_a_half_sent_request_does_not_stay_for_ever(monkeypatch):
-    monkeypatch.setattr(client_connection, "INCOMPLETE_S", 0.05)
+    monkeypatch.setattr(connection_timeouts, "INCOMPLETE_S", 0.05)
     module = Scripted()
     async with running(balancer=module) as sidecar:
         app = await App.connect(sidecar.address)
@@ -288,8 +294,8 @@
 
 @loopback
 async def test_a_peer_that_sends_nothing_is_closed_in_time(monkeypatch):
-    assert client_connection.INCOMPLETE_S < 3.0
-    monkeypatch.setattr(client_connection, "INCOMPLETE_S", 0.05)
+    assert connection_timeouts.INCOMPLETE_S < 3.0
+    monkeypatch.setattr(connection_timeouts, "INCOMPLETE_S", 0.05)
     async with running() as sidecar:
         app = await App.connect(sidecar.address)
         assert await app.answer() is None
@@ -298,7 +304,7 @@
 
 @loopback
 async def test_a_peer_that_trickles_its_first_request_gains_no_time_by_it(monkeypatch):
-    monkeypatch.setattr(client_connection, "INCOMPLETE_S", 0.3)
+    monkeypatch.setattr(connection_timeouts, "INCOMPLETE_S", 0.3)
     async with running() as sidecar:
         app = await App.connect(sidecar.address)
 
@@ -314,8 +320,8 @@
 
 @loopback
 async def test_a_body_that_goes_on_coming_has_more_time(monkeypatch):
-    monkeypatch.setattr(client_connection, "INCOMPLETE_S", 0.1)
-    monkeypatch.setattr(client_connection, "BODY_BYTES_PER_S", 100)
+    monkeypatch.setattr(connection_timeouts, "INCOMPLETE_S", 0.1)
+    monkeypatch.setattr(connection_timeouts, "BODY_BYTES_PER_S", 100)
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
@@ -344,14 +350,14 @@
 
 @loopback
 async def test_a_client_whose_body_was_not_read_for_long_has_time_to_go_on(monkeypatch):
-    monkeypatch.setattr(client_connection, "INCOMPLETE_S", 0.1)
-    monkeypatch.setattr(client_connection, "STOPPED_MS", 200.0)
+    monkeypatch.setattr(connection_timeouts, "INCOMPLETE_S", 0.1)
+    monkeypatch.setattr(connection_timeouts, "STOPPED_MS", 200.0)
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
         whole = partners.request("POST", "/pay", b"x" * 60_000)
         app.writer.write(whole[:-1])
-        await until(lambda: any(c.begun for c in sidecar.inbound.connections))
+        await until(lambda: reading_requests(sidecar))
         (connection,) = sidecar.inbound.connections
         connection.pause()
         await asyncio.sleep(0.5)  # as long as a server takes nothing, say
@@ -454,7 +460,7 @@
         whole = partners.request("POST", "/pay", b"hello")
         begun.writer.write(whole[:-1])
         await until(lambda: sidecar.inbound.busy_connections == 1)
-        await until(lambda: sum(c.begun for c in sidecar.inbound.connections) == 1)
+        await until(lambda: reading_requests(sidecar) == 1)
         answer = await idle.ask("GET", "/health/ready", X_Call_Class=None)
         assert answer.headers.get("connection") is None
         sidecar.inbound.limits.high_water = 1
@@ -519,7 +525,7 @@
 
 @loopback
 async def test_a_stop_waits_for_a_request_that_is_still_coming_and_answers_it_in_time(monkeypatch):
-    monkeypatch.setattr("brassfall.sidecar.lifecycle.shutdown.LAST_BYTES_S", 0.0)
+    monkeypatch.setattr("brassfall.sidecar.lifecycle.shutdown.QUIET_S", 0.0)
 
     async def never(reader, writer):
         await reader.read()
@@ -551,8 +557,8 @@
 
 @loopback
 async def test_a_stop_ends_no_connection_under_a_request_that_was_read_late(monkeypatch):
-    monkeypatch.setattr("brassfall.sidecar.lifecycle.shutdown.LAST_BYTES_S", 0.2)
-    monkeypatch.setattr(client_connection, "STOPPED_MS", 0.0)
+    monkeypatch.setattr("brassfall.sidecar.lifecycle.shutdown.QUIET_S", 0.2)
+    monkeypatch.setattr(connection_timeouts, "STOPPED_MS", 0.0)
     release = asyncio.Event()
 
     async def wait(reader, writer):
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -151,6 +151,11 @@
     "brassfall.sidecar.clients.client_connection",
     "brassfall.sidecar.clients.client_request",
 )
+ANSWER_QUEUE = "brassfall.sidecar.clients.answer_queue"
+CONNECTION_STATE, CONNECTION_TIMEOUTS = (
+    "brassfall.sidecar.clients.connection_state",
+    "brassfall.sidecar.clients.connection_timeouts",
+)
 CONNECTION_LIMITS, KNOWN_CLASSES = (
     "brassfall.sidecar.clients.connection_limits",
     "brassfall.sidecar.clients.known_classes",
@@ -236,27 +241,35 @@
         ),
         ("clients/request_message.py", {BODY, FRAMING}),
         ("clients/request_checks.py", {REQUEST_MESSAGE, VALUES}),
-        ("clients/request_parser.py", {BODY, FRAMING, REQUEST_CHECKS, REQUEST_MESSAGE}),
+        (
+            "clients/request_parser.py",
+            {BODY, CONNECTION_STATE, FRAMING, REQUEST_CHECKS, REQUEST_MESSAGE},
+        ),
         ("clients/streamed_answer.py", {INTERFACES, FRAMING}),
         (
             "clients/client_request.py",
             {ATTEMPTS, BODY, VALUES, INTERFACES, FRAMING, REQUEST_CHECKS, REQUEST_MESSAGE, STREAMED_ANSWER},
         ),
         ("clients/read_control.py", {FRAMING}),
+        ("clients/connection_state.py", set()),
+        ("clients/connection_timeouts.py", {CLOCK, CONNECTION_STATE, FRAMING, READ_CONTROL}),
+        ("clients/answer_queue.py", {BODY, CLIENT_REQUEST, FRAMING, READ_CONTROL, STREAMED_ANSWER}),
         (
             "clients/client_connection.py",
             {
+                ANSWER_QUEUE,
                 BODY,
                 CLIENT_REQUEST,
                 CLOCK,
+                CONNECTION_STATE,
+                CONNECTION_TIMEOUTS,
                 FRAMING,
                 READ_CONTROL,
                 REQUEST_MESSAGE,
                 REQUEST_PARSER,
-                STREAMED_ANSWER,
             },
         ),
-        ("clients/connection_limits.py", {CLIENT_CONNECTION, CONFIG}),
+        ("clients/connection_limits.py", {CLIENT_CONNECTION, CONFIG, CONNECTION_STATE}),
         ("clients/known_classes.py", {CLIENT_REQUEST, REQUEST_MESSAGE, VALUES}),
         (
             "clients/inbound.py",
@@ -266,6 +279,7 @@
                 CLIENT_REQUEST,
                 CONFIG,
                 CONNECTION_LIMITS,
+                CONNECTION_STATE,
                 CLOCK,
                 FRAMING,
                 KNOWN_CLASSES,
