--- a/brassfall/sidecar/__main__.py
+++ b/brassfall/sidecar/__main__.py
@@ -1,4 +1,4 @@
-"""The program: one sidecar from its start to its end, and what the signals mean to it."""
+"""The program: one sidecar, controlled by signals."""
 
 from __future__ import annotations
 
@@ -13,14 +13,16 @@
 from brassfall.sidecar.console import log
 from brassfall.sidecar.lifecycle.sidecar import Sidecar
 
-ADDRESS_ADVICE = "end whoever has that address or name another, and start it again"
-BAD_CONFIGURATION, CANNOT_START = 2, 1  # exit codes
+ADDRESS_ADVICE = "stop the process that has that address or configure another one, and start again"
+BAD_CONFIGURATION = 2  # exit status
+CANNOT_START = 1  # exit status
 
 
 async def serve(configuration: Config) -> None:
-    """Run until SIGTERM, and then until all that was taken is answered. SIGHUP reads the file again.
+    """Run one sidecar until SIGTERM or SIGINT, and then its graceful shutdown; SIGHUP reloads the file.
 
-    Raises `OSError` if an address can't be had."""
+    Raises `OSError` if an address can't be had.
+    """
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -28,20 +30,20 @@
     sidecar = Sidecar(loop, configuration)
     loop.add_signal_handler(signal.SIGHUP, sidecar.reload, os.environ)
     if await _started(sidecar, stop):
-        # What is there now stays: later collections need not walk it, and stop the loop for less.
+        # Objects of the startup live on: without them, later collections stop the loop for less time.
         gc.collect()
         gc.freeze()
         await stop.wait()
         await sidecar.drain()
     if sidecar.member is not None:
         await sidecar.member.agent.leave()
-    # Nothing is left that they could change: one that comes as the loop closes would end this as if killed.
+    # While the loop closes, their handlers are gone and a signal would kill the process.
     signal.pthread_sigmask(signal.SIG_BLOCK, (signal.SIGTERM, signal.SIGINT, signal.SIGHUP))
     sidecar.close()
 
 
 async def _started(sidecar: Sidecar, stop: asyncio.Event) -> bool:
-    """Start; whether that was done before the process was told to stop: it has taken nothing then."""
+    """Start the sidecar; return False if `stop` was set first, before any client was accepted."""
     start, stopped = asyncio.create_task(sidecar.start()), asyncio.create_task(stop.wait())
     await asyncio.wait((start, stopped), return_when=asyncio.FIRST_COMPLETED)
     stopped.cancel()
@@ -50,12 +52,12 @@
         return True
     start.cancel()
     await asyncio.wait((start,))
-    log("stopping: told so before it took clients")
+    log("SIGTERM during startup; exiting")
     return False
 
 
 def main() -> int:
-    """Run one sidecar as the environment says; the exit code."""
+    """Run one sidecar that is configured by the environment; return the exit status."""
     try:
         configuration = config.load(os.environ)
     except ConfigError as error:
--- a/brassfall/sidecar/console.py
+++ b/brassfall/sidecar/console.py
@@ -1,4 +1,4 @@
-"""The log of a sidecar: lines on standard error, for on-call staff."""
+"""The log of a sidecar: lines on standard error."""
 
 from __future__ import annotations
 
@@ -7,6 +7,6 @@
 
 
 def log(text: str) -> None:
-    """Write a line, or a traceback's lines; where nobody takes it any more, what is served goes on."""
+    """Write a line, or the lines of a traceback; errors in writing are ignored, so that requests go on."""
     with contextlib.suppress(OSError):
         print(text.rstrip(), file=sys.stderr, flush=True)
--- a/brassfall/sidecar/core/process_state.py
+++ b/brassfall/sidecar/core/process_state.py
@@ -1,4 +1,4 @@
-"""The states of one process, and what may follow on each."""
+"""The states of the process, and the transitions between them."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class State(Enum):
-    """Where a process stands between its start and its end; the value is what operators read."""
+    """The state of the process; the value is the text for operators."""
 
     STARTING = "starting"
     SERVING = "serving"
@@ -16,11 +16,12 @@
 
 
 class InvalidTransitionError(Exception):
-    """A change that the present state doesn't allow; its text is one line.
+    """A transition that the state of the process does not allow; its text is one line.
 
-    `state` is the state that the process is in."""
+    `state` is the state that the process is in.
+    """
 
-    action = "wait for the start to end; a process that stops comes back by a new start only"
+    action = "wait for the end of startup; after a stop, start a new process"
 
     def __init__(self, state: State) -> None:
         super().__init__(f"the process is {state.value}")
@@ -28,53 +29,53 @@
 
 
 class Lifecycle:
-    """Sole owner of the state; whoever acts on changes is called after each."""
+    """The owner of the state, which calls its listeners after each change."""
 
     def __init__(self) -> None:
-        """A process that starts."""
+        """Begin in `STARTING`."""
         self.state = State.STARTING
         self._listeners: list[Callable[[], None]] = []
 
     def on_change(self, listener: Callable[[], None]) -> None:
-        """Call this after each change from now on."""
+        """Call `listener` after each change from now on."""
         self._listeners.append(listener)
 
     @property
     def ready(self) -> bool:
-        """Whether clients should be sent here."""
+        """True if clients should be sent to this process."""
         return self.state is State.SERVING
 
     @property
     def accepting(self) -> bool:
-        """Whether clients that come are served, sent here or not."""
+        """True if new clients are served, in lame duck too."""
         return self.state in (State.SERVING, State.LAME_DUCK)
 
     @property
     def lame_duck(self) -> bool:
-        """Whether clients are being sent away, for a while or for good later."""
+        """True if the process is draining, until `rejoin` or `stop`."""
         return self.state is State.LAME_DUCK
 
     def serve(self) -> None:
-        """The start is over; a stop that came meanwhile stays."""
+        """End the startup; without effect after a `stop`."""
         if self.state is State.STARTING:
             self._change(State.SERVING)
 
     def drain(self) -> None:
-        """Send clients away, until `rejoin`; raises `InvalidTransitionError` where none are served."""
+        """Drain until `rejoin`; raises `InvalidTransitionError` unless clients are served."""
         self.check_accepting()
         self._change(State.LAME_DUCK)
 
     def rejoin(self) -> None:
-        """Take clients again; raises `InvalidTransitionError` where none are served."""
+        """End the drain; raises `InvalidTransitionError` unless clients are served."""
         self.check_accepting()
         self._change(State.SERVING)
 
     def stop(self) -> None:
-        """End for good: there is no way back."""
+        """Begin the shutdown, which can't be reversed."""
         self._change(State.STOPPING)
 
     def check_accepting(self) -> None:
-        """Raise `InvalidTransitionError` unless clients that come are served."""
+        """Raise `InvalidTransitionError` unless new clients are served."""
         if not self.accepting:
             raise InvalidTransitionError(self.state)
 
--- a/brassfall/sidecar/lifecycle/__init__.py
+++ b/brassfall/sidecar/lifecycle/__init__.py
@@ -1,1 +1,1 @@
-"""The process from its start to its end: parts joined, admin endpoint, handover, shutdown."""
+"""The process: startup, admin endpoint, handover between processes, graceful shutdown."""
--- a/brassfall/sidecar/lifecycle/admin.py
+++ b/brassfall/sidecar/lifecycle/admin.py
@@ -1,4 +1,4 @@
-"""The admin endpoint: one command to a connection, one line in answer. It decides nothing itself."""
+"""The admin endpoint: one command on a connection, one line in reply."""
 
 from __future__ import annotations
 
@@ -13,16 +13,15 @@
 from brassfall.sidecar.core.process_state import InvalidTransitionError, Lifecycle
 
 MAX_LINE = 256  # bytes
-# Clients that finish no command are there for seconds; they take one of few places meanwhile.
-COMMAND_S = 5.0
-LINGER_S = 0.5  # for a client to read its answer while it is still sending
+COMMAND_S = 5.0  # for a complete command
+LINGER_S = 0.5  # for a client to read its reply while it is still sending
 
 
 class AdminEndpoint:
-    """The second address of the process, and the commands that it takes."""
+    """The address for operators, and the commands that it accepts."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, lifecycle: Lifecycle) -> None:
-        """Take the commands that change the lifecycle, once `listen` was called."""
+        """Serve the commands that change `lifecycle`, once `listen` was called."""
         self.loop = loop
         self._lifecycle = lifecycle
         self._connections: dict[AdminConnection, None] = {}  # oldest first
@@ -34,34 +33,34 @@
         }
 
     def add_command(self, name: str, command: Callable[[], str]) -> None:
-        """One more command, which answers for itself."""
+        """Add a command that returns its reply: JSON, or the text behind `done`."""
         self._commands[name] = command
 
     def listen(self, address: Address) -> None:
-        """Take commands from now on; raises `OSError` if the address can't be had."""
+        """Accept commands from now on; raises `OSError` if the address can't be had."""
         sock = listening_socket(address, MAX_ADMIN_CONNECTIONS * 4)
-        # One at a time: each may have to make another go, whose descriptor it takes.
+        # One connection at a time: it may have to evict another one, to have its descriptor.
         self._listener = Listener(self.loop, sock, lambda: AdminConnection(self), lambda: 1)
 
     @property
     def address(self) -> Address | None:
-        """Where it listens, if it does."""
+        """The address that it listens on; None if there is none."""
         return None if self._listener is None else self._listener.address
 
     @property
     def connections(self) -> int:
-        """How many connections are open."""
+        """The number of open connections."""
         return len(self._connections)
 
     def close(self) -> None:
-        """Take no more commands, and close all connections."""
+        """Stop listening, and close all connections."""
         if self._listener is not None:
             self._listener.close()
         for connection in list(self._connections):
             connection.abort()
 
     def execute(self, line: bytes) -> str:
-        """Carry out one command; the answer to it."""
+        """Execute one command and return the reply."""
         name = line.decode("ascii", "replace").strip()
         command = self._commands.get(name)
         if command is None:
@@ -71,21 +70,21 @@
         except InvalidTransitionError as error:
             return f"error {error}"
         if answer is not None:
-            return answer if answer.startswith("{") else f"done {answer}"  # JSON stands alone
+            return answer if answer.startswith("{") else f"done {answer}"  # JSON has no prefix
         if name != "PING":
             log(f"operator: {name}, now {self._lifecycle.state.value}")
         return f"done {self._lifecycle.state.value}"
 
     def opened(self, connection: AdminConnection) -> None:
-        """A new connection is up; the one that has been there for longest makes room."""
+        """Take in a new connection; at the limit, the oldest one is evicted."""
         if len(self._connections) >= MAX_ADMIN_CONNECTIONS:
             oldest = next(iter(self._connections))
             del self._connections[oldest]
-            oldest.make_room()
+            oldest.evict()
         self._connections[connection] = None
 
     def closed(self, connection: AdminConnection) -> None:
-        """A connection is gone."""
+        """Take out a connection that is gone."""
         self._connections.pop(connection, None)
 
 
@@ -93,7 +92,7 @@
     """One connection to the admin endpoint."""
 
     def __init__(self, endpoint: AdminEndpoint) -> None:
-        """A connection that is not up yet."""
+        """Create a connection that is not up yet."""
         self._endpoint = endpoint
         self._transport: asyncio.Transport
         self._line = bytearray()
@@ -101,14 +100,14 @@
         self._limit: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Called by the loop: a client has connected."""
+        """Start the time limit for a command. Called by the loop."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self._limit = self._endpoint.loop.call_later(COMMAND_S, self.reply, "error no call in time")
         self._endpoint.opened(self)
 
     def data_received(self, data: bytes) -> None:
-        """Called by the loop: a part of the line; what comes after it is not read."""
+        """Read a part of the command's line; later lines are ignored. Called by the loop."""
         if self._answered:
             return
         self._line += data
@@ -119,35 +118,35 @@
             self.reply("error the line is too long")
 
     def eof_received(self) -> bool:
-        """Called by the loop: the client has ended its sending. Half a line is no command."""
+        """Reject a command without the end of its line. Called by the loop."""
         if not self._answered and self._line:
             self.reply("error the line has no end")
-        return False  # closes, once what was answered is written out
+        return False  # the transport closes once the reply is written
 
     def connection_lost(self, _error: Exception | None) -> None:
-        """Called by the loop: the client is gone."""
+        """Release the connection. Called by the loop."""
         self._answered = True
         if self._limit is not None:
             self._limit.cancel()
         self._endpoint.closed(self)
 
     def reply(self, text: str) -> None:
-        """Give the one answer, and end the connection once it can have been read."""
+        """Write the reply, and end the connection after a time to read it; only the first call counts."""
         if self._answered:
             return
         self._answered = True
         self._transport.write(text.encode() + b"\n")
-        with contextlib.suppress(OSError):  # the client has reset it, as the loop will find in a turn
+        with contextlib.suppress(OSError):  # the client has reset the connection
             self._transport.write_eof()
         if self._limit is not None:
             self._limit.cancel()
         self._limit = self._endpoint.loop.call_later(LINGER_S, self.abort)
 
-    def make_room(self) -> None:
-        """Close, for a newer connection."""
+    def evict(self) -> None:
+        """Close the connection to make room for another one."""
         self.reply("error too many callers")
         self._transport.close()
 
     def abort(self) -> None:
-        """Close whatever it carries."""
+        """Close the connection at once."""
         self._transport.abort()
--- a/brassfall/sidecar/lifecycle/handover.py
+++ b/brassfall/sidecar/lifecycle/handover.py
@@ -1,4 +1,4 @@
-"""Two processes of one sidecar: locks in the folder they share tell each of the other."""
+"""Detection of another process of the same sidecar, by locks on files in a shared folder."""
 
 from __future__ import annotations
 
@@ -9,23 +9,25 @@
 from brassfall.sidecar.console import log
 
 SERVING_SUFFIX, NEXT_SUFFIX = "lock", "next"
-# The name of earlier versions: during an upgrade, processes of both look at the same files.
+# Earlier versions use this name too: during an upgrade, processes of both look at the same files.
 LOCK_PREFIX = "fordtrestle-"
 DEFAULT_FOLDER = "/tmp"
 
 
 class FileLock:
-    """An exclusive lock on a file; the system frees it when its owner ends, however that is."""
+    """An exclusive lock on a file, which the system releases when the process ends."""
 
     def __init__(self, path: str) -> None:
-        """A lock on the file at `path`, which is not acquired yet."""
+        """Create a lock on the file at `path` without acquiring it."""
         self.owned = False
         self._path = path
         self._file: int | None = None
 
     def acquire(self) -> bool:
-        """Whether this process owns it from now on; never waits. Where that can't be told, this process is
-        taken to be alone."""
+        """Acquire the lock without waiting; return whether this process owns it.
+
+        Returns True if the file can't be opened or locked: the process then acts as if it were alone.
+        """
         try:
             if self._file is None:
                 self._file = os.open(self._path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
@@ -34,12 +36,12 @@
             return False
         except OSError as error:
             if not self.owned:
-                log(f"handover: {self._path}: {error.strerror}; name a TMPDIR that can be written")
+                log(f"handover: can't lock {self._path}: {error.strerror}; set TMPDIR to a writable folder")
         self.owned = True
         return True
 
     def release(self) -> None:
-        """Free it."""
+        """Release the lock."""
         self.owned = False
         if self._file is not None:
             os.close(self._file)
@@ -47,17 +49,16 @@
 
 
 class Handover:
-    """The lock of the process that serves, and that of the one which is to replace it."""
+    """The lock of the process that serves, and that of the process that is to replace it."""
 
     def __init__(self, folder: str | None, name: str) -> None:
-        """Look in this folder for other processes of the sidecar of this name."""
-        # Where the folder is everybody's, another sidecar's processes are no concern of this one's.
+        """Use lock files in `folder` for the sidecar of this name; other sidecars may use the same folder."""
         path = os.path.join(folder or DEFAULT_FOLDER, f"{LOCK_PREFIX}{stable_number(name):x}.")
         self._serving = FileLock(path + SERVING_SUFFIX)
         self._next = FileLock(path + NEXT_SUFFIX)
 
     def other_process_runs(self) -> bool:
-        """Whether another process of this sidecar lives. Looks again each time it is asked."""
+        """Return whether another process of this sidecar is running, by the locks as they are now."""
         if not self._serving.owned:
             if not self._serving.acquire():
                 self._next.acquire()
@@ -69,6 +70,6 @@
         return not alone
 
     def release(self) -> None:
-        """Free both locks at the end."""
+        """Release both locks."""
         self._serving.release()
         self._next.release()
--- a/brassfall/sidecar/lifecycle/sidecar.py
+++ b/brassfall/sidecar/lifecycle/sidecar.py
@@ -1,4 +1,4 @@
-"""All parts of one sidecar, wired together: it starts, is ready, reloads, drains and closes."""
+"""One sidecar: its parts, wired together, and its startup, reload and shutdown."""
 
 from __future__ import annotations
 
@@ -29,23 +29,24 @@
     from brassfall.sidecar.agent.lists import EndpointList
     from brassfall.sidecar.agent.member import FleetMember
 
-HANDOVER_POLL_S = 0.25  # for another process of this sidecar, which takes longer to start
-# A process that replaces another says yes within 6 s; the balancer asks discovery within 2.5 s.
+HANDOVER_POLL_S = 0.25  # between checks for another process of this sidecar; a start takes longer
+# For the first list of a process that replaces another one and has to be ready within 6 s; the balancer polls
+# discovery within 2.5 s.
 FIRST_LIST_S = 4.0
-FIRST_CALL_S = 1.0  # for an agent that takes the call and says nothing
+FIRST_CALL_S = 1.0  # for the first call of a process that is alone, where discovery does not answer
 
 
 class Sidecar:
-    """One sidecar in this process; all of it runs on one event loop."""
+    """One sidecar in this process, on one event loop."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, configuration: Config) -> None:
-        """Wire the parts; nothing is listened on, and nobody called, before `start`."""
+        """Wire the parts, without listening or calling before `start`."""
         self._loop = loop
         self._running = configuration
         self._clock = Clock(loop)
         self.lifecycle = Lifecycle()
         self._shares_machine = False  # with another process of this sidecar
-        self._reload_due = False  # the file was replaced while this process was starting
+        self._reload_due = False  # SIGHUP came during startup
         self._handover_timer: asyncio.TimerHandle | None = None
         inherits = configuration.inherited is not None
         self.handover = Handover(os.environ.get("TMPDIR"), configuration.name) if inherits else None
@@ -61,7 +62,7 @@
         self.member = self._member() if configuration.agreement is not None else None
 
     def _member(self) -> FleetMember:
-        """This process as a member of the fleet, where it is one; the code is loaded only then."""
+        """Return the membership in a fleet; only a process that has one loads the agent's code."""
         from brassfall.sidecar.agent.member import FleetMember
 
         member = FleetMember(self._loop, self, os.environ)
@@ -80,10 +81,10 @@
         if self.member is not None:
             self.member.listed(self._loop.time())
 
-    # --- what the member of a fleet asks (agent.member.Process) -------------------
+    # --- called by the membership (agent.member.Process) --------------------------
 
     def steer(self, steer: Steer) -> None:
-        """Pick servers by this plan from now on."""
+        """Select servers by this steering plan from now on."""
         self.driver.steer(steer)
 
     def listings(self) -> EndpointList:
@@ -103,31 +104,33 @@
 
     @property
     def running(self) -> Config:
-        """What this process runs on."""
+        """The configuration in use."""
         return self._running
 
     @property
     def busy(self) -> set[int]:
-        """The slots of classes that requests or clients still name."""
+        """The slots of classes that requests in flight or clients may still name."""
         return self.driver.request_classes | self.inbound.request_classes
 
     def adopt(self, configuration: Config) -> None:
-        """Run on another configuration from now on; raises `ConfigError` if it can't replace this one."""
+        """Use another configuration from now on; raises `ConfigError` if it can't replace the present one."""
         successor = reload.successor(self._running, configuration, self.busy)
         for name in successor.pending_restart:
-            log(f"reload: {name} stays as it was until a restart")
+            log(f"reload: {name} keeps its value; restart the process to change it")
         longest_ms, self._running = self._longest_deadline_ms(), successor.config
         self.driver.reload(self._running, successor.same_classes)
         self.pool.reload(self._running)
         self.inbound.reload(self._running.names, longest_ms)
         self.discovery.move(self._running.discovery, self._running.registry)
 
-    # --- start, reload and end ------------------------------------------------------
+    # --- startup, reload and shutdown -----------------------------------------------
 
     async def start(self) -> Address:
-        """Be ready: the known list is taken in before the first request; where it listens.
+        """Start to serve clients; return the address that they connect to.
 
-        Raises `OSError` if an address can't be had. Cancelling leaves what is open to `close`."""
+        The endpoint list of the configuration is in use before the first request. Raises `OSError` if an
+        address can't be had. After cancelling, `close` is to be called.
+        """
         await retry_while_exhausted(self._listen_to_operators)
         await retry_while_exhausted(lambda: self.peers.listen(self._loop))
         self.driver.connect(self.pool, self.discovery, self.peers)
@@ -135,8 +138,8 @@
         if self.member is not None:
             self.member.agent.start()
         if self._share_machine():
-            log("another process of this sidecar serves: waiting for the list before taking clients")
-            # The other one sees this one at its next look, and makes room then.
+            log("another process of this sidecar is running; waiting for the endpoint list")
+            # The other process detects this one at its next check, and reduces its limits then.
             await asyncio.gather(self.discovery.first_answer(FIRST_LIST_S), asyncio.sleep(HANDOVER_POLL_S))
         else:
             await self.discovery.first_call(FIRST_CALL_S)
@@ -154,7 +157,7 @@
         return self.inbound.listen(self._running.listen, self._running.inherited)
 
     def _share_machine(self) -> bool:
-        """Hold half of all while another process of this sidecar lives; whether one does."""
+        """Use half of the machine while another process of this sidecar runs; return whether one does."""
         if self.handover is None:
             return False
         shares = self.handover.other_process_runs()
@@ -167,34 +170,39 @@
         return shares
 
     def reload(self, environment: Mapping[str, str]) -> None:
-        """The configuration file was replaced: it is taken whole, or not at all.
+        """Read the configuration file again, and use it completely or not at all.
 
-        The file has the last word on discovery, since the environment is still that of the start."""
+        The address of discovery comes from the file alone: the environment is still that of the start. During
+        startup the reload is deferred until its end.
+        """
         if self.lifecycle.state is State.STARTING:
-            self._reload_due = True  # looked at once all parts are there
+            self._reload_due = True
             return
         try:
             file = config.load({**environment, "NODE_DISCOVERY": ""})
             self.adopt(file if self.member is None else self.member.over(file))
         except ConfigError as error:
-            log(f"reload: {error}; nothing is changed; mend the file and send SIGHUP again")
+            log(f"reload: {error}; nothing is changed; fix the file and send SIGHUP again")
             return
         if self.member is not None:
             self.member.file_read(file)
         log(f"reload: done, classes {', '.join(self._running.names.classes)}")
 
     def _longest_deadline_ms(self) -> float:
-        """The longest deadline of the classes that there are now: slots of classes that a reload left out are
-        no longer counted by whoever ends the process."""
+        """Return the longest deadline of the present classes.
+
+        Classes that a reload removed don't count: the time until SIGKILL does not depend on them.
+        """
         slots = {found.slot for found in self._running.names.classes.values()}
         return max(self._running.settings.profiles[slot].deadline for slot in slots)
 
     async def drain(self) -> None:
-        """Stop listening, finish what was taken, close connections between requests.
+        """Shut down gracefully: answer the requests of all clients, and close their connections.
 
-        Cancelling leaves the rest to `close`."""
+        After cancelling, `close` closes what is still open.
+        """
         self.lifecycle.stop()
-        log("stopping: finishing what was taken")
+        log("graceful shutdown: finishing the requests in flight")
         await shutdown.drain(
             self._clock,
             self.inbound,
@@ -204,8 +212,8 @@
         )
 
     def close(self) -> None:
-        """Close what is left."""
-        log(f"closing, with {self.driver.in_flight or 'nothing'} still open")
+        """Close all sockets, even with requests in flight, and release the locks."""
+        log(f"exiting; requests in flight: {self.driver.in_flight}")
         self.admin.close()
         self.inbound.close()
         self.pool.close()
--- a/tests/sidecar/test_races_shutdown.py
+++ b/tests/sidecar/test_races_shutdown.py
@@ -497,8 +497,8 @@
     _, said = await process.communicate()
     assert process.returncode == 0
     assert said.decode().splitlines() == [
-        "stopping: told so before it took clients",
-        "closing, with nothing still open",
+        "SIGTERM during startup; exiting",
+        "exiting; requests in flight: 0",
     ]
     registry.stop()
 
