--- /dev/null
+++ b/tests/sidecar/test_client_timeouts.py
@@ -0,0 +1,193 @@
+"""Time limits of client connections: incomplete requests, unread answers, and lingering."""
+
+from __future__ import annotations
+
+import asyncio
+
+import pytest
+
+from brassfall.sidecar.clients import (
+    connection_timeouts,
+)
+from brassfall.sidecar.clients.connection_state import ConnectionState
+from brassfall.sidecar.clients.read_control import Hold
+from tests.support import loopback as partners
+from tests.support.clients import end_sending, fill_socket_buffers, one_client, reading_requests, released
+from tests.support.loopback import (
+    OK,
+    PATIENCE_S,
+    App,
+    Scripted,
+    Upstream,
+    hang,
+    loopback,
+    running,
+    until,
+)
+
+LARGE = b"x" * 3_000_000
+WHOLE = partners.request("POST", "/pay", b"hello")
+
+
+@loopback
+async def test_an_incomplete_request_is_rejected_after_its_time_limit(monkeypatch):
+    monkeypatch.setattr(connection_timeouts, "INCOMPLETE_S", 0.05)
+    balancer = Scripted()
+    async with running(balancer=balancer) as sidecar:
+        app = await App.connect(sidecar.address)
+        app.writer.write(b"POST /pay HTTP/1.1\r\nContent-Length: 5\r\n\r\nab")
+        assert (await app.answer()).status == 408
+        assert await app.answer() is None
+        assert balancer.named("request") == []
+
+
+@loopback
+async def test_a_client_that_sends_nothing_is_closed_in_time(monkeypatch):
+    assert connection_timeouts.INCOMPLETE_S < 3.0
+    monkeypatch.setattr(connection_timeouts, "INCOMPLETE_S", 0.05)
+    async with running() as sidecar:
+        app = await App.connect(sidecar.address)
+        assert await app.answer() is None
+        await until(lambda: sidecar.inbound.empty)
+
+
+@loopback
+async def test_a_client_that_trickles_its_first_request_gains_no_time_by_it(monkeypatch):
+    monkeypatch.setattr(connection_timeouts, "INCOMPLETE_S", 0.3)
+    async with running() as sidecar:
+        app = await App.connect(sidecar.address)
+
+        async def trickle():
+            for byte in partners.request("POST", "/pay", b"x" * 60_000):
+                app.writer.write(bytes((byte,)))
+                await asyncio.sleep(0.01)
+
+        sending = asyncio.create_task(trickle())
+        assert (await app.answer()).status == 408
+        sending.cancel()
+
+
+@loopback
+async def test_a_body_that_goes_on_arriving_has_more_time(monkeypatch):
+    monkeypatch.setattr(connection_timeouts, "INCOMPLETE_S", 0.1)
+    monkeypatch.setattr(connection_timeouts, "BODY_BYTES_PER_S", 100)
+    upstream = await Upstream([OK]).start()
+    async with running(upstream) as sidecar:
+        app = await App.connect(sidecar.address)
+        whole = partners.request("POST", "/pay", b"x" * 3000)
+        app.writer.write(whole[:-1])
+        await asyncio.sleep(0.3)
+        app.writer.write(whole[-1:])
+        assert (await app.answer()).body == b"done"
+
+
+@pytest.mark.parametrize("size", [1, 60_000, 200_000, 1_000_000])
+@loopback
+async def test_a_client_that_stops_within_a_body_gets_an_error_within_3_s(size):
+    # More time came with each byte: after 60,000 it was 4.4 s, after 200,000 8.8 s.
+    upstream = await Upstream([hang]).start()
+    loop = asyncio.get_running_loop()
+    async with running(upstream) as sidecar:
+        app = await App.connect(sidecar.address)
+        begun = loop.time()
+        app.writer.write(partners.request("POST", "/pay", b"x" * (size + 1))[:-1])
+        assert (await app.answer()).status == 408
+        assert loop.time() - begun < 3.0
+        assert await app.answer() is None
+        app.close()
+
+
+@loopback
+async def test_a_client_whose_body_was_not_read_for_long_has_time_to_continue(monkeypatch):
+    monkeypatch.setattr(connection_timeouts, "INCOMPLETE_S", 0.1)
+    monkeypatch.setattr(connection_timeouts, "STOPPED_MS", 200.0)
+    upstream = await Upstream([OK]).start()
+    async with running(upstream) as sidecar:
+        app = await App.connect(sidecar.address)
+        whole = partners.request("POST", "/pay", b"x" * 60_000)
+        app.writer.write(whole[:-1])
+        await until(lambda: reading_requests(sidecar))
+        (connection,) = sidecar.inbound.connections
+        connection.pause()
+        await asyncio.sleep(0.5)  # as long as a server takes nothing, say
+        connection.resume()
+        await asyncio.sleep(0.1)
+        app.writer.write(whole[-1:])
+        assert (await app.answer()).body == b"done"
+        app.close()
+
+
+@loopback
+async def test_empty_lines_at_the_end_of_the_time_limit_do_not_keep_a_connection_open(monkeypatch):
+    async with one_client() as (sidecar, app, connection):
+        connection.timeouts.stop_request()
+        monkeypatch.setattr(connection_timeouts, "INCOMPLETE_S", 0.0)
+        app.writer.write(b"\r\n")
+        assert connection.readable
+        connection.timeouts.check_request()
+        assert await app.answer() is None
+        await released(sidecar)
+
+
+@loopback
+async def test_time_in_which_reading_is_paused_does_not_count_against_the_client(monkeypatch):
+    monkeypatch.setattr(connection_timeouts, "INCOMPLETE_S", 0.3)
+    upstream = await Upstream([OK]).start()
+    async with one_client(upstream, little_buffering=True) as (_sidecar, app, connection):
+        app.writer.write(WHOLE[:-1])
+        await until(lambda: connection.state is ConnectionState.READING_REQUEST)
+        app.writer.transport.pause_reading()
+        connection.write(LARGE)  # of an answer before
+        app.writer.write(WHOLE[-1:])
+        checks, check = [], connection.timeouts.check_request
+        monkeypatch.setattr(
+            connection_timeouts.ConnectionTimeouts,
+            "check_request",
+            lambda timeouts: checks.append(check()),
+        )
+        connection.timeouts.stop_request()
+        connection.timeouts.start_request()
+        await asyncio.sleep(0.4)
+        assert checks and connection.read_control.paused
+        assert connection.state is ConnectionState.READING_REQUEST
+        app.writer.transport.resume_reading()
+        async with asyncio.timeout(PATIENCE_S):
+            await app.reader.readexactly(len(LARGE))
+        assert (await app.answer()).body == b"done"
+
+
+@loopback
+async def test_a_client_that_ends_its_sending_and_reads_nothing_is_disconnected(monkeypatch):
+    monkeypatch.setattr(connection_timeouts, "UNREAD_S", 0.1)
+    async with one_client(little_buffering=True) as (sidecar, app, connection):
+        app.writer.transport.pause_reading()
+        await fill_socket_buffers(connection)
+        end_sending(app)
+        await released(sidecar)
+
+
+@loopback
+async def test_a_client_that_left_and_stops_reading_shortly_before_the_end_is_disconnected(monkeypatch):
+    monkeypatch.setattr(connection_timeouts, "UNREAD_S", 0.3)
+    async with one_client(little_buffering=True) as (sidecar, app, connection):
+        app.writer.transport.pause_reading()
+        connection.write(LARGE)
+        end_sending(app)
+        await until(lambda: connection.transport.is_closing())
+        connection.resume_writing()  # what is buffered has fallen to a few KiB
+        await released(sidecar)
+
+
+@loopback
+async def test_a_client_that_reads_slowly_gets_all_of_a_long_answer(monkeypatch):
+    monkeypatch.setattr(connection_timeouts, "UNREAD_S", 0.3)
+    async with one_client(little_buffering=True) as (_sidecar, app, connection):
+        connection.write(LARGE)
+        begun = asyncio.get_running_loop().time()
+        got = 0
+        async with asyncio.timeout(PATIENCE_S):
+            while asyncio.get_running_loop().time() < begun + 0.8:
+                assert connection.read_control.holds(Hold.UNREAD_ANSWERS)
+                got += len(await app.reader.read(32_768))
+                await asyncio.sleep(0.02)
+            got += len(await app.reader.readexactly(len(LARGE) - got))
--- /dev/null
+++ b/tests/sidecar/test_large_answers.py
@@ -0,0 +1,300 @@
+"""Large answers: they are passed on as they arrive, and paced by the client."""
+
+from __future__ import annotations
+
+import asyncio
+
+import pytest
+
+from brassfall.balancer.model import Outcome, Send
+from brassfall.sidecar import body
+from brassfall.sidecar.clients import connection_timeouts
+from brassfall.sidecar.clients.connection_state import ConnectionState
+from brassfall.sidecar.servers import server_connection
+from tests.support import loopback as partners
+from tests.support.clients import (
+    one_client,
+    released,
+)
+from tests.support.large_messages import (
+    CHUNKED,
+    LARGE,
+    LENGTH,
+    PIECE,
+    StreamingServer,
+    chunks,
+    read_answer,
+    read_head,
+    until_closed,
+)
+from tests.support.loopback import (
+    OK,
+    PATIENCE_S,
+    App,
+    Scripted,
+    Upstream,
+    break_off,
+    loopback,
+    running,
+    until,
+)
+
+
+@pytest.mark.parametrize("reply", [LENGTH % len(LARGE) + LARGE, CHUNKED + chunks(LARGE), until_closed])
+@loopback
+async def test_a_large_answer_comes_complete_in_any_framing(reply):
+    upstream = await StreamingServer([reply]).start()
+    async with running(upstream) as sidecar:
+        app = await App.connect(sidecar.address)
+        for _ in range(2):
+            app.send()
+            assert await read_answer(app) == (200, LARGE)
+        await until(lambda: sidecar.driver.idle and partners.nothing_left(sidecar))
+
+
+@pytest.mark.parametrize("framed", ["length", "chunks"])
+@loopback
+async def test_the_beginning_is_passed_on_at_once_and_no_timeout_ends_the_rest(framed):
+    more = asyncio.Event()
+
+    async def in_two(reader, writer):
+        first = LARGE[:1000]
+        if framed == "length":
+            writer.write(LENGTH % len(LARGE) + first)
+        else:
+            writer.write(CHUNKED + b"3e8\r\n%b\r\n" % first)
+        await more.wait()
+        return LARGE[1000:] if framed == "length" else chunks(LARGE[1000:])
+
+    upstream = await StreamingServer([in_two]).start()
+    async with running(upstream) as sidecar:
+        app = await App.connect(sidecar.address)
+        app.send(X_Budget="250m")
+        head = await read_head(app)
+        assert head.startswith(b"HTTP/1.1 200")
+        await asyncio.sleep(0.4)  # past the client's time
+        sidecar.lifecycle.drain()
+        more.set()
+        assert await read_answer(app, head) == (200, LARGE)
+
+
+@loopback
+async def test_shutdown_waits_for_the_rest_of_an_answer():
+    more = asyncio.Event()
+
+    async def in_two(reader, writer):
+        writer.write(LENGTH % len(LARGE) + LARGE[:1000])
+        await more.wait()
+        return LARGE[1000:]
+
+    upstream = await StreamingServer([in_two]).start()
+    async with running(upstream) as sidecar:
+        app = await App.connect(sidecar.address)
+        app.send(X_Budget="250m")
+        head = await read_head(app)
+        stopping = asyncio.create_task(sidecar.drain())
+        await asyncio.sleep(0.8)
+        assert not stopping.done()
+        more.set()
+        assert await read_answer(app, head) == (200, LARGE)
+        app.close()
+        await stopping
+
+
+@loopback
+async def test_a_small_answer_without_a_length_that_breaks_is_retried_on_another_server():
+    async def broken(reader, writer):
+        writer.write(CHUNKED + b"5\r\nhe")
+        await writer.drain()
+        writer.close()
+        return b""
+
+    first, second = await StreamingServer([broken]).start(), await StreamingServer([OK]).start()
+    balancer = Scripted(
+        outcome=lambda now, number, hop, status, *rest: [Send(number, "s1", 0.0)] if hop < 1 else []
+    )
+    async with running(first, second, balancer=balancer) as sidecar:
+        app = await App.connect(sidecar.address)
+        assert (await app.ask()).body == b"done"
+
+
+@pytest.mark.parametrize("framed", ["length", "chunks"])
+@loopback
+async def test_a_client_can_tell_that_a_large_answer_is_broken(framed):
+    async def half(reader, writer):
+        writer.write(
+            LENGTH % len(LARGE) + LARGE[:200_000] if framed == "length" else CHUNKED + chunks(LARGE)[:-9]
+        )
+        await writer.drain()
+        return await break_off(reader, writer) or b""
+
+    upstream = await StreamingServer([half]).start()
+    balancer = Scripted()
+    async with running(upstream, balancer=balancer) as sidecar:
+        app = await App.connect(sidecar.address)
+        app.send()
+        with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
+            await read_answer(app)
+        await until(lambda: balancer.outcomes())
+        assert balancer.outcomes() == [(0, Outcome.RESET, True)]
+        assert len(balancer.named("answer_started")) == 1
+
+
+@loopback
+async def test_a_client_that_reads_slowly_pauses_the_server():
+    given = 0
+    enough = asyncio.Event()
+
+    async def endless(reader, writer):
+        nonlocal given
+        writer.write(CHUNKED)
+        while not enough.is_set():
+            writer.write(PIECE)
+            given += 1
+            await writer.drain()
+        return b"0\r\n\r\n"
+
+    upstream = await StreamingServer([endless]).start()
+    async with running(upstream) as sidecar:
+        app = await App.connect(sidecar.address)
+        app.send()
+        await until(
+            lambda: sidecar.inbound.connections and sidecar.inbound.connections[0].read_control.paused
+        )
+        (connection,) = sidecar.inbound.connections
+        buffered = connection.transport.get_write_buffer_size()
+        assert buffered <= connection_timeouts.MAX_UNSENT + 2 * body.MAX_BUFFERED
+        await until(lambda: upstream.writers[0].transport.get_write_buffer_size() > 0)
+        before = given
+        await asyncio.sleep(0.1)
+        assert given == before  # the server waits: the sidecar reads nothing of it
+        enough.set()
+        _, data = await read_answer(app)
+        assert len(data) == given * len(LARGE)
+
+
+@loopback
+async def test_a_slow_reader_gets_all_answers_though_it_has_sent_more(monkeypatch):
+    monkeypatch.setattr(connection_timeouts, "LINGER_S", 0.1)
+    count, size = 12, 60_000  # more than the sockets hold
+    release = asyncio.Event()
+
+    async def last(reader, writer):
+        await release.wait()
+        return LENGTH % size + LARGE[:size]
+
+    upstream, slow = await Upstream([LENGTH % size + LARGE[:size]]).start(), await Upstream([last]).start()
+    balancer = Scripted(
+        request=lambda now, arrival: [Send(arrival.request, "s1" if arrival.request_class else "s0", 0.0)]
+    )
+    async with one_client(upstream, slow, balancer=balancer, little_buffering=True) as (
+        sidecar,
+        app,
+        connection,
+    ):
+        app.writer.transport.pause_reading()
+        for _ in range(count - 1):
+            app.send(X_Budget="60000m")
+        app.send("POST", "/pay", X_Budget="60000m", Connection="close")
+        await until(lambda: slow.seen and len(connection.pending_requests) == 1)
+        assert connection.read_control.paused
+        app.send()
+        await until(lambda: connection.readable)
+        release.set()
+        await until(lambda: connection.state is ConnectionState.LINGERING)
+        await asyncio.sleep(0.3)
+        app.writer.transport.resume_reading()
+        for _ in range(count):
+            answer = await app.answer()
+            assert answer is not None and answer.body == LARGE[:size]
+        await until(lambda: sidecar.inbound.empty)
+
+
+@loopback
+async def test_a_client_that_reads_nothing_is_closed(monkeypatch):
+    monkeypatch.setattr(connection_timeouts, "UNREAD_S", 0.1)
+
+    async def endless(reader, writer):
+        writer.write(CHUNKED)
+        while True:  # until the sidecar closes
+            writer.write(PIECE)
+            await writer.drain()
+
+    upstream = await StreamingServer([endless]).start()
+    async with running(upstream) as sidecar:
+        app = await App.connect(sidecar.address)
+        app.writer.transport.pause_reading()
+        app.send()
+        await until(lambda: sidecar.inbound.connections)
+        await released(sidecar)
+        await upstream.disconnected()
+
+
+@loopback
+async def test_a_server_that_goes_silent_within_an_answer_is_given_up(monkeypatch):
+    monkeypatch.setattr(server_connection, "STALLED_S", 0.1)
+
+    async def stuck(reader, writer):
+        writer.write(LENGTH % len(LARGE) + LARGE[:1000])
+        await reader.read()
+        return b""
+
+    upstream = await StreamingServer([stuck]).start()
+    async with running(upstream) as sidecar:
+        app = await App.connect(sidecar.address)
+        app.send()
+        with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
+            await read_answer(app)
+
+
+@loopback
+async def test_a_client_that_leaves_within_an_answer_frees_the_server():
+    async def stuck(reader, writer):
+        writer.write(LENGTH % len(LARGE) + LARGE[:1000])
+        await reader.read()
+        return b""
+
+    upstream = await StreamingServer([stuck]).start()
+    async with running(upstream) as sidecar:
+        app = await App.connect(sidecar.address)
+        app.send()
+        await app.reader.readuntil(b"\r\n\r\n")
+        app.close()
+        await until(lambda: partners.nothing_left(sidecar))
+        await upstream.disconnected()
+        assert sidecar.driver.idle
+
+
+@loopback
+async def test_large_answers_keep_the_order_of_pipelined_requests():
+    upstream = await StreamingServer([LENGTH % len(LARGE) + LARGE]).start()
+    release = asyncio.Event()
+
+    async def wait(reader, writer):
+        await release.wait()
+        return OK
+
+    slow = await StreamingServer([wait]).start()
+    balancer = Scripted(
+        request=lambda now, arrival: [Send(arrival.request, "s0" if arrival.request_class else "s1", 0.0)],
+        answer_started=lambda now, *rest: release.set() or [],
+    )
+    async with running(upstream, slow, balancer=balancer) as sidecar:
+        app = await App.connect(sidecar.address)
+        app.send()
+        app.send("POST", "/pay")
+        app.send()
+        assert await read_answer(app) == (200, b"done")
+        assert await read_answer(app) == (200, LARGE)
+        assert await read_answer(app) == (200, b"done")
+
+
+@loopback
+async def test_http_1_0_gets_no_chunks():
+    upstream = await StreamingServer([CHUNKED + chunks(LARGE)]).start()
+    async with running(upstream) as sidecar:
+        app = await App.connect(sidecar.address)
+        app.writer.write(partners.request().replace(b"HTTP/1.1", b"HTTP/1.0"))
+        async with asyncio.timeout(PATIENCE_S):
+            head, _, data = (await app.reader.read()).partition(b"\r\n\r\n")
+        assert b"chunked" not in head and data == LARGE
--- /dev/null
+++ b/tests/sidecar/test_process_signals.py
@@ -0,0 +1,185 @@
+"""The real program: signals during startup and shutdown, its log, and addresses in use."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import json
+import os
+import signal
+import socket
+import sys
+from pathlib import Path
+
+import pytest
+
+from brassfall.sidecar.config_values import parse_address
+from brassfall.sidecar.lifecycle.sidecar import Sidecar
+from tests.support.loopback import (
+    OK,
+    App,
+    Registry,
+    Upstream,
+    entry,
+    listed,
+    loopback,
+    told,
+    until,
+)
+from tests.support.processes import ROOT, Process, environment, free_port, start_fails
+
+
+async def logged(tmp_path, stderr=asyncio.subprocess.PIPE, **changes):
+    """Start the real program with its log on a pipe, without waiting until it is ready."""
+    return await asyncio.create_subprocess_exec(
+        sys.executable,
+        "-m",
+        "brassfall.sidecar",
+        env=environment(tmp_path, **changes),
+        cwd=ROOT,
+        stderr=stderr,
+    )
+
+
+LATE = """
+import asyncio, os, sys
+from brassfall.sidecar import __main__ as main
+run = asyncio.run
+def run_and_be_told_again(what):
+    run(what)
+    os.kill(os.getpid(), int(sys.argv[1]))
+main.asyncio.run = run_and_be_told_again
+sys.exit(main.main())
+"""
+
+
+@pytest.mark.parametrize("again", [signal.SIGTERM, signal.SIGINT, signal.SIGHUP])
+@loopback
+async def test_a_signal_after_the_loop_has_closed_does_not_change_the_exit_status(tmp_path, again):
+    registry = await Registry().start()
+    process = await asyncio.create_subprocess_exec(
+        sys.executable,
+        "-c",
+        LATE,
+        str(int(again)),
+        env=environment(tmp_path, discovery=registry.address),
+        cwd=ROOT,
+        stderr=asyncio.subprocess.PIPE,
+    )
+    await until(lambda: registry.watches)
+    process.send_signal(signal.SIGTERM)
+    _, said = await process.communicate()
+    assert (process.returncode, b"Traceback" in said) == (0, False)
+    registry.stop()
+
+
+@pytest.mark.parametrize("numbers", [(signal.SIGTERM,), (signal.SIGHUP, signal.SIGTERM, signal.SIGTERM)])
+@loopback
+async def test_sigterm_during_startup_ends_the_process_at_once(tmp_path, numbers):
+    # Discovery takes the call and says nothing: the start waits, and told of the call by it.
+    registry = await Registry().start()
+    process = await logged(tmp_path, discovery=registry.address)
+    await until(lambda: registry.watches)
+    for number in numbers:
+        process.send_signal(number)
+    _, said = await process.communicate()
+    assert process.returncode == 0
+    assert said.decode().splitlines() == [
+        "SIGTERM during startup; exiting",
+        "exiting; requests in flight: 0",
+    ]
+    registry.stop()
+
+
+@loopback
+async def test_a_reload_during_startup_is_done_at_its_end(tmp_path, monkeypatch):
+    old, new = await Registry(current=True).start(), await Registry(current=True).start()
+    sidecar = Sidecar(asyncio.get_running_loop(), told(registry=old.address))
+    raw = json.loads(Path(environment(tmp_path, discovery=new.address)["NODE_CONFIG"]).read_text())
+    (tmp_path / "config.json").write_text(json.dumps(raw))
+    monkeypatch.setenv("NODE_CONFIG", str(tmp_path / "config.json"))
+
+    async def listen(loop):
+        sidecar.reload(os.environ)  # before any part is connected with the others
+
+    monkeypatch.setattr(sidecar.peers, "listen", listen)
+    await sidecar.start()
+    await until(lambda: new.watches)
+    assert sidecar.running.discovery == parse_address(new.address)
+    assert len(new.watches) == 1
+    sidecar.close()
+    old.stop()
+    new.stop()
+
+
+@loopback
+async def test_repeated_signals_and_signals_during_the_shutdown_do_not_change_it(tmp_path):
+    release = asyncio.Event()
+
+    async def wait(reader, writer):
+        await release.wait()
+        return OK
+
+    upstream, registry = await Upstream([wait]).start(), await Registry(current=True).start()
+    sidecar = await Process.start(tmp_path, upstream)
+    sidecar.app.send()
+    await until(lambda: upstream.seen)
+    raw = json.loads((tmp_path / "config.json").read_text())
+    (tmp_path / "config.json").write_text(json.dumps({**raw, "discovery": registry.address}))
+    for number in (signal.SIGHUP, signal.SIGHUP, signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
+        sidecar.process.send_signal(number)
+    await until(lambda: registry.watches)
+    with pytest.raises(ConnectionError):
+        while True:
+            (await App.connect(sidecar.address)).close()
+            await asyncio.sleep(0.01)
+    sidecar.process.send_signal(signal.SIGHUP)
+    sidecar.process.send_signal(signal.SIGTERM)
+    release.set()
+    assert (await sidecar.app.answer()).body == b"done"
+    assert await sidecar.process.wait() == 0
+    upstream.stop()
+    registry.stop()
+
+
+@loopback
+async def test_a_closed_log_pipe_stops_neither_an_answer_nor_the_shutdown(tmp_path):
+    release = asyncio.Event()
+
+    async def wait(reader, writer):
+        await release.wait()
+        return OK
+
+    upstream = await Upstream([wait]).start()
+    port = free_port()
+    known = listed(1, entry("s0", upstream.address))
+    reads, writes = os.pipe()
+    process = await logged(tmp_path, stderr=writes, listen=f"127.0.0.1:{port}", known=known)
+    os.close(writes)
+    app = None
+    while app is None:
+        with contextlib.suppress(ConnectionError):
+            app = await App.connect(("127.0.0.1", port))
+    app.send()
+    await until(lambda: upstream.seen)
+    os.close(reads)
+    (tmp_path / "config.json").write_text("{")
+    for number in (signal.SIGHUP, signal.SIGTERM):
+        process.send_signal(number)
+    release.set()
+    assert (await app.answer()).body == b"done"
+    app.close()
+    assert await process.wait() == 0
+    upstream.stop()
+
+
+@pytest.mark.parametrize("key", ["listen", "operator", "peer_listen"])
+def test_an_address_in_use_is_one_line_and_exit_1(tmp_path, key):
+    kind = socket.SOCK_DGRAM if key == "peer_listen" else socket.SOCK_STREAM
+    with socket.socket(type=kind) as taken:
+        taken.bind(("127.0.0.1", 0))
+        if kind == socket.SOCK_STREAM:
+            taken.listen()
+        code, said = start_fails(environment(tmp_path, **{key: f"127.0.0.1:{taken.getsockname()[1]}"}))
+    assert code == 1
+    assert "can't start" in said and "in use" in said.lower()
--- a/tests/sidecar/test_upgrade.py
+++ b/tests/sidecar/test_upgrade.py
@@ -1,4 +1,4 @@
-"""One process takes over from another on a socket that both inherit: real processes, no bench."""
+"""One process takes over from another on a socket that both inherit."""
 
 from __future__ import annotations
 
@@ -7,11 +7,22 @@
 import os
 import signal
 import socket
+from dataclasses import replace
 
 from brassfall.sidecar import config
 from brassfall.sidecar.lifecycle.handover import Handover
 from brassfall.sidecar.lifecycle.sidecar import Sidecar
-from tests.support.loopback import OK, SETTINGS, Registry, Upstream, entry, listed, loopback, until
+from tests.support.loopback import (
+    OK,
+    SETTINGS,
+    Registry,
+    Upstream,
+    entry,
+    listed,
+    loopback,
+    told,
+    until,
+)
 from tests.support.processes import Load, Platform, ping, yes
 
 
@@ -26,7 +37,7 @@
     await until(lambda: load.answered > 100)
 
     registry = await Registry().start()
-    platform._changes["discovery"] = registry.address
+    platform.change(discovery=registry.address)
     new, admin = await platform.start()
     await until(lambda: registry.watches)
     # It is there, and sees that another serves: it takes nobody before it has its list.
@@ -129,3 +140,24 @@
     handover = Handover(str(tmp_path), "n0")
     assert not handover.other_process_runs()
     handover.release()
+
+
+@loopback
+async def test_a_replacement_accepts_no_client_before_the_old_process_holds_half(tmp_path, monkeypatch):
+    monkeypatch.setenv("TMPDIR", str(tmp_path))
+    registry = await Registry(current=True).start()
+    listening = socket.create_server(("127.0.0.1", 0))
+    made = []
+    for _ in range(2):
+        one = told(registry=registry.address)
+        one = replace(one, inherited=os.dup(listening.fileno()))
+        made.append(Sidecar(asyncio.get_running_loop(), one))
+    old, new = made
+    await old.start()
+    whole = old.inbound.limits.open
+    await new.start()  # its list comes at once
+    assert old.inbound.limits.open < whole and old.inbound.limits.open == new.inbound.limits.open
+    for one in made:
+        one.close()
+    listening.close()
+    registry.stop()
--- a/tests/support/processes.py
+++ b/tests/support/processes.py
@@ -100,6 +100,10 @@
         self._tmp_path, self._changes = tmp_path, changes
         self.processes = []
 
+    def change(self, **changes):
+        """Give another configuration to the processes that are started from now on."""
+        self._changes |= changes
+
     async def start(self):
         """A process, and where its door is."""
         with socket.create_server(("127.0.0.1", 0)) as free:
