--- a/tests/sidecar/test_connection_state.py
+++ b/tests/sidecar/test_connection_state.py
@@ -5,6 +5,7 @@
 import asyncio
 import contextlib
 import itertools
+import random
 
 import pytest
 
@@ -16,7 +17,8 @@
     checked_transition,
 )
 from brassfall.sidecar.clients.request_parser import RequestParser
-from tests.support.loopback import OK, App, Upstream, hang, loopback, request, running, until
+from tests.support.clients import end_sending, only_connection, reset
+from tests.support.loopback import OK, App, Upstream, break_off, hang, loopback, request, running, until
 
 S = ConnectionState
 LIVE_ENDS = {S.CLOSING, S.EVICTED, S.CLOSED}
@@ -80,12 +82,6 @@
     return states
 
 
-async def only_connection(sidecar):
-    await until(lambda: sidecar.inbound.connections)
-    (connection,) = sidecar.inbound.connections
-    return connection
-
-
 @loopback
 async def test_a_connection_is_read_between_requests_until_the_last_one(entered):
     upstream = await Upstream([OK]).start()
@@ -212,3 +208,74 @@
         assert not connection.idle and not connection.transferring
         assert await app.answer() is None
         await asyncio.sleep(0)
+
+
+# --- clients that do anything in any order -----------------------------------------------
+
+
+def random_input(rng):
+    """Bytes that a client may send: requests, parts of them, and what is no request."""
+    large = request("POST", "/pay", b"x" * rng.choice([70_000, 300_000]))
+    whole = rng.choice(
+        [
+            request(),
+            request() * rng.randrange(2, 20),
+            request(Connection="close"),
+            request().replace(b"HTTP/1.1", b"HTTP/1.0"),
+            request("POST", "/pay", b"hello", Expect="100-continue"),
+            request("POST", "/pay", Content_Length=None, Transfer_Encoding="chunked")
+            + b"5\r\nhello\r\n0\r\n\r\n",
+            request("GET", "/nowhere"),
+            large,
+        ]
+    )
+    return rng.choice(
+        [whole, whole, whole[: rng.randrange(len(whole))], b"\r\n", b"GARBAGE\r\n\r\n", b"\0" * 9]
+    )
+
+
+async def random_client(rng, address):
+    """A client that sends, reads and leaves at random."""
+    with contextlib.suppress(OSError):  # its connection is gone
+        app = await App.connect(address)
+        for _ in range(rng.randrange(1, 6)):
+            match rng.randrange(8):
+                case 0:
+                    app.writer.transport.pause_reading()
+                case 1:
+                    end_sending(app)
+                case 2:
+                    reset(app)
+                case 3:
+                    app.close()
+                case _:
+                    app.writer.write(random_input(rng))
+            await asyncio.sleep(rng.choice([0.0, 0.0, 0.001, 0.02]))
+        await asyncio.sleep(0.05)
+        app.close()
+
+
+@pytest.mark.parametrize("seed", range(8))
+@loopback
+async def test_no_order_of_events_leads_to_a_forbidden_transition(seed, entered, monkeypatch):
+    for name, limit_s in (("INCOMPLETE_S", 0.1), ("LINGER_S", 0.02), ("UNREAD_S", 0.1)):
+        monkeypatch.setattr(connection_timeouts, name, limit_s)
+    rng, faults = random.Random(seed), []
+    asyncio.get_running_loop().set_exception_handler(lambda loop, context: faults.append(context))
+    large = b"HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n" + b"x" * 400_000
+    upstreams = [await Upstream([reply]).start() for reply in (OK, large, hang, break_off)]
+    async with running(*upstreams, raw={"limits": {"sockets": 96}}) as sidecar:
+        clients = [
+            asyncio.create_task(random_client(random.Random(f"{seed} {number}"), sidecar.address))
+            for number in range(60)
+        ]
+        while not all(client.done() for client in clients):
+            rng.choice([sidecar.inbound.close_idle, lambda: sidecar.inbound.make_room(1), lambda: None])()
+            await asyncio.sleep(0.005)
+        await asyncio.gather(*clients)
+        sidecar.inbound.last_answers()
+        await until(lambda: sidecar.inbound.empty)
+        assert sidecar.inbound.open_connections == 0 and sidecar.inbound.budget.used == 0
+    raised = [context for context in faults if "exception" in context]
+    assert not [found for found in raised if not isinstance(found["exception"], ConnectionError | OSError)]
+    assert {S.READING_REQUEST, S.AWAITING_NEXT_REQUEST, S.EVICTED, S.CLOSED} <= set(entered)
