--- a/brassfall/sidecar/clients/client_connection.py
+++ b/brassfall/sidecar/clients/client_connection.py
@@ -414,9 +414,7 @@
             self.abort()  # its answer had begun
             return
         request.keep_alive = False
-        if request.answer is None:
-            request.answer = (status, [], b"")
-        self.flush()
+        request.finish(status, [], b"")
 
     def _end(self) -> None:
         """Close after the last answer.
--- a/brassfall/sidecar/clients/client_request.py
+++ b/brassfall/sidecar/clients/client_request.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from typing import Protocol
+from typing import NamedTuple, Protocol
 
 from brassfall.sidecar import framing
 from brassfall.sidecar.body import Body
@@ -52,6 +52,14 @@
         """Take note that the last byte of the body was read at `now`, in ms."""
 
 
+class CompleteAnswer(NamedTuple):
+    """A final answer in one piece."""
+
+    status: int
+    headers: framing.Headers
+    body: bytes
+
+
 class ClientRequest:
     """One request on a client's connection, and its answer once there is one.
 
@@ -64,7 +72,7 @@
         self.keep_alive = keep_alive
         self.last = False  # whether the head of the answer announces the end of the connection
         self.request: Request | None = None  # the driver's record of it, until it is answered
-        self.answer: tuple[int, framing.Headers, bytes] | None = None
+        self.answer: CompleteAnswer | None = None
         self.stream: StreamedAnswer | None = None  # in place of a complete answer
         self.body: Body | None = None  # of a large request, in place of a buffered one
         self.can_chunk = True  # whether its client understands chunked answers, as of HTTP/1.1
@@ -172,5 +180,5 @@
     def finish(self, status: int, headers: framing.Headers, body: bytes) -> None:
         """Give a complete final answer; without effect if there is one."""
         if self.answer is None and self.stream is None:
-            self.answer = (status, headers, body)
+            self.answer = CompleteAnswer(status, headers, body)
             self.connection.flush()
--- a/brassfall/sidecar/clients/inbound.py
+++ b/brassfall/sidecar/clients/inbound.py
@@ -71,7 +71,11 @@
         self._listens_alone = descriptor is None
         sock = listening_socket(address) if descriptor is None else inherited_socket(descriptor)
         self.listener = Listener(
-            self.loop, sock, lambda: ClientConnection(self), self._capacity, lambda: self.make_room(1)
+            self.loop,
+            sock,
+            lambda: ClientConnection(self),
+            capacity=self._capacity,
+            on_exhausted=lambda: self.make_room(1),
         )
         return self.listener.address
 
@@ -238,7 +242,7 @@
         """
         message.target = framing.origin_form(message.target)
         if message.target.partition(b"?")[0] == READY_PATH:
-            request.answer = (200 if self._lifecycle.ready else 503, [], b"")
+            request.finish(200 if self._lifecycle.ready else 503, [], b"")
         elif self.open_connections > self.limits.requests and self.busy_connections > self.limits.requests:
             request.refused(0.0)
         elif not request.connection.leave_if_closed():
@@ -249,8 +253,8 @@
             self.classes.read(request, message, self._not_forwarded)
         except BadRequestError as error:
             text = "" if message.method == "HEAD" else f"{error}\n"
-            request.answer = (error.status, [], text.encode())
+            request.finish(error.status, [], text.encode())
             return
-        taken = self.handler.arrive(request, read_at)
-        # A request that was answered at once is not pending.
-        request.request = taken if request.answer is None else None
+        handled = self.handler.arrive(request, read_at)
+        # The driver has forgotten a request that it answered at once.
+        request.request = handled if request.answer is None else None
--- a/brassfall/sidecar/clients/listener.py
+++ b/brassfall/sidecar/clients/listener.py
@@ -93,6 +93,7 @@
         loop: asyncio.AbstractEventLoop,
         sock: socket.socket,
         protocol_factory: Callable[[], asyncio.BaseProtocol],
+        *,
         capacity: Callable[[], int] = lambda: BATCH,
         on_exhausted: Callable[[], object] = lambda: None,
     ) -> None:
--- a/brassfall/sidecar/clients/request_message.py
+++ b/brassfall/sidecar/clients/request_message.py
@@ -30,9 +30,10 @@
 
     def grow(self, budget: Budget, size: int) -> bool:
         """Reserve `size` bytes more; return False, without reserving any, if they are not free."""
-        reserved = budget.reserve(size)
-        self.size += size * reserved
-        return reserved
+        if not budget.reserve(size):
+            return False
+        self.size += size
+        return True
 
     def release(self, budget: Budget) -> None:
         """Free all bytes: the message is no longer in memory."""
--- a/brassfall/sidecar/lifecycle/admin.py
+++ b/brassfall/sidecar/lifecycle/admin.py
@@ -26,21 +26,21 @@
         self._lifecycle = lifecycle
         self._connections: dict[AdminConnection, None] = {}  # oldest first
         self._listener: Listener | None = None
-        self._commands: dict[str, Callable[[], str | None]] = {
-            "PING": lifecycle.check_accepting,
-            "LAMEDUCK": lifecycle.drain,
-            "REJOIN": lifecycle.rejoin,
+        self._commands: dict[str, Callable[[], str]] = {
+            "PING": self._ping,
+            "LAMEDUCK": self._drain,
+            "REJOIN": self._rejoin,
         }
 
-    def add_command(self, name: str, command: Callable[[], str]) -> None:
-        """Add a command that returns its reply: JSON, or the text behind `done`."""
-        self._commands[name] = command
+    def add_command(self, name: str, command: Callable[[], str], *, json: bool = False) -> None:
+        """Add a command that returns the text behind `done`, or with `json` the whole reply."""
+        self._commands[name] = command if json else lambda: f"done {command()}"
 
     def listen(self, address: Address) -> None:
         """Accept commands from now on; raises `OSError` if the address can't be had."""
         sock = listening_socket(address, MAX_ADMIN_CONNECTIONS * 4)
         # One connection at a time: it may have to evict another one, to have its descriptor.
-        self._listener = Listener(self.loop, sock, lambda: AdminConnection(self), lambda: 1)
+        self._listener = Listener(self.loop, sock, lambda: AdminConnection(self), capacity=lambda: 1)
 
     @property
     def address(self) -> Address | None:
@@ -66,13 +66,22 @@
         if command is None:
             return "error no such call, but " + ", ".join(self._commands)
         try:
-            answer = command()
+            return command()
         except InvalidTransitionError as error:
             return f"error {error}"
-        if answer is not None:
-            return answer if answer.startswith("{") else f"done {answer}"  # JSON has no prefix
-        if name != "PING":
-            log(f"operator: {name}, now {self._lifecycle.state.value}")
+
+    def _ping(self) -> str:
+        self._lifecycle.check_accepting()
+        return f"done {self._lifecycle.state.value}"
+
+    def _drain(self) -> str:
+        self._lifecycle.drain()
+        log(f"operator: LAMEDUCK, now {self._lifecycle.state.value}")
+        return f"done {self._lifecycle.state.value}"
+
+    def _rejoin(self) -> str:
+        self._lifecycle.rejoin()
+        log(f"operator: REJOIN, now {self._lifecycle.state.value}")
         return f"done {self._lifecycle.state.value}"
 
     def opened(self, connection: AdminConnection) -> None:
--- a/brassfall/sidecar/lifecycle/sidecar.py
+++ b/brassfall/sidecar/lifecycle/sidecar.py
@@ -70,7 +70,7 @@
         if self._running.agreement is not None and self._running.agreement.group:
             self.pool.delays = member.delays
         self.driver.revision_stamp = self.pool.stamp = member.stamp_at(self._loop)
-        self.admin.add_command("RULES", lambda: member.agent.state)
+        self.admin.add_command("RULES", lambda: member.agent.state, json=True)
         return member
 
     def _server_list(self, form: str, servers: ServerList | None) -> None:
--- a/tests/sidecar/test_admin.py
+++ b/tests/sidecar/test_admin.py
@@ -1,4 +1,4 @@
-"""The admin endpoint and the drain that it starts, on a sidecar in this process."""
+"""The admin endpoint, and the drain that it controls, of a sidecar in this process."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 ADMIN = {"operator": "127.0.0.1:0"}
 
 
-async def call(made, line):
+async def command(sidecar, line):
     """What the endpoint answers to these bytes, until it closes."""
-    reader, writer = await asyncio.open_connection(*made.admin.address)
+    reader, writer = await asyncio.open_connection(*sidecar.admin.address)
     try:
         writer.write(line)
         async with asyncio.timeout(PATIENCE_S):
@@ -29,15 +29,15 @@
         writer.transport.abort()
 
 
-async def health(made):
+async def health(sidecar):
     """The status of the readiness check, on a connection of its own."""
-    app = await App.connect(made.address)
+    app = await App.connect(sidecar.address)
     answer = await app.ask("GET", "/health/ready", X_Call_Class=None)
     app.close()
     return answer.start.split(" ")[1]
 
 
-def test_only_the_lifecycle_says_what_may_follow():
+def test_the_lifecycle_rejects_transitions_before_startup_and_after_a_stop():
     life, seen = Lifecycle(), []
     life.on_change(lambda: seen.append(life.state))
     for change in (life.drain, life.rejoin):
@@ -58,77 +58,79 @@
 
 
 @loopback
-async def test_each_call_gets_one_line():
-    async with running(raw=ADMIN) as made:
+async def test_each_command_gets_a_reply_of_one_line():
+    async with running(raw=ADMIN) as sidecar:
         for line in (b"PING\n", b"PING\r\n", b"PING\nLAMEDUCK\n"):
-            assert await call(made, line) == b"done serving\n"
+            assert await command(sidecar, line) == b"done serving\n"
         for line in (b"NONSENSE\n", b"\n", b"ping\n", b"\xff\xfe\n", b"PING PING\n", b"x" * 5000):
-            answer = await call(made, line)
+            answer = await command(sidecar, line)
             assert answer.startswith(b"error ") and answer.count(b"\n") == 1, line
-        assert made.lifecycle.ready
+        assert sidecar.lifecycle.ready
 
 
 @loopback
-async def test_refusals_are_told_by_reason():
-    async with running(raw=ADMIN) as made:
-        app = await App.connect(made.address)
+async def test_rejections_are_counted_by_reason():
+    async with running(raw=ADMIN) as sidecar:
+        app = await App.connect(sidecar.address)
         assert (await app.ask()).start.split(" ")[1] in ("429", "503")  # no server is known
-        told = (await call(made, b"REFUSALS\n")).decode().split()
+        told = (await command(sidecar, b"REFUSALS\n")).decode().split()
         assert told[0] == "done" and "room=1" in told
         assert [field.partition("=")[0] for field in told[1:]] == [*REASONS, "full"]
 
 
 @loopback
-async def test_half_a_line_is_no_call():
-    async with running(raw=ADMIN) as made:
-        reader, writer = await asyncio.open_connection(*made.admin.address)
+async def test_an_incomplete_line_is_no_command():
+    async with running(raw=ADMIN) as sidecar:
+        reader, writer = await asyncio.open_connection(*sidecar.admin.address)
         writer.write(b"LAMEDUCK")
         writer.write_eof()
         assert (await reader.read()).startswith(b"error")
-        assert made.lifecycle.ready
+        assert sidecar.lifecycle.ready
         writer.close()
 
 
 @loopback
-async def test_callers_that_finish_nothing_hold_up_nobody():
-    async with running(raw=ADMIN) as made:
+async def test_connections_without_a_command_do_not_delay_others():
+    async with running(raw=ADMIN) as sidecar:
         silent = [
-            await asyncio.open_connection(*made.admin.address) for _ in range(3 * MAX_ADMIN_CONNECTIONS)
+            await asyncio.open_connection(*sidecar.admin.address) for _ in range(3 * MAX_ADMIN_CONNECTIONS)
         ]
         for _, writer in silent[::2]:
             writer.write(b"PI")
-        assert await call(made, b"PING\n") == b"done serving\n"
+        assert await command(sidecar, b"PING\n") == b"done serving\n"
         assert (await silent[0][0].read()).startswith(b"error")  # the oldest made room
-        assert made.admin.connections <= MAX_ADMIN_CONNECTIONS
+        assert sidecar.admin.connections <= MAX_ADMIN_CONNECTIONS
         for _, writer in silent:
             writer.transport.abort()
-        await until(lambda: not made.admin.connections)
+        await until(lambda: not sidecar.admin.connections)
 
 
 @loopback
-async def test_a_caller_that_says_nothing_is_let_go(monkeypatch):
+async def test_a_connection_without_a_command_ends_after_its_time_limit(monkeypatch):
     monkeypatch.setattr(admin, "COMMAND_S", 0.05)
-    async with running(raw=ADMIN) as made:
-        assert (await call(made, b"")).startswith(b"error")
+    async with running(raw=ADMIN) as sidecar:
+        assert (await command(sidecar, b"")).startswith(b"error")
 
 
 @loopback
-async def test_a_failed_accept_costs_no_command():
-    async with running(raw=ADMIN) as made:
+async def test_a_failed_accept_loses_no_command():
+    async with running(raw=ADMIN) as sidecar:
         with Faults() as faults:
-            faults.script("accept", *ACCEPT_ERRORS, on=lambda sock: sock.getsockname() == made.admin.address)
-            assert await call(made, b"PING\n") == b"done serving\n"
+            faults.script(
+                "accept", *ACCEPT_ERRORS, on=lambda sock: sock.getsockname() == sidecar.admin.address
+            )
+            assert await command(sidecar, b"PING\n") == b"done serving\n"
         assert faults.injected.total() == len(ACCEPT_ERRORS)
 
 
 @loopback
 async def test_without_an_address_there_is_no_admin_endpoint():
-    async with running() as made:
-        assert made.admin.address is None
+    async with running() as sidecar:
+        assert sidecar.admin.address is None
 
 
 @loopback
-async def test_a_drain_sends_clients_away_and_serves_those_that_come(monkeypatch):
+async def test_a_drain_closes_connections_and_serves_clients_that_still_come(monkeypatch):
     monkeypatch.setattr(inbound, "LAME_DUCK_DELAY_S", 0.3)
     release = asyncio.Event()
 
@@ -137,16 +139,16 @@
         return OK
 
     upstream = await Upstream([wait, OK]).start()
-    async with running(upstream, raw=ADMIN) as made:
-        busy, idle, used = [await App.connect(made.address) for _ in range(3)]
+    async with running(upstream, raw=ADMIN) as sidecar:
+        busy, idle, used = [await App.connect(sidecar.address) for _ in range(3)]
         busy.send()
         await until(lambda: upstream.seen)
-        assert await health(made) == "200"
-        assert await call(made, b"LAMEDUCK\n") == b"done lame duck\n"
-        assert await health(made) == "503"
-        assert await call(made, b"LAMEDUCK\n") == b"done lame duck\n"
-        assert await call(made, b"PING\n") == b"done lame duck\n"
-        for app in (used, await App.connect(made.address)):
+        assert await health(sidecar) == "200"
+        assert await command(sidecar, b"LAMEDUCK\n") == b"done lame duck\n"
+        assert await health(sidecar) == "503"
+        assert await command(sidecar, b"LAMEDUCK\n") == b"done lame duck\n"
+        assert await command(sidecar, b"PING\n") == b"done lame duck\n"
+        for app in (used, await App.connect(sidecar.address)):
             answer = await app.ask()
             assert (answer.body, answer.headers["connection"]) == (b"done", "close")
             assert await app.answer() is None
@@ -154,35 +156,35 @@
         release.set()
         answer = await busy.answer()
         assert (answer.body, answer.headers["connection"]) == (b"done", "close")
-        await until(lambda: made.inbound.empty)
+        await until(lambda: sidecar.inbound.empty)
 
-        assert await call(made, b"REJOIN\n") == b"done serving\n"
-        assert await health(made) == "200"
-        app = await App.connect(made.address)
+        assert await command(sidecar, b"REJOIN\n") == b"done serving\n"
+        assert await health(sidecar) == "200"
+        app = await App.connect(sidecar.address)
         assert "connection" not in (await app.ask()).headers
         assert (await app.ask()).body == b"done"
 
 
 @loopback
-async def test_a_rejoin_in_the_middle_keeps_connections(monkeypatch):
+async def test_a_rejoin_during_a_drain_keeps_connections(monkeypatch):
     monkeypatch.setattr(inbound, "LAME_DUCK_DELAY_S", 0.1)
-    async with running(raw=ADMIN) as made:
-        idle = await App.connect(made.address)
-        await until(lambda: not made.inbound.empty)
-        await call(made, b"LAMEDUCK\n")
-        await call(made, b"REJOIN\n")
+    async with running(raw=ADMIN) as sidecar:
+        idle = await App.connect(sidecar.address)
+        await until(lambda: not sidecar.inbound.empty)
+        await command(sidecar, b"LAMEDUCK\n")
+        await command(sidecar, b"REJOIN\n")
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(idle.reader.read(1), 0.3)
             pytest.fail("the idle connection was closed")
 
 
 @loopback
-async def test_there_is_no_way_back_from_a_stop():
-    async with running(raw=ADMIN) as made:
-        await call(made, b"LAMEDUCK\n")
-        stopping = asyncio.create_task(made.drain())
-        await until(lambda: made.lifecycle.state is State.STOPPING)
+async def test_a_shutdown_can_not_be_reversed():
+    async with running(raw=ADMIN) as sidecar:
+        await command(sidecar, b"LAMEDUCK\n")
+        stopping = asyncio.create_task(sidecar.drain())
+        await until(lambda: sidecar.lifecycle.state is State.STOPPING)
         for line in (b"REJOIN\n", b"LAMEDUCK\n", b"PING\n"):
-            assert await call(made, line) == b"error the process is stopping\n"
-        assert await health(made) == "503"
+            assert await command(sidecar, line) == b"error the process is stopping\n"
+        assert await health(sidecar) == "503"
         await stopping
--- a/tests/sidecar/test_configuration.py
+++ b/tests/sidecar/test_configuration.py
@@ -1,4 +1,4 @@
-"""A configuration that is bad in any way: one line with file, key and reason, and nothing else changes."""
+"""Bad configurations: one line with file, key and reason, and nothing else changes."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
 
 
 @pytest.mark.parametrize("at", list(places(WHOLE)), ids=lambda at: ".".join(map(str, at)) or "all")
-def test_whatever_stands_anywhere_it_is_taken_or_refused_in_a_line(tmp_path, at):
+def test_any_value_of_any_key_is_accepted_or_rejected_in_one_line(tmp_path, at):
     running = config.parse(WHOLE, {})
     for value in VALUES:
         try:
@@ -104,7 +104,7 @@
         (("seed",), "\ud800", "seed"),
     ],
 )
-def test_the_line_names_file_and_key(tmp_path, at, value, key):
+def test_the_error_names_file_and_key(tmp_path, at, value, key):
     with pytest.raises(config.ConfigError) as caught:
         load(tmp_path, json.dumps(put(at, value)))
     said = str(caught.value)
@@ -127,7 +127,7 @@
     ],
     ids=range(9),
 )
-def test_a_file_that_is_none_of_ours_is_refused_in_a_line(tmp_path, text):
+def test_a_file_that_is_no_configuration_is_rejected_in_one_line(tmp_path, text):
     with pytest.raises(config.ConfigError) as caught:
         load(tmp_path, text)
     said = str(caught.value)
@@ -135,7 +135,7 @@
 
 
 @pytest.mark.parametrize("kind", ["missing", "folder", "pipe", "device", "loop"])
-def test_what_is_no_file_holds_nothing_up(tmp_path, kind):
+def test_a_path_that_is_no_regular_file_is_rejected_without_waiting(tmp_path, kind):
     path = tmp_path / kind
     if kind == "folder":
         path.mkdir()
@@ -151,14 +151,14 @@
 
 
 @pytest.mark.parametrize("name", ["NODE_LISTEN", "NODE_DISCOVERY", "NODE_OPERATOR"])
-def test_the_line_names_the_variable_that_stands_in_for_a_key(tmp_path, name):
+def test_the_error_names_the_variable_that_replaces_a_key(tmp_path, name):
     path = tmp_path / "config.json"
     path.write_text(json.dumps(WHOLE))
     with pytest.raises(config.ConfigError, match=f"{name}: 'nowhere' is not an address"):
         config.load({"NODE_CONFIG": str(path), name: "nowhere"})
 
 
-def test_at_the_start_it_is_exit_2_with_file_key_and_reason(tmp_path):
+def test_a_bad_file_at_startup_exits_with_2_and_names_file_key_and_reason(tmp_path):
     env = environment(tmp_path, limits={"sockets": "many"})
     code, said = start_fails(env)
     assert code == 2
@@ -166,7 +166,7 @@
 
 
 @loopback
-async def test_at_a_reload_nothing_is_changed_and_the_line_says_what_to_mend(tmp_path, capsys):
+async def test_a_bad_file_at_a_reload_changes_nothing_and_is_named(tmp_path, capsys):
     made = Sidecar(asyncio.get_running_loop(), config.parse(WHOLE, {}))
     made.lifecycle.serve()
     before = made.running
--- a/tests/sidecar/test_operation_process.py
+++ b/tests/sidecar/test_operation_process.py
@@ -1,4 +1,4 @@
-"""Days of daily operation on the real program, as a process of its own and without the bench."""
+"""Drain, reload, large bodies and slow clients on the real program."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
 
 
 @loopback
-async def test_it_drains_and_rejoins_and_reloads_under_load(tmp_path):
+async def test_a_process_drains_rejoins_and_reloads_under_load(tmp_path):
     upstream = await Upstream([OK]).start()
-    door = Address("127.0.0.1", free_port())
-    made = await Process.start(tmp_path, upstream, operator=f"{door.host}:{door.port}")
-    await yes(door)
-    load = Load(made.address)
+    admin = Address("127.0.0.1", free_port())
+    sidecar = await Process.start(tmp_path, upstream, operator=f"{admin.host}:{admin.port}")
+    await yes(admin)
+    load = Load(sidecar.address)
     clients = [asyncio.create_task(load.client()) for _ in range(6)]
 
     async def more():
@@ -38,26 +38,26 @@
         await until(lambda: load.answered > answered + 50)
 
     await more()
-    assert await ask_door(door, b"LAMEDUCK\n") == b"done lame duck\n"
-    assert await health(made.address) == "503"
+    assert await ask_door(admin, b"LAMEDUCK\n") == b"done lame duck\n"
+    assert await health(sidecar.address) == "503"
     await more()  # what still comes is served
     path = tmp_path / "config.json"
     raw = json.loads(path.read_text())
     raw["settings"]["Profiles"].append({**raw["settings"]["Profiles"][0], "Name": "view"})
     for text in ("{", json.dumps(raw)):
         path.write_text(text)
-        made.process.send_signal(signal.SIGHUP)
+        sidecar.process.send_signal(signal.SIGHUP)
         await more()
-    assert await ask_door(door, b"REJOIN\n") == b"done serving\n"
-    assert await health(made.address) == "200"
-    app = await App.connect(made.address)
+    assert await ask_door(admin, b"REJOIN\n") == b"done serving\n"
+    assert await health(sidecar.address) == "200"
+    app = await App.connect(sidecar.address)
     assert (await app.ask("GET", "/view")).body == b"done"
     await more()
     load.going = False
     await asyncio.gather(*clients)
     assert load.wrong == [] and load.crossed == 0  # answers end connections, nothing else does
-    made.process.terminate()
-    assert await made.process.wait() == 0
+    sidecar.process.terminate()
+    assert await sidecar.process.wait() == 0
     upstream.stop()
 
 
@@ -96,14 +96,14 @@
 
 
 @loopback
-async def test_bodies_of_32_mb_pass_both_ways_and_are_never_held(tmp_path):
+async def test_bodies_of_32_mb_are_passed_on_in_both_directions_without_being_buffered(tmp_path):
     mirror = await Mirror().start()
-    made = await Process.start(tmp_path, mirror)
-    assert (await made.app.ask("GET", "/health/ready", X_Call_Class=None)).start.split(" ")[1] == "200"
-    before = peak_mb(made.process.pid)
+    sidecar = await Process.start(tmp_path, mirror)
+    assert (await sidecar.app.ask("GET", "/health/ready", X_Call_Class=None)).start.split(" ")[1] == "200"
+    before = peak_mb(sidecar.process.pid)
 
     async def client():
-        app = await App.connect(made.address)
+        app = await App.connect(sidecar.address)
         head = partners.request("POST", "/pay", X_Budget="10000m", Content_Length=str(LARGE))
         app.writer.write(head)
         for _ in range(LARGE // len(PART)):
@@ -121,39 +121,39 @@
 
     await asyncio.gather(*(client() for _ in range(4)))
     assert mirror.taken == [LARGE] * 4
-    assert peak_mb(made.process.pid) - before < 8.0  # of 256 MB that went through
-    made.process.terminate()
-    assert await made.process.wait() == 0
+    assert peak_mb(sidecar.process.pid) - before < 8.0  # of 256 MB that went through
+    sidecar.process.terminate()
+    assert await sidecar.process.wait() == 0
     mirror.stop()
 
 
 @loopback
-async def test_true_requests_are_served_within_a_crowd(tmp_path):
+async def test_requests_are_served_beside_many_silent_and_slow_clients(tmp_path):
     upstream = await Upstream([OK]).start()
-    door = Address("127.0.0.1", free_port())
+    admin = Address("127.0.0.1", free_port())
     limits = {"sockets": 128, "memory_mb": 40}
-    made = await Process.start(tmp_path, upstream, operator=f"{door.host}:{door.port}", limits=limits)
-    await yes(door)
+    sidecar = await Process.start(tmp_path, upstream, operator=f"{admin.host}:{admin.port}", limits=limits)
+    await yes(admin)
     whole = partners.request("POST", "/pay", b"hello")
-    slow = await App.connect(made.address)
+    slow = await App.connect(sidecar.address)
     slow.writer.write(whole[:60])
     crowd = []
     for number in range(400):
-        stranger = await App.connect(made.address)
+        stranger = await App.connect(sidecar.address)
         if number % 3 == 0:
             stranger.writer.write(whole[:40])
         crowd.append(stranger)
         if number % 10 == 0:
-            app = await App.connect(made.address)  # each true request has a new connection
+            app = await App.connect(sidecar.address)  # each true request has a new connection
             assert (await app.ask()).body == b"done"
             crowd.append(app)
             slow.writer.write(whole[60 + number // 10 : 61 + number // 10])
     slow.writer.write(whole[100:])
     assert (await slow.answer()).body == b"done"
-    assert await ask_door(door, b"PING\n") == b"done serving\n"
-    assert await health(made.address) == "200"
-    made.process.terminate()
-    assert await made.process.wait() == 0
+    assert await ask_door(admin, b"PING\n") == b"done serving\n"
+    assert await health(sidecar.address) == "200"
+    sidecar.process.terminate()
+    assert await sidecar.process.wait() == 0
     for stranger in crowd:
         stranger.close()
     upstream.stop()
--- a/tests/sidecar/test_process.py
+++ b/tests/sidecar/test_process.py
@@ -1,4 +1,4 @@
-"""The program as it is deployed: started, stopped and told nonsense."""
+"""The program as it is deployed: bad configurations, startup, reload and shutdown."""
 
 from __future__ import annotations
 
@@ -25,18 +25,18 @@
         ({"known": []}, "configuration"),
     ],
 )
-def test_a_bad_configuration_is_one_line_and_an_exit_code(tmp_path, changes, message):
+def test_a_bad_configuration_gives_one_line_and_an_exit_status(tmp_path, changes, message):
     assert message in start_fails(environment(tmp_path, **changes))[1]
 
 
-def test_no_configuration_at_all_is_one_line_too(tmp_path):
+def test_a_missing_configuration_gives_one_line_and_an_exit_status(tmp_path):
     for path in ("", str(tmp_path / "missing.json")):
         env = {**environment(tmp_path), "NODE_CONFIG": path}
         assert start_fails(env)[0] == 2
 
 
 @pytest.mark.parametrize("value", ["four", "-1", "0x4", "987", "0", "bound"])
-def test_a_descriptor_that_is_no_listening_socket_is_one_line_too(tmp_path, value):
+def test_a_descriptor_that_is_no_listening_socket_gives_one_line(tmp_path, value):
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         number = str(sock.fileno()) if value == "bound" else value
@@ -45,7 +45,7 @@
 
 
 @loopback
-async def test_at_sigterm_it_goes_on_taking_requests_then_finishes_them_and_exits(tmp_path):
+async def test_sigterm_finishes_requests_and_new_connections_before_the_exit(tmp_path):
     release = asyncio.Event()
 
     async def wait(reader, writer):
@@ -53,55 +53,55 @@
         return b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 
     upstream = await Upstream([wait]).start()
-    made = await Process.start(tmp_path, upstream)
-    made.app.send()
+    sidecar = await Process.start(tmp_path, upstream)
+    sidecar.app.send()
     await until(lambda: upstream.seen)
     asked = asyncio.get_running_loop().time()
-    made.process.send_signal(signal.SIGTERM)
-    late = await App.connect(made.address)  # as new connections go on coming
+    sidecar.process.send_signal(signal.SIGTERM)
+    late = await App.connect(sidecar.address)  # as new connections go on coming
     late.send()
     await until(lambda: len(upstream.seen) == 2)
 
     while True:
         try:
-            (await App.connect(made.address)).close()
+            (await App.connect(sidecar.address)).close()
         except ConnectionError:
             break
         await asyncio.sleep(0.01)
     assert asyncio.get_running_loop().time() - asked > 0.4
     release.set()
-    for app in (made.app, late):
+    for app in (sidecar.app, late):
         answer = await app.answer()
         assert (answer.body, answer.headers["connection"]) == (b"done", "close")
-    assert await made.process.wait() == 0
+    assert await sidecar.process.wait() == 0
     upstream.stop()
 
 
 @loopback
-async def test_at_sighup_it_asks_where_the_file_says_and_survives_a_bad_one(tmp_path, monkeypatch):
+async def test_sighup_moves_to_the_discovery_of_the_file_and_ignores_a_bad_file(tmp_path, monkeypatch):
     old, new = await Registry().start(), await Registry().start()
-    made = await Process.start(tmp_path, variables={"NODE_DISCOVERY": old.address}, discovery=old.address)
+    sidecar = await Process.start(tmp_path, variables={"NODE_DISCOVERY": old.address}, discovery=old.address)
     await until(lambda: old.watches)
     path = tmp_path / "config.json"
     right = json.loads(path.read_text()) | {"discovery": new.address}
     for text in ("{", json.dumps(right)):
         path.write_text(text)
-        made.process.send_signal(signal.SIGHUP)
-        answer = await made.app.ask("GET", "/health/ready", X_Call_Class=None)
+        sidecar.process.send_signal(signal.SIGHUP)
+        answer = await sidecar.app.ask("GET", "/health/ready", X_Call_Class=None)
         assert answer.start.split(" ")[1] == "200"
     await until(lambda: new.watches)
-    made.process.terminate()
-    assert await made.process.wait() == 0
+    sidecar.process.terminate()
+    assert await sidecar.process.wait() == 0
     old.stop()
     new.stop()
 
 
 @loopback
-async def test_it_survives_running_out_of_descriptors(tmp_path):
+async def test_a_process_serves_again_after_running_out_of_descriptors(tmp_path):
     upstream = await Upstream([hang]).start()
     # Told of more descriptors than the system grants: the smaller figure must count.
-    made = await Process.start(tmp_path, upstream, limit="ulimit -n 64;")
-    apps = [await App.connect(made.address) for _ in range(80)]
+    sidecar = await Process.start(tmp_path, upstream, limit="ulimit -n 64;")
+    apps = [await App.connect(sidecar.address) for _ in range(80)]
     for app in apps:
         app.send(X_Budget="400m")
     answers = await asyncio.gather(*(app.answer() for app in apps))
@@ -112,13 +112,13 @@
     upstream.replies = [b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"]
 
     async def serves():
-        app = await App.connect(made.address)
+        app = await App.connect(sidecar.address)
         answer = await app.ask()
         app.close()
         return answer is not None and answer.body == b"done"
 
     while not await serves():
         await asyncio.sleep(0.05)
-    made.process.terminate()
-    assert await made.process.wait() == 0
+    sidecar.process.terminate()
+    assert await sidecar.process.wait() == 0
     upstream.stop()
--- a/tests/sidecar/test_upgrade.py
+++ b/tests/sidecar/test_upgrade.py
@@ -65,7 +65,7 @@
 
 
 @loopback
-async def test_a_process_that_follows_a_killed_one_waits_for_nothing(tmp_path):
+async def test_a_process_that_follows_a_killed_one_does_not_wait(tmp_path):
     # The old one's lock file stays, discovery can't be reached.
     platform = Platform(tmp_path)
     old, admin = await platform.start()
@@ -80,7 +80,7 @@
     platform.end()
 
 
-def test_two_processes_know_of_each_other(tmp_path):
+def test_two_processes_detect_each_other(tmp_path):
     old, new = Handover(str(tmp_path), "n0"), Handover(str(tmp_path), "n0")
     assert not old.other_process_runs()
     assert new.other_process_runs() and old.other_process_runs()
@@ -97,13 +97,13 @@
     new.release()
 
 
-def test_a_folder_that_can_not_be_written_stops_no_start(tmp_path, capsys):
+def test_a_folder_that_can_not_be_written_does_not_prevent_a_start(tmp_path, capsys):
     assert not Handover(str(tmp_path / "missing"), "n0").other_process_runs()
     assert "handover" in capsys.readouterr().err
 
 
 @loopback
-async def test_two_processes_hold_together_what_one_may(tmp_path, monkeypatch):
+async def test_two_processes_share_the_limits_of_one(tmp_path, monkeypatch):
     monkeypatch.setenv("TMPDIR", str(tmp_path))
     loop = asyncio.get_running_loop()
     listening = socket.create_server(("127.0.0.1", 0))
@@ -131,7 +131,7 @@
     listening.close()
 
 
-def test_what_a_lock_file_holds_is_nobodys_concern(tmp_path):
+def test_the_contents_of_a_lock_file_do_not_matter(tmp_path):
     old = Handover(str(tmp_path), "n0")
     old.other_process_runs()
     old.release()
--- a/tests/sidecar/test_whole_program_faults.py
+++ b/tests/sidecar/test_whole_program_faults.py
@@ -70,7 +70,7 @@
 
 
 @bounded(60.0)
-async def test_it_starts_though_the_system_has_no_descriptor_for_a_moment(tmp_path):
+async def test_a_process_starts_though_the_system_has_no_descriptor_for_a_moment(tmp_path):
     upstream = await Upstream([OK]).start()
     plan = {"script": {"socket": ["EMFILE", "ENOBUFS", "ENFILE", "ENOMEM"] * 3}}
     made = await started(tmp_path, plan, [upstream])
@@ -82,7 +82,7 @@
 
 @pytest.mark.parametrize("most", [1, 7])
 @bounded(60.0)
-async def test_reads_and_writes_may_be_short(tmp_path, most):
+async def test_short_reads_and_writes_change_no_message(tmp_path, most):
     registry = await Registry(current=True).start()
     upstreams = [await Upstream([OK]).start() for _ in range(2)]
     plan = {"shorten": {"recv": most, "send": most}}
