--- a/tests/sidecar/test_upgrade.py
+++ b/tests/sidecar/test_upgrade.py
@@ -1,4 +1,4 @@
-"""One process takes over from another on a socket that both inherit: real processes, no bench."""
+"""One process takes over from another on a socket that both inherit."""
 
 from __future__ import annotations
 
@@ -7,11 +7,22 @@
 import os
 import signal
 import socket
+from dataclasses import replace
 
 from brassfall.sidecar import config
 from brassfall.sidecar.lifecycle.handover import Handover
 from brassfall.sidecar.lifecycle.sidecar import Sidecar
-from tests.support.loopback import OK, SETTINGS, Registry, Upstream, entry, listed, loopback, until
+from tests.support.loopback import (
+    OK,
+    SETTINGS,
+    Registry,
+    Upstream,
+    entry,
+    listed,
+    loopback,
+    told,
+    until,
+)
 from tests.support.processes import Load, Platform, ping, yes
 
 
@@ -26,7 +37,7 @@
     await until(lambda: load.answered > 100)
 
     registry = await Registry().start()
-    platform._changes["discovery"] = registry.address
+    platform.change(discovery=registry.address)
     new, admin = await platform.start()
     await until(lambda: registry.watches)
     # It is there, and sees that another serves: it takes nobody before it has its list.
@@ -36,7 +47,7 @@
     old.send_signal(signal.SIGTERM)
     _, said = await old.communicate()
     assert old.returncode == 0
-    assert b"Traceback" not in said and b"nothing still open" in said
+    assert b"Traceback" not in said and b"requests in flight: 0" in said
     answered = load.answered
     await until(lambda: load.answered > answered + 100)
     load.going = False
@@ -54,7 +65,7 @@
 
 
 @loopback
-async def test_a_process_that_follows_a_killed_one_waits_for_nothing(tmp_path):
+async def test_a_process_that_follows_a_killed_one_does_not_wait(tmp_path):
     # The old one's lock file stays, discovery can't be reached.
     platform = Platform(tmp_path)
     old, admin = await platform.start()
@@ -69,7 +80,7 @@
     platform.end()
 
 
-def test_two_processes_know_of_each_other(tmp_path):
+def test_two_processes_detect_each_other(tmp_path):
     old, new = Handover(str(tmp_path), "n0"), Handover(str(tmp_path), "n0")
     assert not old.other_process_runs()
     assert new.other_process_runs() and old.other_process_runs()
@@ -86,13 +97,13 @@
     new.release()
 
 
-def test_a_folder_that_can_not_be_written_stops_no_start(tmp_path, capsys):
+def test_a_folder_that_can_not_be_written_does_not_prevent_a_start(tmp_path, capsys):
     assert not Handover(str(tmp_path / "missing"), "n0").other_process_runs()
     assert "handover" in capsys.readouterr().err
 
 
 @loopback
-async def test_two_processes_hold_together_what_one_may(tmp_path, monkeypatch):
+async def test_two_processes_share_the_limits_of_one(tmp_path, monkeypatch):
     monkeypatch.setenv("TMPDIR", str(tmp_path))
     loop = asyncio.get_running_loop()
     listening = socket.create_server(("127.0.0.1", 0))
@@ -120,7 +131,7 @@
     listening.close()
 
 
-def test_what_a_lock_file_holds_is_nobodys_concern(tmp_path):
+def test_the_contents_of_a_lock_file_do_not_matter(tmp_path):
     old = Handover(str(tmp_path), "n0")
     old.other_process_runs()
     old.release()
@@ -129,3 +140,24 @@
     handover = Handover(str(tmp_path), "n0")
     assert not handover.other_process_runs()
     handover.release()
+
+
+@loopback
+async def test_a_replacement_accepts_no_client_before_the_old_process_holds_half(tmp_path, monkeypatch):
+    monkeypatch.setenv("TMPDIR", str(tmp_path))
+    registry = await Registry(current=True).start()
+    listening = socket.create_server(("127.0.0.1", 0))
+    made = []
+    for _ in range(2):
+        one = told(registry=registry.address)
+        one = replace(one, inherited=os.dup(listening.fileno()))
+        made.append(Sidecar(asyncio.get_running_loop(), one))
+    old, new = made
+    await old.start()
+    whole = old.inbound.limits.open
+    await new.start()  # its list comes at once
+    assert old.inbound.limits.open < whole and old.inbound.limits.open == new.inbound.limits.open
+    for one in made:
+        one.close()
+    listening.close()
+    registry.stop()
