--- a/brassfall/lab/agreement/reconcile.py
+++ b/brassfall/lab/agreement/reconcile.py
@@ -21,6 +21,7 @@
 
 # By name, as the program under test: nothing of the house is built on a sidecar's files.
 deadlines: Any = importlib.import_module("brassfall.sidecar.agent.deadlines")
+override_layer: Any = importlib.import_module("brassfall.sidecar.agent.override_layer")
 overrides: Any = importlib.import_module("brassfall.sidecar.agent.overrides")
 NAMES = overrides.Names(frozenset(REGIONS), classes=frozenset(CLASSES), tenants=frozenset(TENANTS))
 
@@ -30,7 +31,7 @@
 
     def __init__(self, region: str) -> None:
         self.deadlines, self.lines = deadlines.Deadlines(), ()
-        self.place = overrides.Place("", region)
+        self.place = override_layer.Place("", region)
 
     def told(self, asked_s: float, answered_s: float, found: Any) -> None:
         """Times left."""
@@ -38,19 +39,20 @@
 
     def layer(self, raw: list[dict[str, Any]]) -> None:
         """The overrides of a revision."""
-        self.lines, _ = overrides.read_layer(raw)
+        self.lines, _ = override_layer.read_layer(raw)
 
     def report(self, now_s: float) -> tuple[str, bool, int]:
         """As in a report."""
         acted = deadlines.digest(self.decide(now_s).acted)
-        return acted, self.deadlines.wants(now_s), self.deadlines.newest
+        return acted, self.deadlines.refresh_due(now_s), self.deadlines.newest
 
     def timer(self, now_s: float) -> None:
         """Nothing is done by time."""
 
     def decide(self, now_s: float) -> Any:
         """What is in force."""
-        return overrides.effective(now_s, overrides.Rules(), self.lines, self.deadlines, self.place, NAMES)
+        view = overrides.LocalView(self.place, NAMES)
+        return overrides.effective(now_s, overrides.Rules(), self.lines, self.deadlines, view)
 
 
 class Quiet(World):
--- a/brassfall/lab/overrides/judge.py
+++ b/brassfall/lab/overrides/judge.py
@@ -239,7 +239,7 @@
     return {
         "tenant_pins": pins,
         "tenant_shares": shares,
-        "held_regions": frozenset(held),
+        "excluded_regions": frozenset(held),
         "caps": caps,
         "frozen": any("freeze" in row["action"] for row in rows.values()),
     }
--- a/brassfall/lab/overrides/parts.py
+++ b/brassfall/lab/overrides/parts.py
@@ -17,7 +17,7 @@
     acted: tuple[tuple[str, int], ...]
     tenant_pins: Mapping[str, str]
     tenant_shares: Mapping[str, Mapping[str, float]]
-    held_regions: frozenset[str]
+    excluded_regions: frozenset[str]
     caps: Mapping[str, float]
     frozen: bool
 
--- a/brassfall/sidecar/agent/forms.py
+++ b/brassfall/sidecar/agent/forms.py
@@ -1,7 +1,7 @@
-"""The forms of what a configuration revision says, as far as this program reads it. Pure code.
+"""The forms of settings and plans that this version can read. Pure code.
 
-The list service checks the same before it publishes; one of another version may not, and what is acted on at
-each decision must never be what raises there.
+The list service checks the same before it publishes a revision. A service of another version may not, and a
+revision that is acted on must not make any decision raise.
 """
 
 from __future__ import annotations
@@ -9,49 +9,53 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-AMOUNT_MOST = 1e12
+MAX_AMOUNT = 1e12
 
+Check = Callable[[object], bool]
 
-def _amount(value: Any) -> bool:
-    return isinstance(value, int | float) and not isinstance(value, bool) and 0.0 <= value <= AMOUNT_MOST
 
+def _is_amount(value: object) -> bool:
+    return isinstance(value, int | float) and not isinstance(value, bool) and 0.0 <= value <= MAX_AMOUNT
 
-def _text(value: Any) -> bool:
+
+def _is_text(value: object) -> bool:
     return isinstance(value, str)
 
 
-def _table(good: Callable[[Any], bool]) -> Callable[[Any], bool]:
-    return lambda value: isinstance(value, Mapping) and all(map(good, value.values()))
+def _table_of(is_valid: Check) -> Check:
+    return lambda value: isinstance(value, Mapping) and all(map(is_valid, value.values()))
 
 
-def _regions(value: Any) -> bool:
+def _has_region_names(value: object) -> bool:
     names = value.get("held", []) if isinstance(value, Mapping) else None
-    return isinstance(names, list) and all(map(_text, names))
+    return isinstance(names, list) and all(map(_is_text, names))
 
 
-_shares = _table(_table(_amount))
-_EXCLUSIVE: Mapping[str, Callable[[Any], bool]] = {"regions": _regions, "tenants": _table(_text)}
+_has_shares = _table_of(_table_of(_is_amount))
+_EXCLUSIVE: Mapping[str, Check] = {"regions": _has_region_names, "tenants": _table_of(_is_text)}
 
 
-def _fallback(value: Any) -> bool:
+def _is_fallback(value: object) -> bool:
     return isinstance(value, Mapping) and all(
-        good(value[key]) for key, good in _EXCLUSIVE.items() if key in value
+        is_valid(value[key]) for key, is_valid in _EXCLUSIVE.items() if key in value
     )
 
 
-SETTINGS: Mapping[str, Callable[[Any], bool]] = {
+SETTINGS: Mapping[str, Check] = {
     **_EXCLUSIVE,
-    "shares": _shares,
-    "caps": _table(_amount),
-    "floor": _fallback,
+    "shares": _has_shares,
+    "caps": _table_of(_is_amount),
+    "floor": _is_fallback,
 }
 
 
 def unreadable(settings: Mapping[str, Any]) -> frozenset[str]:
-    """The keys of settings whose form this program can't read."""
-    return frozenset(key for key, good in SETTINGS.items() if key in settings and not good(settings[key]))
+    """Return the keys of settings whose values have a form that this version can't read."""
+    return frozenset(
+        key for key, is_valid in SETTINGS.items() if key in settings and not is_valid(settings[key])
+    )
 
 
 def plan_readable(plan: Mapping[str, Any]) -> bool:
-    """Whether this program can read the shares of a plan."""
-    return _shares(plan.get("shares", {}))
+    """Return whether this version can read the shares of a plan."""
+    return _has_shares(plan.get("shares", {}))
--- a/brassfall/sidecar/agent/member.py
+++ b/brassfall/sidecar/agent/member.py
@@ -1,5 +1,4 @@
-"""This process as a member of the fleet: it checks configuration revisions against its own program, lays
-them over its own file, and acts on them."""
+"""This process as a member of the fleet: it checks configuration revisions and acts on them."""
 
 from __future__ import annotations
 
@@ -20,7 +19,7 @@
 from brassfall.sidecar.config import Config, ConfigError
 from brassfall.sidecar.console import log
 
-LIST_LATE_S = 2.0  # changes of the list take far less on a watch that works
+LIST_LATE_S = 2.0  # for which the service's list may be ahead; a watch that works brings changes far sooner
 
 
 class Process(Protocol):
@@ -28,31 +27,31 @@
 
     @property
     def busy(self) -> Collection[int]:
-        """The slots of classes that requests or clients still name."""
+        """The slots of classes that requests or clients still use."""
 
     @property
     def running(self) -> Config:
-        """What it runs on."""
+        """The configuration in use."""
 
     def adopt(self, found: Config) -> None:
-        """Run on another configuration from now on; `ConfigError` if it can't take the place."""
+        """Use another configuration from now on; raise `ConfigError` if it can't replace the one in use."""
 
     def steer(self, steer: Steer) -> None:
-        """Pick servers so from now on."""
+        """Use another `Steer` from now on."""
 
     def listings(self) -> EndpointList:
-        """The list held."""
+        """Return the endpoint list."""
 
     @property
     def list_version(self) -> int:
-        """The version of the list held."""
+        """The version of the endpoint list."""
 
     def ask_for_list(self) -> None:
-        """Ask for the list anew: the watch on its changes has fallen behind."""
+        """Open the watch on the endpoint list anew: it has fallen behind."""
 
 
 class FleetMember:
-    """Acts on the revisions that this process may act on, and reports what it measures."""
+    """Acts on the revisions that this process has a lease on, and reports the delays that it measures."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, process: Process, environment: Mapping[str, str]
@@ -61,10 +60,11 @@
         self._now = loop.time
         self._environment = {**environment, "NODE_DISCOVERY": ""}
         self._file = process.running
-        self._laid: Mapping[str, Any] = {}  # of a revision: what is laid over the file now
+        self._overlay: Mapping[str, Any] = {}  # the settings of a revision in use over the file
         self._steer = NEUTRAL
-        self._decided_by: tuple[ActiveConfiguration, Inputs] | None = None  # what was acted on last
+        self._decided_for: tuple[ActiveConfiguration, Inputs] | None = None  # what was acted on last
         self._decided_until = -math.inf
+        self._ahead_since = math.inf  # since when the service's list is ahead of this one
         file = self._file
         assert file.agreement is not None
         self.agent = Agent(
@@ -74,20 +74,15 @@
         self.delays = Delays(file.agreement.group)
         self.agent.report_extensions.append(self.steering.report)
         if file.agreement.group:
-            self.agent.report_extensions.append(lambda: self._delays(loop.time()))
+            self.agent.report_extensions.append(self._delay_report)
         self.agent.answer_listeners += [self.steering.receive_answer, self._receive_answer]
-        self._ahead_since = math.inf
-
-    def _delays(self, now: float) -> dict[str, Any]:
-        rows = self.delays.take(now)
-        return {"measures": {"delays": rows}} if rows else {}
 
     def stamp_at(self, loop: asyncio.AbstractEventLoop) -> Callable[[], bytes]:
-        """What is asked before each decision, and at each send: under which revision it is made."""
+        """Return a function that returns the stamp of a decision or a send at the time of its call."""
         agent, clock = self.agent, loop.time
 
         def stamp() -> bytes:
-            # As `agent.at`, without a call more: this is asked some five times a request.
+            # As `Agent.at`, with one call less: this runs some five times per request.
             now = clock()
             if now >= agent.valid_until:
                 agent.refresh(now)
@@ -95,87 +90,105 @@
 
         return stamp
 
+    # --- this process's own file ----------------------------------------------------------
+
     def over(self, file: Config) -> Config:
-        """A file that was read again, with what is acted on laid over it; `ConfigError` if that is none."""
-        return self._over(file, self._laid)
+        """Return a file's configuration with the overlay in use; raise `ConfigError` if it doesn't fit."""
+        return self._with_overlay(file, self._overlay)
 
     def file_read(self, file: Config) -> None:
-        """This file is what revisions are laid over from now on. Classes may have other numbers by it: what
-        is capped or shifted is stated anew."""
+        """Apply revisions to this file from now on.
+
+        Classes may have other numbers by it, so the `Steer` is made anew.
+        """
         self._file = file
-        self._decided_by = None
+        self._decided_for = None
         self.agent.refresh(self._now())
 
+    def listed(self, now: float) -> None:
+        """Act on a change of the endpoint list: other servers may be excluded."""
+        self.agent.refresh(now)
+
+    def _with_overlay(self, file: Config, overlay: Mapping[str, Any]) -> Config:
+        if file.agreement is None or not overlay:
+            return file
+        raw = dict(file.agreement.raw)
+        try:
+            raw["settings"] = rules.with_overlay(raw["settings"], overlay)
+            return replace(config.parse(raw, self._environment), agreement=file.agreement)
+        except (ValueError, TypeError, KeyError, AttributeError, OverflowError) as error:
+            message = f"{error}"
+            raise ConfigError(message) from error
+
+    # --- reports ----------------------------------------------------------------------------
+
+    def _delay_report(self) -> dict[str, Any]:
+        rows = self.delays.take(self._now())
+        return {"measures": {"delays": rows}} if rows else {}
+
     def _receive_answer(self, asked: float, received: float, answer: Mapping[str, Any]) -> None:
-        """Ask for the list anew where the service's is ahead for longer than a change takes to come."""
-        ahead = answer.get("list_index")
-        if not isinstance(ahead, int) or ahead <= self._process.list_version:
+        """Request the list anew if the service's is ahead for longer than a change takes to arrive."""
+        service_version = answer.get("list_index")
+        version = self._process.list_version
+        if not isinstance(service_version, int) or service_version <= version:
             self._ahead_since = math.inf
         elif received - min(self._ahead_since, asked) < LIST_LATE_S:
             self._ahead_since = min(self._ahead_since, asked)
         else:
             log(
-                f"agreement: the list is at {ahead}, and here at {self._process.list_version}: asked for anew"
+                "configuration: the endpoint list is behind the service's, requested anew, "
+                f"version={version}, service_version={service_version}"
             )
             self._ahead_since = math.inf
             self._process.ask_for_list()
 
-    def _over(self, file: Config, settings: Mapping[str, Any]) -> Config:
-        """The file with settings of a revision laid over it; `ConfigError` if that is no configuration."""
-        if file.agreement is None or not settings:
-            return file
-        raw = dict(file.agreement.raw)
-        try:
-            raw["settings"] = rules.overlaid(raw["settings"], settings)
-            return replace(config.parse(raw, self._environment), agreement=file.agreement)
-        except (ValueError, TypeError, KeyError, AttributeError, OverflowError) as error:
-            raise ConfigError(f"{error}") from error
+    # --- revisions --------------------------------------------------------------------------
 
     def _objection(self, revision: Revision) -> str:
-        """Why this program can't act on a revision; empty where it can."""
-        why = rules.unknown(revision) or self.steering.objection(revision)
-        if why:
-            return why
+        """Return why this program can't act on a revision, empty where it can."""
+        objection = rules.unsupported(revision) or self.steering.objection(revision)
+        if objection:
+            return objection
         try:
-            laid = rules.laid(revision.settings)
-            reload.successor(self._process.running, self._over(self._file, laid), self._process.busy)
+            overlay = rules.overlay_of(revision.settings)
+            found = self._with_overlay(self._file, overlay)
+            reload.successor(self._process.running, found, self._process.busy)
         except ConfigError as error:
             return str(error)
-        except Exception as error:  # noqa: BLE001 - any fault must be told as an objection
+        except Exception as error:  # noqa: BLE001 - any fault must be reported as an objection
             # Reported, it halts the revision; unreported, every sidecar would act on the fallback.
-            return f"a fault in this program, report it: {error!r}"
+            return f"a defect in this program, report it: {error!r}"
         return ""
 
     def _act(self, active: ActiveConfiguration, now: float) -> float:
-        """Act on a revision, on what several have in common, or on the fallback; until when that holds."""
+        """Act on the active configuration; return until when it stays the same if no revision comes."""
         inputs = (active, self.steering.inputs(active.revision, now))
-        if inputs == self._decided_by and now < self._decided_until:
-            return self._decided_until  # as with most reports: nothing has changed
-        self._decided_by = None  # where anything fails, it is tried again
-        taken = self._lay(rules.laid(rules.effective(active)))
-        found = self.steering.found(active, now)
+        if inputs == self._decided_for and now < self._decided_until:
+            return self._decided_until  # nothing has changed, as after most reports
+        self._decided_for = None  # if anything below fails, it is tried again
+        applied = self._apply(rules.overlay_of(rules.effective(active)))
+        found = self.steering.effective_rules(active, now)
         self.agent.overrides = [name for name, _ in found.acted]
         steer = self.steering.steer(active, found, now)
         if steer != self._steer:
             self._steer = steer
-            self.agent.renew()
+            self.agent.renew_stamp()
             self._process.steer(steer)
-        self._decided_by = inputs if taken else None
+        self._decided_for = inputs if applied else None
         self._decided_until = self.steering.next_end(now)
         return self._decided_until
 
-    def _lay(self, laid: Mapping[str, Any]) -> bool:
-        """Run on this process's own file with these settings over it; whether it does."""
-        if laid == self._laid:
+    def _apply(self, overlay: Mapping[str, Any]) -> bool:
+        """Use this process's own file with an overlay; return False if the two don't fit."""
+        if overlay == self._overlay:
             return True
         try:
-            self._process.adopt(self._over(self._file, laid))
+            self._process.adopt(self._with_overlay(self._file, overlay))
         except ConfigError as error:
-            log(f"agreement: {error}; the settings before stay. Look at the edition and at this file")
+            log(
+                f"configuration: a revision does not fit this sidecar's file, reason={error}; "
+                "the settings before stay, mend the file and send SIGHUP, or publish settings that fit"
+            )
             return False
-        self._laid = laid
+        self._overlay = overlay
         return True
-
-    def listed(self, now: float) -> None:
-        """The list has changed: what is held off may be another set of servers."""
-        self.agent.refresh(now)
--- a/brassfall/sidecar/agent/rules.py
+++ b/brassfall/sidecar/agent/rules.py
@@ -1,100 +1,126 @@
-"""From configuration revisions to what this sidecar does: what several of them have in common, the fallback
-configuration, and settings laid over its own file.
+"""The settings to act on, from configuration revisions. Pure code.
 
-The kinds of keys are those of the service, `controlplane/revisions/document.py`; a test holds the two tables
-against each other, since neither side may import the other.
+These are what several revisions have in common, the fallback configuration, and an overlay: the settings of a
+revision that replace parts of this sidecar's own file. Keys are those of the configuration document. Their
+kinds are also in `controlplane/revisions/document.py`; a test compares the two tables, since neither side may
+import the other.
 """
 
 from __future__ import annotations
 
 import copy
-from collections.abc import Mapping
-from typing import Any
+from collections.abc import Mapping, Sequence
+from typing import Any, NamedTuple
 
 from brassfall.sidecar.agent.lease_client import ActiveConfiguration, Revision
+from brassfall.sidecar.agent.overrides import NO_REGION, Rules, common_pins
 
 EXCLUSIVE = frozenset(("regions", "tenants", "affinity"))
 ADDITIVE = frozenset(("caps",))
 FREE = frozenset(("Profiles", "PolicyLimits", "shares", "floor"))
-LAID = ("Profiles", "PolicyLimits")  # what takes effect as a file would that was read again
 KNOWN = EXCLUSIVE | ADDITIVE | FREE
-# Of what must not add up to more: one that is cut off may not know that it was lowered meanwhile.
-FALLBACK_PART = 0.5
-NOBODY = ""  # the region that serves a tenant which nobody may be sure to serve
+OVERLAY = ("Profiles", "PolicyLimits")  # the keys that take effect as a reload of the file does
+FALLBACK_CAP_PART = 0.5  # of each cap: it may have been lowered since the last lease
 
 
-def unknown(revision: Revision) -> str:
-    """Why this version can't act on a revision at all; empty where it can."""
+class FallbackRules(NamedTuple):
+    """The exclusive rules that a revision sets for sidecars without a lease, under the key `floor`."""
+
+    excluded_regions: frozenset[str]
+    tenant_pins: Mapping[str, str]
+
+
+def unsupported(revision: Revision) -> str:
+    """Return why this version of the program can't act on a revision, empty where it can."""
     if revision.unreadable:
-        return f"{revision.unreadable}: this version of the program does not know this form"
-    strange = sorted(revision.settings.keys() - KNOWN)
-    return f"{strange[0]}: this version of the program does not know this key" if strange else ""
+        return f"{revision.unreadable}: this version of the program does not support this form"
+    unknown = sorted(revision.settings.keys() - KNOWN)
+    return f"{unknown[0]}: this version of the program does not support this key" if unknown else ""
+
+
+def base_rules(settings: Mapping[str, Any], group: str) -> Rules:
+    """Return what settings say of steering at a sidecar of this group, before any override."""
+    return Rules(
+        shares=settings.get("shares", {}).get(group, {}),
+        tenant_pins=settings.get("tenants", {}),
+        excluded_regions=_excluded_regions(settings),
+        caps=settings.get("caps", {}),
+    )
+
+
+def fallback_rules(settings: Mapping[str, Any]) -> FallbackRules:
+    """Return the rules that settings have for sidecars without a lease."""
+    floor = settings.get("floor", {})
+    return FallbackRules(_excluded_regions(floor), floor.get("tenants", {}))
 
 
 def effective(active: ActiveConfiguration) -> dict[str, Any]:
-    """The settings to act on, by the kinds of their keys."""
+    """Return the settings to act on, without overrides."""
     settings = dict(active.revision.settings)
-    floor = settings.get("floor", {})
+    concurrent = [revision.settings for revision in active.concurrent]
     if active.fallback:
-        return _fallback(settings, [revision.settings for revision in active.concurrent], floor)
-    for other in active.concurrent:
-        for key in EXCLUSIVE:
-            common = _common(key, settings.get(key), other.settings.get(key))
-            if common is not None:
-                settings[key] = common
-            else:
-                settings.pop(key, None)
+        return _fallback(settings, concurrent)
+    for other in concurrent:
+        _keep_common(settings, other)
     return settings
 
 
-def _fallback(
-    settings: dict[str, Any], concurrent: list[Mapping[str, Any]], floor: Mapping[str, Any]
-) -> dict[str, Any]:
-    """What contradicts no revision that this sidecar knows of."""
-    held = {
-        name for each in (settings, *concurrent, floor) for name in each.get("regions", {}).get("held", ())
-    }
+def _keep_common(settings: dict[str, Any], other: Mapping[str, Any]) -> None:
+    """Reduce the exclusive keys of settings to what others agree on."""
+    for key in EXCLUSIVE:
+        if settings.get(key) == other.get(key):
+            continue
+        if key == "regions":
+            settings[key] = {"held": sorted(_excluded_regions(settings) | _excluded_regions(other))}
+        elif key == "tenants":
+            # A tenant that only one of the two pins may be served anywhere by sidecars that act on the other.
+            settings[key] = common_pins(settings.get(key, {}), other.get(key, {}))
+        else:
+            settings.pop(key, None)
+
+
+def _fallback(settings: Mapping[str, Any], concurrent: Sequence[Mapping[str, Any]]) -> dict[str, Any]:
+    """Return settings that contradict no revision received by this sidecar."""
+    floor = settings.get("floor", {})
     made = {key: value for key, value in settings.items() if key not in EXCLUSIVE}
-    if held:
-        made["regions"] = {"held": sorted(held)}
+    excluded = frozenset[str]().union(*(_excluded_regions(each) for each in (settings, *concurrent, floor)))
+    if excluded:
+        made["regions"] = {"held": sorted(excluded)}
     tenants = {name for each in (settings, *concurrent) for name in each.get("tenants", {})}
     if tenants:
-        made["tenants"] = {name: floor.get("tenants", {}).get(name, NOBODY) for name in sorted(tenants)}
+        pins = fallback_rules(settings).tenant_pins
+        made["tenants"] = {name: pins.get(name, NO_REGION) for name in sorted(tenants)}
     if "affinity" in floor:
         made["affinity"] = floor["affinity"]
     if "caps" in made:
-        made["caps"] = {name: most * FALLBACK_PART for name, most in made["caps"].items()}
+        made["caps"] = {name: rate * FALLBACK_CAP_PART for name, rate in made["caps"].items()}
     return made
 
 
-def _common(key: str, one: Any, other: Any) -> Any:
-    """What two values of an exclusive key agree on."""
-    if one == other:
-        return one
-    if key == "regions":
-        return {"held": sorted({*(one or {}).get("held", ()), *(other or {}).get("held", ())})}
-    if key == "tenants":
-        one, other = one or {}, other or {}
-        # Who is pinned by one of the two alone may be served anywhere by the other.
-        return {name: one[name] if one.get(name) == other.get(name) else NOBODY for name in {**one, **other}}
-    return None
+def _excluded_regions(settings: Mapping[str, Any]) -> frozenset[str]:
+    return frozenset(settings.get("regions", {}).get("held", ()))
+
+
+# --- settings over this sidecar's own file -------------------------------------------------------------
 
 
-def laid(settings: Mapping[str, Any]) -> dict[str, Any]:
-    """What of them is laid over a sidecar's file."""
-    return {key: settings[key] for key in LAID if key in settings}
+def overlay_of(settings: Mapping[str, Any]) -> dict[str, Any]:
+    """Return the settings that replace parts of a sidecar's file."""
+    return {key: settings[key] for key in OVERLAY if key in settings}
 
 
-def overlaid(raw: Mapping[str, Any], settings: Mapping[str, Any]) -> dict[str, Any]:
-    """A sidecar's settings, as its file has them, with those of a revision laid over them.
+def with_overlay(raw: Mapping[str, Any], overlay: Mapping[str, Any]) -> dict[str, Any]:
+    """Return a copy of the settings in a sidecar's file with an overlay applied.
 
-    `ValueError` names a class that the file does not have."""
+    Raise `ValueError` if the overlay names a class that the file does not have.
+    """
     made = copy.deepcopy(dict(raw))
     rows = {row["Name"]: row for row in made["Profiles"]}
-    for row in settings.get("Profiles", ()):
+    for row in overlay.get("Profiles", ()):
         if row["Name"] not in rows:
-            raise ValueError(f"Profiles: no class {row['Name']!r} is known here")
+            message = f"Profiles: no class {row['Name']!r} in this sidecar's file"
+            raise ValueError(message)
         rows[row["Name"]].update(row)
-    if "PolicyLimits" in settings:
-        made["PolicyLimits"] = {**(made.get("PolicyLimits") or {}), **settings["PolicyLimits"]}
+    if "PolicyLimits" in overlay:
+        made["PolicyLimits"] = {**(made.get("PolicyLimits") or {}), **overlay["PolicyLimits"]}
     return made
--- a/brassfall/sidecar/agent/steering.py
+++ b/brassfall/sidecar/agent/steering.py
@@ -1,4 +1,7 @@
-"""What revisions, overrides in force and the plan come to for the picks of this sidecar. Pure code."""
+"""Steering of this sidecar's picks, from configuration revisions, overrides in force and the plan. Pure code.
+
+Times are in seconds of the sidecar's monotonic clock.
+"""
 
 from __future__ import annotations
 
@@ -11,18 +14,20 @@
 from brassfall.sidecar.agent.deadlines import Deadlines, digest
 from brassfall.sidecar.agent.lease_client import ActiveConfiguration, Revision
 from brassfall.sidecar.agent.lists import EndpointList
-from brassfall.sidecar.agent.overrides import Effective, Override, Place
+from brassfall.sidecar.agent.override_layer import Layer, Place, read_layer
+from brassfall.sidecar.agent.overrides import Effective, LocalView
 from brassfall.sidecar.config import Agreement
 from brassfall.sidecar.config_values import Names
 
 NEUTRAL = Steer()
-PLAN_AGE_MS = 15_000.0  # a plan counts whole up to its limit, then evenly less, and not at twice the limit
-PLAN_STEP = 0.1  # its weight is rounded down to this: a change of it is a change of all picks
-LAYERS_MOST = 8
+DEFAULT_PLAN_AGE_LIMIT_MS = 15_000.0
+WEIGHT_STEP = 0.1  # a plan's weight is rounded down to this: each change of it replaces the `Steer`
+MAX_EXPLORE = 0.5  # share of requests
+MAX_LAYERS = 8  # layers of overrides kept, one for each revision
 
 
 class Inputs(NamedTuple):
-    """What decides how to pick, beside the active configuration and the clock."""
+    """What the rules and the `Steer` depend on, beside the active configuration and the clock."""
 
     names: Names
     list_changes: int
@@ -32,7 +37,7 @@
 
 
 class Steering:
-    """Holds the times left of overrides, and makes a `Steer` of what holds now."""
+    """The overrides' deadlines, and the `Steer` that follows from them and the active configuration."""
 
     def __init__(
         self, agreement: Agreement, names: Callable[[], Names], listings: Callable[[], EndpointList]
@@ -42,23 +47,24 @@
         self._listings = listings
         self._deadlines = Deadlines()
         self._sidecars = 1
-        self._details_wanted = False  # the service asks for details
-        self._retell = False  # times left are to be sent anew
+        self._details_wanted = False  # the service asks which overrides are acted on
+        self._refresh_times = False  # the next report asks for all times left
         self._acted: tuple[tuple[str, int], ...] = ()
-        self._layers: dict[int, tuple[tuple[Override, ...], tuple[str, ...]]] = {0: ((), ())}
-        self._plan: tuple[int, float] = (-1, -math.inf)  # the revision that stated the plan, and when it came
-        self._frozen: Steer | None = None  # as it was when steering was frozen
+        self._layers: dict[int, Layer] = {0: Layer()}  # by configuration revision
+        self._plan_revision = -1  # the configuration revision that stated the plan
+        self._plan_since = -math.inf  # when it was first used here
+        self._frozen: Steer | None = None  # the one in use when steering was frozen
 
     # --- reports ------------------------------------------------------------------------
 
     def report(self) -> dict[str, Any]:
-        """The part of a report that is about overrides."""
+        """Return the part of a report that is about overrides."""
         part: dict[str, Any] = {
             "overrides": [name for name, _ in self._acted],
             "digest": digest(self._acted),
             "told": self._deadlines.newest,
         }
-        if self._retell:
+        if self._refresh_times:
             part["retell"] = True
         if self._details_wanted:
             part["acted"] = dict(self._acted)
@@ -66,148 +72,157 @@
         return part
 
     def receive_answer(self, asked: float, received: float, answer: Mapping[str, Any]) -> None:
-        """What the answer to a report says of times left."""
-        left = answer.get("left")
-        if isinstance(left, Mapping):
-            self._deadlines.receive(asked, left, received)
-        self._retell = self._deadlines.wants(received)
+        """Use the parts of an answer to a report that are about overrides; others are ignored."""
+        times_left = answer.get("left")
+        if isinstance(times_left, Mapping):
+            self._deadlines.receive(asked, times_left, received)
+        self._refresh_times = self._deadlines.refresh_due(received)
         self._details_wanted = answer.get("list_overrides") is True
-        edges = answer.get("edges")
-        if isinstance(edges, int) and edges > 0:
-            self._sidecars = edges
+        sidecars = answer.get("edges")
+        if isinstance(sidecars, int) and sidecars > 0:
+            self._sidecars = sidecars
 
-    # --- what holds now -------------------------------------------------------------------
+    # --- the rules in force ------------------------------------------------------------------
 
     def inputs(self, revision: Revision, now: float) -> Inputs:
-        """What `found` and `steer` go by, beside the configuration: while it is the same, so are they, up to
-        `next_end`."""
-        weight = self._weight(revision, now)
+        """Return what the rules and the `Steer` depend on; they change only with it, or at `next_end`."""
         return Inputs(
-            self._names(), self._listings().changes, self._deadlines.changes, self._sidecars, weight
+            names=self._names(),
+            list_changes=self._listings().changes,
+            deadline_changes=self._deadlines.changes,
+            sidecars=self._sidecars,
+            plan_weight=self._plan_weight(revision, now),
         )
 
     def objection(self, revision: Revision) -> str:
-        """Why the overrides of a revision can't be acted on here; empty where they can."""
-        return "; ".join(self._layer(revision)[1])
-
-    def _layer(self, revision: Revision) -> tuple[tuple[Override, ...], tuple[str, ...]]:
-        found = self._layers.get(revision.number)
-        if found is None:
-            found = self._layers[revision.number] = overrides.read_layer(revision.overrides)
-            if len(self._layers) > LAYERS_MOST:
-                del self._layers[min(number for number in self._layers if number)]
-        return found
-
-    def found(self, active: ActiveConfiguration, now: float) -> Effective:
-        """Settings and overrides in force, together; between revisions what all of them allow."""
-        found = self._effective(active.revision, now)
-        regions = self._served()
-        # Where not all of them can be heeded, what others may act on first goes first: what comes next, and
-        # then what is older: a service with an old copy sends that, and grants it only after the epoch wait.
-        here = active.revision.number
-        for revision in sorted(active.concurrent, key=lambda other: (other.number < here, other.number)):
-            found = overrides.common(found, self._effective(revision, now), regions)
+        """Return why the overrides of a revision can't be acted on here, empty where they can."""
+        return "; ".join(self._layer(revision).problems)
+
+    def effective_rules(self, active: ActiveConfiguration, now: float) -> Effective:
+        """Return the rules to act on now; between revisions, only what all of them allow."""
+        found = self._revision_rules(active.revision, now)
+        regions = self._regions_with_servers()
+        # Where not all revisions can be heeded, those that others act on first count first: the next ones,
+        # then older ones, which a service with an old copy grants only after the epoch wait.
+        number = active.revision.number
+        for revision in sorted(active.concurrent, key=lambda each: (each.number < number, each.number)):
+            found = overrides.common(found, self._revision_rules(revision, now), regions)
         if active.fallback:
-            floor = active.revision.settings.get("floor", {})
-            held = floor.get("regions", {}).get("held", ())
-            found = overrides.fallback(found, floor.get("tenants", {}), held, rules.FALLBACK_PART)
+            base = rules.fallback_rules(active.revision.settings)
+            found = overrides.fallback(
+                found, base.tenant_pins, base.excluded_regions, rules.FALLBACK_CAP_PART
+            )
         self._acted = found.acted
         return found
 
-    def _effective(self, revision: Revision, now: float) -> Effective:
-        settings = overrides.rules_of(self._settings(revision), self._place.group)
-        lines = self._layer(revision)[0]
-        return overrides.effective(
-            now, settings, lines, self._deadlines, self._place, self._known(), self._sidecars
-        )
+    def next_end(self, now: float) -> float:
+        """Return when the next override or its doubt ends; infinite if none does."""
+        end = self._deadlines.next_end(now)
+        return math.inf if end is None else end
 
-    def _served(self) -> frozenset[str]:
-        """The regions of the servers that may be sent to."""
-        served = self._listings().served_zones
-        return frozenset(name for name, number in self._names().zones.items() if number in served)
+    def _revision_rules(self, revision: Revision, now: float) -> Effective:
+        settings = rules.base_rules(_with_planned_shares(revision), self._place.group)
+        layer = self._layer(revision).overrides
+        return overrides.effective(now, settings, layer, self._deadlines, self._view())
 
-    def _settings(self, revision: Revision) -> Mapping[str, Any]:
-        shares = revision.settings.get("shares", {})
-        planned = (revision.plan or {}).get("shares", {})
-        return {**revision.settings, "shares": {**planned, **shares}}
+    def _layer(self, revision: Revision) -> Layer:
+        layer = self._layers.get(revision.number)
+        if layer is None:
+            layer = self._layers[revision.number] = read_layer(revision.overrides)
+            if len(self._layers) > MAX_LAYERS:
+                del self._layers[min(number for number in self._layers if number)]
+        return layer
 
-    def _known(self) -> overrides.Names:
+    def _view(self) -> LocalView:
         names, listed = self._names(), self._listings()
-        return overrides.Names(
+        known = overrides.Names(
             regions=frozenset(names.zones),
             groups=listed.groups,
             servers=listed.servers,
             classes=frozenset(names.classes),
             tenants=frozenset(names.tenants),
         )
+        return LocalView(self._place, known, self._sidecars)
 
-    def next_end(self, now: float) -> float:
-        """When what holds now may hold no more, by an override's end; in seconds of the loop."""
-        end = self._deadlines.next_end(now)
-        return math.inf if end is None else end
+    def _regions_with_servers(self) -> frozenset[str]:
+        served = self._listings().served_zones
+        return frozenset(name for name, zone in self._names().zones.items() if zone in served)
 
-    # --- for the module -------------------------------------------------------------------
+    # --- the balancer's form -------------------------------------------------------------------
 
     def steer(self, active: ActiveConfiguration, found: Effective, now: float) -> Steer:
-        """The same by the numbers that the module knows."""
+        """Return the rules by the balancer's numbers of classes, tenants and zones."""
+        steer = self._by_numbers(found)._replace(
+            weight=self._plan_weight(active.revision, now),
+            explore=_explore((active.revision.plan or {}).get("look")),
+        )
+        if not found.frozen:
+            self._frozen = None
+            return steer
+        # Shares and the plan's part are frozen; exclusions, pins and caps still change.
+        self._frozen = self._frozen or steer
+        return steer._replace(
+            shares=self._frozen.shares, weight=self._frozen.weight, explore=self._frozen.explore
+        )
+
+    def _by_numbers(self, found: Effective) -> Steer:
         names = self._names()
-        zones, tenants = names.zones, names.tenants
-        held = self._listings().in_groups(found.held_groups)
+        zones, tenants, classes = names.zones, names.tenants, names.classes
         pins = {
             tenants[name]: zones.get(region, -1)
             for name, region in found.tenant_pins.items()
             if name in tenants
         }
-        steer = Steer(
+        tenant_shares = {
+            tenants[name]: _by_zone(shares, zones)
+            for name, shares in found.tenant_shares.items()
+            if name in tenants
+        }
+        return Steer(
             shares=_by_zone(found.shares, zones),
             class_shares={
-                names.classes[name].slot: _by_zone(shares, zones)
+                classes[name].slot: _by_zone(shares, zones)
                 for name, shares in found.class_shares.items()
-                if name in names.classes
-            },
-            tenant_shares={
-                **{
-                    tenants[name]: _by_zone(shares, zones)
-                    for name, shares in found.tenant_shares.items()
-                    if name in tenants
-                },
-                **{tenant: {zone: 1.0} for tenant, zone in pins.items() if zone >= 0},
-            },
-            excluded_zones=frozenset(zones[name] for name in found.held_regions if name in zones),
-            excluded_servers=frozenset(held | found.held_servers),
-            caps={
-                names.classes[name].slot: rate for name, rate in found.caps.items() if name in names.classes
+                if name in classes
             },
-            weight=self._weight(active.revision, now),
-            explore=_share((active.revision.plan or {}).get("look")),
+            tenant_shares=tenant_shares | {tenant: {zone: 1.0} for tenant, zone in pins.items() if zone >= 0},
+            excluded_zones=frozenset(zones[name] for name in found.excluded_regions if name in zones),
+            excluded_servers=frozenset(
+                self._listings().in_groups(found.excluded_groups) | found.excluded_servers
+            ),
+            caps={classes[name].slot: rate for name, rate in found.caps.items() if name in classes},
             pins=pins,
         )
-        if not found.frozen:
-            self._frozen = None
-            return steer
-        # Frozen is steering, and nothing else: what is held, pinned or capped goes on to change.
-        self._frozen = self._frozen or steer
-        return steer._replace(
-            shares=self._frozen.shares, weight=self._frozen.weight, explore=self._frozen.explore
-        )
 
-    def _weight(self, revision: Revision, now: float) -> float:
-        """How far shares count: settings' own always, a plan's less when no newer one comes."""
+    # --- the plan ----------------------------------------------------------------------------------
+
+    def _plan_weight(self, revision: Revision, now: float) -> float:
+        """Return how far shares count, from 0 to 1: those of settings fully, a plan's less as it ages.
+
+        A plan counts fully up to its age limit, then linearly less, and not at all from twice the limit.
+        """
         if revision.plan is None or self._place.group in revision.settings.get("shares", {}):
             return 1.0
-        if revision.plan_revision != self._plan[0]:
-            self._plan = (revision.plan_revision, now)
-        limit = revision.plan.get("age_limit_ms", PLAN_AGE_MS)
-        if isinstance(limit, bool) or not isinstance(limit, int | float) or not limit > 0.0:
+        if revision.plan_revision != self._plan_revision:
+            self._plan_revision, self._plan_since = revision.plan_revision, now
+        limit_ms = revision.plan.get("age_limit_ms", DEFAULT_PLAN_AGE_LIMIT_MS)
+        if isinstance(limit_ms, bool) or not isinstance(limit_ms, int | float) or not limit_ms > 0.0:
             return 0.0
-        weight = min(1.0, max(0.0, 2.0 - (now - self._plan[1]) * 1000.0 / limit))
-        return math.floor(weight / PLAN_STEP) * PLAN_STEP
+        weight = min(1.0, max(0.0, 2.0 - (now - self._plan_since) * 1000.0 / limit_ms))
+        return math.floor(weight / WEIGHT_STEP) * WEIGHT_STEP
+
+
+def _with_planned_shares(revision: Revision) -> Mapping[str, Any]:
+    """Return the settings of a revision, with the plan's shares for groups that have none in the settings."""
+    planned = (revision.plan or {}).get("shares", {})
+    return {**revision.settings, "shares": {**planned, **revision.settings.get("shares", {})}}
 
 
 def _by_zone(shares: Mapping[str, float], zones: Mapping[str, int]) -> dict[int, float]:
     return {zones[region]: share for region, share in shares.items() if region in zones}
 
 
-def _share(value: Any) -> float:
-    good = isinstance(value, int | float) and not isinstance(value, bool) and 0.0 <= value <= 0.5
-    return float(value) if good else 0.0
+def _explore(value: object) -> float:
+    if isinstance(value, bool) or not isinstance(value, int | float):
+        return 0.0
+    return float(value) if 0.0 <= value <= MAX_EXPLORE else 0.0
--- a/tests/controlplane/test_wire_forms.py
+++ b/tests/controlplane/test_wire_forms.py
@@ -143,7 +143,7 @@
 def test_lines_of_the_rules_are_read_by_sidecars_and_aggregators(message):
     client = LeaseClient("p", lambda revision: "")
     client.receive_update(message)
-    assert client.held == message["edition"]
+    assert client.newest_revision == message["edition"]
     assert client.report(0.0)["prepared"] == (message["edition"] if message["state"] == "prepared" else 0)
     line = json.dumps(message).encode()
     received = read_state(line)
--- a/tests/lab/test_overrides.py
+++ b/tests/lab/test_overrides.py
@@ -10,7 +10,8 @@
 from brassfall.lab.overrides.flaws import FLAWS
 from brassfall.lab.overrides.world import CLASSES, REGIONS, TENANTS, World
 from brassfall.sidecar.agent.deadlines import Deadlines, digest
-from brassfall.sidecar.agent.overrides import Names, Place, Rules, effective, read_layer
+from brassfall.sidecar.agent.override_layer import Place, read_layer
+from brassfall.sidecar.agent.overrides import LocalView, Names, Rules, effective
 
 SEEDS = int(os.environ.get("OVERRIDES_SEEDS", "100"))  # 2000 in the nightly run
 NAMES = Names(frozenset(REGIONS), classes=frozenset(CLASSES), tenants=frozenset(TENANTS))
@@ -31,13 +32,13 @@
 
     def report(self, now_s):
         acted = digest(self.decide(now_s).acted)
-        return acted, self.deadlines.wants(now_s), self.deadlines.newest
+        return acted, self.deadlines.refresh_due(now_s), self.deadlines.newest
 
     def timer(self, now_s):
         pass
 
     def decide(self, now_s):
-        return effective(now_s, Rules(), self.lines, self.deadlines, self.place, NAMES)
+        return effective(now_s, Rules(), self.lines, self.deadlines, LocalView(self.place, NAMES))
 
 
 @pytest.mark.parametrize("seed", range(SEEDS))
@@ -84,8 +85,8 @@
     def decide(self, now_s):
         for line in self.lines:  # and acts on what it has, at whichever revision
             for told in self.deadlines._bounds.get(line.id, ()):
-                told.same_from = min(told.same_from, line.rev)
-                told.rev = max(told.rev, line.rev)
+                told.same_from = min(told.same_from, line.revision)
+                told.rev = max(told.rev, line.revision)
         return super().decide(now_s)
 
 
--- a/tests/sidecar/test_agent.py
+++ b/tests/sidecar/test_agent.py
@@ -1,4 +1,4 @@
-"""The sidecar's agent against a list service of the test's own, which tells it to report rarely."""
+"""The sidecar's agent against a list service of the test's own, which asks it to report rarely."""
 
 from __future__ import annotations
 
@@ -11,9 +11,8 @@
 from aiohttp import web
 
 from brassfall.balancer import model
-from brassfall.controlplane.revisions import reports
-from brassfall.sidecar.agent import agent as agents
-from brassfall.sidecar.agent import rules
+from brassfall.controlplane.revisions import document, reports
+from brassfall.sidecar.agent import reporter, rules
 from brassfall.sidecar.agent.agent import Agent
 from brassfall.sidecar.agent.lease_client import ActiveConfiguration, LeaseClient
 from brassfall.sidecar.agent.lists import EndpointList
@@ -24,23 +23,26 @@
 from brassfall.sidecar.discovery.endpoint_list import ServerList
 from tests.support.loopback import told
 
-RARELY_MS, SOON_S = 9_000.0, 3.0  # a report in time would come after 6 s or more
+RARELY_MS, SOON_S = (
+    9_000.0,
+    3.0,
+)  # the interval, of which a report takes 6 s or more; the wait for an early one
 
 
-class Service:
-    """Answers reports, and sends what the test hands it to the one watch."""
+class ListService:
+    """Answers reports, and sends the lines that the test queues to the one watch."""
 
     def __init__(self) -> None:
         self.reports: asyncio.Queue[dict] = asyncio.Queue()
         self.lines: asyncio.Queue[dict] = asyncio.Queue()
         self.revision = 1
-        self.before = (None, None)  # the connection of the last report, and that
+        self.last_report = (None, None)  # its connection and its fields
 
     async def report(self, request):
         body = await request.read()
-        on, before = self.before
-        report, raw = reports.parse_delta(body, before if on is request.protocol else None)
-        self.before = (request.protocol, raw)
+        connection, last = self.last_report
+        report, raw = reports.parse_delta(body, last if connection is request.protocol else None)
+        self.last_report = (request.protocol, raw)
         self.reports.put_nowait(
             (report.prepared, report.newest_revision, report.process_id, "after" in json.loads(body))
         )
@@ -55,25 +57,25 @@
             await answer.write(json.dumps(line).encode() + b"\n")
         return answer
 
-    async def reported(self):
+    async def next_report(self):
         return await asyncio.wait_for(self.reports.get(), SOON_S)
 
 
-async def _called():
-    """What an agent reports while its watch brings a revision that is prepared, then committed."""
-    service = Service()
+async def _reports_while_a_revision_is_published():
+    """The reports of an agent while its watch brings a revision that is prepared, then committed."""
+    service = ListService()
     routes = [web.post("/edges/{name}", service.report), web.get("/rules", service.rules)]
-    runner, at = await _served(*routes)
-    agent = _agent((at,), lambda *_: float("inf"))
+    runner, address = await _serve(*routes)
+    agent = _agent((address,), lambda *_: float("inf"))
     agent.start()
     seen = []
     try:
-        seen.append(await service.reported())
+        seen.append(await service.next_report())
         service.lines.put_nowait({"edition": 2, "life": 1, "state": "prepared", "committed": {"edition": 1}})
-        seen.append(await service.reported())
+        seen.append(await service.next_report())
         service.revision = 2
         service.lines.put_nowait({"edition": 2, "life": 1, "state": "committed"})
-        seen.append(await service.reported())
+        seen.append(await service.next_report())
         while agent.lease_client.active(0.0).revision.number != 2:
             await asyncio.sleep(0)
     finally:
@@ -83,15 +85,15 @@
     return seen
 
 
-def test_a_revision_calls_for_a_report_when_it_is_prepared_and_when_it_is_committed():
-    seen = asyncio.run(_called())
+def test_a_report_is_sent_early_when_a_revision_is_prepared_and_when_it_is_committed():
+    seen = asyncio.run(_reports_while_a_revision_is_published())
     assert [row[:2] for row in seen] == [(0, 0), (2, 2), (2, 2)]
-    # Each goes on from the one before on its connection; the first has nothing to go on from.
+    # Each but the first is a delta to the one before on its connection.
     assert [row[3] for row in seen] == [False, True, True] and len({row[2] for row in seen}) == 1
 
 
-async def _served(*routes):
-    """Serve these; the server, and where it listens."""
+async def _serve(*routes):
+    """Serve these routes; the server, and its address."""
     app = web.Application()
     app.add_routes(routes)
     runner = web.AppRunner(app, shutdown_timeout=0.0)
@@ -105,8 +107,11 @@
     return Agent(asyncio.get_running_loop(), "e1", agreement, addresses, lambda revision: "", act, 1)
 
 
-async def _astray(answer, act):
-    """Two services; whichever is asked first always gives this answer. Whether the other is asked, too."""
+async def _state_after_malformed_answers(answer, act):
+    """The agent's state once it has reported to both of two services.
+
+    The one that gets the first report always gives this answer.
+    """
     asked, other = [], asyncio.Event()
 
     async def report(request):
@@ -116,8 +121,8 @@
         other.set()
         return web.json_response({"edition": 0, "permission_ms": 0.0})
 
-    served = [await _served(web.post("/edges/{name}", report)) for _ in range(2)]
-    agent = _agent(tuple(at for _, at in served), act)
+    services = [await _serve(web.post("/edges/{name}", report)) for _ in range(2)]
+    agent = _agent(tuple(address for _, address in services), act)
     agent.start()
     try:
         await asyncio.wait_for(other.wait(), SOON_S)
@@ -125,21 +130,22 @@
         return agent.state
     finally:
         agent.close()
-        for runner, _ in served:
+        for runner, _ in services:
             await runner.cleanup()
 
 
-def _faulty(*_):
-    raise KeyError("a fault")
+def _raise_a_defect(*_):
+    raise KeyError("a defect")
 
 
 @pytest.mark.parametrize("answer", ["[]", '{"permission_ms": "x"}', '{"every_ms": 1%s}' % ("0" * 400)])
-@pytest.mark.parametrize("act", [lambda *_: float("inf"), _faulty])
-def test_an_answer_that_is_none_or_a_fault_here_ends_no_reports(answer, act):
-    assert json.loads(asyncio.run(_astray(answer, act)))["acting"] == "safe"
+@pytest.mark.parametrize("act", [lambda *_: float("inf"), _raise_a_defect])
+def test_neither_a_malformed_answer_nor_a_defect_here_ends_the_reports(answer, act):
+    assert json.loads(asyncio.run(_state_after_malformed_answers(answer, act)))["acting"] == "safe"
 
 
-async def _left():
+async def _last_report():
+    """The report that follows one which is never answered, when the agent leaves."""
     reports, go_on = asyncio.Queue(), asyncio.Event()
 
     async def report(request):
@@ -147,8 +153,8 @@
         await go_on.wait()
         return web.json_response({})
 
-    runner, at = await _served(web.post("/edges/{name}", report))
-    agent = _agent((at,), lambda *_: float("inf"))
+    runner, address = await _serve(web.post("/edges/{name}", report))
+    agent = _agent((address,), lambda *_: float("inf"))
     agent.start()
     try:
         await asyncio.wait_for(reports.get(), SOON_S)  # it is not answered
@@ -159,12 +165,12 @@
         await runner.cleanup()
 
 
-def test_the_end_of_a_process_is_reported_while_a_report_is_out():
-    assert asyncio.run(_left())["leaving"]
+def test_a_process_deregisters_while_a_report_is_unanswered():
+    assert asyncio.run(_last_report())["leaving"]
 
 
 NAMES = SimpleNamespace(zones={"a": 0}, classes={"c": SimpleNamespace(slot=0)}, tenants={"t": 0})
-STRANGE = [
+UNKNOWN_FORMS = [
     {"settings": {key: value}}
     for key, value in [
         *(
@@ -182,24 +188,24 @@
 ] + [{"plan": {"shares": value}} for value in (5, {"g": 5}, {"g": {"a": None}})]
 
 
-@pytest.mark.parametrize("strange", STRANGE, ids=json.dumps)
-def test_a_revision_of_another_form_is_objected_to_and_breaks_no_decision(strange):
-    client = LeaseClient("l", rules.unknown)
-    client.receive_update({"edition": 5, "state": "prepared", "committed": {"edition": 4}, **strange})
-    assert "does not know this form" in client.report(0.0)["objection"]["reason"]
+@pytest.mark.parametrize("unknown", UNKNOWN_FORMS, ids=json.dumps)
+def test_a_revision_of_an_unknown_form_is_objected_to_and_breaks_no_decision(unknown):
+    client = LeaseClient("l", rules.unsupported)
+    client.receive_update({"edition": 5, "state": "prepared", "committed": {"edition": 4}, **unknown})
+    assert "does not support this form" in client.report(0.0)["objection"]["reason"]
     steering = Steering(Agreement(3000.0, "g", "a", {}), lambda: NAMES, EndpointList)
-    (_, odd), now = client.active(0.0).concurrent, 1.0
+    (_, unreadable), now = client.active(0.0).concurrent, 1.0
     for fallback in (True, False):
         for active in (
-            ActiveConfiguration(fallback, odd, ()),
-            ActiveConfiguration(fallback, client.active(0.0).revision, (odd,)),
+            ActiveConfiguration(fallback, unreadable, ()),
+            ActiveConfiguration(fallback, client.active(0.0).revision, (unreadable,)),
         ):
             rules.effective(active)
-            steering.steer(active, steering.found(active, now), now)
+            steering.steer(active, steering.effective_rules(active, now), now)
 
 
-class Process:
-    """What a member acts on, and what it did."""
+class StandInProcess:
+    """The process of a member, which records each `Steer`; its clock is the test's."""
 
     def __init__(self):
         self.now, self.busy, self.list_version, self.steers = 0.0, (), 0, []
@@ -219,8 +225,8 @@
         self.steers.append(steer)
 
 
-def _happening(rng, number):
-    """One thing that a member may hear of, as a call on it and its process."""
+def _random_event(rng, number):
+    """An event that a member may receive, as a call on it and its process."""
     zones = [*("west", "east", "north"), "none"]
     hold = {"id": "o", "rev": 1 + number // 9, "from_ms": 0, "priority": 0}
     hold["action"] = rng.choice([{"hold": {"region": rng.choice(zones)}}, {"hold": {"group": "3"}}])
@@ -253,7 +259,7 @@
 
     def answered(member, process):
         asked, client = process.now, member.agent.lease_client
-        answer["edition"] = client.held
+        answer["edition"] = client.newest_revision
         client.receive_answer(asked, client.report(asked)["seq"], answer)
         member.steering.receive_answer(asked, asked, answer)
 
@@ -269,27 +275,27 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_what_is_cached_from_one_report_to_the_next_is_what_would_be_decided_anew(seed):
-    rng, processes = random.Random(seed), [Process(), Process()]
-    kept, anew = members = [FleetMember(process, process, {}) for process in processes]
+def test_a_cached_decision_is_the_one_that_would_be_made_anew(seed):
+    rng, processes = random.Random(seed), [StandInProcess(), StandInProcess()]
+    file = processes[0].running
+    cached, anew = members = [FleetMember(process, process, {}) for process in processes]
     decided = 0
     for number in range(2, 300):
-        happening = _happening(rng, number)
+        event = _random_event(rng, number)
         for member, process in zip(members, processes, strict=True):
-            happening(member, process)
-            if member is anew:
-                member._decided_by = None
-            member.agent.refresh(process.now)
-        decided += kept.agent.valid_until == anew.agent.valid_until
-        assert processes[0].steers == processes[1].steers and kept.agent.overrides == anew.agent.overrides
+            event(member, process)
+        cached.agent.refresh(processes[0].now)
+        anew.file_read(file)  # a file that was read again is decided on anew
+        decided += cached.agent.valid_until == anew.agent.valid_until
+        assert processes[0].steers == processes[1].steers and cached.agent.overrides == anew.agent.overrides
         assert processes[0].running.settings == processes[1].running.settings
     assert decided == 298 and len(processes[0].steers) > 5
 
 
-def test_what_could_not_be_laid_over_the_file_is_tried_again():
-    process = Process()
+def test_settings_that_did_not_fit_the_file_are_tried_again():
+    process = StandInProcess()
     member = FleetMember(process, process, {})
-    adopt, process.adopt = process.adopt, _refused
+    adopt, process.adopt = process.adopt, _refuse
     client = member.agent.lease_client
     client.receive_update(
         {"edition": 5, "life": 1, "state": "committed", "settings": {"PolicyLimits": {"MaxAttempts": 1}}}
@@ -302,35 +308,46 @@
     assert process.running.settings.max_attempts == 1
 
 
-def _refused(config):
+def _refuse(config):
     raise ConfigError("not now")
 
 
-FIELDS = ("process_id", "epoch", "newest_revision", "prepared", "refresh_times", "measures")
-BEFORE = {"life": "a", "seq": 4, "of": 9, "held": 7, "prepared": 7, "retell": True, "measures": {"x": 1}}
+REPORT_FIELDS = ("process_id", "epoch", "newest_revision", "prepared", "refresh_times", "measures")
+LAST_REPORT = {"life": "a", "seq": 4, "of": 9, "held": 7, "prepared": 7, "retell": True, "measures": {"x": 1}}
 
 
 @pytest.mark.parametrize(
-    ("raw", "before", "want"),
+    ("raw", "last", "expected"),
     [
-        ({"seq": 5, "after": 4}, BEFORE, ("a", 9, 7, 7, False, {})),
-        ({"seq": 5, "after": 4, "prepared": 0}, BEFORE, ("a", 9, 7, 0, False, {})),
-        ({"seq": 5, "life": "b"}, BEFORE, ("b", None, 0, 0, False, {})),
-        ({"seq": 6, "after": 5}, BEFORE, None),
+        ({"seq": 5, "after": 4}, LAST_REPORT, ("a", 9, 7, 7, False, {})),
+        ({"seq": 5, "after": 4, "prepared": 0}, LAST_REPORT, ("a", 9, 7, 0, False, {})),
+        ({"seq": 5, "life": "b"}, LAST_REPORT, ("b", None, 0, 0, False, {})),
+        ({"seq": 6, "after": 5}, LAST_REPORT, None),
         ({"seq": 5, "after": 4}, None, None),
-        ({"seq": 5, "after": 4, "held": "x"}, BEFORE, None),
-        ([], BEFORE, None),
+        ({"seq": 5, "after": 4, "held": "x"}, LAST_REPORT, None),
+        ([], LAST_REPORT, None),
     ],
 )
-def test_a_report_goes_on_from_none_but_the_one_before(raw, before, want):
+def test_a_report_can_be_a_delta_to_the_last_one_alone(raw, last, expected):
     body = json.dumps(raw).encode()
-    if want is None:
+    if expected is None:
         with pytest.raises(reports.ReportError):
-            reports.parse_delta(body, before)
+            reports.parse_delta(body, last)
         return
-    report, _ = reports.parse_delta(body, before)
-    assert want == tuple(getattr(report, n) for n in FIELDS)
+    report, _ = reports.parse_delta(body, last)
+    assert expected == tuple(getattr(report, n) for n in REPORT_FIELDS)
+
+
+def test_both_sides_declare_the_same_kinds_of_keys():
+    kinds = {kind: set() for kind in document.KeyKind}
+    for key, kind in document.KEYS.items():
+        kinds[kind].add(key)
+    assert kinds == {
+        document.KeyKind.EXCLUSIVE: rules.EXCLUSIVE,
+        document.KeyKind.ADDITIVE: rules.ADDITIVE,
+        document.KeyKind.FREE: rules.FREE,
+    }
 
 
-def test_both_sides_leave_out_the_same():
-    assert agents.DELTA_FIELDS == reports.CARRIED_FIELDS <= set(reports.Report.__struct_encode_fields__)
+def test_both_sides_leave_the_same_fields_out_of_a_delta():
+    assert reporter.DELTA_FIELDS == reports.CARRIED_FIELDS <= set(reports.Report.__struct_encode_fields__)
--- a/tests/sidecar/test_agent_rules.py
+++ b/tests/sidecar/test_agent_rules.py
@@ -1,4 +1,4 @@
-"""The sidecar's part in the agreement, on its own sockets, beside a list service whose words are scripted."""
+"""A sidecar that acts on configuration revisions, on its own sockets, beside a scripted list service."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 import contextlib
 import copy
 import json
-import math
 import time
 
 import pytest
 
+from brassfall.balancer import Balancer
 from brassfall.balancer.events import RequestArrived
-from brassfall.sidecar.agent import agent
+from brassfall.sidecar.agent import reporter
 from tests.support.loopback import (
     OK,
     SETTINGS,
@@ -32,16 +32,19 @@
 AGREE_MS = 3000
 
 
-class Rules(Registry):
-    """A list service whose editions and permissions the test decides."""
+class ListService(Registry):
+    """A list service whose revisions and leases the test decides."""
 
     def __init__(self):
         super().__init__(current=True)
-        self.reports, self.told = [], []  # what came, and the watches on the rules
+        self.reports = []
+        self.revision_watches = []  # the writers of their answers
         self.state = {"edition": 0, "life": 1, "state": "committed", "settings": {}}
-        self.permission_ms, self.late_s, self.more = AGREE_MS, 0.0, {}
-        self.open = asyncio.Event()
-        self.open.set()
+        self.lease_ms = AGREE_MS
+        self.answer_delay_s = 0.0
+        self.answer_fields = {}  # beside those of the lease
+        self.answering = asyncio.Event()
+        self.answering.set()
 
     async def _serve(self, reader, writer):
         with contextlib.suppress(ConnectionError):
@@ -49,19 +52,19 @@
                 path = message.start.split(" ")[1]
                 if path.startswith("/edges/"):
                     body = json.loads(message.body)
-                    if "after" in body:  # what is as it was in that report is left out
-                        kept = {k: v for k, v in self.reports[-1].items() if k in agent.DELTA_FIELDS}
-                        body = kept | body
+                    if "after" in body:  # a delta to that report
+                        last = {k: v for k, v in self.reports[-1].items() if k in reporter.DELTA_FIELDS}
+                        body = last | body
                     self.reports.append(body)
-                    await asyncio.sleep(self.late_s)
-                    await self.open.wait()
-                    self._answer(writer, self._permission(body))
+                    await asyncio.sleep(self.answer_delay_s)
+                    await self.answering.wait()
+                    self._answer(writer, self._lease(body))
                 elif path == "/rules":
                     self._answer(writer, self.state)
                 else:
                     writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
                     if path.startswith("/rules"):
-                        self.told.append(writer)
+                        self.revision_watches.append(writer)
                         self.push()
                     else:
                         self.watches.append(writer)
@@ -70,24 +73,25 @@
         writer.close()
 
     @staticmethod
-    def _answer(writer, told):
-        body = json.dumps(told).encode()
+    def _answer(writer, raw):
+        body = json.dumps(raw).encode()
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
 
-    def _permission(self, body):
-        state, edition = self.state["state"], self.state["edition"]
-        pending = edition if state == "prepared" else 0
-        acting = edition if state == "committed" else self.state.get("committed", {}).get("edition", 0)
-        made = {"edition": acting, "permission_ms": self.permission_ms, "pending": pending, "life": 1}
-        return {**made, "list_index": 41, "news": edition > body["held"], "edges": 1, **self.more}
+    def _lease(self, report):
+        state, revision = self.state["state"], self.state["edition"]
+        pending = revision if state == "prepared" else 0
+        committed = revision if state == "committed" else self.state.get("committed", {}).get("edition", 0)
+        lease = {"edition": committed, "permission_ms": self.lease_ms, "pending": pending, "life": 1}
+        news = revision > report["held"]
+        return {**lease, "list_index": 41, "news": news, "edges": 1, **self.answer_fields}
 
     def push(self):
         line = json.dumps(self.state).encode() + b"\n"
-        for writer in self.told:
+        for writer in self.revision_watches:
             writer.write(b"%x\r\n%b\r\n" % (len(line), line))
 
     def publish(self, number, state="committed", settings=None, **more):
-        """The next state of the rules; one that is prepared or halted has the committed one beside it."""
+        """Publish a revision in this state; unless it is committed, the one in force is sent beside it."""
         before = self.state if self.state["state"] == "committed" else self.state["committed"]
         self.state = {"edition": number, "life": 1, "state": state, "settings": settings or {}, **more}
         if state != "committed":
@@ -95,14 +99,17 @@
         self.push()
 
 
-class Side:
-    """What a test holds of one sidecar."""
+class RunningSidecar:
+    """One sidecar, its list service and an application that calls it."""
 
-    def __init__(self, sidecar, rules, app):
-        self.sidecar, self.rules, self.app = sidecar, rules, app
+    def __init__(self, sidecar, service, app):
+        self.sidecar, self.service, self.app = sidecar, service, app
+        self.steers = []  # each `Steer` that took effect
+        steer = sidecar.steer
+        sidecar.steer = lambda changed: (self.steers.append(changed), steer(changed))
 
     async def acting(self, wanted):
-        """Wait until it acts on this, and has its settings."""
+        """Wait until it acts on this revision, or on the fallback configuration."""
         await until(lambda: self.state()["acting"] == wanted)
 
     def state(self):
@@ -116,87 +123,88 @@
 
     @property
     def report(self):
-        return self.rules.reports[-1]
+        return self.service.reports[-1]
 
 
 @contextlib.asynccontextmanager
 async def fleet(*upstreams, agreement=True, zones=(), agree_ms=AGREE_MS, raw=None, **settings):
-    """A sidecar with its part in the agreement; servers are in the west, or where `zones` says."""
-    rules = await Rules().start()
+    """A sidecar that acts on configuration revisions; servers are in the west, or where `zones` says."""
+    service = await ListService().start()
     part = {"agreement": {"agree_ms": agree_ms}, "place": {"group": "g", "region": "west"}}
     known = [
         entry(f"s{i}", upstream.address, zone=zones[i] if zones else "west")
         for i, upstream in enumerate(upstreams)
     ]
-    told = {
-        "fleet": {"registry": [rules.address], **(part if agreement else {})},
+    file = {
+        "fleet": {"registry": [service.address], **(part if agreement else {})},
         "known": listed(41, *known),
     }
-    async with running(*upstreams, registry=rules, raw={**told, **(raw or {})}, **settings) as sidecar:
-        side = Side(sidecar, rules, await App.connect(sidecar.address))
+    async with running(*upstreams, registry=service, raw={**file, **(raw or {})}, **settings) as sidecar:
+        side = RunningSidecar(sidecar, service, await App.connect(sidecar.address))
         try:
             yield side
         finally:
             side.app.close()
-            for writer in (*rules.told, *rules.watches):
+            for writer in (*service.revision_watches, *service.watches):
                 writer.transport.abort()
-            rules.stop()
+            service.stop()
 
 
 @pytest.fixture(autouse=True)
-def often(monkeypatch):
-    """Reports come so often that no test waits for one."""
-    monkeypatch.setattr(agent, "EVERY_MS", 60.0)
+def short_report_interval(monkeypatch):
+    """Make reports so frequent that no test waits long for one."""
+    monkeypatch.setattr(reporter, "INTERVAL_MS", 60.0)
 
 
-def editions(upstream):
+def stamps(upstream):
+    """The revisions that its requests were decided under."""
     return [seen.headers.get("x-edition") for seen in upstream.seen]
 
 
 @loopback
-async def test_each_send_tells_its_edition_and_safe_past_the_permission():
+async def test_each_request_carries_its_revision_and_safe_once_the_lease_has_ended():
     server, port = await Upstream().start(), free_port()
     async with fleet(server, raw={"operator": f"127.0.0.1:{port}"}) as side:
         await side.acting(0)
-        await side.ask(X_Edition="77")  # a client speaks for no sidecar
-        side.rules.publish(5)
+        await side.ask(X_Edition="77")  # a client's header is dropped
+        side.service.publish(5)
         await side.acting(5)
         await side.ask()
-        told = json.loads(await ask_door(("127.0.0.1", port), b"RULES\n"))
-        assert (told["held"], told["acting"], told["overrides"]) == (5, 5, [])
-        assert 0 < told["permission_ms"] <= AGREE_MS
-        side.rules.permission_ms = 200
-        side.rules.open.clear()  # reports come, answers do not
+        state = json.loads(await ask_door(("127.0.0.1", port), b"RULES\n"))
+        assert (state["held"], state["acting"], state["overrides"]) == (5, 5, [])
+        assert 0 < state["permission_ms"] <= AGREE_MS
+        side.service.lease_ms = 200
+        side.service.answering.clear()
         await side.acting("safe")
         await side.ask()
         assert side.state()["permission_ms"] == 0
-        assert editions(server) == ["0", "5", "safe"]
+        assert stamps(server) == ["0", "5", "safe"]
 
 
 @loopback
-async def test_a_permission_is_counted_from_asking():
+async def test_a_lease_is_counted_from_sending_the_report():
     server = await Upstream().start()
     async with fleet(server, agree_ms=150) as side:
         await side.acting(0)
-        side.rules.late_s = 0.3  # within a call's limit, after the permission's end
+        side.service.answer_delay_s = 0.3  # within a call's limit, after the permission's end
         await asyncio.sleep(0.3)
-        count = len(side.rules.reports)
-        while len(side.rules.reports) < count + 3:
-            assert side.state()["acting"] == "safe" or len(side.rules.reports) <= count
+        count = len(side.service.reports)
+        while len(side.service.reports) < count + 3:
+            assert side.state()["acting"] == "safe" or len(side.service.reports) <= count
             await asyncio.sleep(0.005)
         await side.ask()
-        assert editions(server) == ["safe"]
-        side.rules.late_s = 0.0
+        assert stamps(server) == ["safe"]
+        side.service.answer_delay_s = 0.0
         await side.acting(0)
 
 
 @loopback
-async def test_settings_take_effect_go_again_and_lie_over_a_file_that_is_read_anew(tmp_path):
+async def test_settings_of_a_revision_apply_over_the_file_also_after_a_reload_and_can_be_withdrawn(tmp_path):
     servers = [await Upstream().start() for _ in range(6)]
     async with fleet(*servers) as side:
 
-        async def tries():
-            """How often a request is sent, after a while in which all was well, where each attempt fails."""
+        async def attempts():
+            """The attempts of a request that fails each time, after a while of success."""
             for reply, count in ((OK, 20), (break_off, 1)):
                 for server in servers:
                     server.replies = [reply]
@@ -205,43 +213,42 @@
                     await side.ask()
             return sum(len(server.seen) for server in servers) - before
 
-        def figures():
-            told = side.sidecar.running.settings
-            return [profile.objective for profile in told.profiles]
+        def objectives():
+            return [profile.objective for profile in side.sidecar.running.settings.profiles]
 
         await side.acting(0)
-        assert (await tries(), figures()) == (3, [2000.0, 2000.0, 2000.0])
+        assert (await attempts(), objectives()) == (3, [2000.0, 2000.0, 2000.0])
         row = {"Name": "look", "Objective": 700.0}
-        side.rules.publish(5, settings={"Profiles": [row], "PolicyLimits": {"MaxAttempts": 1}})
+        side.service.publish(5, settings={"Profiles": [row], "PolicyLimits": {"MaxAttempts": 1}})
         await side.acting(5)
-        assert (await tries(), figures()) == (1, [700.0, 2000.0, 2000.0])
-        raw = copy.deepcopy(dict(side.sidecar.member._file.agreement.raw))
+        assert (await attempts(), objectives()) == (1, [700.0, 2000.0, 2000.0])
+        raw = copy.deepcopy(dict(side.sidecar.running.agreement.raw))
         for profile in raw["settings"]["Profiles"]:
             profile["Objective"] = 900.0
         file = tmp_path / "sidecar.json"
         file.write_text(json.dumps(raw))
         side.sidecar.reload({"NODE_CONFIG": str(file)})
-        assert (await tries(), figures()) == (1, [700.0, 900.0, 900.0])
-        side.rules.publish(6)
+        assert (await attempts(), objectives()) == (1, [700.0, 900.0, 900.0])
+        side.service.publish(6)
         await side.acting(6)
-        assert (await tries(), figures()) == (3, [900.0, 900.0, 900.0])
+        assert (await attempts(), objectives()) == (3, [900.0, 900.0, 900.0])
 
 
 @loopback
-async def test_a_class_that_a_file_brings_is_capped_at_once(tmp_path):
+async def test_a_class_that_a_reload_adds_is_capped_at_once(tmp_path):
     async with fleet(await Upstream().start()) as side:
-        side.rules.publish(5, settings={"caps": {"gaze": 7.0}})
+        side.service.publish(5, settings={"caps": {"gaze": 7.0}})
         await side.acting(5)
-        raw = copy.deepcopy(dict(side.sidecar.member._file.agreement.raw))
+        raw = copy.deepcopy(dict(side.sidecar.running.agreement.raw))
         raw["settings"]["Profiles"].append(raw["settings"]["Profiles"][0] | {"Name": "gaze"})
         file = tmp_path / "sidecar.json"
         file.write_text(json.dumps(raw))
-        assert not side.sidecar.member._steer.caps
+        assert not any(steer.caps for steer in side.steers)
         side.sidecar.reload({"NODE_CONFIG": str(file)})  # no report comes between
-        assert list(side.sidecar.member._steer.caps.values()) == [7.0]
+        assert list(side.steers[-1].caps.values()) == [7.0]
 
 
-OBJECTED = (
+UNSUPPORTED = (
     ({"Profiles": [{"Name": "none", "Objective": 1.0}]}, {}, "no class 'none'"),
     ({"Profiles": [{"Name": "look", "Objective": "soon"}]}, {}, "Objective"),
     ({"colours": 1}, {}, "colours"),
@@ -250,38 +257,38 @@
 
 
 @loopback
-async def test_what_this_version_cannot_act_on_is_objected_to_by_name():
+async def test_unsupported_parts_of_a_revision_are_objected_to_by_name():
     server = await Upstream().start()
     async with fleet(server) as side:
-        side.rules.publish(5, settings={"caps": {"look": 1000.0}})
+        side.service.publish(5, settings={"caps": {"look": 1000.0}})
         await side.acting(5)
-        for number, (settings, more, said) in enumerate(OBJECTED, 6):
-            side.rules.publish(number, "prepared", settings, **more)
+        for number, (settings, more, reason) in enumerate(UNSUPPORTED, 6):
+            side.service.publish(number, "prepared", settings, **more)
             await until(lambda number=number: side.report.get("objection", {}).get("edition") == number)
-            assert said in side.report["objection"]["reason"]
+            assert reason in side.report["objection"]["reason"]
             assert (side.report["prepared"], side.report["held"], side.state()["acting"]) == (0, number, 5)
-            side.rules.publish(number, "halted", settings, **more)
-        side.rules.publish(20, "prepared", {"caps": {"look": 10.0}})
+            side.service.publish(number, "halted", settings, **more)
+        side.service.publish(20, "prepared", {"caps": {"look": 10.0}})
         await until(lambda: side.report["prepared"] == 20)
         assert (await side.ask()).body == b"done"
 
 
-CHANGED = (
+CHANGES = (
     ({"regions": {"held": ["west"]}}, "committed", {"regions": {"held": ["east"]}}, ["6"]),
-    # Acknowledged, and not yet in force: from then on nobody serves the tenant until it is.
+    # Acknowledged, and not yet committed: until it is, no region serves the tenant.
     ({"tenants": {"globex": "east"}}, "prepared", {"tenants": {"globex": "west"}}, []),
 )
 
 
-@pytest.mark.parametrize("tries", [1, 3])
-@pytest.mark.parametrize(("before", "state", "after", "sent"), CHANGED)
+@pytest.mark.parametrize("max_attempts", [1, 3])
+@pytest.mark.parametrize(("before", "state", "after", "sent"), CHANGES)
 @loopback
-async def test_what_waits_for_its_connection_is_not_sent_under_rules_that_went(
-    before, state, after, sent, tries
+async def test_a_request_that_waits_for_a_connection_is_not_sent_under_superseded_rules(
+    before, state, after, sent, max_attempts
 ):
     east, west = await Upstream().start(), await Upstream().start()
-    # What was not sent counts as no attempt: with a single one, it is decided anew all the same.
-    limits = {**SETTINGS["PolicyLimits"], "ConnectTimeout": 5000.0, "MaxAttempts": tries}
+    # An attempt that was not sent does not count: with one allowed, the request is decided anew all the same.
+    limits = {**SETTINGS["PolicyLimits"], "ConnectTimeout": 5000.0, "MaxAttempts": max_attempts}
     async with fleet(east, west, zones=("east", "west"), PolicyLimits=limits) as side:
         loop, gate, waiting = asyncio.get_running_loop(), asyncio.Event(), []
         connect = loop.create_connection
@@ -292,49 +299,50 @@
                 await gate.wait()
             return await connect(factory, host, port)
 
-        side.rules.publish(5, settings=before)
+        side.service.publish(5, settings=before)
         await side.acting(5)
         loop.create_connection = gated
         side.app.send()
         await until(lambda: waiting)
-        side.rules.publish(6, state, after)
+        side.service.publish(6, state, after)
         await until(lambda: 6 in (side.state()["acting"], side.report["prepared"]))
         gate.set()
         assert ((await side.app.answer()).body == b"done") == bool(sent)
-        assert (editions(east), editions(west)) == ([], sent)
+        assert (stamps(east), stamps(west)) == ([], sent)
 
 
 @loopback
-async def test_what_was_decided_before_a_stop_is_not_sent_after_it():
+async def test_a_decision_from_before_a_stop_is_not_sent_after_it(monkeypatch):
     east, west = await Upstream().start(), await Upstream().start()
-    async with fleet(east, west, zones=("east", "west")) as side:
-        side.rules.publish(5, settings={"tenants": {"globex": "east"}})
+    async with fleet(east, west, zones=("east", "west"), agree_ms=1500) as side:
+        side.service.publish(5, settings={"tenants": {"globex": "east"}})
         await side.acting(5)
         await side.ask()  # a connection is open
-        driver, member = side.sidecar.driver, side.sidecar.member
-        step = driver._balancer.step
+        step, left_ms = Balancer.step, []
 
-        def stopped(now, event):
-            """The permission ends between the decision and the send."""
-            actions = step(now, event)
+        def stop_after_decision(balancer, now, event):
+            """Stop the process between the decision and the send, until its lease has ended."""
+            actions = step(balancer, now, event)
             if isinstance(event, RequestArrived):
-                member.agent.lease_client._lease_end = member.agent.valid_until = -math.inf
+                left_ms.append(side.state()["permission_ms"])
+                time.sleep(left_ms[-1] / 1000.0 + 0.05)
             return actions
 
-        side.rules.open.clear()
-        driver._balancer.step = stopped
+        side.service.answering.clear()
+        monkeypatch.setattr(Balancer, "step", stop_after_decision)
         assert (await side.ask()).body != b"done"
-        assert (editions(east), editions(west)) == (["5"], [])
+        assert left_ms[0] > 0
+        assert (stamps(east), stamps(west)) == (["5"], [])
 
 
-async def raw_bytes(agreement):
-    """All that a server is sent for three requests, but for the edition."""
-    kept = bytearray()
+async def lines_sent(agreement):
+    """The lines that a server is sent for three requests; how many reports and watches there were."""
+    received = bytearray()
 
     async def serve(reader, writer):
         while True:
             try:
-                kept.extend(await reader.readuntil(b"\r\n\r\n"))
+                received.extend(await reader.readuntil(b"\r\n\r\n"))
             except (asyncio.IncompleteReadError, ConnectionError):
                 return
             writer.write(OK)
@@ -346,24 +354,24 @@
             await side.acting(0)
         for _ in range(3):
             assert (await side.ask(X_Budget="4000m", X_Other="a")).body == b"done"
-        reports, watches = len(side.rules.reports), len(side.rules.told)
+        reports, watches = len(side.service.reports), len(side.service.revision_watches)
     server.close()
-    lines = bytes(kept).split(b"\r\n")
-    # How much time is left differs from play to play.
+    lines = bytes(received).split(b"\r\n")
+    # The time left of the deadline differs from run to run.
     return [line for line in lines if not line.lower().startswith(b"x-budget")], reports, watches
 
 
 @loopback
 async def test_without_the_key_nothing_is_reported_and_no_byte_is_added():
-    bare, reports, watches = await raw_bytes(agreement=False)
-    assert (reports, watches, bare.count(b"X-Edition: 0")) == (0, 0, 0)
-    stamped, reports, watches = await raw_bytes(agreement=True)
+    plain, reports, watches = await lines_sent(agreement=False)
+    assert (reports, watches, plain.count(b"X-Edition: 0")) == (0, 0, 0)
+    stamped, reports, watches = await lines_sent(agreement=True)
     assert (reports > 0, watches, stamped.count(b"X-Edition: 0")) == (True, 1, 3)
-    assert [line for line in stamped if line != b"X-Edition: 0"] == bare
+    assert [line for line in stamped if line != b"X-Edition: 0"] == plain
 
 
 @loopback
-async def test_held_regions_and_pins_hold_for_each_send_and_pins_for_nobody_when_safe():
+async def test_held_regions_and_pins_apply_to_each_request_and_no_region_serves_pins_without_a_lease():
     east, west = await Upstream().start(), await Upstream().start()
     async with fleet(east, west, zones=("east", "west")) as side:
 
@@ -373,34 +381,36 @@
             good = sum(answer.body == b"done" for answer in answers)
             return len(east.seen) - before[0], len(west.seen) - before[1], good
 
-        side.rules.publish(5, settings={"regions": {"held": ["west"]}})
+        side.service.publish(5, settings={"regions": {"held": ["west"]}})
         await side.acting(5)
         assert await served() == (20, 0, 20)
-        # Between the two, what both allow: nobody is pinned to a region that the other has not.
-        side.rules.publish(6, "prepared", {"tenants": {"globex": "west"}})
+        # Between the two revisions only what both allow: no region serves a tenant that only one pins.
+        side.service.publish(6, "prepared", {"tenants": {"globex": "west"}})
         await until(lambda: side.report["prepared"] == 6)
         assert (await served(3))[:2] == (0, 0)
         assert (await served(5, X_Caller="acme"))[1] == 0
-        side.rules.publish(6, settings={"tenants": {"globex": "west"}})
+        side.service.publish(6, settings={"tenants": {"globex": "west"}})
         await side.acting(6)
         _, there, good = found = await served()
-        assert found[0] == 0 and there == good >= 5  # those refused before make it careful for a while
-        side.rules.permission_ms = 0
+        assert (
+            found[0] == 0 and there == good >= 5
+        )  # the requests refused before reduce what is admitted for a while
+        side.service.lease_ms = 0
         await side.acting("safe")
-        assert await served(3) == (0, 0, 0)  # who serves it may be another's to say by now
+        assert await served(3) == (0, 0, 0)  # another sidecar may send them elsewhere by now
         assert (await served(5, X_Caller="acme"))[2] == 5
 
 
 @loopback
-async def test_the_floor_is_what_holds_without_a_permission():
+async def test_without_a_lease_the_fallback_configuration_applies():
     east, west = await Upstream().start(), await Upstream().start()
     floor = {"regions": {"held": ["east"]}, "tenants": {"globex": "west"}}
     async with fleet(east, west, zones=("east", "west")) as side:
-        side.rules.publish(5, settings={"tenants": {"globex": "east"}, "floor": floor})
+        side.service.publish(5, settings={"tenants": {"globex": "east"}, "floor": floor})
         await side.acting(5)
         assert (await side.ask()).body == b"done"
         assert (len(east.seen), len(west.seen)) == (1, 0)
-        side.rules.permission_ms = 0
+        side.service.lease_ms = 0
         await side.acting("safe")
         for caller in ("globex", "acme") * 8:
             assert (await side.ask(X_Caller=caller)).body == b"done"
@@ -408,19 +418,19 @@
 
 
 @loopback
-async def test_an_override_is_acted_on_by_its_time_left_and_no_longer():
+async def test_an_override_is_acted_on_for_its_time_left_and_no_longer():
     east, west = await Upstream().start(), await Upstream().start()
     hold = {"id": "o", "rev": 1, "from_ms": 0, "priority": 0, "action": {"hold": {"region": "west"}}}
     async with fleet(east, west, zones=("east", "west")) as side:
-        side.rules.more = {"left": {"o": {"rev": 1, "same_from": 1, "left_ms": 700.0}}}
-        side.rules.publish(5, overrides=[hold])
+        side.service.answer_fields = {"left": {"o": {"rev": 1, "same_from": 1, "left_ms": 700.0}}}
+        side.service.publish(5, overrides=[hold])
         await until(lambda: side.state()["overrides"] == ["o"])
-        side.rules.more, side.rules.permission_ms = {}, 0  # it is told nothing more, and ends it all the same
-        told = time.monotonic()
+        side.service.answer_fields, side.service.lease_ms = {}, 0  # no further answer is needed to end it
+        received = time.monotonic()
         while not west.seen and side.state()["overrides"]:
             await side.ask()
             assert not (west.seen and side.state()["overrides"])
-        assert time.monotonic() - told < 2.0  # 0.7 s, and what a machine with much to do adds
+        assert time.monotonic() - received < 2.0  # 0.7 s, and what a busy machine adds
         async with asyncio.timeout(15.0):
-            while not west.seen:  # and traffic comes back, eased in
+            while not west.seen:  # traffic returns, with a recovery ramp
                 await side.ask()
--- a/tests/sidecar/test_agent_tier.py
+++ b/tests/sidecar/test_agent_tier.py
@@ -1,4 +1,4 @@
-"""A sidecar's agent behind several aggregators, which do with each report what the moment says.
+"""A sidecar's agent behind several aggregators that grant, refuse, redirect or fail.
 
 Time is the loop's own and jumps to the next timer, and connections are stand-ins: each bound is exact."""
 
@@ -6,22 +6,24 @@
 
 import asyncio
 import functools
+import itertools
 import json
 
 import looptime
 import pytest
 
-from brassfall.sidecar.agent import agent as agents
+from brassfall.sidecar.agent import reporter
 from brassfall.sidecar.agent.agent import Agent
 from brassfall.sidecar.config import Agreement
 from brassfall.sidecar.config_values import Address
+from brassfall.sidecar.discovery.channel import Channel
 
 LEASE_S, EPOCH, REVISION = 2.7, 7, 5
-LONGEST_PAUSE_S = 1.0  # between two reports, at the usual interval
+LONGEST_PAUSE_S = 1.0  # between two reports, at the default interval
 STATE = {"edition": REVISION, "life": EPOCH, "state": "committed"}
 GRANTS = {"edition": REVISION, "permission_ms": 1000.0 * LEASE_S, "life": EPOCH}
-SENDS_ON = {**GRANTS, "permission_ms": 0.0, "elsewhere": True}
-GOES_STALE = {**GRANTS, "permission_ms": 1500.0, "elsewhere": True}
+REDIRECTS = {**GRANTS, "permission_ms": 0.0, "elsewhere": True}
+REDIRECTS_WITH_A_LEASE = {**GRANTS, "permission_ms": 1500.0, "elsewhere": True}
 
 
 def timed(test):
@@ -39,24 +41,28 @@
     return asyncio.get_running_loop().time()
 
 
+def state(agent):
+    return json.loads(agent.state)
+
+
 def response(body, status=200, headers=""):
     data = json.dumps(body).encode()
     return b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n%b\r\n%b" % (status, len(data), headers.encode(), data)
 
 
-class Wire(asyncio.Transport):
-    """One connection to an aggregator; it answers within the turn, unless it is to be silent."""
+class Connection(asyncio.Transport):
+    """One connection to an aggregator, which answers within the same turn of the loop unless it is silent."""
 
-    def __init__(self, place, protocol):
+    def __init__(self, aggregator, protocol):
         super().__init__()
-        self.place, self.protocol, self.open = place, protocol, True
+        self.aggregator, self.protocol, self.open = aggregator, protocol, True
         protocol.connection_made(self)
 
     def is_closing(self):
         return not self.open
 
     def write(self, data):
-        asyncio.get_running_loop().call_soon(self.place.asked, self, data)
+        asyncio.get_running_loop().call_soon(self.aggregator.receive, self, data)
 
     def abort(self):
         if self.open:
@@ -70,33 +76,33 @@
 
 
 class Aggregator:
-    """`does` is what it answers reports with: an object, bytes, `None` for silence, or "reset"."""
+    """`answer` is what reports get: an object, bytes, `None` for silence, or "reset"."""
 
-    def __init__(self, net, does):
-        self.net, self.does, self.up = net, does, True
-        self.wires, self.silent = [], []
-        self.watched = HEAD + chunk(STATE)
+    def __init__(self, tier, answer):
+        self.tier, self.answer, self.up = tier, answer, True
+        self.connections, self.unanswered = [], []
+        self.watch_answer = HEAD + chunk(STATE)
 
-    def asked(self, wire, data):
-        if not wire.open:
+    def receive(self, connection, data):
+        if not connection.open:
             return
         if data.startswith(b"GET"):
-            if self.watched is not None:
-                wire.feed(self.watched if b"watch=1" in data else response(STATE))
+            if self.watch_answer is not None:
+                connection.feed(self.watch_answer if b"watch=1" in data else response(STATE))
             return
         report = json.loads(data.partition(b"\r\n\r\n")[2])
-        self.net.reports.append((now(), self.net.aggregators.index(self), report))
-        if self.does is None:
-            self.silent.append(wire)
-        elif self.does == "reset":
-            self.killed()
+        self.tier.reports.append((now(), self.tier.aggregators.index(self), report))
+        if self.answer is None:
+            self.unanswered.append(connection)
+        elif self.answer == "reset":
+            self.kill()
         else:
-            wire.feed(self.does if isinstance(self.does, bytes) else response(self.does))
+            connection.feed(self.answer if isinstance(self.answer, bytes) else response(self.answer))
 
-    def killed(self):
+    def kill(self):
         self.up = False
-        for wire in self.wires:
-            wire.abort()
+        for connection in self.connections:
+            connection.abort()
 
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -107,36 +113,47 @@
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
-class Net:
-    """Aggregators by their place among the addresses, and one agent that begins at the first of them."""
+class Tier:
+    """Aggregators by their position among the addresses, and one agent that starts at the first of them."""
 
-    def __init__(self, *does):
-        self.aggregators = [Aggregator(self, each) for each in does]
+    def __init__(self, *answers):
+        self.aggregators = [Aggregator(self, answer) for answer in answers]
         self.reports, self.acted = [], []
-        self.refused = []  # when a connection was
-        addresses = tuple(Address("aggregator", port) for port in range(len(does)))
+        self.refused = []  # when a connection for reports was, and by which aggregator
         asyncio.get_running_loop().create_connection = self.connect
-        agreement, act = Agreement(3000.0, "", "", {}), lambda active, at: self.acted.append(active) or 1e9
-        loop = asyncio.get_running_loop()
-        self.agent = Agent(loop, "e1", agreement, addresses, lambda revision: "", act, 1)
-        while self.agent._sources.current.port:
-            self.agent._sources.failed()
-        self.agent._sources.worked()
+        addresses = tuple(Address("aggregator", port) for port in range(len(answers)))
+        self.agent = next(agent for agent in self._agents(addresses) if state(agent)["at"] == "aggregator:0")
+
+    def _agents(self, addresses):
+        agreement, loop = Agreement(3000.0, "", "", {}), asyncio.get_running_loop()
+        for seed in itertools.count(1):  # it decides where an agent starts
+            yield Agent(loop, "e1", agreement, addresses, lambda revision: "", self._act, seed)
+
+    def _act(self, active, now):
+        self.acted.append(active)
+        return 1e9
 
     async def connect(self, factory, host, port):
+        protocol = factory()
         if not self.aggregators[port].up:
-            self.refused.append((now(), port))
+            if not isinstance(protocol, Channel):  # the watch on revisions has its own waits
+                self.refused.append((now(), port))
             raise ConnectionRefusedError
-        wire = Wire(self.aggregators[port], factory())
-        self.aggregators[port].wires.append(wire)
-        return wire, wire.protocol
+        connection = Connection(self.aggregators[port], protocol)
+        self.aggregators[port].connections.append(connection)
+        return connection, protocol
+
+    @property
+    def open(self):
+        """Which of the connections are open, in order, by aggregator."""
+        return [[connection.open for connection in each.connections] for each in self.aggregators]
 
     async def run(self, seconds):
         await asyncio.sleep(seconds)
         return self
 
     async def leased(self):
-        """Until the first aggregator has granted, and a moment on."""
+        """Start, and wait until the first aggregator has granted a lease."""
         self.agent.start()
         await self.run(3.0)
         assert self.acting == REVISION
@@ -150,95 +167,93 @@
 
     @property
     def asked(self):
-        """Which aggregators were asked, in order."""
+        """The aggregators that were sent reports, in order."""
         return [place for _, place, _ in self.reports]
 
     def close(self):
         self.agent.close()
 
     def kept_its_lease(self):
-        """Whether it acted on the revision at each moment until now."""
+        """Return whether it acted on the revision at all times so far."""
         return self.acting == REVISION and all(active.acting == REVISION for active in self.acted)
 
 
 @timed
-async def test_sent_on_by_one_without_a_lease_it_stays_with_the_first_that_grants():
-    net = await Net(GRANTS, SENDS_ON, GRANTS).leased()
-    net.aggregators[0].does = SENDS_ON
-    await net.run(20.0)
-    assert net.asked[:3] == [0, 1, 2] and set(net.asked[2:]) == {2}
-    assert net.kept_its_lease()
-    pauses = [later - at for (at, *_), (later, *_) in zip(net.reports, net.reports[1:], strict=False)]
-    assert min(pauses) >= 0.5 and max(pauses) <= LONGEST_PAUSE_S  # no more calls than before
-    # A whole report to each that did not have the one before, and none of it is of another life or list.
-    assert ["after" in report for *_, report in net.reports[:4]] == [True, False, False, True]
-    assert {report["life"] for *_, report in net.reports if "life" in report} == {
-        net.agent.lease_client.process_id
+async def test_redirected_by_aggregators_without_a_lease_it_stays_with_the_first_that_grants():
+    tier = await Tier(GRANTS, REDIRECTS, GRANTS).leased()
+    tier.aggregators[0].answer = REDIRECTS
+    await tier.run(20.0)
+    assert tier.asked[:3] == [0, 1, 2] and set(tier.asked[2:]) == {2}
+    assert tier.kept_its_lease()
+    pauses = [later - at for (at, *_), (later, *_) in zip(tier.reports, tier.reports[1:], strict=False)]
+    assert min(pauses) >= 0.5 and max(pauses) <= LONGEST_PAUSE_S  # no more reports than before
+    # A complete report to each that does not have the last one, all by the same process.
+    assert ["after" in report for *_, report in tier.reports[:4]] == [True, False, False, True]
+    assert {report["life"] for *_, report in tier.reports if "life" in report} == {
+        tier.agent.lease_client.process_id
     }
-    net.close()
+    tier.close()
 
 
 @timed
-async def test_sent_on_with_a_lease_that_is_not_renewed_it_moves_before_that_ends():
-    net = await Net(GRANTS, GRANTS).leased()
-    net.aggregators[0].does = GOES_STALE
-    await net.run(10.0)
-    assert net.asked[0] == 0 and set(net.asked[1:]) == {1}
-    assert net.kept_its_lease()
-    net.close()
+async def test_redirected_with_a_lease_that_is_not_renewed_it_moves_before_the_lease_ends():
+    tier = await Tier(GRANTS, GRANTS).leased()
+    tier.aggregators[0].answer = REDIRECTS_WITH_A_LEASE
+    await tier.run(10.0)
+    assert tier.asked[0] == 0 and set(tier.asked[1:]) == {1}
+    assert tier.kept_its_lease()
+    tier.close()
 
 
 @timed
-async def test_where_no_address_has_a_lease_connections_are_made_more_rarely_and_the_first_one_counts():
-    net = await Net(GRANTS, GRANTS, GRANTS).leased()
-    for each in net.aggregators:
-        each.does = SENDS_ON
-    await net.run(60.0)
-    moves = sum(a != b for a, b in zip(net.asked, net.asked[1:], strict=False))
-    assert len(net.reports) <= 60.0 / 0.75 * 1.1 and moves <= 3 + len(net.reports) / 4 + 1
-    assert net.acting == "safe"
-    last = net.asked[-1]
-    net.aggregators[last].does = GRANTS
-    await net.run(LONGEST_PAUSE_S * agents.JITTER * 3.0 * 15)
-    assert net.acting == REVISION and set(net.asked[-3:]) == {last}
-    net.close()
+async def test_while_no_aggregator_has_a_lease_it_moves_rarely_and_uses_the_first_grant():
+    tier = await Tier(GRANTS, GRANTS, GRANTS).leased()
+    for each in tier.aggregators:
+        each.answer = REDIRECTS
+    await tier.run(60.0)
+    moves = sum(a != b for a, b in zip(tier.asked, tier.asked[1:], strict=False))
+    assert len(tier.reports) <= 60.0 / 0.75 * 1.1 and moves <= 3 + len(tier.reports) / 4 + 1
+    assert tier.acting == "safe"
+    last = tier.asked[-1]
+    tier.aggregators[last].answer = GRANTS
+    await tier.run(LONGEST_PAUSE_S * reporter.JITTER * 3.0 * 15)
+    assert tier.acting == REVISION and set(tier.asked[-3:]) == {last}
+    tier.close()
 
 
 RETRY = (
-    # told to come again after so long; how many addresses; where the next reports go, and after how long
-    ("0.3", 2, [0, 0], (0.3, 0.375)),  # shorter than what is left of the lease: the place in time is kept
+    # Retry-After; number of addresses; where the next reports go; bounds of the pause in seconds
+    ("0.3", 2, [0, 0], (0.3, 0.375)),  # shorter than the rest of the lease: kept
     ("5", 2, [0, 1], (0.0, 0.3)),
-    ("5", 1, [0, 0], (5.0, 6.25)),  # no other address: it is not asked more often for that
+    ("5", 1, [0, 0], (5.0, 6.25)),  # no other address: kept
 )
 
 
 @pytest.mark.parametrize(("seconds", "count", "asked", "pause"), RETRY)
 @timed
-async def test_told_to_come_again_later_it_goes_elsewhere_where_its_lease_would_not_last(
-    seconds, count, asked, pause
-):
-    net = await Net(*[GRANTS] * count).leased()
-    net.aggregators[0].does = response({}, 503, f"Retry-After: {seconds}\r\n")
-    await net.run(1.5)
-    net.aggregators[0].does = GRANTS
-    await net.run(6.0)
-    turned_away = next(at for at, place, _ in net.reports if place == 0)
-    after = next(at for at, *_ in net.reports if at > turned_away)
-    assert net.asked[:2] == asked and pause[0] <= after - turned_away <= pause[1]
-    assert count == 1 or net.kept_its_lease()
-    net.close()
+async def test_a_retry_after_longer_than_the_lease_sends_it_to_another_address(seconds, count, asked, pause):
+    tier = await Tier(*[GRANTS] * count).leased()
+    tier.aggregators[0].answer = response({}, 503, f"Retry-After: {seconds}\r\n")
+    await tier.run(1.5)
+    tier.aggregators[0].answer = GRANTS
+    await tier.run(6.0)
+    refused_at = next(at for at, place, _ in tier.reports if place == 0)
+    after = next(at for at, *_ in tier.reports if at > refused_at)
+    assert tier.asked[:2] == asked and pause[0] <= after - refused_at <= pause[1]
+    assert count == 1 or tier.kept_its_lease()
+    tier.close()
 
 
 @timed
-async def test_told_by_all_to_come_again_later_it_does_and_without_a_lease_it_keeps_its_place():
+async def test_a_retry_after_from_all_is_kept_and_so_is_one_without_a_lease():
     full = response({}, 503, "Retry-After: 5\r\n")
-    net = await Net(GRANTS, GRANTS).leased()
-    for each in net.aggregators:
-        each.does = full
-    await net.run(20.0)
-    assert net.asked[:3] == [0, 1, 1] and len(net.reports) <= 6
-    net.close()
-    newcomer = Net(full, GRANTS)
+    tier = await Tier(GRANTS, GRANTS).leased()
+    for each in tier.aggregators:
+        each.answer = full
+    await tier.run(20.0)
+    assert tier.asked[:3] == [0, 1, 1] and len(tier.reports) <= 6
+    tier.close()
+    newcomer = Tier(full, GRANTS)
     newcomer.agent.start()
     await newcomer.run(4.9)
     assert newcomer.asked == [0]
@@ -246,109 +261,114 @@
 
 
 @timed
-async def test_killed_under_a_call_the_report_goes_elsewhere_within_300_ms_also_past_another_that_is_down():
-    net = await Net(GRANTS, GRANTS, GRANTS).leased()
-    net.aggregators[0].does = "reset"
-    net.aggregators[1].up = False
-    await net.run(10.0)
-    (broken, *_), (next_at, *_) = net.reports[0], net.reports[1]
-    assert net.asked[:2] == [0, 2] and next_at - broken <= 2 * 0.3
-    assert net.kept_its_lease() and set(net.asked[1:]) == {2}
-    net.close()
+async def test_after_a_reset_the_report_goes_to_the_next_address_that_is_up_within_300_ms_each():
+    tier = await Tier(GRANTS, GRANTS, GRANTS).leased()
+    tier.aggregators[0].answer = "reset"
+    tier.aggregators[1].up = False
+    await tier.run(10.0)
+    (broken, *_), (next_at, *_) = tier.reports[0], tier.reports[1]
+    assert tier.asked[:2] == [0, 2] and next_at - broken <= 2 * 0.3
+    assert tier.kept_its_lease() and set(tier.asked[1:]) == {2}
+    tier.close()
 
 
 @timed
-async def test_where_all_are_down_it_asks_often_only_as_long_as_it_has_a_lease_to_lose():
-    net = await Net(GRANTS, GRANTS).leased()
-    for each in net.aggregators:
-        each.killed()
-    net.agent._tasks.pop().cancel()  # the watch on the rules has waits of its own
-    await net.run(LEASE_S)
-    quick = len(net.refused)
-    assert quick >= 8 and {port for _, port in net.refused} == {0, 1}
-    await net.run(10.0)  # the waits grow
-    before = len(net.refused)
-    await net.run(60.0)
-    assert 60.0 / 1.5 < len(net.refused) - before < 60.0 / 0.5
-    net.close()
+async def test_while_all_are_down_it_reports_often_only_until_its_lease_has_ended():
+    tier = await Tier(GRANTS, GRANTS).leased()
+    for each in tier.aggregators:
+        each.kill()
+    await tier.run(LEASE_S)
+    quick = len(tier.refused)
+    assert quick >= 8 and {port for _, port in tier.refused} == {0, 1}
+    await tier.run(10.0)  # the waits grow
+    before = len(tier.refused)
+    await tier.run(60.0)
+    assert 60.0 / 1.5 < len(tier.refused) - before < 60.0 / 0.5
+    tier.close()
 
 
 @pytest.mark.parametrize("idle", [True, False])
 @timed
-async def test_killed_it_costs_no_lease(idle):
-    net = await Net(GRANTS, GRANTS).leased()
-    if idle:  # the connection is gone between two reports: the next one finds nobody there
-        net.aggregators[0].killed()
+async def test_a_killed_aggregator_costs_no_lease(idle):
+    tier = await Tier(GRANTS, GRANTS).leased()
+    if idle:  # the connection ends between two reports
+        tier.aggregators[0].kill()
     else:
-        net.aggregators[0].does = "reset"
-    await net.run(10.0)
-    at = [at for at, place, _ in net.reports if place == 1]
-    assert set(net.asked[0 if idle else 1 :]) == {1} and at[0] - 3.0 <= LONGEST_PAUSE_S + 0.3
-    assert net.kept_its_lease()
-    net.close()
+        tier.aggregators[0].answer = "reset"
+    await tier.run(10.0)
+    at = [at for at, place, _ in tier.reports if place == 1]
+    assert set(tier.asked[0 if idle else 1 :]) == {1} and at[0] - 3.0 <= LONGEST_PAUSE_S + 0.3
+    assert tier.kept_its_lease()
+    tier.close()
 
 
 @timed
-async def test_stopped_it_costs_no_lease_and_its_late_answer_is_ignored():
-    net = await Net(GRANTS, GRANTS).leased()
-    stopped = net.aggregators[0]
-    stopped.does = stopped.watched = None
-    await net.run(LONGEST_PAUSE_S + agents.CALL_S + 0.3)
-    (asked, *_), (moved, *_) = net.reports[:2]
-    assert net.asked[:2] == [0, 1] and agents.CALL_S <= moved - asked <= agents.CALL_S + 0.3
-    client, caller = net.agent.lease_client, net.agent._caller
-    before = (vars(client).copy(), caller._connection, net.agent._last_report)
+async def test_a_stopped_aggregator_costs_no_lease_and_its_late_answer_is_ignored():
+    tier = await Tier(GRANTS, GRANTS).leased()
+    stopped = tier.aggregators[0]
+    stopped.answer = stopped.watch_answer = None
+    await tier.run(LONGEST_PAUSE_S + reporter.CALL_S + 0.3)
+    (asked, *_), (moved, *_) = tier.reports[:2]
+    assert tier.asked[:2] == [0, 1] and reporter.CALL_S <= moved - asked <= reporter.CALL_S + 0.3
+    client = tier.agent.lease_client
+    before = (vars(client).copy(), tier.open)
     late = response({"edition": 4, "permission_ms": 9000.0, "life": EPOCH + 1, "pending": 4})
-    for wire in stopped.silent:
-        wire.protocol.data_received(late)  # as if it had been read already
-    assert (vars(client), caller._connection, net.agent._last_report) == before
-    await net.run(10.0)
-    assert net.kept_its_lease() and client.report(now())["of"] == EPOCH
-    assert set(net.asked[1:]) == {1}
-    net.close()
+    for connection in stopped.unanswered:
+        connection.protocol.data_received(late)  # as if it had been read already
+    assert (vars(client), tier.open) == before
+    seen = len(tier.reports)
+    await tier.run(10.0)
+    *_, last_answered = tier.reports[seen - 1]
+    *_, next_report = tier.reports[seen]
+    assert next_report["after"] == last_answered["seq"]
+    assert tier.kept_its_lease() and client.report(now())["of"] == EPOCH
+    assert set(tier.asked[1:]) == {1}
+    tier.close()
 
 
 @timed
-async def test_a_late_answer_reaches_no_call_that_is_made_meanwhile():
-    net = await Net(GRANTS, GRANTS).leased()
-    first, second = net.aggregators
-    first.does = second.does = None
-    await net.run(LONGEST_PAUSE_S + agents.CALL_S + 0.5)  # the call at the second is under way
-    assert second.silent
-    first.silent[0].protocol.data_received(response({**GRANTS, "edition": 4, "life": EPOCH + 1}))
-    first.silent[0].protocol.connection_lost(None)
-    second.silent[0].feed(response(GRANTS))
-    await net.run(0.1)
-    assert net.agent.lease_client.report(now())["of"] == EPOCH and net.agent._failing == ""
-    net.close()
+async def test_a_late_answer_reaches_no_later_call():
+    tier = await Tier(GRANTS, GRANTS).leased()
+    first, second = tier.aggregators
+    first.answer = second.answer = None
+    await tier.run(LONGEST_PAUSE_S + reporter.CALL_S + 0.5)  # the call at the second is under way
+    assert second.unanswered
+    first.unanswered[0].protocol.data_received(response({**GRANTS, "edition": 4, "life": EPOCH + 1}))
+    first.unanswered[0].protocol.connection_lost(None)
+    second.unanswered[0].feed(response(GRANTS))
+    await tier.run(0.1)
+    assert tier.agent.lease_client.report(now())["of"] == EPOCH and state(tier.agent)["failing"] == ""
+    tier.close()
 
 
 @timed
-async def test_an_answer_that_nobody_asked_for_is_not_taken_for_the_next_one():
-    net = await Net(GRANTS).leased()
-    net.agent._caller._connection.data_received(response({**GRANTS, "life": EPOCH + 1}))
-    await net.run(2.0)
-    assert net.agent.lease_client.report(now())["of"] == EPOCH and net.kept_its_lease()
-    assert "after" not in net.reports[0][2]  # on a connection of its own
-    net.close()
+async def test_an_unsolicited_answer_is_not_taken_for_the_next_one():
+    tier = await Tier(GRANTS).leased()
+    reports_connection = tier.aggregators[0].connections[0]
+    assert not isinstance(reports_connection.protocol, Channel) and reports_connection.open
+    reports_connection.feed(response({**GRANTS, "life": EPOCH + 1}))
+    await tier.run(2.0)
+    assert tier.agent.lease_client.report(now())["of"] == EPOCH and tier.kept_its_lease()
+    assert "after" not in tier.reports[0][2]  # on a connection of its own
+    tier.close()
 
 
 @timed
-async def test_one_that_is_behind_takes_it_back_neither_in_revision_nor_in_epoch():
-    net = await Net(GRANTS, GRANTS).leased()
+async def test_an_aggregator_that_is_behind_takes_it_back_neither_in_revision_nor_in_epoch():
+    tier = await Tier(GRANTS, GRANTS).leased()
     older = {**STATE, "edition": REVISION - 1}
-    net.agent.lease_client.receive_update({**STATE, "committed": older})
-    net.aggregators[0].watched = HEAD + chunk(older)
-    net.aggregators[0].does = {**GRANTS, "edition": REVISION - 1}
-    net.aggregators[0].wires[-1].abort()
-    await net.run(2.0)
-    assert set(net.asked) == {0} and net.kept_its_lease()
-    for each in net.aggregators:
-        each.does = {**GRANTS, "life": EPOCH - 1}
-    await net.run(4.0)
-    assert net.acting == "safe"  # what an epoch before grants is no lease
-    assert net.agent.lease_client.report(now())["of"] == EPOCH and set(net.asked[-2:]) == {0, 1}
-    net.aggregators[1].does = GRANTS
-    await net.run(2.0)
-    assert net.acting == REVISION and net.asked[-1] == 1
-    net.close()
+    tier.agent.lease_client.receive_update({**STATE, "committed": older})
+    tier.aggregators[0].watch_answer = HEAD + chunk(older)
+    tier.aggregators[0].answer = {**GRANTS, "edition": REVISION - 1}
+    tier.aggregators[0].connections[-1].abort()
+    await tier.run(2.0)
+    assert set(tier.asked) == {0} and tier.kept_its_lease()
+    for each in tier.aggregators:
+        each.answer = {**GRANTS, "life": EPOCH - 1}
+    await tier.run(4.0)
+    assert tier.acting == "safe"  # a service of a lower epoch grants no lease
+    assert tier.agent.lease_client.report(now())["of"] == EPOCH and set(tier.asked[-2:]) == {0, 1}
+    tier.aggregators[1].answer = GRANTS
+    await tier.run(2.0)
+    assert tier.acting == REVISION and tier.asked[-1] == 1
+    tier.close()
