--- a/brassfall/controlplane/aggregation/actions.py
+++ b/brassfall/controlplane/aggregation/actions.py
@@ -1,52 +1,60 @@
-"""What an aggregator's host has to do, in the order in which `step` returns it."""
+"""The actions that an aggregator's host has to carry out, in the order in which `step` returns them."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
 from brassfall.controlplane.aggregation.messages import AggregatorReport, ChildOrder, TimesLeft
+from brassfall.controlplane.revisions.refusals import LeaseRefusal, text_of
 
 
 @dataclass(frozen=True, slots=True)
 class SendReport:
-    """Send this report to the service, and hand in `UpstreamAnswered` or `UpstreamFailed`."""
+    """Send a report to the service; `UpstreamAnswered` or `UpstreamFailed` has to follow."""
 
     report: AggregatorReport
 
 
 @dataclass(frozen=True, slots=True)
 class ReportNow:
-    """A decision waits for what this aggregator knows: report at once, or, where a report is under way, as
-    soon as that is answered or has failed."""
+    """Report at once, or once a report under way was answered or has failed: a decision waits for it."""
 
 
 @dataclass(frozen=True, slots=True)
 class FetchState:
-    """An answer named a revision that is not here: ask for `GET /rules`, and hand in what comes as
-    `StateReceived`. The watch may be broken."""
+    """Fetch `GET /rules`, and pass the answer on as `StateReceived`.
+
+    An answer named a revision that was not received: the watch may be broken.
+    """
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerChild:
-    """The answer to a child's report. `revision` and `pending` are to be passed on as they are.
+    """The answer to a child's report; `revision` and `pending` are to be sent as they are.
 
-    `lease_ms` counts from when the child asked; 0 is no lease, and `why` says why. `elsewhere` says that
-    another aggregator may have one to grant (also beside a lease that is not going to be renewed)."""
+    `lease_ms` counts from when the child sent its report; it is 0 with a refusal. `elsewhere` says that
+    another aggregator may grant a lease (also beside a lease that will not be renewed).
+    """
 
     ticket: int
     epoch: int
     revision: int
     lease_ms: float
     pending: int
-    why: str = ""
+    refusal: LeaseRefusal | None = None
     elsewhere: bool = False
     order: ChildOrder | None = None
     times_left: TimesLeft = field(default_factory=dict)  # of overrides, with `slack_ms` in the rows
 
+    @property
+    def why(self) -> str:
+        """The refusal's text on the wire; empty with a lease."""
+        return text_of(self.refusal)
+
 
 @dataclass(frozen=True, slots=True)
 class RejectChild:
-    """No capacity for this child now: it may come again after `retry_ms`."""
+    """Reject a child for lack of capacity; it may come again after `retry_ms`."""
 
     ticket: int
     retry_ms: float
@@ -55,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NotifyChildren:
-    """Send this line to all watches on the configuration; those opened later begin with it, too."""
+    """Send a line to all watches on the configuration; those opened later begin with it."""
 
     line: bytes
 
--- a/brassfall/controlplane/aggregation/child_reports.py
+++ b/brassfall/controlplane/aggregation/child_reports.py
@@ -7,38 +7,38 @@
 from brassfall.controlplane.aggregation.child_leases import ChildKey
 from brassfall.controlplane.aggregation.events import ChildReported
 from brassfall.controlplane.aggregation.state import AggregatorState
-from brassfall.controlplane.revisions.coordinator import LEAVING, NOT_ACKNOWLEDGED, OVERTAKEN
+from brassfall.controlplane.revisions.refusals import LeaseRefusal, RefusalReason
 from brassfall.controlplane.revisions.reports import FALLBACK, Report
 from brassfall.controlplane.revisions.timing import expiry_bound_ms
 
-BEHIND_MS = 500.0  # how long children that know more are kept here before they are sent elsewhere
+BEHIND_MS = 500.0  # after which children that know later revisions are redirected
 
 
 class ChildReports:
-    """Takes in children's reports, and grants leases that end before the aggregator's own."""
+    """Applies children's reports, and grants leases that end before the aggregator's own."""
 
     def __init__(self, state: AggregatorState) -> None:
         self.state = state
         self._admission = Admission(state.timing)
 
     def receive(self, now: float, event: ChildReported) -> list[Action]:
-        """Take in a report; its answer, and what else is due. `now` in ms of the aggregator's clock."""
+        """Apply a report at `now`, in ms of the aggregator's clock; return the actions that are due."""
         state, report = self.state, event.report
         key = ChildKey(event.name, report.process_id)
         if report.leaving:
             self._remove(key)
-            return [self._answer(now, event, LEAVING), *state.urgent_report(now)]
+            return [self._answer(now, event, LeaseRefusal(RefusalReason.LEAVING)), *state.urgent_report(now)]
         if not state.membership.is_newest(key, report, state.child_leases):
-            return [self._answer(now, event, OVERTAKEN)]
+            return [self._answer(now, event, LeaseRefusal(RefusalReason.OVERTAKEN))]
         retry_ms = self._admission_wait_ms(now, key, report)
         if retry_ms:
             return [RejectChild(event.ticket, retry_ms, "too many sidecars come at once")]
         self._take_in(now, key, report)
-        why = self._refusal(now, event.name, report)
-        if not why:
+        refusal = self._refusal(now, event.name, report)
+        if refusal is None:
             self._grant(now, key, report)
         fetch = self._fetch_unknown(now, report)
-        return [self._answer(now, event, why), *fetch, *state.urgent_report(now)]
+        return [self._answer(now, event, refusal), *fetch, *state.urgent_report(now)]
 
     def _admission_wait_ms(self, now: float, key: ChildKey, report: Report) -> float:
         children = self.state.membership.children
@@ -65,23 +65,23 @@
 
     # --- grants ------------------------------------------------------------------------------
 
-    def _refusal(self, now: float, name: str, report: Report) -> str:
-        """Why a child gets no lease now; empty where it does."""
+    def _refusal(self, now: float, name: str, report: Report) -> LeaseRefusal | None:
+        """Return why a child gets no lease now; None if it gets one."""
         state = self.state
         unready = state.unready(now)
         if unready:
-            return unready
+            return LeaseRefusal(RefusalReason.AGGREGATOR_UNREADY, unready)
         if self._ahead(report):
-            return "it knows later revisions than this aggregator"
+            return LeaseRefusal(RefusalReason.AHEAD_OF_AGGREGATOR)
         order = state.exceptions.order(name)
         if order is not None and order.blocked:
-            return order.blocked
+            return LeaseRefusal(RefusalReason.BLOCKED, order.blocked)
         objection = report.objection
         if objection is not None and objection.revision == state.committed:
-            return f"it objects to this edition: {objection.reason}"
+            return LeaseRefusal(RefusalReason.OBJECTS, objection.reason)
         if state.pending and report.prepared != state.pending:
-            return NOT_ACKNOWLEDGED
-        return ""
+            return LeaseRefusal(RefusalReason.NOT_ACKNOWLEDGED)
+        return None
 
     def _grant(self, now: float, key: ChildKey, report: Report) -> None:
         state = self.state
@@ -91,7 +91,7 @@
     # --- what a child knows ------------------------------------------------------------------
 
     def _ahead(self, report: Report) -> bool:
-        """Whether a child knows of what is not known here yet: an answer could make it forget that."""
+        """Return whether a child knows a revision that is not known here: an answer could end its promise."""
         state = self.state
         if (report.epoch or 0) > state.epoch or self._promises_unknown(report):
             return True
@@ -99,39 +99,39 @@
         return same_epoch and isinstance(report.acting, int) and report.acting > state.committed
 
     def _promised(self, report: Report) -> int:
-        """The revision that a child has acknowledged and goes on promising after its answer: that is what is
-        pending here, or is not known here yet; 0 where it is another."""
+        """Return the revision that a child still promises after its answer: pending or unknown here, or 0."""
         goes_on = report.prepared == self.state.pending or self._promises_unknown(report)
         return report.prepared if goes_on else 0
 
     def _promises_unknown(self, report: Report) -> bool:
-        """Whether a child has acknowledged a revision that is not known here yet.
+        """Return whether a child has acknowledged a revision that is not known here yet.
 
-        One whose number is below the epoch's is of an epoch that is over: this one numbers from itself up,
-        and its first message has what it took over from the one before."""
+        A number below the epoch's is from an earlier epoch: this one numbers from itself up, and its first
+        message has all that it took over.
+        """
         return report.prepared > self.state.revisions.newest and report.prepared >= self.state.epoch
 
     def _fetch_unknown(self, now: float, report: Report) -> list[Action]:
-        """Ask for the state, where a child of this epoch knows what this aggregator has missed."""
+        """Fetch the state if a child of this epoch knows a revision that this aggregator has missed."""
         if not self._ahead(report) or (report.epoch or 0) > self.state.epoch:
             return []
         return self.state.fetch(now)
 
     # --- answers -----------------------------------------------------------------------------
 
-    def _answer(self, now: float, event: ChildReported, why: str) -> AnswerChild:
+    def _answer(self, now: float, event: ChildReported, refusal: LeaseRefusal | None) -> AnswerChild:
         state, report = self.state, event.report
         order = state.exceptions.order(event.name)
         refresh = report.refresh_times or (order is not None and order.refresh_times)
         known = 0 if refresh else report.known_override_revision
         answer = AnswerChild(
-            event.ticket,
-            state.epoch,
-            state.committed,
-            0.0 if why else state.lease.child_lease_ms(now),
-            # A promise of what is not known here goes on: nothing is known here that ended it.
-            report.prepared if self._promises_unknown(report) else state.pending,
-            why,
+            ticket=event.ticket,
+            epoch=state.epoch,
+            revision=state.committed,
+            lease_ms=state.lease.child_lease_ms(now) if refusal is None else 0.0,
+            # A promise of a revision that is not known here goes on: nothing known here ended it.
+            pending=report.prepared if self._promises_unknown(report) else state.pending,
+            refusal=refusal,
             elsewhere=self._elsewhere(now, report),
             order=order,
             times_left=state.override_times.for_child(now, known),
@@ -140,13 +140,13 @@
         return answer
 
     def _elsewhere(self, now: float, report: Report) -> bool:
-        """Whether a child had better ask another aggregator."""
+        """Return whether a child should report to another aggregator."""
         state = self.state
         if state.leaving or state.lease.stale(now) or (report.epoch or 0) > state.epoch:
             return True
         if state.caught_up() and not self._ahead(report):
             return state.lease.left_ms(now) <= 0.0
-        # Most often this aggregator has what it lacks within some ms.
+        # This aggregator usually receives what it lacks within some ms.
         if state.behind_since_ms is None:
             state.behind_since_ms = now
         return state.lease.left_ms(now) <= 0.0 or now - state.behind_since_ms > BEHIND_MS
--- a/brassfall/controlplane/overrides/__init__.py
+++ b/brassfall/controlplane/overrides/__init__.py
@@ -1,1 +1,1 @@
-"""Temporary overrides: what an operator may write, the book that starts and ends them, and the reconciler."""
+"""Temporary overrides: their documents, the store that starts and ends them, and the reconciler."""
--- a/brassfall/controlplane/overrides/document.py
+++ b/brassfall/controlplane/overrides/document.py
@@ -1,7 +1,7 @@
-"""What an operator writes to override the rules for a while, checked. Pure code.
+"""The documents of temporary overrides, and their checks. Pure code.
 
-The wire form is in `docs/overrides.md`. An `Override` is one revision of such a document as the override
-store has it: frozen, with the absolute end of its row.
+The wire form is in `docs/overrides.md`. An `Override` is one revision of such a document in the override
+store, with its absolute end.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 from brassfall.errors import RequestError
 
-LONGEST_MS = 24 * 3_600_000  # a measure that lasts longer belongs into the settings
+MAX_LENGTH_MS = 24 * 3_600_000  # a change for longer belongs into the settings
 NAME = re.compile(r"[A-Za-z0-9._:-]{1,128}\Z")
 TEXT_MOST = 500  # characters of `by` and of `why`
 PLACES_MOST = 256  # groups, regions, and regions of a shift
@@ -26,19 +26,19 @@
 
 
 class BadOverrideError(RequestError):
-    """A document that can't be an override (400)."""
+    """A malformed document (400)."""
 
     action = "Mend the document as the reason says, and send it again; docs/overrides.md has its form."
 
 
 class Shift(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Shares of the requests by region; what is left of one goes on as without this override."""
+    """The shares of requests by region; the rest of 1 is distributed as without this override."""
 
     to: dict[str, float]
 
 
 class Hold(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
-    """Hold off one of these."""
+    """What is held off: exactly one of these."""
 
     server: str | None = None
     group: str | None = None
@@ -46,19 +46,19 @@
 
 
 class Cap(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The whole fleet's most for a class."""
+    """The highest rate of a class, of the whole fleet."""
 
     per_s: float
 
 
 class Pin(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A tenant is served by this region, and by no other."""
+    """The one region that serves a tenant."""
 
     region: str
 
 
 class Action(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
-    """What is done: exactly one of these."""
+    """The action of an override: exactly one of these."""
 
     shift: Shift | None = None
     hold: Hold | None = None
@@ -68,25 +68,25 @@
 
     @property
     def kinds(self) -> list[str]:
-        """Which of them are there."""
+        """The names of the actions that are set."""
         return [name for name in self.__struct_fields__ if getattr(self, name)]
 
 
 class Match(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
-    """Whose requests: one class, one tenant, or all."""
+    """The requests that an override is for: one class, one tenant, or all."""
 
     cls: str | None = msgspec.field(name="class", default=None)
     tenant: str | None = None
 
 
 class Places(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
-    """At which sidecars, by where they stand; empty is everywhere."""
+    """The places of the sidecars that act on an override; empty is everywhere."""
 
     groups: tuple[str, ...] = ()
     regions: tuple[str, ...] = ()
 
     def holds(self, group: str, region: str) -> bool:
-        """Whether a sidecar that stands there is meant."""
+        """Return whether a sidecar at this place acts on the override."""
         return (not self.groups or group in self.groups) and (not self.regions or region in self.regions)
 
 
@@ -103,26 +103,26 @@
 
     @property
     def content(self) -> tuple[Action, Match, Places, int]:
-        """What sidecars act on; the rest says who, why and how long."""
+        """The part that sidecars act on, without who, why and until when."""
         return self.action, self.match, self.places, self.priority
 
 
 class Override(Document, frozen=True, kw_only=True):
-    """One revision. Revisions of all ids share numbers that only grow, over deletes and restarts too."""
+    """One revision; revisions of all ids share numbers that only grow, over deletes and restarts too."""
 
     id: str
     rev: int
-    same_from: int  # the oldest revision, without an end in between, that says the same
+    same_from: int  # the oldest revision with the same content, without an end in between
     from_ms: int  # of the first revision without an end in between
 
     @property
     def document(self) -> Document:
-        """What the operator wrote."""
+        """The document of the operator."""
         return Document(**{name: getattr(self, name) for name in Document.__struct_fields__})
 
 
 def parse(override_id: str, body: bytes | str, now_ms: int) -> Document:
-    """The document that an operator sent at a time of the service; `BadOverrideError` says what is wrong."""
+    """Return the document in a call at a time of the service; raise `BadOverrideError` if it is not valid."""
     what = f"override {override_id!r} is not taken"
     if not NAME.match(override_id):
         raise BadOverrideError(what, "an id is 1 to 128 letters, digits, '.', '_', ':' or '-'")
@@ -139,7 +139,7 @@
 
 
 def faults(document: Document, now_ms: int) -> Iterator[str]:
-    """Why a document can't be meant, one reason at a time."""
+    """Yield the faults of a document."""
     yield from _action_faults(document.action, document.match)
     for name, text in (("by", document.by), ("why", document.why)):
         if not text.strip() or len(text) > TEXT_MOST:
@@ -152,7 +152,7 @@
     left = document.until_ms - now_ms
     if left <= 0:
         yield f"`until_ms` is past by {-left} ms; it is {now_ms} here"
-    if left > LONGEST_MS:
+    if left > MAX_LENGTH_MS:
         yield f"`until_ms` is {left / 3.6e6:.1f} h off, and 24 h are the most; what lasts longer is a setting"
 
 
@@ -188,7 +188,7 @@
 
 
 def _pairing_faults(kind: str, match: Match) -> Iterator[str]:
-    """Whether the match names what an action of this kind needs, and nothing else."""
+    """Yield a fault unless the match names exactly what an action of this kind needs."""
     if kind not in MATCH_NEEDED:
         return
     named = {name for name, value in (("class", match.cls), ("tenant", match.tenant)) if value is not None}
@@ -207,24 +207,27 @@
 
 
 def listing(override: Override, now_ms: int) -> dict[str, Any]:
-    """The form of answers and listings, with the time left."""
+    """Return an override in the form of answers and listings, with the time left."""
     found: dict[str, Any] = msgspec.to_builtins(override)
     return {"id": override.id, **found, "left_ms": max(0, override.until_ms - now_ms)}
 
 
 def layer(overrides: Iterable[Override]) -> list[dict[str, Any]]:
-    """The overrides layer of a configuration revision: what sidecars act on, and nothing about time.
+    """Return the overrides layer of a configuration revision.
 
-    Times left are sent apart from it, with each answer, since a revision lasts longer than they hold."""
+    It has no times: a revision is used for longer than a time left is valid, so these are sent with each
+    answer.
+    """
     names = ("id", "rev", "from_ms", "priority", "action", "match", "places")
     return [{name: msgspec.to_builtins(getattr(found, name)) for name in names} for found in overrides]
 
 
 def times_left(overrides: Iterable[Override], now_ms: int, newest: int = 0) -> dict[str, dict[str, int]]:
-    """The time left of overrides in force, by id, for the answer to a report; each in ms.
+    """Return the times left of overrides by id, in ms, for the answer to a report.
 
-    Only of revisions after the newest that the sidecar has received, as it reports: revisions of all ids grow
-    together. 0 gives all, for a sidecar that asks for all times or is to get them once more."""
+    Only those of revisions after `newest` are returned, the newest that the sidecar has received: all ids
+    share one sequence of revisions. 0 returns all.
+    """
     return {
         found.id: {"rev": found.rev, "same_from": found.same_from, "left_ms": found.until_ms - now_ms}
         for found in overrides
--- a/brassfall/controlplane/overrides/events.py
+++ b/brassfall/controlplane/overrides/events.py
@@ -1,4 +1,4 @@
-"""What the override store is told, and what it wants done. Pure code."""
+"""The events and actions of the override store, and the errors of its answers. Pure code."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class OverrideNotWrittenError(UnavailableError):
-    """The row could not be made durable; nothing has changed (503)."""
+    """A row could not be made durable; nothing has changed (503)."""
 
     action = "Look at /status and at the disk of the list service, then send the call again."
 
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Put:
-    """An operator starts, extends or changes an override; the document is parsed."""
+    """An operator starts, extends or changes an override."""
 
     call: int  # the caller's number, for the answer
     id: str
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class End:
-    """An operator ends one now."""
+    """An operator ends an override now."""
 
     call: int
     id: str
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Written:
-    """A `WriteRow` or a `DeleteRow` is durable, or failed (`why`)."""
+    """A `WriteRow` or a `DeleteRow` is durable, or has failed if `why` is set."""
 
     ticket: int
     why: str = ""
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Time went on."""
+    """Time has passed; nothing else has happened."""
 
 
 Event = Put | End | Written | Tick
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteRow:
-    """Write a row; then `Written`."""
+    """Write a row; `Written` has to follow."""
 
     ticket: int
     override: Override
@@ -95,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DeleteRow:
-    """Delete a row; then `Written`."""
+    """Delete a row; `Written` has to follow."""
 
     ticket: int
     id: str
@@ -103,14 +103,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Publish:
-    """What is in force from now on, by id. Publishing what is published already is to change nothing."""
+    """Publish the overrides in force, unless the same ones are published already."""
 
     overrides: tuple[Override, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """To a call: the override as it is (or was, where it was ended), or the error."""
+    """Answer a call with the override (the last revision, if it was ended) or an error."""
 
     call: int
     override: Override | None = None
--- a/brassfall/controlplane/overrides/reconciler.py
+++ b/brassfall/controlplane/overrides/reconciler.py
@@ -1,10 +1,11 @@
-"""Finds sidecars that act on other overrides than are due, and has them sent again. Pure code.
+"""The reconciler: finds sidecars that act on other overrides than are due, and corrects them. Pure code.
 
-Sidecars report a digest of what they act on; only where it differs for longer than delivery takes are the
-details requested. It goes by what they report: one that lies is found by what servers saw, not here.
+Sidecars report a digest of the overrides that they act on. Details are requested only if the digest differs
+for longer than delivery takes. A sidecar that reports falsely is not found here, but by the headers that
+servers receive.
 
-A node with a finding is sent all that is due, up to `RESENDS_MOST` times a second apart; then its lease is
-denied; after `DENIED_MS` more the operator is alerted.
+A node with a finding is sent all overrides that are due, up to `MAX_RESENDS` times `RESEND_MS` apart; then
+its lease is denied; after `DENIED_MS` more the operator is alerted.
 """
 
 from __future__ import annotations
@@ -20,16 +21,16 @@
 from brassfall.controlplane.overrides.document import Override
 from brassfall.controlplane.overrides.expected import DELIVERY_MS, LATE_MS, Ended, ExpectedOverrides
 from brassfall.controlplane.overrides.findings import ACTS_PAST_END, Finding, Kind
-from brassfall.controlplane.overrides.history import Entry, HistoryRing, WriteEntry
+from brassfall.controlplane.overrides.history import Entry, EntryKind, HistoryRing, WriteEntry
 
 RESEND_MS = 1000  # between two resends
-RESENDS_MOST = 3  # without effect before the lease is denied
-DENIED_MS = 6000  # longer than a lease lasts; then the operator is alerted
-FORGET_MS = 600_000  # a node without a report for this long is none any more
-NODES_MOST = 10_000
-OPENED_MOST = 200  # findings opened in a second, since each is written; others wait for their next report
-CHECK_MOST = 256  # nodes that one step checks for another reason than their report
-IDS_SHOWN = 20
+MAX_RESENDS = 3  # before the lease is denied
+DENIED_MS = 6000  # from denying the lease, which has ended by then, to the alert
+FORGET_MS = 600_000  # without a report, until a node is forgotten
+MAX_NODES = 10_000
+MAX_OPENED_PER_S = 200  # findings, each of which is a write; others wait for their next report
+MAX_CHECKED = 256  # nodes that one `Tick` checks
+MAX_IDS = 20  # that a finding names
 
 
 # --- events ----------------------------------------------------------------------------------------
@@ -37,15 +38,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Published:
-    """What is in force from now on, as the override store publishes it."""
+    """The overrides in force from now on, as the override store publishes them."""
 
     overrides: tuple[Override, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Reported:
-    """A sidecar's report; `digest` is None where it has no field for overrides. `incarnation` tells the runs
-    of its process apart."""
+    """A sidecar's report; `digest` is None from a version without overrides.
+
+    `incarnation` distinguishes the processes of one node.
+    """
 
     node: str
     incarnation: str
@@ -56,10 +59,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Details:
-    """What a sidecar acts on, id to revision, as requested; any JSON."""
+    """The overrides that a sidecar says it acts on, revisions by id, as requested; any JSON."""
 
     node: str
-    acted: Any
+    acted: object
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Time went on."""
+    """Time has passed; nothing else has happened."""
 
 
 Event = Published | Reported | Details | Left | Tick
@@ -81,35 +84,35 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestDetails:
-    """Have the node list what it acts on, with the answer to its report."""
+    """Request details with the answer to the node's report."""
 
     node: str
 
 
 @dataclass(frozen=True, slots=True)
 class Resend:
-    """Send the node all that is due there, with the times left."""
+    """Send the node all times left of the overrides due there."""
 
     node: str
 
 
 @dataclass(frozen=True, slots=True)
 class DenyLease:
-    """Grant the node no lease until `AllowLease`."""
+    """Grant the node no lease until `AllowLease` follows."""
 
     node: str
 
 
 @dataclass(frozen=True, slots=True)
 class AllowLease:
-    """Leases as before."""
+    """Grant the node leases again."""
 
     node: str
 
 
 @dataclass(frozen=True, slots=True)
 class AlertOperator:
-    """Neither resending nor denying the lease was enough."""
+    """Log a finding that neither resending nor denying the lease has ended."""
 
     finding: Finding
 
@@ -118,7 +121,7 @@
 
 
 class Stage(Enum):
-    """What was tried last on a node that has findings."""
+    """The last step taken for a node with findings."""
 
     RESEND = auto()
     DENIED = auto()
@@ -127,15 +130,15 @@
 
 @dataclass(slots=True)
 class _Node:
-    """What is known of one sidecar; times are Unix ms by the service's clock."""
+    """The state of one sidecar; times are Unix ms by the service's clock."""
 
     incarnation: str
     reported_ms: int
-    started_ms: int  # when this incarnation was first heard of
+    started_ms: int  # when this incarnation reported first
     place: tuple[str, str] = ("", "")
-    differs_since: int | None = None  # since when its digest differs from what is due
-    strange_since: int | None = None  # since when it acts on what is not known here
-    suspected: set[Kind] = field(default_factory=set)  # what its last details showed
+    differs_since: int | None = None  # since when its digest differs from the expected one
+    strange_since: int | None = None  # since when it acts on unknown overrides
+    suspected: set[Kind] = field(default_factory=set)  # the kinds that its last details showed
     findings: dict[Kind, Finding] = field(default_factory=dict)
     resends: int = 0  # since the first finding
     resent_ms: int = 0
@@ -144,55 +147,57 @@
 
 
 class Reconciler:
-    """Compares reports with what is due. `step` takes Unix ms of a `SteadyClock`."""
+    """Compares reports with the overrides due. `step` takes Unix ms of a `SteadyClock`."""
 
     def __init__(self, ring: HistoryRing) -> None:
         self._ring = ring
         self._expected = ExpectedOverrides()
         self._nodes: dict[str, _Node] = {}  # least recently reported first
         self._opened_since = 0
-        self._opened = 0  # findings, in the second that began then
+        self._opened = 0  # findings opened in the second that began then
 
     def restore(self, history: Iterable[Any]) -> None:
-        """Take in the history's rows in the order of their keys: findings of an earlier incarnation without
-        an end are open until their node shows that they are over."""
+        """Restore open findings from the history's rows, which are in the order of their keys.
+
+        A finding of an earlier incarnation stays open until a report of its node shows that it has ended.
+        """
         for value in history:
             try:
                 entry = msgspec.convert(value, Entry)
-                kind = Kind(entry.why) if entry.kind in ("found", "settled") else None
+                kind = Kind(entry.why) if entry.kind in (EntryKind.FOUND, EntryKind.SETTLED) else None
             except (msgspec.ValidationError, ValueError):
                 continue
-            if entry.kind in ("ended", "expired"):
-                ended = Ended(entry.rev, entry.at_ms, by_time=entry.kind == "expired")
+            if entry.kind in (EntryKind.ENDED, EntryKind.EXPIRED):
+                ended = Ended(entry.rev, entry.at_ms, by_time=entry.kind == EntryKind.EXPIRED)
                 self._expected.remember_end(entry.id, ended)
             if kind is None:
                 continue
             node = self._nodes.setdefault(entry.node, _Node("", entry.at_ms, entry.at_ms))
             node.findings.pop(kind, None)
-            if entry.kind == "found":
+            if entry.kind == EntryKind.FOUND:
                 node.findings[kind] = Finding(entry.node, kind, entry.at_ms)
         self._nodes = {name: node for name, node in self._nodes.items() if node.findings}
 
     @property
     def findings(self) -> list[Finding]:
-        """All that are open."""
+        """The open findings."""
         return [found for node in self._nodes.values() for found in node.findings.values()]
 
     def denied(self, node: str) -> bool:
-        """Whether a node has no lease because of its overrides."""
+        """Return whether a node is denied a lease because of its overrides."""
         found = self._nodes.get(node)
         return found is not None and found.denied_ms is not None
 
     def knows(self, node: str) -> bool:
-        """Whether anything is known of a sidecar."""
+        """Return whether a sidecar has reported, or has open findings."""
         return node in self._nodes
 
     def expected_digest(self, now: int, group: str, region: str) -> str:
-        """The digest that a sidecar at a place is to report."""
+        """Return the digest that a sidecar at a place should report."""
         return self._expected.digest(now, group, region)
 
     def step(self, now: int, event: Event) -> list[Action]:
-        """What to do after an event."""
+        """Apply an event at `now`; return the actions to carry out."""
         match event:
             case Published():
                 self._expected.publish(now, event.overrides)
@@ -211,7 +216,7 @@
     def _reported(self, now: int, report: Reported) -> Iterator[Action]:
         node = self._nodes.pop(report.node, None)
         if node is None:
-            if len(self._nodes) >= NODES_MOST:
+            if len(self._nodes) >= MAX_NODES:
                 return
             node = _Node(report.incarnation, now, now)
         self._nodes[report.node] = node
@@ -235,7 +240,7 @@
         yield from self._escalate(now, name, node)
 
     def _without_overrides(self, now: int, name: str, node: _Node) -> Iterator[Action]:
-        """A version without overrides: only an operator can help, and only if one is due there."""
+        """Alert the operator, who alone can help, if overrides are due at a version without them."""
         node.differs_since = None
         overdue = self._expected.overdue(now, *node.place)
         found = {Kind.WITHOUT: overdue} if overdue else {}
@@ -249,11 +254,11 @@
             return
         found = self._expected.compare(now, node.place, node.started_ms, event.acted)
         if not found:
-            node.differs_since = now  # a change under way, and nothing more
+            node.differs_since = now  # a change is being delivered
         node.strange_since = (node.strange_since or now) if Kind.STRANGE in found else None
         if node.strange_since is not None and now - node.strange_since <= DELIVERY_MS:
-            del found[Kind.STRANGE]  # what is newer than is known here may reach it before it is published
-        # A report may have been long under way: what one alone shows is not believed.
+            del found[Kind.STRANGE]  # a new override may reach it before it is published here
+        # A report may have been delayed: a finding needs two in a row.
         sure = {kind: ids for kind, ids in found.items() if kind in node.suspected}
         node.suspected = set(found)
         yield from self._settle(now, event.node, node, set(found))
@@ -265,31 +270,31 @@
     def _open(self, now: int, name: str, node: _Node, found: dict[Kind, tuple[str, ...]]) -> Iterator[Action]:
         for kind, ids in found.items():
             if kind not in node.findings and self._may_open(now):
-                node.findings[kind] = Finding(name, kind, now, ids[:IDS_SHOWN])
-                yield self._entry(now, "found", node.findings[kind])
+                node.findings[kind] = Finding(name, kind, now, ids[:MAX_IDS])
+                yield self._entry(now, EntryKind.FOUND, node.findings[kind])
 
     def _may_open(self, now: int) -> bool:
         if now - self._opened_since >= 1000:
             self._opened_since, self._opened = now, 0
         self._opened += 1
-        return self._opened <= OPENED_MOST
+        return self._opened <= MAX_OPENED_PER_S
 
     def _settle(self, now: int, name: str, node: _Node, still: set[Kind]) -> Iterator[Action]:
-        """Close findings that are over; with the last of them the node is as any other."""
+        """Close findings that have ended; with the last of them, end what was done about the node."""
         for kind in [kind for kind in node.findings if kind not in still]:
             ended = msgspec.structs.replace(node.findings.pop(kind), ended=now)
-            yield self._entry(now, "settled", ended)
+            yield self._entry(now, EntryKind.SETTLED, ended)
         if not node.findings:
             if node.denied_ms is not None:
                 yield AllowLease(name)
             node.resends, node.resent_ms, node.denied_ms, node.stage = 0, 0, None, Stage.RESEND
 
     def _escalate(self, now: int, name: str, node: _Node) -> Iterator[Action]:
-        """Resend; deny the lease where that is not enough; then alert the operator."""
+        """Resend; if that is not enough, deny the lease; then alert the operator."""
         if not node.findings or now - node.resent_ms < RESEND_MS:
             return
         match node.stage:
-            case Stage.RESEND if node.resends < RESENDS_MOST:
+            case Stage.RESEND if node.resends < MAX_RESENDS:
                 node.resends += 1
             case Stage.RESEND:
                 node.stage, node.denied_ms = Stage.DENIED, now
@@ -298,18 +303,18 @@
                 node.stage = Stage.ALERTED
                 yield from self._alert(node)
                 if not node.findings.keys() & ACTS_PAST_END:
-                    # It lacks something: without a lease it could never take it.
+                    # It lacks an override: without a lease it could not act on it.
                     node.denied_ms = None
                     yield AllowLease(name)
             case Stage.ALERTED:
-                yield from self._alert(node)  # what else has been found since
+                yield from self._alert(node)  # of further findings
         node.resent_ms = now
         yield Resend(name)
 
     def _alert(self, node: _Node) -> Iterator[Action]:
         for kind, found in node.findings.items():
-            if not found.named:
-                node.findings[kind] = msgspec.structs.replace(found, named=True)
+            if not found.alerted:
+                node.findings[kind] = msgspec.structs.replace(found, alerted=True)
                 yield AlertOperator(node.findings[kind])
 
     def _left(self, now: int, name: str) -> Iterator[Action]:
@@ -318,13 +323,13 @@
             yield from self._settle(now, name, node, set())
 
     def _forget_silent(self, now: int) -> Iterator[Action]:
-        """Forget nodes that report no more; the rest is done with reports."""
-        for name in list(islice(self._nodes, CHECK_MOST)):
+        """Forget nodes that have stopped reporting."""
+        for name in list(islice(self._nodes, MAX_CHECKED)):
             if now - self._nodes[name].reported_ms < FORGET_MS:
-                return  # the others have reported later
+                return  # nodes are in the order of their last reports
             yield from self._left(now, name)
 
-    def _entry(self, now: int, kind: str, found: Finding) -> WriteEntry:
+    def _entry(self, now: int, kind: EntryKind, found: Finding) -> WriteEntry:
         return self._ring.add(
             Entry(
                 at_ms=now,
--- a/brassfall/controlplane/overrides/store.py
+++ b/brassfall/controlplane/overrides/store.py
@@ -1,12 +1,12 @@
-"""Starts, extends and ends overrides, and says which are in force. Pure code.
+"""The override store: starts, extends and ends overrides. Pure code.
 
-A change is answered and published only when its row is durable. One write of an id is under way at a time;
-what comes meanwhile waits for it, so that of an extension and an end in the same moment the one that is
-durable first decides what the other one is: an extension of what has ended is a new start.
+A change is answered and published only when its row is durable. One write of an id is under way at a time,
+and further calls for the id wait for it: of an extension and an end in the same moment, the one that is
+durable first decides the other, since the extension of an ended override is a new start.
 
-The actions of one step belong into one commit, the history's entries with what they record. A row has the
-absolute end, and what is in force is always judged by it: neither a restart nor a deletion that is late
-gives an override more time.
+The actions of one step belong into one commit, history entries with the changes that they record. A row has
+the absolute end, which alone decides whether an override is in force: neither a restart nor a late deletion
+gives it more time.
 """
 
 from __future__ import annotations
@@ -35,20 +35,20 @@
     WriteRow,
     Written,
 )
-from brassfall.controlplane.overrides.history import Entry, HistoryRing, WriteEntry
+from brassfall.controlplane.overrides.history import Entry, EntryKind, HistoryRing, WriteEntry
 
 TABLE = "overrides"
-OVERRIDES_MOST = 4096
-WAITING_MOST = 16  # calls for one id that wait for its write
-WORK_MOST = 256  # overrides that one step ends
-PROMPT_MS = 200  # between two publications
-EXPIRED_MS = 1000  # how long ends by time are gathered: sidecars know them without being told
-RETRY_MS = 1000  # of a deletion that failed
+MAX_OVERRIDES = 4096
+MAX_WAITING = 16  # calls for one id that wait for its write
+MAX_EXPIRED = 256  # overrides that one step ends
+PUBLISH_MS = 200  # between two publications
+EXPIRED_MS = 1000  # for which expired overrides are gathered: sidecars end them without a publication
+RETRY_MS = 1000  # from a failed deletion to the next
 
 
 @dataclass(frozen=True, slots=True)
 class _Write:
-    """One that is under way; `made` is None for a deletion, `call` for an end by time."""
+    """A write under way; `made` is None for a deletion, `call` is None for an expired override."""
 
     id: str
     call: int | None
@@ -56,13 +56,15 @@
 
 
 class OverrideStore:
-    """All overrides of one service, at most `most`. `step` takes Unix ms of a `SteadyClock`."""
+    """The overrides of one service, at most `most`. `step` takes Unix ms of a `SteadyClock`."""
 
-    def __init__(self, ring: HistoryRing, most: int = OVERRIDES_MOST) -> None:
+    def __init__(self, ring: HistoryRing, most: int = MAX_OVERRIDES) -> None:
         self._ring = ring
         self._most = most
-        self._rows: dict[str, Override] = {}  # as they are durable
-        self._ends: list[tuple[int, str, int]] = []  # when to look at an id's revision
+        self._rows: dict[str, Override] = {}  # the durable ones
+        self._ends: list[
+            tuple[int, str, int]
+        ] = []  # when to end a revision of an id: heap of (Unix ms, id, revision)
         self._writes: dict[int, _Write] = {}
         self._writing: set[str] = set()
         self._waiting: dict[str, deque[Put | End]] = {}
@@ -70,15 +72,16 @@
         self._last_rev = 0
         self._now = 0
         self._publish_at: int | None = None
-        self._published_at = -PROMPT_MS
-        self._mending: list[Entry] = []
+        self._published_at = -PUBLISH_MS
+        self._mending: list[Entry] = []  # history entries that a torn commit lacks
 
     def restore(self, rows: Iterable[tuple[str, Any]], history: Iterable[Any]) -> list[str]:
-        """Take in what an earlier incarnation made durable; the keys of rows that can't be read.
+        """Restore the rows of an earlier incarnation; return the keys of those that can't be read.
 
-        The newest revision is among the rows or in the history, so that none is given out twice. A row
-        without its entry, or an entry without its row (a commit torn by a kill), is mended with the
-        first step."""
+        The newest revision is among the rows or in the history, so that no number is used twice. A row
+        without its entry, or an entry without its row (a commit torn by a kill), is mended with the first
+        step.
+        """
         bad = []
         for key, value in rows:
             try:
@@ -101,7 +104,7 @@
         return bad
 
     def step(self, now_ms: int, event: Event) -> list[Action]:
-        """What to do after an event."""
+        """Apply an event; return the actions to carry out, in one commit."""
         now = self._now = max(now_ms, self._now)
         actions: list[Action] = [self._ring.add(entry) for entry in self._mending]
         self._mending = []
@@ -119,16 +122,16 @@
         return actions
 
     def active(self, now_ms: int) -> tuple[Override, ...]:
-        """What is in force, by id."""
+        """Return the overrides in force, in the order of their ids."""
         return tuple(self._rows[key] for key in sorted(self._rows) if self._rows[key].until_ms > now_ms)
 
     def get(self, override_id: str, now_ms: int) -> Override | None:
-        """One that is in force."""
+        """Return an override if it is in force."""
         found = self._rows.get(override_id)
         return found if found is not None and found.until_ms > now_ms else None
 
     def wake(self) -> int | None:
-        """When the next `Tick` has something to do; None while nothing is held."""
+        """Return when the next `Tick` is due; None if there is none."""
         times = [self._ends[0][0]] if self._ends else []
         return min([*times, *([self._publish_at] if self._publish_at is not None else [])], default=None)
 
@@ -139,7 +142,7 @@
             yield from self._put(now, event) if isinstance(event, Put) else self._end(now, event)
             return
         waiting = self._waiting.setdefault(event.id, deque())
-        if len(waiting) < WAITING_MOST:
+        if len(waiting) < MAX_WAITING:
             waiting.append(event)
         else:
             yield Answer(event.call, error=OverrideNotWrittenError(event.id, "too many calls wait for it"))
@@ -155,7 +158,7 @@
             yield Answer(event.call, error=error)
             return
         if row is not None and before is None:
-            yield self._entry(now, "expired", row)
+            yield self._entry(now, EntryKind.EXPIRED, row)
         made = self._revision(now, event, before)
         yield from self._write(_Write(event.id, event.call, made))
         yield self._entry(now, _kind_of_change(before, made), made)
@@ -169,9 +172,9 @@
         return None
 
     def _revision(self, now: int, event: Put, before: Override | None) -> Override:
-        """The next revision of an id; `before` is the one in force."""
+        """Return the next revision of an id; `before` is the one in force."""
         document = event.document
-        rev = max(self._last_rev + 1, now)  # above all of an incarnation whose disk was lost, too
+        rev = max(self._last_rev + 1, now)  # also above those of an incarnation whose disk was lost
         same = before is not None and before.content == document.content
         return Override(
             **{name: getattr(document, name) for name in Document.__struct_fields__},
@@ -187,7 +190,7 @@
             yield Answer(event.call, error=NoSuchOverrideError(event.id, "ended"))
             return
         yield from self._write(_Write(event.id, event.call, None))
-        yield self._entry(now, "ended", before, event.by, event.why)
+        yield self._entry(now, EntryKind.ENDED, before, event.by, event.why)
 
     # --- writes ---------------------------------------------------------------------------
 
@@ -227,7 +230,7 @@
         else:
             self._rows.pop(write.id, None)
         if write.call is not None:
-            self._publish_by(max(now, self._published_at + PROMPT_MS))
+            self._publish_by(max(now, self._published_at + PUBLISH_MS))
             yield Answer(write.call, write.made or before)
 
     def _take(self, found: Override) -> None:
@@ -238,7 +241,7 @@
     # --- time -----------------------------------------------------------------------------
 
     def _expire(self, now: int) -> Iterator[Action]:
-        for _ in range(WORK_MOST):
+        for _ in range(MAX_EXPIRED):
             if not self._ends or self._ends[0][0] > now:
                 return
             _, key, rev = heapq.heappop(self._ends)
@@ -247,50 +250,54 @@
                 continue
             self._publish_by(now + EXPIRED_MS)
             if key in self._writing:
-                # An extension, or an end, is under way and is durable first: it is checked after that.
-                heapq.heappush(self._ends, (now + PROMPT_MS, key, rev))
+                # An extension or an end is being written: the end is checked after that.
+                heapq.heappush(self._ends, (now + PUBLISH_MS, key, rev))
                 continue
             yield from self._write(_Write(key, None, None))
-            yield self._entry(now, "expired", found)
+            yield self._entry(now, EntryKind.EXPIRED, found)
 
     def _publish_by(self, at: int) -> None:
         self._publish_at = at if self._publish_at is None else min(at, self._publish_at)
 
     # --- history --------------------------------------------------------------------------
 
-    def _entry(self, now: int, kind: str, found: Override, by: str = "", why: str = "") -> WriteEntry:
+    def _entry(self, now: int, kind: EntryKind, found: Override, by: str = "", why: str = "") -> WriteEntry:
         return self._ring.add(_entry_of(now, kind, found, by, why))
 
     def _torn_commits(self, newest: dict[str, Entry]) -> Iterator[Entry]:
         for key, found in self._rows.items():
             entry = newest.get(key)
-            if entry is None or entry.rev < found.rev or entry.kind == "ended":
-                yield _entry_of(found.from_ms, "started", found)
+            if entry is None or entry.rev < found.rev or entry.kind == EntryKind.ENDED:
+                yield _entry_of(found.from_ms, EntryKind.STARTED, found)
         for key, entry in newest.items():
             row = self._rows.get(key)
-            if row is None and entry.kind not in ("ended", "expired"):
+            if row is None and entry.kind not in (EntryKind.ENDED, EntryKind.EXPIRED):
                 yield Entry(
-                    at_ms=entry.at_ms, kind="ended", id=key, rev=entry.rev, why="no row after a start"
+                    at_ms=entry.at_ms,
+                    kind=EntryKind.ENDED,
+                    id=key,
+                    rev=entry.rev,
+                    why="no row after a start",
                 )
 
 
-def _entry_of(now: int, kind: str, found: Override, by: str = "", why: str = "") -> Entry:
-    over = kind == "expired"
+def _entry_of(now: int, kind: EntryKind, found: Override, by: str = "", why: str = "") -> Entry:
+    expired = kind is EntryKind.EXPIRED
     return Entry(
         at_ms=now,
         kind=kind,
         id=found.id,
         rev=found.rev,
-        by=by or ("" if over else found.by),
-        why=why or ("" if over else found.why),
-        override=None if kind in ("ended", "expired") else msgspec.to_builtins(found),
+        by=by or ("" if expired else found.by),
+        why=why or ("" if expired else found.why),
+        override=None if kind in (EntryKind.ENDED, EntryKind.EXPIRED) else msgspec.to_builtins(found),
     )
 
 
-def _kind_of_change(before: Override | None, made: Override) -> str:
-    """How the history calls a revision that follows another, or none."""
+def _kind_of_change(before: Override | None, made: Override) -> EntryKind:
+    """Return the kind of a revision that follows another, or none."""
     if before is None:
-        return "started"
+        return EntryKind.STARTED
     if before.content != made.content or before.until_ms == made.until_ms:
-        return "changed"
-    return "extended" if made.until_ms > before.until_ms else "shortened"
+        return EntryKind.CHANGED
+    return EntryKind.EXTENDED if made.until_ms > before.until_ms else EntryKind.SHORTENED
--- a/brassfall/controlplane/registry/aggregator/state_lines.py
+++ b/brassfall/controlplane/registry/aggregator/state_lines.py
@@ -1,29 +1,31 @@
-"""Lines of the list service's watch on the configuration, as far as an aggregator reads them. Pure code."""
+"""The lines of the list service's watch on the configuration, as an aggregator reads them. Pure code."""
 
 from __future__ import annotations
 
 import msgspec
 
 from brassfall.controlplane.aggregation.events import StateReceived
+from brassfall.controlplane.revisions.state import RevisionState
 from brassfall.errors import RequestError
 
-STATES = ("prepared", "committed", "halted")
+UNREADABLE = "no state of the rules"
+MAX_REASON, MAX_QUOTED = 200, 40  # characters of a reason, and of a state in it
 
 
 class StateError(RequestError):
-    """A line of the rules from above that can't be read."""
+    """A malformed line of the list service's watch on the configuration."""
 
     action = "See which version of the list service runs there; its watch is opened again."
 
 
 class RevisionInForce(msgspec.Struct, frozen=True):
-    """The revision in force, beside one that is not."""
+    """The committed revision, beside one that is not."""
 
     revision: int = msgspec.field(name="edition")
 
 
 class StateLine(msgspec.Struct, frozen=True):
-    """What an aggregator reads of a line; its children are sent the line as it is."""
+    """The part of a line that an aggregator reads; its children get the line unchanged."""
 
     revision: int = msgspec.field(name="edition")
     epoch: int = msgspec.field(name="life")
@@ -32,13 +34,13 @@
 
 
 def read_state(line: bytes) -> StateReceived:
-    """A line of the configuration, for the core; `StateError` says what is wrong with it."""
+    """Return the core's event of a line; raise `StateError` if it is malformed."""
     try:
         found = msgspec.json.decode(line, type=StateLine)
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
-        raise StateError("no state of the rules", str(error)[:200]) from error
-    if found.state not in STATES:
-        raise StateError("no state of the rules", f"state: {found.state[:40]!r}")
+        raise StateError(UNREADABLE, str(error)[:MAX_REASON]) from error
+    if found.state not in set(RevisionState):
+        raise StateError(UNREADABLE, f"state: {found.state[:MAX_QUOTED]!r}")
     committed = found.committed.revision if found.committed is not None else 0
-    in_force = found.revision if found.state == "committed" else committed
+    in_force = found.revision if found.state == RevisionState.COMMITTED else committed
     return StateReceived(found.epoch, found.revision, found.state, in_force, line)
--- a/brassfall/controlplane/registry/fleet.py
+++ b/brassfall/controlplane/registry/fleet.py
@@ -1,5 +1,4 @@
-"""What the service knows of the whole fleet: how many sidecars there are, and the rows of those that report
-to it directly."""
+"""Views of the whole fleet: the number of sidecars, and the rows of those that report to the service."""
 
 from __future__ import annotations
 
@@ -9,8 +8,9 @@
 
 from brassfall.controlplane.registry.revision_service import RevisionService
 from brassfall.controlplane.registry.sidecar_rows import NEVER, Expected, SidecarRow, reported_row
+from brassfall.controlplane.revisions.refusals import text_of
 
-COUNTED_MS = 100.0  # how long a count of all sidecars is good for
+COUNT_VALID_MS = 100.0  # for which a count of all sidecars is used
 
 
 class RevisionStatus(
@@ -25,9 +25,9 @@
         "forced": "harmful_forced",
     },
 ):
-    """The part of `/status` about the revisions."""
+    """The part of `/status` on the revisions."""
 
-    revision: int  # in force
+    revision: int  # committed
     prepared: int  # pending; 0: none
     granting: str  # "yes", or why no lease can be granted
     members: int
@@ -40,38 +40,41 @@
 
 
 class Fleet:
-    """Views of all nodes; nothing here changes anything."""
+    """Views of all nodes, which change nothing."""
 
     def __init__(self, service: RevisionService) -> None:
         self._service = service
         self._counted_ms, self._count = -math.inf, 0
 
     def count(self) -> int:
-        """How many sidecars there are in the whole fleet, each counted once: members, and the children of
-        aggregators. As of a moment ago where there are aggregators."""
+        """Return the number of sidecars in the whole fleet, each counted once.
+
+        These are members and the children of aggregators. With aggregators, the count may be `COUNT_VALID_MS`
+        old.
+        """
         now, directory = self._service.now(), self._service.directory
         members = self._service.coordinator.membership.names
         if not directory.aggregators:
             return len(members)
-        if now - self._counted_ms > COUNTED_MS:
+        if now - self._counted_ms > COUNT_VALID_MS:
             direct = sum(self._is_direct(name) for name in members)
             self._counted_ms, self._count = now, direct + directory.count()
         return self._count
 
     def _is_direct(self, name: str) -> bool:
-        """Whether a node is a sidecar that reports to the service itself."""
+        """Return whether a node is a sidecar that reports to the service itself."""
         directory = self._service.directory
         return name not in directory and not directory.knows(name)
 
     def expected(self) -> Expected:
-        """What rows are compared with."""
+        """Return the values that rows are compared with."""
         coordinator = self._service.coordinator
         return Expected(
             coordinator.state.committed.number, coordinator.epoch, coordinator.timing.expiry_bound_ms
         )
 
     def rows(self) -> list[SidecarRow]:
-        """Every sidecar that reports here itself, or did, by its newest report; in the order of names."""
+        """Return the rows of all sidecars that report here themselves, or did, in the order of names."""
         now, expected = self._service.now(), self.expected()
         membership = self._service.coordinator.membership
         rows = []
@@ -86,13 +89,13 @@
         return rows
 
     def status(self) -> RevisionStatus:
-        """For `/status`."""
+        """Return the part of `/status` on the revisions."""
         coordinator, statistics = self._service.coordinator, self._service.statistics
         now = self._service.now()
         return RevisionStatus(
             revision=coordinator.state.committed.number,
             prepared=coordinator.state.pending_number,
-            granting=coordinator.grant_refusal(now) or "yes",
+            granting=text_of(coordinator.grant_refusal(now)) or "yes",
             members=len(coordinator.membership.names),
             sidecars=self.count(),
             leased=len(coordinator.leases.active(now)),
--- a/brassfall/controlplane/registry/fleet_listing.py
+++ b/brassfall/controlplane/registry/fleet_listing.py
@@ -1,4 +1,4 @@
-"""`GET /edges`: every sidecar, those that report here and the children of aggregators as these list them."""
+"""`GET /edges`: all sidecars, those that report here and the children that aggregators list."""
 
 from __future__ import annotations
 
@@ -15,6 +15,7 @@
 from brassfall.controlplane.registry.fleet import Fleet
 from brassfall.controlplane.registry.revision_service import RevisionService
 from brassfall.controlplane.registry.sidecar_rows import SidecarRow, Spread
+from brassfall.controlplane.revisions.refusals import text_of
 
 _encode = msgspec.json.Encoder().encode
 
@@ -24,7 +25,7 @@
     frozen=True,
     rename={"rows": "edges", "revision": "edition", "granting": "permits", "lists": "list"},
 ):
-    """The answer to `GET /edges`. `unanswered`: aggregators that did not list their children, and why."""
+    """The answer to `GET /edges`; `unanswered` has the aggregators that did not list their children."""
 
     rows: list[SidecarRow]
     revision: int
@@ -34,35 +35,35 @@
 
 
 class FleetListing:
-    """Makes the listing, and asks aggregators for it; callers that come meanwhile share one asking."""
+    """Makes the listing, and requests it from aggregators; concurrent calls share one request."""
 
     def __init__(self, service: RevisionService, fleet: Fleet) -> None:
         self._service = service
         self._fleet = fleet
         self._session: aiohttp.ClientSession | None = None
-        self._asking: asyncio.Task[ChildListing] | None = None
+        self._request: asyncio.Task[ChildListing] | None = None
 
     def start(self) -> None:
-        """Be ready to ask; within a running loop."""
+        """Prepare requests to aggregators; call it within the running loop."""
         self._session = aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0))
 
     async def close(self) -> None:
-        """Cancel an asking that is under way, and ask no more."""
-        if self._asking is not None:
-            self._asking.cancel()
-            await asyncio.gather(self._asking, return_exceptions=True)
+        """Cancel a request under way, and stop."""
+        if self._request is not None:
+            self._request.cancel()
+            await asyncio.gather(self._request, return_exceptions=True)
         if self._session is not None:
             await self._session.close()
 
     def routes(self) -> list[web.RouteDef]:
-        """The path."""
+        """Return the route of `GET /edges`."""
         return [web.get("/edges", self._get)]
 
     async def _get(self, _request: web.Request) -> web.Response:
         return answer(_encode(await self.listing()))
 
     async def listing(self) -> Listing:
-        """Every sidecar. Cancelling it leaves an asking that others share under way."""
+        """Return the listing. Cancelling it does not cancel a request that other calls share."""
         service, expected = self._service, self._fleet.expected()
         children = await self._ask()
         by_name = {row.name: row for row in self._fleet.rows()}
@@ -73,7 +74,7 @@
         return Listing(
             rows=rows,
             revision=expected.committed,
-            granting=service.coordinator.grant_refusal(service.now()) or "yes",
+            granting=text_of(service.coordinator.grant_refusal(service.now())) or "yes",
             lists=sidecar_rows.spread(rows, index, expected.silent_ms),
             unanswered=children.unanswered,
         )
@@ -82,15 +83,17 @@
         aggregators = self._service.directory.aggregators
         if not aggregators or self._session is None:
             return ChildListing()
-        if self._asking is None or self._asking.done():
+        if self._request is None or self._request.done():
             listens = {name: process.report.listen for name, process in aggregators.items()}
-            asking = children_listing.gather(self._session, listens, self._fleet.expected())
-            self._asking = asyncio.create_task(asking)
-        return await asyncio.shield(self._asking)
+            request = children_listing.gather(self._session, listens, self._fleet.expected())
+            self._request = asyncio.create_task(request)
+        return await asyncio.shield(self._request)
 
     def _children(self, listing: ChildListing) -> dict[str, SidecarRow]:
-        """Rows of children by name, each from the aggregator that owns it; a row without details where that
-        does not answer."""
+        """Return the rows of children by name, each from the aggregator that owns it.
+
+        A child whose aggregator does not answer has a row without details.
+        """
         rows: dict[str, SidecarRow] = {}
         directory, nodes = self._service.directory, self._service.coordinator.membership.nodes
         for name, process in directory.aggregators.items():
--- a/brassfall/controlplane/registry/geo.py
+++ b/brassfall/controlplane/registry/geo.py
@@ -8,7 +8,7 @@
 from concurrent.futures import ThreadPoolExecutor
 from dataclasses import dataclass, field
 from functools import partial
-from typing import Any, NamedTuple, Protocol
+from typing import Any, NamedTuple, Protocol, Unpack
 
 import msgspec
 from aiohttp import web
@@ -21,6 +21,7 @@
 from brassfall.controlplane.registry.calls import answer
 from brassfall.controlplane.registry.entries import INSTANCES
 from brassfall.controlplane.registry.tasks import Tasks
+from brassfall.controlplane.revisions.messages import DraftFields
 from brassfall.controlplane.revisions.reports import Report
 from brassfall.controlplane.revisions.state import DurableState
 from brassfall.controlplane.store.commands import Put
@@ -30,8 +31,8 @@
 from brassfall.settings import GeoSettings
 
 TICK_S = 0.25
-ESTIMATE_MAX_AGE_S = 1.0  # an estimate is used again for so long
-DEMAND_EXPIRY_S = 10.0  # a sidecar that is silent for longer has no demand
+ESTIMATE_MAX_AGE_S = 1.0  # for which an estimate is used
+DEMAND_EXPIRY_S = 10.0  # since the last report, until the demand of a node counts as none
 FIRST_REPORT_SPAN_S = 1.0  # of a sidecar's demand, before there are two reports
 MIN_REPORT_SPAN_S = 0.25
 REPORT_BATCH = 256  # reports that are merged into the evidence at once
@@ -52,14 +53,14 @@
     """The part of the configuration revisions that plans go through."""
 
     def durable_state(self) -> DurableState:
-        """What is durable of the revisions."""
+        """Return the durable state of the revisions."""
 
-    def publish(self, **layers: Any) -> asyncio.Future[int]:
-        """Have a revision published; its number, once it is durable."""
+    def publish(self, **draft: Unpack[DraftFields]) -> asyncio.Future[int]:
+        """Publish a revision; return its number once that is durable."""
 
 
 class Demand(NamedTuple):
-    """What one node asks for."""
+    """The requests of one node, or of one group and region behind an aggregator."""
 
     group: str
     rate: float  # requests/s
@@ -76,7 +77,7 @@
 
 @dataclass(slots=True)
 class Geo:
-    """Delays between client groups and regions, as this process received them, and the plans made of them."""
+    """The delays between client groups and regions that this process received, and its plans."""
 
     host: Host
     revisions: Revisions
@@ -87,25 +88,30 @@
     _demand: dict[str, Demand] = field(default_factory=dict)  # by node; of an aggregator by group and region
     _estimate: Estimate | None = None
     _estimated_s: float = float("-inf")
-    _open_since: dict[str, float] = field(default_factory=dict)  # when each region came to have servers
+    _open_since: dict[str, float] = field(default_factory=dict)  # since when each region has had servers
     _publisher: publisher.State = field(default_factory=publisher.State)
     _tasks: Tasks = field(default_factory=Tasks)
     _executor: ThreadPoolExecutor = field(default_factory=lambda: ThreadPoolExecutor(1, "geo"))
 
     def start(self) -> None:
-        """Publish plans from now on, where the settings say what regions can carry."""
+        """Start to publish plans, if the settings give the capacity of servers."""
         if self.settings.per_weight_per_s > 0.0:
             self._tasks.spawn(self._tick())
 
     async def close(self) -> None:
-        """Publish no more: cancel what runs, and wait for an estimate or plan that is being computed."""
+        """Stop: cancel all calls, and wait for an estimate or plan that is being computed."""
         await self._tasks.end()
         self._executor.shutdown(cancel_futures=True)
 
     def routes(self) -> list[web.RouteDef]:
-        """The paths that this part of the service answers."""
+        """Return the route of `/geo`."""
         return [web.get("/geo", self._get)]
 
+    @property
+    def demand(self) -> Mapping[str, Demand]:
+        """The demand by node; that of an aggregator is split by group and region."""
+        return self._demand
+
     # --- reports ------------------------------------------------------------------------
 
     def reported(self, name: str, report: Report) -> dict[str, Any]:
@@ -122,9 +128,9 @@
         return {}
 
     def _add(
-        self, node: str, incarnation: str, group: str, rows: Any, now_s: float
+        self, node: str, incarnation: str, group: str, rows: object, now_s: float
     ) -> tuple[evidence.DelayRow, ...]:
-        """Validate rows of delays and add them to what waits to be merged; the valid ones."""
+        """Validate rows of delays, and queue the valid ones to be merged; return these."""
         validated = evidence.validate_rows(rows)
         self.rejected_rows += sum(validated.rejected.values())
         self._pending.append(evidence.NodeReport(node, incarnation, group, validated.rows, now_s))
@@ -140,7 +146,7 @@
             return
         now_s = time.monotonic()
         for group, group_rows in self._by_group(rows).items():
-            # The node is the part of a group that reports through one aggregator.
+            # A group's members behind one aggregator count as one node.
             self._add(f"{name}/{group}", report.process_id, group, group_rows, now_s)
             for row in group_rows:
                 rate = _rate(row)
@@ -164,11 +170,11 @@
             del self._demand[part]
 
     def findings(self) -> dict[str, list[str]]:
-        """What is wrong with single sidecars: nothing that this part knows of."""
+        """Return no findings: delays say nothing wrong of a single sidecar."""
         return {}
 
     def _merge_pending(self) -> None:
-        # Each merge copies the table of nodes: with thousands of them, not at each report.
+        # Each merge copies the table of nodes, which may have thousands: not at each report.
         self._evidence = evidence.merge_reports(self._evidence, self._pending)
         self._pending = []
 
@@ -194,7 +200,7 @@
         return answer(_encode(body))
 
     def _capacity(self) -> Mapping[str, float]:
-        """What each region can carry, in requests/s: by the weights of its active servers."""
+        """Return the capacity of each region in requests/s, by the weights of its active servers."""
         found: dict[str, float] = {}
         for row in self.host.store.state.rows(INSTANCES):
             if row.value["status"] == "active":
@@ -223,7 +229,7 @@
         self._step(event)
 
     async def _perform(self, action: publisher.Action) -> publisher.Event:
-        """Carry an action out; the event that says how it went."""
+        """Carry an action out; return the event with its result."""
         match action:
             case publisher.AcquireLease(asked_s):
                 return await self._acquire_lease(asked_s)
@@ -266,7 +272,7 @@
         try:
             plan = plan_from_json(newest.plan) if newest.plan is not None else None
         except PlanError:
-            plan = None  # written by a version with another form of plans: made anew
+            plan = None  # from a version with another form of plans
         return publisher.NewestRead(plan, durable.newest)
 
     async def _compute_plan(self, before: Plan | None) -> Plan | None:
@@ -293,7 +299,7 @@
         return demand
 
     def _ramped_capacity(self, now_s: float) -> dict[str, float]:
-        """Capacity by region, less for one that has come back a short time ago."""
+        """Return the capacity by region, reduced for one whose servers have come back recently."""
         capacity = self._capacity()
         self._open_since = open_since(self._open_since, capacity, now_s)
         return {
@@ -311,7 +317,7 @@
 
 
 def _rate(row: Mapping[str, Any]) -> float | None:
-    """The answers/s that a row of an aggregator counts; None where it is malformed."""
+    """Return the answers/s that an aggregator's row counts; None if it is malformed."""
     answers, span_ms = row.get("answers"), row.get("span_ms")
     if not evidence.is_name(row.get("region")):
         return None
--- a/brassfall/controlplane/registry/overrides.py
+++ b/brassfall/controlplane/registry/overrides.py
@@ -1,4 +1,4 @@
-"""`/overrides` over the durable store, and what the answers to reports say of overrides."""
+"""`/overrides` over the durable store, and the part of answers to reports that is about overrides."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 from itertools import count
-from typing import Any, Protocol
+from typing import Any, Protocol, Unpack
 
 import msgspec
 from aiohttp import web
@@ -28,6 +28,7 @@
 from brassfall.controlplane.registry.calls import answer
 from brassfall.controlplane.registry.override_clock import OverrideClock
 from brassfall.controlplane.registry.tasks import Tasks
+from brassfall.controlplane.revisions.messages import DraftFields
 from brassfall.controlplane.revisions.reports import Report
 from brassfall.controlplane.store.commands import Command, Delete, Put
 from brassfall.controlplane.store.outcomes import OutcomeUnknownError
@@ -37,37 +38,38 @@
 from brassfall.logs import faults, logger
 
 TICK_S = 0.1
-REPUBLISH_S, REPUBLISH_MOST_S = 1.0, 30.0  # pauses, doubled: a revision may be objected to each time
-REPEAT_CALL = "Send the same call again: what has happened is then answered so, and nothing changes twice."
+REPUBLISH_S, MAX_REPUBLISH_S = 1.0, 30.0  # backoff: a revision may be objected to each time
+REPEAT_CALL = "Send the same call again: it is answered with the outcome, and changes nothing twice."
+DENIED = "it acts on other overrides than are due"  # on the wire, as the reason to grant no lease
 
 log = logger("overrides")
 _encode = msgspec.json.Encoder().encode
 
 
 class Host(Protocol):
-    """What the list service lends."""
+    """What the overrides use of the list service."""
 
     store: Store
 
     async def body(self, request: web.Request) -> bytes:
-        """The whole body of a call, within the limits."""
+        """Return the complete body of a call; raise if it exceeds the limits."""
 
 
 class Revisions(Protocol):
-    """The configuration revisions, as far as overrides go through them."""
+    """What the overrides use of the configuration revisions."""
 
-    blocked: dict[str, str]
+    blocked: dict[str, str]  # sidecars that get no lease, and why
 
     def overrides_in_force(self) -> list[dict[str, Any]] | None:
-        """The overrides of the newest revision; None while one is under way."""
+        """Return the overrides of the committed revision; None while another one is pending."""
 
-    def publish(self, **layers: Any) -> asyncio.Future[int]:
-        """Have a revision published."""
+    def publish(self, **draft: Unpack[DraftFields]) -> asyncio.Future[int]:
+        """Publish a revision; return its number once that is durable."""
 
 
 @dataclass(frozen=True, slots=True)
 class OverrideMessages:
-    """What the answer to an aggregator's report says of overrides."""
+    """The part of an answer to an aggregator's report that is about overrides."""
 
     left: dict[str, dict[str, int]]
     digests: list[PlaceDigest]
@@ -76,7 +78,7 @@
 
 @dataclass(slots=True)
 class Overrides:
-    """All overrides of one list service."""
+    """The overrides of one list service: their store, their reconciler and their calls."""
 
     host: Host
     revisions: Revisions
@@ -88,15 +90,16 @@
     _tasks: Tasks = field(default_factory=Tasks)
     _in_force: tuple[Override, ...] = ()
     _publishing: bool = False
-    _republish_at: float = 0.0  # when what did not take effect is published once more, monotonic s
+    _republish_at: float = 0.0  # when overrides that are not in the revision are published anew, monotonic s
     _republish_pause_s: float = REPUBLISH_S
     _resend: set[str] = field(default_factory=set)  # sidecars whose next answer has all times left
-    _request: set[str] = field(default_factory=set)  # and those whose next answer requests details
+    _request: set[str] = field(default_factory=set)  # sidecars whose next answer requests details
 
     async def start(self) -> None:
-        """Load what is durable; the first mark of the clock is durable before anything is answered.
+        """Load the durable state, and write the first mark of the clock before any call is answered.
 
-        `UnavailableError` while the disk fails: it may be called once more."""
+        Raise `UnavailableError` while the disk fails; it may be called again.
+        """
         state = self.host.store.state
         ring = history.HistoryRing()
         entries_before = sorted(state.rows(history.TABLE), key=lambda row: row.key)
@@ -111,11 +114,11 @@
         self._tasks.spawn(self._tick())
 
     async def close(self) -> None:
-        """Decide no more."""
+        """Stop; writes under way are cancelled."""
         await self._tasks.end()
 
     def routes(self) -> list[web.RouteDef]:
-        """The paths."""
+        """Return the routes of `/overrides`."""
         return [
             web.get("/overrides", self._list),
             web.get("/overrides/{name}", self._get),
@@ -126,16 +129,16 @@
     # --- the store and the reconciler -------------------------------------------------
 
     def now(self) -> int:
-        """Unix ms, by a clock that no jump of the wall clock moves."""
+        """Return Unix ms, by a clock that does not follow jumps of the wall clock."""
         return self.clock.now()
 
     def _step(self, event: events.Event) -> None:
-        """Give the override store an event, and do what it says."""
+        """Pass an event to the override store, and carry its actions out."""
         for action in self.store.step(self.now(), event):
             match action:
                 case events.WriteRow(ticket, override):
                     row = Put(table=TABLE, key=override.id, value=action.value)
-                    # With the time it is from: a start after a kill begins at no earlier one.
+                    # With a mark of the clock: after a kill, time does not begin before the override.
                     self._tasks.spawn(self._written(ticket, row, self.clock.mark()))
                 case events.DeleteRow(ticket, name):
                     self._tasks.spawn(self._written(ticket, Delete(table=TABLE, key=name)))
@@ -159,7 +162,7 @@
             future.set_result(made.override)
 
     def _reconcile(self, event: reconciliation.Event) -> None:
-        """Give the reconciler an event, and do what it says."""
+        """Pass an event to the reconciler, and carry its actions out."""
         for action in self.reconciler.step(self.now(), event):
             match action:
                 case reconciliation.RequestDetails(node):
@@ -167,7 +170,7 @@
                 case reconciliation.Resend(node):
                     self._resend.add(node)
                 case reconciliation.DenyLease(node):
-                    self.revisions.blocked[node] = "it acts on other overrides than are due"
+                    self.revisions.blocked[node] = DENIED
                     log.warning("refused", edge=node)
                 case reconciliation.AllowLease(node):
                     self.revisions.blocked.pop(node, None)
@@ -189,9 +192,9 @@
         self._tasks.spawn(self._write(rows))
 
     async def _write(self, rows: Iterable[Command]) -> str:
-        """Why rows could not be made durable; empty where they are."""
+        """Write rows; return why they could not be made durable, empty if they are."""
         try:
-            # Submitted in one go, they are in one commit.
+            # Rows that are submitted without a pause are in one commit.
             for future in [self.host.store.submit(row) for row in rows]:
                 await future
         except UnavailableError as error:
@@ -209,10 +212,10 @@
                 self._reconcile(reconciliation.Tick())
                 self._publish_in_force()
             if self._in_force:
-                self.clock.write_mark_when_due()  # while nothing can be prolonged, time need not be kept
+                self.clock.write_mark_when_due()  # without overrides no end depends on the time
 
     def _publish_in_force(self) -> None:
-        """Have the newest revision carry what is in force, whatever became of those before."""
+        """Publish the overrides in force, unless the committed revision has them."""
         published = self.revisions.overrides_in_force()
         if published is None or self._publishing or time.monotonic() < self._republish_at:
             return
@@ -222,7 +225,7 @@
             return
         self._publishing = True
         self._republish_at = time.monotonic() + self._republish_pause_s
-        self._republish_pause_s = min(REPUBLISH_MOST_S, 2.0 * self._republish_pause_s)
+        self._republish_pause_s = min(MAX_REPUBLISH_S, 2.0 * self._republish_pause_s)
         self._tasks.spawn(self._publish(wanted))
 
     async def _publish(self, layer: list[dict[str, Any]]) -> None:
@@ -236,7 +239,7 @@
     # --- reports ------------------------------------------------------------------------
 
     def reported(self, name: str, report: Report) -> dict[str, Any]:
-        """What the answer to a sidecar's report says of overrides; called before its lease is decided."""
+        """Return the overrides part of a report's answer; it has to be called before the lease is decided."""
         digest = report.digest if report.overrides is not None else None
         place = (report.group, report.region)
         self._reconcile(reconciliation.Reported(name, report.process_id, *place, digest))
@@ -259,9 +262,10 @@
     def merged(
         self, now: float, rows: Iterable[ChildException], report: AggregatorReport, orders: ChildOrders
     ) -> OverrideMessages:
-        """What the answer to an aggregator's report says of overrides.
+        """Return the overrides part of the answer to an aggregator's report.
 
-        `rows` are of children that differ; `now` is monotonic ms."""
+        `rows` are of the children whose digest differs; `now` is monotonic ms.
+        """
         names = []
         for row in rows:
             names.append(row.name)
@@ -281,17 +285,17 @@
         return OverrideMessages(left, digests, due)
 
     def parted(self, name: str) -> None:
-        """A sidecar has gone to another aggregator, or left one: what was found wrong with it is over."""
+        """Close the findings of a sidecar that has moved to another aggregator, or left one."""
         if self.reconciler.knows(name):
             self.gone(name)
 
     def gone(self, name: str) -> None:
-        """A sidecar has left the fleet."""
+        """Forget a sidecar that has left the fleet."""
         self._reconcile(reconciliation.Left(name))
         self.revisions.blocked.pop(name, None)
 
     def findings(self) -> dict[str, list[str]]:
-        """What is wrong, by sidecar, each with what an operator can do."""
+        """Return the findings by sidecar, each with the operator's action."""
         found: dict[str, list[str]] = {}
         for finding in self.reconciler.findings:
             found.setdefault(finding.node, []).append(f"{finding.kind}: {finding.action}")
@@ -300,22 +304,22 @@
     # --- calls ----------------------------------------------------------------------------
 
     async def _call(self, make: Callable[[int], events.Event]) -> web.Response:
-        """Have a change made, and answer when it is durable. Cancelling does not undo it."""
+        """Make a change, and answer it once it is durable; cancelling does not undo the change."""
         call = next(self._calls)
         future: asyncio.Future[Override | None] = asyncio.get_running_loop().create_future()
         self._answers[call] = future
         self._step(make(call))
-        found = await self._known(future)
+        found = await self._outcome(future)
         return answer(_encode(document.listing(found, self.now()) if found is not None else {}))
 
-    async def _known(self, future: asyncio.Future[Override | None]) -> Override | None:
-        """What a call is answered; `OutcomeUnknownError` where that can't be told for a while."""
+    async def _outcome(self, future: asyncio.Future[Override | None]) -> Override | None:
+        """Wait for the result of a change; raise `OutcomeUnknownError` if the disk does not answer."""
         while not future.done():
             await asyncio.wait({future}, timeout=UNKNOWN_AFTER_S)
             if not future.done() and self.host.store.outcome_unknown:
-                future.cancel()  # the change goes on; nobody waits for its answer
-                why = self.host.store.statistics.disk
-                raise OutcomeUnknownError("the change may have happened", why, REPEAT_CALL)
+                future.cancel()  # the change goes on without it
+                what, why = "the change may have happened", self.host.store.statistics.disk
+                raise OutcomeUnknownError(what, why, REPEAT_CALL)
         return future.result()
 
     async def _put(self, request: web.Request) -> web.Response:
--- a/brassfall/controlplane/registry/revision_service.py
+++ b/brassfall/controlplane/registry/revision_service.py
@@ -1,4 +1,4 @@
-"""The coordinator of the revisions within a running service: its clock, its disk, its publishers."""
+"""The coordinator of revisions within a running service: its clock, its disk and its publishers."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass, field
 from itertools import count
-from typing import Any, Protocol
+from typing import Any, Protocol, Unpack
 
 import msgspec
 from aiohttp import web
@@ -51,27 +51,27 @@
     channels: dict[str, Channel]
 
     async def body(self, request: web.Request) -> bytes:
-        """The complete body of a call, within the limits."""
+        """Return the complete body of a call; raise if it exceeds the limits."""
 
     async def watch(self, request: web.Request, place: str) -> web.StreamResponse:
-        """Keep a watch on a channel until it ends."""
+        """Serve a watch on a channel until it ends."""
 
 
 class ReportExtension(Protocol):
-    """A part of the service that has fields of its own in reports and their answers."""
+    """A part of the service with its own fields in reports and their answers."""
 
     def reported(self, name: str, report: Report) -> AnswerFields:
-        """Take in a sidecar's report; its fields of the answer."""
+        """Apply a sidecar's report; return its fields of the answer."""
 
     def gone(self, name: str) -> None:
-        """A sidecar has left the fleet."""
+        """Forget a sidecar that has left the fleet."""
 
     def findings(self) -> dict[str, list[str]]:
-        """What is wrong, by sidecar."""
+        """Return the findings by sidecar."""
 
 
 class UnwrittenError(UnavailableError):
-    """The disk took no edition: nothing has changed."""
+    """A revision could not be made durable; nothing has changed."""
 
     action = "Look at the disk of the list service (/status says what it answered), then publish again."
 
@@ -90,7 +90,7 @@
 
 @dataclass(slots=True)
 class RevisionService:
-    """One coordinator within a list service; everything runs in its loop."""
+    """The coordinator of a list service; everything runs in the service's loop."""
 
     host: Host
     settings: AgreementSettings
@@ -106,12 +106,13 @@
     _answers: dict[int, messages.LeaseAnswer] = field(default_factory=dict)  # by ticket
     _writing: set[str] = field(default_factory=set)  # members whose rows are being written
     _tasks: Tasks = field(default_factory=Tasks)
-    _line: tuple[DurableState, bytes] | None = None  # the state, and the line that was encoded of it
+    _line: tuple[DurableState, bytes] | None = None  # a state, and its encoded line
 
     def start(self, watch_bytes: int, stuck_s: float) -> None:
-        """Load what is durable, and begin an epoch. The store has to be loaded.
+        """Load the durable state from the store, which has to be loaded, and begin an epoch.
 
-        `watch_bytes` and `stuck_s` bound the watches on the state, as those on tables."""
+        `watch_bytes` and `stuck_s` limit the watches on the state as they do those on tables.
+        """
         table = self.host.store.state
         row = table.get(STATE_TABLE, STATE_KEY)
         state = msgspec.convert(row.value, DurableState) if row is not None else DurableState()
@@ -128,18 +129,18 @@
         self._tasks.spawn(self._tick())
 
     async def close(self) -> None:
-        """Decide nothing more; writes that are under way are cancelled."""
+        """Stop; writes under way are cancelled."""
         await self._tasks.end()
 
     @staticmethod
     def now() -> float:
-        """Monotonic ms, as the coordinator is given them."""
+        """Return the coordinator's time, in monotonic ms."""
         return time.monotonic() * 1000.0
 
     # --- the coordinator --------------------------------------------------------------
 
     def step(self, event: messages.Event) -> None:
-        """Give the coordinator an event, and carry its actions out."""
+        """Pass an event to the coordinator, and carry its actions out."""
         for action in self.coordinator.step(self.now(), event):
             self._carry_out(action)
 
@@ -157,9 +158,8 @@
             case messages.Published(ticket, revision):
                 self._settle(ticket, revision)
             case messages.PublishConflict(ticket, newest):
-                self._settle(
-                    ticket, PreconditionFailedError("not published", f"the newest edition is {newest}")
-                )
+                error = PreconditionFailedError("not published", f"the newest edition is {newest}")
+                self._settle(ticket, error)
             case messages.PublishFailed(ticket):
                 self._settle(ticket, UnwrittenError("not published", "the disk refused it"))
             case messages.NotifyWatches():
@@ -181,7 +181,7 @@
     def report(
         self, name: str, report: Report, objections: Mapping[str, Objection] | None = None
     ) -> messages.LeaseAnswer:
-        """Have the coordinator decide on a report; `objections` are those of an aggregator's children."""
+        """Return the coordinator's answer to a report; `objections` are those of an aggregator's children."""
         ticket = next(self._tickets)
         self.step(messages.ReportReceived(ticket, name, report, objections or {}))
         answer = self._answers.pop(ticket)
@@ -191,12 +191,12 @@
 
     # --- publications -----------------------------------------------------------------
 
-    def publish(self, **draft: Any) -> asyncio.Future[int]:
-        """Have a revision published; its number, once it is durable.
+    def publish(self, **draft: Unpack[messages.DraftFields]) -> asyncio.Future[int]:
+        """Publish a revision; return a future of its number, which is set once it is durable.
 
-        `draft` has the fields of `Publish`. The future fails with `PreconditionFailedError` where another
-        revision is the newest, and with `UnwrittenError` where the disk refuses it;
-        cancelling it ends nothing."""
+        The future fails with `PreconditionFailedError` if another revision is the newest, and with
+        `UnwrittenError` if the write fails; cancelling it does not end the publication.
+        """
         ticket = next(self._tickets)
         future: asyncio.Future[int] = asyncio.get_running_loop().create_future()
         self._publishers[ticket] = future
@@ -219,7 +219,7 @@
         try:
             await self.host.store.submit(row)
         except NotWrittenError as error:
-            log.error("not durable", reason=str(error))  # noqa: TRY400 - an operator reads the reason, no traceback
+            log.error("not durable", reason=str(error))  # noqa: TRY400 - the reason is enough, no traceback
             self.step(messages.PersistFailed())
             return
         self.step(messages.Persisted())
@@ -228,19 +228,20 @@
     # --- members ----------------------------------------------------------------------
 
     def forget(self, name: str) -> None:
-        """A node has left for good: all parts forget it, and an aggregator's children with it."""
+        """Have all parts forget a node that has left, and an aggregator's children with it."""
         for sidecar in (name, *self.directory.remove(name)):
             for extension in self.extensions:
                 extension.gone(sidecar)
 
     def sweep(self, now: float) -> None:
-        """Remove nodes that have not reported for very long, members or not: each takes a place among those
-        that may report. `now` in monotonic ms.
+        """Remove nodes, members or not, that have not reported for `forget_ms`; `now` is monotonic ms.
 
-        Members only where this service may grant: else a minority would make itself a majority."""
-        may_grant = not self.coordinator.grant_refusal(now)
+        Members are removed only if this service may grant leases: otherwise a minority could become the
+        majority.
+        """
+        may_grant = self.coordinator.grant_refusal(now) is None
         membership, limit_ms = self.coordinator.membership, now - self.settings.forget_ms
-        self.coordinator.leases.active(now)  # forgets what is over, also while nothing is decided
+        self.coordinator.leases.active(now)  # forgets those that have ended
         for name in [*membership.nodes.keys() | membership.names]:
             if name in membership.names and not may_grant:
                 continue
@@ -251,11 +252,12 @@
                 self.forget(name)
 
     def remove_migrated(self) -> None:
-        """Remove members that report to an aggregator by now: their votes would be missed for good.
+        """Remove members that now report to an aggregator, and so no longer count towards a majority.
 
-        Only the service that grants may do so, as with all that leave."""
+        Only a service that may grant leases does so, as with all members that leave.
+        """
         now, membership = self.now(), self.coordinator.membership
-        if self.coordinator.grant_refusal(now):
+        if self.coordinator.grant_refusal(now) is not None:
             return
         for name in [name for name in membership.names if name in self.directory]:
             node = membership.nodes.get(name)
@@ -282,7 +284,7 @@
 
     @contextlib.contextmanager
     def _member_written(self, name: str) -> Iterator[None]:
-        """A member's row is being written; where the disk refuses, it is tried again with a later report."""
+        """Note that a member's row is being written; a failed write is tried again with a later report."""
         try:
             yield
         except NotWrittenError as error:
@@ -293,7 +295,7 @@
     # --- views ------------------------------------------------------------------------
 
     def line(self) -> bytes:
-        """The line of the watch on the state: the revision that matters most now, and the one in force."""
+        """Return the line that watches on the state get."""
         state = self.coordinator.state
         if self._line is None or self._line[0] is not state:
             encoded = _encode(revision_state.current_state(state, self.coordinator.epoch))
@@ -301,11 +303,11 @@
         return self._line[1]
 
     def durable_state(self) -> DurableState:
-        """What is durable of the revisions."""
+        """Return the durable state of the revisions."""
         return self.coordinator.state
 
     def overrides_in_force(self) -> list[dict[str, Any]] | None:
-        """The overrides layer of the newest revision; None while one is pending."""
+        """Return the overrides layer of the committed revision; None while another one is pending."""
         state = self.coordinator.state
         return None if state.pending is not None else state.committed.overrides
 
--- a/brassfall/controlplane/registry/revision_state.py
+++ b/brassfall/controlplane/registry/revision_state.py
@@ -1,4 +1,4 @@
-"""The wire form of the revisions: the state as a line, and what became of one revision. Pure code."""
+"""The wire form of revisions: the state as a line of watches, and what became of one revision. Pure code."""
 
 from __future__ import annotations
 
@@ -8,18 +8,20 @@
 import msgspec
 from msgspec import UNSET, UnsetType
 
-from brassfall.controlplane.revisions.coordinator import COMMITTED, HALTED
 from brassfall.controlplane.revisions.document import Revision
-from brassfall.controlplane.revisions.state import DurableState
+from brassfall.controlplane.revisions.state import (
+    DurableState,
+    HaltedRevision,
+    RevisionOutcome,
+    RevisionState,
+)
 from brassfall.errors import NotFoundError
 
-PREPARED = "prepared"
-
 
 class RevisionLine(
     msgspec.Struct, frozen=True, kw_only=True, rename={"number": "edition", "plan_revision": "plan_edition"}
 ):
-    """One revision as sidecars get it."""
+    """One revision as it is sent to sidecars."""
 
     number: int
     follows: int
@@ -31,79 +33,87 @@
 
 
 class ObjectionRow(msgspec.Struct, frozen=True, rename={"node": "edge"}):
-    """Why one sidecar can't act on a revision; `node` is empty where the reason is none of a sidecar's."""
+    """Why a revision was halted: the objection of one sidecar, or with an empty `node` another reason."""
 
     node: str
     reason: str
 
 
 class StateLine(RevisionLine, frozen=True, kw_only=True, rename={"epoch": "life"}):
-    """A revision, what has become of it, and the one in force beside it where that is another."""
+    """A revision, its state, and the committed one beside it if that is another."""
 
     epoch: int
-    state: str  # PREPARED, COMMITTED or HALTED
+    state: RevisionState
     objections: list[ObjectionRow]
     newest: int  # the highest number given
     committed: RevisionLine | UnsetType = UNSET
 
 
 class Outcome(msgspec.Struct, frozen=True, rename={"number": "edition", "epoch": "life"}):
-    """What became of a revision whose content is not kept any more."""
+    """What became of a revision whose content is not kept."""
 
     number: int
     epoch: int
-    state: str
+    state: RevisionState
     objections: list[ObjectionRow]
 
 
 def current_state(state: DurableState, epoch: int) -> StateLine:
-    """The revision that matters most now, and the one in force beside it where that is another."""
+    """Return the line of the pending, else of a halted one after the committed, else of the committed."""
     in_force = _revision_line(state.committed)
     if state.pending is not None:
-        return _state_line(state, epoch, state.pending, PREPARED, committed=in_force)
+        return _state_line(state, epoch, state.pending, RevisionState.PREPARED, committed=in_force)
     halted = state.halted
     if halted is not None and halted.revision.number > state.committed.number:
-        return _state_line(state, epoch, halted.revision, HALTED, halted.objections, committed=in_force)
-    return _state_line(state, epoch, state.committed, COMMITTED)
+        return _halted_line(state, epoch, halted, committed=in_force)
+    return _state_line(state, epoch, state.committed, RevisionState.COMMITTED)
 
 
 def state_of(
-    state: DurableState, epoch: int, outcomes: Mapping[int, str], number: int
+    state: DurableState, epoch: int, outcomes: Mapping[int, RevisionOutcome], number: int
 ) -> StateLine | Outcome:
-    """What became of one revision; `NotFoundError` where that is not known any more."""
+    """Return what became of one revision; raise `NotFoundError` if that is not known."""
     if number == state.committed.number:
-        return _state_line(state, epoch, state.committed, COMMITTED)
+        return _state_line(state, epoch, state.committed, RevisionState.COMMITTED)
     for revision in (state.pending, state.waiting):
         if revision is not None and revision.number == number:
-            return _state_line(state, epoch, revision, PREPARED)
+            return _state_line(state, epoch, revision, RevisionState.PREPARED)
     if state.halted is not None and state.halted.revision.number == number:
-        return _state_line(state, epoch, state.halted.revision, HALTED, state.halted.objections)
+        return _halted_line(state, epoch, state.halted)
     if number in outcomes:
         return _outcome(epoch, number, outcomes[number])
-    raise NotFoundError(
-        "no such edition", f"{number} is neither in force nor among the last that were published"
-    )
+    what, why = "no such edition", f"{number} is neither in force nor among the last that were published"
+    raise NotFoundError(what, why)
+
 
+def _outcome(epoch: int, number: int, outcome: RevisionOutcome) -> Outcome:
+    if outcome.state is RevisionState.COMMITTED:
+        return Outcome(number, epoch, outcome.state, [])
+    newer = outcome.superseded_by
+    reason = f"superseded by edition {newer}" if newer else outcome.state.value
+    return Outcome(number, epoch, outcome.state, [ObjectionRow("", reason)])
 
-def _outcome(epoch: int, number: int, outcome: str) -> Outcome:
-    if outcome == COMMITTED:
-        return Outcome(number, epoch, COMMITTED, [])
-    return Outcome(number, epoch, HALTED, [ObjectionRow("", outcome)])
+
+def _halted_line(
+    durable: DurableState, epoch: int, halted: HaltedRevision, committed: RevisionLine | UnsetType = UNSET
+) -> StateLine:
+    line = _state_line(durable, epoch, halted.revision, RevisionState.HALTED, committed)
+    rows = [ObjectionRow(name, reason) for name, reason in halted.objections.items()]
+    return msgspec.structs.replace(line, objections=rows)
 
 
 def _state_line(
     durable: DurableState,
     epoch: int,
     revision: Revision,
-    state: str,
-    objections: Mapping[str, str] | None = None,
+    state: RevisionState,
     committed: RevisionLine | UnsetType = UNSET,
 ) -> StateLine:
     return StateLine(
         **_content(revision),
         epoch=epoch,
         state=state,
-        objections=[ObjectionRow(name, why) for name, why in (objections or {}).items()],
+        objections=[],
         newest=durable.newest,
         committed=committed,
     )
--- a/brassfall/controlplane/revisions/authority.py
+++ b/brassfall/controlplane/revisions/authority.py
@@ -1,8 +1,8 @@
-"""Whether this service can be sure to be the only one that grants leases and decides on revisions. Pure code.
+"""The right of this service to grant leases and decide on revisions. Pure code.
 
-A second service may run on a copy of the disk. Only one that more than half of the members follow grants
-anything, each member follows one service at a time, and a majority counts only after the epoch wait: by then
-all that another service granted is over.
+A second service may run on a copy of the disk. A service grants only while more than half of the members
+follow it, each member follows one service at a time, and a majority counts only after the epoch wait: by then
+all leases that another service granted have ended.
 """
 
 from __future__ import annotations
@@ -11,62 +11,62 @@
 from typing import NamedTuple
 
 from brassfall.controlplane.revisions.membership import Membership
+from brassfall.controlplane.revisions.refusals import LeaseRefusal, RefusalReason
 from brassfall.controlplane.revisions.state import DurableState
 from brassfall.controlplane.revisions.timing import LeaseTiming
 
-COUNTED_MS = 100.0  # how long a count of the members is good for; counting costs as much as there are nodes
-EARLIER_EPOCH = "what an earlier epoch of the service granted may not be over"
+COUNT_VALID_MS = 100.0  # for which a count of the members is used; its cost grows with the nodes
 
 
-class _Finding(NamedTuple):
-    """Why not, as found at a time; an empty text where nothing speaks against it."""
+class _Count(NamedTuple):
+    """A refusal, or None, as of a count of the members."""
 
-    found_ms: float
-    why: str
+    counted_ms: float
+    refusal: LeaseRefusal | None
 
 
-_NONE = _Finding(-math.inf, "")
+_NEVER = _Count(-math.inf, None)
 
 
 class GrantAuthority:
-    """The right of one epoch to grant. Reasons are empty texts where there are none."""
+    """The right of one epoch to grant; None in place of a refusal means that it may."""
 
     def __init__(self, timing: LeaseTiming, started_ms: float, membership: Membership) -> None:
-        """`started_ms` is when the epoch began, on the monotonic clock that all times here are of."""
+        """Begin an epoch at `started_ms`, on the monotonic clock of all times here."""
         self.timing = timing
         self.started_ms = started_ms
         self.membership = membership
-        self._refusal = _NONE
-        self._rival = _NONE
+        self._refusal = _NEVER
+        self._rival = _NEVER
 
-    def refusal(self, now: float, state: DurableState) -> str:
-        """Why no lease can be granted to anybody just now; as of the last count."""
-        if now - self._refusal.found_ms > COUNTED_MS:
-            self._refusal = _Finding(now, self._current_refusal(now, state))
-        return self._refusal.why
+    def refusal(self, now: float, state: DurableState) -> LeaseRefusal | None:
+        """Return why no node can get a lease, as of the last count."""
+        if now - self._refusal.counted_ms > COUNT_VALID_MS:
+            self._refusal = _Count(now, self._current_refusal(now, state))
+        return self._refusal.refusal
 
     def recount(self) -> None:
-        """Count anew at the next `refusal`: what it depends on has changed."""
-        self._refusal = _NONE
+        """Count anew at the next `refusal`, since the state has changed."""
+        self._refusal = _NEVER
 
-    def recent_rival(self, now: float) -> str:
-        """`possible_rival`, as of the last count."""
-        if now - self._rival.found_ms > COUNTED_MS:
-            self._rival = _Finding(now, self.possible_rival(now))
-        return self._rival.why
+    def recent_rival(self, now: float) -> LeaseRefusal | None:
+        """Return `possible_rival` as of the last count."""
+        if now - self._rival.counted_ms > COUNT_VALID_MS:
+            self._rival = _Count(now, self.possible_rival(now))
+        return self._rival.refusal
 
-    def _current_refusal(self, now: float, state: DurableState) -> str:
+    def _current_refusal(self, now: float, state: DurableState) -> LeaseRefusal | None:
         ahead, known = self.membership.count_ahead(state.newest), len(self.membership.nodes)
         if 2 * ahead > known:
-            return f"{ahead} of {known} sidecars hold later editions: this disk was lost, or is a copy"
+            return LeaseRefusal(RefusalReason.DISK_BEHIND, f"{ahead} of {known}")
         return self.possible_rival(now)
 
-    def possible_rival(self, now: float) -> str:
-        """Why another service, or an earlier epoch of this one, may be the one that grants."""
+    def possible_rival(self, now: float) -> LeaseRefusal | None:
+        """Return why another service, or an earlier epoch of this one, may be the one that grants."""
         if now - self.started_ms < self.timing.expiry_bound_ms:
-            return EARLIER_EPOCH
-        wait, fresh = self.timing.epoch_wait_ms + COUNTED_MS, self.timing.expiry_bound_ms
+            return LeaseRefusal(RefusalReason.EARLIER_EPOCH)
+        wait, fresh = self.timing.epoch_wait_ms + COUNT_VALID_MS, self.timing.expiry_bound_ms
         following, members = self.membership.count_following(now, wait, fresh), len(self.membership.names)
         if members and 2 * following <= members:
-            return f"only {following} of {members} sidecars have taken this service's word for long enough"
-        return ""
+            return LeaseRefusal(RefusalReason.NO_MAJORITY, f"{following} of {members}")
+        return None
--- a/brassfall/controlplane/revisions/document.py
+++ b/brassfall/controlplane/revisions/document.py
@@ -1,9 +1,10 @@
-"""What a configuration revision contains: its layers, and the keys of its settings.
+"""The content of a configuration revision: its layers, and the keys of its settings.
 
-Every key of the settings is declared here. Two values at once of an *exclusive* key do harm (who serves a
-tenant, which regions are held); of an *additive* key a sum must not be exceeded; of a *free* key two values
-may stand side by side for a while. An undeclared key counts as exclusive, and a sidecar that does not know it
-objects. The sidecars have the same table in `sidecar/agent/rules.py`; a test compares the two.
+Every key of the settings is declared here. Two values of an *exclusive* key do harm at the same time (which
+region serves a tenant, which regions are held); the sum over all sidecars of an *additive* key must not be
+exceeded; two values of a *free* key may be acted on at the same time. An undeclared key counts as exclusive,
+and a sidecar that does not know it objects. Sidecars have the same table in `sidecar/agent/rules.py`; a test
+compares the two.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 
 
 class KeyKind(StrEnum):
-    """What it means that two sidecars act on two values of a key at once."""
+    """What happens if two sidecars act on two values of a key at the same time."""
 
     EXCLUSIVE = "exclusive"
     ADDITIVE = "additive"
@@ -38,7 +39,7 @@
 
 
 def kind_of(key: str) -> KeyKind:
-    """What is declared of a key; the strictest where nothing is."""
+    """Return the declared kind of a key; the strictest one if it is not declared."""
     return KEYS.get(key, KeyKind.EXCLUSIVE)
 
 
@@ -48,9 +49,10 @@
     omit_defaults=True,
     rename={"epoch": "life", "plan_revision": "plan_edition"},
 ):
-    """One immutable, numbered configuration. Number 0 stands for what each sidecar's own file says.
+    """One immutable, numbered configuration; number 0 stands for each sidecar's own file.
 
-    Stored under the names that `rename` gives."""
+    It is stored under the names that `rename` gives.
+    """
 
     number: int = 0
     epoch: int = 0  # of the service that numbered it
--- a/brassfall/controlplane/revisions/leases.py
+++ b/brassfall/controlplane/revisions/leases.py
@@ -1,7 +1,7 @@
-"""Leases that the service has granted, each with an upper bound on its end. Pure code.
+"""The leases that the service has granted, each with an upper bound on its end. Pure code.
 
-A node counts its lease from when it asked, on a clock whose rate may differ. Here its end is an upper bound
-on the service's monotonic clock, in ms: a lease that is over here is over at the node.
+A node counts its lease from when it sent its report, on a clock whose rate may differ. The end here is an
+upper bound on the service's monotonic clock, in ms: a lease that has ended here has ended at the node.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class NodeLease:
-    """What one process may act on, until when at the latest, and what it had acknowledged when it asked."""
+    """The revision that one process may act on, the latest end, and the revision it had acknowledged."""
 
     revision: int
     until_ms: float
@@ -35,15 +35,15 @@
     _leases: dict[ProcessKey, NodeLease] = field(default_factory=dict)
 
     def grant(self, name: str, report: Report, revision: int, until_ms: float) -> None:
-        """A process may act on a revision until then; its acknowledgement is as in its report."""
+        """Store a lease that ends at `until_ms` at the latest, with the acknowledgement in the report."""
         key = ProcessKey(name, report.process_id)
         self._leases[key] = NodeLease(revision, until_ms, report.prepared)
 
     def release(self, name: str, process_id: str) -> None:
-        """A process has said that it acts on nothing more."""
+        """Remove the lease of a process that is leaving."""
         self._leases.pop(ProcessKey(name, process_id), None)
 
     def active(self, now: float) -> dict[ProcessKey, NodeLease]:
-        """Leases that may still run, by process; the others are forgotten."""
+        """Return the leases that may still run, by process; forget the others."""
         self._leases = {key: lease for key, lease in self._leases.items() if lease.until_ms > now}
         return self._leases
--- a/brassfall/controlplane/revisions/membership.py
+++ b/brassfall/controlplane/revisions/membership.py
@@ -1,4 +1,4 @@
-"""The nodes: who reports, since when each follows this service, and who counts towards its majority. Pure.
+"""The nodes that report, and which of them count towards this service's majority. Pure code.
 
 Times are ms of the service's monotonic clock. A node is *following* when its reports name this service's
 epoch, *stranded* while it reports here although it follows a later epoch.
@@ -10,9 +10,9 @@
 
 from brassfall.controlplane.revisions.reports import Report
 
-# Epochs are numbered by wall clocks that may be an hour wrong either way (Unix ms shifted by 10 bits): one
-# that is further ahead than this is not believed.
-EPOCHS_APART = 3 * 3_600_000 << 10
+# Epochs are Unix ms by wall clocks that may be an hour wrong, shifted by 10 bits: one further ahead than this
+# is not believed.
+MAX_EPOCH_LEAD = 3 * 3_600_000 << 10
 
 
 @dataclass(slots=True)
@@ -22,7 +22,7 @@
     name: str
     reported_ms: float
     report: Report
-    following_since_ms: float | None  # None: it does not follow this epoch, as far as is known
+    following_since_ms: float | None  # None: it is not known to follow this epoch
     stranded_since_ms: float | None = None  # None: it follows no later epoch
 
 
@@ -32,16 +32,17 @@
 
     epoch: int
     names: set[str] = field(default_factory=set)  # the durable members, whose majority counts
-    nodes: dict[str, Node] = field(default_factory=dict)  # by name; also those that are no members yet
+    nodes: dict[str, Node] = field(default_factory=dict)  # by name, members or not
     stale_reports: int = 0  # repeated or overtaken
 
     def receive_report(self, now: float, name: str, report: Report, gap_ms: float = 0.0) -> bool:
-        """Take in a report; returns whether it is the newest of its process.
+        """Store a report; return False, and change nothing, if it is not the newest of its process.
 
-        One that is repeated, or comes after a later one, changes nothing: an acknowledgement in it may have
-        been followed by a process that knows nothing of it. A process that reports within `gap_ms` after
-        another of its name goes on following since when that one did: in less than the epoch wait no other
-        service can have come to count the name, and so a rolling restart costs no majority."""
+        A repeated or late report may have an acknowledgement that a newer process of the name knows nothing
+        of. A process that reports within `gap_ms` after another of its name counts as following since that
+        one did: no other service can have come to count the name in less than the epoch wait. So a rolling
+        restart costs no majority.
+        """
         before = self.nodes.get(name)
         same = before is not None and before.report.process_id == report.process_id
         if before is not None and same and report.process_id and report.seq <= before.report.seq:
@@ -57,7 +58,7 @@
         since = before.following_since_ms if before is not None else None
         if report.epoch not in (None, 0, self.epoch):
             return None
-        # A node that had no answer yet follows nobody, and may report to two services.
+        # A node that had no answer yet follows no service, and may report to two.
         return now if since is None and report.epoch != 0 else since
 
     def _stranded_since(self, now: float, report: Report, before: Node | None) -> float | None:
@@ -68,8 +69,10 @@
         return now
 
     def later_epoch_of_majority(self, now: float, span_ms: float, fresh_ms: float) -> int:
-        """The highest epoch or revision known to the nodes that have been stranded here for `span_ms` and
-        reported within `fresh_ms`, where these are more than half; else 0."""
+        """Return the highest epoch or revision known to stranded nodes, if these are more than half; else 0.
+
+        Only nodes count that have been stranded for `span_ms` and have reported within `fresh_ms`.
+        """
         known_to = [
             max(node.report.epoch or 0, node.report.newest_revision)
             for node in self.nodes.values()
@@ -77,20 +80,20 @@
             and now - node.stranded_since_ms >= span_ms
             and now - node.reported_ms <= fresh_ms
         ]
-        # Half of the members, or of all that report where these are more: an empty disk has no members.
+        # Of the members, or of all that report if these are more: a lost disk has no members.
         total = max(len(self.names), len(self.nodes))
-        believed = [epoch for epoch in known_to if epoch <= self.epoch + EPOCHS_APART]
+        believed = [epoch for epoch in known_to if epoch <= self.epoch + MAX_EPOCH_LEAD]
         return max(believed, default=0) if total and 2 * len(believed) > total else 0
 
     def count_ahead(self, newest: int) -> int:
-        """How many nodes hold a revision later than `newest`, the newest that this service knows."""
+        """Return how many nodes have a revision later than `newest`, the newest of this service."""
         return sum(node.report.newest_revision > newest for node in self.nodes.values())
 
     def count_following(self, now: float, wait_ms: float, fresh_ms: float) -> int:
-        """How many members have followed this epoch for `wait_ms`, and reported within `fresh_ms`."""
+        """Return how many members have followed this epoch for `wait_ms`, and reported within `fresh_ms`."""
         return sum(
             node.following_since_ms is not None
-            and node.report.epoch in (None, self.epoch)  # a version without epochs follows whoever answers
+            and node.report.epoch in (None, self.epoch)  # a version without epochs follows any service
             and node.name in self.names
             and now - node.following_since_ms >= wait_ms
             and now - node.reported_ms <= fresh_ms
--- a/brassfall/controlplane/revisions/messages.py
+++ b/brassfall/controlplane/revisions/messages.py
@@ -1,26 +1,40 @@
-"""What the coordinator takes in (events) and what its host has to do about it (actions).
+"""The events that the coordinator is given, and the actions that its host has to carry out.
 
-Each event that has an answer carries a `ticket`, a number of the host's choice that comes back with the
-answer. Times are not part of them: `step` is given the time.
+Each event that has an answer carries a `ticket`, a number chosen by the host that comes back with the answer.
+Events have no times: `RevisionCoordinator.step` is given the time.
 """
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
-from typing import Any
+from typing import Any, TypedDict
 
+from brassfall.controlplane.revisions.refusals import LeaseRefusal, text_of
 from brassfall.controlplane.revisions.reports import Objection, Report
 from brassfall.controlplane.revisions.state import DurableState
 
+
+class DraftFields(TypedDict, total=False):
+    """The fields of a draft that a publisher may set; see `Publish`."""
+
+    settings: dict[str, Any] | None
+    plan: dict[str, Any] | None
+    overrides: list[dict[str, Any]] | None
+    if_match: int | None
+    forced: bool
+    request_id: str
+
+
 # --- events ----------------------------------------------------------------------------------
 
 
 @dataclass(frozen=True, slots=True)
 class Publish:
-    """A publisher wants a revision; answered by `Published`, `PublishConflict` or `PublishFailed`.
+    """A draft of a revision, answered by `Published`, `PublishConflict` or `PublishFailed`.
 
-    Layers that are None stay as they are in the newest revision."""
+    Layers that are None stay as they are in the newest revision.
+    """
 
     ticket: int
     settings: dict[str, Any] | None = None
@@ -34,10 +48,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportReceived:
-    """A node reports, and asks for a lease: a sidecar, or an aggregator for itself and all its children.
+    """A report, answered by `LeaseAnswer`: of a sidecar, or of an aggregator for itself and its children.
 
-    Answered by `LeaseAnswer`. `objections` are those of an aggregator's children, by sidecar; none of them
-    costs the aggregator its lease."""
+    `objections` are those of an aggregator's children, by sidecar; none of them costs the aggregator its
+    lease.
+    """
 
     ticket: int
     name: str
@@ -52,17 +67,17 @@
 
 @dataclass(frozen=True, slots=True)
 class PersistFailed:
-    """The state that `Persist` asked for is not durable: the disk refused it."""
+    """The write that `Persist` asked for failed."""
 
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Time has passed."""
+    """Time has passed; nothing else has happened."""
 
 
 @dataclass(frozen=True, slots=True)
 class RemoveMember:
-    """An operator, or the host after a long silence, takes a node off the membership."""
+    """A node is removed, by an operator or after a long silence."""
 
     name: str
 
@@ -75,15 +90,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Persist:
-    """Make this durable. `Persisted` or `PersistFailed` has to follow; nothing else is decided before."""
+    """Make a state durable; nothing else is decided before `Persisted` or `PersistFailed` follows."""
 
     state: DurableState
 
 
 @dataclass(frozen=True, slots=True)
 class PersistMember:
-    """Add a name to the durable membership, or remove it. `RevisionCoordinator.member_added` has to follow
-    an addition."""
+    """Add a name to the durable membership, or remove it.
+
+    `RevisionCoordinator.member_added` has to be called once an addition is durable.
+    """
 
     name: str
     member: bool = True
@@ -107,28 +124,34 @@
 
 @dataclass(frozen=True, slots=True)
 class PublishFailed:
-    """The answer to `Publish` where the disk refused it."""
+    """The answer to `Publish` if the write failed."""
 
     ticket: int
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseAnswer:
-    """The answer to a report: the revision in force, and a lease on it.
+    """The answer to a report: the committed revision, and a lease on it.
 
-    `lease_ms` counts from when the node asked, on its clock; 0 is no lease, and `why` says why. `pending` is
-    the number of the pending revision, or 0."""
+    `lease_ms` counts from when the node sent its report, on its clock; it is 0 with a refusal. `pending` is
+    the number of the pending revision, or 0.
+    """
 
     ticket: int
     revision: int
     lease_ms: float
     pending: int
-    why: str = ""
+    refusal: LeaseRefusal | None = None
+
+    @property
+    def why(self) -> str:
+        """The refusal's text on the wire; empty with a lease."""
+        return text_of(self.refusal)
 
 
 @dataclass(frozen=True, slots=True)
 class NotifyWatches:
-    """The state has changed: send it to whoever watches."""
+    """Send the new state to all watches."""
 
 
 Action = Persist | PersistMember | Published | PublishConflict | PublishFailed | LeaseAnswer | NotifyWatches
--- a/brassfall/controlplane/revisions/transitions.py
+++ b/brassfall/controlplane/revisions/transitions.py
@@ -11,16 +11,16 @@
 from brassfall.controlplane.revisions.messages import Publish
 from brassfall.controlplane.revisions.state import DurableState, HaltedRevision
 
-REQUESTS_MOST = 64  # request ids that are remembered
+MAX_REQUESTS = 64  # request ids kept, with their answers
 
 
 def with_draft(state: DurableState, draft: Publish, epoch: int) -> DurableState:
-    """Add a new revision: pending, or waiting until the one that is pending is decided."""
+    """Add a new revision: pending, or waiting until the pending one is decided."""
     revision = _numbered(state, draft, epoch)
     requests = state.requests
     if draft.request_id:
         requests = {**requests, draft.request_id: revision.number}
-    if len(requests) > REQUESTS_MOST:
+    if len(requests) > MAX_REQUESTS:
         del requests[next(iter(requests))]
     state = msgspec.structs.replace(state, newest=revision.number, requests=requests)
     if state.pending is None:
@@ -32,8 +32,8 @@
     stated: dict[str, Any] = {
         name: getattr(draft, name) for name in LAYERS if getattr(draft, name) is not None
     }
-    # Numbers start at the epoch's, above all of earlier epochs: a number that a
-    # service gave before its disk was lost stands for no other revision.
+    # Numbers start at the epoch, above those of earlier epochs: a number that a service gave before its disk
+    # was lost is not used again.
     number = max(state.newest + 1, epoch)
     base = state.latest
     of_waiting = state.waiting.layers if state.waiting is not None else ()
@@ -51,15 +51,14 @@
 
 
 def with_pending_committed(state: DurableState) -> DurableState:
-    """Put the pending revision in force; the waiting one is pending from then on."""
+    """Commit the pending revision; the waiting one becomes pending."""
     if state.pending is None:
         return state
     return msgspec.structs.replace(state, committed=state.pending, pending=state.waiting, waiting=None)
 
 
 def with_pending_halted(state: DurableState, objections: Mapping[str, str]) -> DurableState:
-    """Halt the pending revision; the waiting one is pending from then on, without the layers that it took
-    over from the halted one."""
+    """Halt the pending revision; the waiting one becomes pending, without the layers of the halted one."""
     if state.pending is None:
         return state
     pending = _without_layers_of_pending(state, state.waiting) if state.waiting is not None else None
@@ -68,7 +67,7 @@
 
 
 def _without_layers_of_pending(state: DurableState, waiting: Revision) -> Revision:
-    """The waiting revision, with each layer that it does not state itself as it is in force."""
+    """Return the waiting revision, with the committed layers in place of those that it does not state."""
     layers = {name: getattr(state.committed, name) for name in LAYERS if name not in waiting.layers}
     if "plan" in layers:
         layers["plan_revision"] = state.committed.plan_revision
@@ -76,8 +75,10 @@
 
 
 def with_later_epoch(state: DurableState, epoch: int) -> DurableState:
-    """Publish what is known anew, under an epoch and a number above those that sidecars follow and act on:
-    they ignore whatever is lower."""
+    """Publish the latest revision again, under a later epoch and number.
+
+    Sidecars ignore numbers and epochs below those that they know.
+    """
     latest = state.latest
     state = msgspec.structs.replace(state, epoch=epoch)
     if not latest.number:
--- a/brassfall/lab/agreement/defects.py
+++ b/brassfall/lab/agreement/defects.py
@@ -10,8 +10,8 @@
 
 import msgspec
 
-from brassfall.controlplane.revisions.authority import EARLIER_EPOCH, GrantAuthority
-from brassfall.controlplane.revisions.coordinator import NOT_ACKNOWLEDGED, RevisionCoordinator
+from brassfall.controlplane.revisions.authority import GrantAuthority
+from brassfall.controlplane.revisions.coordinator import RevisionCoordinator
 from brassfall.controlplane.revisions.leases import NodeLeases
 from brassfall.controlplane.revisions.membership import Membership
 from brassfall.controlplane.revisions.messages import (
@@ -22,6 +22,7 @@
     Publish,
     ReportReceived,
 )
+from brassfall.controlplane.revisions.refusals import LeaseRefusal, RefusalReason, text_of
 from brassfall.controlplane.revisions.reports import Report
 from brassfall.controlplane.revisions.state import DurableState
 from brassfall.controlplane.revisions.timing import LeaseTiming
@@ -59,17 +60,18 @@
 class NeedsNoQuorum(GrantAuthority):
     """Grants whatever it has, whoever follows it."""
 
-    def possible_rival(self, now: float) -> str:
+    def possible_rival(self, now: float) -> LeaseRefusal | None:
         """Only an earlier epoch is waited for."""
-        return EARLIER_EPOCH if now - self.started_ms < self.timing.expiry_bound_ms else ""
+        starting = now - self.started_ms < self.timing.expiry_bound_ms
+        return LeaseRefusal(RefusalReason.EARLIER_EPOCH) if starting else None
 
 
 class GrantsUnacknowledged(RevisionCoordinator):
     """Grants the revision in force to whoever asks, whatever it has acknowledged."""
 
-    def _refusal(self, now: float, event: ReportReceived) -> str:
-        why = super()._refusal(now, event)
-        return "" if why == NOT_ACKNOWLEDGED else why
+    def _refusal(self, now: float, event: ReportReceived) -> LeaseRefusal | None:
+        refusal = super()._refusal(now, event)
+        return None if refusal == (RefusalReason.NOT_ACKNOWLEDGED, "") else refusal
 
     def _all_acknowledged(self, now: float, number: int) -> bool:
         nodes = self.membership.nodes.values()
@@ -80,21 +82,21 @@
 class NeverWaits(GrantAuthority):
     """Grants at once after a start, on the majority that an earlier epoch had."""
 
-    def possible_rival(self, now: float) -> str:
+    def possible_rival(self, now: float) -> LeaseRefusal | None:
         """Nobody is taken for one."""
-        return ""
+        return None
 
 
 class CountsAtOnce(GrantAuthority):
     """A majority counts from its first reports on, though it may count elsewhere still."""
 
-    def possible_rival(self, now: float) -> str:
+    def possible_rival(self, now: float) -> LeaseRefusal | None:
         """Members are counted without the epoch wait."""
         if now - self.started_ms < self.timing.expiry_bound_ms:
-            return EARLIER_EPOCH
+            return LeaseRefusal(RefusalReason.EARLIER_EPOCH)
         fresh = self.timing.expiry_bound_ms
         following, members = self.membership.count_following(now, 0.0, fresh), len(self.membership.names)
-        return "no majority" if members and 2 * following <= members else ""
+        return LeaseRefusal(RefusalReason.NO_MAJORITY) if members and 2 * following <= members else None
 
 
 class HastyWrites(RevisionCoordinator):
@@ -147,10 +149,11 @@
 class GrantsNothing(GrantAuthority):
     """Grants what each one's own file says without being sure, since that was never published."""
 
-    def refusal(self, now: float, state: DurableState) -> str:
+    def refusal(self, now: float, state: DurableState) -> LeaseRefusal | None:
         """No rival matters while nothing is committed."""
-        why = super().refusal(now, state)
-        return "" if state.committed.number == 0 and not why.startswith("2") else why
+        refusal = super().refusal(now, state)
+        uncommitted = state.committed.number == 0
+        return None if uncommitted and not text_of(refusal).startswith("2") else refusal
 
 
 class ForgetsObjections(RevisionCoordinator):
--- a/brassfall/lab/agreement/tier_defects.py
+++ b/brassfall/lab/agreement/tier_defects.py
@@ -20,7 +20,7 @@
 from brassfall.controlplane.aggregation.timing import AggregatorTiming
 from brassfall.controlplane.aggregation.upstream_lease import UpstreamLease
 from brassfall.controlplane.aggregation.upstream_messages import UpstreamMessages
-from brassfall.controlplane.revisions.coordinator import NOT_ACKNOWLEDGED
+from brassfall.controlplane.revisions.refusals import LeaseRefusal, RefusalReason
 from brassfall.controlplane.revisions.reports import Report
 from brassfall.lab.agreement.defects import DURABLE, REAL, S1, S2, S3, S4, InjectedDefect
 from brassfall.lab.agreement.program import Program
@@ -175,10 +175,10 @@
 
 
 class _GrantsOnceClaimed(ChildReports):
-    def _refusal(self, now: float, name: str, report: Report) -> str:
-        why = super()._refusal(now, name, report)
+    def _refusal(self, now: float, name: str, report: Report) -> LeaseRefusal | None:
+        refusal = super()._refusal(now, name, report)
         claimed = self.state.claimed == self.state.pending
-        return "" if why == NOT_ACKNOWLEDGED and claimed else why
+        return None if refusal == (RefusalReason.NOT_ACKNOWLEDGED, "") and claimed else refusal
 
 
 class _ClaimsOn(ReportBuilder):
@@ -254,8 +254,8 @@
 
 
 class _GrantsPending(ChildReports):
-    def _answer(self, now: float, event: ChildReported, why: str) -> AnswerChild:
-        answer, pending = super()._answer(now, event, why), self.state.pending
+    def _answer(self, now: float, event: ChildReported, refusal: LeaseRefusal | None) -> AnswerChild:
+        answer, pending = super()._answer(now, event, refusal), self.state.pending
         return replace(answer, revision=pending, pending=0) if pending else answer
 
 
@@ -266,8 +266,8 @@
 
 
 class _GrantsOwnRevision(ChildReports):
-    def _answer(self, now: float, event: ChildReported, why: str) -> AnswerChild:
-        return replace(super()._answer(now, event, why), revision=self.state.lease.revision)
+    def _answer(self, now: float, event: ChildReported, refusal: LeaseRefusal | None) -> AnswerChild:
+        return replace(super()._answer(now, event, refusal), revision=self.state.lease.revision)
 
 
 class GrantsBeforeCommit(Aggregator):
--- a/tests/controlplane/test_aggregator_shell.py
+++ b/tests/controlplane/test_aggregator_shell.py
@@ -11,7 +11,8 @@
 import pytest
 from typer.testing import CliRunner
 
-from brassfall import cli, settings
+from brassfall import settings
+from brassfall.cli import main as cli
 from brassfall.controlplane.registry import client
 from brassfall.controlplane.registry.aggregator import service as aggregators
 from brassfall.controlplane.registry.aggregator.channels import AGE
--- a/tests/controlplane/test_aggregators_parts.py
+++ b/tests/controlplane/test_aggregators_parts.py
@@ -76,14 +76,14 @@
         await until(lambda: revisions.coordinator.membership.names == {"x", "y"})
         revisions.sweep(revisions.now())
         assert set(revisions.directory.aggregators) == {"x", "y"}
-        monkeypatch.setattr(RevisionCoordinator, "grant_refusal", lambda *_: "")
+        monkeypatch.setattr(RevisionCoordinator, "grant_refusal", lambda *_: None)
         made.aggregators.reported("y", _report(2, leaving=True, children=ChildCounts(leased=1)))
         assert not revisions.coordinator.departing  # a child of it may act: it is no end yet
         made.aggregators.reported("y", _report(3, leaving=True))
         assert revisions.coordinator.departing == ["y"]
         revisions.sweep(revisions.now() + revisions.settings.forget_ms + 1.0)
         await until(lambda: not revisions.coordinator.membership.names)
-        assert (revisions.directory.aggregators, revisions.directory.count(), made.geo._demand) == ({}, 0, {})
+        assert (revisions.directory.aggregators, revisions.directory.count(), made.geo.demand) == ({}, 0, {})
     finally:
         await made.close()
 
@@ -104,7 +104,7 @@
         told = merged.take(EVERY_MS)["delays"]
         for seq, row in enumerate(told):
             made.geo.merged("x", _report(seq, measures={"delays": [row]}))
-        rates = {key: rate for key, (_, rate, _) in made.geo._demand.items()}
+        rates = {key: rate for key, (_, rate, _) in made.geo.demand.items()}
         assert rates == {f"x/{g}/{r}": pytest.approx(600.0) for g in GROUPS for r in REGIONS}
         assert made.geo.rejected_rows == 0
         bad = [
@@ -112,6 +112,6 @@
         ]
         made.geo.gone("x")
         made.geo.merged("x", _report(9, measures={"delays": bad}))
-        assert made.geo._demand == {}
+        assert made.geo.demand == {}
     finally:
         await made.close()
--- a/tests/controlplane/test_overrides_reconciler.py
+++ b/tests/controlplane/test_overrides_reconciler.py
@@ -78,7 +78,9 @@
 @pytest.mark.parametrize(
     ("first", "then", "acted", "kind"), [m[1:] for m in MISSED], ids=[m[0] for m in MISSED]
 )
-def test_a_node_is_found_resent_denied_alerted_and_settled_when_it_is_right(node, first, then, acted, kind):
+def test_a_finding_is_resent_denied_alerted_and_settled_once_the_node_acts_as_due(
+    node, first, then, acted, kind
+):
     node.publish(**first)
     node.report({"x": 7}, seconds=3)
     assert not node.reconciler.findings
@@ -104,7 +106,7 @@
         lacks = kind in ("missed-start", "missed-extension", "unreadable")
         assert (
             node.reconciler.denied("n") is not lacks
-        )  # what acts past an end gets no permission, until it is right
+        )  # what acts past an end gets no lease until it acts as due
     denied = node.reconciler.denied("n")
     node.report({key: rev for key, (rev, _) in (then or {}).items()})
     assert (rec.AllowLease("n") in node.done) is denied
@@ -112,7 +114,7 @@
     assert node.notes[-1] == ("settled", kind)
 
 
-def test_a_node_that_comes_back_with_what_is_over_has_an_old_state(node):
+def test_a_new_process_that_acts_on_an_ended_override_has_an_old_state(node):
     node.publish(**X)
     node.report({"x": 7}, seconds=2)
     node.publish()
@@ -121,7 +123,7 @@
     assert node.kinds() == ["old-state"]
 
 
-def test_one_report_that_was_long_delayed_accuses_nobody(node):
+def test_one_report_that_was_delayed_opens_no_finding(node):
     node.publish(**X)
     node.report({"x": 7}, seconds=2)
     node.publish()
@@ -131,7 +133,7 @@
     assert not node.notes
 
 
-def test_an_override_that_runs_out_between_publications_is_no_difference_and_places_count(node):
+def test_an_expiry_between_publications_is_no_finding_and_places_count(node):
     node.publish(x=(7, 3500), y=(8, 60_000))
     node.report({"x": 7, "y": 8}, seconds=3)
     node.report({"y": 8}, seconds=10)
@@ -171,7 +173,7 @@
     assert silent.notes == [("settled", "missed-start")]
 
 
-def test_findings_of_many_nodes_at_once_are_bounded_and_none_is_left_out(node):
+def test_findings_of_many_nodes_at_once_are_limited_and_none_is_left_out(node):
     node.publish(**X)
     for second in range(12):
         node.at += 1000
@@ -180,5 +182,5 @@
             name = f"n{number}"
             node.step(rec.Reported(name, "1", digest=digest([])))
             node.step(rec.Details(name, {}))
-        assert len(node.notes) - before <= rec.OPENED_MOST, second
+        assert len(node.notes) - before <= rec.MAX_OPENED_PER_S, second
     assert len(node.notes) == 500
--- a/tests/controlplane/test_overrides_store.py
+++ b/tests/controlplane/test_overrides_store.py
@@ -8,19 +8,19 @@
 from brassfall.controlplane.overrides import store as override_store
 from brassfall.controlplane.overrides.document import listing, times_left
 from brassfall.controlplane.overrides.history import HistoryRing
-from brassfall.controlplane.overrides.store import PROMPT_MS, RETRY_MS, WORK_MOST
+from brassfall.controlplane.overrides.store import MAX_EXPIRED, PUBLISH_MS, RETRY_MS
 from tests.support.overrides_service import HOUR, NOW, OverrideService
 
 
 def test_a_start_is_answered_and_published_when_it_is_durable_and_listed_with_its_time_left():
     service = OverrideService().put(1)
     assert not service.answers and not service.published[1:]
-    service.durable().step(after=PROMPT_MS)
+    service.durable().step(after=PUBLISH_MS)
     made = service.answers[1]
     assert service.published[-1] == {"x": made.rev} and service.kinds() == ["started"]
-    assert listing(made, service.at)["left_ms"] == 60_000 - PROMPT_MS
+    assert listing(made, service.at)["left_ms"] == 60_000 - PUBLISH_MS
     assert listing(made, service.at)["from_ms"] == NOW
-    service.put(2, left=60_000 - PROMPT_MS)  # just the same document
+    service.put(2, left=60_000 - PUBLISH_MS)  # just the same document
     assert service.answers[2] == made and not service.open
 
 
@@ -79,7 +79,7 @@
         while service.open:
             service.durable()
     assert service.published[before:] == [{}] and not service.rows
-    assert most <= 2 * WORK_MOST  # each a row and its entry
+    assert most <= 2 * MAX_EXPIRED  # each a row and its entry
     assert sum(value["kind"] == "expired" for value in service.history.values()) == 1000
     assert service.store.wake() is None
 
@@ -114,7 +114,7 @@
 
 
 def test_calls_beyond_the_bounds_are_refused(monkeypatch):
-    monkeypatch.setattr(override_store, "WAITING_MOST", 1)
+    monkeypatch.setattr(override_store, "MAX_WAITING", 1)
     service = OverrideService(most=1).put(1).put(2, left=2000).put(3, left=3000)
     assert service.answers[3].status == 503
     service.put(4, key="y")
--- a/tests/controlplane/test_revisions_service.py
+++ b/tests/controlplane/test_revisions_service.py
@@ -108,7 +108,7 @@
 
 
 @bounded(60.0)
-async def test_a_revision_is_durable_when_answered_and_goes_on_after_a_kill(tmp_path):
+async def test_a_revision_is_durable_when_answered_and_continues_after_a_kill(tmp_path):
     # Nothing is committed within a lease's length of the start: the kill falls between the two.
     async with Service(tmp_path, **SOON | {"agreement": {"agree_ms": 30_000}}) as service:
         await service.start()
@@ -160,7 +160,7 @@
 
 
 @running()
-async def test_a_watch_tells_prepared_committed_and_who_halted(service, ask):
+async def test_a_watch_states_prepared_committed_and_the_objections_that_halted(service, ask):
     kept = []
     watch = asyncio.create_task(lines(service, kept))
     async with Node(ask, "n0").reporting():
@@ -200,7 +200,7 @@
 
 
 @running()
-async def test_what_is_harmful_is_refused_unless_forced_and_counted(service, ask):
+async def test_harmful_settings_are_refused_unless_forced_and_counted(service, ask):
     for name, zone in (("s1", "a"), ("s2", "b")):
         await ask("PUT", f"/registry/instances/{name}", {**ENTRY, "zone": zone, "ttl_ms": 0})
     for settings, said in HARM:
@@ -250,7 +250,7 @@
 
 
 @running(agreement={"agree_ms": 1500})  # a lease outlasts what is sent here, also on a busy machine
-async def test_nonsense_is_refused_in_json_and_touches_nobody_else(service, ask):
+async def test_malformed_calls_are_refused_in_json_and_affect_no_other_caller(service, ask):
     async with Node(ask, "n0").reporting() as node:
         for method, path, body, wanted in BAD:
             status, answer, _ = await ask(method, path, body)
--- a/tests/controlplane/test_revisions_shell.py
+++ b/tests/controlplane/test_revisions_shell.py
@@ -1,4 +1,4 @@
-"""The list service within this process: what its tasks outlive, and what it forgets."""
+"""A list service within this process: defects in its parts, nodes that leave, and its operators' commands."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 import json
 from itertools import count
 
-import msgspec
 import pytest
 from typer.testing import CliRunner
 
-from brassfall import cli, logs
+from brassfall import logs
+from brassfall.cli import main as cli
 from brassfall.controlplane.aggregation.messages import (
     AggregatorReport,
     ChildException,
@@ -18,9 +18,7 @@
     Member,
     Place,
 )
-from brassfall.controlplane.overrides import events
-from brassfall.controlplane.overrides import reconciler as comparing
-from brassfall.controlplane.overrides.document import parse
+from brassfall.controlplane.overrides import reconciler
 from brassfall.controlplane.registry import client
 from brassfall.controlplane.registry.server import Service
 from brassfall.controlplane.registry.tasks import Tasks
@@ -37,7 +35,7 @@
 
 @pytest.mark.parametrize(("part", "method"), [("revisions", "step"), ("overrides", "_step")])
 @bounded(30.0)
-async def test_a_fault_ends_no_part(tmp_path, monkeypatch, part, method):
+async def test_a_defect_in_one_step_ends_no_part(tmp_path, monkeypatch, part, method):
     made, calls = service(tmp_path), []
     kind = type(getattr(made, part))
     monkeypatch.setattr(kind, method, lambda *_: (calls.append(1), {}["a fault"])[0])
@@ -48,19 +46,18 @@
         await made.close()
 
 
-async def _overridden(made):
-    """An override is in force, for longer than news takes."""
+async def _start_override(made, address):
+    """Start an override that counts as in force for longer than its delivery takes."""
     now = made.overrides.now()
     document = {"action": {"freeze": True}, "by": "a", "why": "b", "until_ms": now + 60_000}
-    call = lambda number: events.Put(number, "o", parse("o", msgspec.json.encode(document), now))  # noqa: E731
-    await made.overrides._call(call)
-    made.overrides.reconciler.step(now - 60_000, comparing.Published(made.overrides.store.active(now)))
+    await client.call(address, "PUT", "/overrides/o", document)
+    made.overrides.reconciler.step(now - 60_000, reconciler.Published(made.overrides.store.active(now)))
 
 
 @bounded(30.0)
-async def test_who_is_gone_is_forgotten_by_all_parts(tmp_path, monkeypatch):
+async def test_a_node_that_has_left_is_forgotten_by_all_parts(tmp_path, monkeypatch):
     made = service(tmp_path, agreement=AgreementSettings(forget_ms=0.0))
-    await made.start()
+    address = await made.start()
     try:
         revisions, now = made.revisions, made.revisions.now()
         row = {"region": "a", "window": 1, "span_ms": 500.0, "shake": {}, "first": {"100": 5}}
@@ -69,23 +66,22 @@
                 name, Report(process_id=process_id, seq=1, group="g", measures={"delays": [row]})
             )
         await until(lambda: revisions.coordinator.membership.names == {"on", "off", "left"})
-        revisions.coordinator.membership.names.discard("off")  # it never became a member
-        assert set(made.geo._demand) == {"on", "off", "left"} == set(revisions.coordinator.membership.nodes)
-        await _overridden(made)
+        revisions.coordinator.membership.names.discard("off")  # as if it had never become a member
+        assert set(made.geo.demand) == {"on", "off", "left"} == set(revisions.coordinator.membership.nodes)
+        await _start_override(made, address)
         made.nodes.answer("left", Report(process_id="p", seq=2, leaving=True))
-        assert made.overrides.findings() == {}  # it is no version without overrides
+        assert made.overrides.findings() == {}  # a last report without a digest is no finding
         made.nodes.answer("nobody", Report(process_id="p", seq=1, leaving=True))
-        assert revisions.coordinator.departing == ["left"]  # names without end leave nothing behind
+        assert revisions.coordinator.departing == ["left"]  # an unknown name is not noted
         revisions.step(RemoveMember("left"))
-        assert set(made.geo._demand) == {"on", "off"}
+        assert set(made.geo.demand) == {"on", "off"}
         revisions.sweep(now + 1e9)
-        assert revisions.coordinator.membership.names == {
-            "on"
-        }  # no member goes while another service may be the one
-        monkeypatch.setattr(RevisionCoordinator, "grant_refusal", lambda *_: "")
+        # No member is removed while another service may have the majority.
+        assert revisions.coordinator.membership.names == {"on"}
+        monkeypatch.setattr(RevisionCoordinator, "grant_refusal", lambda *_: None)
         revisions.sweep(now + 1e9)
         assert (
-            made.geo._demand,
+            made.geo.demand,
             revisions.coordinator.membership.nodes,
             revisions.coordinator.leases.active(now),
         ) == ({}, {}, {})
@@ -94,7 +90,9 @@
 
 
 @bounded(30.0)
-async def test_a_child_that_acts_on_other_overrides_is_barred_through_its_aggregator(tmp_path, monkeypatch):
+async def test_a_child_that_acts_on_other_overrides_is_denied_a_lease_through_its_aggregator(
+    tmp_path, monkeypatch
+):
     made, now, seen = service(tmp_path), [1_000_000], []
     monkeypatch.setattr(type(made.overrides), "now", lambda _: now[0])
     await made.start()
@@ -107,7 +105,7 @@
             report = AggregatorReport("p", next(seq), "a", exceptions=[row], joined=list(joined))
             return made.aggregators.reported(name, report).orders
 
-        assert orders("1-00000000") == []  # it is nobody's child that is known
+        assert orders("1-00000000") == []  # not known as a child
         orders("1-00000000", None, [Member("c", "1")])
         while not seen or not seen[-1].blocked:
             seen += orders("1-00000000", {"o9": 5})
@@ -116,14 +114,14 @@
         assert orders("0-00000000") == [ChildOrder("c")] and made.overrides.findings() == {}
         while not orders("1-00000000", {"o9": 5})[0].blocked:
             pass
-        # Who goes to another aggregator is looked at anew there.
+        # A child that moves to another aggregator is checked anew there.
         assert orders("1-00000000", None, [Member("c", "1")], "y") == [ChildOrder("c")]
         assert made.overrides.findings() == {}
     finally:
         await made.close()
 
 
-def test_how_long_an_override_lasts_is_counted_by_the_clock_of_the_service(tmp_path, monkeypatch):
+def test_the_end_of_an_override_is_computed_with_the_clock_of_the_service(tmp_path, monkeypatch):
     sent = []
 
     async def call(at, method, path, body=None, headers=None):
@@ -137,16 +135,16 @@
     assert sent[-1] == ("PUT", "/overrides/o", {"until_ms": 5_600_000})
 
 
-def test_another_program_that_answers_a_publisher_is_said_to_be_one(tmp_path, monkeypatch):
+def test_an_answer_of_another_program_to_a_publisher_is_reported_as_such(tmp_path, monkeypatch):
     async def call(at, method, path, body=None, headers=None):
         return {"edition": 1} if method == "PUT" else []
 
     monkeypatch.setattr(client, "call", call)
     file = tmp_path / "settings.toml"
     file.write_text("[caps]\nlook = 5\n")
-    words = ["rules", "publish", str(file), "--at", "127.0.0.1:1", "--wait"]
-    done = CliRunner().invoke(cli.app, words)
-    assert (isinstance(done.exception, SystemExit), "Another program" in done.output) == (True, True)
+    arguments = ["rules", "publish", str(file), "--at", "127.0.0.1:1", "--wait"]
+    result = CliRunner().invoke(cli.app, arguments)
+    assert (isinstance(result.exception, SystemExit), "Another program" in result.output) == (True, True)
 
 
 @bounded(30.0)
@@ -154,7 +152,7 @@
     async def fails():
         raise KeyError("a fault")
 
-    held, ended = Tasks(), asyncio.Event()
+    tasks, ended = Tasks(), asyncio.Event()
 
     async def waits():
         try:
@@ -163,9 +161,9 @@
             ended.set()
 
     logs.set_up()
-    held.spawn(fails())
-    held.spawn(waits())
+    tasks.spawn(fails())
+    tasks.spawn(waits())
     await asyncio.sleep(0.0)
-    await held.end()
-    told = json.loads(capsys.readouterr().err.splitlines()[0])
-    assert (told["event"], "a fault" in told["exception"], ended.is_set()) == ("fault", True, True)
+    await tasks.end()
+    line = json.loads(capsys.readouterr().err.splitlines()[0])
+    assert (line["event"], "a fault" in line["exception"], ended.is_set()) == ("fault", True, True)
--- a/tests/support/overrides_service.py
+++ b/tests/support/overrides_service.py
@@ -7,7 +7,7 @@
 from brassfall.controlplane.overrides import events
 from brassfall.controlplane.overrides.document import parse
 from brassfall.controlplane.overrides.history import HistoryRing, WriteEntry
-from brassfall.controlplane.overrides.store import OVERRIDES_MOST, OverrideStore
+from brassfall.controlplane.overrides.store import MAX_OVERRIDES, OverrideStore
 
 NOW = 1_800_000_000_000
 HOUR = 3_600_000
@@ -25,7 +25,7 @@
 class OverrideService:
     """Carries out what an override store wants; writes wait until they are made durable by hand."""
 
-    def __init__(self, rows=(), history=(), at=NOW, ring=None, most=OVERRIDES_MOST):
+    def __init__(self, rows=(), history=(), at=NOW, ring=None, most=MAX_OVERRIDES):
         self.rows, self.history, self.at = dict(rows), dict(history), at
         self.open, self.answers, self.published = [], {}, []
         ring = ring or HistoryRing()
