--- a/brassfall/controlplane/aggregation/aggregator.py
+++ b/brassfall/controlplane/aggregation/aggregator.py
@@ -1,7 +1,7 @@
 """The aggregator as a state machine: `step(now, event) -> actions`, with no clock, socket or random source.
 
-It holds a lease from the service, counted from its own asking, and grants leases to its children that never
-end after it. It reports a revision as prepared once every child that may still act has acknowledged it.
+It has a lease from the service, counted from when it sent its report, and grants leases to its children that
+never end after it. It reports a revision as prepared once each child that may still act has acknowledged it.
 `now` is milliseconds of the aggregator's monotonic clock.
 """
 
@@ -38,16 +38,17 @@
 class Aggregator:
     """One process of an aggregator.
 
-    The public properties and methods other than `step` are for the host to read."""
+    The public properties and methods other than `step` are for the host to read.
+    """
 
-    # The parts, each of which a variant may replace.
+    # The types of the parts, which the lab replaces to inject defects.
     state_type: ClassVar[type[AggregatorState]] = AggregatorState
     child_reports_type: ClassVar[type[ChildReports]] = ChildReports
     upstream_type: ClassVar[type[UpstreamMessages]] = UpstreamMessages
     builder_type: ClassVar[type[ReportBuilder]] = ReportBuilder
 
     def __init__(self, timing: AggregatorTiming, identity: Identity, started_ms: float) -> None:
-        """`started_ms` is when the process began, on the clock that `step` is given."""
+        """Begin at `started_ms`, on the clock that `step` is given."""
         self.timing = timing
         self.identity = identity
         self._state = self.state_type(timing, started_ms)
@@ -58,7 +59,7 @@
         self._swept_ms = -math.inf
 
     def step(self, now: float, event: Event) -> list[Action]:
-        """Take in what happened; what to do about it, in this order."""
+        """Apply an event; return the actions to carry out, in this order."""
         match event:
             case ChildReported():
                 return self._child_reports.receive(now, event)
@@ -92,22 +93,22 @@
 
     @property
     def name(self) -> str:
-        """As configured."""
+        """The configured name."""
         return self.identity.name
 
     @property
     def epoch(self) -> int:
-        """Of the service that is followed; 0 before the first."""
+        """The epoch of the service that is followed; 0 before the first."""
         return self._state.epoch
 
     @property
     def committed(self) -> int:
-        """The newest revision known to be in force."""
+        """The newest revision known to be committed."""
         return self._state.committed
 
     @property
     def pending(self) -> int:
-        """The revision known to be pending; 0 where none is."""
+        """The revision known to be pending; 0 if there is none."""
         return self._state.pending
 
     @property
@@ -117,49 +118,51 @@
 
     @property
     def members(self) -> int:
-        """Sidecars in the whole fleet: the field `edges` of children's answers."""
+        """The sidecars in the whole fleet: the field `edges` of children's answers."""
         return self._upstream.members
 
     @property
     def report_every_ms(self) -> float:
-        """How far apart reports are to be, as the service asked for last."""
+        """The interval between reports that the service asked for last."""
         return self._upstream.report_every_ms
 
     @property
     def lease_until_ms(self) -> float:
-        """When the lease from the service is over; -inf where there is none."""
+        """The end of the lease from the service; -inf without one."""
         return self._state.lease.until_ms
 
     @property
     def child_leases_until_ms(self) -> float:
-        """When the last lease of a child is over at the latest; -inf where there is none."""
+        """An upper bound on the end of the last child lease; -inf if there is none."""
         return self._state.child_leases.latest_end_ms
 
     def lease_left_ms(self, now: float) -> float:
-        """How long the lease from the service still runs."""
+        """Return how long the lease from the service still runs."""
         return self._state.lease.left_ms(now)
 
     def unready(self, now: float) -> str:
-        """Why no lease can be granted to anybody just now; empty where one can."""
+        """Return why no child can get a lease at this time; empty if leases can be granted."""
         return self._state.unready(now)
 
     def every_ms(self) -> float:
-        """How far apart a child's reports are to be: `every_ms` of its answer."""
+        """Return the interval between a child's reports: `every_ms` of its answer."""
         return pace.every_ms(len(self.membership.children))
 
     def spread_ms(self) -> float:
-        """Over what span urgent reports of children are spread: `spread_ms` of their answers."""
+        """Return the time over which urgent reports are spread: `spread_ms` of children's answers."""
         return pace.spread_ms(len(self.membership.children))
 
     def children(self, now: float) -> list[ChildRow]:
-        """Rows for `GET /edges`, by name and process."""
+        """Return the rows for `GET /edges`, by name and process."""
         return [child.row(now) for _, child in sorted(self.membership.children.items())]
 
     def counts(self, now: float) -> ChildCounts:
-        """Children by what they reported last."""
+        """Return the number of children by their last reports."""
         return self.membership.counts(now, self._state.child_leases)
 
     def may_end(self) -> bool:
-        """Whether, after `Leave`, nothing that was granted runs any more, and the service was notified or
-        could not be."""
+        """Return whether the process may end after `Leave`.
+
+        Then no child lease runs any more, and the service was notified or could not be reached.
+        """
         return self._upstream.leaving_reported
--- a/brassfall/controlplane/aggregation/child_orders.py
+++ b/brassfall/controlplane/aggregation/child_orders.py
@@ -1,7 +1,8 @@
-"""What an aggregator is ordered to do about single children, repeated until it must have arrived. Pure code.
+"""The orders to an aggregator about single children, which are repeated in its answers. Pure code.
 
-An order holds at the aggregator until another comes. Answers get lost: so each answer repeats who is blocked,
-and for a while who is no longer. The size grows with what is wrong, not with the children.
+An order is valid at the aggregator until another one about the child is received. Since answers get lost,
+each answer names the children that are blocked, and for a while those that no longer are. Its size depends
+on the children with findings, not on all children.
 """
 
 from __future__ import annotations
@@ -11,8 +12,8 @@
 
 from brassfall.controlplane.aggregation.messages import EXCEPTIONS_MOST, TEXT_MOST, ChildOrder
 
-REPEATED_MS = 10_000.0  # that a child is not blocked any more
-ORDERS_MOST = 4 * EXCEPTIONS_MOST
+REPEATED_MS = 10_000.0  # for which answers name a child that is no longer blocked
+MAX_ORDERS = 4 * EXCEPTIONS_MOST
 
 
 @dataclass(slots=True)
@@ -29,10 +30,12 @@
         to_list: set[str],
         to_refresh: set[str],
     ) -> list[ChildOrder]:
-        """Orders for the next answer: about the children that the report names, and those blocked before.
+        """Return the orders for the next answer: about children in the report and those blocked before.
 
-        `blocked`: names that get no lease, and why; `to_list`: who is to list what it acts on; `to_refresh`:
-        who is sent all times left anew. `now` in ms of the service's monotonic clock."""
+        `blocked` has the names that get no lease, with reasons; the children in `to_list` have to list the
+        overrides that they act on, those in `to_refresh` are sent all times left. `now` is ms of the
+        service's monotonic clock.
+        """
         names = dict.fromkeys(named)
         for name in names:
             if name in blocked:
@@ -46,7 +49,7 @@
                 refresh_times=name in to_refresh,
                 blocked=blocked.get(name, "")[:TEXT_MOST],
             )
-            for name in list(names)[:ORDERS_MOST]
+            for name in list(names)[:MAX_ORDERS]
         ]
 
     def _update(self, now: float, blocked: Mapping[str, str]) -> None:
--- a/brassfall/controlplane/aggregation/children.py
+++ b/brassfall/controlplane/aggregation/children.py
@@ -1,6 +1,6 @@
-"""The children of an aggregator: who they are, and which arrivals and departures are to be reported.
+"""The children of an aggregator, and the arrivals and departures to report. Pure code.
 
-Pure code. A child is one process of a sidecar; what it may act on, and until when, is in `child_leases`.
+A child is one process of a sidecar; its lease is in `child_leases`.
 """
 
 from __future__ import annotations
@@ -39,10 +39,10 @@
     key: ChildKey
     reported_ms: float
     report: Report
-    differs_since_ms: float | None = None  # since when it acts on other overrides than are due
+    differs_since_ms: float | None = None  # since when its overrides differ from those due
 
     def row(self, now: float) -> ChildRow:
-        """Its row in a listing."""
+        """Return its row in a listing."""
         report = self.report
         return ChildRow(
             name=self.key.name,
@@ -62,15 +62,15 @@
 
 @dataclass(slots=True)
 class ChildMembership:
-    """Who is a child here, and which arrivals and departures the service has not confirmed yet."""
+    """The children, and the arrivals and departures that the service has not confirmed yet."""
 
     children: dict[ChildKey, Child] = field(default_factory=dict)
-    stale: int = 0  # reports that were repeated or overtaken
-    _arrivals: dict[ChildKey, int] = field(default_factory=dict)  # to the report that carried it last, or 0
+    stale: int = 0  # reports that were repeated or late
+    _arrivals: dict[ChildKey, int] = field(default_factory=dict)  # the last report with it; 0: none
     _departures: dict[ChildKey, int] = field(default_factory=dict)
 
     def is_newest(self, key: ChildKey, report: Report, leases: ChildLeases) -> bool:
-        """Whether a report is the newest of its process, as far as is known here; others are counted."""
+        """Return whether a report is the newest known of its process; count it if not."""
         child = self.children.get(key)
         newest = max(leases.newest_seq(key), child.report.seq if child is not None else -1)
         if key.process_id and report.seq <= newest:
@@ -79,7 +79,7 @@
         return True
 
     def report_received(self, now: float, key: ChildKey, report: Report) -> Child:
-        """Take in a report that is the newest of its process; the child, which may be new."""
+        """Store the newest report of a process; return its child, which may be new."""
         child = self.children.get(key)
         if child is None:
             child = self.children[key] = Child(key, now, report)
@@ -89,7 +89,7 @@
         return child
 
     def depart(self, key: ChildKey) -> Child | None:
-        """A child is one no longer, which the next report says; None where it was none."""
+        """Remove a child and report its departure; return None if there is no such child."""
         child = self.children.pop(key, None)
         if child is not None:
             self._arrivals.pop(key, None)
@@ -97,13 +97,15 @@
         return child
 
     def silent(self, now: float, longest_ms: float) -> list[ChildKey]:
-        """Children that have not reported for longer than that."""
+        """Return the children that have not reported for longer than `longest_ms`."""
         return [key for key, child in self.children.items() if now - child.reported_ms > longest_ms]
 
     def migrate(self, members: Iterable[Member], asked_ms: float) -> list[ChildKey]:
-        """Drop children that another aggregator has heard since, without reporting it; those dropped.
+        """Remove children that have since reported to another aggregator; return those removed.
 
-        One that reported here after the report was begun that got this answer (`asked_ms`) has come back."""
+        Their departures are not reported. A child that reported here after `asked_ms`, when the report was
+        begun that got this answer, has come back.
+        """
         dropped = []
         for member in members:
             key = ChildKey(member.name, member.process_id)
@@ -119,25 +121,25 @@
         return dropped
 
     def resync(self) -> None:
-        """The service knows nothing of this process: report all children anew."""
+        """Report all children anew: the service does not know this process."""
         self._arrivals = dict.fromkeys(self.children, 0)
 
     def arrivals(self, seq: int, most: int) -> list[Member]:
-        """Arrivals that report `seq` carries."""
-        return _carried(self._arrivals, seq, most)
+        """Return the arrivals for report `seq`."""
+        return _to_report(self._arrivals, seq, most)
 
     def departures(self, seq: int, most: int) -> list[Member]:
-        """Departures that report `seq` carries."""
-        return _carried(self._departures, seq, most)
+        """Return the departures for report `seq`."""
+        return _to_report(self._departures, seq, most)
 
     def report_answered(self, seq: int) -> None:
-        """Report `seq` was answered: the service knows what it carried."""
+        """Forget the arrivals and departures in report `seq`, which was answered."""
         for changes in (self._arrivals, self._departures):
             for key in [key for key, carried in changes.items() if carried == seq]:
                 del changes[key]
 
     def counts(self, now: float, leases: ChildLeases) -> ChildCounts:
-        """Children by what they reported last."""
+        """Return the number of children by their last reports."""
         leased, lagging = leases.names(now), set(leases.lagging(now))
         indexes = [child.report.list_index for child in self.children.values()]
         ages = [
@@ -155,10 +157,11 @@
         )
 
 
-def _carried(changes: dict[ChildKey, int], seq: int, most: int) -> list[Member]:
-    """The first of these changes, marked with the report that carries them.
+def _to_report(changes: dict[ChildKey, int], seq: int, most: int) -> list[Member]:
+    """Return the first changes, and mark them with the report that has them.
 
-    A change that an earlier report carried without an answer is carried again."""
+    A change in an earlier report that was not answered is reported again.
+    """
     members: list[Member] = []
     for key in changes:
         if len(members) == most:
--- a/brassfall/controlplane/aggregation/directory.py
+++ b/brassfall/controlplane/aggregation/directory.py
@@ -1,8 +1,8 @@
-"""Which sidecar reports to which aggregator process, as the service knows it. Pure code.
+"""The directory of aggregators and of the sidecars that report to them. Pure code.
 
 Aggregators report arrivals and departures only. Each sidecar is counted once, by its name: the aggregator
-that heard it last owns it, and the one that owned it before is notified that it has migrated. A call costs as
-much as has changed, and nothing more with more children.
+that reported its arrival last owns it, and the previous owner is notified that it has migrated. The cost of
+a call depends on the changes, not on the number of children.
 
 `now` is milliseconds of the service's monotonic clock.
 """
@@ -15,14 +15,17 @@
 from brassfall.controlplane.aggregation.messages import MEMBERS_MOST, AggregatorReport, Member
 from brassfall.errors import ConflictError, UnavailableError
 
-AGGREGATORS_MOST = 64
-FORMER_MOST = 4  # processes of one name that another has succeeded
-MIGRATION_NOTICES = 3  # answers that carry a migration; who misses them all finds the child silent
-ORPHANS_MS = 60_000.0  # children of a process that another has succeeded count for so long
+MAX_AGGREGATORS = 64
+MAX_FORMER = 4  # superseded processes of one name
+MIGRATION_NOTICES = (
+    3  # answers that name a migrated child; without any of them the aggregator finds it silent
+)
+FULL, FULL_RETRY_S = "no place", 10.0
+ORPHANS_MS = 60_000.0  # for which the children of a superseded process count
 
 
 class AggregatorNameError(ConflictError):
-    """The name of an aggregator is another's, who is alive (409)."""
+    """The name of an aggregator belongs to another live one (409)."""
 
     action = (
         "Give one of the two another `aggregator.name`, or its own `region` and `listen`: GET /aggregators"
@@ -37,22 +40,22 @@
     report: AggregatorReport
     reported_ms: float
     children: dict[str, str] = field(default_factory=dict)  # process id by name of the sidecar
-    migrated: dict[Member, int] = field(default_factory=dict)  # how many more answers are to name it
-    forgotten: bool = False  # it was known in this epoch before: not all of its children are known here
-    complete: bool = False  # as of its newest report, it has reported all its children
+    migrated: dict[Member, int] = field(default_factory=dict)  # the answers that will still name it
+    forgotten: bool = False  # known before in this epoch: not all of its children are known here
+    complete: bool = False  # it has reported all its children
     succeeded_ms: float | None = None  # since when another process has its name
 
 
 @dataclass(slots=True)
 class _NamedProcesses:
-    """All processes of one name."""
+    """The processes of one name."""
 
     current: AggregatorProcess
     former: dict[str, AggregatorProcess] = field(default_factory=dict)  # by process id, oldest first
 
 
 class _Owner(NamedTuple):
-    """Who heard a sidecar last."""
+    """The aggregator that reported a sidecar's arrival last."""
 
     name: str
     process: AggregatorProcess
@@ -60,21 +63,21 @@
 
 @dataclass(slots=True)
 class ReceivedReport:
-    """What a report was, and what has changed by it."""
+    """The effect of a report."""
 
     process: AggregatorProcess
-    stale: bool = False  # repeated or overtaken: nothing was taken from it
+    stale: bool = False  # repeated or late: without effect
     superseded: bool = False  # a newer process of the name is alive
-    arrived: list[str] = field(
-        default_factory=list
-    )  # sidecars that another aggregator, or none, owned before
-    departed: list[str] = field(default_factory=list)  # sidecars that nobody owns any more
+    arrived: list[str] = field(default_factory=list)  # sidecars with another owner before, or none
+    departed: list[str] = field(default_factory=list)  # sidecars without an owner from now on
 
 
 @dataclass(slots=True)
 class Directory:
-    """All aggregators and their children. `live_ms`: how long after its last report a process counts as
-    alive; `children_most`: sidecars that are remembered."""
+    """The aggregators and their children.
+
+    A process counts as alive for `live_ms` after its last report; at most `children_most` sidecars are kept.
+    """
 
     live_ms: float
     children_most: int
@@ -85,9 +88,10 @@
     # --- reports --------------------------------------------------------------------------------
 
     def receive_report(self, now: float, epoch: int, name: str, report: AggregatorReport) -> ReceivedReport:
-        """Take in a report; `epoch` is the service's.
+        """Apply a report; `epoch` is the service's.
 
-        `AggregatorNameError` where the name is another's, `UnavailableError` where there are too many."""
+        Raise `AggregatorNameError` if the name is another's, `UnavailableError` if there are too many.
+        """
         self._check_name(now, name, report)
         process = self._process(now, epoch, name, report)
         if process.succeeded_ms is not None:
@@ -105,8 +109,9 @@
     def _check_name(self, now: float, name: str, report: AggregatorReport) -> None:
         processes = self._names.get(name)
         if processes is None:
-            if len(self._names) >= AGGREGATORS_MOST:
-                raise UnavailableError("no place", f"{AGGREGATORS_MOST} aggregators are known", retry_s=10.0)
+            if len(self._names) >= MAX_AGGREGATORS:
+                why = f"{MAX_AGGREGATORS} aggregators are known"
+                raise UnavailableError(FULL, why, retry_s=FULL_RETRY_S)
             return
         current = processes.current
         if now - current.reported_ms > self.live_ms:
@@ -114,12 +119,11 @@
         for what in ("region", "listen"):
             ours, theirs = getattr(report, what), getattr(current.report, what)
             if ours and theirs and ours != theirs:
-                raise AggregatorNameError(
-                    f"aggregator {name} is in use", f"by a live process with {what} {theirs}, not {ours}"
-                )
+                in_use = f"aggregator {name} is in use"
+                raise AggregatorNameError(in_use, f"by a live process with {what} {theirs}, not {ours}")
 
     def _process(self, now: float, epoch: int, name: str, report: AggregatorReport) -> AggregatorProcess:
-        """The process that sent a report, which becomes the current one of its name, unless that is alive."""
+        """Return the process of a report, which becomes the current one unless another is alive."""
         processes = self._names.get(name)
         if processes is None:
             process = _new_process(now, epoch, report)
@@ -143,7 +147,7 @@
         processes.former[predecessor.report.process_id] = predecessor
         predecessor.succeeded_ms, process.succeeded_ms = now, None
         processes.current = process
-        while len(processes.former) > FORMER_MOST:
+        while len(processes.former) > MAX_FORMER:
             self._drop(processes.former.pop(next(iter(processes.former))))
         return process
 
@@ -183,19 +187,20 @@
     # --- answers --------------------------------------------------------------------------------
 
     def take_migrated(self, process: AggregatorProcess) -> list[Member]:
-        """Children that have migrated away, for the next answer; each is in a few answers, since answers get
-        lost."""
+        """Return migrated children for the next answer; each is in a few answers, since answers get lost."""
         members = list(process.migrated)[:MEMBERS_MOST]
         for member in members:
             left = process.migrated.pop(member) - 1
             if left > 0:
-                process.migrated[member] = left  # behind those that were in no answer yet
+                process.migrated[member] = left  # after those that were in no answer yet
         return members
 
     @staticmethod
     def resync(epoch: int, process: AggregatorProcess) -> bool:
-        """Whether a process is to report all its children anew: it has none of this epoch's answers yet, or
-        was forgotten here."""
+        """Return whether a process has to report all its children anew.
+
+        That is so if it has had no answer in this epoch, or was forgotten here.
+        """
         return process.report.epoch != epoch or process.forgotten
 
     # --- views ----------------------------------------------------------------------------------
@@ -206,12 +211,12 @@
         return {name: processes.current for name, processes in sorted(self._names.items())}
 
     def former(self, name: str) -> list[AggregatorProcess]:
-        """Processes of a name that another has succeeded."""
+        """Return the superseded processes of a name."""
         processes = self._names.get(name)
         return list(processes.former.values()) if processes is not None else []
 
     def owner(self, sidecar: str) -> str | None:
-        """The aggregator that heard a sidecar last."""
+        """Return the aggregator that owns a sidecar; None if there is none."""
         owner = self._owners.get(sidecar)
         return owner.name if owner is not None else None
 
@@ -219,19 +224,20 @@
         return sidecar in self._owners
 
     def knows(self, name: str) -> bool:
-        """Whether a name is an aggregator's."""
+        """Return whether a name is an aggregator's."""
         return name in self._names
 
     def live(self, now: float, name: str) -> bool:
-        """Whether an aggregator has reported of late."""
+        """Return whether an aggregator has reported within `live_ms`."""
         processes = self._names.get(name)
         return processes is not None and now - processes.current.reported_ms <= self.live_ms
 
     def count(self) -> int:
-        """How many sidecars there are, each counted once.
+        """Return the number of sidecars, each counted once.
 
-        Until an aggregator has reported all its children anew, the count that it states stands for them: too
-        many rather than too few, since caps are divided by it."""
+        Until an aggregator has reported all its children anew, the number that it states is used: too many
+        rather than too few, since caps are divided by it.
+        """
         unreported = [
             process.report.children.known - len(process.children)
             for process in (processes.current for processes in self._names.values())
@@ -242,7 +248,7 @@
     # --- forgetting -----------------------------------------------------------------------------
 
     def remove(self, name: str) -> list[str]:
-        """An aggregator is gone for good; returns the sidecars that it owned."""
+        """Remove an aggregator; return the sidecars that it owned."""
         processes = self._names.pop(name, None)
         if processes is None:
             return []
@@ -250,7 +256,7 @@
         return [child for process in everyone for child in self._drop(process)]
 
     def sweep(self, now: float) -> list[str]:
-        """Forget processes that were succeeded long ago; returns the sidecars that they still owned."""
+        """Forget processes superseded for `ORPHANS_MS`; return the sidecars that they still owned."""
         dropped = []
         for processes in self._names.values():
             for process_id, process in list(processes.former.items()):
--- a/brassfall/controlplane/aggregation/events.py
+++ b/brassfall/controlplane/aggregation/events.py
@@ -1,5 +1,7 @@
-"""What an aggregator's state machine takes in. `now` of `step` is when; the events have no times but those of
-what they are about, in ms of the aggregator's monotonic clock."""
+"""The events of an aggregator's state machine.
+
+The time of an event is the `now` of `step`; times in events are ms of the aggregator's monotonic clock.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChildReported:
-    """A child reports, and asks for a lease; `ticket` comes back with the answer."""
+    """A child reports and requests a lease; `ticket` comes back with the answer."""
 
     ticket: int
     name: str
@@ -28,16 +30,17 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamFailed:
-    """Report `seq` got no good answer."""
+    """Report `seq` had no good answer."""
 
     seq: int
 
 
 @dataclass(frozen=True, slots=True)
 class StateReceived:
-    """The service sent the state of its revisions; children's watches are to get `line` as it is.
+    """The service sent the state of its revisions; children's watches get `line` unchanged.
 
-    Numbers are 0 where there is none. `state` is `prepared`, `committed` or `halted`, of `revision`."""
+    A number is 0 if there is no such revision. `state` is that of `revision`, a value of `RevisionState`.
+    """
 
     epoch: int
     revision: int
@@ -48,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListReceived:
-    """The mirrored list of servers has a new index, or was confirmed at `confirmed_ms` as the newest."""
+    """The mirrored endpoint list has a new index, or was confirmed at `confirmed_ms` as the newest."""
 
     index: int
     confirmed_ms: float
@@ -56,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportDue:
-    """A report can be sent now: the last one was answered or has failed, and the wait after it is over."""
+    """The next report is due: the last one was answered or has failed, and the wait after it has ended."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Leave:
-    """Shut down gracefully: grant nothing more."""
+    """Shut down gracefully: grant no more leases."""
 
 
 Event = (
--- a/brassfall/controlplane/aggregation/merged_delays.py
+++ b/brassfall/controlplane/aggregation/merged_delays.py
@@ -1,8 +1,8 @@
-"""Delays of all children, merged: histograms add up by client group and region. Pure code.
+"""The delays of all children, merged by client group and region. Pure code.
 
 Children report windows of delays as `sidecar.agent.delays` makes them. A merged row has the same form and
-names its group; of one child and window it counts at most a stated number of samples, so that no child
-outweighs the others.
+names its group. It counts at most `MAX_CHILD_SAMPLES` of one child and window, so that no child outweighs
+the others.
 """
 
 from __future__ import annotations
@@ -16,10 +16,10 @@
 from brassfall.controlplane.geo.evidence import MAX_COUNT, DelayRow, Points, sample_count, validate_rows
 
 DELAYS = "delays"  # the field of a report's measures
-EVERY_MS = 5000.0  # a pair's row comes no sooner after the one before
-ROWS_MOST = 48  # of one report; the others go on gathering
-PAIRS_MOST = 4096
-CHILD_SAMPLES_MOST = 200  # of one child and window
+EVERY_MS = 5000.0  # the least time between two rows of a pair
+MAX_ROWS = 48  # of one report; the other pairs go on counting
+MAX_PAIRS = 4096
+MAX_CHILD_SAMPLES = 200  # of one child and window
 # One point is reported for each of these parts of a merged histogram's counts: as many as a reader takes.
 RANKS = (0.02, 0.04, 0.07, 0.1, 0.13, 0.16, 0.2, 0.25, 0.3, 0.35, 0.4, 0.5, 0.6, 0.75, 0.9, 1.0)
 
@@ -27,7 +27,7 @@
 
 
 class Pair(NamedTuple):
-    """Whose delays to where."""
+    """The client group and the region of a delay."""
 
     group: str
     region: str
@@ -43,14 +43,14 @@
     window: int
     span_ms: int
     children: int
-    answers: int  # all of them, also those that the histograms leave out
+    answers: int  # also those that the histograms leave out
     handshakes: dict[str, int] = {}
     first_bytes: dict[str, int] = {}
 
 
 @dataclass(slots=True)
-class _Gathered:
-    """What was gathered of one pair since its last row."""
+class _Counts:
+    """The counts of one pair since its last row."""
 
     since_ms: float
     handshakes: Histogram = field(default_factory=dict)
@@ -61,14 +61,14 @@
 
 @dataclass(slots=True)
 class MergedDelays:
-    """Histograms of delays over all children, by pair; times in ms of one monotonic clock."""
+    """The histograms of delays of all children, by pair; times are ms of one monotonic clock."""
 
-    rejected: int = 0  # rows of children that are malformed, or one pair too many
-    _pairs: dict[Pair, _Gathered] = field(default_factory=dict)  # longest waiting first
+    rejected: int = 0  # rows of children that are malformed, or of too many pairs
+    _pairs: dict[Pair, _Counts] = field(default_factory=dict)  # longest waiting first
     _window: int = 0
 
     def add(self, now: float, child: str, group: str, measures: Mapping[str, Any]) -> None:
-        """Take in the measures of one report."""
+        """Add the measures of one report."""
         rows = measures.get(DELAYS)
         if not rows:
             return
@@ -81,22 +81,22 @@
         pair = Pair(group, row.region)
         gathered = self._pairs.get(pair)
         if gathered is None:
-            if len(self._pairs) >= PAIRS_MOST:
+            if len(self._pairs) >= MAX_PAIRS:
                 self.rejected += 1
                 return
-            gathered = self._pairs[pair] = _Gathered(now)
+            gathered = self._pairs[pair] = _Counts(now)
         _add_points(gathered.handshakes, row.handshakes)
         _add_points(gathered.first_bytes, row.first_bytes)
         gathered.answers += sample_count(row.first_bytes)
         gathered.children.add(child)
 
     def take(self, now: float) -> dict[str, Any]:
-        """The measures of the next report, as JSON has them; their pairs begin anew."""
+        """Return the measures of the next report, in their JSON form, and begin their pairs anew."""
         due = [pair for pair, gathered in self._pairs.items() if now - gathered.since_ms >= EVERY_MS]
         if not due:
             return {}
         self._window += 1
-        return {DELAYS: [msgspec.to_builtins(self._row(now, pair)) for pair in due[:ROWS_MOST]]}
+        return {DELAYS: [msgspec.to_builtins(self._row(now, pair)) for pair in due[:MAX_ROWS]]}
 
     def _row(self, now: float, pair: Pair) -> MergedDelayRow:
         gathered = self._pairs.pop(pair)
@@ -117,13 +117,13 @@
 
 
 def _add_points(counts: Histogram, points: Points) -> None:
-    total = max(CHILD_SAMPLES_MOST, sample_count(points))
+    total = max(MAX_CHILD_SAMPLES, sample_count(points))
     for bucket, count in points:
-        counts[bucket] = counts.get(bucket, 0) + max(1, count * CHILD_SAMPLES_MOST // total)
+        counts[bucket] = counts.get(bucket, 0) + max(1, count * MAX_CHILD_SAMPLES // total)
 
 
 def thinned(counts: Mapping[int, int]) -> Histogram:
-    """At most one bucket for each of `RANKS`, with the counts of its part; low quantiles stay fine."""
+    """Return at most one bucket for each of `RANKS`, with the counts of its part."""
     points = sorted(counts.items())
     if len(points) > len(RANKS):
         points = [(_middle(part), sample_count(part)) for part in _parts(points) if part]
@@ -131,7 +131,7 @@
 
 
 def _parts(points: list[tuple[int, int]]) -> list[list[tuple[int, int]]]:
-    """The points by the rank that they fall into; a point belongs where its first sample does."""
+    """Return the points by the rank of their first sample."""
     total, passed, rank = sample_count(points), 0, 0
     parts: list[list[tuple[int, int]]] = [[] for _ in RANKS]
     for bucket, count in points:
@@ -143,7 +143,7 @@
 
 
 def _middle(points: list[tuple[int, int]]) -> int:
-    """The bucket that has the middle one of these samples."""
+    """Return the bucket with the median of these samples."""
     left = sample_count(points) / 2.0
     for bucket, count in points:
         left -= count
--- a/brassfall/controlplane/aggregation/messages.py
+++ b/brassfall/controlplane/aggregation/messages.py
@@ -1,11 +1,11 @@
-"""Messages between an aggregator and the service that decides. Typed values, no I/O.
+"""The messages between an aggregator and the service. Pure code.
 
-An aggregator reports with `POST /aggregators/NAME` (body `AggregatorReport`, answer `AggregatorLease`), a
-quarter of a second apart, and sooner when a decision waits for it. The size of a report grows with what is
-unusual among its children (arrivals, departures, laggards, objections), not with their number: each list is
-bounded, and what finds no room follows with the next report.
+An aggregator reports with `POST /aggregators/NAME` (body `AggregatorReport`, answer `AggregatorLease`) every
+`REPORT_EVERY_MS`, and sooner when a decision waits for it. The size of a report depends on its children with
+something to report (arrivals, departures, lags, objections), not on their number: each list is limited, and
+the rest follows with the next report.
 
-All durations are milliseconds. Fields whose name on the wire is another are mapped by `rename`; the paths
+All durations are milliseconds. Fields with another name on the wire are mapped by `rename`; the paths
 `/rules` and `/edges` call revisions and epochs `edition` and `life`.
 """
 
@@ -25,32 +25,30 @@
 EXCEPTIONS_MOST = 32
 PLACES_MOST = 64
 TEXT_MOST = 200  # characters
-NUMBER_MOST = 2**53  # what JSON readers keep exact
+NUMBER_MOST = 2**53  # above it JSON readers lose precision
 AGE_MOST_MS = 1e12
-# Whole numbers of a report, by their names on the wire.
+# The integers of a report, by their names on the wire.
 NUMBER_FIELDS = ("seq", "epoch", "held", "acknowledged", "prepared", "list_index", "told")
-UNREADABLE = "no report of an aggregator"  # what happened, as errors say it
+UNREADABLE = "no report of an aggregator"  # in errors
 
-TimesLeft = dict[
-    str, dict[str, int]
-]  # by override id: `rev`, `same_from`, `left_ms`, for children `slack_ms`
+TimesLeft = dict[str, dict[str, int]]  # by override id: `rev`, `same_from`, `left_ms`; children: `slack_ms`
 
 
 class AggregatorReportError(RequestError):
-    """A report from an aggregator that can't be read, or contradicts itself."""
+    """A malformed or contradictory report of an aggregator."""
 
     action = "See which version of the aggregator runs there; its lease runs out, its children move on."
 
 
 class Member(msgspec.Struct, frozen=True, rename={"process_id": "life"}):
-    """One child process: the name of its sidecar, and the process id that tells its runs apart."""
+    """One child process: the name of its sidecar, and its process id."""
 
     name: str
     process_id: str
 
 
 class ChildCounts(msgspec.Struct, frozen=True):
-    """Children by what they last reported; those that were silent for too long are in none of them."""
+    """The number of children by their last reports; those that were silent for too long are left out."""
 
     known: int = 0
     leased: int = 0  # may still act on a revision
@@ -61,20 +59,20 @@
 
 
 class Place(msgspec.Struct, frozen=True, order=True):
-    """Where sidecars stand: their client group and their region."""
+    """The place of sidecars: their client group and their region."""
 
     group: str = ""
     region: str = ""
 
 
 class ChildException(msgspec.Struct, frozen=True, rename={"process_id": "life", "acted_overrides": "acted"}):
-    """A child whose overrides differ from what is due at its place, or did so in the report before."""
+    """A child whose overrides differ from those due at its place, or did so in the previous report."""
 
     name: str
     process_id: str
     place: Place = Place()
-    digest: str | None = None  # None: its version knows no overrides
-    acted_overrides: dict[str, int] | None = None  # id to revision, where it was asked for
+    digest: str | None = None  # None: from a version without overrides
+    acted_overrides: dict[str, int] | None = None  # id to revision, if they were requested
 
 
 class AggregatorReport(
@@ -83,7 +81,7 @@
     omit_defaults=True,
     rename={"process_id": "life", "newest_revision": "held", "known_override_revision": "told"},
 ):
-    """What one aggregator process says of itself and of all its children."""
+    """The report of one aggregator process on itself and all its children."""
 
     process_id: str
     seq: int  # grows with each report of that process
@@ -91,8 +89,8 @@
     listen: str = ""  # where its children reach it; `GET /edges` of the service asks there for details
     epoch: int | None = None  # of the service that it follows; None before the first answer
     newest_revision: int = 0  # the newest revision known there
-    acknowledged: int = 0  # pending revision: no child gets a lease any more without having acknowledged it
-    prepared: int = 0  # revision that every child which may still act has acknowledged
+    acknowledged: int = 0  # the pending revision, which children have to acknowledge to get a lease
+    prepared: int = 0  # the revision that each child that may still act has acknowledged
     list_index: int = 0
     list_age_ms: float | None = None
     children: ChildCounts = ChildCounts()
@@ -101,14 +99,14 @@
     lagging: list[str] = []
     objections: dict[str, str] = {}  # to the pending revision, by child
     exceptions: list[ChildException] = []
-    places: list[Place] = []  # for which it wants to know the digest that is due
+    places: list[Place] = []  # for which it asks for the expected digest
     measures: dict[str, Any] = {}  # merged over children
     known_override_revision: int = 0  # the newest revision of overrides whose time left is known there
     leaving: bool = False
 
 
 class PlaceDigest(msgspec.Struct, frozen=True):
-    """The digest of overrides that is due at a place."""
+    """The expected digest of overrides at a place."""
 
     place: Place
     digest: str
@@ -117,10 +115,10 @@
 class ChildOrder(
     msgspec.Struct, frozen=True, omit_defaults=True, rename={"refresh_times": "retell", "blocked": "barred"}
 ):
-    """What the service has an aggregator do about one child, until another order comes."""
+    """The service's order about one child, valid until the next one."""
 
     name: str
-    list_overrides: bool = False  # have it list what it acts on
+    list_overrides: bool = False  # have it list the overrides that it acts on
     refresh_times: bool = False  # send it all times left anew
     blocked: str = ""  # grant it no lease, and why
 
@@ -128,18 +126,18 @@
 class AggregatorLease(
     msgspec.Struct, frozen=True, omit_defaults=True, rename={"migrated": "moved", "times_left": "left"}
 ):
-    """The answer to a report: the lease, counted by the aggregator from its asking, and what else is due."""
+    """The answer to a report: the lease, which counts from when the report was sent, and orders."""
 
     epoch: int
-    revision: int  # in force
-    lease_ms: float = 0.0  # 0: none, and `why` says why
+    revision: int  # committed
+    lease_ms: float = 0.0  # 0: none, for the reason `why`
     pending: int = 0
     why: str = ""
     seq: int = 0  # the report that it answers
     list_index: int = 0
     every_ms: float = REPORT_EVERY_MS
     members: int = 1  # sidecars in the whole fleet, each counted once
-    migrated: list[Member] = []  # children that another aggregator has heard since
+    migrated: list[Member] = []  # children that have since reported to another aggregator
     resync: bool = False  # the service does not know this process: all members are to be reported anew
     times_left: TimesLeft = {}  # of overrides
     digests: list[PlaceDigest] = []
@@ -147,7 +145,7 @@
 
 
 def parse_report(body: bytes) -> AggregatorReport:
-    """Read a report; `AggregatorReportError` says what is wrong with it. Unknown fields are skipped."""
+    """Return a report, without unknown fields; raise `AggregatorReportError` if it is malformed."""
     try:
         report = msgspec.json.decode(body or b"{}", type=AggregatorReport)
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
@@ -189,4 +187,4 @@
             raise AggregatorReportError(UNREADABLE, f"{field}: more than {most}")
     texts = (report.process_id, report.region, report.listen)
     if not report.process_id or max(map(len, texts)) > TEXT_MOST:
-        raise AggregatorReportError(UNREADABLE, "life, region or listen: a short text is wanted")
+        raise AggregatorReportError(UNREADABLE, "life, region or listen: expected a short text")
--- a/brassfall/controlplane/aggregation/objections.py
+++ b/brassfall/controlplane/aggregation/objections.py
@@ -9,7 +9,7 @@
 
 
 class ChildObjections:
-    """The objections to the revision that was objected to last; kept also where another epoch begins."""
+    """The objections to the revision objected to last; a new epoch does not remove them."""
 
     def __init__(self) -> None:
         self._revision = 0
@@ -17,23 +17,23 @@
         self._unreported = False
 
     def add(self, name: str, objection: Objection) -> None:
-        """A child objects. The first objection to a revision calls for a report at once."""
+        """Add a child's objection; the first one to a revision makes a report urgent."""
         if self._revision != objection.revision:
             self._revision, self._reasons = objection.revision, {}
         self._unreported |= not self._reasons
         self._reasons[name] = objection.reason[:TEXT_MOST]
 
     def withdraw(self, name: str) -> None:
-        """A child has left."""
+        """Remove the objection of a child that has left."""
         self._reasons.pop(name, None)
 
     def take_unreported(self) -> bool:
-        """Whether there is a first objection that no report was called for yet."""
+        """Return whether there is a first objection that has made no report urgent yet; then it has."""
         unreported, self._unreported = self._unreported, False
         return unreported
 
     def reasons(self, pending: int) -> dict[str, str]:
-        """The first of the objections to a revision, by child, as a report carries them; 0: none."""
+        """Return the first objections to a revision by child, for a report; none if `pending` is 0."""
         if not pending or self._revision != pending:
             return {}
         return dict(islice(self._reasons.items(), OBJECTIONS_MOST))
--- a/brassfall/controlplane/aggregation/override_exceptions.py
+++ b/brassfall/controlplane/aggregation/override_exceptions.py
@@ -1,7 +1,7 @@
-"""Children that act on other overrides than are due at their place: only these are reported. Pure code.
+"""The children whose overrides differ from those due at their place: only these are reported. Pure code.
 
-The service answers with the digests that are due at the places that a report asks for: places where a child
-differs first, and some others in turn, so that a digest that has changed is learned.
+The service answers with the expected digests of the places in a report: places where a child differs first,
+and some others in turn, so that changed digests are received.
 """
 
 from __future__ import annotations
@@ -20,24 +20,24 @@
     PlaceDigest,
 )
 
-NO_OVERRIDES = "0-00000000"  # the digest of none
-IN_TURN = 4  # places that each report asks for beside the doubtful ones
-PLACES_KNOWN_MOST = 4096
+NO_OVERRIDES = "0-00000000"  # the digest of no overrides
+IN_TURN = 4  # places in each report beside the doubtful ones
+MAX_PLACES_KNOWN = 4096
 
 
 @dataclass(slots=True)
 class OverrideExceptions:
-    """Digests due by place, children that differ, and the service's orders about single children."""
+    """The expected digests by place, the children that differ, and the orders about single children."""
 
     late_ms: float
-    _due: dict[Place, str | None] = field(default_factory=dict)  # None: not known yet; in turn
+    _due: dict[Place, str | None] = field(default_factory=dict)  # None: not known yet; the next in turn first
     _doubtful: dict[Place, None] = field(default_factory=dict)
     _differing: dict[ChildKey, Child] = field(default_factory=dict)
-    _reported: dict[ChildKey, None] = field(default_factory=dict)  # were in a report, and get one last row
+    _reported: dict[ChildKey, None] = field(default_factory=dict)  # those in a report, which get one last row
     _orders: dict[str, ChildOrder] = field(default_factory=dict)
 
     def report_received(self, now: float, child: Child) -> None:
-        """Compare a child's newest report with what is due at its place. `now` in ms."""
+        """Compare a child's newest report with the digest expected at its place; `now` is in ms."""
         place = Place(child.report.group, child.report.region)
         if not self._watches(place):
             return
@@ -55,27 +55,27 @@
         self._differing[child.key] = child
 
     def _watches(self, place: Place) -> bool:
-        """Whether the digest at a place is asked for, from now on at the latest."""
+        """Return whether the digest of a place is requested; a new place is added if there is room."""
         if place not in self._due:
-            if len(self._due) >= PLACES_KNOWN_MOST:
+            if len(self._due) >= MAX_PLACES_KNOWN:
                 return False
             self._due[place] = None
         return True
 
     def remove(self, key: ChildKey) -> None:
-        """A child is one no longer."""
+        """Remove a child."""
         self._differing.pop(key, None)
         self._reported.pop(key, None)
 
     def receive_digests(self, rows: Iterable[PlaceDigest]) -> None:
-        """Take in what the service says is due."""
+        """Store the digests that the service expects."""
         for row in rows:
             if row.place in self._due:
                 self._due[row.place] = row.digest
                 self._doubtful.pop(row.place, None)
 
     def places(self) -> list[Place]:
-        """Places whose digests the next report asks for."""
+        """Return the places whose digests the next report requests."""
         asked = dict.fromkeys(list(self._doubtful)[: PLACES_MOST - IN_TURN])
         for place in list(self._due)[:IN_TURN]:
             self._due[place] = self._due.pop(place)  # to the end of the turn
@@ -83,7 +83,7 @@
         return list(asked)
 
     def rows(self, now: float, children: dict[ChildKey, Child]) -> list[ChildException]:
-        """Children that the next report names: those that differ for too long; once more, those that did."""
+        """Return the rows of children that differ for too long, and a last row of those that did."""
         late = [
             child
             for child in self._differing.values()
@@ -95,7 +95,7 @@
         return [_row(child) for child in (*late, *last)]
 
     def _last_rows(self, children: dict[ChildKey, Child], late: set[ChildKey], most: int) -> list[Child]:
-        """Children that were in a report and differ no more; from then on they are in none."""
+        """Return the children that were in a report and no longer differ, and forget them."""
         over = [key for key in self._reported if key not in late and key not in self._differing]
         last = [children[key] for key in over if key in children][:most]
         taken = {child.key for child in last}
@@ -105,7 +105,7 @@
         return last
 
     def receive_orders(self, orders: Sequence[ChildOrder]) -> None:
-        """Take in the service's orders; one takes the place of the one before about the same child."""
+        """Store the service's orders; one replaces an earlier one about the same child."""
         for order in orders:
             if order.blocked or order.list_overrides or order.refresh_times:
                 self._orders[order.name] = order
@@ -113,11 +113,11 @@
                 self._orders.pop(order.name, None)
 
     def order(self, name: str) -> ChildOrder | None:
-        """What is ordered about a child."""
+        """Return the order about a child; None if there is none."""
         return self._orders.get(name)
 
     def carry_out(self, name: str, *, listed: bool) -> None:
-        """A child was answered as ordered; `listed`: it has reported what it acts on."""
+        """Note that a child was answered as ordered; `listed` if it has reported its overrides."""
         order = self._orders.get(name)
         if order is None:
             return
--- a/brassfall/controlplane/aggregation/report_builder.py
+++ b/brassfall/controlplane/aggregation/report_builder.py
@@ -1,4 +1,4 @@
-"""What an aggregator reports to the service. Pure code."""
+"""The reports of an aggregator to the service. Pure code."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True)
 class Identity:
-    """How one process of an aggregator names itself; `listen` is where its children reach it."""
+    """One process of an aggregator; its children reach it at `listen`."""
 
     process_id: str
     name: str
@@ -20,15 +20,17 @@
 
 
 class ReportBuilder:
-    """Makes reports, each with a number of its own."""
+    """Builds numbered reports."""
 
     def __init__(self, state: AggregatorState, identity: Identity) -> None:
         self.state = state
         self.identity = identity
 
     def build(self, now: float) -> AggregatorReport:
-        """The next report; `now` in ms of the aggregator's clock. Each has to be sent, since what it carries
-        counts as carried by it."""
+        """Return the next report, which has to be sent; `now` is ms of the aggregator's clock.
+
+        Its arrivals, departures and measures are in no later report unless it fails.
+        """
         state, identity = self.state, self.identity
         state.last_seq += 1
         seq = state.last_seq
@@ -57,11 +59,11 @@
         )
 
     def _prepared(self, now: float) -> int:
-        """The pending revision, once all children that may still act have acknowledged it."""
+        """Return the pending revision if each child that may still act has acknowledged it; else 0."""
         return self.state.pending if self.state.child_leases.all_acknowledged(now) else 0
 
     def _leaving(self, now: float) -> bool:
-        """Whether this process ends, and nothing that it granted runs any more."""
+        """Return whether this process is leaving and no child lease runs any more."""
         leaving = self.state.leaving and not self.state.child_leases.any(now)
         if leaving and not self.state.leaving_seq:
             self.state.leaving_seq = self.state.last_seq
--- a/brassfall/controlplane/aggregation/state.py
+++ b/brassfall/controlplane/aggregation/state.py
@@ -1,4 +1,4 @@
-"""What the parts of an aggregator's state machine share, and the questions that several of them ask. Pure."""
+"""The state that the parts of an aggregator's state machine share. Pure code."""
 
 from __future__ import annotations
 
@@ -33,40 +33,39 @@
         self.override_times = OverrideTimes()
         self.exceptions = OverrideExceptions(timing.late_ms)
         self.list = ListReceived(0, started_ms)
-        self.list_index_due = 0  # to be here before the first grant after a time without a lease
-        self.last_seq = 0  # the newest report that was begun
-        self.answered_seq = 0  # the newest report that was answered
+        self.list_index_due = 0  # required before the first grant after a time without a lease
+        self.last_seq = 0  # of the newest report that was begun
+        self.answered_seq = 0  # of the newest report that was answered
         self.leaving = False
-        self.leaving_seq = 0  # the first report that said so; 0: none
-        self.why_no_lease = "it has not been answered yet"  # as the service said last
-        self.behind_since_ms: float | None = (
-            None  # since when children know more, or the lease is of an older one
-        )
-        self.claimed = 0  # the pending revision for which a report was called that all have acknowledged
+        self.leaving_seq = 0  # of the first report that said so; 0: none
+        self.why_no_lease = "it has not been answered yet"  # as the service stated last
+        self.behind_since_ms: float | None = None  # since when children know later revisions, or the lease
+        # is on an older one
+        self.claimed = 0  # the pending revision that was urgently reported as acknowledged by all children
         self._fetched_ms = -math.inf
 
     @property
     def epoch(self) -> int:
-        """Of the service that is followed; 0 before the first."""
+        """The epoch of the service that is followed; 0 before the first."""
         return self.revisions.epoch
 
     @property
     def committed(self) -> int:
-        """The newest revision known to be in force."""
+        """The newest revision known to be committed."""
         return self.revisions.committed
 
     @property
     def pending(self) -> int:
-        """The revision known to be pending; 0 where none is."""
+        """The revision known to be pending; 0 if there is none."""
         return self.revisions.pending
 
     def caught_up(self) -> bool:
-        """Whether the newest state and list are here."""
+        """Return whether the newest state and list were received."""
         current = self.revisions.has_committed and self.lease.revision == self.committed
         return current and self.list.index >= self.list_index_due
 
     def unready(self, now: float) -> str:
-        """Why no lease can be granted to anybody just now; empty where one can."""
+        """Return why no child can get a lease at this time; empty if leases can be granted."""
         if self.leaving:
             return "this aggregator ends"
         if self.lease.left_ms(now) <= 0.0:
@@ -76,21 +75,20 @@
         return ""
 
     def await_pending(self) -> None:
-        """Keep track of the acknowledgements of what is pending now."""
+        """Track the acknowledgements of the pending revision."""
         if self.child_leases.pending != self.pending:
             self.behind_since_ms = None
             self.child_leases.await_all(self.pending)
 
     def fetch(self, now: float) -> list[Action]:
-        """Ask for the state, unless that was done a moment ago."""
+        """Fetch the state, unless that was done within `FETCH_EVERY_MS`."""
         if now - self._fetched_ms < FETCH_EVERY_MS:
             return []
         self._fetched_ms = now
         return [FetchState()]
 
     def urgent_report(self, now: float) -> list[Action]:
-        """Report at once, if a child has objected to what is pending, or from now on all children that may
-        act have acknowledged it."""
+        """Report at once if the pending revision has a first objection, or all children acknowledged it."""
         if self.objections.take_unreported():
             return [ReportNow()]
         if not self.pending or self.claimed == self.pending or not self.child_leases.all_acknowledged(now):
--- a/brassfall/controlplane/aggregation/state_release.py
+++ b/brassfall/controlplane/aggregation/state_release.py
@@ -1,4 +1,4 @@
-"""When children are sent a new state of the revisions. Pure code."""
+"""The release of new states of the revisions to children. Pure code."""
 
 from __future__ import annotations
 
@@ -9,34 +9,34 @@
 
 
 class _Withheld(NamedTuple):
-    """A line that children have not been sent yet."""
+    """A line that was not sent to children yet."""
 
     since_ms: float
-    committed: int  # the revision that it waits for a lease on
+    committed: int  # the revision whose lease it waits for
     line: bytes
 
 
 class StateRelease:
-    """Passes lines on, but a commit not before a lease on it can be granted: children ask for one at once."""
+    """Passes lines on; a commit waits until leases on it can be granted, since children report at once."""
 
     def __init__(self, state: AggregatorState) -> None:
         self.state = state
-        self._sent = b""  # the line that children were sent last
+        self._sent = b""  # the line sent last
         self._withheld: _Withheld | None = None
 
     @property
     def waiting(self) -> bool:
-        """Whether there is a line that children have not been sent."""
+        """True if a line waits to be sent."""
         return self._withheld is not None
 
     def hold(self, now: float, line: bytes) -> None:
-        """Send this line once it is due, in place of one that waits. `now` in ms."""
+        """Send a line once it is due, in place of one that waits; `now` is in ms."""
         if line != self._sent:
             since_ms = self._withheld.since_ms if self._withheld is not None else now
             self._withheld = _Withheld(since_ms, self.state.committed, line)
 
     def due(self, now: float) -> list[Action]:
-        """Send the line that waits, if that is due: a lease on it is here, or it has waited for too long."""
+        """Send the waiting line if there is a lease on its revision, or it has waited for too long."""
         if self._withheld is None:
             return []
         since_ms, committed, line = self._withheld
--- a/brassfall/controlplane/aggregation/timing.py
+++ b/brassfall/controlplane/aggregation/timing.py
@@ -1,4 +1,4 @@
-"""Times and bounds of an aggregator."""
+"""The times and limits of an aggregator."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 class AggregatorTiming(LeaseTiming, frozen=True):
     """Durations in ms. `agree_ms` and `drift` have to be the service's."""
 
-    children_most: int = 2000  # child processes known at once
-    newcomers_per_s: float = 300.0  # children without a lease that are admitted in a second
-    newcomers_burst: int = 100  # of them at once, after a quiet time
-    commit_message_wait_ms: float = 500.0  # children are notified of a commit at the latest so long after it
-    elsewhere_after_ms: float = 1000.0  # without an answer for so long, children are sent elsewhere
-    late_ms: float = 1500.0  # how long a child may act on other overrides than are due before it is reported
+    children_most: int = 2000  # child processes at the same time
+    newcomers_per_s: float = 300.0  # children without a lease that are admitted per second
+    newcomers_burst: int = 100  # admitted at once, after a time without any
+    commit_message_wait_ms: float = 500.0  # after which children are notified of a commit at the latest
+    elsewhere_after_ms: float = 1000.0  # without an answer, until children are redirected
+    late_ms: float = 1500.0  # for which a child's overrides may differ before it is reported
--- a/brassfall/controlplane/aggregation/upstream_lease.py
+++ b/brassfall/controlplane/aggregation/upstream_lease.py
@@ -1,12 +1,12 @@
-"""The lease that an aggregator holds from the service, and how long its children's may be. Pure code.
-
-The lease counts from the aggregator's own asking, on its own monotonic clock, so it is over here before the
-service counts it as over. A child counts what it is granted from its own asking, which came before the
-aggregator answered. With P the length of a lease, `asked_ms` the moment of the aggregator's asking (true
-time), and clocks whose rates are within `drift` of true time, a child's lease is over by `asked + P / (1 -
-drift)`: what is left here when it is granted is P less the time since `asked` on a clock at least `1 - drift`
-fast, and the child counts it on a clock at least `1 - drift` fast. The service waits P * (1 + drift) / (1 -
-drift) on its own clock, which is at least that long. So a chain of two has the bound of one.
+"""The lease that an aggregator has from the service, and the length of its children's leases. Pure code.
+
+The lease counts from when the aggregator sent its report, on its own monotonic clock, so it ends here before
+the service counts it as ended. A child counts its lease from when it sent its own report, before the
+aggregator answered. With P the length of a lease, `asked_ms` the true time of the aggregator's report, and
+clocks whose rates are within `drift` of true time, a child's lease ends by `asked + P / (1 - drift)`: the
+time left here when it is granted is P less the time since `asked` on a clock with a rate of at least `1 -
+drift`, and the child counts it on such a clock. The service waits P * (1 + drift) / (1 - drift) on its own
+clock, which is at least that long. So a chain of two leases has the bound of one.
 """
 
 from __future__ import annotations
@@ -24,26 +24,26 @@
     timing: AggregatorTiming
     revision: int = 0
     until_ms: float = -math.inf
-    renewed_ms: float = -math.inf  # when the report was begun whose answer renewed it last
+    renewed_ms: float = -math.inf  # when the last report was begun whose answer renewed it
 
     def renew(self, asked_ms: float, revision: int, length_ms: float) -> None:
-        """Hold a lease on a revision for so long from the asking; never longer than a lease can be."""
+        """Store a lease on a revision that counts from `asked_ms`, of at most the usual length."""
         self.revision = revision
         self.until_ms = asked_ms + min(length_ms, self.timing.lease_ms)
         self.renewed_ms = asked_ms
 
     def drop(self) -> None:
-        """Hold none: another epoch of the service counts from now on."""
+        """End the lease, since another epoch of the service is followed."""
         self.until_ms = self.renewed_ms = -math.inf
 
     def left_ms(self, now: float) -> float:
-        """How long it still runs."""
+        """Return how long the lease still runs."""
         return max(0.0, self.until_ms - now)
 
     def child_lease_ms(self, now: float) -> float:
-        """How long a lease that is granted now may be: it never ends after this one."""
+        """Return the length of a child lease granted now, which never ends after this one."""
         return min(self.timing.lease_ms, self.left_ms(now))
 
     def stale(self, now: float) -> bool:
-        """Whether the service has not answered for so long that children had better ask elsewhere in time."""
+        """Return whether the service has not answered for `elsewhere_after_ms`: children should move on."""
         return now - self.renewed_ms > self.timing.elsewhere_after_ms
--- a/brassfall/controlplane/aggregation/upstream_messages.py
+++ b/brassfall/controlplane/aggregation/upstream_messages.py
@@ -1,4 +1,4 @@
-"""How an aggregator takes in what the service answers and sends. Pure code."""
+"""The messages of the service to an aggregator, and their effects. Pure code."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 
 class UpstreamMessages:
-    """Answers to reports, and states of the revisions, of the one epoch that is followed."""
+    """Applies answers to reports, and states of the revisions, of the epoch that is followed."""
 
     def __init__(self, state: AggregatorState, release: StateRelease) -> None:
         self.state = state
-        self.members = 1  # sidecars in the whole fleet, as the service answered last
-        self.report_every_ms = REPORT_EVERY_MS  # as the service asked for last
-        self.list_index = 0  # of the service's list, as it answered last
-        self.leaving_reported = False  # the service was notified that this process ends, or could not be
+        self.members = 1  # sidecars in the whole fleet, as answered last
+        self.report_every_ms = REPORT_EVERY_MS  # as answered last
+        self.list_index = 0  # of the service's list, as answered last
+        self.leaving_reported = False  # the service knows that this process leaves, or can't be reached
         self._release = release
-        self._lower_since_ms: float | None = None  # since when none but a lower epoch answers
+        self._lower_since_ms: float | None = None  # since when only a lower epoch answers
 
     def answered(self, now: float, event: UpstreamAnswered) -> list[Action]:
-        """Take in the answer to a report; one that is overtaken, or of another epoch, changes nothing."""
+        """Apply the answer to a report; ignore one that is late, or of another epoch."""
         state, answer = self.state, event.lease
         if not self._follows(now, answer.epoch):
             return []
@@ -43,11 +43,11 @@
         return actions
 
     def failed(self, seq: int) -> None:
-        """Report `seq` got no good answer."""
+        """Note that report `seq` had no good answer."""
         self.leaving_reported = self.leaving_reported or 0 < self.state.leaving_seq <= seq
 
     def state_received(self, now: float, event: StateReceived) -> list[Action]:
-        """Take in a state of the revisions; one that is older than what is known changes nothing."""
+        """Apply a state of the revisions; ignore one that is older than the known one."""
         state = self.state
         if not self._follows(now, event.epoch):
             return []
@@ -62,8 +62,11 @@
         return [*actions, ReportNow()] if self._release.waiting else actions
 
     def _follows(self, now: float, epoch: int) -> bool:
-        """Whether a message of this epoch is to be heeded; a later epoch takes the place of the one before,
-        and a lower one where that has been silent for so long that it seems gone for good."""
+        """Return whether a message of this epoch counts.
+
+        A later epoch replaces the followed one; a lower one does so once it alone has answered for
+        `LOWER_EPOCH_WAIT_MS`, since the followed service then seems to be gone for good.
+        """
         state = self.state
         if epoch < state.epoch:
             if self._lower_since_ms is None:
--- a/brassfall/controlplane/geo/changes.py
+++ b/brassfall/controlplane/geo/changes.py
@@ -116,7 +116,8 @@
 def route_change(nodes: NodeWindows, now_s: float, trust: Trust = FULL_TRUST) -> RouteChange | None:
     """The change of one pair's delay; None where there is none.
 
-    It is dated by the shortest span that shows it: a longer one may begin before it."""
+    It is dated by the shortest span that shows it: a longer one may begin before it.
+    """
     for span_s in SPANS_S:
         first_bytes = _pair_shift(nodes, now_s, span_s, Measure.FIRST_BYTE, trust)
         handshakes = _pair_shift(nodes, now_s, span_s, Measure.HANDSHAKE, trust)
@@ -145,7 +146,8 @@
     """The changes of all pairs.
 
     Where first bytes of most groups of a region rise at once and no handshake says why, it is a queue of that
-    region and not a change."""
+    region and not a change.
+    """
     found: dict[PairName, RouteChange] = {}
     for pair, nodes in windows.items():
         change = route_change(nodes, now_s, trust)
--- a/brassfall/controlplane/geo/evidence.py
+++ b/brassfall/controlplane/geo/evidence.py
@@ -208,7 +208,8 @@
     """The samples with one more window, and without the oldest where there are too many.
 
     Of a window that comes twice, the content that sorts first is taken (an honest node sends the same), and
-    the earlier time of receipt: so the order does not matter."""
+    the earlier time of receipt: so the order does not matter.
+    """
     before = samples.get(window)
     if before is not None:
         handshakes, first_bytes = min(
@@ -261,7 +262,8 @@
 ) -> dict[PairName, dict[str, list[WindowSample]]]:
     """Samples by (client group, region) and node, oldest first; all incarnations of a node count as one node.
 
-    Of a pair with more than `max_nodes` nodes, a fixed selection is used, and silent nodes last of all."""
+    Of a pair with more than `max_nodes` nodes, a fixed selection is used, and silent nodes last of all.
+    """
     found: dict[PairName, dict[str, list[WindowSample]]] = {}
     for node, by_source in state.nodes.items():
         for (_, group), by_region in by_source.items():
--- a/brassfall/controlplane/geo/fitting.py
+++ b/brassfall/controlplane/geo/fitting.py
@@ -44,7 +44,8 @@
 def best_fit(problem: Problem, errors: Array, starts: Sequence[Array]) -> tuple[Array, float]:
     """The best parameters from these starts, and the detour: how much pairs differ from the model (sd).
 
-    `errors` (P,) are the sds of the measured pairs themselves."""
+    `errors` (P,) are the sds of the measured pairs themselves.
+    """
     detour = FIRST_DETOUR
     sds = np.hypot(errors, detour)
     ranked = sorted((refine(problem, start, sds) for start in starts), key=lambda fit: fit.cost)
--- a/brassfall/controlplane/geo/levels.py
+++ b/brassfall/controlplane/geo/levels.py
@@ -99,7 +99,8 @@
     """One node's level: handshakes and corrected first bytes, weighted by their certainty.
 
     `server_ms` is what servers of the region spend; None where nobody knows. None where there are no
-    delays."""
+    delays.
+    """
     newest_s = samples[-1].received_s
     handshakes = pooled(samples, Measure.HANDSHAKE, newest_s)
     first_bytes = pooled(samples, Measure.FIRST_BYTE, newest_s)
--- a/brassfall/controlplane/geo/marginals.py
+++ b/brassfall/controlplane/geo/marginals.py
@@ -43,7 +43,8 @@
     """The candidates for one group.
 
     Regions have accesses `region_access` (R,), as logarithms, and lie at `places` (R, 2). `soft` is the
-    distance at which distances are rounded off towards zero."""
+    distance at which distances are rounded off towards zero.
+    """
     line = np.linspace(-GRID_REACH, GRID_REACH, GRID_STEPS) * prior.place_sd
     across, up = (each.ravel() for each in np.meshgrid(line, line))
     distance = np.hypot(np.hypot(across[:, None] - places[:, 0], up[:, None] - places[:, 1]), soft)
--- a/brassfall/controlplane/geo/model.py
+++ b/brassfall/controlplane/geo/model.py
@@ -79,7 +79,8 @@
     """All pairs of these groups and regions, by name; of those in the evidence where none are named.
 
     `now_s` is on the clock of the evidence's times of receipt. Name the groups and regions that are listed:
-    else a name that a node made up is estimated like any other. Empty where nothing at all was measured."""
+    else a name that a node made up is estimated like any other. Empty where nothing at all was measured.
+    """
     before = before or Estimate(())
     named_groups, named_regions = set(groups), set(regions)
     windows = _named(by_pair(state), named_groups, named_regions)
--- a/brassfall/controlplane/geo/plan.py
+++ b/brassfall/controlplane/geo/plan.py
@@ -30,7 +30,8 @@
 class Plan:
     """Shares by group and region, and what the next plan needs to know.
 
-    The shares of a group add up to 1, or are all 0 where no region is open."""
+    The shares of a group add up to 1, or are all 0 where no region is open.
+    """
 
     shares: Shares
     exploration: float = 0.0  # the part of repeatable requests that may try a region without a share
@@ -93,6 +94,7 @@
     """When each region that has capacity came to have it, in seconds; `before` is this function's last
     result.
 
-    Minus infinity for all regions of the first call: what was open before the start is not ramped up."""
+    Minus infinity for all regions of the first call: what was open before the start is not ramped up.
+    """
     is_open = [region for region, rate in capacity.items() if rate > 0.0]
     return {region: before.get(region, now_s if before else -math.inf) for region in is_open}
--- a/brassfall/controlplane/geo/planner.py
+++ b/brassfall/controlplane/geo/planner.py
@@ -174,7 +174,8 @@
     """A group that would move back where it came from moves half as far, and less the next time.
 
     `change` (M,) is what the allocation wants, `step` what the group may move by itself, `forced` what closed
-    regions give up, `last` (M,) the direction of its last move."""
+    regions give up, `last` (M,) the direction of its last move.
+    """
     distance = 0.5 * float(np.abs(change).sum())
     moves_back = forced < NO_MOVE and float(change @ last) < -1e-9
     if moves_back:
--- a/brassfall/controlplane/geo/predictions.py
+++ b/brassfall/controlplane/geo/predictions.py
@@ -97,7 +97,8 @@
 ) -> tuple[Array, Array]:
     """Means and sds (N, M) over all places of each group, from the measured pairs that are `seen` (P,).
 
-    Only at the regions `wanted` of each group; zero elsewhere."""
+    Only at the regions `wanted` of each group; zero elsewhere.
+    """
     problem, sds = fitted.problem, fitted.sds
     parts = problem.parts(parameters)
     candidates = candidate_grid(GROUP_PRIOR, parts.region_access, parts.region_places, SOFT)
--- a/brassfall/controlplane/registry/aggregator/__init__.py
+++ b/brassfall/controlplane/registry/aggregator/__init__.py
@@ -1,1 +1,1 @@
-"""The process of an aggregator: a mirror of the list, leases for its children, writes that are passed up."""
+"""The process of an aggregator: a mirror of the list, leases for its children, forwarded writes."""
--- a/brassfall/controlplane/registry/aggregator/channels.py
+++ b/brassfall/controlplane/registry/aggregator/channels.py
@@ -1,4 +1,4 @@
-"""Watches of an aggregator's children on the list: a heartbeat promises no less age than the list has."""
+"""Watches of an aggregator's children on the list, whose heartbeats state an older list's age."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from brassfall.controlplane.registry.watches import EMPTY, SLOTS, chunk
 
 AGE = "X-List-Age-Ms"
-FRESH_MS = 2000.0  # an empty heartbeat allows for so much; while the list is older, heartbeats have its age
-FRESH_TICKS = 2 * SLOTS + 1  # in so many, all watches get a heartbeat that says that the list is fresh
+FRESH_MS = 2000.0  # the age up to which heartbeats are empty; for an older list they have its age
+FRESH_TICKS = 2 * SLOTS + 1  # in which all watches get a heartbeat that states that the list is fresh
 
 _encode = msgspec.json.Encoder().encode
 
@@ -23,21 +23,22 @@
     """All watches on the mirrored list.
 
     `now` is the clock of the mirror, in ms. While the list is older than `FRESH_MS`, and once more when it is
-    fresh, a line with `age_ms` is sent in place of an empty one; it counts as a heartbeat."""
+    fresh, a line with `age_ms` is sent in place of an empty one; it counts as a heartbeat.
+    """
 
-    def __init__(self, mirror: Mirror, now: Callable[[], float], unread_most: int, stuck_s: float) -> None:
+    def __init__(self, mirror: Mirror, now: Callable[[], float], max_unread: int, stuck_s: float) -> None:
         form = ListFormat("endpoints", entries.endpoints, entries.changed)
-        super().__init__(lambda: mirror.state, INSTANCES, form, unread_most, stuck_s)
+        super().__init__(lambda: mirror.state, INSTANCES, form, max_unread, stuck_s)
         self._mirror = mirror
         self._now = now
-        self._fresh_ticks = 0  # ticks that are left in which heartbeats say that the list is fresh
+        self._fresh_ticks = 0  # ticks left in which heartbeats state that the list is fresh
 
     def promised_age_ms(self) -> int:
-        """The age for the header of a watch that is opened now; it holds for the heartbeats, too."""
+        """Return the age for the header of a new watch, which counts for its heartbeats, too."""
         return round(max(FRESH_MS, self._mirror.age_ms(self._now())))
 
     def heartbeat(self) -> bytes:
-        """An empty line, or one with the list's age."""
+        """Return an empty line, or one with the list's age."""
         age = self._mirror.age_ms(self._now())
         if age > FRESH_MS:
             self._fresh_ticks = FRESH_TICKS
--- a/brassfall/controlplane/registry/aggregator/children.py
+++ b/brassfall/controlplane/registry/aggregator/children.py
@@ -1,4 +1,4 @@
-"""Reports of an aggregator's children, and their answers: the busiest path, some 1,200 calls a second."""
+"""The reports of an aggregator's children, and their answers."""
 
 from __future__ import annotations
 
@@ -20,7 +20,8 @@
 from brassfall.controlplane.registry.reports import read_report
 from brassfall.controlplane.revisions.reports import Report, ReportError
 
-REPORTS_AFTER_REDIRECT_MOST = 1  # after one that was answered with `elsewhere`, and without a lease
+MAX_REPORTS_AFTER_REDIRECT = 1  # after one that was answered with `elsewhere` and without a lease
+NO_LEASE, FULL, NO_ANSWER = "no lease", "no place", "no answer"
 
 Step = Callable[[Event], list[Action]]
 
@@ -39,8 +40,11 @@
 
 @dataclass(slots=True)
 class Children:
-    """Answers reports as the core decides. `newest` is the newest revision whose document children can be
-    sent, `list_index` that of the list."""
+    """Answers reports as the core decides.
+
+    `newest` returns the newest revision whose document children can be sent, `list_index` the index of the
+    list.
+    """
 
     core: Aggregator
     front: Front
@@ -51,7 +55,7 @@
     _tickets: count[int] = field(default_factory=count)
 
     async def report(self, request: web.Request) -> web.Response:
-        """`POST /edges/NAME`."""
+        """Answer `POST /edges/NAME`."""
         name = entries.name(request.match_info["name"])
         try:
             report = read_report(request, name, await self.front.body(request))
@@ -66,22 +70,26 @@
 
     @staticmethod
     def _check_redirect(request: web.Request, decided: AnswerChild) -> None:
-        """`AskElsewhereError` for a sidecar that stays here although it was redirected: an older version
-        does not read `elsewhere`, but goes to the next address after an error."""
+        """Raise `AskElsewhereError` for a sidecar that was redirected and still reports here.
+
+        An older version does not read `elsewhere`, but moves to the next address after an error.
+        """
         connection = request.protocol
         assert isinstance(connection, Connection)
         redirected = decided.elsewhere and not decided.lease_ms
         connection.reports_after_redirect = connection.reports_after_redirect + 1 if redirected else 0
-        if connection.reports_after_redirect > REPORTS_AFTER_REDIRECT_MOST:
+        if connection.reports_after_redirect > MAX_REPORTS_AFTER_REDIRECT:
             connection.reports_after_redirect = 0
-            raise AskElsewhereError("no lease", decided.why)
+            raise AskElsewhereError(NO_LEASE, decided.why)
 
     def answer(self, name: str, report: Report) -> AnswerChild | web.Response:
-        """Take a report in: the core's answer, or a rejection with `Retry-After`; `AskElsewhereError` while
-        there is nothing to answer it with."""
+        """Return the core's answer to a report, or a rejection with `Retry-After`.
+
+        Raise `AskElsewhereError` while there is no epoch to answer for, or no room for the child.
+        """
         core = self.core
         if not core.epoch:
-            raise AskElsewhereError("no lease", "the list service has not answered this aggregator yet")
+            raise AskElsewhereError(NO_LEASE, "the list service has not answered this aggregator yet")
         self.statistics.reports += 1
         for action in self.step(ChildReported(next(self._tickets), name, report)):
             match action:
@@ -91,9 +99,9 @@
                     self.statistics.rejected += 1
                     if len(core.membership.children) >= core.timing.children_most:
                         why = f"all {core.timing.children_most} children are known"
-                        raise AskElsewhereError("no place", why)
+                        raise AskElsewhereError(FULL, why)
                     return self.front.reject(why, retry_ms / 1000.0)
-        raise AskElsewhereError("no answer", "the report was not taken in")
+        raise AskElsewhereError(NO_ANSWER, "the report was not answered by the core")
 
     def _encoded(self, report: Report, granted: AnswerChild) -> web.Response:
         core, index = self.core, self.list_index()
--- a/brassfall/controlplane/registry/aggregator/clock.py
+++ b/brassfall/controlplane/registry/aggregator/clock.py
@@ -1,4 +1,4 @@
-"""The one clock of an aggregator: the core, the mirror and all leases are counted on it."""
+"""The one clock of an aggregator, for the core, the mirror and all leases."""
 
 from __future__ import annotations
 
@@ -6,5 +6,5 @@
 
 
 def now_ms() -> float:
-    """Monotonic milliseconds."""
+    """Return the monotonic time in ms."""
     return time.monotonic() * 1000.0
--- a/brassfall/controlplane/registry/aggregator/configuration.py
+++ b/brassfall/controlplane/registry/aggregator/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration at an aggregator: the list service's own lines, sent on as the core says."""
+"""The configuration at an aggregator: the list service's own lines, forwarded when the core decides so."""
 
 from __future__ import annotations
 
@@ -19,18 +19,20 @@
 from brassfall.logs import logger
 
 PATH = "/rules"
+NO_RULES = "no rules"
 
 log = logger("aggregator")
 Step = Callable[[Event], list[Action]]
 
 
 class Configuration:
-    """What children can read of the configuration.
+    """The configuration that children can read.
 
-    `step` gives the core an event. The core decides which line is published, by `publish`."""
+    `step` passes an event to the core, which decides which line is published by `publish`.
+    """
 
     def __init__(self, upstream: Upstream, front: Front, step: Step, tasks: Tasks) -> None:
-        self.line = b""  # as children are sent it; empty before the first
+        self.line = b""  # as sent to children; empty before the first
         self.newest = 0  # the revision that it names
         self.watch_state = WatchState(upstream.addresses[0])
         self._upstream = upstream
@@ -42,7 +44,7 @@
         self._channel = StateChannel(lambda: self.line, limits.watch_bytes, limits.watch_stuck_ms / 1000.0)
 
     def start(self) -> None:
-        """Watch the list service's configuration from now on."""
+        """Start to watch the list service's configuration."""
         self._front.channels[PATH] = self._channel
         path = f"{PATH}?watch=1&from=0"
         self._tasks.spawn(self._upstream.keep_watch(lambda: path, self._receive, self.watch_state))
@@ -52,12 +54,12 @@
             self._step(read_state(line.text))
 
     def publish(self, line: bytes) -> None:
-        """Send the children this line, and newcomers from now on."""
+        """Send a line to all watches, and to new ones from now on."""
         self.line, self.newest = line, read_state(line).revision
         self._channel.state_changed()
 
     def fetch(self, address: str) -> None:
-        """Ask the list service for its state, unless a call is under way: the watch may be late."""
+        """Fetch the state from the list service, unless that is under way: the watch may be late."""
         if not self._fetching:
             self._fetching = True
             self._tasks.spawn(self._fetch(address))
@@ -74,13 +76,13 @@
 
     @property
     def missing(self) -> str:
-        """Why there is nothing to send yet; empty where there is."""
-        return "" if self.line else self.watch_state.failing or "they have not come yet"
+        """Why there is no line yet; empty if there is one."""
+        return "" if self.line else self.watch_state.failing or "not received yet"
 
     async def read(self, request: web.Request) -> web.StreamResponse:
-        """The answer to `GET /rules`, or a watch; `AskElsewhereError` before the first line has come."""
+        """Return the answer to `GET /rules`, or a watch; raise `AskElsewhereError` before the first line."""
         if not self.line:
-            raise AskElsewhereError("no rules", self.missing)
+            raise AskElsewhereError(NO_RULES, self.missing)
         if not calls.is_watch(request):
             return answer(self.line)
         return await self._front.watch(request, WatchRequest(0, lambda: self._channel))
--- a/brassfall/controlplane/registry/aggregator/forwarding.py
+++ b/brassfall/controlplane/registry/aggregator/forwarding.py
@@ -1,4 +1,4 @@
-"""Calls that an aggregator does not answer itself: they are forwarded, a bounded number at once."""
+"""Forwarding of the calls that an aggregator does not answer itself, with a limit of their number."""
 
 from __future__ import annotations
 
@@ -15,10 +15,11 @@
 REQUEST_HEADERS = ("If-Match", "X-Request-Id", "X-Lease", "X-Force", "Content-Type")
 RESPONSE_HEADERS = ("Content-Type", "Retry-After")
 RETRY_S = 1.0
+NOT_FORWARDED, NO_ANSWER = "not passed up", "no answer from the list service"
 
 
 class NotForwardedError(UnavailableError):
-    """A call that was not forwarded, or got no answer in time; it may have been carried out."""
+    """A call that was not forwarded, or had no answer in time; it may have been carried out."""
 
     action = (
         "Send it again after the time told, with the same X-Request-Id, which makes a repeat harmless; "
@@ -28,7 +29,7 @@
 
 @dataclass(slots=True)
 class Forwarding:
-    """Forwards calls. `at_once` are under way, `waiting` more wait for them."""
+    """Forwards calls: at most `at_once` are under way, and `waiting` more wait for them."""
 
     upstream: Upstream
     front: Front
@@ -38,21 +39,21 @@
     rejected: int = 0
     _addresses: Addresses = field(init=False)
     _capacity: asyncio.Semaphore = field(init=False)
-    _in_flight: int = 0  # calls under way, and those that wait
+    _in_flight: int = 0  # also those that wait
 
     def __post_init__(self) -> None:
         self._addresses = self.upstream.spread()
         self._capacity = asyncio.Semaphore(self.at_once)
 
     async def forward(self, request: web.Request) -> web.Response:
-        """The answer of the list service; `NotForwardedError` where there is none.
+        """Return the answer of the list service; raise `NotForwardedError` if there is none.
 
-        Cancelling gives the call's place back; the list service may still carry it out."""
+        Cancelling releases the call's place; the list service may still carry it out.
+        """
         if self._in_flight >= self.at_once + self.waiting:
             self.rejected += 1
-            raise NotForwardedError(
-                "not passed up", "too many calls wait for the list service", retry_s=RETRY_S
-            )
+            why = "too many calls wait for the list service"
+            raise NotForwardedError(NOT_FORWARDED, why, retry_s=RETRY_S)
         self._in_flight += 1
         try:
             body = await self.front.body(request)
@@ -73,8 +74,6 @@
         except UpstreamError as error:
             self.rejected += 1
             self._addresses.failed()
-            raise NotForwardedError(
-                "no answer from the list service", error.summary, retry_s=RETRY_S
-            ) from error
+            raise NotForwardedError(NO_ANSWER, error.summary, retry_s=RETRY_S) from error
         self._addresses.worked()
         return made
--- a/brassfall/controlplane/registry/aggregator/list_feed.py
+++ b/brassfall/controlplane/registry/aggregator/list_feed.py
@@ -1,4 +1,4 @@
-"""The list of servers at an aggregator: it is mirrored from the list service, and sent to the children."""
+"""The endpoint list at an aggregator, which mirrors it from the list service for its children."""
 
 from __future__ import annotations
 
@@ -25,14 +25,15 @@
 from brassfall.logs import logger
 
 PATH = "/registry/instances"
-LATE_MS = 2000.0  # a watch that works brings a change far sooner
+NO_LIST, NO_LATER_LIST = "no list", "no list that late"
+LATE_MS = 2000.0  # for which the service may be ahead; a watch that works brings changes far sooner
 
 log = logger("aggregator")
 
 
 @dataclass(frozen=True, slots=True)
 class LaterIndex:
-    """An index that a caller has, and that is later than the mirror's."""
+    """An index that a caller has and that is later than the mirror's."""
 
     since_ms: float
     index: int
@@ -41,8 +42,9 @@
 class ListFeed:
     """Mirrors the list, and answers the children's calls for it.
 
-    `confirmed` is called when the list held is known to have been the newest at a later time than before;
-    `lists_per_s` bounds how often a whole list is sent."""
+    `confirmed` is called when the list was confirmed as the newest; `lists_per_s` limits how many complete
+    lists are sent.
+    """
 
     def __init__(
         self,
@@ -67,7 +69,7 @@
         self._channel = self._new_channel()
 
     def start(self) -> None:
-        """Watch the list service's list from now on."""
+        """Start to watch the list service's list."""
         self._front.channels[INSTANCES] = self._channel
         self._open_watch()
 
@@ -77,12 +79,12 @@
 
     @property
     def missing(self) -> str:
-        """Why there is no list yet; empty where there is one."""
-        return "" if self.mirror.holds_list else self.watch_state.failing or "it has not come yet"
+        """Why there is no list yet; empty if there is one."""
+        return "" if self.mirror.holds_list else self.watch_state.failing or "not received yet"
 
     @property
     def age_ms(self) -> int | None:
-        """An upper bound on the list's age; None where there is none."""
+        """An upper bound on the list's age in ms; None without a list."""
         return round(self.mirror.age_ms(now_ms())) if self.mirror.holds_list else None
 
     # --- from the list service --------------------------------------------------------------
@@ -117,7 +119,7 @@
             self._later = None
 
     def answered(self, asked: float, lease: AggregatorLease) -> None:
-        """An answer to a report, sent at `asked`: it has the list's index, and shows a watch that is late."""
+        """Apply the list's index in the answer to a report sent at `asked`; it shows a watch that is late."""
         self.mirror.confirmed_by_answer(asked, lease.list_index)
         self._confirmed()
         if lease.list_index <= self.mirror.index:
@@ -132,9 +134,10 @@
     # --- to the children --------------------------------------------------------------------
 
     async def read(self, request: web.Request) -> web.StreamResponse:
-        """The answer to `GET /registry/instances`: the whole list, or a watch on it.
+        """Return the answer to `GET /registry/instances`: the complete list, or a watch on it.
 
-        `AskElsewhereError` where there is no list, or where the caller would be set back to an older one."""
+        Raise `AskElsewhereError` if there is no list, or only an older one than the caller's.
+        """
         watches = calls.is_watch(request)
         if watches:
             index = calls.number(request.query.get("from", "0"), "from")
@@ -144,16 +147,16 @@
         return await self._watch(request, index) if watches else self._complete_list()
 
     def _check_index(self, index: int) -> None:
-        """`AskElsewhereError` where who has this index would be set back, while that may be a fault."""
+        """Raise `AskElsewhereError` if this index is later than the mirror's, while that may be a fault."""
         if not self.mirror.holds_list:
-            raise AskElsewhereError("no list", self.missing)
+            raise AskElsewhereError(NO_LIST, self.missing)
         if index <= self.mirror.index:
             return
         if self._later is None:
             self._later = LaterIndex(now_ms(), index)
         if now_ms() - self._later.since_ms < DOUBT_MS:
-            why = f"index {index} is held there, {self.mirror.index} here"
-            raise AskElsewhereError("no list that late", why)
+            why = f"the caller has index {index}, this aggregator {self.mirror.index}"
+            raise AskElsewhereError(NO_LATER_LIST, why)
 
     async def _watch(self, request: web.Request, index: int) -> web.StreamResponse:
         if self.mirror.state.changes_since(INSTANCES, index) is None:
@@ -173,6 +176,6 @@
         return response
 
     def _admit_complete_list(self) -> web.Response | None:
-        """One more that takes the whole list; the answer if there are too many at once."""
+        """Count a complete list; return the answer to send instead if there are too many at once."""
         wait_s = self._join_limiter.wait(now_ms() / 1000.0, self._rng.random())
         return self._front.reject("too many take the whole list at once", wait_s) if wait_s else None
--- a/brassfall/controlplane/registry/aggregator/reporter.py
+++ b/brassfall/controlplane/registry/aggregator/reporter.py
@@ -1,4 +1,4 @@
-"""Reports of an aggregator to the deciding service: one at a time, 250 ms apart, or at once."""
+"""The reports of an aggregator to the list service: one at a time, at intervals or urgent."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 from brassfall.controlplane.registry.aggregator.upstream import Upstream, UpstreamError
 from brassfall.logs import logger
 
-JITTER = 0.1  # of the time between two reports
-URGENT_INTERVAL_S = 0.01  # between two reports that decisions wait for
-FAULT_PAUSE_S = 0.25  # after a fault here
+JITTER = 0.1  # of the interval, either way
+URGENT_INTERVAL_S = 0.01  # between two urgent reports
+FAULT_PAUSE_S = 0.25  # after a defect here
 
 log = logger("reports")
 
@@ -27,18 +27,21 @@
 
 @dataclass(slots=True)
 class Reporter:
-    """Sends what the core has to report, and hands in the answers.
+    """Sends the core's reports, and passes the answers to it.
 
-    `step` gives the core an event and carries out what it says, except for `SendReport`, which it returns."""
+    `step` passes an event to the core and carries its actions out, except for `SendReport`, which it returns.
+    """
 
     core: Aggregator
     upstream: Upstream
     step: Step
-    answered: Callable[[float, AggregatorLease], None]  # of the epoch that counts; with the time of asking
+    answered: Callable[
+        [float, AggregatorLease], None
+    ]  # called with answers of the followed epoch, and when their reports were sent
     rng: random.Random
     sent: int = 0
     failed: int = 0
-    failing: str = ""  # why the last report got no answer
+    failing: str = ""  # why the last report had no good answer; empty if it had one
     _addresses: Addresses = field(init=False)
     _urgent: asyncio.Event = field(default_factory=asyncio.Event)
 
@@ -47,20 +50,20 @@
 
     @property
     def at(self) -> str:
-        """Where the next report goes."""
+        """The address of the next report."""
         return self._addresses.current
 
     def hurry(self) -> None:
-        """Report at once, or as soon as the report that is under way is answered."""
+        """Report at once, or as soon as a report under way was answered."""
         self._urgent.set()
 
     async def run(self) -> None:
-        """Report until this task is cancelled."""
+        """Report until cancelled."""
         while True:
             wait_s = FAULT_PAUSE_S
             try:
                 wait_s = await self._report()
-            except Exception:  # without reports, no child would get a lease any more
+            except Exception:  # without reports no child would get a lease
                 log.exception("fault")
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(wait_s):
@@ -68,7 +71,7 @@
                     await asyncio.sleep(URGENT_INTERVAL_S)
 
     async def _report(self) -> float:
-        """Send one report; how long until the next, in s."""
+        """Send one report; return the wait until the next, in s."""
         self._urgent.clear()
         for action in self.step(ReportDue()):
             if isinstance(action, SendReport):
@@ -79,7 +82,7 @@
         return every_s * (1.0 + JITTER * (2.0 * self.rng.random() - 1.0))
 
     async def _send(self, report: AggregatorReport) -> float | None:
-        """How long to wait after a failure, in s; None where there was none."""
+        """Send a report; return the wait after a failure, in s, or None after a good answer."""
         asked = self.upstream.now()
         self.sent += 1
         try:
--- a/brassfall/controlplane/registry/aggregator/service.py
+++ b/brassfall/controlplane/registry/aggregator/service.py
@@ -1,4 +1,4 @@
-"""The aggregator's process: its parts, their start and graceful shutdown, and its paths."""
+"""The aggregator's process: its parts, their start and graceful shutdown, and its routes."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 from brassfall.settings import AggregatorSettings
 
 TICK_S = 0.05
-LEASES_END_S = 4.0  # leases that were granted are over within `over_ms`, and then the service is notified
+LEASES_END_S = 4.0  # until all child leases have ended and the service was notified
 NOT_READY_RETRY_S = 1.0
 
 log = logger("aggregator")
@@ -81,7 +81,10 @@
     # --- start and shutdown -----------------------------------------------------------------
 
     async def start(self) -> str:
-        """Take calls, and ask the list service from now on; where. `OSError` if that can't be done."""
+        """Start to serve calls and to watch the list service; return the address.
+
+        Raise `OSError` if the address can't be bound.
+        """
         await self.front.bind(self.settings.listen)
         self._upstream.open()
         at = await self.front.serve(self._routes(), lambda: None)
@@ -94,7 +97,7 @@
         return at
 
     async def close(self) -> None:
-        """Grant nothing more, wait until no granted lease runs, notify the service, and end."""
+        """Grant no more leases, wait until all have ended, notify the service, and stop."""
         self._leaving = True
         self.step(Leave())
         if not self.core.may_end():
@@ -116,7 +119,7 @@
     # --- the core ---------------------------------------------------------------------------
 
     def step(self, event: Event) -> list[Action]:
-        """Give the core an event, and carry its actions out; those for the caller are returned as well."""
+        """Pass an event to the core, carry its actions out, and return them for the caller."""
         actions = self.core.step(now_ms(), event)
         for action in actions:
             match action:
@@ -168,7 +171,7 @@
     # --- operation --------------------------------------------------------------------------
 
     def unready(self) -> str:
-        """Why this aggregator can't serve a sidecar with all that it needs; empty where it can."""
+        """Return why this aggregator can't serve sidecars; empty if it can."""
         if self.list_feed.missing:
             return f"no list: {self.list_feed.missing}"
         if self.configuration.missing:
@@ -190,7 +193,7 @@
         return answer(_encode(status.status(self)))
 
     def process_metrics(self) -> ProcessMetrics:
-        """What is measured beside calls and watches."""
+        """Return the metrics beside those of calls and watches."""
         return status.process_metrics(self)
 
     @property
@@ -212,5 +215,5 @@
 
 
 async def serve(settings: AggregatorSettings) -> int:
-    """Run until SIGTERM or SIGINT; the exit status."""
+    """Run until SIGTERM or SIGINT; return the exit status."""
     return await process.run(Service(settings), settings.listen, "aggregator", name=settings.name)
--- a/brassfall/controlplane/registry/aggregator/status.py
+++ b/brassfall/controlplane/registry/aggregator/status.py
@@ -98,7 +98,7 @@
 
 
 def children(parts: Parts) -> ChildrenView:
-    """The children here, by their newest reports."""
+    """Return the answer to `GET /edges`."""
     at, core, feed = now_ms(), parts.core, parts.list_feed
     return ChildrenView(
         aggregator=parts.settings.name,
@@ -111,7 +111,7 @@
 
 
 def status(parts: Parts) -> AggregatorStatus:
-    """What on-call staff ask first."""
+    """Return the answer to `/status`."""
     core, statistics, at = parts.core, parts.children.statistics, now_ms()
     front, feed = parts.front, parts.list_feed
     return AggregatorStatus(
--- a/brassfall/controlplane/registry/aggregator/upstream.py
+++ b/brassfall/controlplane/registry/aggregator/upstream.py
@@ -1,4 +1,4 @@
-"""Calls of an aggregator to the list service: kept watches, reports, single calls; all are bounded."""
+"""The calls of an aggregator to the list service: watches, reports and single calls, with time limits."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 from brassfall.errors import RequestError, UnreachableError
 from brassfall.logs import logger
 
-CALL_TIMEOUT_S = 1.0  # an answer that takes longer is of no use: a lease is counted from asking
-SILENCE_TIMEOUT_S = 4.5  # a watch brings a line every 2 s
+CALL_TIMEOUT_S = 1.0  # a lease counts from when its report was sent, so a later answer is of little use
+SILENCE_TIMEOUT_S = 4.5  # a watch has a line every 2 s
 CONNECT_TIMEOUT_S = 1.0
-LINE_MOST = 2**24  # bytes of a line, about 120,000 servers
-ANSWER_MOST = 2**24
-REASON_MOST = 200  # characters
+MAX_LINE = 2**24  # bytes of a line, about 120,000 servers
+MAX_ANSWER = 2**24
+MAX_REASON = 200  # characters
 
 log = logger("upstream")
 _encode = msgspec.json.Encoder().encode
@@ -29,21 +29,23 @@
 
 
 class UpstreamError(UnreachableError):
-    """The list service gave no good answer; it is asked again by itself."""
+    """A call to the list service had no good answer; it is repeated."""
 
-    action = "See that the list service runs at its address; it is asked again, and what is held here serves."
+    action = (
+        "See that the list service runs at its address; calls are repeated, and the known state is served."
+    )
 
     def __init__(
         self, what: str, why: str = "", action: str = "", *, status: int = 0, retry_s: float = 0.0
     ) -> None:
         super().__init__(what, why, action)
-        self.status = status  # 0 where no answer came
-        self.retry_s = retry_s  # of its `Retry-After`; 0 where there was none
+        self.status = status  # 0 without an answer
+        self.retry_s = retry_s  # of its `Retry-After`; 0 without one
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """What was answered, whatever the status."""
+    """An answer with any status."""
 
     status: int
     body: bytes
@@ -52,10 +54,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Line:
-    """A line of a watch: empty ones are counted. Times are `now` of the upstream, in ms.
+    """A line of a watch; times are ms of the upstream's clock.
 
-    `lines` counts those with something in them on this connection, this one included: until there is one,
-    empty lines say nothing, since the service may hold its list back."""
+    `empties` and `lines` count the empty and the other lines on the connection, with this one. Before the
+    first other line, empty ones confirm nothing: the service may wait before it sends its list.
+    """
 
     text: bytes
     asked: float
@@ -66,7 +69,7 @@
 
 @dataclass(slots=True)
 class WatchState:
-    """How a kept watch stands."""
+    """The state of a watch."""
 
     at: str
     open: bool = False
@@ -77,7 +80,7 @@
 
 @dataclass(slots=True)
 class Upstream:
-    """The list service, at any of its addresses. `now` is the clock, in ms."""
+    """The list service, at any of its addresses; `now` is the clock, in ms."""
 
     addresses: Sequence[str]
     now: Callable[[], float]
@@ -85,22 +88,22 @@
     _session: aiohttp.ClientSession = field(init=False)
 
     def open(self) -> None:
-        """Begin; within the running loop."""
+        """Open the client session; call it within the running loop."""
         connector = aiohttp.TCPConnector(limit=0, keepalive_timeout=10.0)
-        self._session = aiohttp.ClientSession(connector=connector, read_bufsize=LINE_MOST)
+        self._session = aiohttp.ClientSession(connector=connector, read_bufsize=MAX_LINE)
 
     async def close(self) -> None:
-        """End all calls."""
+        """Cancel all calls."""
         await self._session.close()
 
     def spread(self) -> Addresses:
-        """The addresses for one purpose, which finds by itself which of them works."""
+        """Return the addresses for one purpose, with their own choice of the one that works."""
         return Addresses(self.addresses, self.rng)
 
     async def call(
         self, address: str, method: str, path: str, body: bytes | None = None, **headers: str
     ) -> Answer:
-        """One call, within `CALL_TIMEOUT_S`; `UpstreamError` where no answer came."""
+        """Make one call; raise `UpstreamError` if there is no answer within `CALL_TIMEOUT_S`."""
         limit = aiohttp.ClientTimeout(total=CALL_TIMEOUT_S)
         try:
             async with self._session.request(
@@ -111,24 +114,24 @@
                 timeout=limit,
                 allow_redirects=False,
             ) as answer:
-                return Answer(answer.status, await read_bounded(answer, ANSWER_MOST), answer.headers)
+                return Answer(answer.status, await read_bounded(answer, MAX_ANSWER), answer.headers)
         except UNANSWERED as error:
             raise UpstreamError(address, _why(error)) from error
 
     async def report(self, address: str, name: str, report: AggregatorReport) -> AggregatorLease:
-        """The answer to a report; `UpstreamError` where there is none."""
+        """Return the answer to a report; raise `UpstreamError` if there is none."""
         answer = await self.call(address, "POST", f"/aggregators/{name}", _encode(report))
         if answer.status != 200:
             raise _refused(address, answer)
         try:
             return _lease.decode(answer.body)
         except UNREADABLE as error:
-            raise UpstreamError(address, f"its answer is none: {error}"[:REASON_MOST]) from error
+            raise UpstreamError(address, f"malformed answer: {error}"[:MAX_REASON]) from error
 
     async def keep_watch(
         self, path: Callable[[], str], take: Callable[[Line], None], state: WatchState
     ) -> None:
-        """Watch until this task is cancelled. A `RequestError` of `take` ends one connection only."""
+        """Watch until cancelled; a `RequestError` of `take` ends one connection only."""
         addresses = self.spread()
         while True:
             state.at, retry_s = addresses.current, 0.0
@@ -141,8 +144,8 @@
                 state.failing = error.summary
                 state.refused_lines += 1
                 log.warning("line refused", at=state.at, reason=error.summary, action=error.action)
-            except Exception as error:  # without a watch the children would get no changes any more
-                state.failing = f"a fault here: {error!r}"
+            except Exception as error:  # without a watch the children would get no changes
+                state.failing = f"a defect here: {error!r}"
                 log.exception("fault")
             state.open = False
             await asyncio.sleep(addresses.failed(retry_s))
@@ -155,7 +158,7 @@
         try:
             async with self._session.get(f"http://{address}{path}", timeout=limit) as answer:
                 if answer.status != 200:
-                    body = await read_bounded(answer, ANSWER_MOST)
+                    body = await read_bounded(answer, MAX_ANSWER)
                     raise _refused(address, Answer(answer.status, body, answer.headers))
                 async for raw in answer.content:
                     text = raw.strip()
@@ -171,10 +174,10 @@
 
 
 def _why(error: Exception) -> str:
-    return str(error)[:REASON_MOST] or type(error).__name__
+    return str(error)[:MAX_REASON] or type(error).__name__
 
 
 def _refused(address: str, answer: Answer) -> UpstreamError:
-    reason = answer.body[:REASON_MOST].decode("utf-8", "replace")
+    reason = answer.body[:MAX_REASON].decode("utf-8", "replace")
     retry_s = retry_after_s(answer.headers.get("Retry-After"))
     return UpstreamError(address, f"{answer.status}, {reason}", status=answer.status, retry_s=retry_s)
--- a/brassfall/controlplane/registry/aggregator_rows.py
+++ b/brassfall/controlplane/registry/aggregator_rows.py
@@ -1,4 +1,4 @@
-"""The listing of aggregators: one row each, by its newest report, and in what it lags. Pure code."""
+"""The rows of the listing of aggregators, by their newest reports. Pure code."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class AggregatorRow(msgspec.Struct, rename={"process_id": "life", "newest_revision": "held"}):
-    """One aggregator in `GET /aggregators`; ages in ms; `members`: its children, as counted here."""
+    """One aggregator in `GET /aggregators`; ages are in ms, `members` is the number of its children here."""
 
     name: str
     region: str
@@ -45,7 +45,7 @@
     now: float,
     expected: Expected,
 ) -> AggregatorRow:
-    """The row of the current process of a name; `former` are earlier ones, `now` is monotonic ms."""
+    """Return the row of a name's current process; `former` are superseded ones, `now` is monotonic ms."""
     report = process.report
     return AggregatorRow(
         name=name,
@@ -70,7 +70,7 @@
 def _behind(
     process: AggregatorProcess, former: Sequence[AggregatorProcess], now: float, expected: Expected
 ) -> str:
-    """In what an aggregator lags, as a line that docs/operations.md explains; empty where it does not."""
+    """Return in which way an aggregator lags, as a line that docs/operations.md explains; empty if not."""
     report = process.report
     if now - process.reported_ms > expected.silent_ms:
         return "silent: its children act on safe rules, or have moved"
--- a/brassfall/controlplane/registry/aggregators.py
+++ b/brassfall/controlplane/registry/aggregators.py
@@ -1,4 +1,4 @@
-"""`POST /aggregators/NAME` and `GET /aggregators`: reports of aggregators, and their listing."""
+"""`POST /aggregators/NAME` and `GET /aggregators`: the reports of aggregators, and their listing."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 from brassfall.logs import faults, logger
 
 SWEEP_S = 1.0
-NAME_MOST = 128  # characters
+MAX_NAME = 128  # characters
 REPLACED = "a newer process of its name reports"
 
 log = logger("aggregators")
@@ -42,13 +42,13 @@
     """The part of `/status` about aggregators; counts are since the start."""
 
     known: int
-    live: int  # have reported of late
+    live: int  # have reported recently
     children: int
-    children_unplaced: int  # arrivals beyond the number of sidecars that are remembered
+    children_unplaced: int  # arrivals beyond the number of sidecars that are kept
     reports: int
     reports_malformed: int
     name_conflicts: int
-    reports_superseded: int  # of processes that another of their name has succeeded
+    reports_superseded: int  # of superseded processes
 
 
 @dataclass(slots=True)
@@ -62,7 +62,7 @@
 
 
 class Aggregators:
-    """All aggregators that report to one service."""
+    """The aggregators that report to one service."""
 
     def __init__(self, service: RevisionService, fleet: Fleet, overrides: Overrides, geo: Geo) -> None:
         self._service = service
@@ -74,15 +74,15 @@
         self._tasks = Tasks()
 
     def start(self) -> None:
-        """Look after the children from now on. The revision service has to be started."""
+        """Start to remove migrated and forgotten children; the revision service has to be started."""
         self._tasks.spawn(self._sweep())
 
     async def close(self) -> None:
-        """End what runs."""
+        """Stop all tasks."""
         await self._tasks.end()
 
     def routes(self) -> list[web.RouteDef]:
-        """The paths."""
+        """Return the routes of aggregators."""
         return [web.post("/aggregators/{name}", self._report), web.get("/aggregators", self._list)]
 
     async def _sweep(self) -> None:
@@ -117,9 +117,10 @@
         return calls.Brief(body=_encode(lease))
 
     def reported(self, name: str, report: AggregatorReport) -> AggregatorLease:
-        """Take in a report of an aggregator; its lease, and what else it is answered.
+        """Apply a report of an aggregator; return its answer.
 
-        `AggregatorNameError` where another has the name, `UnavailableError` where there are too many."""
+        Raise `AggregatorNameError` if another one has the name, `UnavailableError` if there are too many.
+        """
         now, service = self._service.now(), self._service
         self._check_name(now, name)
         received = service.directory.receive_report(now, service.coordinator.epoch, name, report)
@@ -139,11 +140,15 @@
         if node is None or self._service.directory.knows(name):
             return
         if now - node.reported_ms <= coordinator.timing.expiry_bound_ms:
-            raise AggregatorNameError(f"aggregator {name}", "a sidecar that reports here has this name")
+            aggregator = f"aggregator {name}"
+            raise AggregatorNameError(aggregator, "a sidecar that reports here has this name")
 
     def _superseded(self, report: AggregatorReport) -> AggregatorLease:
-        """The answer to a process that another of its name has succeeded. It names what is pending: else it
-        would take that for decided, and end what its children have promised under leases that still run."""
+        """Return the answer to a superseded process.
+
+        It names the pending revision: otherwise the process would take that for decided, and end promises of
+        children whose leases still run.
+        """
         coordinator = self._service.coordinator
         return AggregatorLease(
             coordinator.epoch,
@@ -180,7 +185,7 @@
         )
 
     def _forget_findings(self, sidecars: list[str]) -> None:
-        """What was found wrong with a sidecar goes with its aggregator: the next one finds it anew."""
+        """Close the findings of sidecars that have changed their aggregator, which may be opened anew."""
         for name in sidecars:
             self._overrides.parted(name)
 
@@ -190,7 +195,7 @@
         return answer(_encode(AggregatorListing(self.rows())))
 
     def rows(self) -> list[AggregatorRow]:
-        """All aggregators, by their newest reports."""
+        """Return the rows of all aggregators."""
         now, expected, directory = self._service.now(), self._fleet.expected(), self._service.directory
         return [
             aggregator_row(name, process, directory.former(name), now, expected)
@@ -198,7 +203,7 @@
         ]
 
     def status(self) -> AggregatorsStatus:
-        """For `/status`."""
+        """Return the part of `/status` on aggregators."""
         now, directory, statistics = self._service.now(), self._service.directory, self._statistics
         return AggregatorsStatus(
             known=len(directory.aggregators),
@@ -213,7 +218,7 @@
 
 
 def _as_member(report: AggregatorReport) -> Report:
-    """An aggregator as one node."""
+    """Return the report of an aggregator as that of one node."""
     return Report(
         process_id=report.process_id,
         seq=report.seq,
@@ -225,7 +230,7 @@
         list_index=report.list_index,
         list_age_ms=report.list_age_ms,
         region=report.region,
-        # While a child may act, the lease counts on: it is released by none but the last.
+        # While a child may act the lease is not released.
         leaving=report.leaving and not report.children.leased,
     )
 
@@ -235,11 +240,11 @@
 
 
 def _check_consistent(report: AggregatorReport) -> None:
-    """`AggregatorReportError` for what no aggregator reports that is as it should be."""
+    """Raise `AggregatorReportError` for a report that contradicts itself."""
     names = [member.name for member in (*report.joined, *report.departed)]
     names += [*report.lagging, *report.objections, *(row.name for row in report.exceptions)]
-    if any(not 0 < len(name) <= NAME_MOST for name in names):
-        raise AggregatorReportError(UNREADABLE, f"the name of a child: 1 to {NAME_MOST} characters")
+    if any(not 0 < len(name) <= MAX_NAME for name in names):
+        raise AggregatorReportError(UNREADABLE, f"the name of a child: 1 to {MAX_NAME} characters")
     lagging = report.children.lagging or len(report.lagging)
     if lagging and report.prepared and report.prepared == report.acknowledged:
         raise AggregatorReportError(
--- a/brassfall/controlplane/registry/callers.py
+++ b/brassfall/controlplane/registry/callers.py
@@ -1,4 +1,4 @@
-"""Connections of callers: how many there may be, and how long one may be idle."""
+"""The connections of callers, with limits of their number and idle time."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from brassfall.settings import CallerLimits
 
 HEAD_BYTES = 4096  # a line of a request's head
-# aiohttp logs every malformed request with its traceback; what callers get wrong is counted instead.
+# aiohttp logs every malformed request with its traceback; here they are counted.
 QUIET = logging.getLogger("brassfall.http")
 QUIET.addHandler(logging.NullHandler())
 QUIET.propagate = False
@@ -22,14 +22,14 @@
 
 @dataclass(frozen=True, slots=True)
 class LastReport:
-    """The last report of a sidecar on a connection, as it came: the next one may go on from it."""
+    """The last report of a sidecar on a connection, to which the next one may be a delta."""
 
     name: str = ""
     fields: dict[str, Any] = field(default_factory=dict)
 
 
 class Connection(web.RequestHandler):
-    """One connection; it is idle from its start, or from its last answer, until its next call."""
+    """One connection, idle from its start or its last answer until its next call."""
 
     __slots__ = ("_callers", "busy", "caller", "idle_since", "last_report", "reports_after_redirect")
 
@@ -43,14 +43,14 @@
         self.reports_after_redirect = 0  # reports on it since its sidecar was sent to another address
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """A caller has connected."""
+        """Admit the connection."""
         super().connection_made(transport)
         peer = transport.get_extra_info("peername")
         self.caller = str(peer[0]) if peer else "?"
         self._callers.connected(self)
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """The caller is gone."""
+        """Release the connection's place."""
         super().connection_lost(exc)
         self._callers.disconnected(self)
 
@@ -61,10 +61,11 @@
         exc: BaseException | None = None,
         message: str | None = None,
     ) -> web.StreamResponse:
-        """Answer what is no HTTP, or a fault here, in JSON; the connection ends."""
+        """Answer a malformed request, or a defect here, in JSON, and close the connection."""
         self._callers.malformed += 1
         if request.writer.output_size > 0:
-            raise ConnectionError("a part of the answer has been sent")
+            message = "a part of the answer has been sent"
+            raise ConnectionError(message)
         reason = "a fault in the service" if status >= 500 else str(message or exc or "").split("\n")[0]
         answer = status_response(status, reason)
         answer.force_close()
@@ -72,7 +73,7 @@
 
 
 class Callers:
-    """All connections. Where there is no capacity for a new one, the one idle for longest is closed."""
+    """All connections; a new one beyond the limits replaces the one that has been idle for longest."""
 
     def __init__(self, limits: CallerLimits) -> None:
         self._limits = limits
@@ -87,7 +88,7 @@
         return len(self._open)
 
     def connected(self, connection: Connection) -> None:
-        """A new connection gets a place, the place of an idle one, or is aborted."""
+        """Give a new connection a place, if need be that of an idle one; otherwise abort it."""
         if self._quotas.take(connection.caller):
             if not self._close_idle(connection.caller):
                 self.rejected += 1
@@ -98,26 +99,26 @@
         self.idle(connection)
 
     def disconnected(self, connection: Connection) -> None:
-        """A connection is gone."""
+        """Release the place of a connection."""
         self._idle.pop(connection, None)
         if connection in self._open:
             self._open.discard(connection)
             self._quotas.give_back(connection.caller)
 
     def busy(self, connection: Connection) -> None:
-        """It has a call."""
+        """Note that a connection has a call."""
         connection.busy = True
         self._idle.pop(connection, None)
 
     def idle(self, connection: Connection) -> None:
-        """It has no call, or its call is answered."""
+        """Note that a connection has no call, or was answered."""
         connection.busy = False
         if connection in self._open:
             connection.idle_since = asyncio.get_running_loop().time()
             self._idle[connection] = None
 
     def sweep(self) -> None:
-        """Close what has been idle for too long, also amid a head that never ends."""
+        """Close connections that have been idle for too long, also within an incomplete head."""
         until = asyncio.get_running_loop().time() - self._limits.idle_ms / 1000.0
         for connection in list(self._idle):
             if connection.idle_since > until:
@@ -126,7 +127,7 @@
             self._close(connection)
 
     def _close_idle(self, caller: str) -> bool:
-        """Close the connection that is idle for longest: the caller's own where its quota is used up."""
+        """Close the longest idle connection, of the caller itself if its quota is used up."""
         full = self._quotas.total >= self._limits.connections
         for connection in self._idle:
             if full or connection.caller == caller:
--- a/brassfall/controlplane/registry/channels.py
+++ b/brassfall/controlplane/registry/channels.py
@@ -1,4 +1,4 @@
-"""What watches are kept on: the rows of a table, or one small state that is always sent whole."""
+"""The channels of watches: the rows of a table, or one small state that is always sent complete."""
 
 from __future__ import annotations
 
@@ -14,30 +14,31 @@
 from brassfall.controlplane.store.state import State
 
 CACHED_LINES = 64
-AGE_MARGIN_S = 0.1  # ages are sent as so much higher, since a list may have been encoded so long ago
+AGE_MARGIN_S = 0.1  # added to ages that are sent, since an encoded list is used for as long
 
 _encode = msgspec.json.Encoder().encode
 
 
 @dataclass(frozen=True, slots=True)
 class ListFormat:
-    """How a table is sent: the name of the list in its line, and how its rows and changes are encoded."""
+    """The form in which a table is sent: the field of its rows, and their encoding."""
 
     list_field: str
     rows: Callable[[Iterable[Row]], list[Any]]
     changes: Callable[[Iterable[Change]], list[Any]]
-    has_ages: bool = False  # rows have their ages: an encoded one is good for `AGE_MARGIN_S`, not for ever
+    has_ages: bool = False  # rows have ages: an encoded list is used for `AGE_MARGIN_S` at most
 
 
 class TableChannel(Channel):
-    """All watches on one table: `{"index", "snapshot", LIST}` lines, with whole lists or with changes.
+    """All watches on one table: `{"index", "snapshot", LIST}` lines, with complete lists or changes.
 
-    `state` gives the state of the store, `name` is the one that is watched."""
+    `state` returns the state of the store, `name` is the table.
+    """
 
     def __init__(
-        self, state: Callable[[], State], name: str, form: ListFormat, unread_most: int, stuck_s: float
+        self, state: Callable[[], State], name: str, form: ListFormat, max_unread: int, stuck_s: float
     ) -> None:
-        super().__init__(unread_most, stuck_s)
+        super().__init__(max_unread, stuck_s)
         self._state = state
         self._name = name
         self._format = form
@@ -48,11 +49,11 @@
 
     @property
     def last(self) -> int:
-        """The index up to which all changes are known now."""
+        """The index up to which all changes are known."""
         return self._state().last_index(self._name)
 
     def snapshot(self) -> bytes:
-        """The whole list, encoded once for each version."""
+        """Return the complete list, encoded once for each version."""
         index, now = self.last, asyncio.get_running_loop().time()
         aged = self._format.has_ages and now - self._encoded_at > AGE_MARGIN_S
         if self._snapshot is None or self._snapshot[0] != index or aged:
@@ -63,12 +64,12 @@
         return self._snapshot[1]
 
     def first_line(self, index: int) -> bytes:
-        """What changed after an index, or the whole list where the changes are not all known."""
+        """Return the changes after an index, or the complete list if not all of them are known."""
         changes = self._state().changes_since(self._name, index)
         return self.snapshot() if changes is None else self._line(index, changes)
 
     def _line(self, after: int, changes: list[Change]) -> bytes:
-        """What changed after an index, encoded once for all who ask from there."""
+        """Return the line of the changes after an index, encoded once for all watches."""
         last = self.last
         key = (after, last)
         if key not in self._lines or self._format.has_ages:
@@ -79,7 +80,7 @@
         return self._lines[key]
 
     def changed(self, change: Change) -> None:
-        """A durable change; those of one commit are sent in one line."""
+        """Send a durable change; those of one commit are sent in one line."""
         self._changes.append(change)
         self.flush_soon()
 
@@ -94,28 +95,28 @@
 
 
 class StateChannel(Channel):
-    """Watches on one small state, which `encoded` gives: each line is the whole of it."""
+    """Watches on one small state, which `encoded` returns: each line is the complete state."""
 
-    def __init__(self, encoded: Callable[[], bytes], unread_most: int, stuck_s: float) -> None:
-        super().__init__(unread_most, stuck_s)
+    def __init__(self, encoded: Callable[[], bytes], max_unread: int, stuck_s: float) -> None:
+        super().__init__(max_unread, stuck_s)
         self._encoded = encoded
         self._version = 1
 
     @property
     def last(self) -> int:
-        """How often the state has changed."""
+        """The number of changes of the state."""
         return self._version
 
     def snapshot(self) -> bytes:
-        """The state now."""
+        """Return the state."""
         return self._encoded()
 
     def first_line(self, _index: int) -> bytes:
-        """The state, whatever the watcher has: it may have missed how it came about."""
+        """Return the state for any index: the watch may have missed earlier ones."""
         return self._encoded()
 
     def state_changed(self) -> None:
-        """Send the state as it is once the running callbacks are done."""
+        """Send the state once the running callbacks are done."""
         self._version += 1
         self.flush_soon()
 
--- a/brassfall/controlplane/registry/children_listing.py
+++ b/brassfall/controlplane/registry/children_listing.py
@@ -1,4 +1,4 @@
-"""Asks aggregators for the rows of their children, within a bounded time."""
+"""Requests to aggregators for the rows of their children, within a time limit."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 from brassfall.controlplane.revisions.reports import Objection
 
 TIMEOUT_S = 1.0
-CONCURRENT_MOST = 8
+MAX_CONCURRENT = 8
 ANSWER_BYTES = 4_000_000
-REASON_MOST = 200  # characters
+MAX_REASON = 200  # characters
 
 
 class _ChildRow(SidecarRow, kw_only=True):
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True)
 class ChildListing:
-    """The rows of each aggregator that answered, and why the others did not; by aggregator."""
+    """The rows of the aggregators that answered, and why the others did not, by aggregator."""
 
     rows: dict[str, list[SidecarRow]] = field(default_factory=dict)
     unanswered: dict[str, str] = field(default_factory=dict)
@@ -43,10 +43,11 @@
 async def gather(
     session: aiohttp.ClientSession, listens: Mapping[str, str], expected: Expected
 ) -> ChildListing:
-    """Ask all at the addresses where they listen, by name. Ages are counted from the moment of asking.
+    """Request the rows of aggregators by name, at their addresses; ages count from the request.
 
-    Cancelling ends all calls."""
-    listing, free = ChildListing(), asyncio.Semaphore(CONCURRENT_MOST)
+    Cancelling ends all calls.
+    """
+    listing, free = ChildListing(), asyncio.Semaphore(MAX_CONCURRENT)
 
     async def ask(name: str, listen: str) -> None:
         async with free:
@@ -55,7 +56,7 @@
             except TimeoutError:
                 listing.unanswered[name] = f"no answer from {listen} within {TIMEOUT_S:g} s"
             except (aiohttp.ClientError, msgspec.MsgspecError, OSError, ValueError) as error:
-                listing.unanswered[name] = f"{listen}: {error}"[:REASON_MOST]
+                listing.unanswered[name] = f"{listen}: {error}"[:MAX_REASON]
 
     await asyncio.gather(*(ask(name, listen) for name, listen in listens.items()))
     return listing
@@ -65,7 +66,8 @@
     session: aiohttp.ClientSession, name: str, listen: str, expected: Expected
 ) -> list[SidecarRow]:
     if not listen:
-        raise ValueError("it has not told where it listens")
+        message = "it has not reported where it listens"
+        raise ValueError(message)
     asked_s = time.monotonic()
     async with asyncio.timeout(TIMEOUT_S), session.get(f"http://{listen}/edges") as response:
         response.raise_for_status()
@@ -90,5 +92,6 @@
         async for part in response.content.iter_any():
             body += part
             if len(body) > ANSWER_BYTES:
-                raise ValueError(f"its answer is longer than {ANSWER_BYTES} bytes")
+                message = f"its answer is longer than {ANSWER_BYTES} bytes"
+                raise ValueError(message)
     return bytes(body)
--- a/brassfall/controlplane/registry/client.py
+++ b/brassfall/controlplane/registry/client.py
@@ -1,4 +1,4 @@
-"""The callers' side of the list service: single calls and watches."""
+"""A client of the list service: single calls and watches."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 ANOTHER_PROGRAM = "Another program seems to listen there: name the address of a list service."
 SILENCE_TIMEOUT_S = 4.5  # a watch brings a heartbeat every 2 s
 
-REASON_MOST = 200  # characters
-LINE_MOST = 2**22  # bytes of a watch's line
+MAX_REASON = 200  # characters
+MAX_LINE = 2**22  # bytes of a watch's line
 
 Kind = TypeVar("Kind")
 
@@ -46,9 +46,9 @@
 
 
 async def call(
-    address: str, method: str, path: str, body: Any = None, headers: Mapping[str, str] | None = None
+    address: str, method: str, path: str, body: object = None, headers: Mapping[str, str] | None = None
 ) -> Any:
-    """One call and its JSON; `CallError` has the service's reason, or says that there was no answer."""
+    """Make one call; return its JSON, or raise `CallError` with the service's reason or the failure."""
     try:
         async with (
             aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=CALL_TIMEOUT_S)) as session,
@@ -56,21 +56,21 @@
         ):
             data = await answer.read()
     except UNANSWERED as error:
-        raise CallError(address, str(error)[:REASON_MOST] or "no answer") from error
+        raise CallError(address, str(error)[:MAX_REASON] or "no answer") from error
     if answer.status != 200:
         raise _refused(address, answer.status, data)
     try:
         return msgspec.json.decode(data)
     except UNREADABLE as error:
-        raise CallError(address, "what came is no JSON", ANOTHER_PROGRAM) from error
+        raise CallError(address, "the answer is no JSON", ANOTHER_PROGRAM) from error
 
 
 async def watch(address: str, path: str, index: int = 0) -> AsyncIterator[bytes]:
-    """The lines of one watch, the empty ones included, until it ends; `CallError` if there is none."""
+    """Yield the lines of one watch, with empty ones, until it ends; raise `CallError` if it fails."""
     limit = aiohttp.ClientTimeout(total=None, connect=CALL_TIMEOUT_S, sock_read=SILENCE_TIMEOUT_S)
     try:
         async with (
-            aiohttp.ClientSession(timeout=limit, read_bufsize=LINE_MOST) as session,
+            aiohttp.ClientSession(timeout=limit, read_bufsize=MAX_LINE) as session,
             session.get(f"http://{address}{path}?watch=1&from={index}") as answer,
         ):
             if answer.status != 200:
@@ -78,22 +78,23 @@
             async for line in answer.content:
                 yield line.strip()
     except UNANSWERED as error:
-        raise CallError(address, str(error)[:REASON_MOST] or "the watch fell silent") from error
+        raise CallError(address, str(error)[:MAX_REASON] or "the watch fell silent") from error
 
 
 async def read_bounded(answer: aiohttp.ClientResponse, most: int) -> bytes:
-    """The whole body of an answer; `ValueError`, and the end of its connection, where it is longer."""
+    """Return the body of an answer; raise `ValueError`, and close its connection, if it is too long."""
     body = bytearray()
     async for part in answer.content.iter_any():
         body += part
         if len(body) > most:
             answer.close()
-            raise ValueError(f"an answer of more than {most} bytes")
+            message = f"an answer of more than {most} bytes"
+            raise ValueError(message)
     return bytes(body)
 
 
-def read(address: str, kind: type[Kind], raw: Any) -> Kind:
-    """An answer, or a line of a watch, as its type; `CallError` where it is none."""
+def read(address: str, kind: type[Kind], raw: object) -> Kind:
+    """Return an answer, or a line of a watch, as its type; raise `CallError` if it is malformed."""
     try:
         return msgspec.json.decode(raw, type=kind) if isinstance(raw, bytes) else msgspec.convert(raw, kind)
     except UNREADABLE as error:
@@ -101,7 +102,7 @@
 
 
 def retry_after_s(text: str | None) -> float:
-    """The seconds of a `Retry-After`, up to a minute; 0 where it has nothing usable."""
+    """Return the seconds of a `Retry-After`, up to a minute; 0 if it is malformed."""
     try:
         return min(max(float(text or 0.0), 0.0), 60.0)
     except ValueError:
@@ -114,8 +115,8 @@
 
 
 def reason_of(body: bytes) -> str:
-    """The reason that an error's answer gives, or the start of the body where it has another form."""
+    """Return the reason in an error's answer, or the start of a body in another form."""
     try:
         return _error_answer(body).reason
     except UNREADABLE:
-        return body[:REASON_MOST].decode("latin-1")
+        return body[:MAX_REASON].decode("latin-1")
--- a/brassfall/controlplane/registry/entries.py
+++ b/brassfall/controlplane/registry/entries.py
@@ -1,4 +1,4 @@
-"""Instances as the wire has them: what may be registered, and how it is told. Pure code."""
+"""Instances on the wire: registrations, changes and list entries, with their checks. Pure code."""
 
 from __future__ import annotations
 
@@ -17,7 +17,8 @@
 INSTANCES = "instances"
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._:-]{0,127}")
 TEXT = re.compile(r"[\x20-\x7e]{0,128}")
-INTEGER_MOST = 2**53  # beyond it JSON readers round
+MAX_INTEGER = 2**53  # above it JSON readers lose precision
+MAX_QUOTED = 140  # characters of a malformed name
 
 
 class Registration(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -31,7 +32,7 @@
     status: Literal["active", "leaving"] = "active"
     weight: float = 1.0
     since_ms: int = 0
-    ttl_ms: int | None = None  # 0: for ever, until it leaves
+    ttl_ms: int | None = None  # 0: until it leaves
 
 
 class Alteration(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -39,7 +40,7 @@
 
     status: Literal["active", "leaving"] | None = None
     weight: float | None = None
-    since_ms: int | None = None  # only if this incarnation holds the name
+    since_ms: int | None = None  # only if this incarnation has the name
 
 
 class Holder(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -49,7 +50,7 @@
 
 
 class Endpoint(msgspec.Struct, frozen=True):
-    """One entry of a list, in PROTOCOL's form."""
+    """One entry of a list, in the protocol's form."""
 
     name: str
     address: str
@@ -62,7 +63,7 @@
 
 
 class Listed(msgspec.Struct, frozen=True):
-    """A whole list, or a line of a watch."""
+    """A complete list, or a line of a watch."""
 
     index: int
     endpoints: list[Endpoint]
@@ -70,27 +71,31 @@
 
 
 def name(text: str) -> str:
-    """A name of an instance, a table or a key; `RequestError` if it is none."""
+    """Return a name of an instance, a table or a key; raise `RequestError` if it is malformed."""
     if not NAME.fullmatch(text):
-        raise RequestError(f"name {text[:140]!r}: 1 to 128 letters, digits, '.', '_', ':' or '-' are wanted")
+        message = f"name {text[:MAX_QUOTED]!r}: expected 1 to 128 letters, digits, '.', '_', ':' or '-'"
+        raise RequestError(message)
     return text
 
 
 def registration(key: str, body: bytes, leases: LeaseSettings) -> tuple[Registration, int]:
-    """What is to be registered, and its time to live in ms; `RequestError` names what is wrong."""
+    """Return a registration and its time to live in ms; raise `RequestError` if it is malformed."""
     try:
         asked = msgspec.json.decode(body, type=Registration)
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
         raise RequestError(str(error)) from error
     if asked.name not in (None, key):
-        raise RequestError(f"name: the path says {key!r}, the entry says {str(asked.name)[:140]!r}")
+        message = f"name: the path says {key!r}, the entry says {str(asked.name)[:MAX_QUOTED]!r}"
+        raise RequestError(message)
     try:
         address(asked.address)
     except ValueError as error:
-        raise RequestError(f"address: {error}") from error
+        message = f"address: {error}"
+        raise RequestError(message) from error
     for field in ("address", "zone", "type"):
         if not TEXT.fullmatch(getattr(asked, field)):
-            raise RequestError(f"{field}: up to 128 printable characters are wanted")
+            message = f"{field}: expected up to 128 printable characters"
+            raise RequestError(message)
     _weight(asked.weight)
     _check_range("since_ms", asked.since_ms)
     _check_range("group", asked.group)
@@ -98,16 +103,17 @@
 
 
 def ttl(asked: int | None, leases: LeaseSettings) -> int:
-    """A time to live in ms: the one asked for, or the usual one; `RequestError` out of bounds."""
+    """Return a time to live in ms, by default the configured one; raise `RequestError` out of range."""
     if asked is None:
         return leases.default_ms
     if asked != 0 and not leases.least_ms <= asked <= leases.most_ms:
-        raise RequestError(f"ttl_ms: {asked} is not between {leases.least_ms} and {leases.most_ms}")
+        message = f"ttl_ms: {asked} is not between {leases.least_ms} and {leases.most_ms}"
+        raise RequestError(message)
     return asked
 
 
 def register(key: str, asked: Registration, ttl_ms: int, if_match: int | None, request_id: str) -> Put:
-    """The command for a registration: of two processes with one name the newer start holds it."""
+    """Return the command of a registration: of two processes with one name the one started later has it."""
     entry = Endpoint(
         key, asked.address, asked.zone, asked.type, asked.group, asked.status, asked.weight, asked.since_ms
     )
@@ -125,7 +131,7 @@
 
 
 def alter(key: str, body: bytes, if_match: int | None, request_id: str) -> Patch:
-    """The command for a change of status or weight; `RequestError` names what is wrong."""
+    """Return the command that changes status or weight; raise `RequestError` if it is malformed."""
     try:
         asked = msgspec.json.decode(body, type=Alteration)
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
@@ -136,7 +142,8 @@
     if asked.weight is not None:
         changes["weight"] = _weight(asked.weight)
     if not changes:
-        raise RequestError("neither status nor weight is named")
+        message = "neither status nor weight is named"
+        raise RequestError(message)
     return Patch(
         table=INSTANCES,
         key=key,
@@ -148,7 +155,7 @@
 
 
 def holder(body: bytes) -> int | None:
-    """The incarnation that a call names, if it names one; `RequestError` if the body is malformed."""
+    """Return the incarnation that a call names, or None; raise `RequestError` if the body is malformed."""
     if not body:
         return None
     try:
@@ -158,31 +165,33 @@
 
 
 def leave(key: str, fence: int | None, if_match: int | None, request_id: str) -> Delete:
-    """The command for an instance that leaves."""
+    """Return the command that removes an instance."""
     return Delete(table=INSTANCES, key=key, fence=fence, if_match=if_match, request_id=request_id)
 
 
 def guarded(table: str, row: Row) -> bool:
-    """Whether the silence of a row's holder may be a fault of the network: those that leave go silent."""
+    """Return whether a missing renewal of a row may be a network fault, since its server is not leaving."""
     return table == INSTANCES and row.value["status"] == "active"
 
 
 def endpoints(rows: Iterable[Row]) -> list[Any]:
-    """Entries of a whole list."""
+    """Return the entries of a complete list."""
     return [row.value for row in rows]
 
 
 def changed(changes: Iterable[Change]) -> list[Any]:
-    """Entries of a watch's line; what is gone has `left`."""
+    """Return the entries of a watch's line; a removed one has the status `left`."""
     return [{**change.row.value, "status": "left"} if change.gone else change.row.value for change in changes]
 
 
 def _weight(weight: float) -> float:
     if not (math.isfinite(weight) and 0.0 < weight <= 1e6):
-        raise RequestError(f"weight: {weight} is not above 0 and up to 1e6")
+        message = f"weight: {weight} is not above 0 and up to 1e6"
+        raise RequestError(message)
     return weight
 
 
 def _check_range(field: str, value: int) -> None:
-    if not 0 <= value < INTEGER_MOST:
-        raise RequestError(f"{field}: {value} is not between 0 and 2^53")
+    if not 0 <= value < MAX_INTEGER:
+        message = f"{field}: {value} is not between 0 and 2^53"
+        raise RequestError(message)
--- a/brassfall/controlplane/registry/front.py
+++ b/brassfall/controlplane/registry/front.py
@@ -1,4 +1,4 @@
-"""The HTTP side that the processes of this package share: connections, limits, errors and watches."""
+"""The HTTP server of the processes of this package: connections, limits, errors and watches."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 from brassfall.logs import faults, logger
 from brassfall.settings import CallerLimits, address
 
-BACKLOG = 4096  # a fleet connects at once
+BACKLOG = 4096  # a whole fleet may connect at once
 BIND_RETRY_S, BIND_PAUSE_S = 3.0, 0.1
-# Failures of the machine that pass: for want of memory, of buffers or of descriptors.
-MOMENTARY = frozenset({errno.EINTR, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
+# Failures for lack of memory, buffers or descriptors, which may end by themselves.
+TEMPORARY_ERRORS = frozenset({errno.EINTR, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
 BODY_TIMEOUT_S = 5.0
 SHUTDOWN_TIMEOUT_S = 5.0  # for calls under way, when the process ends
-WATCH_RETRY_S = 5.0  # for one who has no place for a watch, and up to twice as long
+WATCH_RETRY_S = 5.0  # if a caller's places for watches are in use; up to twice as long
 
 log = logger("http")
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
@@ -38,19 +38,20 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchRequest:
-    """What a watch is opened on. `channel` and `deferred` are called when they are needed."""
+    """The channel of a new watch; `channel` and `deferred` are called when they are needed."""
 
-    index: int  # up to which the caller has all changes
+    index: int  # up to which the caller has received all changes
     channel: Callable[[], Channel]
-    deferred: Callable[[], bool] = lambda: False  # whether its first line waits for `Channel.release`
+    deferred: Callable[[], bool] = lambda: False  # its first line waits for `Channel.release`
     headers: Mapping[str, str] = field(default_factory=dict)
 
 
 class Front:
-    """The HTTP server of one process within a running loop, and what its callers may use.
+    """The HTTP server of one process within a running loop, with the limits of its callers.
 
-    `called` gets the method, status and seconds of each call that was answered. `channels` has what can be
-    watched, by name; the owner of the process fills it."""
+    `called` gets the method, status and seconds of each answered call. `channels` has the channels of
+    watches by name, which the owner of the process adds.
+    """
 
     def __init__(self, limits: CallerLimits, called: Called) -> None:
         self.limits = limits
@@ -70,21 +71,22 @@
     # --- start and end ------------------------------------------------------
 
     async def bind(self, listen: str) -> None:
-        """Take the address, before anything else is begun; `OSError` where it can't be had.
+        """Bind the address; raise `OSError` if that fails.
 
-        What fails for want of memory or descriptors is tried again for `BIND_RETRY_S`."""
+        Failures for lack of memory or descriptors are retried for `BIND_RETRY_S`.
+        """
         _raise_descriptors()
         self._socket = await _create_server(address(listen))
-        # Else the kernel holds megabytes for each slow reader, unseen by the bound on its watch.
+        # Otherwise the kernel buffers megabytes for each slow reader, beyond the limit of its watch.
         self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, self.limits.watch_bytes // 2)
 
     def unbind(self) -> None:
-        """Give the address back where no calls are taken yet: what had to be begun before has failed."""
+        """Release the address after a failed start, before any call is served."""
         if self._socket is not None and self._server is None:
             self._socket.close()
 
     async def serve(self, routes: Iterable[web.RouteDef], after_tick: Callable[[], None]) -> str:
-        """Take calls; where. `after_tick` is called after each tick of the channels, every `TICK_S`."""
+        """Serve calls; return the address. `after_tick` is called every `TICK_S`, after the channels."""
         app = web.Application(middlewares=[self._call], client_max_size=self.limits.body_bytes)
         app.on_response_prepare.append(calls.shorten)
         app.router.add_routes(routes)
@@ -115,7 +117,7 @@
         return f"{host}:{port}"
 
     async def close(self) -> None:
-        """Take no more calls, end the watches, and let calls under way be answered."""
+        """Stop: end the watches, and wait for the answers to calls under way."""
         if self._server is not None:
             self._server.close()
         else:
@@ -130,7 +132,7 @@
                 await asyncio.wait_for(self._runner.cleanup(), SHUTDOWN_TIMEOUT_S)
 
     async def _tick(self, after: Callable[[], None]) -> None:
-        """Heartbeats of watches, and idle connections. A tick that is late is not made up for."""
+        """Tick the channels and close idle connections; a late tick is not repeated."""
         while True:
             await asyncio.sleep(TICK_S)
             with faults(log):
@@ -143,7 +145,7 @@
 
     @web.middleware
     async def _call(self, request: web.Request, handler: Handler) -> web.StreamResponse:
-        """Around each call: the caller's rate, and whatever goes wrong as an answer in JSON."""
+        """Limit the caller's rate of calls, and answer every error in JSON."""
         connection = request.protocol
         assert isinstance(connection, Connection)
         self.callers.busy(connection)
@@ -184,28 +186,28 @@
             return status_response(500, "a fault in the service")
 
     async def body(self, request: web.Request) -> bytes:
-        """The whole body of a call; `TimeoutError` where it does not come in time."""
+        """Return the complete body of a call; raise `TimeoutError` if it is not received in time."""
         if not request.can_read_body:
             return b""
         if request.content.is_eof():
-            return await request.read()  # it came with the head, as small ones do
+            return await request.read()  # received with the head, as small ones are
         async with asyncio.timeout(BODY_TIMEOUT_S):
             return await request.read()
 
-    # --- whole lists and watches ----------------------------------------------
+    # --- complete lists and watches ----------------------------------------------
 
     def reject(self, reason: str, retry_s: float) -> web.Response:
-        """503, and when to come again, in s."""
+        """Return a 503 with `Retry-After`, in s."""
         self.rejected += 1
         return status_response(503, reason, retry_s)
 
     def admit_join(self, reason: str) -> web.Response | None:
-        """One more that takes a whole list or opens a watch; the answer if there are too many at once."""
+        """Count a complete list or a new watch; return the answer to send instead if there are too many."""
         wait_s = self._join_limiter.wait(time.monotonic(), self.rng.random())
         return self.reject(reason, wait_s) if wait_s else None
 
     async def watch(self, request: web.Request, wanted: WatchRequest) -> web.StreamResponse:
-        """Keep a watch until it ends. Cancelling ends it: aiohttp does so when its caller is gone."""
+        """Serve a watch until it ends; cancelling ends it, which aiohttp does when its caller has left."""
         connection = request.protocol
         assert isinstance(connection, Connection)
         rejection = self.admit_join("too many open a watch at once")
@@ -215,18 +217,18 @@
         if why:
             return self.reject(why, WATCH_RETRY_S * (1.0 + self.rng.random()))
         try:
-            return await _keep_watch(request, wanted)
+            return await _serve_watch(request, wanted)
         finally:
             self._watches.give_back(connection.caller)
 
 
-async def _keep_watch(request: web.Request, wanted: WatchRequest) -> web.StreamResponse:
-    """Keep a watch until it ends. Its lines are written past aiohttp's stream, to all watches alike."""
+async def _serve_watch(request: web.Request, wanted: WatchRequest) -> web.StreamResponse:
+    """Serve a watch until it ends; its lines bypass aiohttp's stream."""
     response = web.StreamResponse(headers={"Content-Type": "application/json", **wanted.headers})
     response.enable_chunked_encoding()
     deferred = wanted.deferred()
     await response.prepare(request)
-    # The head goes out with the first byte: half of the first line, or of an empty one.
+    # The head is sent with the first byte: that of the first line, or a blank of an empty one.
     await response.write(b" " if deferred else b"{")
     transport = request.transport
     ended: asyncio.Future[None] = asyncio.get_running_loop().create_future()
@@ -249,13 +251,13 @@
         try:
             return socket.create_server(at, backlog=BACKLOG)
         except OSError as error:
-            if error.errno not in MOMENTARY or time.monotonic() >= deadline:
+            if error.errno not in TEMPORARY_ERRORS or time.monotonic() >= deadline:
                 raise
         await asyncio.sleep(BIND_PAUSE_S)
 
 
 def _closing(response: web.Response) -> web.Response:
-    """The same answer; its connection ends with it."""
+    """Return the answer, with which its connection closes."""
     response.force_close()
     return response
 
--- a/brassfall/controlplane/registry/gathering.py
+++ b/brassfall/controlplane/registry/gathering.py
@@ -1,4 +1,4 @@
-"""Rebuilding a list that was lost with its disk: it is held back while servers register again."""
+"""Rebuilding a list that was lost with its disk: it is not sent while servers register again."""
 
 from __future__ import annotations
 
@@ -10,10 +10,11 @@
 
 
 class Gathering:
-    """Whether the list is known to be incomplete. The time is counted on the monotonic clock.
+    """The time in which the list is known to be incomplete, on the monotonic clock.
 
-    It is so for `duration_s` after a start with an empty store, and only where a caller has shown that there
-    was a list before: without such evidence nothing is held back."""
+    It is `duration_s` from a start with an empty store, once a caller has shown that there was a list before:
+    without such evidence the list is sent.
+    """
 
     def __init__(self, duration_s: float) -> None:
         self._duration_s = duration_s
@@ -21,21 +22,21 @@
         self._evidence = False
 
     def begin(self) -> None:
-        """The process has started with an empty store."""
+        """Begin: the process has started with an empty store."""
         self._until = time.monotonic() + self._duration_s
 
     @property
     def active(self) -> bool:
-        """Whether the list has to be held back now."""
+        """True if the list must not be sent now."""
         return self._evidence and self.left_s > 0.0
 
     @property
     def left_s(self) -> float:
-        """How long it goes on, in s."""
+        """The time left, in s."""
         return self._until - time.monotonic()
 
     def add_evidence(self) -> None:
-        """A caller knows an index of an earlier incarnation that this store has forgotten."""
+        """Note that a caller knows an index of an earlier incarnation that this store does not know."""
         if self._until and not self._evidence:
             self._evidence = True
             log.warning("gathering", reason="callers know a list that this service has lost")
--- a/brassfall/controlplane/registry/http_errors.py
+++ b/brassfall/controlplane/registry/http_errors.py
@@ -14,7 +14,7 @@
     UnavailableError,
 )
 
-RETRY_LEAST_S = 0.05  # the least that `Retry-After` says
+MIN_RETRY_S = 0.05  # in `Retry-After`
 
 
 class UnknownPathError(NotFoundError):
@@ -34,7 +34,7 @@
 class BodyTimeoutError(RequestError):
     """The body of a call did not come in time (408)."""
 
-    action = "Send the whole body at once; look at the network between the two."
+    action = "Send the complete body at once; look at the network between the two."
     status = 408
     slug = "too slow"
 
@@ -73,16 +73,16 @@
 
 
 def status_response(status: int, reason: str, retry_s: float | None = None) -> web.Response:
-    """The answer for a status and a reason; with `Retry-After` where `retry_s` is given."""
+    """Return the answer for a status and a reason; `retry_s` adds `Retry-After`."""
     return error_response(BY_STATUS.get(status, RequestError)(reason), retry_s, status)
 
 
 def error_response(
     error: RequestError, retry_s: float | None = None, status: int | None = None
 ) -> web.Response:
-    """The answer for an error; `retry_s` and `status` where they are others than its own."""
+    """Return the answer for an error; `retry_s` and `status` replace its own."""
     status = error.status if status is None else status
     body = error.wire() if status in BY_STATUS else {**error.wire(), "error": "error"}
     wait_s = error.retry_s if retry_s is None and isinstance(error, UnavailableError) else retry_s
-    headers = {} if wait_s is None else {"Retry-After": f"{max(wait_s, RETRY_LEAST_S):.2f}"}
+    headers = {} if wait_s is None else {"Retry-After": f"{max(wait_s, MIN_RETRY_S):.2f}"}
     return web.json_response(body, status=status, headers=headers)
--- a/brassfall/controlplane/registry/instances.py
+++ b/brassfall/controlplane/registry/instances.py
@@ -23,7 +23,7 @@
 
 
 class InstanceCalls:
-    """Answers the calls on instances; `leases` bounds the times to live that may be asked for."""
+    """Answers the calls on instances; `leases` limits their times to live."""
 
     def __init__(
         self, store: Store, front: Front, lists: Lists, writes: Writes, leases: LeaseSettings
@@ -35,7 +35,7 @@
         self._leases = leases
 
     def routes(self) -> list[web.RouteDef]:
-        """The paths."""
+        """Return the routes of instances."""
         one = PATH + "/{name}"
         return [
             web.get(PATH, partial(self._lists.read, table=INSTANCES)),
--- a/brassfall/controlplane/registry/lists.py
+++ b/brassfall/controlplane/registry/lists.py
@@ -1,4 +1,4 @@
-"""Tables as callers read them: whole lists, and watches on their changes."""
+"""Reading tables: complete lists, and watches on their changes."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 from brassfall.controlplane.store.records import Change, Row
 from brassfall.controlplane.store.store import Store
 
-KNOWN_INDEX = "X-Held-Index"  # a caller of the whole list says here which one it has
+KNOWN_INDEX = "X-Held-Index"  # the header with the index of the list that the caller has
 INCOMPLETE = "servers are coming back to a list that was lost"
 
 
 class RowView(msgspec.Struct, frozen=True):
-    """A row as it is read. `age_ms` is an upper bound; None where it was not confirmed since the start."""
+    """A row as it is sent; `age_ms` is an upper bound, None if it was not confirmed since the start."""
 
     key: str
     version: int
@@ -32,7 +32,7 @@
 
 
 class Lists:
-    """All tables of a store, as they are read and watched."""
+    """The reads of, and watches on, all tables of a store."""
 
     def __init__(self, store: Store, front: Front, gathering: Gathering) -> None:
         self._store = store
@@ -40,13 +40,13 @@
         self._gathering = gathering
 
     def view(self, table: str, row: Row) -> RowView:
-        """A row with its age."""
+        """Return a row with its age."""
         age_ms = self._store.since_confirmed_ms(table, row.key)
         bound_ms = None if age_ms is None else round(age_ms + AGE_MARGIN_S * 1000.0)
         return RowView(row.key, row.version, row.value, bound_ms)
 
     def channel(self, table: str) -> Channel:
-        """The watches on a table; they are begun with the first that asks for it."""
+        """Return the channel of a table, which is created at the first call."""
         channels = self._front.channels
         if table not in channels:
             limits = self._front.limits
@@ -77,13 +77,13 @@
         return ListFormat("rows", rows, changes, has_ages=True)
 
     def changed(self, table: str, change: Change) -> None:
-        """A durable change: whoever watches the table is sent it."""
+        """Send a durable change to the watches on its table."""
         channel = self._front.channels.get(table)
         if isinstance(channel, TableChannel):
             channel.changed(change)
 
     async def read(self, request: web.Request, table: str) -> web.StreamResponse:
-        """The answer to `GET`: the whole table, or a watch on it where the query says so."""
+        """Return the answer to `GET`: the complete table, or a watch on it if the query asks for one."""
         if calls.is_watch(request):
             return await self.watch(request, table)
         if table == INSTANCES:
@@ -101,7 +101,7 @@
         return response
 
     async def watch(self, request: web.Request, name: str) -> web.StreamResponse:
-        """Keep a watch on a table, or on another channel, until it ends; cancelling ends it."""
+        """Serve a watch on a table, or on another channel, until it ends; cancelling ends it."""
         index = calls.number(request.query.get("from", "0"), "from")
         wanted = WatchRequest(index, lambda: self.channel(name), lambda: self._is_deferred(name, index))
         try:
@@ -110,19 +110,19 @@
             self._drop_unused(name)
 
     def _is_deferred(self, name: str, index: int) -> bool:
-        """Whether the first line of a watch waits until servers have come back to a list that was lost."""
+        """Return whether the first line of a watch waits for servers to come back to a list that was lost."""
         if not isinstance(self.channel(name), TableChannel):
             return False
         self._check_index(index)
         return self._gathering.active
 
     def _check_index(self, index: int) -> None:
-        """An index of the instances that is unknown here is evidence of a list that was lost."""
+        """Note an unknown index of the instances, which is evidence of a list that was lost."""
         if index and self._store.state.changes_since(INSTANCES, index) is None:
             self._gathering.add_evidence()
 
     def _drop_unused(self, name: str) -> None:
-        """Whoever asks for tables that nobody has written leaves nothing behind."""
+        """Remove the channel of a table that does not exist, once it has no watch."""
         channel = self.channel(name)
         if isinstance(channel, TableChannel) and not channel.count and name not in self._store.state.names:
             del self._front.channels[name]
--- a/brassfall/controlplane/registry/member.py
+++ b/brassfall/controlplane/registry/member.py
@@ -22,7 +22,8 @@
     """Keeps one server registered for as long as it runs.
 
     `addresses` are HOST:PORT of list services and aggregators, `entry` is the server's as the list has it,
-    `ttl_ms` the length of its lease."""
+    `ttl_ms` the length of its lease.
+    """
 
     def __init__(self, addresses: Sequence[str], entry: dict[str, Any], ttl_ms: int = 6000) -> None:
         self._addresses = addresses
--- a/brassfall/controlplane/registry/membership.py
+++ b/brassfall/controlplane/registry/membership.py
@@ -1,7 +1,7 @@
-"""A server's registration in the list, as pure code: what to call next, and when.
+"""A server's registration in the list: the next call, and when it is due. Pure code.
 
-The host of a `Membership` makes the call that `call` names at the time `due`, and hands in with `ended` how
-that ended. `chance`, from 0 to 1, spreads the calls of a fleet that would otherwise come together.
+The host of a `Membership` makes the call that `call` returns at the time `due`, and passes its result to
+`ended`. `chance`, from 0 to 1, spreads the calls of a fleet that would otherwise be made at once.
 """
 
 from __future__ import annotations
@@ -11,15 +11,15 @@
 from enum import Enum
 from typing import Any
 
-FIRST_WAIT_MS, WAIT_MOST_MS = 100.0, 1000.0  # between attempts that get no answer; doubled each time
-PATIENCE_MOST_MS = 2000.0
-REJOIN_SPREAD_MS = 50.0  # over which servers register anew that a service has lost
+FIRST_WAIT_MS, MAX_WAIT_MS = 100.0, 1000.0  # between attempts that get no answer; doubled each time
+MAX_PATIENCE_MS = 2000.0
+REJOIN_SPREAD_MS = 50.0  # over which servers register again after the service has lost its list
 RETRY_AFTER_SPREAD = 0.25  # of a wait that the service names
 LEFT = "left"
 
 
 class Place(Enum):
-    """Where a server stands with the list service; the values are for logs."""
+    """The state of a server's registration; the values are for logs."""
 
     UNREGISTERED = "not registered"
     REGISTERED = "registered"
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """One call to make: at which of the addresses, and what."""
+    """One call to make, at the address of this number."""
 
     address: int
     method: str
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _PendingCall:
-    """The status that a call asks for, and when it was made."""
+    """The status in a call, and when it was made."""
 
     status: str
     begun_ms: float
@@ -64,26 +64,26 @@
 
     @property
     def over(self) -> bool:
-        """Whether there is nothing more to call."""
+        """True if no more calls are to be made."""
         return self.place in (Place.REPLACED, Place.REFUSED, Place.LEFT)
 
     @property
     def settled(self) -> bool:
-        """Whether the service has the status that the server wants."""
+        """True if the service has the status that the server wants."""
         return self.over or (self.place is Place.REGISTERED and self._confirmed == self._status)
 
     @property
     def patience_ms(self) -> float:
-        """How long to wait for an answer: so that two calls may come to nothing within one lease."""
-        return min(PATIENCE_MOST_MS, self.ttl_ms / 4.0)
+        """The time limit of a call, in ms: two calls may fail within one lease."""
+        return min(MAX_PATIENCE_MS, self.ttl_ms / 4.0)
 
     def request_status(self, now: float, status: str) -> None:
-        """The server wants to be `leaving`, or to have `left`; a call is due at once."""
+        """Request the status `leaving` or `left`; a call is due at once."""
         self._status = status
         self.due = min(self.due, now)
 
     def call(self, now: float) -> Call:
-        """What to call now."""
+        """Return the call to make now."""
         self._pending = _PendingCall(self._status, now)
         path = f"/registry/instances/{self.entry['name']}"
         incarnation = {"since_ms": self.entry["since_ms"]}
@@ -97,13 +97,15 @@
         return Call(self._address, "POST", f"{path}/renew", incarnation)
 
     def ended(self, now: float, status: int, chance: float, retry_s: float = 0.0, reason: str = "") -> None:
-        """How the call ended: its HTTP status, or 0 where there was no answer in time; `retry_s` is its
-        `Retry-After`, 0 where there is none."""
+        """Apply the result of the call: its HTTP status, or 0 without an answer in time.
+
+        `retry_s` is its `Retry-After`; 0 without one.
+        """
         leaves = self._pending.status == LEFT
         if status == 200 or (leaves and status in (404, 409)):
             self._confirm(chance)
         elif status == 404:
-            # The service has lost it: the list lacks this server until it is back.
+            # The service has lost the registration: the list lacks this server.
             self.place, self._confirmed, self._failures = Place.UNREGISTERED, "", 0
             self.due = now + REJOIN_SPREAD_MS * chance
         elif status == 409:
@@ -117,14 +119,14 @@
         call = self._pending
         self.place = Place.LEFT if call.status == LEFT else Place.REGISTERED
         self._confirmed, self._failures = call.status, 0
-        # Counted from the call, as the lease may be; sooner than a third, so that two may fail.
+        # The lease may count from the call; less than a third of it, so that two calls may fail.
         third_ms = self.ttl_ms / 3.0
         wait_ms = third_ms * (0.8 + 0.2 * chance) if self._confirmed == self._status else 0.0
         self.due = call.begun_ms + wait_ms
 
     def _retry(self, now: float, chance: float, retry_s: float) -> None:
-        """Call again later: at another address where there was no answer, after a backoff."""
-        wait_ms = min(FIRST_WAIT_MS * 2.0**self._failures, WAIT_MOST_MS) * (0.5 + 0.5 * chance)
+        """Call again after a backoff at another address, or at the same one after its `Retry-After`."""
+        wait_ms = min(FIRST_WAIT_MS * 2.0**self._failures, MAX_WAIT_MS) * (0.5 + 0.5 * chance)
         self._failures += 1
         if retry_s:
             wait_ms = retry_s * 1000.0 * (1.0 + RETRY_AFTER_SPREAD * chance)
--- a/brassfall/controlplane/registry/metrics.py
+++ b/brassfall/controlplane/registry/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics in Prometheus' form. The hot path counts in plain numbers, which are read at each scrape."""
+"""Metrics in Prometheus' text form, read from plain counters at each scrape."""
 
 from __future__ import annotations
 
@@ -30,33 +30,33 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessMetrics:
-    """What one process measures beside its HTTP side."""
+    """The metrics of one process beside those of its HTTP server."""
 
     gauges: Values = field(default_factory=dict)
     counters: Values = field(default_factory=dict)
 
 
 class HttpProcess(Protocol):
-    """A process with an HTTP side, and metrics of its own."""
+    """A process with an HTTP server and its own metrics."""
 
     front: Front
 
     def process_metrics(self) -> ProcessMetrics:
-        """Gauges and counters of its own."""
+        """Return its own gauges and counters."""
 
 
 class ListService(HttpProcess, Protocol):
-    """What of a list service is measured."""
+    """The measured parts of a list service."""
 
     store: Store
 
     @property
     def gathering(self) -> bool:
-        """Whether a lost list is being rebuilt from its servers' registrations."""
+        """True if a lost list is being rebuilt from its servers' registrations."""
 
 
 class HttpMetrics:
-    """The metrics of one process: of its calls and watches, and what it adds."""
+    """The metrics of one process: of its calls and watches, and its own."""
 
     def __init__(self, process: HttpProcess) -> None:
         self._process = process
@@ -71,17 +71,17 @@
         )
 
     def called(self, method: str, status: int, seconds: float) -> None:
-        """A call was answered."""
+        """Count an answered call."""
         self._calls[method, status] += 1
         if method != "GET":
             self._seconds.observe(seconds)
 
     def text(self) -> bytes:
-        """All of them, in Prometheus' text form."""
+        """Return all metrics in Prometheus' text form."""
         return generate_latest(self._registry)
 
     def gauges(self) -> Values:
-        """What holds now."""
+        """Return the present values."""
         front = self._process.front
         channels = front.channels.values()
         return {
@@ -94,7 +94,7 @@
         }
 
     def counters(self) -> Values:
-        """What has happened since the start."""
+        """Return the counts since the start."""
         front = self._process.front
         statistics = [channel.statistics for channel in front.channels.values()]
         return {
@@ -113,7 +113,7 @@
         }
 
     def collect(self) -> Iterable[Metric]:
-        """All metrics; called by the client library at each scrape."""
+        """Yield all metrics; the client library calls this at each scrape."""
         calls = CounterMetricFamily("brassfall_calls", "Calls answered", labels=["method", "status"])
         for (method, status), number in self._calls.items():
             calls.add_metric([method, str(status)], number)
@@ -133,7 +133,7 @@
         super().__init__(service)
 
     def gauges(self) -> Values:
-        """What holds now."""
+        """Return the present values."""
         service, store = self._service, self._service.store
         return {
             "index": Value("The newest index", store.state.index),
@@ -148,7 +148,7 @@
         }
 
     def counters(self) -> Values:
-        """What has happened since the start."""
+        """Return the counts since the start."""
         store = self._service.store.statistics
         return {
             "changes": Value("Changes published to watches", self.changes),
--- a/brassfall/controlplane/registry/node_calls.py
+++ b/brassfall/controlplane/registry/node_calls.py
@@ -17,7 +17,7 @@
 from brassfall.controlplane.revisions.reports import Report, ReportError
 from brassfall.errors import NotFoundError, UnavailableError
 
-FULL_RETRY_S = 10.0
+FULL, FULL_RETRY_S = "no place", 10.0
 
 _encode = msgspec.json.Encoder().encode
 
@@ -36,7 +36,7 @@
         self._fleet = fleet
 
     def routes(self) -> list[web.RouteDef]:
-        """The paths."""
+        """Return the routes of nodes."""
         return [web.post("/edges/{name}", self._report), web.delete("/edges/{name}", self._remove)]
 
     async def _report(self, request: web.Request) -> web.Response:
@@ -54,17 +54,21 @@
         return calls.Brief(body=_encode(self.answer(name, report)))
 
     def _check_place(self, name: str) -> None:
-        """`AggregatorNameError` where a live aggregator has the name, `UnavailableError` where all places are
-        taken."""
+        """Raise an error if a report of this name can't be accepted.
+
+        It is `AggregatorNameError` if a live aggregator has the name, `UnavailableError` if there are too
+        many nodes.
+        """
         service = self._service
         if service.directory.live(service.now(), name):
-            raise AggregatorNameError(f"sidecar {name}", "an aggregator has this name")
+            sidecar = f"sidecar {name}"
+            raise AggregatorNameError(sidecar, "an aggregator has this name")
         nodes, most = service.coordinator.membership.nodes, service.settings.members_most
         if name not in nodes and len(nodes) >= most:
-            raise UnavailableError("no place", f"all {most} sidecars are known", retry_s=FULL_RETRY_S)
+            raise UnavailableError(FULL, f"all {most} sidecars are known", retry_s=FULL_RETRY_S)
 
     def answer(self, name: str, report: Report) -> ReportAnswer:
-        """Take in a report; what the sidecar is answered."""
+        """Apply a report; return its answer."""
         service = self._service
         fields: AnswerFields = {}
         if not report.leaving:  # the last report has none of their fields
@@ -95,7 +99,8 @@
         if name not in membership.names and name not in membership.nodes:
             via = service.directory.owner(name)
             why = f"reports to aggregator {via}: end it there" if via else "has not reported to this service"
-            raise NotFoundError("no such member", f"{name} {why}")
+            message = "no such member"
+            raise NotFoundError(message, f"{name} {why}")
         service.step(messages.RemoveMember(name))
         service.forget(name)
         return answer(_encode(RemovedAnswer(name)))
--- a/brassfall/controlplane/registry/override_clock.py
+++ b/brassfall/controlplane/registry/override_clock.py
@@ -1,4 +1,4 @@
-"""The overrides' clock over the store: its marks, which a start after a kill goes on from."""
+"""The overrides' clock over the store, with durable marks from which the time continues after a kill."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class OverrideClock:
-    """Unix ms that no jump of the wall clock moves. The store has to be loaded."""
+    """Unix ms without the jumps of the wall clock; the store has to be loaded."""
 
     def __init__(self, store: Store, tasks: Tasks) -> None:
         self._store = store
@@ -37,22 +37,23 @@
         )
 
     def now(self) -> int:
-        """Unix ms; it never goes back."""
+        """Return Unix ms, which never go back."""
         return self._clock.now(_monotonic_ms())
 
     async def write_first_mark(self) -> None:
-        """Make the time durable, before anything is answered by it.
+        """Make the time durable, before any answer depends on it.
 
-        `UnavailableError` while the disk fails. Cancelling leaves a write that has begun under way."""
+        Raise `UnavailableError` while the disk fails. Cancelling does not cancel a write under way.
+        """
         await self._store.submit(self.mark(), until_settled=False)
 
     def mark(self) -> Put:
-        """The command that makes the present time durable."""
+        """Return the command that makes the present time durable."""
         at = _monotonic_ms()
         return Put(table=TABLE, key=KEY, value={"mark": self._clock.now(at), "at": at, "boot": _boot_id()})
 
     def write_mark_when_due(self) -> None:
-        """Make the time durable once a second, one write at a time, while the caller goes on."""
+        """Start a write of the time, once a second and one at a time."""
         if self._writing is not None and not self._writing.done():
             return
         if self._clock.mark(_monotonic_ms()) is not None:
--- a/brassfall/controlplane/registry/process.py
+++ b/brassfall/controlplane/registry/process.py
@@ -1,4 +1,4 @@
-"""The life of a process: it starts, serves until a signal comes, and shuts down gracefully."""
+"""Running a process: it starts, serves until a signal is received, and shuts down gracefully."""
 
 from __future__ import annotations
 
@@ -17,22 +17,22 @@
 
 
 class Process(Protocol):
-    """A process that is started, and closed when SIGTERM or SIGINT comes."""
+    """A process that is started, and closed at SIGTERM or SIGINT."""
 
     async def start(self) -> str:
-        """Begin, and take calls; where. `OSError` where the address can't be had."""
+        """Start to serve calls; return the address. Raise `OSError` if it can't be bound."""
 
     async def close(self) -> None:
-        """Take no more calls, and end what was begun."""
+        """Stop serving calls, and release everything."""
 
 
 async def run(process: Process, listen: str, part: str, **ready_fields: str) -> int:
-    """Run until SIGTERM or SIGINT, also while it starts; the exit status.
+    """Run until SIGTERM or SIGINT, also during the start; return the exit status.
 
-    `listen` is the address that it is to have, `part` names its log, `ready_fields` go into the log with the
-    event `ready`."""
-    # Threads of a log ask for the interpreter several times in each commit, and would wait 5 ms
-    # for it each time while calls come in.
+    `listen` is the configured address, `part` names its log, `ready_fields` are logged with the event
+    `ready`.
+    """
+    # The thread of a log needs the interpreter several times per commit, and would wait 5 ms each time.
     sys.setswitchinterval(SWITCH_INTERVAL_S)
     own = logger(part)
     stop = asyncio.Event()
@@ -53,13 +53,13 @@
 
 
 def _failed(log: FilteringBoundLogger, error: BrassfallError) -> int:
-    """Log why it can't start; the exit status."""
+    """Log why the process can't start; return the exit status."""
     log.error("can't start", reason=error.summary, action=error.action)
     return error.exit_status
 
 
 async def _started(process: Process, stop: asyncio.Event) -> str | None:
-    """Where it listens; None where it was told to end before it had started."""
+    """Return the address of the started process; None if a signal was received before."""
     start = asyncio.ensure_future(process.start())
     stopped = asyncio.ensure_future(stop.wait())
     await asyncio.wait({start, stopped}, return_when=asyncio.FIRST_COMPLETED)
--- a/brassfall/controlplane/registry/reports.py
+++ b/brassfall/controlplane/registry/reports.py
@@ -1,4 +1,4 @@
-"""Reports of sidecars as they come in: complete, or as a difference from the last one on the connection."""
+"""Reading reports of sidecars: complete ones, and deltas to the last one on the connection."""
 
 from __future__ import annotations
 
@@ -9,9 +9,10 @@
 
 
 def read_report(request: web.Request, name: str, body: bytes) -> Report:
-    """The report of a sidecar; `ReportError` says what is wrong with it.
+    """Return the report of a sidecar; raise `ReportError` if it is malformed.
 
-    It may go on from the last report of the same name, on the same connection alone."""
+    It may be a delta to the last report of the same name on the same connection.
+    """
     connection = request.protocol
     assert isinstance(connection, Connection)
     last, connection.last_report = connection.last_report, LastReport()
--- a/brassfall/controlplane/registry/rules.py
+++ b/brassfall/controlplane/registry/rules.py
@@ -1,4 +1,4 @@
-"""`GET` and `PUT /rules`: the state of the revisions, its watch, and settings that are published."""
+"""`GET` and `PUT /rules`: the state of the revisions, watches on it, and published settings."""
 
 from __future__ import annotations
 
@@ -14,6 +14,9 @@
 from brassfall.controlplane.revisions import validation
 from brassfall.controlplane.revisions.validation import DocumentError, HarmfulError
 
+REVISION_REFUSED, SETTINGS_REFUSED = "edition refused", "settings refused"
+NO_JSON = "settings are no JSON"
+
 _encode = msgspec.json.Encoder().encode
 
 
@@ -30,7 +33,7 @@
         self._service = service
 
     def routes(self) -> list[web.RouteDef]:
-        """The paths."""
+        """Return the routes of revisions."""
         return [web.get("/rules", self._get), web.put("/rules", self._put)]
 
     async def _get(self, request: web.Request) -> web.StreamResponse:
@@ -58,13 +61,13 @@
         return answer(_encode(PublishedAnswer(number)))
 
     def _check_harm(self, settings: dict[str, Any], *, forced: bool) -> None:
-        """`HarmfulError` where settings would stop service, unless they are forced."""
+        """Raise `HarmfulError` if settings would stop service, unless they are forced."""
         service = self._service
         concurrent = [revision.settings for revision in service.coordinator.actable_revisions(service.now())]
         harm = validation.harm(settings, self._active_regions(), concurrent)
         if harm and not forced:
             service.statistics.harmful += 1
-            raise HarmfulError("edition refused", harm)
+            raise HarmfulError(REVISION_REFUSED, harm)
         service.statistics.forced += bool(harm)
 
     def _active_regions(self) -> frozenset[str]:
@@ -73,13 +76,13 @@
 
 
 def _read(body: bytes) -> dict[str, Any]:
-    """The settings of a call; `DocumentError` says what is wrong with them."""
+    """Return the settings of a call; raise `DocumentError` if they are malformed."""
     try:
         settings = msgspec.json.decode(body)
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
-        raise DocumentError("settings are no JSON", str(error)) from error
+        raise DocumentError(NO_JSON, str(error)) from error
     fault = validation.form_fault(settings)
     if fault:
-        raise DocumentError("settings refused", fault)
+        raise DocumentError(SETTINGS_REFUSED, fault)
     found: dict[str, Any] = settings
     return found
--- a/brassfall/controlplane/registry/server.py
+++ b/brassfall/controlplane/registry/server.py
@@ -37,7 +37,7 @@
 from brassfall.logs import logger
 from brassfall.settings import RegistrySettings
 
-STARTING = "the service is starting"
+STARTING, NOT_STARTED = "the service is starting", "the service has not started"
 RETRY_S, RETRY_MOST_S = 0.2, 5.0  # between attempts to start on a disk that fails; doubled each time
 NOT_READY_RETRY_S = 1.0
 
@@ -48,7 +48,8 @@
 class Service:
     """One list service within a running loop.
 
-    `store`, `channels`, `body` and `watch` are what its parts use of it."""
+    `store`, `channels`, `body` and `watch` are what its parts use of it.
+    """
 
     def __init__(self, settings: RegistrySettings) -> None:
         self.settings = settings
@@ -80,10 +81,11 @@
     # --- start and shutdown -----------------------------------------------------------
 
     async def start(self) -> str:
-        """Load the store and take calls; where.
+        """Load the store and serve calls; return the address.
 
-        While the disk fails it goes on trying, and `/health/ready` says why. `LogError` where only an
-        operator can help, `OSError` where the address can't be had. Cancelling gives the address back."""
+        While the disk fails it is tried again, and `/health/ready` says why. Raise `LogError` if only an
+        operator can help, `OSError` if the address can't be bound. Cancelling releases the address.
+        """
         await self.front.bind(self.settings.listen)
         try:
             await self._until_disk_works(self.store.start)
@@ -103,7 +105,7 @@
         return self._listen
 
     async def _until_disk_works(self, begin: Callable[[], Awaitable[None]]) -> None:
-        """Begin a part; while the disk fails, answer calls about health alone, and try again."""
+        """Start a part; while the disk fails, answer calls under `/health/` alone, and try again."""
         pause_s = RETRY_S
         while (failure := await _attempt(begin)) is not None:
             if self._not_started != failure.summary:
@@ -119,11 +121,11 @@
             self._listen = await self.front.serve(routes, self._release_watches)
 
     def _when_started(self, route: web.RouteDef) -> web.RouteDef:
-        """The same path, refused until all parts have started; not so for `/health/`."""
+        """Return a route that is refused until all parts have started, except under `/health/`."""
 
         async def handle(request: web.Request) -> web.StreamResponse:
             if self._not_started:
-                raise UnavailableError("the service has not started", self._not_started)
+                raise UnavailableError(NOT_STARTED, self._not_started)
             made = route.handler(request)
             assert isinstance(made, Awaitable)  # the paths here are functions, no classes
             response: web.StreamResponse = await made
@@ -134,7 +136,7 @@
         return web.RouteDef(route.method, route.path, handle, route.kwargs)
 
     async def close(self) -> None:
-        """Take no more calls, end the watches, and let what is being written become durable."""
+        """Stop serving calls, end the watches, and wait for writes under way."""
         await self.front.close()
         await self._fleet_listing.close()
         await self.aggregators.close()
@@ -150,14 +152,14 @@
         self._lists.changed(table, change)
 
     def _release_watches(self) -> None:
-        """Where the list has just become complete: watches that were deferred get their first line."""
+        """Send deferred watches their first line once the list has become complete."""
         if self._gathering.has_ended(self.store.state.count(INSTANCES)):
             for channel in self.channels.values():
                 channel.release()
 
     @property
     def gathering(self) -> bool:
-        """Whether a lost list is being rebuilt from its servers' registrations."""
+        """True if a lost list is being rebuilt from its servers' registrations."""
         return self._gathering.active
 
     # --- operation --------------------------------------------------------------------
@@ -192,7 +194,7 @@
         return answer(_encode(status.status(self)))
 
     def process_metrics(self) -> ProcessMetrics:
-        """What is measured beside calls, watches and the store."""
+        """Return the metrics beside those of calls, watches and the store."""
         return status.process_metrics(self)
 
     @property
@@ -214,7 +216,7 @@
 
 
 async def _attempt(begin: Callable[[], Awaitable[None]]) -> BrassfallError | None:
-    """Begin a part; the error where the disk fails for now, None once it has begun."""
+    """Start a part; return the error if the disk fails for now, None once it has started."""
     try:
         await begin()
     except (LogUnavailableError, LogOutcomeUnknownError, UnavailableError) as error:
--- a/brassfall/controlplane/registry/sidecar_rows.py
+++ b/brassfall/controlplane/registry/sidecar_rows.py
@@ -1,4 +1,4 @@
-"""The listing of all sidecars: one row each, by its newest report, and in what it lags. Pure code."""
+"""The rows of the listing of sidecars, by their newest reports. Pure code."""
 
 from __future__ import annotations
 
@@ -11,13 +11,15 @@
 from brassfall.controlplane.revisions.membership import Node
 from brassfall.controlplane.revisions.reports import FALLBACK, Objection
 
-LIST_OLD_MS = 10_000.0  # a watch has a heartbeat every 2 s, and is opened anew after 4.5 s of silence
+LIST_OLD_MS = 10_000.0  # more than a watch takes to be opened anew and confirm the list
 NEVER = "has not reported since the service began"
 
 
 class SidecarRow(msgspec.Struct, kw_only=True, rename={"newest_revision": "held"}):
-    """One sidecar in `GET /edges`. Ages in ms; what it has not reported is None. `via` names the aggregator
-    that it reports to, and `behind` says in what it lags."""
+    """One sidecar in `GET /edges`; ages are in ms, and None stands for a field that it has not reported.
+
+    `via` names the aggregator that it reports to, `behind` says in which way it lags.
+    """
 
     name: str
     newest_revision: int | None = None
@@ -34,7 +36,7 @@
 
 
 class Spread(msgspec.Struct, frozen=True):
-    """The versions and ages of the lists that sidecars have; the service's own index beside them."""
+    """The versions and ages of the sidecars' lists, and the index of the service's own."""
 
     index: int
     oldest: int
@@ -44,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Expected:
-    """What rows are compared with: the revision in force, the epoch, and how long silence may last."""
+    """The values that rows are compared with: the committed revision, the epoch, and the longest silence."""
 
     committed: int
     epoch: int
@@ -52,7 +54,7 @@
 
 
 def reported_row(node: Node, now: float, expected: Expected) -> SidecarRow:
-    """The row of a sidecar that reports to the service itself."""
+    """Return the row of a sidecar that reports to the service itself."""
     report = node.report
     row = SidecarRow(
         name=node.name,
@@ -73,9 +75,10 @@
 def behind(
     row: SidecarRow, expected: Expected, objection: Objection | None = None, follows: int | None = None
 ) -> str:
-    """In what a sidecar lags, as a line that docs/operations.md explains; empty where it does not.
+    """Return in which way a sidecar lags, as a line that docs/operations.md explains; empty if it does not.
 
-    `follows` is the epoch that it follows, where that is known."""
+    `follows` is the epoch that it follows, if that is known.
+    """
     if row.age_ms is None:
         return NEVER
     if row.age_ms > expected.silent_ms:
@@ -94,7 +97,7 @@
 
 
 def add_findings(rows: Iterable[SidecarRow], found: Iterable[Mapping[str, list[str]]]) -> None:
-    """Add to rows what extensions of the reports find wrong with their sidecars."""
+    """Add the findings of report extensions to the rows of their sidecars."""
     findings = list(found)
     for row in rows:
         lines = [line for each in findings for line in each.get(row.name, ())]
@@ -102,7 +105,7 @@
 
 
 def spread(rows: Iterable[SidecarRow], index: int, silent_ms: float) -> Spread:
-    """The spread of the lists of those that have reported of late."""
+    """Return the spread of the lists of the sidecars that have reported within `silent_ms`."""
     fresh = [row for row in rows if row.age_ms is not None and row.age_ms <= silent_ms]
     lists = [row.list_index for row in fresh if row.list_index is not None]
     ages = [row.list_age_ms for row in fresh if row.list_age_ms is not None]
--- a/brassfall/controlplane/registry/status.py
+++ b/brassfall/controlplane/registry/status.py
@@ -1,4 +1,4 @@
-"""What a list service says of itself: `/status` for people, and its own part of `/metrics`."""
+"""The status of a list service: `/status`, and its own part of `/metrics`."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Parts(Protocol):
-    """The parts of a list service that have something to say."""
+    """The parts of a list service with a status."""
 
     store: Store
     front: Front
@@ -30,7 +30,7 @@
 
     @property
     def gathering(self) -> bool:
-        """Whether a lost list is being rebuilt from its servers' registrations."""
+        """True if a lost list is being rebuilt from its servers' registrations."""
 
     @property
     def uptime_s(self) -> float:
@@ -57,7 +57,7 @@
 
 
 def status(parts: Parts) -> ServiceStatus:
-    """What on-call staff ask first."""
+    """Return the answer to `/status`."""
     store, front = parts.store, parts.front
     channels = front.channels
     return ServiceStatus(
--- a/brassfall/controlplane/registry/tables.py
+++ b/brassfall/controlplane/registry/tables.py
@@ -22,7 +22,7 @@
 
 
 class TableCalls:
-    """Answers the calls on tables; `leases` bounds the times to live that may be asked for."""
+    """Answers the calls on tables; `leases` limits their times to live."""
 
     def __init__(
         self, store: Store, front: Front, lists: Lists, writes: Writes, leases: LeaseSettings
@@ -34,7 +34,7 @@
         self._leases = leases
 
     def routes(self) -> list[web.RouteDef]:
-        """The paths."""
+        """Return the routes of tables."""
         one = "/tables/{table}/{key}"
         return [
             web.get("/tables/{table}", self._list),
@@ -59,7 +59,8 @@
         try:
             value = msgspec.json.decode(await self._front.body(request))
         except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
-            raise RequestError(f"the value is no JSON: {error}") from error
+            message = f"the value is no JSON: {error}"
+            raise RequestError(message) from error
         self._writes.check_room(table, key)
         command = Put(
             table=table,
--- a/brassfall/controlplane/registry/tasks.py
+++ b/brassfall/controlplane/registry/tasks.py
@@ -12,14 +12,16 @@
 
 
 class Tasks:
-    """Owns tasks that no caller awaits. The loop holds tasks weakly, and logs a failed one only when it is
-    collected: here it is logged at once, and the others go on."""
+    """Owns tasks that no caller awaits, and logs their failures.
+
+    The loop has only weak references to tasks, and logs a failed one when it is collected.
+    """
 
     def __init__(self) -> None:
         self._running: set[asyncio.Task[Any]] = set()
 
     def spawn(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
-        """Run this beside the rest; the task may be cancelled, which is no failure."""
+        """Start a task; cancelling it is no failure."""
         task = asyncio.get_running_loop().create_task(work)
         self._running.add(task)
         task.add_done_callback(self._done)
@@ -32,7 +34,7 @@
             log.error("fault", exc_info=error)
 
     async def end(self) -> None:
-        """Cancel all that run, and wait until they have ended."""
+        """Cancel all running tasks, and wait until they have ended."""
         running = list(self._running)
         for task in running:
             task.cancel()
