--- a/brassfall/controlplane/registry/watches.py
+++ b/brassfall/controlplane/registry/watches.py
@@ -1,13 +1,13 @@
-"""Watches: one channel encodes each change once for all its watchers, and no slow reader delays another.
+"""Watches: one channel encodes each change once for all its watches, and no slow reader delays another.
 
-A watch is a chunked HTTP answer that never ends: a first line with the state, then a line for each change. A
-watcher with more unread bytes than allowed is sent nothing until it has read them; then it gets one line with
-what changed meanwhile, each entry once, or the whole list where that is too much for the ring of changes. One
-that reads nothing for long is aborted.
+A watch is a chunked HTTP answer without an end: a first line with the state, then a line for each change. A
+reader with more unread bytes than allowed is sent nothing until it has read them; then it gets one line with
+all changes since, each entry once, or the complete list if the history of changes is too short. One that
+reads nothing for long is aborted.
 
 Heartbeats are empty lines at fixed times: the k-th on a watch is written no sooner than k times
-`HEARTBEAT_S` after the call came in, whatever else is written meanwhile. A reader can so compute an upper
-bound on the age of what it has, from its own clock alone.
+`HEARTBEAT_S` after the call was received. So a reader can compute an upper bound on the age of its state
+from its own clock alone.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 from dataclasses import dataclass
 
 HEARTBEAT_S = 2.0
-SLOTS = 20  # the heartbeats of all watches are spread evenly over so many ticks
+SLOTS = 20  # ticks over which the heartbeats of all watches are spread
 TICK_S = HEARTBEAT_S / SLOTS
 
 
 def chunk(line: bytes) -> bytes:
-    """A line as one part of a chunked answer."""
+    """Return a line as one chunk of an answer."""
     return b"%x\r\n%b\n\r\n" % (len(line) + 1, line)
 
 
@@ -41,19 +41,18 @@
         self.sent_index = sent_index
         self.slot = slot
         self.behind_since: float | None = None  # since when it has too many unread bytes; loop time, s
-        self.unread = 0  # bytes, when last looked at while behind
-        self.new = True  # the next tick of its slot comes too soon for a heartbeat
+        self.unread = 0  # bytes, at the last check while behind
+        self.new = True  # the next tick of its slot is too soon for a heartbeat
         self.deferred = False  # its first line waits for `Channel.release`
         self._ended = ended
 
     def write(self, data: bytes) -> None:
-        """Send this, unless its reader is gone: its call may take a while to end, and uvloop's transports
-        raise when they are written to after their end."""
+        """Send data, unless its transport is closing: uvloop's transports raise on writes after their end."""
         if not self.transport.is_closing():
             self.transport.write(data)
 
     def abort(self) -> None:
-        """End the connection at once, with what is unread."""
+        """Abort the connection; unread data is dropped."""
         self.transport.abort()
         if not self._ended.done():
             self._ended.set_result(None)
@@ -61,23 +60,24 @@
 
 @dataclass(slots=True)
 class ChannelStatistics:
-    """What a channel has done so far."""
+    """Counts of a channel since the start."""
 
     lists_encoded: int = 0
     lines_encoded: int = 0
     lines_sent: int = 0
-    merged: int = 0  # slow watches that were sent in one line all that they had missed
+    merged: int = 0  # slow watches that were sent all missed changes in one line
     aborted: int = 0  # slow watches that read nothing for too long
 
 
 class Channel(abc.ABC):
     """All watches on one resource, which a subclass encodes.
 
-    `unread_most` bytes may wait for a reader before its changes are merged; it then has `stuck_s` seconds to
-    read on. All methods are to be called in the loop's thread."""
+    `max_unread` bytes may wait for a reader before its changes are merged; it then has `stuck_s` seconds to
+    read on. All methods are to be called in the loop's thread.
+    """
 
-    def __init__(self, unread_most: int, stuck_s: float) -> None:
-        self._unread_most = unread_most
+    def __init__(self, max_unread: int, stuck_s: float) -> None:
+        self._max_unread = max_unread
         self._stuck_s = stuck_s
         self._slots: list[dict[Watch, None]] = [{} for _ in range(SLOTS)]
         self._behind: dict[Watch, None] = {}
@@ -87,42 +87,43 @@
         self.count = 0
         self.statistics = ChannelStatistics()
 
-    # --- what is sent, by the subclass ----------------------------------------
+    # --- the encoding, by the subclass ----------------------------------------
 
     @property
     @abc.abstractmethod
     def last(self) -> int:
-        """The index up to which all changes are known now."""
+        """The index up to which all changes are known."""
 
     @abc.abstractmethod
     def snapshot(self) -> bytes:
-        """The whole state, encoded."""
+        """Return the complete state, encoded."""
 
     @abc.abstractmethod
     def first_line(self, index: int) -> bytes:
-        """The line for one who has been sent all up to an index: changes, or the snapshot."""
+        """Return the line after an index: the changes since, or the snapshot."""
 
     @abc.abstractmethod
     def _changes_chunk(self) -> bytes:
-        """The chunk for what has changed since the last call."""
+        """Return the chunk of the changes since the last call."""
 
     def heartbeat(self) -> bytes:
-        """The chunk that each watch is sent every `HEARTBEAT_S`: all changes before it have been sent."""
+        """Return the chunk sent every `HEARTBEAT_S`, after all changes so far."""
         return EMPTY
 
     # --- watchers -------------------------------------------------------------
 
     @property
     def behind(self) -> int:
-        """How many watchers read too slowly just now."""
+        """The number of watches that read too slowly."""
         return len(self._behind)
 
     def add(
         self, transport: asyncio.Transport, index: int, ended: asyncio.Future[None], *, deferred: bool = False
     ) -> Watch:
-        """A new watcher, which has all up to an index; a `deferred` one gets its first line at `release`.
+        """Add a watch that has all changes up to an index; a `deferred` one gets its first line at `release`.
 
-        Its first heartbeat comes in the second round of its slot, `HEARTBEAT_S` from now or later."""
+        Its first heartbeat is sent in the second round of its slot, `HEARTBEAT_S` from now or later.
+        """
         watch = Watch(transport, index, (self._ticks + 1) % SLOTS, ended)
         self._slots[watch.slot][watch] = None
         self.count += 1
@@ -132,14 +133,14 @@
         return watch
 
     def drop(self, watch: Watch) -> None:
-        """A watcher is gone."""
+        """Remove a watch."""
         if self._slots[watch.slot].pop(watch, 0) is None:
             self.count -= 1
         self._behind.pop(watch, None)
         self._deferred.pop(watch, None)
 
     def release(self) -> None:
-        """Send the first line to each watcher that waits for it."""
+        """Send the first line to each deferred watch."""
         for watch in list(self._deferred):
             watch.deferred = False
             self._send(watch, chunk(self.first_line(watch.sent_index)))
@@ -155,7 +156,7 @@
     # --- sending --------------------------------------------------------------
 
     def flush_soon(self) -> None:
-        """Send what has changed once the running callbacks are done: changes of one commit share a line."""
+        """Send the changes once the running callbacks are done: those of one commit share a line."""
         if self._flush is None:
             self._flush = asyncio.get_running_loop().call_soon(self._send_changes)
 
@@ -170,9 +171,9 @@
                     watch.sent_index = last
 
     def tick(self) -> None:
-        """To be called every `TICK_S`: heartbeats for one slot of the watches, and a look at slow readers."""
+        """Send the heartbeats of one slot, and check slow readers; to be called every `TICK_S`."""
         if self._flush is not None:
-            # A heartbeat says that all before it was sent.
+            # A heartbeat states that all changes before it were sent.
             self._flush.cancel()
             self._send_changes()
         self._ticks += 1
@@ -190,15 +191,15 @@
         watch.write(data)
         self.statistics.lines_sent += 1
         unread = watch.transport.get_write_buffer_size()
-        if unread > self._unread_most:
+        if unread > self._max_unread:
             watch.behind_since = asyncio.get_running_loop().time()
             watch.unread = unread
             self._behind[watch] = None
 
     def _check_slow(self, watch: Watch, now: float) -> None:
-        """Send a slow reader that has caught up all it missed, or abort one that is stuck."""
+        """Send a slow reader that has caught up all missed changes, or abort one that is stuck."""
         unread = watch.transport.get_write_buffer_size()
-        if unread <= self._unread_most // 4:
+        if unread <= self._max_unread // 4:
             self._catch_up(watch)
         elif unread < watch.unread:
             watch.behind_since, watch.unread = now, unread
--- a/brassfall/controlplane/registry/writes.py
+++ b/brassfall/controlplane/registry/writes.py
@@ -1,4 +1,4 @@
-"""Writes of callers: what is decided on them, and whether the store has room for one more row."""
+"""Writes of callers: their answers, and the limits of rows and tables."""
 
 from __future__ import annotations
 
@@ -15,6 +15,7 @@
 
 MORE_ROOM = "Delete what is not needed, or raise the limit in the service's configuration."
 FULL_RETRY_S = 10.0
+ROWS_FULL, TABLES_FULL = "all rows are taken", "all tables are taken"
 HTTP_STATUS = {Status.DONE: 200, Status.MISSING: 404, Status.CONFLICT: 409, Status.STALE: 412}
 
 _encode = msgspec.json.Encoder().encode
@@ -27,20 +28,21 @@
 
 
 class Writes:
-    """Carries out commands on a store, and answers as its results say."""
+    """Carries out commands on a store, and answers their results."""
 
     def __init__(self, store: Store, limits: Limits) -> None:
         self._store = store
         self._limits = limits
 
     async def run(self, command: Command) -> web.Response:
-        """Carry a command out; the answer comes when it is durable.
+        """Carry a command out; return the answer once it is durable.
 
-        `NotWrittenError` where the disk fails or the queue is full. Cancelling does not undo the write."""
+        Raise `NotWrittenError` if the disk fails or the queue is full. Cancelling does not undo the write.
+        """
         return self._answer(await self._store.submit(command, until_settled=False))
 
     def renew(self, table: str, key: str, fence: int | None) -> web.Response:
-        """Count the lease of a row anew; nothing is written."""
+        """Renew the lease of a row; nothing is written."""
         return self._answer(self._store.renew(table, key, fence))
 
     @staticmethod
@@ -50,12 +52,10 @@
         return status_response(HTTP_STATUS[result.status], result.reason)
 
     def check_room(self, table: str, key: str) -> None:
-        """`UnavailableError` where a new row, or a new table, would exceed the limits."""
+        """Raise `UnavailableError` if a new row, or a new table, would exceed the limits."""
         rows, limits = self._store.state, self._limits
         if rows.get(table, key) is None and sum(map(rows.count, rows.names)) >= limits.rows:
-            raise UnavailableError("all rows are taken", str(limits.rows), MORE_ROOM, retry_s=FULL_RETRY_S)
+            raise UnavailableError(ROWS_FULL, str(limits.rows), MORE_ROOM, retry_s=FULL_RETRY_S)
         names = {name for name in rows.names if name not in OWNED}
         if table not in names and len(names) >= limits.tables:
-            raise UnavailableError(
-                "all tables are taken", str(limits.tables), MORE_ROOM, retry_s=FULL_RETRY_S
-            )
+            raise UnavailableError(TABLES_FULL, str(limits.tables), MORE_ROOM, retry_s=FULL_RETRY_S)
--- a/brassfall/controlplane/store/commands.py
+++ b/brassfall/controlplane/store/commands.py
@@ -8,18 +8,18 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Command:
-    """What all commands have: a row, conditions on it, and the id that makes a repeat harmless."""
+    """The fields of all commands: a row, conditions on it, and an id by which a repeat is recognized."""
 
     table: str
     key: str
-    if_match: int | None = None  # the version that the row must have; 0 means that there must be none
+    if_match: int | None = None  # the version that the row must have; 0: there must be no row
     fence: int | None = None
     request_id: str = ""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Put(Command):
-    """Write a row. `quiet`: one that is there already, just so, is not written a second time."""
+    """Write a row; with `quiet`, only if it differs from the present one."""
 
     value: Any
     lease_ms: int = 0
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Patch(Command):
-    """Replace some members of a row's value, which is an object; lease and owner stay."""
+    """Replace members of a row's value, which is an object; its lease and owner stay."""
 
     changes: dict[str, Any]
 
--- a/brassfall/controlplane/store/leases.py
+++ b/brassfall/controlplane/store/leases.py
@@ -1,8 +1,8 @@
-"""Leases by time to live, and the guard against taking a network partition for a mass death. Pure code.
+"""Leases by time to live, with a guard against ending them in a network partition. Pure code.
 
-Times are in ms. They are counted in running time, which goes on by at most `STEP_MOST_MS` from one call to
-the next: a process that was stopped, or a machine that slept, finds all leases as long as it left them.
-Holders that waited for an answer meanwhile have to be able to retry: after a stall no lease ends for
+Times are ms of running time, which advances by at most `MAX_STEP_MS` from one call to the next: in a process
+that was stopped, or on a machine that was suspended, all leases have the time left that they had before.
+Owners that waited for an answer meanwhile have to be able to retry: after a stall no lease ends for
 `STALL_GRACE_MS`.
 """
 
@@ -12,38 +12,38 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-STEP_MOST_MS = 500.0
+MAX_STEP_MS = 500.0
 STALL_MS = 1000.0  # a longer step is a stall
-STALL_GRACE_MS = 5000.0  # a call that waits in vain, a pause, and a second call
-# A holder renews at a third of its time to live: after two thirds in silence a renewal was missed.
+STALL_GRACE_MS = 5000.0  # a call that times out, a pause, and a second call
+# An owner renews at a third of its time to live: after two thirds without one, a renewal was missed.
 SILENT_PART = 2.0 / 3.0
 
 
 @dataclass(frozen=True, slots=True)
 class Guard:
-    """When the silence of many holders is taken for a fault between them and us, and not for their death."""
+    """When missing renewals of many leases count as a network fault, and not as the end of their owners."""
 
     share: float = 0.25  # of all guarded leases
-    least: int = 2  # a single one is always taken to be dead
-    window_ms: float = 10_000.0  # how long one that has expired is counted
-    keep_ms: float = 60_000.0  # how long a suspect stays past the end of its lease
+    least: int = 2  # a single one always ends
+    window_ms: float = 10_000.0  # for which an expired lease is counted
+    keep_ms: float = 60_000.0  # from the end of a suspect's lease until it expires
 
 
 @dataclass(slots=True)
 class Lease:
-    """One lease; times in running time."""
+    """One lease, in running time."""
 
     length_ms: float
     renewed_ms: float
     ends_ms: float
     guarded: bool
-    serial: int = 0  # of its newest entry among the ends; other entries are out of date
+    serial: int = 0  # of its newest entry in the heap; others are out of date
     suspect: bool = False
 
 
 @dataclass(slots=True)
 class Check:
-    """The keys whose leases a check found over: expired ones are gone, suspected ones stay for now."""
+    """The keys of leases that have ended: expired ones are removed, suspected ones stay for now."""
 
     expired: list[str] = field(default_factory=list)
     suspected: list[str] = field(default_factory=list)
@@ -55,9 +55,9 @@
     def __init__(self, guard: Guard) -> None:
         self._guard = guard
         self._leases: dict[str, Lease] = {}
-        self._ends: list[tuple[float, int, str]] = []  # a heap; the end itself may have moved on
+        self._ends: list[tuple[float, int, str]] = []  # heap of (check at, serial, key)
         self._serial = 0
-        self._expired_guarded: deque[float] = deque()  # when guarded ones expired, within the guard's window
+        self._expired_guarded: deque[float] = deque()  # when guarded leases expired, within the window
         self._running_ms = 0.0
         self._stall_grace_until = 0.0
         self._last_now: float | None = None
@@ -70,18 +70,18 @@
 
     @property
     def suspects(self) -> list[str]:
-        """Keys that stay although their leases are over."""
+        """The keys that stay although their leases have ended."""
         return sorted(key for key, lease in self._leases.items() if lease.suspect)
 
     def grant(self, now: float, key: str, length_ms: float, *, guarded: bool, grace_ms: float = 0.0) -> None:
-        """Begin a lease, or begin it anew; it lasts for at least `grace_ms`, this first time."""
+        """Begin a lease, or replace one; its first term lasts for at least `grace_ms`."""
         ends = self._time(now) + max(length_ms, grace_ms)
         lease = Lease(length_ms, ends - length_ms, ends, guarded)
         self._leases[key] = lease
         self._schedule(key, lease, ends)
 
     def renew(self, now: float, key: str) -> bool:
-        """Count a lease anew; False where there is none."""
+        """Renew a lease; return False if there is none."""
         running = self._time(now)
         lease = self._leases.get(key)
         if lease is None:
@@ -89,26 +89,26 @@
         lease.renewed_ms, lease.ends_ms = running, running + lease.length_ms
         if lease.suspect:
             lease.suspect = False
-            self._schedule(key, lease, lease.ends_ms)  # sooner than the end of its time as a suspect
+            self._schedule(key, lease, lease.ends_ms)  # sooner than the check of a suspect
         return True
 
     def set_guarded(self, key: str, *, guarded: bool) -> None:
-        """Whether the end of a lease may be doubted from now on."""
+        """Set whether the guard applies to a lease."""
         lease = self._leases.get(key)
         if lease is not None:
             lease.guarded = guarded
 
     def drop(self, key: str) -> None:
-        """The lease is over for another reason."""
+        """Remove a lease."""
         self._leases.pop(key, None)
 
     def since_renewal_ms(self, now: float, key: str) -> float | None:
-        """Running time since a lease was renewed; None where there is none."""
+        """Return the running time since a lease was renewed; None if there is none."""
         lease = self._leases.get(key)
         return None if lease is None else self._time(now) - lease.renewed_ms
 
     def check(self, now: float) -> Check:
-        """Find leases that are over: they expire, or become suspects where too many are silent at once."""
+        """Find leases that have ended; they expire, or become suspects if too many are silent at once."""
         running = self._time(now)
         due = self._due(running)
         found = Check()
@@ -143,13 +143,13 @@
         return due
 
     def _schedule(self, key: str, lease: Lease, at_ms: float) -> None:
-        """Check a lease then, and at no other time."""
+        """Check a lease at this time and no other."""
         self._serial += 1
         lease.serial = self._serial
         heapq.heappush(self._ends, (at_ms, self._serial, key))
 
     def _mass_silence(self, running: float) -> bool:
-        """Whether too many are silent, or have just expired, for it to be their death."""
+        """Return whether so many are silent, or have just expired, that a network fault is likely."""
         expired = self._expired_guarded
         while expired and expired[0] < running - self._guard.window_ms:
             expired.popleft()
@@ -159,13 +159,13 @@
         return missing >= self._guard.least and missing > self._guard.share * (len(guarded) + len(expired))
 
     def _time(self, now: float) -> float:
-        """The running time; calls with an earlier `now` than the last one do not turn it back."""
+        """Return the running time, which never goes back."""
         if self._last_now is None:
             self._last_now = now
             return self._running_ms
         step = now - self._last_now
         if step > STALL_MS:
-            self._stall_grace_until = self._running_ms + STEP_MOST_MS + STALL_GRACE_MS
-        self._running_ms += min(max(0.0, step), STEP_MOST_MS)
+            self._stall_grace_until = self._running_ms + MAX_STEP_MS + STALL_GRACE_MS
+        self._running_ms += min(max(0.0, step), MAX_STEP_MS)
         self._last_now = max(now, self._last_now)
         return self._running_ms
--- a/brassfall/controlplane/store/log.py
+++ b/brassfall/controlplane/store/log.py
@@ -1,11 +1,11 @@
 """The durable log of a store: SQLite, one transaction for many records, snapshots and compaction.
 
-A call that returns has put its records on the disk (WAL, `synchronous=FULL`: one sync for each
-transaction). One row holds the records of one transaction, so that a torn write loses all of them
-or none. The file is locked for as long as it is open: two services never share one.
+An append that returns has put its records on the disk (WAL, `synchronous=FULL`: one sync for each
+transaction). One row holds the records of one transaction, so that a torn write loses all of them or none.
+The file is locked while it is open: two services never share one.
 
-A commit that fails may have reached the file all the same. Its row is looked for by content before
-anything else is appended; while the file can't be read, the outcome is unknown and nothing is appended.
+A commit that fails may have reached the file nevertheless. Its row is searched for by content before any
+other append; while the file can't be read, the outcome is unknown and no append succeeds.
 """
 
 from __future__ import annotations
@@ -26,10 +26,10 @@
 from brassfall.errors import StorageError
 
 FORMAT = 1
-LEAST_RECORDS = 4096  # between two snapshots; more where the table is larger
+MIN_RECORDS = 4096  # between two snapshots; more if the state has more rows
 FILE = "table.sqlite3"
-# What a disk that fails for a while answers; all else (a lock, a foreign or damaged file) needs an operator.
-PASSING_CODES = frozenset(
+# The codes of a disk that fails for a while; others (a lock, a foreign or damaged file) need an operator.
+TEMPORARY_CODES = frozenset(
     {
         sqlite3.SQLITE_FULL,
         sqlite3.SQLITE_IOERR,
@@ -39,8 +39,8 @@
     }
 )
 LOCK_CODES = frozenset({sqlite3.SQLITE_BUSY, sqlite3.SQLITE_LOCKED})
-# A path that can't name a folder is a mistake in the configuration, and no fault of the disk.
-WRONG_PATH = frozenset({errno.EEXIST, errno.ENOTDIR, errno.ELOOP, errno.ENAMETOOLONG, errno.EINVAL})
+# The errors of a path that can't be a folder: the configuration is wrong, not the disk.
+WRONG_PATH_ERRORS = frozenset({errno.EEXIST, errno.ENOTDIR, errno.ELOOP, errno.ENAMETOOLONG, errno.EINVAL})
 
 _encode = msgspec.json.Encoder().encode
 _records = msgspec.json.Decoder(list[Record]).decode
@@ -63,13 +63,13 @@
 
 
 class LogUnavailableError(LogError):
-    """The disk of the log fails for now; what was to be written is surely not in the file."""
+    """The disk of the log fails for now; the records are not in the file."""
 
     action = "Free the disk, mount it or give the rights back; the service tries again by itself."
 
 
 class LogOutcomeUnknownError(LogError):
-    """A commit failed and the file can't be read: whether the records are in it isn't known yet."""
+    """A commit failed and the file can't be read: it is not known whether the records are in it."""
 
     action = "Free the disk, mount it or give the rights back; the service then looks, and goes on by itself."
 
@@ -79,17 +79,17 @@
 
 
 class Cursor(Protocol):
-    """The rows of one statement."""
+    """The result rows of one statement."""
 
     def fetchone(self) -> Any:
-        """The next row, or None."""
+        """Return the next row; None after the last."""
 
     def __iter__(self) -> Iterator[Any]:
-        """The rows that are left."""
+        """Iterate over the remaining rows."""
 
 
 class Connection(Protocol):
-    """What the log needs of an SQLite connection in autocommit mode; failures are `sqlite3.Error`."""
+    """An SQLite connection in autocommit mode; failures raise `sqlite3.Error`."""
 
     def execute(self, sql: str, parameters: Sequence[Any] = ..., /) -> Cursor:
         """Run one statement."""
@@ -99,10 +99,10 @@
 
 
 class Connect(Protocol):
-    """Opens a database file for use from any thread; `sqlite3.Error` where that fails."""
+    """Opens a database file for use from any thread; raises `sqlite3.Error` on failure."""
 
     def __call__(self, path: Path, *, create: bool) -> Connection:
-        """Open the file; `create` makes one that is not there."""
+        """Open the file; `create` makes a missing one."""
 
 
 def connect_file(path: Path, *, create: bool) -> Connection:
@@ -113,33 +113,36 @@
 
 @dataclass(slots=True)
 class Loaded:
-    """What a log holds."""
+    """The content of a log."""
 
     state: State
     records: int  # since the last snapshot
 
 
 class Log:
-    """One open log. It may be used from any thread, but from one at a time.
+    """One open log, for use by one thread at a time.
 
-    `connect` opens the file; tests give one whose disk fails."""
+    `connect` opens the file; tests pass one whose disk fails.
+    """
 
     def __init__(self, folder: Path, checkpoint_pages: int = 1000, connect: Connect = connect_file) -> None:
         self._folder = folder
         self._path = folder / FILE
         self._checkpoint_pages = checkpoint_pages
         self._connect = connect
-        self._seq = 0  # of the last row that is known to be in the file
+        self._seq = 0  # of the last row known to be in the file
         self._unsettled: bytes | None = None  # the next row, while its outcome is unknown
         self._since_snapshot = 0
         self._db: Connection | None = None
 
     def load(self, history_length: int = HISTORY_LENGTH) -> Loaded:
-        """Open the log and read all of it, as a start does.
+        """Open the log and read all of it.
 
-        `LogUnavailableError` while the disk fails; `LogError` if the file is locked, foreign or damaged."""
+        Raise `LogUnavailableError` while the disk fails, `LogError` if the file is locked, foreign or
+        damaged.
+        """
         self.close()
-        self._unsettled = None  # all of the file is read
+        self._unsettled = None  # settled by reading the whole file
         try:
             self._folder.mkdir(parents=True, exist_ok=True)
             db = self._open(create=True)
@@ -151,9 +154,10 @@
     def append(self, records: list[Record]) -> None:
         """Put records on the disk, all or none.
 
-        `LogUnavailableError`, or another `LogError`, where they are surely not in the file, and never will
-        be; `LogOutcomeUnknownError` where that can't be told: `settle` then has to be called until it
-        answers, and until then every other append fails."""
+        Raise `LogOutcomeUnknownError` if it is not known whether they are in the file: until a call of
+        `settle` returns, every other append fails. Raise another `LogError` if they are not and never will be
+        in it.
+        """
         if self._unsettled is not None:
             raise LogUnavailableError(str(self._path), "the outcome of an earlier write is not known yet")
         body = _encode(records)
@@ -174,9 +178,10 @@
         self._since_snapshot += len(records)
 
     def settle(self) -> bool:
-        """Whether the records of the append whose outcome was unknown are in the file, for good.
+        """Return whether the records whose outcome was unknown are in the file for good.
 
-        `LogError` while that can't be told."""
+        Raise `LogError` while that is not known.
+        """
         assert self._unsettled is not None, "no outcome is unknown"
         self.close()
         try:
@@ -190,15 +195,15 @@
         return there
 
     def due(self, rows: int) -> bool:
-        """Whether a snapshot of a state with so many rows is worth its cost."""
-        return self._since_snapshot >= max(LEAST_RECORDS, rows)
+        """Return whether a snapshot of a state with so many rows is due."""
+        return self._since_snapshot >= max(MIN_RECORDS, rows)
 
     def compact(self, snapshot: Snapshot) -> None:
-        """Store a snapshot of all that was appended. What stood before the last one goes; what came
-        since stays, for watchers that come back.
+        """Store a snapshot of all records so far, and delete the records before the previous snapshot.
 
-        `LogError` if that failed. Whether it reached the file then makes no difference: the log reads to
-        the same state with the snapshot and without it."""
+        Those since the previous one stay, for watchers that reconnect. Raise `LogError` on failure; the log
+        then reads to the same state whether or not the snapshot reached the file.
+        """
         assert self._unsettled is None, "a snapshot can't stand for a row whose outcome is unknown"
         body = _encode(snapshot)
         try:
@@ -214,7 +219,7 @@
         self._since_snapshot = 0
 
     def close(self) -> None:
-        """Close the file, and give its lock back. What was appended is there, also where this fails."""
+        """Close the file and release its lock; all appended records are in it even if this fails."""
         db, self._db = self._db, None
         if db is not None:
             with contextlib.suppress(sqlite3.Error):
@@ -222,12 +227,12 @@
 
     def _error(self, error: Exception) -> LogError:
         if isinstance(error, OSError):
-            kind = LogError if error.errno in WRONG_PATH else LogUnavailableError
+            kind = LogError if error.errno in WRONG_PATH_ERRORS else LogUnavailableError
             return kind(str(self._folder), error.strerror or str(error))
         code = (getattr(error, "sqlite_errorcode", None) or 0) & 0xFF
         if code in LOCK_CODES:
             return LogError(str(self._path), LOCKED, END_ONE)
-        if code in PASSING_CODES:
+        if code in TEMPORARY_CODES:
             return LogUnavailableError(str(self._path), str(error))
         return LogError(str(self._path), str(error))
 
@@ -243,7 +248,7 @@
         return db
 
     def _prepare(self, db: Connection) -> None:
-        """Lock a file, and make its tables where it is new; `ValueError` where it is no log."""
+        """Lock a file, and create the tables of a new one; raise `ValueError` if it is not a log."""
         # Before WAL: with the lock held for good no shared memory file is needed.
         db.execute("pragma locking_mode=exclusive")
         db.execute("pragma journal_mode=wal")
@@ -252,7 +257,8 @@
         stored_format = db.execute("pragma user_version").fetchone()[0]
         new = stored_format == 0 and not db.execute("pragma schema_version").fetchone()[0]
         if not new and stored_format != FORMAT:
-            raise ValueError(f"not a table log of format {FORMAT}")
+            message = f"not a table log of format {FORMAT}"
+            raise ValueError(message)
         if new:
             with _transaction(db):
                 for statement in SCHEMA:
@@ -264,7 +270,8 @@
         db = self._open(create=False)
         last = db.execute(LAST_SEQ).fetchone()[0] or 0
         if last not in (self._seq, self._seq + (self._unsettled is not None)):
-            raise ValueError(f"its last record is {last} in place of {self._seq}: another process wrote it")
+            message = f"its last record is {last} in place of {self._seq}: another process wrote it"
+            raise ValueError(message)
         return db
 
     def _read(self, db: Connection, history_length: int) -> Loaded:
@@ -282,7 +289,8 @@
                 state.restore_history(earlier)
                 earlier = []
             if self._seq and seq != self._seq + 1:
-                raise ValueError(f"records {self._seq + 1} to {seq - 1} are missing")
+                message = f"records {self._seq + 1} to {seq - 1} are missing"
+                raise ValueError(message)
             state.apply(records)
             self._seq = seq
             self._since_snapshot += len(records)
@@ -291,7 +299,7 @@
         return Loaded(state, self._since_snapshot)
 
     def _settle_after(self, error: sqlite3.Error) -> bool:
-        """Settle the commit that failed just now; `LogOutcomeUnknownError` where that can't be done yet."""
+        """Settle the commit that has just failed; raise `LogOutcomeUnknownError` if that fails too."""
         try:
             return self.settle()
         except LogError as unread:
@@ -299,21 +307,23 @@
             raise LogOutcomeUnknownError(str(self._path), why) from error
 
     def _find(self, db: Connection, body: bytes) -> bool:
-        """Whether the row after the last one is this one, and durable."""
+        """Return whether the next row of the file has this content, and make it durable."""
         found = db.execute("select records from log where seq = ?", (self._seq + 1,)).fetchone()
         if found is None:
             return False
         if found[0] != body:
-            raise ValueError(f"record {self._seq + 1} is another one: another process wrote it")
-        # The sync of its commit may be what failed: here it is written once more, and synced.
+            message = f"record {self._seq + 1} is another one: another process wrote it"
+            raise ValueError(message)
+        # The sync of its commit may have failed: a checkpoint syncs it.
         if db.execute("pragma wal_checkpoint(truncate)").fetchone()[0]:
-            raise ValueError("a row that was found could not be made durable")
+            message = "a row that was found could not be made durable"
+            raise ValueError(message)
         return True
 
 
 @contextlib.contextmanager
 def _transaction(db: Connection) -> Iterator[None]:
-    """Commit what is done inside; where anything fails, roll back."""
+    """Commit the statements inside; roll back on any failure."""
     db.execute("begin immediate")
     try:
         yield
--- a/brassfall/controlplane/store/records.py
+++ b/brassfall/controlplane/store/records.py
@@ -1,6 +1,6 @@
-"""What the versioned store logs, reads back and notifies of: rows, records, snapshots. Pure code.
+"""The rows, records, snapshots and changes of the versioned store. Pure code.
 
-All of these are arrays on the disk: the order of the fields is the stored form, their names are not.
+They are arrays on the disk: the order of the fields is the stored form, their names are not stored.
 """
 
 from __future__ import annotations
@@ -13,16 +13,16 @@
 
 
 class Status(StrEnum):
-    """How a command ended."""
+    """The outcome of a command."""
 
     DONE = "done"
     MISSING = "missing"  # no row has that key
     CONFLICT = "conflict"  # the row belongs to a newer owner
-    STALE = "stale"  # the row has another version than the one named
+    STALE = "stale"  # the row has another version than `if_match`
 
 
 class RecordKind(StrEnum):
-    """What a record decided; the values are those on the disk."""
+    """The decision of a record; the values are those on the disk."""
 
     PUT = "put"
     DELETE = "delete"
@@ -39,29 +39,29 @@
 
     @property
     def done(self) -> bool:
-        """Whether the command did what it asked for."""
+        """True if the command was carried out."""
         return self.status is Status.DONE
 
 
 class Row(msgspec.Struct, frozen=True, array_like=True):
-    """One entry of a table. Values are never changed in place."""
+    """One row of a table; values are never changed in place."""
 
     key: str
     version: int
     value: Any
-    lease_ms: int = 0  # time to live without renewal; 0 is for ever
-    fence: int = 0  # fencing token of the owner: a lower one may change nothing
-    owner: str = ""  # tells two owners with the same fencing token apart
+    lease_ms: int = 0  # time to live without renewal; 0: unlimited
+    fence: int = 0  # fencing token of the owner; commands with a lower one are refused
+    owner: str = ""  # distinguishes two owners with the same fencing token
 
 
 class Record(msgspec.Struct, frozen=True, array_like=True):
-    """One decision as the log has it."""
+    """One decision, as it is logged."""
 
     kind: RecordKind
     index: int
-    time_ms: int  # of the store: it never goes back
+    time_ms: int  # of the store, which never goes back
     table: str = ""
-    row: Row | None = None  # of a deletion: the row that is gone
+    row: Row | None = None  # of a deletion: the deleted row
     request_id: str = ""
     result: Result | None = None
 
@@ -75,7 +75,7 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True, array_like=True):
-    """The whole state at one index."""
+    """The complete state at one index."""
 
     index: int
     time_ms: int
@@ -85,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """What became of one key: its new row, or the row that is `gone`."""
+    """A change of one key: its new row, or with `gone` its deleted row."""
 
     index: int
     row: Row
--- a/brassfall/controlplane/store/row_leases.py
+++ b/brassfall/controlplane/store/row_leases.py
@@ -1,6 +1,6 @@
-"""The leases of a store's rows: granted with a write, renewed without one, ended by a deletion.
+"""The leases of a store's rows: granted by a write, renewed without one, ended by a deletion.
 
-Their lengths last with the rows; the time they have left does not, and is counted anew from each start.
+Their lengths are durable with the rows; the time left is not, and counts anew from each start.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class RowLeases:
-    """The leases of all tables of one writer. `guarded` says of a row whether its end may be doubted."""
+    """The leases of all tables of one writer; `guarded` returns whether the guard applies to a row."""
 
     def __init__(self, writer: Writer, guard: Guard, guarded: Guarded, statistics: Statistics) -> None:
         self._writer = writer
@@ -34,7 +34,7 @@
         self._guarded = guarded
         self._statistics = statistics
         self._tables: dict[str, Leases] = {}
-        self._ending: set[tuple[str, str]] = set()  # expired, and their deletion not decided yet
+        self._ending: set[tuple[str, str]] = set()  # expired, with a deletion that is not decided yet
         self._confirmed_ms: dict[tuple[str, str], float] = {}  # when a row was last confirmed, monotonic
         self._endings: set[asyncio.Task[None]] = set()
 
@@ -43,13 +43,13 @@
         return self._writer.state
 
     def restart(self, grace_ms: float) -> None:
-        """Begin the leases of all rows that were loaded; each lasts for at least `grace_ms`."""
+        """Begin the leases of all loaded rows; each lasts for at least `grace_ms`."""
         for table in self._state.names:
             for row in self._state.rows(table):
                 self._grant(table, row, grace_ms)
 
     def renew(self, table: str, key: str, fence: int | None) -> Result:
-        """Count the lease of a row anew for its owner. Nothing is written."""
+        """Renew the lease of a row for its owner; nothing is written."""
         row = self._state.get(table, key)
         if row is None:
             return Result(Status.MISSING, 0, f"{key} is not there")
@@ -60,28 +60,28 @@
         place = (table, key)
         self._confirmed_ms[place] = monotonic_ms()
         if row.lease_ms and not self._leases(table).renew(monotonic_ms(), key):
-            # It has expired and its deletion is not decided yet: that is taken back.
+            # It has expired, and its deletion is not decided yet: cancel that.
             self._ending.discard(place)
             self._grant(table, row)
         return Result(Status.DONE, row.version)
 
     def since_confirmed_ms(self, table: str, key: str) -> float | None:
-        """An upper bound on how long ago a row was last confirmed; None where that was before the start."""
+        """Return an upper bound on the time since a row was confirmed; None if that was before the start."""
         confirmed = self._confirmed_ms.get((table, key))
         return None if confirmed is None else monotonic_ms() - confirmed
 
     def suspects(self, table: str) -> list[str]:
-        """The rows that stay although their leases are over."""
+        """Return the rows that stay although their leases have ended."""
         return self._leases(table).suspects if table in self._tables else []
 
     def applied(self, decided: list[Decided]) -> None:
-        """Durable commands grant, keep or end the leases of their rows."""
+        """Grant, renew or end the leases of the rows of durable commands."""
         for one in decided:
             if one.result.done:
                 self._applied(one.write.command, one.result)
 
     async def run(self) -> None:
-        """Check all leases ten times a second, until it is cancelled."""
+        """Check all leases every `CHECK_S` until cancelled."""
         while True:
             await asyncio.sleep(CHECK_S)
             for table, leases in self._tables.items():
@@ -114,7 +114,7 @@
                 self._tables[command.table].drop(command.key)
             return
         self._confirmed_ms[place] = monotonic_ms()
-        # Only its owner keeps a row alive: what an operator changes on it is no sign of life.
+        # Only its owner renews a lease: a change by an operator does not.
         by_owner = isinstance(command, Put) or command.fence is not None
         if row.version == result.index and by_owner:
             self._grant(command.table, row)
@@ -132,11 +132,11 @@
         task.add_done_callback(self._endings.discard)
 
     async def _end(self, table: str, row: Row) -> None:
-        """Delete a row, as a write like any other; after a failure its lease runs once more."""
+        """Delete a row by a command; if that fails, begin its lease anew."""
         place = (table, row.key)
         try:
             if place not in self._ending:
-                return  # it was renewed meanwhile
+                return  # renewed meanwhile
             command = Delete(table=table, key=row.key, if_match=row.version)
             if (await self._writer.submit(command, until_settled=True)).done:
                 self._statistics.expired += 1
--- a/brassfall/controlplane/store/state.py
+++ b/brassfall/controlplane/store/state.py
@@ -1,12 +1,11 @@
-"""The versioned store's state machine: commands are decided, records applied, changes given out. Pure code.
+"""The state machine of the versioned store: commands are decided, and durable records applied. Pure code.
 
 All tables of one service share one index that only grows; the version of a row is the index of the change
-that made it. A command is decided in a `Transaction`, which leaves the state as it is: only when the
-transaction's records are durable are they applied, so that a reader never sees, and a failed disk never
-leaves behind, a change that may yet be lost.
+that made it. A command is decided in a `Transaction`, which does not change the state: its records are
+applied once they are durable, so that no reader sees a change that may still be lost.
 
-What is logged is what was decided, not the command (as in primary-backup replication): a later version that
-decides otherwise replays an old log to the same rows.
+Decisions are logged, not commands (as in primary-backup replication): a later version that decides
+differently replays an old log to the same rows.
 """
 
 from __future__ import annotations
@@ -26,28 +25,28 @@
 )
 from brassfall.controlplane.store.transaction import Transaction
 
-HISTORY_LENGTH = 8192  # changes remembered of each table, for watchers that come back
-REMEMBERED_MS = 600_000  # how long the answer to a request id is remembered, in time of the store
-REMEMBERED_MOST = 100_000
-GAPS_MOST = 16  # starts of incarnations that are remembered
+HISTORY_LENGTH = 8192  # changes kept of each table, for watchers that reconnect
+ANSWERS_KEPT_MS = 600_000  # for which the answer to a request id is kept, in the store's time
+MAX_ANSWERS = 100_000
+MAX_GAPS = 16  # starts of incarnations that are kept
 ROW_CHANGES = (RecordKind.PUT, RecordKind.DELETE)
 
 
 class ChangeHistory:
-    """The last changes of one table, at most `length`; after the index `since` none is missing."""
+    """The last changes of one table, at most `length`; it has all those after the index `since`."""
 
     def __init__(self, since: int, length: int) -> None:
         self.since = since
         self._changes: deque[Change] = deque(maxlen=length)
 
     def add(self, change: Change) -> None:
-        """Append the newest change; the oldest may be dropped for it."""
+        """Append the newest change; the oldest may be dropped."""
         if len(self._changes) == self._changes.maxlen:
             self.since = self._changes[0].index
         self._changes.append(change)
 
     def after(self, index: int) -> list[Change]:
-        """The newest change of each key that changed after an index, oldest first."""
+        """Return the newest change of each key that changed after an index, oldest first."""
         newest: dict[str, Change] = {}
         for change in reversed(self._changes):
             if change.index <= index:
@@ -57,7 +56,7 @@
 
 
 class State:
-    """All tables of one service; `index` is that of the last record, `time_ms` the store's own time."""
+    """The tables of one service; `index` is that of the last record, `time_ms` the store's own time."""
 
     def __init__(self, history_length: int = HISTORY_LENGTH) -> None:
         self.index = 0
@@ -67,27 +66,27 @@
         self._histories: dict[str, ChangeHistory] = {}
         self._last: dict[str, int] = {}
         self._answers: dict[str, RememberedAnswer] = {}
-        # Between the last index of one incarnation and the first one of the next: no list had such an index.
+        # From the last index of one incarnation to the first of the next: no list has an index between them.
         self._gaps: list[tuple[int, int]] = []
-        self._oldest = 0  # no history reaches further back than this
+        self._oldest = 0  # no history has changes before this index
 
     # --- reading ----------------------------------------------------------
 
     def get(self, table: str, key: str) -> Row | None:
-        """One row."""
+        """Return a row; None if there is none."""
         return self._rows.get(table, {}).get(key)
 
     def rows(self, table: str) -> Iterable[Row]:
-        """The rows of one table, in the order of their first writing."""
+        """Return the rows of one table, in the order in which they were first written."""
         return self._rows.get(table, {}).values()
 
     def count(self, table: str) -> int:
-        """How many rows a table has."""
+        """Return the number of rows of a table."""
         return len(self._rows.get(table, ()))
 
     @property
     def row_count(self) -> int:
-        """How many rows all tables have."""
+        """The number of rows of all tables."""
         return sum(map(len, self._rows.values()))
 
     @property
@@ -96,17 +95,19 @@
         return self._rows.keys()
 
     def answer(self, request_id: str) -> Result | None:
-        """The first answer to a request id, while it is remembered."""
+        """Return the first answer to a request id, while it is kept."""
         found = self._answers.get(request_id)
-        return found.result if found is not None and found.time_ms >= self.time_ms - REMEMBERED_MS else None
+        return found.result if found is not None and found.time_ms >= self.time_ms - ANSWERS_KEPT_MS else None
 
     def last_index(self, table: str) -> int:
-        """The index that a list of this table has: of its last change, or of this incarnation's start."""
+        """Return the index of a table: that of its last change, or of this incarnation's start."""
         return max(self._last.get(table, 0), self._gaps[-1][1] if self._gaps else 0)
 
     def changes_since(self, table: str, index: int) -> list[Change] | None:
-        """What changed after an index, each key once; None where only the complete list will do: the index
-        is too old, was never given out by this store, or lies in the future."""
+        """Return the changes after an index, each key once; None if only the complete list can be used.
+
+        That is so for an index that is too old, was never used by this store, or lies in the future.
+        """
         if index <= 0 or index > self.index:
             return None
         if any(low < index < high for low, high in self._gaps):
@@ -119,37 +120,38 @@
     # --- writing ----------------------------------------------------------
 
     def begin(self, time_ms: int) -> Transaction:
-        """A transaction in which commands are decided, at a time that never goes back."""
+        """Return a transaction in which commands are decided, at a time that never goes back."""
         return Transaction(self, max(time_ms, self.time_ms))
 
     def begin_incarnation(self, least_index: int, time_ms: int) -> Record:
-        """The record that begins an incarnation of the service: its indexes start above all earlier ones.
+        """Return the record that begins an incarnation, whose indexes start above all earlier ones.
 
-        Guards against a disk that was lost or restored from an old copy: an index that was given out by
-        the incarnation that is forgotten is used by no other."""
+        If the disk was lost or restored from an old copy, no index of the forgotten incarnation is used
+        again.
+        """
         index = max(least_index, self.index + 1)
         return Record(RecordKind.INCARNATION, index, max(time_ms, self.time_ms))
 
     def apply(self, records: Iterable[Record]) -> list[tuple[str, Change]]:
-        """Take in durable records, in their order; the changes, each with its table."""
+        """Apply durable records in their order; return the changes, each with its table."""
         changes = []
         for record in records:
             self.time_ms = max(self.time_ms, record.time_ms)
             if record.request_id and record.result is not None:
                 self._remember(RememberedAnswer(record.request_id, record.time_ms, record.result))
             if record.kind is RecordKind.INCARNATION:
-                self._gaps = [*self._gaps[1 - GAPS_MOST :], (self.index, record.index)]
+                self._gaps = [*self._gaps[1 - MAX_GAPS :], (self.index, record.index)]
                 self.index = record.index
             elif record.kind in ROW_CHANGES and record.row is not None:
                 changes.append((record.table, self._change(record.table, record.row, record)))
         return changes
 
     def restore_history(self, records: Iterable[Record]) -> None:
-        """Take in records from before the snapshot that this state was made of: they fill the histories."""
+        """Fill the histories from the records before the snapshot that this state was made of."""
         earlier = [record for record in records if record.index <= self.index]
         if not earlier:
             return
-        # An answer, or an incarnation's start, does not say that the change before it is among these.
+        # Before an answer, or an incarnation's start, the change with its index may be missing.
         self._oldest = earlier[0].index - (earlier[0].kind in ROW_CHANGES)
         self._histories = {name: ChangeHistory(self._oldest, self._history_length) for name in self._rows}
         before = self._oldest
@@ -162,13 +164,13 @@
             before = record.index
 
     def snapshot(self) -> Snapshot:
-        """All of it, for the disk."""
+        """Return the complete state for the disk."""
         rows = {name: list(rows.values()) for name, rows in self._rows.items()}
         return Snapshot(self.index, self.time_ms, rows, list(self._answers.values()))
 
     @classmethod
     def from_snapshot(cls, snapshot: Snapshot, history_length: int = HISTORY_LENGTH) -> State:
-        """The state that a snapshot was taken of, with histories that begin there."""
+        """Return the state of a snapshot, with histories that begin there."""
         state = cls(history_length)
         state.index, state.time_ms, state._oldest = snapshot.index, snapshot.time_ms, snapshot.index
         for name, rows in snapshot.rows.items():
@@ -195,9 +197,9 @@
 
     def _remember(self, answer: RememberedAnswer) -> None:
         self._answers[answer.request_id] = answer
-        oldest_ms = self.time_ms - REMEMBERED_MS
-        surplus = len(self._answers) - REMEMBERED_MOST
-        # Oldest first, so that each look costs no more than what it drops.
+        oldest_ms = self.time_ms - ANSWERS_KEPT_MS
+        surplus = len(self._answers) - MAX_ANSWERS
+        # Oldest first: the cost is bounded by the number of dropped ones.
         expired = [
             found.request_id
             for number, found in enumerate(islice(self._answers.values(), max(surplus, 2)))
--- a/brassfall/controlplane/store/statistics.py
+++ b/brassfall/controlplane/store/statistics.py
@@ -1,4 +1,4 @@
-"""What a store has done since its start. Pure code."""
+"""The statistics of a store. Pure code."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
     writes: int = 0  # records made durable
     commits: int = 0
-    refused: int = 0  # writes, for want of room in the queue
+    refused: int = 0  # writes, because the queue was full
     failures: int = 0  # commits that failed
     snapshots: int = 0
     expired: int = 0  # leases
     suspected: int = 0
     commit_s: float = 0.0  # time spent in commits
-    disk: str = ""  # why the last commit failed, while none has succeeded since
+    disk: str = ""  # why the last commit failed; empty once one has succeeded
--- a/brassfall/controlplane/store/store.py
+++ b/brassfall/controlplane/store/store.py
@@ -23,20 +23,20 @@
 
 
 def unguarded(_table: str, _row: Row) -> bool:
-    """Doubt no ending."""
+    """Return False: the end of no lease is doubted."""
     return False
 
 
 @dataclass(slots=True)
 class Options:
-    """How a store works; times in ms."""
+    """The options of a store; times in ms."""
 
     batch: int = 1024  # most writes in one commit
     queue: int = 4096  # most writes that wait
-    history_length: int = HISTORY_LENGTH  # changes of each table that are remembered for watchers
+    history_length: int = HISTORY_LENGTH  # changes of each table that are kept for watchers
     restart_grace_ms: float = 5000.0  # least time that a lease has left after a start
     guard: Guard = field(default_factory=Guard)
-    # Where the mass of endings is doubted; a lease of any other row ends when it ends.
+    # The rows whose leases don't end while too many of them would end at once.
     guarded: Guarded = unguarded
 
 
@@ -50,19 +50,20 @@
         self._writer = Writer(durable_log, options.batch, options.queue, self.statistics, self._applied)
         self._leases = RowLeases(self._writer, options.guard, options.guarded, self.statistics)
         self._lease_checks: asyncio.Task[None] | None = None
-        self.fresh = False  # whether there was no row at the start
-        self.incarnation = 0  # the index at which it began: above all that earlier ones gave out
+        self.fresh = False  # True if there was no row at the start
+        self.incarnation = 0  # the index at which it began, above those of earlier ones
 
     @property
     def state(self) -> State:
-        """What is durable."""
+        """The durable state."""
         return self._writer.state
 
     async def start(self) -> None:
-        """Read the log and begin an incarnation.
+        """Read the log and begin an incarnation; it may be called again after a failure.
 
-        `LogUnavailableError` or `LogOutcomeUnknownError` while the disk fails: it may be called again, and
-        then reads all anew. Another `LogError` where only an operator can help."""
+        Raise `LogUnavailableError` or `LogOutcomeUnknownError` while the disk fails, another `LogError` if
+        only an operator can help.
+        """
         loaded = await self._writer.load(self._options.history_length)
         state = self.state
         self.fresh = not state.row_count
@@ -73,40 +74,42 @@
         self._lease_checks = asyncio.get_running_loop().create_task(self._leases.run())
 
     async def close(self) -> None:
-        """Stop: the batch that is being written is answered, writes that wait are refused."""
+        """Stop: the batch that is being written is answered, waiting writes are refused."""
         if self._lease_checks is not None:
             self._lease_checks.cancel()
             await asyncio.gather(self._lease_checks, return_exceptions=True)
         await self._writer.close()
 
     def submit(self, command: Command, *, until_settled: bool = True) -> asyncio.Future[Result]:
-        """Have a command carried out; `NotWrittenError` where the disk fails or the queue is full.
+        """Queue a command; return a future of its result, which is set once the result is durable.
 
-        The answer comes when what was decided is durable. A caller that no longer waits for it does not
-        undo it. Where a commit fails and can't be looked for in the file, the answer waits until the disk
-        is back; without `until_settled` it is `OutcomeUnknownError` after a second."""
+        Raise `NotWrittenError` if the queue is full; the future fails with it if the disk fails. While the
+        outcome of a failed commit is unknown, the future waits until the disk is back; without
+        `until_settled` it fails with `OutcomeUnknownError` after `UNKNOWN_AFTER_S`. Cancelling it does not
+        undo the command.
+        """
         return self._writer.submit(command, until_settled=until_settled)
 
     def renew(self, table: str, key: str, fence: int | None) -> Result:
-        """The owner of a row is there: its lease is counted anew. Nothing is written."""
+        """Renew the lease of a row; nothing is written."""
         return self._leases.renew(table, key, fence)
 
     def since_confirmed_ms(self, table: str, key: str) -> float | None:
-        """An upper bound on how long ago a row was last confirmed; None where that was before the start."""
+        """Return an upper bound on the time since a row was confirmed; None if that was before the start."""
         return self._leases.since_confirmed_ms(table, key)
 
     def suspects(self, table: str) -> list[str]:
-        """The rows that stay although their leases are over."""
+        """Return the rows that stay although their leases have ended."""
         return self._leases.suspects(table)
 
     @property
     def waiting(self) -> int:
-        """How many writes wait for the disk."""
+        """The number of writes that wait for the disk."""
         return self._writer.waiting
 
     @property
     def outcome_unknown(self) -> bool:
-        """Whether a commit failed and isn't known yet to be in the file or not; nothing is written then."""
+        """True if it is not known whether a failed commit is in the file; nothing is written then."""
         return self._writer.outcome_unknown
 
     def _applied(self, changes: list[tuple[str, Change]], decided: list[Decided]) -> None:
--- a/brassfall/controlplane/store/transaction.py
+++ b/brassfall/controlplane/store/transaction.py
@@ -1,4 +1,4 @@
-"""Deciding commands ahead of the disk: what they change is seen within one transaction only. Pure code."""
+"""Transactions, which decide commands before the disk: their changes are visible inside only. Pure code."""
 
 from __future__ import annotations
 
@@ -11,21 +11,22 @@
 
 
 class Base(Protocol):
-    """The state that a transaction builds on."""
+    """The state on which a transaction is based."""
 
     index: int
 
     def get(self, table: str, key: str) -> Row | None:
-        """One row."""
+        """Return a row; None if there is none."""
 
     def answer(self, request_id: str) -> Result | None:
-        """The first answer to a request id."""
+        """Return the first answer to a request id; None if there is none."""
 
 
 class Transaction:
-    """Decides commands one after the other, each in sight of those before it.
+    """Decides commands one after the other, each with the changes of those before it.
 
-    The state below stays as it is; `records` has what was decided, for the log."""
+    The base state does not change; `records` has the decisions, for the log.
+    """
 
     def __init__(self, base: Base, time_ms: int) -> None:
         self.records: list[Record] = []
@@ -36,7 +37,7 @@
         self._answers: dict[str, Result] = {}
 
     def get(self, table: str, key: str) -> Row | None:
-        """A row as it will be."""
+        """Return a row with the changes of this transaction."""
         place = (table, key)
         return self._rows[place] if place in self._rows else self._base.get(table, key)
 
@@ -54,13 +55,14 @@
             case Put():
                 return self._put(command, row)
             case Patch():
-                assert row is not None  # else it was refused
+                assert row is not None  # otherwise refused
                 value = {**row.value, **command.changes}
                 return self._write(command, msgspec.structs.replace(row, value=value, version=0))
             case Delete():
                 assert row is not None
                 return self._delete(command, row)
-        raise TypeError(f"{command!r} is no command")
+        message = f"{command!r} is no command"
+        raise TypeError(message)
 
     def _put(self, command: Put, row: Row | None) -> Result:
         fence = command.fence if command.fence is not None else row.fence if row is not None else 0
@@ -94,7 +96,7 @@
 
 
 def refusal_of(command: Command, row: Row | None) -> Result | None:
-    """Why a command can't be carried out on this row; None where it can."""
+    """Return why a command can't be carried out on this row; None if it can."""
     if row is None and not isinstance(command, Put):
         return Result(Status.MISSING, 0, f"{command.key} is not there")
     version = row.version if row is not None else 0
@@ -113,18 +115,20 @@
 
 
 def older_owner(row: Row) -> Result:
-    """To the owner of a newer fencing token than the row's: what it wrote was lost with a disk, and it has
-    to write its row once more, which no condition forbids."""
+    """Return the answer to an owner with a newer fencing token than the row's.
+
+    Its write was lost with a disk: it has to write its row again, which is not refused.
+    """
     return Result(Status.MISSING, 0, f"{row.key} belongs to an older holder, {row.fence}")
 
 
 def newer_owner(row: Row) -> str:
-    """To the owner of an older fencing token than the row's, why it is refused."""
+    """Return why an owner with an older fencing token than the row's is refused."""
     return f"{row.key} belongs to a newer holder, {row.fence}"
 
 
 def _superseded(command: Command, row: Row) -> str:
-    """Why the owner that a command names may not change a row; empty where it may."""
+    """Return why the owner that a command names must not change a row; empty if it may."""
     if command.fence is not None and command.fence < row.fence:
         return newer_owner(row)
     if isinstance(command, Put) and command.fence == row.fence and command.owner != row.owner:
--- a/brassfall/controlplane/store/writer.py
+++ b/brassfall/controlplane/store/writer.py
@@ -1,7 +1,7 @@
-"""The way of a write to the disk: queued, decided in batches, committed together, and only then applied.
+"""The writer of a store: commands are queued, decided in batches, committed together, and then applied.
 
-Where a commit fails and the file can't be read, nothing is written until it is known whether the batch is in
-the file: then it is applied and answered, or refused for good.
+If a commit fails and the file can't be read, nothing is written until it is known whether the batch is in the
+file: then the batch is applied and answered, or refused for good.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 from brassfall.logs import logger
 
 COMPACT_RETRY_MS = 10_000.0  # after a snapshot that failed
-UNKNOWN_AFTER_S = 1.0  # so long a caller waits for an outcome before it is told that it is unknown
+UNKNOWN_AFTER_S = 1.0  # for which a caller waits before it is answered that the outcome is unknown
 STOPPING = "the service is stopping"
 Applied = Callable[[list[tuple[str, Change]], list[Decided]], None]
 
@@ -37,15 +37,16 @@
 
 
 def monotonic_ms() -> float:
-    """Monotonic milliseconds."""
+    """Return the monotonic time in ms."""
     return time.monotonic() * 1000.0
 
 
 class Writer:
     """Owns the state, its log, and the thread in which the log is written.
 
-    `applied` is called with the changes of each durable batch and with what was decided, before its writers
-    are answered. At most `batch` writes go into one commit, and at most `queue` wait."""
+    `applied` is called with the changes of each durable batch and its decided writes, before these are
+    answered. At most `batch` writes go into one commit, and at most `queue` wait.
+    """
 
     def __init__(
         self, durable_log: Log, batch: int, queue: int, statistics: Statistics, applied: Applied
@@ -62,14 +63,15 @@
         self._thread = ThreadPoolExecutor(1, "table-log")
         self._task: asyncio.Task[None] | None = None
         self._stopping = False
-        self._compact_at_ms = 0.0  # no snapshot before, in monotonic time
-        self._base_ms = 0.0  # from monotonic time to that of the state
+        self._compact_at_ms = 0.0  # no earlier snapshot, in monotonic ms
+        self._base_ms = 0.0  # from monotonic ms to the time of the state
 
     async def load(self, history_length: int) -> Loaded:
         """Read the log and begin an incarnation; it may be called again after a failure.
 
-        `LogUnavailableError` or `LogOutcomeUnknownError` while the disk fails, another `LogError` where
-        only an operator can help."""
+        Raise `LogUnavailableError` or `LogOutcomeUnknownError` while the disk fails, another `LogError` if
+        only an operator can help.
+        """
         loop = asyncio.get_running_loop()
         loaded = await loop.run_in_executor(self._thread, self._log.load, history_length)
         state = loaded.state
@@ -79,18 +81,18 @@
         try:
             await loop.run_in_executor(self._thread, self._log.append, [incarnation])
         except LogError:
-            self._log.close()  # what is in the file is read anew by the next try
+            self._log.close()  # the next call reads the file anew
             raise
         state.apply([incarnation])
         self.state = state
         return loaded
 
     def start(self) -> None:
-        """Write what is submitted from now on."""
+        """Start to write submitted commands."""
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     async def close(self) -> None:
-        """Stop: the batch that is being written is answered, writes that wait are refused."""
+        """Stop: the batch that is being written is answered, waiting writes are refused."""
         self._stopping = True
         self._work.set()
         if self._task is not None:
@@ -105,7 +107,7 @@
         self._log.close()
 
     def submit(self, command: Command, *, until_settled: bool) -> asyncio.Future[Result]:
-        """Queue a command; `NotWrittenError` where the queue is full. See `Store.submit`."""
+        """Queue a command; raise `NotWrittenError` if the queue is full. See `Store.submit`."""
         if self._stopping or len(self._queue) >= self._queue_most:
             self.statistics.refused += 1
             raise NotWrittenError(STOPPING if self._stopping else "too many writes wait for the disk")
@@ -116,12 +118,12 @@
 
     @property
     def waiting(self) -> int:
-        """How many writes wait for the disk."""
+        """The number of writes that wait for the disk."""
         return len(self._queue)
 
     @property
     def outcome_unknown(self) -> bool:
-        """Whether a commit failed and isn't known yet to be in the file or not; nothing is written then."""
+        """True if it is not known whether a failed commit is in the file; nothing is written then."""
         return self._unsettled is not None
 
     def _time_ms(self) -> int:
@@ -132,14 +134,14 @@
             await self._wait_for_work()
             self._work.clear()
             if self._unsettled is not None:
-                await self._learn_outcome(self._unsettled)
+                await self._settle(self._unsettled)
             while self._queue and not self._stopping:
                 batch = self._queue[: self._batch]
                 del self._queue[: self._batch]
                 await self._write(batch)
 
     async def _wait_for_work(self) -> None:
-        """Until something is to be written, or an outcome is to be looked for once more."""
+        """Wait until a write is queued, or an unknown outcome is due to be settled."""
         if self._unsettled is None:
             await self._work.wait()
             return
@@ -150,9 +152,9 @@
     # --- one batch ------------------------------------------------------------
 
     async def _write(self, batch: list[Write]) -> None:
-        """Decide a batch, commit it, then apply it and answer; or refuse it."""
+        """Decide a batch, commit it, then apply and answer it; or refuse it."""
         if self._unsettled is not None:
-            await self._learn_outcome(self._unsettled)
+            await self._settle(self._unsettled)
         if self._unsettled is not None:
             self._refuse_until_settled(batch, self._unsettled)
             return
@@ -164,7 +166,7 @@
         await self._compact()
 
     async def _commit(self, records: list[Record], decided: list[Decided]) -> bool:
-        """Make records durable. Where that fails their writers are answered, or wait for the outcome."""
+        """Make records durable; on failure refuse their writes, or let them wait for the outcome."""
         loop = asyncio.get_running_loop()
         begun = loop.time()
         try:
@@ -183,7 +185,7 @@
         return True
 
     def _apply(self, records: list[Record], decided: list[Decided]) -> None:
-        """Records are durable: apply them, tell of their changes, and answer their writers."""
+        """Apply durable records, notify of their changes, and answer their writes."""
         if records:
             self.statistics.commits += 1
             self.statistics.writes += len(records)
@@ -192,7 +194,7 @@
             one.write.answer(one.result)
 
     def _refuse(self, write: Write, reason: str) -> None:
-        """Nothing is written. A repeat of what was done before still gets that answer."""
+        """Refuse a write; a repeat of an earlier one gets the earlier answer."""
         request_id = write.command.request_id
         first = self.state.answer(request_id) if request_id else None
         if first is not None:
@@ -233,13 +235,13 @@
             self._bound(one.write)
 
     def _bound(self, write: Write) -> None:
-        """A caller that does not wait until the outcome is known is told so after a while."""
+        """Answer a caller with a bounded wait that the outcome is unknown, once that has passed."""
         if not write.until_settled:
             error = OutcomeUnknownError("the write may have happened", self.statistics.disk)
             asyncio.get_running_loop().call_later(UNKNOWN_AFTER_S, write.fail, error)
 
     def _refuse_until_settled(self, batch: list[Write], unsettled: UnsettledBatch) -> None:
-        """Nothing is written while an outcome is unknown. A repeat of such a write waits with it."""
+        """Refuse a batch while an outcome is unknown; a repeat of one of its writes waits with it."""
         for write in batch:
             result = unsettled.result_of_repeat(write.command)
             if result is None:
@@ -248,8 +250,8 @@
                 unsettled.decided.append(Decided(write, result))
                 self._bound(write)
 
-    async def _learn_outcome(self, batch: UnsettledBatch) -> None:
-        """Look, if it is time, whether a batch is in the file; then it is applied, or refused."""
+    async def _settle(self, batch: UnsettledBatch) -> None:
+        """Find out, if it is time, whether a batch is in the file; then apply or refuse it."""
         loop = asyncio.get_running_loop()
         if loop.time() < batch.retry_at:
             return
--- a/tests/controlplane/test_aggregation.py
+++ b/tests/controlplane/test_aggregation.py
@@ -19,7 +19,7 @@
 )
 from brassfall.controlplane.aggregation.admission import Admission
 from brassfall.controlplane.aggregation.aggregator import Aggregator
-from brassfall.controlplane.aggregation.merged_delays import CHILD_SAMPLES_MOST, RANKS, MergedDelays, thinned
+from brassfall.controlplane.aggregation.merged_delays import MAX_CHILD_SAMPLES, RANKS, MergedDelays, thinned
 from brassfall.controlplane.aggregation.messages import (
     EXCEPTIONS_MOST,
     LAGGING_MOST,
@@ -411,7 +411,7 @@
     merged.add(0.0, "old", "g", {"delays": "none"})
     assert merged.take(100.0) == {}
     (row,) = merged.take(6000.0)["delays"]
-    assert row["first"] == {"40": 20, "50": 40, "60": CHILD_SAMPLES_MOST} and row["children"] == 11
+    assert row["first"] == {"40": 20, "50": 40, "60": MAX_CHILD_SAMPLES} and row["children"] == 11
     assert validate_rows([row]).rows and merged.rejected == 11
     assert merged.take(20_000.0) == {}
 
--- a/tests/controlplane/test_store_disk.py
+++ b/tests/controlplane/test_store_disk.py
@@ -9,6 +9,7 @@
 from types import SimpleNamespace
 
 import pytest
+from aiohttp import web
 from aiohttp.test_utils import make_mocked_request
 
 from brassfall.controlplane.registry.override_clock import KEY, TABLE
@@ -281,7 +282,7 @@
     revisions = SimpleNamespace(blocked={}, overrides_in_force=lambda: None, publish=published)
 
     async def body(request):
-        return await request.read()
+        return request[BODY]
 
     made = Overrides(SimpleNamespace(store=running.store, body=body), revisions)
     try:
@@ -290,11 +291,14 @@
         await made.close()
 
 
+BODY = web.RequestKey("body", bytes)
+
+
 async def call_override(overrides, method, document):
     """Call `/overrides/o` as the router does."""
     handler = next(route.handler for route in overrides.routes() if route.method == method)
     request = make_mocked_request(method, "/overrides/o", match_info={"name": "o"})
-    request._read_bytes = json.dumps(document).encode()
+    request[BODY] = json.dumps(document).encode()
     return await handler(request)
 
 
--- a/tests/controlplane/test_store_leases.py
+++ b/tests/controlplane/test_store_leases.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from brassfall.controlplane.store.leases import STEP_MOST_MS, Guard, Leases
+from brassfall.controlplane.store.leases import MAX_STEP_MS, Guard, Leases
 
 TTL = 6000.0
 
@@ -48,7 +48,7 @@
     assert all(20_000.0 + TTL * 2 / 3 <= at <= 20_000.0 + TTL + 200.0 for at in ended.values())
 
 
-def test_the_guard_ends_and_who_comes_back_is_no_suspect():
+def test_the_guard_ends_and_a_renewed_lease_is_no_suspect():
     silent = {f"s{i}": 20_000.0 for i in range(4)}
     ended, suspected, leases = run_leases(12, silent, 100_000.0)
     assert set(ended) == suspected == set(silent)
@@ -72,16 +72,16 @@
     assert ended[0] <= 10_000.0 + TTL + 200.0  # its later death is seen in time, not a minute on
 
 
-def test_a_stall_expires_nobody():
+def test_no_lease_expires_in_a_stall():
     ended, suspected, _ = run_leases(12, {}, 80_000.0, stall=(20_000.0, 50_000.0))
     assert not ended and not suspected
     leases = Leases(Guard())
     leases.grant(0.0, "a", TTL, guarded=True)
     leases.check(30_000.0)
-    assert len(leases) == 1 and leases.since_renewal_ms(30_000.0, "a") == STEP_MOST_MS
+    assert len(leases) == 1 and leases.since_renewal_ms(30_000.0, "a") == MAX_STEP_MS
 
 
-def test_what_leaves_is_not_doubted():
+def test_the_end_of_a_leaving_servers_lease_is_not_doubted():
     leases = Leases(Guard())
     for name in "abcd":
         leases.grant(0.0, name, TTL, guarded=False)
--- a/tests/controlplane/test_store_log.py
+++ b/tests/controlplane/test_store_log.py
@@ -61,7 +61,7 @@
             log.close()
 
 
-def test_after_a_restart_watchers_go_on_from_the_index_they_had(tmp_path):
+def test_after_a_restart_watchers_continue_from_their_index(tmp_path):
     log = Log(tmp_path)
     state, indexes = log.load().state, []
     for number in range(12):
--- a/tests/controlplane/test_store_log_disk.py
+++ b/tests/controlplane/test_store_log_disk.py
@@ -107,7 +107,9 @@
     ("part", "error"), [("write", "ENOSPC"), ("write", "EIO write"), ("sync", "EIO sync")]
 )
 @pytest.mark.parametrize("opens", ["", "EIO open"])
-def test_whatever_fails_the_writers_the_table_and_a_restart_agree(journal, opens, part, error, after, keep):
+def test_after_any_failure_the_writers_the_table_and_a_restart_agree(
+    journal, opens, part, error, after, keep
+):
     """Each write and sync of a commit of several pages fails in turn, with the file readable or not."""
     disk = journal.disk
     setattr(disk, part, error)
@@ -228,7 +230,7 @@
     assert journal.after_restart() == ["first", "unknown"]
 
 
-def test_a_foreign_file_in_its_place_is_refused_and_hangs_nobody(journal):
+def test_a_foreign_file_in_its_place_is_refused_and_blocks_no_caller(journal):
     journal.log.close()
     for path in journal.folder.iterdir():
         path.unlink()
--- a/tests/controlplane/test_store_state.py
+++ b/tests/controlplane/test_store_state.py
@@ -170,7 +170,7 @@
 
 
 def test_the_answer_to_a_request_id_is_forgotten_by_age_and_number(monkeypatch):
-    monkeypatch.setattr(store_state, "REMEMBERED_MOST", 3)
+    monkeypatch.setattr(store_state, "MAX_ANSWERS", 3)
     store = State()
 
     def put(at, request_id):
@@ -181,6 +181,6 @@
     for number in range(4):
         put(0, f"r{number}")
     assert store.answer("r0") is None and store.answer("r1") is not None
-    put(store_state.REMEMBERED_MS + 1, "late")
+    put(store_state.ANSWERS_KEPT_MS + 1, "late")
     assert [store.answer(f"r{n}") for n in range(4)] == [None] * 4
     assert store.answer("late") is not None
