--- a/brassfall/sidecar/agent/override_layer.py
+++ b/brassfall/sidecar/agent/override_layer.py
@@ -91,6 +91,11 @@
         return in_group and (not self.regions or place.region in self.regions)
 
 
+def precedence(override: Override) -> tuple[int, int, int, str]:
+    """Return the sort key of overrides, the one that takes precedence first."""
+    return -override.priority, -override.start_ms, -override.revision, override.id
+
+
 class Layer(NamedTuple):
     """The overrides of one configuration revision."""
 
@@ -118,7 +123,7 @@
         except (ValueError, TypeError, AttributeError, KeyError) as error:
             name = row.get("id") if isinstance(row, Mapping) else None
             problems.append(f"override {name!r}: {error}")
-    overrides.sort(key=lambda each: (-each.priority, -each.start_ms, -each.revision, each.id))
+    overrides.sort(key=precedence)
     return Layer(tuple(overrides), tuple(problems))
 
 
--- a/brassfall/sidecar/agent/overrides.py
+++ b/brassfall/sidecar/agent/overrides.py
@@ -12,7 +12,17 @@
 from typing import NamedTuple
 
 from brassfall.sidecar.agent.deadlines import Deadlines, Phase
-from brassfall.sidecar.agent.override_layer import Cap, Freeze, Hold, HoldScope, Override, Pin, Place, Shift
+from brassfall.sidecar.agent.override_layer import (
+    Cap,
+    Freeze,
+    Hold,
+    HoldScope,
+    Override,
+    Pin,
+    Place,
+    Shift,
+    precedence,
+)
 
 NO_REGION = ""  # the region of a pinned tenant that must not be served anywhere
 SHARE_EPSILON = 1e-9  # a smaller share counts as none
@@ -76,13 +86,10 @@
     `layer` is in order of precedence, as `read_layer` returns it. The result changes only when an argument
     does, or at `deadlines.next_end`.
     """
-    local = [(each, _phase(each, deadlines, now_s)) for each in layer if each.applies_at(view.place)]
-    in_force = [override for override, phase in local if phase is Phase.IN_FORCE]
-    not_over = [override for override, phase in local if phase is not Phase.OVER]
-    usable = [override for override in in_force if not _unknown_needs(override, view.names)]
-    possible = [override for override in not_over if not _unknown_needs(override, view.names)]
+    selected = _select(now_s, layer, deadlines, view)
+    usable = selected.usable
     excluded, notes = _exclusions(settings, usable, view.names)
-    pins = _undisputed_pins(settings, usable, possible)
+    pins = _undisputed_pins(settings, selected)
     regions = _Regions(view.names.regions, excluded[HoldScope.REGION])
     shifts = _shifts(usable)
     tenant_shares = _tenant_shares(settings, shifts, regions)
@@ -96,12 +103,38 @@
         excluded_servers=excluded[HoldScope.SERVER],
         caps={name: rate / max(1, view.sidecars) for name, rate in _caps(settings.caps, usable).items()},
         frozen=any(isinstance(override.action, Freeze) for override in usable),
-        acted=tuple(sorted((override.id, override.revision) for override in in_force)),
-        unknown=tuple(text for override in in_force for text in _unknown_names(override, view.names)),
+        acted=tuple(sorted(selected.acted)),
+        unknown=tuple(selected.unknown),
         notes=(*notes, *_pins_to_excluded(pins, regions.excluded)),
     )
 
 
+class _Selection(NamedTuple):
+    """The overrides of a layer that count here, in order of precedence."""
+
+    usable: list[Override]  # in force, with all names that they need known
+    doubtful: list[Override]  # ended here, and perhaps not yet at another sidecar; all names known
+    acted: list[tuple[str, int]]  # id and revision of those in force
+    unknown: list[str]  # names in those in force that are not known
+
+
+def _select(now_s: float, layer: Iterable[Override], deadlines: Deadlines, view: LocalView) -> _Selection:
+    selected = _Selection([], [], [], [])
+    for override in layer:
+        phase = _phase(override, deadlines, now_s) if override.applies_at(view.place) else Phase.OVER
+        if phase is Phase.OVER:
+            continue
+        missing = _unknown_needs(override, view.names)
+        if phase is Phase.DOUBTFUL:
+            selected.doubtful.extend([] if missing else [override])
+            continue
+        selected.acted.append((override.id, override.revision))
+        selected.unknown.extend(_unknown_regions(override, view.names) + missing)
+        if not missing:
+            selected.usable.append(override)
+    return selected
+
+
 def _phase(override: Override, deadlines: Deadlines, now_s: float) -> Phase:
     phase = deadlines.exclusive_phase if isinstance(override.action, Pin) else deadlines.phase
     return phase(override.id, override.revision, now_s)
@@ -112,36 +145,31 @@
 
 def _unknown_needs(override: Override, names: Names) -> list[str]:
     """Return the unknown names without which an override has no meaning here."""
-    needs: list[tuple[str, str, Set[str]]] = []
-    if override.request_class is not None:
-        needs.append(("class", override.request_class, names.classes))
-    if override.tenant is not None:
-        needs.append(("tenant", override.tenant, names.tenants))
-    match override.action:
-        case Hold(scope, name):
-            needs.append((scope.value, name, _names_of(scope, names)))
-        case Pin(region):
-            needs.append(("region", region, names.regions))
-    return [f"{override.id}: {kind} {name}" for kind, name, known in needs if name not in known]
-
-
-def _unknown_names(override: Override, names: Names) -> list[str]:
-    """Return all unknown names of an override; a shift still applies to the regions that are known."""
     unknown: list[str] = []
-    if isinstance(override.action, Shift):
-        shares = override.action.shares
-        unknown = [f"{override.id}: region {name}" for name in sorted(shares) if name not in names.regions]
-    return unknown + _unknown_needs(override, names)
+    if override.request_class is not None and override.request_class not in names.classes:
+        unknown.append(f"{override.id}: class {override.request_class}")
+    if override.tenant is not None and override.tenant not in names.tenants:
+        unknown.append(f"{override.id}: tenant {override.tenant}")
+    action = override.action
+    if isinstance(action, Hold) and action.name not in _names_of(action.scope, names):
+        unknown.append(f"{override.id}: {action.scope.value} {action.name}")
+    if isinstance(action, Pin) and action.region not in names.regions:
+        unknown.append(f"{override.id}: region {action.region}")
+    return unknown
+
+
+def _unknown_regions(override: Override, names: Names) -> list[str]:
+    """Return the unknown regions of a shift, which still applies to the others."""
+    if not isinstance(override.action, Shift):
+        return []
+    shares = override.action.shares
+    return [f"{override.id}: region {name}" for name in sorted(shares) if name not in names.regions]
 
 
 def _names_of(scope: HoldScope, names: Names) -> Set[str]:
-    match scope:
-        case HoldScope.REGION:
-            return names.regions
-        case HoldScope.GROUP:
-            return names.groups
-        case HoldScope.SERVER:
-            return names.servers
+    if scope is HoldScope.REGION:
+        return names.regions
+    return names.groups if scope is HoldScope.GROUP else names.servers
 
 
 # --- holds, caps and pins --------------------------------------------------------------------------------
@@ -205,15 +233,17 @@
     return pins
 
 
-def _undisputed_pins(
-    settings: Rules, in_force: Sequence[Override], not_over: Sequence[Override]
-) -> dict[str, str]:
-    """Return the pins to act on, of overrides whose names are known.
+def _undisputed_pins(settings: Rules, selected: _Selection) -> dict[str, str]:
+    """Return the pins to act on.
 
     Near its end a pin may still be acted on by another sidecar: a tenant that this one would then serve
     elsewhere is served by none.
     """
-    return common_pins(_pins(settings.tenant_pins, in_force), _pins(settings.tenant_pins, not_over))
+    pins = _pins(settings.tenant_pins, selected.usable)
+    if not selected.doubtful:
+        return pins
+    not_over = sorted([*selected.usable, *selected.doubtful], key=precedence)
+    return common_pins(pins, _pins(settings.tenant_pins, not_over))
 
 
 def common_pins(one: Mapping[str, str], other: Mapping[str, str]) -> dict[str, str]:
