--- a/brassfall/controlplane/geo/allocation.py
+++ b/brassfall/controlplane/geo/allocation.py
@@ -88,7 +88,7 @@
         self._rows.append((terms, bound))
 
     def matrix(self) -> tuple[Any, Array]:
-        """The matrix (rows, columns) and the bounds (rows,)."""
+        """Return the matrix (rows, columns) and the bounds (rows,)."""
         entries = [(i, column, factor) for i, (terms, _) in enumerate(self._rows) for column, factor in terms]
         rows, columns, factors = zip(*entries, strict=True)
         shape = (len(self._rows), self._columns)
@@ -98,7 +98,7 @@
 
 
 def allocate(problem: Allocation) -> Array:
-    """The shares (N, M) of the best allocation; those of the plan before if the solver finds none."""
+    """Return the shares (N, M) of the best allocation; those of the plan before if there is none."""
     n, m = problem.cost.shape
     columns = _Columns(n, m)
     below, limits = _upper_rows(problem, columns).matrix()
@@ -128,7 +128,7 @@
 
 
 def _queue_slopes() -> Array:
-    """(steps,) what one more request costs all of a region's, in times of work, as in an M/M/1 queue."""
+    """Return (steps,) the cost of one more request for all of a region, in times of work (M/M/1 queue)."""
     ends = np.concatenate([[0.0], LOAD_STEPS])
     return np.asarray(np.diff(ends**2 / (1.0 - ends)) / np.diff(ends))
 
--- a/brassfall/controlplane/geo/changes.py
+++ b/brassfall/controlplane/geo/changes.py
@@ -77,7 +77,7 @@
 def _node_shift(
     recent: Sequence[WindowSample], older: Sequence[WindowSample], measure: Measure
 ) -> _NodeShift | None:
-    """None where one side has no delays of this measure."""
+    """Return the shift of one node; None if one side has no delays of this measure."""
     now = pooled(recent, measure, recent[0].received_s)
     before = pooled(older, measure, older[0].received_s)
     if not now or not before:
@@ -114,7 +114,7 @@
 
 
 def route_change(nodes: NodeWindows, now_s: float, trust: Trust = FULL_TRUST) -> RouteChange | None:
-    """The change of one pair's delay; None where there is none.
+    """Return the change of one pair's delay; None if there is none.
 
     It is dated by the shortest span that shows it: a longer one may begin before it.
     """
@@ -128,7 +128,7 @@
 
 
 def _judged(since_s: float, first_bytes: _PairShift, handshakes: _PairShift) -> RouteChange | None:
-    """What the shifts of both measures within one span say together."""
+    """Return the change that the shifts of both measures within one span show; None if there is none."""
     many_handshakes = handshakes.recent >= MIN_RECENT
     if many_handshakes and handshakes.rise > RISE:
         return RouteChange(since_s, increased=True, confirmed=True)
@@ -143,7 +143,7 @@
 def route_changes(
     windows: PairWindows, now_s: float, trust: Trust = FULL_TRUST
 ) -> dict[PairName, RouteChange]:
-    """The changes of all pairs.
+    """Return the changes of all pairs.
 
     Where first bytes of most groups of a region rise at once and no handshake says why, it is a queue of that
     region and not a change.
@@ -179,7 +179,7 @@
 def received_after(
     windows: PairWindows, since: Mapping[PairName, float]
 ) -> dict[PairName, dict[str, Sequence[WindowSample]]]:
-    """The windows of each pair that were received after its last change (seconds, by pair)."""
+    """Return the windows of each pair that were received after its last change (seconds, by pair)."""
     found: dict[PairName, dict[str, Sequence[WindowSample]]] = {}
     for pair, nodes in windows.items():
         start_s = since.get(pair, -math.inf)
@@ -195,7 +195,7 @@
     trust: Trust = FULL_TRUST,
     since: Mapping[PairName, float] = NO_CHANGES,
 ) -> tuple[PairWindows, dict[PairName, float]]:
-    """The windows that still count, and when each pair changed last: as known (`since`) or as found now."""
+    """Return the windows that still count, and when each pair changed last: as known, or as found now."""
     current = received_after(windows, since)
     seen = {pair: change.since_s for pair, change in route_changes(current, now_s, trust).items()}
     known = {pair: start_s for pair, start_s in since.items() if pair in windows}
--- a/brassfall/controlplane/geo/embedding.py
+++ b/brassfall/controlplane/geo/embedding.py
@@ -1,5 +1,4 @@
-"""The model of all delays together: client groups and regions in a plane, each with an access delay. Pure
-code.
+"""The model of all delays: client groups and regions in a plane, each with an access delay. Pure code.
 
     delay(g, r) = access(g) + access(r) + scale * |x(g) - y(r)|
 
@@ -51,7 +50,7 @@
     log_scale: float  # the logarithm of the scale in ms
 
     def parts(self, parameters: Array) -> Parts:
-        """The parts of a vector of parameters."""
+        """Return the parts of a vector of parameters."""
         n, m = self.groups, self.regions
         return Parts(
             parameters[:n],
@@ -87,7 +86,7 @@
         return mean, np.concatenate([np.full(n + m, ACCESS_SD), np.full(2 * (n + m), PLACE_SD)])
 
     def region_columns(self, region: int) -> list[int]:
-        """The parameters of one region."""
+        """Return the parameters of one region."""
         n, m = self.groups, self.regions
         place = 3 * n + m + 2 * region
         return [n + region, place, place + 1]
--- a/brassfall/controlplane/geo/evidence.py
+++ b/brassfall/controlplane/geo/evidence.py
@@ -97,12 +97,12 @@
 
 
 def bucket_middle_ms(bucket: float) -> float:
-    """The (geometric) middle of a bucket, in ms."""
+    """Return the (geometric) middle of a bucket, in ms."""
     return float(MIN_DELAY_MS * BUCKET_WIDTH ** (bucket + 0.5))
 
 
 def sample_count(points: Iterable[tuple[int, int]]) -> int:
-    """The number of delays in a sketch."""
+    """Return the number of delays in a sketch."""
     return sum(number for _, number in points)
 
 
@@ -127,7 +127,7 @@
 
 
 def _validated(row: object) -> DelayRow | str:
-    """The row, or the reason why it is rejected: the name of its first bad field."""
+    """Return the row, or the reason why it is rejected: the name of its first bad field."""
     if not isinstance(row, Mapping):
         return "row"
     region, window = row.get("region"), row.get("window")
@@ -146,7 +146,7 @@
 
 
 def is_name(text: object) -> TypeGuard[str]:
-    """Whether this can be the name of a node, group, region or incarnation."""
+    """Return whether this can be the name of a node, group, region or incarnation."""
     return isinstance(text, str) and 0 < len(text) <= MAX_NAME_LENGTH
 
 
@@ -155,7 +155,7 @@
 
 
 def _points(counts: object) -> Points | None:
-    """A sketch from its wire form (counts by the bucket's number in decimal); None if it is none."""
+    """Return a sketch of its wire form (counts by the bucket's decimal number); None if it is malformed."""
     if not isinstance(counts, Mapping) or len(counts) > MAX_POINTS:
         return None
     by_bucket: dict[int, int] = {}
@@ -171,19 +171,19 @@
 
 
 def merge(state: State, node: str, incarnation: str, group: str, rows: object, now_s: float) -> State:
-    """The state with one report merged, validated first; the same object where nothing of it is usable."""
+    """Return the state with one report validated and merged; the same object if nothing is usable."""
     return merge_reports(state, [NodeReport(node, incarnation, group, validate_rows(rows).rows, now_s)])
 
 
 def merge_reports(state: State, reports: Iterable[NodeReport]) -> State:
-    """The state with reports merged in their order; the table of nodes is copied once for all of them."""
+    """Return the state with reports merged in their order; the table of nodes is copied once."""
     nodes = dict(state.nodes)
     changes = sum(_merge_into(nodes, report) for report in reports)
     return replace(state, nodes=nodes) if changes else state
 
 
 def _merge_into(nodes: dict[str, NodeSamples], report: NodeReport) -> bool:
-    """Merge a report into the table of nodes; whether there was anything usable in it."""
+    """Merge a report into the table of nodes; return whether there was anything usable in it."""
     if not _is_usable(report):
         return False
     source = Source(report.incarnation, report.group)
@@ -205,7 +205,7 @@
 
 
 def _with_window(samples: WindowSamples, window: int, sample: WindowSample) -> WindowSamples:
-    """The samples with one more window, and without the oldest where there are too many.
+    """Return the samples with one more window, and without the oldest if there are too many.
 
     Of a window that comes twice, the content that sorts first is taken (an honest node sends the same), and
     the earlier time of receipt: so the order does not matter.
@@ -241,13 +241,13 @@
 
 
 def last_received_s(samples: NodeSamples) -> float:
-    """When a node's newest row was received, in seconds; minus infinity where it has none."""
+    """Return when a node's newest row was received, in seconds; minus infinity if it has none."""
     times = (_newest_s(track) for by_region in samples.values() for track in by_region.values())
     return max(times, default=-math.inf)
 
 
 def expire_nodes(state: State, now_s: float, after_s: float = EXPIRY_S) -> State:
-    """The state without nodes that have been silent for `after_s` seconds; to be called now and then."""
+    """Return the state without nodes that have been silent for `after_s` seconds."""
     remaining = {
         node: samples for node, samples in state.nodes.items() if last_received_s(samples) > now_s - after_s
     }
@@ -260,7 +260,7 @@
 def by_pair(
     state: State, max_nodes: int = MAX_NODES_PER_PAIR
 ) -> dict[PairName, dict[str, list[WindowSample]]]:
-    """Samples by (client group, region) and node, oldest first; all incarnations of a node count as one node.
+    """Return samples by (client group, region) and node, oldest first; incarnations count as one node.
 
     Of a pair with more than `max_nodes` nodes, a fixed selection is used, and silent nodes last of all.
     """
--- a/brassfall/controlplane/geo/fitting.py
+++ b/brassfall/controlplane/geo/fitting.py
@@ -1,5 +1,4 @@
-"""Fits the parameters of the embedding to measured pairs. Pure code, without a random source: starts are
-fixed.
+"""Fitting of the embedding's parameters to measured pairs, from fixed starts. Pure code.
 
 Least squares of logarithms, robust by reweighting. Small steps alone leave a group or region on the wrong
 side of the others, so each is also set to its most likely place on a grid, for as long as that makes the
@@ -42,7 +41,7 @@
 
 
 def best_fit(problem: Problem, errors: Array, starts: Sequence[Array]) -> tuple[Array, float]:
-    """The best parameters from these starts, and the detour: how much pairs differ from the model (sd).
+    """Return the best parameters from these starts, and the detour: the sd of pairs from the model.
 
     `errors` (P,) are the sds of the measured pairs themselves.
     """
@@ -72,7 +71,7 @@
 
 
 def _solve(problem: Problem, start: Array, sds: Array, iterations: int) -> Array:
-    """The nearest best parameters to a start, by least squares with these sds (P,) and the prior."""
+    """Return the best parameters near a start, by least squares with these sds (P,) and the prior."""
     mean, spread = problem.prior()
 
     def residuals(parameters: Array) -> Array:
--- a/brassfall/controlplane/geo/levels.py
+++ b/brassfall/controlplane/geo/levels.py
@@ -70,7 +70,7 @@
     overall: float | None  # None: nobody knows
 
     def of(self, region: str) -> float | None:
-        """A region's own, or else that of all."""
+        """Return a region's own time, or else that of all."""
         return self.by_region.get(region, self.overall)
 
 
@@ -129,7 +129,7 @@
 
 
 def node_levels(windows: PairWindows) -> dict[PairName, dict[str, NodeLevel]]:
-    """The levels of all pairs that have any, by node."""
+    """Return the levels of all pairs that have any, by node."""
     times = server_times(windows)
     found: dict[PairName, dict[str, NodeLevel]] = {}
     for pair, nodes in windows.items():
@@ -204,6 +204,6 @@
 
 
 def with_age(level: PairLevel, now_s: float, drift: float) -> PairLevel:
-    """The level with the error that its age adds: `drift` is the sd, as a relative part, after a minute."""
+    """Return a level with the error that its age adds; `drift` is the relative sd after a minute."""
     age_s = max(0.0, now_s - level.received_s)
     return replace(level, sd=math.hypot(level.sd, drift * math.sqrt(age_s / MINUTE_S)))
--- a/brassfall/controlplane/geo/marginals.py
+++ b/brassfall/controlplane/geo/marginals.py
@@ -40,7 +40,7 @@
 
 
 def candidate_grid(prior: GridPrior, region_access: Array, places: Array, soft: float) -> Grid:
-    """The candidates for one group.
+    """Return the candidates for one group.
 
     Regions have accesses `region_access` (R,), as logarithms, and lie at `places` (R, 2). `soft` is the
     distance at which distances are rounded off towards zero.
@@ -75,7 +75,7 @@
 
 
 def marginal(candidates: Grid, measured: Measured, regions: Index) -> Marginal:
-    """What the measured delays of a group say of its delays to `regions` (Q,), over all candidates."""
+    """Return the delays to `regions` (Q,) that a group's measured delays imply, over all candidates."""
     log_weight = _log_weight(candidates, measured)
     highest = float(log_weight.max())
     likely = log_weight > highest - NEGLIGIBLE  # few of the whole grid
@@ -87,7 +87,7 @@
 
 
 def most_likely(candidates: Grid, measured: Measured) -> int:
-    """The index of the most likely candidate."""
+    """Return the index of the most likely candidate."""
     return int(np.argmax(_log_weight(candidates, measured)))
 
 
--- a/brassfall/controlplane/geo/model.py
+++ b/brassfall/controlplane/geo/model.py
@@ -32,7 +32,7 @@
 
 DRIFT = 0.06  # what an unmeasured delay may change in a minute, as a relative part (sd); by the root of time
 MAX_REACH = math.log(1e6)  # of an interval either way: all that can be measured at all
-SURPRISE = 3.0  # a level so many sds off the prediction is not believed from one node alone
+SURPRISE = 3.0  # sds off the prediction from which one node alone is not enough evidence of a level
 LONE_SUPPORT = 1.5  # nodes in support; fewer are one node alone
 MIN_PRIOR_SD = 0.2
 
@@ -107,7 +107,7 @@
 
 
 def _named(windows: PairWindows, groups: set[str], regions: set[str]) -> PairWindows:
-    """The pairs of these groups and regions; an empty set names all."""
+    """Return the pairs of these groups and regions; an empty set names all."""
     return {
         (group, region): nodes
         for (group, region), nodes in windows.items()
@@ -121,7 +121,7 @@
     predictions: Mapping[PairName, Prediction],
     now_s: float,
 ) -> Levels:
-    """The levels of all pairs with their present age; predictions, where there are any, are their priors."""
+    """Return the levels of all pairs with their present age; predictions, if any, are their priors."""
     priors = {pair: Prior(each.log_ms, max(MIN_PRIOR_SD, each.sd)) for pair, each in predictions.items()}
     levels = {
         pair: pair_level(nodes, trust, priors[pair] if predictions else None)
@@ -135,7 +135,7 @@
 
 
 def _pair(names: PairName, level: PairLevel | None, prediction: Prediction, now_s: float) -> Pair:
-    """The estimate of one pair from its level, where it has one, and the prediction."""
+    """Return the estimate of one pair from its level, where it has one, and the prediction."""
     log_ms, sd = _combined(level, prediction)
     reach = min(NORMAL_90 * sd, MAX_REACH)
     return Pair(
--- a/brassfall/controlplane/geo/planner.py
+++ b/brassfall/controlplane/geo/planner.py
@@ -25,7 +25,7 @@
 STEP_USED = 0.9  # a group that moved this part of its step used it up
 UNCERTAIN_RATIO = 1.5  # high over low of the interval; a wider pair is to be explored
 UNCERTAIN_AGE_MS = 60_000.0  # so is one that was measured longer ago
-MIN_DEMAND = 0.01  # of the mean demand: a group without requests has a plan all the same
+MIN_DEMAND = 0.01  # of the mean demand: a group without requests has a plan, too
 MIN_DEMAND_PER_S = 1e-6
 INTERVAL_SDS = 3.29  # sds from low to high of an interval of 90%
 MAX_COST_SD = 1.5
@@ -68,7 +68,7 @@
 
 
 def make_plan(inputs: PlanInputs, policy: PlanPolicy, before: Plan | None) -> Plan:
-    """The plan that follows `before`. Where no region is open, all shares are 0."""
+    """Return the plan that follows `before`. Where no region is open, all shares are 0."""
     by_name = {(pair.group, pair.region): pair for pair in inputs.pairs}
     names = _names(by_name, inputs)
     if not names.groups or not names.is_open:
@@ -149,7 +149,7 @@
 
 
 def _cost(pair: Pair, price: float) -> float:
-    """The expected delay, in ms: the mean over the interval, which is above its middle; and the price."""
+    """Return the expected delay in ms, the mean over the interval, with the price."""
     sd = math.log(pair.high_ms / pair.low_ms) / INTERVAL_SDS
     return pair.delay_ms * math.exp(0.5 * min(sd, MAX_COST_SD) ** 2) + price
 
@@ -171,7 +171,7 @@
 
 
 def _damped(change: Array, step: float, forced: float, last: Array, max_move: float) -> _Move:
-    """A group that would move back where it came from moves half as far, and less the next time.
+    """Return a group's move: one back to where it came from is half as far, and less the next time.
 
     `change` (M,) is what the allocation wants, `step` what the group may move by itself, `forced` what closed
     regions give up, `last` (M,) the direction of its last move.
@@ -195,7 +195,7 @@
     names: _Names,
     exploration: float,
 ) -> Plan:
-    """The plan of the groups' moves, with what the next one needs."""
+    """Return the plan of the groups' moves, with what the next one needs."""
     rows: dict[str, dict[str, float]] = {}
     directions: dict[str, dict[str, float]] = {}
     shift = 0.0
--- a/brassfall/controlplane/geo/predictions.py
+++ b/brassfall/controlplane/geo/predictions.py
@@ -130,7 +130,7 @@
 
 
 def _widening(scores: Array) -> float:
-    """The factor for all sds with which nine in ten of the held-out pairs lie within their 90% intervals."""
+    """Return the factor of all sds that puts nine in ten held-out pairs within their 90% intervals."""
     seen = float(np.quantile(scores, 0.9)) / NORMAL_90
     part = len(scores) / (len(scores) + PRIOR_PAIRS)
     return max(MIN_WIDENING, part * seen + 1.0 - part)
--- a/brassfall/controlplane/geo/publisher.py
+++ b/brassfall/controlplane/geo/publisher.py
@@ -1,4 +1,4 @@
-"""Which replica publishes steering plans, and when: a state machine without clock or socket. Pure code.
+"""The publisher of steering plans: a state machine without clock or socket. Pure code.
 
 The publisher holds a lease on one row of the store's table of duties; it takes the row only where there is
 none, and the row's version is the fencing token of each publication. The lease is counted from when it was
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PublicationRejected:
-    """Somebody published another revision meanwhile (412), or the fencing token was rejected."""
+    """Another revision was published meanwhile (412), or the fencing token was rejected."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -156,12 +156,12 @@
     published_s: float = float("-inf")  # when a publication was sent last
 
     def holds_lease(self, now_s: float) -> bool:
-        """Whether it may publish at all."""
+        """Return whether this publisher may publish."""
         return self.version is not None and now_s < self.lease_until_s
 
 
 def step(state: State, now_s: float, event: Event) -> tuple[State, list[Action]]:
-    """The state after one event, and the actions to start."""
+    """Return the state after one event, and the actions to start."""
     match event:
         case LeaseGranted():
             return _lease_granted(state, now_s, event), []
@@ -253,7 +253,7 @@
 
 
 def _closes_region(before: Plan, plan: Plan) -> bool:
-    """Whether a region loses all that it had of a group: worth a revision, however small."""
+    """Return whether a region loses all its share of a group, which justifies a revision."""
     return any(
         share <= 0.0 < SAME_SHARE < before.shares.get(group, {}).get(region, 0.0)
         for group, row in plan.shares.items()
--- a/brassfall/controlplane/geo/sketches.py
+++ b/brassfall/controlplane/geo/sketches.py
@@ -43,12 +43,12 @@
 
 
 def total(points: WeightedPoints) -> float:
-    """The weighted number of delays in a sketch."""
+    """Return the weighted number of delays in a sketch."""
     return sum(count for _, count in points)
 
 
 def quantile(points: WeightedPoints, part: float) -> float:
-    """The delay in ms under which this part of a sketch lies; IndexError if the sketch is empty."""
+    """Return the delay in ms below which this part of a sketch lies; raise IndexError if it is empty."""
     left = part * total(points)
     for bucket, count in points:
         left -= count
@@ -58,7 +58,7 @@
 
 
 def weighted_median(values: Sequence[tuple[float, float]]) -> float:
-    """The median of (value, weight); 1 if there are none."""
+    """Return the median of (value, weight); 1 if there are none."""
     left = 0.5 * sum(weight for _, weight in values)
     for value, weight in sorted(values):
         left -= weight
