--- a/brassfall/controlplane/geo/predictions.py
+++ b/brassfall/controlplane/geo/predictions.py
@@ -97,7 +97,8 @@
 ) -> tuple[Array, Array]:
     """Means and sds (N, M) over all places of each group, from the measured pairs that are `seen` (P,).
 
-    Only at the regions `wanted` of each group; zero elsewhere."""
+    Only at the regions `wanted` of each group; zero elsewhere.
+    """
     problem, sds = fitted.problem, fitted.sds
     parts = problem.parts(parameters)
     candidates = candidate_grid(GROUP_PRIOR, parts.region_access, parts.region_places, SOFT)
@@ -129,7 +130,7 @@
 
 
 def _widening(scores: Array) -> float:
-    """The factor for all sds with which nine in ten of the held-out pairs lie within their 90% intervals."""
+    """Return the factor of all sds that puts nine in ten held-out pairs within their 90% intervals."""
     seen = float(np.quantile(scores, 0.9)) / NORMAL_90
     part = len(scores) / (len(scores) + PRIOR_PAIRS)
     return max(MIN_WIDENING, part * seen + 1.0 - part)
