--- a/tests/sidecar/test_accept.py
+++ b/tests/sidecar/test_accept.py
@@ -39,7 +39,7 @@
 @pytest.mark.parametrize("inherits", [False, True])
 @loopback
 async def test_small_writes_to_a_client_are_not_held_back_by_the_system(inherits):
-    # What it holds back goes with a reset, and comes 40 ms late where the client delays its word.
+    # Bytes that the system holds back are lost with a reset, and 40 ms late where the client delays its ACK.
     async with running() as sidecar:
         address = sidecar.address
         if inherits:
@@ -56,11 +56,11 @@
 async def test_requests_in_the_backlog_are_answered_before_the_end(immediate_shutdown):
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
-        sidecar.inbound.listener.pause(PATIENCE_S)  # it accepts nothing by itself
+        sidecar.inbound.listener.pause(PATIENCE_S)  # only the shutdown accepts
         crossed = connect_sockets(sidecar.address, 3)
         for sock in crossed:
             sock.sendall(request())
-        await sidecar.drain()  # ends with nothing open
+        await sidecar.drain()
         sidecar.close()
         for sock in crossed:
             answer = await last_answer_on(sock)
@@ -77,10 +77,10 @@
 @pytest.mark.parametrize("failed", FAILED_ACCEPTS)
 @loopback
 async def test_requests_behind_a_failed_accept_are_answered_before_the_end(immediate_shutdown, failed):
-    # One failed accept had the listening socket closed, and all that waited behind it was reset.
+    # A failed accept must not close the listening socket, which would reset all connections behind it.
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
-        sidecar.inbound.listener.pause(PATIENCE_S)  # it accepts nothing by itself
+        sidecar.inbound.listener.pause(PATIENCE_S)  # only the shutdown accepts
         crossed = connect_sockets(sidecar.address, 4)
         for sock in crossed:
             sock.sendall(request())
--- a/tests/sidecar/test_answer_order.py
+++ b/tests/sidecar/test_answer_order.py
@@ -88,7 +88,7 @@
 
 @loopback
 async def test_a_request_behind_a_rejected_one_is_answered_too():
-    # The refusal ended the connection, and what was read behind it got no answer.
+    # A rejection must not end the connection: requests behind it may have been read.
     release = asyncio.Event()
 
     async def wait(reader, writer):
@@ -121,7 +121,7 @@
 @pytest.mark.parametrize("count", [2, 15, 40, 300])
 @loopback
 async def test_all_requests_that_were_read_at_once_are_answered_before_the_connection_ends(target, count):
-    # The first answer ended the connection, and so did the 16th request: what was read behind them got none.
+    # Neither the first answer nor the limit of 16 pending requests may end the connection.
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
@@ -137,7 +137,7 @@
 @pytest.mark.parametrize("behind", [b"", b"GARBAGE\r\n\r\n", TLS, partners.request()])
 @loopback
 async def test_the_last_answer_is_written_even_if_invalid_input_follows_its_request(behind):
-    # What was no request behind it kept an answer that was there from being written.
+    # Invalid input behind the last request must not keep its answer from being written.
     async with running() as sidecar:
         app = await App.connect(sidecar.address)
         app.writer.write(READY.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n") + behind)
@@ -170,7 +170,7 @@
 
 @loopback
 async def test_a_request_behind_the_announced_end_is_left_unread(monkeypatch):
-    # It was read and dropped: its client can't tell that it may be sent again.
+    # If it were read and dropped, its client could not tell that it may be sent again.
     release = asyncio.Event()
 
     async def long(reader, writer):
@@ -221,7 +221,7 @@
             assert (await app.reader.read()).endswith(LARGE)
         await until(lambda: balancer.named("client_gone"))
         app.close()
-        stuck.writers[0].transport.abort()  # or the attempt is awaited for its outcome
+        stuck.writers[0].transport.abort()  # ends the attempt, which the driver awaits
         await released(sidecar)
 
 
--- a/tests/sidecar/test_client_departures.py
+++ b/tests/sidecar/test_client_departures.py
@@ -54,7 +54,7 @@
         app.send(X_Budget=LONG_BUDGET)
         app.send(X_Budget=LONG_BUDGET)
         await until(lambda: len(balancer.named("request")) == 2)
-        connection.write(LARGE)  # of an answer before: past what the sockets hold
+        connection.write(LARGE)  # of an earlier answer; more than the sockets hold
         assert connection.read_control.holds(Hold.UNREAD_ANSWERS) and not connection.transport.is_reading()
         app.send("POST", "/pay", b"unread")
         leave(app)
@@ -71,7 +71,7 @@
     upstream = await Upstream([OK]).start()
     balancer = HeldRequests()
     async with one_client(upstream, balancer=balancer) as (sidecar, app, connection):
-        # The rest stays with the client: its end comes no further than what a full socket holds.
+        # The rest of the body stays with the client: the socket buffers are full.
         whole = partners.request("POST", "/pay", LARGE, X_Budget=LONG_BUDGET)
         sent = 0
 
@@ -117,7 +117,7 @@
         end_sending(app)
         await until(lambda: connection.transport.is_closing())
         for _ in range(10):
-            connection.write(b"more")  # of what is passed on: it is dropped, and no warning is told
+            connection.write(b"more")  # a later part of an answer: dropped without a warning
         async with asyncio.timeout(PATIENCE_S):
             assert len(await app.reader.read()) == len(LARGE)
         await released(sidecar)
@@ -186,7 +186,7 @@
     async with running(upstream, balancer=balancer) as sidecar:
         app = await App.connect(sidecar.address)
         await app.ask()
-        # In one go: the loop reads the bytes in one turn and the end in the next.
+        # Written together: the loop reads the bytes in one turn and the close in the next.
         app.writer.write(3 * partners.request(X_Budget="300m"))
         end_sending(app)
         await until(lambda: balancer.named("client_gone"))
@@ -217,7 +217,7 @@
         assert not exchange.client_left()
         leave(app)
         if leave is not end_sending:
-            await asyncio.sleep(0)  # its own end closes a turn later
+            await asyncio.sleep(0)  # the client's transport closes a turn later
         assert exchange.client_left() and not balancer.named("client_gone")
         await until(lambda: balancer.named("client_gone"))
         assert len(balancer.named("client_gone")) == 1
--- a/tests/sidecar/test_client_timeouts.py
+++ b/tests/sidecar/test_client_timeouts.py
@@ -84,7 +84,7 @@
 @pytest.mark.parametrize("size", [1, 60_000, 200_000, 1_000_000])
 @loopback
 async def test_a_client_that_stops_within_a_body_gets_an_error_within_3_s(size):
-    # More time came with each byte: after 60,000 it was 4.4 s, after 200,000 8.8 s.
+    # Bytes that were read extend the limit only while more follow.
     upstream = await Upstream([hang]).start()
     loop = asyncio.get_running_loop()
     async with running(upstream) as sidecar:
@@ -109,7 +109,7 @@
         await until(lambda: reading_requests(sidecar))
         (connection,) = sidecar.inbound.connections
         connection.pause()
-        await asyncio.sleep(0.5)  # as long as a server takes nothing, say
+        await asyncio.sleep(0.5)  # as with a server that reads nothing
         connection.resume()
         await asyncio.sleep(0.1)
         app.writer.write(whole[-1:])
@@ -137,7 +137,7 @@
         app.writer.write(WHOLE[:-1])
         await until(lambda: connection.state is ConnectionState.READING_REQUEST)
         app.writer.transport.pause_reading()
-        connection.write(LARGE)  # of an answer before
+        connection.write(LARGE)  # of an earlier answer
         app.writer.write(WHOLE[-1:])
         checks, check = [], connection.timeouts.check_request
         monkeypatch.setattr(
@@ -174,7 +174,7 @@
         connection.write(LARGE)
         end_sending(app)
         await until(lambda: connection.transport.is_closing())
-        connection.resume_writing()  # what is buffered has fallen to a few KiB
+        connection.resume_writing()  # as if the buffer had fallen to a few KiB
         await released(sidecar)
 
 
--- a/tests/sidecar/test_connection_limits.py
+++ b/tests/sidecar/test_connection_limits.py
@@ -67,7 +67,7 @@
 @loopback
 async def test_connections_are_evicted_by_least_progress(monkeypatch):
     monkeypatch.setattr(inbound, "QUIET_MS", 0.0)
-    balancer = Scripted(request=lambda now, arrival: [])  # holds them all
+    balancer = Scripted(request=lambda now, arrival: [])  # answers none
     async with running(balancer=balancer) as sidecar:
         apps = [await App.connect(sidecar.address) for _ in range(5)]
         busy, begun, silent, later, idle = apps
@@ -79,12 +79,12 @@
         answer = await idle.ask("GET", "/health/ready", X_Call_Class=None)
         assert answer.headers.get("connection") is None
         sidecar.inbound.limits.high_water = 1
-        # The longest silent comes before the one that came later, and a begun request after both.
+        # Silent connections go by age, and before one with an incomplete request.
         for held, gone in enumerate((idle, silent, later, begun), start=2):
             new = await App.connect(sidecar.address)
             assert await gone.answer() is None
             new.send()
-            apps.append(new)  # or else it is closed with its last name
+            apps.append(new)  # a reference keeps it open
             await until(lambda held=held: sidecar.inbound.busy_connections == held)
         last = await App.connect(sidecar.address)
         assert (await last.ask("GET", "/health/ready", X_Call_Class=None)).status == 200
@@ -142,8 +142,8 @@
 
 @loopback
 async def test_a_burst_of_connections_leaves_the_reserved_descriptors_free():
-    # Found by reading: up to 32 were accepted in a turn, and a turn or two more passed before those that
-    # are too many were closed, so that a flood took what was kept for discovery and for servers.
+    # Up to 32 connections are accepted in a turn of the loop, and evicted ones are closed a turn or two
+    # later: meanwhile they must not use the descriptors of discovery and servers.
     async with running(raw={"limits": {"sockets": 64}}) as sidecar:
         crowd = connect_sockets(sidecar.address, 150)
         before = descriptors()
@@ -156,8 +156,8 @@
 
 @loopback
 async def test_not_every_connection_of_a_burst_causes_a_search_for_one_to_evict():
-    # 1,900 silent clients at 1,024 descriptors cost 0.6 s of processor time, and the last of them were
-    # closed 2.9 s after they had come: at a part of a core that is past the 3 s that are owed.
+    # A search for each of many silent clients would close the last of them later than the 3 s that the
+    # protocol allows, on a small share of a core.
     async with running(raw={"limits": {"sockets": 256}}) as sidecar:
         looks, look = [], sidecar.inbound.make_room
         sidecar.inbound.make_room = lambda most: looks.append(most) or look(most)
@@ -208,7 +208,7 @@
         )
         assert sock.recv(4096).endswith(b"done")
         sidecar.inbound.make_room(1)
-        # No turn of the loop: what is sent from now on, on a connection that looks open, is lost.
+        # Before the next turn of the loop: a request on a connection that looks open would be lost.
         assert closed_by_peer(sock)
         await until(lambda: sidecar.inbound.empty)
         sock.close()
@@ -228,7 +228,7 @@
 @loopback
 async def test_the_return_of_discovery_is_noticed_though_idle_clients_fill_the_descriptors(tmp_path):
     limit, held = 96, socket.socket()
-    held.bind(("127.0.0.1", 0))  # refuses calls until it listens; a free port might be a client's by then
+    held.bind(("127.0.0.1", 0))  # refuses calls until it listens; clients might take a free port
     discovery = "{}:{}".format(*held.getsockname())
     sidecar = await Process.start(tmp_path, discovery=discovery, limits={"sockets": limit})
     crowd = [asyncio.create_task(idler(sidecar.address)) for _ in range(150)]
--- a/tests/sidecar/test_graceful_shutdown.py
+++ b/tests/sidecar/test_graceful_shutdown.py
@@ -61,7 +61,7 @@
         app.writer.write(whole[-1:])
         answer = await app.answer()
         assert (answer.body, answer.headers["connection"]) == (b"done", "close")
-        other.writer.write(whole)  # a connection that was closed by now: it was idle
+        other.writer.write(whole)  # this connection was idle, and is closed
         assert await other.answer() is None
         await stopping
 
@@ -158,7 +158,7 @@
 
 @loopback
 async def test_nothing_is_read_after_the_last_check_of_the_shutdown(immediate_shutdown, monkeypatch):
-    # What comes between the two, while the list service is told of the end, was taken and cut off.
+    # A request that is read while the process deregisters would be cut off.
     monkeypatch.setattr(shutdown, "QUIET_S", 0.0)
     monkeypatch.setattr(connection_timeouts, "STOPPED_MS", 0.0)
     upstream = await Upstream([OK]).start()
@@ -219,7 +219,7 @@
     row = {"Name": "look", "Semantics": "pure", "Objective": 50.0, "Deadline": 100.0}
     upstream = await Upstream([hang]).start()
     loop = asyncio.get_running_loop()
-    balancer = Scripted(outcome=lambda now, number, *rest: [Fail(number)])  # at the request's end
+    balancer = Scripted(outcome=lambda now, number, *rest: [Fail(number)])  # once the attempt has ended
     async with running(upstream, balancer=balancer, Profiles=[row]) as sidecar:
         app = await App.connect(sidecar.address)
         stopped = loop.time()
@@ -273,7 +273,7 @@
     sidecar.process.send_signal(signal.SIGTERM)
     stopped_at.append(loop.time())
     await asyncio.sleep(0.4)
-    half.writer.write(request()[:-1])  # of which the rest comes late
+    half.writer.write(request()[:-1])  # the last byte follows late
     await asyncio.sleep(0.3)
     half.writer.write(request()[-1:])
     late = await half.answer()
@@ -284,7 +284,7 @@
     async with asyncio.timeout(PATIENCE_S):
         await asyncio.gather(*clients)
     assert (False, None) not in found  # on a new connection: read and closed, or cut off by the kill
-    # What crosses the end of a resting connection may be sent once more, and is rare.
+    # A request that crosses the close of an idle connection may be sent again, and is rare.
     assert found.count((True, None)) <= len(clients)
     assert {status for _, status in found} <= {"200", "503", "504", None}
     for upstream in upstreams:
--- a/tests/sidecar/test_large_requests.py
+++ b/tests/sidecar/test_large_requests.py
@@ -129,12 +129,16 @@
     )
     async with running(first, balancer=balancer) as sidecar:
         app = await App.connect(sidecar.address)
-        # Its last byte stays with the client: whatever the kernel takes, it can't be written whole.
+        # Without its last byte the request can't be written completely.
         app.writer.write(partners.request("POST", "/pay", LARGE)[:-1])
         await until(lambda: balancer.named("body_gone"))
         first.writers[0].transport.abort()
         assert (await read_answer(app))[0] == 502
-        assert balancer.outcomes()[0] == (0, Outcome.CONNECT_FAILED, False)  # never written whole: never ran
+        assert balancer.outcomes()[0] == (
+            0,
+            Outcome.CONNECT_FAILED,
+            False,
+        )  # not written completely: it did not run
         assert balancer.outcomes()[1][1] == Outcome.ABANDONED
         first.slow.set()
 
@@ -186,7 +190,7 @@
     made = body.Body(Source(), b"first", None)
     made.feed(b"second")
     made.end()
-    for _ in range(2):  # all of it is held, and can go twice
+    for _ in range(2):  # all of it is buffered, and can be sent twice
         writer = Writer()
         made.attach(writer)
         assert (writer.got, writer.done) == (b"b\r\nfirstsecond\r\n0\r\n\r\n", True)
--- a/tests/sidecar/test_process_signals.py
+++ b/tests/sidecar/test_process_signals.py
@@ -76,7 +76,7 @@
 @pytest.mark.parametrize("numbers", [(signal.SIGTERM,), (signal.SIGHUP, signal.SIGTERM, signal.SIGTERM)])
 @loopback
 async def test_sigterm_during_startup_ends_the_process_at_once(tmp_path, numbers):
-    # Discovery takes the call and says nothing: the start waits, and told of the call by it.
+    # Discovery accepts the call and does not answer it: the start waits, as the call shows.
     registry = await Registry().start()
     process = await logged(tmp_path, discovery=registry.address)
     await until(lambda: registry.watches)
--- a/tests/sidecar/test_upgrade.py
+++ b/tests/sidecar/test_upgrade.py
@@ -40,7 +40,7 @@
     platform.change(discovery=registry.address)
     new, admin = await platform.start()
     await until(lambda: registry.watches)
-    # It is there, and sees that another serves: it takes nobody before it has its list.
+    # The new process detects the other one: it accepts no client before it has a list.
     assert (await ping(admin)).startswith(b"error")
     registry.tell(2, entry("s0", upstream.address), snapshot=True)
     await yes(admin)
@@ -54,7 +54,7 @@
     await asyncio.gather(*clients)
     assert load.wrong == []
     assert load.crossed <= 2
-    # Nobody is left unread: the queue was handed on, and the socket is as it was.
+    # The backlog was handed over, and the socket is still listening.
     assert new.returncode is None
     new.terminate()
     assert await new.wait() == 0
@@ -89,7 +89,7 @@
     assert not new.other_process_runs()
     third = Handover(str(tmp_path), "n0")
     assert third.other_process_runs() and new.other_process_runs()
-    third.release()  # it did not come to serve
+    third.release()  # it ended before it served
     assert not new.other_process_runs()
     other = Handover(str(tmp_path), "n1")
     assert not other.other_process_runs() and not new.other_process_runs()
