--- a/brassfall/controlplane/geo/evidence.py
+++ b/brassfall/controlplane/geo/evidence.py
@@ -110,7 +110,7 @@
 
 
 def validate_rows(rows: object) -> ValidatedRows:
-    """Check the rows of a report, decoded from JSON; never raises, whatever was sent."""
+    """Check the rows of a report, decoded from JSON; never raises."""
     if not isinstance(rows, Sequence) or isinstance(rows, str | bytes):
         return ValidatedRows((), {"rows": 1})
     rejected: Counter[str] = Counter()
--- a/brassfall/controlplane/geo/levels.py
+++ b/brassfall/controlplane/geo/levels.py
@@ -25,8 +25,8 @@
 
 # The spread of one delay around the low quantile, as a relative part, and the least error of a whole sketch.
 HANDSHAKE_SD, FIRST_BYTE_SD, MIN_SD = 0.12, 0.2, 0.02
-UPPER_BOUND_SD = 0.7  # of first bytes where nobody knows how much of them the server spent
-MIN_NETWORK_PART = 0.2  # of first bytes: at least so much is the network's, whatever the server spent
+UPPER_BOUND_SD = 0.7  # of first bytes without an estimate of the time that servers spend
+MIN_NETWORK_PART = 0.2  # of first bytes, which counts as the network's delay at least
 MAX_VOTE = 20.0  # delays; more of them give a node no more weight
 MIN_VOTE = 1e-3
 MIN_OFFSET_VOTE = 0.5  # handshakes with first bytes to compare, for a node to say what servers spend
@@ -64,10 +64,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerTimes:
-    """How much longer first bytes take than handshakes, in ms: what servers spend without saying so."""
+    """The unstated time that servers spend, in ms: by how much first bytes take longer than handshakes."""
 
     by_region: Mapping[str, float]
-    overall: float | None  # None: nobody knows
+    overall: float | None  # None: no estimate
 
     def of(self, region: str) -> float | None:
         """Return a region's own time, or else that of all."""
@@ -96,10 +96,10 @@
 
 
 def node_level(samples: Sequence[WindowSample], server_ms: float | None) -> NodeLevel | None:
-    """One node's level: handshakes and corrected first bytes, weighted by their certainty.
+    """Return one node's level: handshakes and corrected first bytes, weighted by their certainty.
 
-    `server_ms` is what servers of the region spend; None where nobody knows. None where there are no
-    delays.
+    `server_ms` is the time that servers of the region spend, None without an estimate. Return None if there
+    are no delays.
     """
     newest_s = samples[-1].received_s
     handshakes = pooled(samples, Measure.HANDSHAKE, newest_s)
--- a/brassfall/controlplane/geo/planner.py
+++ b/brassfall/controlplane/geo/planner.py
@@ -19,7 +19,7 @@
 from brassfall.controlplane.geo.model import Pair
 from brassfall.controlplane.geo.plan import Plan
 
-WORK_MS = 5.0  # of a request, where nobody says
+WORK_MS = 5.0  # of a request, by default
 MIN_STEP = 0.005  # the share that a group may always move
 STEP_GROWTH = 2.0  # of a group's step while it moves on the same way
 STEP_USED = 0.9  # a group that moved this part of its step used it up
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlanPolicy:
-    """How plans are made, whatever the conditions."""
+    """The limits of plans."""
 
     min_spread: float  # no region has more than 1 less this of a group while another is open
     max_move: float  # the share that a group moves in one plan at most, besides what closed regions give up
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlanInputs:
-    """What is known when a plan is made."""
+    """The present conditions, for which a plan is made."""
 
     pairs: Iterable[Pair]
     demand: Mapping[str, float]  # requests/s by group
--- a/brassfall/controlplane/registry/aggregator/forwarding.py
+++ b/brassfall/controlplane/registry/aggregator/forwarding.py
@@ -22,7 +22,7 @@
     """A call that was not forwarded, or had no answer in time; it may have been carried out."""
 
     action = (
-        "Send it again after the time told, with the same X-Request-Id, which makes a repeat harmless; "
+        "Send it again after Retry-After, with the same X-Request-Id, which makes a repeat harmless; "
         "or send it to the list service itself."
     )
 
--- a/brassfall/controlplane/registry/aggregator/status.py
+++ b/brassfall/controlplane/registry/aggregator/status.py
@@ -1,4 +1,4 @@
-"""What an aggregator says of itself: `/status` and `/edges` for people, and its own part of `/metrics`."""
+"""The status of an aggregator: `/status` and `/edges`, and its own part of `/metrics`."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Parts(Protocol):
-    """The parts of an aggregator that have something to say."""
+    """The parts of an aggregator with a status."""
 
     settings: AggregatorSettings
     core: Aggregator
@@ -35,24 +35,24 @@
         """Time since the start, in s."""
 
     def unready(self) -> str:
-        """Why it can't serve a sidecar with all that it needs; empty where it can."""
+        """Return why it can't serve sidecars; empty if it can."""
 
 
 class ListView(msgspec.Struct, frozen=True):
-    """The list held; the age is an upper bound, None where there is no list."""
+    """The mirrored list; its age is an upper bound, None without a list."""
 
     index: int
     age_ms: int | None
 
 
 class CountedListView(ListView, frozen=True):
-    """The same, and how many servers it has."""
+    """The mirrored list with its number of servers."""
 
     servers: int
 
 
 class ChildrenView(msgspec.Struct, frozen=True):
-    """The answer to `/edges`: the children here by their newest reports, and nobody else's."""
+    """The answer to `/edges`: the children here, by their newest reports."""
 
     aggregator: str
     region: str
--- a/brassfall/controlplane/registry/tasks.py
+++ b/brassfall/controlplane/registry/tasks.py
@@ -1,4 +1,4 @@
-"""The tasks of one part of the service: held while they run, ended with it, and logged if they fail."""
+"""The tasks of one part of the service: they are cancelled with it, and logged if they fail."""
 
 from __future__ import annotations
 
--- a/brassfall/controlplane/store/outcomes.py
+++ b/brassfall/controlplane/store/outcomes.py
@@ -9,13 +9,13 @@
 from brassfall.controlplane.store.records import Record, Result
 from brassfall.errors import UnavailableError
 
-SETTLE_PAUSE_S, MAX_SETTLE_PAUSE_S = 0.05, 1.0  # between two tries to settle an outcome; doubled each time
+SETTLE_PAUSE_S, MAX_SETTLE_PAUSE_S = 0.05, 1.0  # backoff of settling an outcome
 
 
 class NotWrittenError(UnavailableError):
     """A write can't be made for now; it has not happened."""
 
-    action = "Send it again after the time told; where that goes on, look at the disk of the list service."
+    action = "Send it again after Retry-After; if it fails again, look at the disk of the list service."
 
 
 class OutcomeUnknownError(UnavailableError):
--- a/brassfall/sidecar/agent/deadlines.py
+++ b/brassfall/sidecar/agent/deadlines.py
@@ -53,7 +53,7 @@
 
     rev: int
     same_from: int
-    low_s: float  # not over before, however long the answer took and whatever the rates of the clocks
+    low_s: float  # not over before, at any delay of the answer and any rates of the clocks
     high_s: float  # over from then on
     refresh_s: float  # from then on its time is requested anew
 
