--- a/brassfall/sidecar/agent/override_layer.py
+++ b/brassfall/sidecar/agent/override_layer.py
@@ -132,6 +132,9 @@
     action = _read_action(row["action"])
     _check_keys("match", match, {"class", "tenant"})
     _check_keys("places", places, {"groups", "regions"})
+    if not all(isinstance(name, str | None) for name in match.values()):
+        message = "match: expected names"
+        raise UnsupportedOverrideError(message)
     if not all(is_whole_number(row[name]) for name in ("rev", "from_ms", "priority")):
         message = "rev, from_ms and priority: expected whole numbers"
         raise UnsupportedOverrideError(message)
--- a/tests/sidecar/test_agent_overrides.py
+++ b/tests/sidecar/test_agent_overrides.py
@@ -363,6 +363,8 @@
         ({"id": "x", **row({"hold": {"rack": "r"}})}, "unsupported hold of rack"),
         ({"id": "x", **row({"freeze": True}), "rev": "1"}, "whole numbers"),
         ({"id": "x", **row({"shift": {"to": {"a": float("nan")}}})}, "share"),
+        ({"id": "x", **row({"freeze": True}, {"class": ["c1"]})}, "match: expected names"),
+        ({"id": "x", **row({"pin": {"region": "a"}}, {"tenant": {}})}, "match: expected names"),
     ],
 )
 def test_an_unsupported_override_is_an_objection_and_the_others_are_read(raw, why):
