--- a/tests/sidecar/test_large_requests.py
+++ b/tests/sidecar/test_large_requests.py
@@ -255,10 +255,9 @@
     upstream = await StreamingServer([LENGTH % len(LARGE) + LARGE]).start()
     async with running(upstream) as sidecar:
         seen = []
-        took = sidecar.driver.attempt_begun
-        sidecar.driver.attempt_begun = lambda *args: (took(*args), seen.append(sidecar.inbound.budget.used))[
-            0
-        ]
+        attempts = sidecar.driver.lifecycle.attempts
+        took = attempts.answer_begun
+        attempts.answer_begun = lambda *args: (took(*args), seen.append(sidecar.inbound.budget.used))[0]
         app = await App.connect(sidecar.address)
         app.send("POST", "/pay", LARGE)
         assert await read_answer(app) == (200, LARGE)
