--- a/tests/compare_traces.py
+++ b/tests/compare_traces.py
@@ -39,42 +39,15 @@
 LONG_QUIET_MS = 700_000.0  # longer than servers that are gone are remembered
 HELD_UP_MS = 150.0  # a whole process, now and then
 
-# A package, class, event or attribute of any revision, newest name first.
+# Packages of the decisions, newest first, and what has had other names, with the newest of them first.
 PACKAGES = ("brassfall.balancer", "poppypulley")
 NAMES = {
-    "Balancer": ("Balancer",),
-    "Settings": ("Settings",),
-    "parse": ("parse",),
     "RequestArrived": ("RequestArrived", "Arrival"),
-    "Listing": ("Listing",),
-    "Steer": ("Steer",),
     "refusals": ("refusals", "given_up"),
-    "request": ("request",),
-    "outcome": ("outcome",),
-    "unsent": ("unsent",),
-    "answer_started": ("answer_started",),
-    "body_gone": ("body_gone",),
-    "timer": ("timer",),
-    "server_list": ("server_list",),
-    "probe_result": ("probe_result",),
-    "peer_message": ("peer_message",),
-    "client_gone": ("client_gone",),
-    "reload": ("reload",),
-    "steer": ("steer",),
-}
-ACTIONS = {
-    "Send": ("Send",),
-    "Refuse": ("Refuse",),
-    "Fail": ("Fail",),
-    "Cancel": ("Cancel",),
-    "Timer": ("Timer",),
-    "Fetch": ("Fetch",),
-    "Watch": ("Watch",),
-    "Probe": ("Probe",),
-    "CloseIdle": ("CloseIdle",),
-    "Tell": ("Tell",),
-    "Log": ("Log",),
 }
+ACTIONS = (
+    "Send", "Refuse", "Fail", "Cancel", "Timer", "Fetch", "Watch", "Probe", "CloseIdle", "Tell", "Log"
+)  # fmt: skip
 # The event of each method whose values are those of the event.
 EVENTS = {
     "unsent": "AttemptWithdrawn",
@@ -106,10 +79,7 @@
             self.events = importlib.import_module(f"{self.package.__name__}.events")
             wire = importlib.import_module("brassfall.simulator")
             self.wire = wire if hasattr(wire, "timer_token") else None
-        kinds = {name: known for known, names in ACTIONS.items() for name in names}
-        self._kinds = {
-            getattr(self.model, name): kind for name, kind in kinds.items() if name in dir(self.model)
-        }
+        self._kinds = {getattr(self.model, name): name for name in ACTIONS if hasattr(self.model, name)}
 
     def make(self, name, *args):
         """A value of one of the interface's classes, its fields by position."""
@@ -163,13 +133,13 @@
         return self.get(self.package, "Balancer")(now, self.settings(raw), seed)
 
     def kind(self, action):
-        """What an action is, by the first name that it had."""
+        """The name of an action's class."""
         return self._kinds[type(action)]
 
     @staticmethod
     def get(owner, name):
         """An attribute under the newest of its names that the owner has."""
-        return next(getattr(owner, known) for known in NAMES[name] if hasattr(owner, known))
+        return next(getattr(owner, known) for known in NAMES.get(name, (name,)) if hasattr(owner, known))
 
 
 def drawn_settings(rng):
@@ -240,29 +210,44 @@
         self.started, self.state, self.fault, self.held, self.used_at = 0.0, "active", None, 0, 0.0
 
 
+# What happens in a day, and the mean time between two of each; the rate of arrivals changes with the day.
+EVERY = (
+    ("arrive", None),
+    ("burst", 6000.0),
+    ("change_rate", 7000.0),
+    ("disturb_servers", 1200.0),
+    ("change_servers", 1500.0),
+    ("list_all", 8000.0),
+    ("client_leaves", 300.0),
+    ("peer_message", 3000.0),
+    ("check_health", 3000.0),
+    ("replace_steering", 5000.0),
+    ("reload_settings", 9000.0),
+    ("fail_discovery", 4000.0),
+    ("restart", 20_000.0),
+    ("name_unknown", 2500.0),
+    ("hold_up_process", 2500.0),
+)
+
+
 class Day:
     """One generated day of one sidecar; `lines` is the trace of what it decided."""
 
     def __init__(self, revision, seed):
         self.revision, self.rng, self.lines = revision, random.Random(seed), []
         self.now, self.queue, self.order = 1000.0 + self.rng.random(), [], itertools.count()
-        self.settings_told = drawn_settings(self.rng)
+        self.raw_settings = drawn_settings(self.rng)
         self.servers = [Server(n, self.rng) for n in range(self.rng.choice([4, 12, 24]))]
         self.numbers = itertools.count(self.rng.randrange(1000))
         self.rate = self.rng.choice([0.02, 0.08, 0.15])  # requests a millisecond
         self.spent_cpu = self.held_up_until = 0.0
         self.births = 0
-        self.born()
-        for what, mean in (
-            ("arrive", None), ("burst", 6000.0), ("quiet", 7000.0), ("disturb", 1200.0), ("change", 1500.0),
-            ("whole", 8000.0), ("leave", 300.0), ("peer", 3000.0), ("health", 3000.0), ("steered", 5000.0),
-            ("reload", 9000.0), ("refused", 4000.0), ("restart", 20_000.0), ("strangers", 2500.0),
-            ("hold_up", 2500.0),
-        ):  # fmt: skip
-            if mean is None:
+        self.start()
+        for what, mean_ms in EVERY:
+            if mean_ms is None:
                 self.later(self.rng.expovariate(self.rate), what)
             else:
-                self.later(self.rng.expovariate(1.0 / mean), "repeat", what, mean)
+                self.later(self.rng.expovariate(1.0 / mean_ms), "repeat", what, mean_ms)
 
     def run(self):
         """Play the day to its end; the trace."""
@@ -273,10 +258,10 @@
             if birth in (None, self.births):
                 getattr(self, what)(*args)
         self.now += LONG_QUIET_MS
-        self.whole()
+        self.list_all()
         for _ in range(50):
             self.now += 10.0
-            self.ask()
+            self.send_request()
         self.lines.append(repr(list(self.revision.get(self.balancer, "refusals").values())))
         return "\n".join(self.lines)
 
@@ -287,7 +272,7 @@
         self.later(self.rng.expovariate(1.0 / mean), "repeat", what, mean)
         getattr(self, what)()
 
-    def tell(self, event, *args):
+    def step(self, event, *args):
         """Give the sidecar an event and carry out what it decides."""
         step = self.revision.step(self.balancer, event, args)
         begun = time.process_time()
@@ -303,26 +288,26 @@
 
     # --- the sidecar and its lists
 
-    def born(self):
+    def start(self):
         self.births += 1
         self.out, self.ended, self.hops, self.tries = {}, set(), Counter(), {}
         for server in self.servers:
             server.held = 0
-        self.balancer = self.revision.balancer(self.now, self.settings_told, self.rng.getrandbits(40))
+        self.balancer = self.revision.balancer(self.now, self.raw_settings, self.rng.getrandbits(40))
         known = [self.listing(server) for server in self.servers if self.rng.random() < 0.8]
-        self.tell("server_list", "remembered", known)
-        self.tell("server_list", "all", [self.listing(s) for s in self.servers if s.state == "active"])
+        self.step("server_list", "remembered", known)
+        self.step("server_list", "all", [self.listing(s) for s in self.servers if s.state == "active"])
 
     def restart(self):
         if self.births < 3:
-            self.born()
+            self.start()
 
     def listing(self, server):
         weight = self.rng.choice([server.weight] * 19 + [0.0, math.nan])
         place = (server.zone, server.kind, server.cell)
         return self.revision.make("Listing", server.name, *place, server.state, weight, server.started)
 
-    def change(self):
+    def change_servers(self):
         changed = self.rng.sample(self.servers, self.rng.choice([1, 1, 2, len(self.servers) // 2]))
         for server in changed:
             server.state = self.rng.choice(["active"] * 4 + ["leaving", "left"])
@@ -330,32 +315,32 @@
                 server.started = self.rng.choice([server.started, self.now, self.now - 700.0])
         if self.rng.random() < 0.1:
             self.servers.append(Server(len(self.servers), self.rng))
-        self.tell("server_list", "changes", [self.listing(server) for server in changed])
+        self.step("server_list", "changes", [self.listing(server) for server in changed])
 
-    def whole(self):
+    def list_all(self):
         kept = [s for s in self.servers if s.state == "active" and self.rng.random() < 0.95]
-        self.tell("server_list", "all", [self.listing(server) for server in kept])
+        self.step("server_list", "all", [self.listing(server) for server in kept])
 
-    def refused(self):
-        self.tell("server_list", "refused", [])
+    def fail_discovery(self):
+        self.step("server_list", "refused", [])
 
     def on_watch(self, on):
         if self.rng.random() < 0.3:
-            self.later(30.0, "refused", birth=self.births)
+            self.later(30.0, "fail_discovery", birth=self.births)
         else:
-            self.later(30.0, "change", birth=self.births)
+            self.later(30.0, "change_servers", birth=self.births)
 
-    def reload(self):
-        before, other = self.settings_told, drawn_settings(self.rng)
+    def reload_settings(self):
+        before, other = self.raw_settings, drawn_settings(self.rng)
         other["Tenants"] = before["Tenants"]  # like zones and kinds, told at the start alone
         if self.rng.random() < 0.6:
             other["Profiles"] = []
         other["Profiles"] += before["Profiles"][len(other["Profiles"]) :]  # requests may name them still
         kept = [slot for slot in range(len(before["Profiles"])) if self.rng.random() < 0.7]
-        self.settings_told = other
-        self.tell("reload", self.revision.settings(other), kept)
+        self.raw_settings = other
+        self.step("reload", self.revision.settings(other), kept)
 
-    def steered(self):
+    def replace_steering(self):
         draw, zones = self.rng.choice, range(-1, 4)
         shares = {zone: draw([0.0, 0.02, 0.3, 1.0, 5.0, -1.0, math.nan, math.inf]) for zone in zones}
         some = {zone for zone in zones if self.rng.random() < 0.15}
@@ -370,26 +355,26 @@
             draw([0.0, 0.5]),
             draw([{}, {}, {0: 1, 2: -1}]),
         )
-        self.tell("steer", self.revision.make("Steer", *steer))
+        self.step("steer", self.revision.make("Steer", *steer))
 
     # --- clients
 
     def arrive(self):
         self.later(self.rng.expovariate(self.rate), "arrive")
-        self.ask()
+        self.send_request()
 
     def burst(self):
         for _ in range(self.rng.choice([3, 30, 150])):
-            self.later(200.0 * self.rng.random(), "ask")
+            self.later(200.0 * self.rng.random(), "send_request")
 
-    def hold_up(self):
+    def hold_up_process(self):
         self.held_up_until = self.now + HELD_UP_MS
 
-    def quiet(self):
+    def change_rate(self):
         self.rate = self.rng.choice([0.003, 0.02, 0.08, 0.15, 0.3])
 
-    def ask(self):
-        profiles = self.settings_told["Profiles"]
+    def send_request(self):
+        profiles = self.raw_settings["Profiles"]
         number, band = next(self.numbers), self.rng.randrange(len(profiles))
         left = profiles[band]["Deadline"] * self.rng.choice([0.02, 0.4, 0.9, 1.0, 1.0])
         give_up_at = math.inf if self.rng.random() < 0.01 else self.now + left
@@ -399,23 +384,23 @@
         flags = (self.rng.random() < 0.1, self.rng.random() < 0.1, large)
         self.tries[number] = (band, work or 10.0)
         made = (number, band, give_up_at, self.rng.randrange(4), key, work, *flags)
-        self.tell("request", self.revision.make("RequestArrived", *made))
+        self.step("request", self.revision.make("RequestArrived", *made))
         if large:
-            self.later(20.0, "flow", number, birth=self.births)
+            self.later(20.0, "discard_body", number, birth=self.births)
 
-    def flow(self, number):
-        self.tell("body_gone", number)
+    def discard_body(self, number):
+        self.step("body_gone", number)
 
-    def leave(self):
+    def client_leaves(self):
         held = [number for number in self.tries if number not in self.ended]
         if held:
             number = self.rng.choice(held)
             self.ended.add(number)
-            self.tell("client_gone", number)
+            self.step("client_gone", number)
 
     # --- servers
 
-    def disturb(self):
+    def disturb_servers(self):
         if self.rng.random() < 0.15:  # one fault for many: an overload, a lost zone
             fault, zone = self.rng.choice(["full", "slow", "silent", "error"]), self.rng.randrange(3)
             for server in self.servers:
@@ -425,9 +410,9 @@
                 [None, None, None, "slow", "silent", "full", "error", "reset", "no_connect"]
             )
             self.rng.choice(self.servers).fault = fault
-        self.later(2500.0, "heal")
+        self.later(2500.0, "mend_servers")
 
-    def heal(self):
+    def mend_servers(self):
         for server in self.servers:
             if self.rng.random() < 0.7:
                 server.fault = None
@@ -441,37 +426,37 @@
         if self.rng.random() < 0.01:
             self.later(0.5, "never_sent", attempt, birth=self.births)
             return
-        self.later(timeout if timeout < math.inf else 1e9, "end", attempt, TIMEOUT, birth=self.births)
+        self.later(timeout if timeout < math.inf else 1e9, "end_attempt", attempt, TIMEOUT, birth=self.births)
         gap, server.used_at = self.now - server.used_at, self.now
         server.held += 1
         if gap > 400.0 and self.rng.random() < 0.2:  # a connection that was dropped while it was idle
-            self.later(0.4, "end", attempt, RESET, birth=self.births)
+            self.later(0.4, "end_attempt", attempt, RESET, birth=self.births)
             return
         quick = {"full": FULL, "error": ERROR, "no_connect": CONNECT_FAILED}
         if server.fault in quick or server.held > 20:
-            self.later(1.0, "end", attempt, quick.get(server.fault, FULL), birth=self.births)
+            self.later(1.0, "end_attempt", attempt, quick.get(server.fault, FULL), birth=self.births)
         elif server.fault == "reset":
-            self.later(9.0 * self.rng.random(), "end", attempt, RESET, birth=self.births)
+            self.later(9.0 * self.rng.random(), "end_attempt", attempt, RESET, birth=self.births)
         elif server.fault != "silent":
             took = min(work, 300.0) * (0.5 + self.rng.random()) * (1.0 + 0.3 * server.held)
             took *= (1.0 + 0.5 * server.kind) * (12.0 if server.fault == "slow" else 1.0)
-            if self.settings_told["Profiles"][band]["Streaming"]:
-                self.later(0.3 * took, "begin", attempt, birth=self.births)
+            if self.raw_settings["Profiles"][band]["Streaming"]:
+                self.later(0.3 * took, "start_answer", attempt, birth=self.births)
             status = self.rng.choices([OK, ERROR, RESET], [0.97, 0.02, 0.01])[0]
-            self.later(took, "end", attempt, status, birth=self.births)
+            self.later(took, "end_attempt", attempt, status, birth=self.births)
 
     def never_sent(self, attempt):
         if attempt in self.out:
             if self.rng.random() < 0.5:
-                self.tell("unsent", *attempt)
-            self.end(attempt, UNSENT)
+                self.step("unsent", *attempt)
+            self.end_attempt(attempt, UNSENT)
 
-    def begin(self, attempt):
+    def start_answer(self, attempt):
         if attempt in self.out and attempt[0] not in self.ended:
             self.ended.add(attempt[0])
-            self.tell("answer_started", *attempt)
+            self.step("answer_started", *attempt)
 
-    def end(self, attempt, status):
+    def end_attempt(self, attempt, status):
         if attempt not in self.out:
             return
         server, sent = self.out.pop(attempt)
@@ -482,42 +467,42 @@
         figures = [None, {"inflight": held}, {"inflight": held}, {"queue": held, "util": 0.5, "x": 1.0}]
         report = self.rng.choice([*figures, {"inflight": math.nan}])
         spent = self.rng.choice([self.now - sent] * 99 + [math.nan])
-        self.tell("outcome", *attempt, status, spent, attempt[0] in self.ended, report)
+        self.step("outcome", *attempt, status, spent, attempt[0] in self.ended, report)
 
     def on_cancel(self, number, hop):
-        self.later(0.3, "end", (number, hop), CANCELLED, birth=self.births)
+        self.later(0.3, "end_attempt", (number, hop), CANCELLED, birth=self.births)
 
     def on_refuse(self, number, retry_after):
         self.ended.add(number)
         if self.rng.random() < 0.3:
-            self.later(60.0 + retry_after, "ask", birth=self.births)
+            self.later(60.0 + retry_after, "send_request", birth=self.births)
 
     def on_fail(self, number):
         self.ended.add(number)
 
     def on_timer(self, delay, token, request):
-        self.later(max(delay, 0.01), "fire", token, birth=self.births)
+        self.later(max(delay, 0.01), "timer_due", token, birth=self.births)
 
-    def fire(self, token):
-        self.tell("timer", token)
+    def timer_due(self, token):
+        self.step("timer", token)
 
     # --- what changes nothing today, and what names nothing that is known
 
-    def peer(self):
-        self.tell("peer_message", self.rng.randrange(20), self.rng.randbytes(8))
+    def peer_message(self):
+        self.step("peer_message", self.rng.randrange(20), self.rng.randbytes(8))
 
-    def health(self):
+    def check_health(self):
         status, held = self.rng.choice([OK, OK, FULL, TIMEOUT]), {"inflight": 4.0}
-        self.tell("probe_result", self.rng.choice(self.servers).name, status, 2.0, held)
+        self.step("probe_result", self.rng.choice(self.servers).name, status, 2.0, held)
 
-    def strangers(self):
+    def name_unknown(self):
         number = 2**40 + next(self.order)
-        self.tell("client_gone", number)
-        self.tell("outcome", number, 0, OK, 1.0, True, None)
-        self.tell("answer_started", number, 0)
-        self.tell("timer", "other:1")
+        self.step("client_gone", number)
+        self.step("outcome", number, 0, OK, 1.0, True, None)
+        self.step("answer_started", number, 0)
+        self.step("timer", "other:1")
         try:
-            self.tell("request", self.revision.make("RequestArrived", number, 99, self.now + 100.0))
+            self.step("request", self.revision.make("RequestArrived", number, 99, self.now + 100.0))
         except ValueError:
             self.lines.append("no such class")
 
