--- a/brassfall/sidecar/__main__.py
+++ b/brassfall/sidecar/__main__.py
@@ -8,9 +8,8 @@
 import signal
 import sys
 
-from brassfall.sidecar import config
+from brassfall.sidecar import config, log
 from brassfall.sidecar.config import Config, ConfigError
-from brassfall.sidecar.console import log
 from brassfall.sidecar.lifecycle.sidecar import Sidecar
 
 ADDRESS_ADVICE = "stop the process that has that address or configure another one, and start again"
@@ -52,7 +51,7 @@
         return True
     start.cancel()
     await asyncio.wait((start,))
-    log("SIGTERM during startup; exiting")
+    log.info("SIGTERM during startup, exiting")
     return False
 
 
@@ -61,12 +60,12 @@
     try:
         configuration = config.load(os.environ)
     except ConfigError as error:
-        log(f"{error}; {error.action}")
+        log.error("can't start", reason=error, action=error.action)
         return BAD_CONFIGURATION
     try:
         asyncio.run(serve(configuration))
     except OSError as error:
-        log(f"can't start: {error}; {ADDRESS_ADVICE}")
+        log.error("can't start", reason=error, action=ADDRESS_ADVICE)
         return CANNOT_START
     return 0
 
--- a/brassfall/sidecar/agent/agent.py
+++ b/brassfall/sidecar/agent/agent.py
@@ -11,13 +11,13 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
+from brassfall.sidecar import log
 from brassfall.sidecar.agent.lease_client import ActiveConfiguration, LeaseClient, Revision
 from brassfall.sidecar.agent.lists import Sources
 from brassfall.sidecar.agent.reporter import Node, Reporter
 from brassfall.sidecar.agent.watch import RevisionWatch
 from brassfall.sidecar.config import Agreement
 from brassfall.sidecar.config_values import Address
-from brassfall.sidecar.console import log
 
 RETRY_ACT_S = 1.0  # after a fault in acting on a configuration, until it is tried again
 
@@ -96,16 +96,19 @@
         active = self.lease_client.active(now)
         self.valid_until = math.inf if active.fallback else now + self.lease_client.left_ms(now) / 1000.0
         if self._acting != active.acting:
-            acting = "the fallback configuration" if active.fallback else f"revision {active.acting}"
-            log(f"configuration: acting on {acting}")
+            if active.fallback:
+                log.info("configuration: acting on the fallback configuration")
+            else:
+                log.info("configuration: acting on a revision", edition=active.acting)
             self._acting = active.acting
             self.stamp = f"X-Edition: {active.acting}\r\n".encode()
         try:
             until = self._act(active, now)
         except Exception:  # noqa: BLE001 - called before each decision: a fault would fail every request
-            log(
-                "configuration: could not act on it; the one before stays, report this defect\n"
-                f"{traceback.format_exc()}"
+            log.error(
+                "configuration: could not act on it, the one before stays",
+                action="report it",
+                traceback=traceback.format_exc(),
             )
             until = now + RETRY_ACT_S
         self.valid_until = min(self.valid_until, until)
--- a/brassfall/sidecar/agent/member.py
+++ b/brassfall/sidecar/agent/member.py
@@ -9,7 +9,7 @@
 from typing import Any, Protocol
 
 from brassfall.balancer.model import Steer
-from brassfall.sidecar import config, reload
+from brassfall.sidecar import config, log, reload
 from brassfall.sidecar.agent import rules
 from brassfall.sidecar.agent.agent import Agent
 from brassfall.sidecar.agent.delays import Delays
@@ -17,7 +17,6 @@
 from brassfall.sidecar.agent.lists import EndpointList
 from brassfall.sidecar.agent.steering import NEUTRAL, Inputs, Steering
 from brassfall.sidecar.config import Config, ConfigError
-from brassfall.sidecar.console import log
 
 LIST_LATE_S = 2.0  # for which the service's list may be ahead; a watch that works brings changes far sooner
 
@@ -135,9 +134,11 @@
         elif received - min(self._ahead_since, asked) < LIST_LATE_S:
             self._ahead_since = min(self._ahead_since, asked)
         else:
-            log(
-                "configuration: the endpoint list is behind the service's, requested anew, "
-                f"version={version}, service_version={service_version}"
+            log.warning(
+                "discovery: endpoint list is behind the service's",
+                version=version,
+                service_version=service_version,
+                action="it is requested anew; if this repeats, look at the network to the list service",
             )
             self._ahead_since = math.inf
             self._process.ask_for_list()
@@ -185,9 +186,10 @@
         try:
             self._process.adopt(self._with_overlay(self._file, overlay))
         except ConfigError as error:
-            log(
-                f"configuration: a revision does not fit this sidecar's file, reason={error}; "
-                "the settings before stay, mend the file and send SIGHUP, or publish settings that fit"
+            log.warning(
+                "configuration: a revision does not fit this sidecar's file",
+                reason=error,
+                action="the settings before stay; fix the file and send SIGHUP, or publish settings that fit",
             )
             return False
         self._overlay = overlay
--- a/brassfall/sidecar/agent/reporter.py
+++ b/brassfall/sidecar/agent/reporter.py
@@ -9,11 +9,11 @@
 from collections.abc import Awaitable, Callable, Mapping
 from typing import Any, NamedTuple, Protocol
 
+from brassfall.sidecar import log
 from brassfall.sidecar.agent.calls import Caller, CallError
 from brassfall.sidecar.agent.lease_client import LeaseClient
 from brassfall.sidecar.agent.lists import RETRY_SPREAD, Sources
 from brassfall.sidecar.config import Agreement
-from brassfall.sidecar.console import log
 
 INTERVAL_MS, MAX_INTERVAL_MS = 750.0, 10_000.0  # between reports; the service may ask for a longer one
 JITTER = 1.0 / 3.0  # of the interval, either way
@@ -102,9 +102,10 @@
         try:
             await self._caller.call(self._sources.current, "POST", self._path, DEREGISTER_S, body)
         except CallError as error:
-            log(
-                f"configuration: could not deregister from the list service, reason={error}; "
-                "if this sidecar is not started again, remove it there with DELETE /edges/NAME"
+            log.warning(
+                "configuration: could not deregister from the list service",
+                reason=error,
+                action="if this sidecar is not started again, remove it there with DELETE /edges/NAME",
             )
         self._caller.close()
 
@@ -147,9 +148,9 @@
 
     def _note_failure(self, reason: str) -> None:
         if reason and not self.failure:
-            log(f"configuration: reports fail, reason={reason}; {CallError.action}")
+            log.warning("configuration: reports fail", reason=reason, action=CallError.action)
         if self.failure and not reason:
-            log("configuration: reports are answered again")
+            log.info("configuration: reports are answered again")
         self.failure = reason
 
     # --- one report -----------------------------------------------------------------------
--- a/brassfall/sidecar/agent/watch.py
+++ b/brassfall/sidecar/agent/watch.py
@@ -8,10 +8,10 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
+from brassfall.sidecar import log
 from brassfall.sidecar.agent.lists import Sources
 from brassfall.sidecar.agent.reporter import REVISIONS_PATH
 from brassfall.sidecar.config_values import Address
-from brassfall.sidecar.console import log
 from brassfall.sidecar.discovery.channel import SILENT_S, Channel
 
 
@@ -49,9 +49,10 @@
 
     def _note_failure(self, error: Exception) -> None:
         if not self._failing:
-            log(
-                f"configuration: the watch on revisions fails, reason={error!r}; reports deliver revisions "
-                "meanwhile, see that a list service runs at that address"
+            log.warning(
+                "configuration: the watch on revisions fails",
+                reason=repr(error),
+                action="check that a list service runs at that address; reports deliver revisions meanwhile",
             )
         self._failing = True
 
--- a/brassfall/sidecar/core/actions.py
+++ b/brassfall/sidecar/core/actions.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from brassfall.balancer import model
-from brassfall.sidecar.console import log
+from brassfall.sidecar import log
 from brassfall.sidecar.core.balancer_timers import BalancerTimers
 from brassfall.sidecar.core.health_checks import HealthChecks
 from brassfall.sidecar.core.interfaces import Gossip, Registry, Upstreams
@@ -53,11 +53,11 @@
             case model.Tell(peer, data):
                 self.gossip.tell(peer, data)
             case model.Log(text):
-                log(text)
+                log.info("balancer", text=text)
 
     def _send(self, send: model.Send, stamp: bytes) -> None:
         request = self.requests.table.by_number.get(send.request)
         if request is None:
-            log(f"attempt for an unknown request, not sent; report it: request={send.request}")
+            log.error("attempt for an unknown request, not sent", request=send.request, action="report it")
         else:
             self.requests.attempts.start(request, send, stamp)
--- a/brassfall/sidecar/core/driver.py
+++ b/brassfall/sidecar/core/driver.py
@@ -14,8 +14,8 @@
 from typing import NamedTuple, Protocol
 
 from brassfall.balancer import Balancer, events, model
+from brassfall.sidecar import log
 from brassfall.sidecar.config import Config
-from brassfall.sidecar.console import log
 from brassfall.sidecar.core.actions import ActionDispatcher
 from brassfall.sidecar.core.attempts import Request
 from brassfall.sidecar.core.balancer_timers import BalancerTimers
@@ -216,7 +216,7 @@
             for action in self._balancer.step(self._clock.now(), event):
                 self._actions.perform(action, stamp)
         except Exception:  # noqa: BLE001 - any defect of it: the other requests go on
-            log(traceback.format_exc())
+            log.error("decision failed", action="report it", traceback=traceback.format_exc())
             if request is not None:
                 self.lifecycle.fail(request, late=False)
         if request is not None:
--- a/brassfall/sidecar/core/request_lifecycle.py
+++ b/brassfall/sidecar/core/request_lifecycle.py
@@ -10,7 +10,7 @@
 
 from brassfall.balancer import events
 from brassfall.balancer.model import Outcome
-from brassfall.sidecar.console import log
+from brassfall.sidecar import log
 from brassfall.sidecar.core.attempt_runner import AttemptRunner
 from brassfall.sidecar.core.attempts import Attempt, Request, RequestState
 from brassfall.sidecar.core.balancer_timers import BalancerTimers
@@ -137,7 +137,7 @@
     def fail_overdue(self, request: Request) -> None:
         """Fail a request that the balancer left without an answer past its deadline."""
         if not request.answered:
-            log(f"no decision by the deadline, request failed; report it: request={request.id}")
+            log.error("no decision by the deadline, request failed", request=request.id, action="report it")
             self.fail(request, late=True)
 
     # --- what attempts bring (`AttemptObserver`) -------------------------------------------
--- a/brassfall/sidecar/discovery/channel.py
+++ b/brassfall/sidecar/discovery/channel.py
@@ -17,8 +17,8 @@
 import httptools
 
 from brassfall.balancer.model import CALL_MS, NOTIFIED_MS, SPARE_MS
+from brassfall.sidecar import log
 from brassfall.sidecar.config_values import Address
-from brassfall.sidecar.console import log
 
 # A change counts as notified after this; the waits before calls and their time limits are parts of it.
 NOTIFIED_S, SPARE_S, CALL_S = NOTIFIED_MS / 1000.0, SPARE_MS / 1000.0, CALL_MS / 1000.0
@@ -61,7 +61,8 @@
 def log_failure(error: BaseException) -> None:
     """Log in one line why a call has ended."""
     why = f"{error.args[0]!r} is missing" if isinstance(error, KeyError) and error.args else str(error)
-    log(f"discovery: {' '.join(why.split())[:MAX_REASON]}; {getattr(error, 'action', RETRIED)}")
+    reason = " ".join(why.split())[:MAX_REASON]
+    log.warning("discovery: call failed", reason=reason, action=getattr(error, "action", RETRIED))
 
 
 def age_in_seconds(stated_ms: object) -> float:
--- a/brassfall/sidecar/discovery/fleet_list.py
+++ b/brassfall/sidecar/discovery/fleet_list.py
@@ -8,16 +8,17 @@
 import asyncio
 from collections.abc import Callable, Mapping
 
+from brassfall.sidecar import log
 from brassfall.sidecar.config_values import Names
-from brassfall.sidecar.console import log
 from brassfall.sidecar.discovery.channel import AgeBound, ImplausibleListError, age_in_seconds
 from brassfall.sidecar.discovery.current_list import CurrentList, WatchEvent
 from brassfall.sidecar.discovery.endpoint_index import EndpointList
 from brassfall.sidecar.discovery.endpoint_list import ServerList, parse_list
-from brassfall.sidecar.discovery.list_age import ListAge
+from brassfall.sidecar.discovery.list_age import FRESH_AGAIN, ListAge
 
 DOUBT_S = 30.0  # how long an implausible list is rejected
 AGE_CHECK_S = 1.0  # between checks of the age
+CHECK_SERVICE = "check that the list service runs and is reachable; the current list is used meanwhile"
 VERSION_HEADER = "X-Held-Index"  # states the current version to the list service; a name of the wire
 
 
@@ -85,8 +86,13 @@
 
     def start(self, loop: asyncio.AbstractEventLoop, state: Callable[[], str]) -> None:
         """Log from now on when the list grows too old, and when it is fresh again."""
-        if change := self._age.change_to_log(loop.time()):
-            log(f"discovery: {change}, {state()}")
+        passed_s = self._age.change_to_log(loop.time())
+        if passed_s == FRESH_AGAIN:
+            log.info("discovery: endpoint list is fresh again", current=state())
+        elif passed_s is not None:
+            log.warning(
+                "discovery: endpoint list is old", over_s=passed_s, current=state(), action=CHECK_SERVICE
+            )
         self._age_check = loop.call_later(AGE_CHECK_S, self.start, loop, state)
 
     def close(self) -> None:
@@ -117,7 +123,11 @@
         self._doubt.check(update, self.version, self.size, self._now())
         if not invalid:
             return update
-        log(f"discovery: entries kept as they were, {invalid}; register those servers anew, in valid form")
+        log.warning(
+            "discovery: invalid entries, the last valid ones stay",
+            entries=invalid,
+            action="register those servers anew, in valid form",
+        )
         return self._endpoints.repaired(update, invalid)
 
     def accepts_changes(self, update: ServerList) -> bool:
--- a/brassfall/sidecar/discovery/list_age.py
+++ b/brassfall/sidecar/discovery/list_age.py
@@ -6,6 +6,7 @@
 HEARTBEAT_S = 2.0
 CLOCK_RATE = 0.99  # of another machine's clock to this one's, at the least
 LOGGED_AGES_S = (5.0, 30.0, 300.0)  # each is logged when the list grows older
+FRESH_AGAIN = 0.0  # the list has passed none of them any more
 
 
 class ListAge:
@@ -32,11 +33,14 @@
         """Return the bound in seconds; None if nothing was received since the start."""
         return None if self._confirmed is None else now - self._confirmed
 
-    def change_to_log(self, now: float) -> str | None:
-        """Return which of the logged ages the list has passed, or that it is fresh again; None if neither."""
+    def change_to_log(self, now: float) -> float | None:
+        """Return the logged age in seconds that the list has passed since the last call.
+
+        `FRESH_AGAIN` if it has passed none any more; None if there is nothing to log.
+        """
         age = self.bound(now)
         passed = sum(age > limit for limit in LOGGED_AGES_S) if age is not None else 0
         before, self._ages_passed = self._ages_passed, passed
         if passed > before:
-            return f"the list is older than {LOGGED_AGES_S[passed - 1]:g} s"
-        return "the list is fresh again" if before and not passed else None
+            return LOGGED_AGES_S[passed - 1]
+        return FRESH_AGAIN if before and not passed else None
--- a/brassfall/sidecar/lifecycle/admin.py
+++ b/brassfall/sidecar/lifecycle/admin.py
@@ -6,10 +6,10 @@
 import contextlib
 from collections.abc import Callable
 
+from brassfall.sidecar import log
 from brassfall.sidecar.clients.listener import Listener, listening_socket
 from brassfall.sidecar.config import MAX_ADMIN_CONNECTIONS
 from brassfall.sidecar.config_values import Address
-from brassfall.sidecar.console import log
 from brassfall.sidecar.core.process_state import InvalidTransitionError, Lifecycle
 
 MAX_LINE = 256  # bytes
@@ -76,12 +76,12 @@
 
     def _drain(self) -> str:
         self._lifecycle.drain()
-        log(f"operator: LAMEDUCK, now {self._lifecycle.state.value}")
+        log.info("operator: LAMEDUCK", state=self._lifecycle.state.value)
         return f"done {self._lifecycle.state.value}"
 
     def _rejoin(self) -> str:
         self._lifecycle.rejoin()
-        log(f"operator: REJOIN, now {self._lifecycle.state.value}")
+        log.info("operator: REJOIN", state=self._lifecycle.state.value)
         return f"done {self._lifecycle.state.value}"
 
     def opened(self, connection: AdminConnection) -> None:
--- a/brassfall/sidecar/lifecycle/handover.py
+++ b/brassfall/sidecar/lifecycle/handover.py
@@ -5,8 +5,8 @@
 import fcntl
 import os
 
+from brassfall.sidecar import log
 from brassfall.sidecar.config_values import stable_number
-from brassfall.sidecar.console import log
 
 SERVING_SUFFIX, NEXT_SUFFIX = "lock", "next"
 # Earlier versions use this name too: during an upgrade, processes of both look at the same files.
@@ -36,7 +36,12 @@
             return False
         except OSError as error:
             if not self.owned:
-                log(f"handover: can't lock {self._path}: {error.strerror}; set TMPDIR to a writable folder")
+                log.warning(
+                    "handover: can't lock the file of this sidecar",
+                    file=self._path,
+                    reason=error.strerror,
+                    action="set TMPDIR to a writable folder",
+                )
         self.owned = True
         return True
 
--- a/brassfall/sidecar/lifecycle/sidecar.py
+++ b/brassfall/sidecar/lifecycle/sidecar.py
@@ -8,12 +8,11 @@
 from typing import TYPE_CHECKING
 
 from brassfall.balancer.model import ListForm, Steer
-from brassfall.sidecar import config, reload
+from brassfall.sidecar import config, log, reload
 from brassfall.sidecar.clients.inbound import Inbound
 from brassfall.sidecar.clients.listener import retry_while_exhausted
 from brassfall.sidecar.config import Config, ConfigError
 from brassfall.sidecar.config_values import Address
-from brassfall.sidecar.console import log
 from brassfall.sidecar.core.clock import Clock
 from brassfall.sidecar.core.driver import DecisionMaker, Driver
 from brassfall.sidecar.core.process_state import Lifecycle, State
@@ -124,7 +123,9 @@
         """Use another configuration from now on; raises `ConfigError` if it can't replace the present one."""
         successor = reload.successor(self._running, configuration, self.busy)
         for name in successor.pending_restart:
-            log(f"reload: {name} keeps its value; restart the process to change it")
+            log.warning(
+                "reload: a setting keeps its value", key=name, action="restart the process to change it"
+            )
         longest_ms, self._running = self._longest_deadline_ms(), successor.config
         self.driver.reload(self._running, successor.same_classes)
         self.pool.reload(self._running)
@@ -146,7 +147,7 @@
         if self.member is not None:
             self.member.agent.start()
         if self._share_machine():
-            log("another process of this sidecar is running; waiting for the endpoint list")
+            log.info("another process of this sidecar is running, waiting for the endpoint list")
             # The other process detects this one at its next check, and reduces its limits then.
             await asyncio.gather(self.discovery.first_answer(FIRST_LIST_S), asyncio.sleep(HANDOVER_POLL_S))
         else:
@@ -190,11 +191,13 @@
             file = config.load({**environment, "NODE_DISCOVERY": ""})
             self.adopt(file if self.member is None else self.member.over(file))
         except ConfigError as error:
-            log(f"reload: {error}; nothing is changed; fix the file and send SIGHUP again")
+            log.warning(
+                "reload: nothing is changed", reason=error, action="fix the file and send SIGHUP again"
+            )
             return
         if self.member is not None:
             self.member.file_read(file)
-        log(f"reload: done, classes {', '.join(self._running.names.classes)}")
+        log.info("reload: done", classes=", ".join(self._running.names.classes))
 
     def _longest_deadline_ms(self) -> float:
         """Return the longest deadline of the present classes.
@@ -210,7 +213,7 @@
         After cancelling, `close` closes what is still open.
         """
         self.lifecycle.stop()
-        log("graceful shutdown: finishing the requests in flight")
+        log.info("graceful shutdown: finishing the requests in flight", requests=self.driver.in_flight)
         await shutdown.drain(
             self._clock,
             self.inbound,
@@ -221,7 +224,7 @@
 
     def close(self) -> None:
         """Close all sockets, even with requests in flight, and release the locks."""
-        log(f"exiting; requests in flight: {self.driver.in_flight}")
+        log.info("exiting", requests_in_flight=self.driver.in_flight)
         self.admin.close()
         self.inbound.close()
         self.pool.close()
--- a/brassfall/sidecar/peers.py
+++ b/brassfall/sidecar/peers.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable
 from typing import cast
 
+from brassfall.sidecar import log
 from brassfall.sidecar.config import Config
 from brassfall.sidecar.config_values import Address
-from brassfall.sidecar.console import log
 
 MAX_MESSAGE = 256  # bytes
 
@@ -39,7 +39,7 @@
     def tell(self, peer: int | None, data: bytes) -> None:
         """Send a message to one peer, or to all if `peer` is None."""
         if self._transport is None or len(data) > MAX_MESSAGE:
-            log(f"peers: message not sent, peer={peer} bytes={len(data)}; report it")
+            log.error("peers: message not sent", peer=peer, bytes=len(data), action="report it")
             return
         if peer is not None:
             if 0 <= peer < len(self._addresses):
--- a/tests/sidecar/test_discovery_fleet.py
+++ b/tests/sidecar/test_discovery_fleet.py
@@ -58,7 +58,7 @@
         (
             json.dumps(listed(50, entry("s2"), {"name": "s3"}, 7)).encode() + b"\n",
             ["s2"],
-            "entries kept as",
+            "invalid entries, the last valid ones stay",
             2,
         ),
     ],
--- a/tests/sidecar/test_discovery_invalid_lists.py
+++ b/tests/sidecar/test_discovery_invalid_lists.py
@@ -89,7 +89,7 @@
     await asyncio.sleep(0.01)
     assert len(registry.calls) == 1
     assert fed < channel.MAX_LINE + 3 * BLOCK
-    assert "discovery: a line is too long" in capsys.readouterr().err
+    assert "discovery: call failed, reason=a line is too long" in capsys.readouterr().err
     started.close()
 
 
@@ -152,7 +152,7 @@
         started.discovery.fetch()
     await asyncio.sleep(0.02)
     lines = capsys.readouterr().err.splitlines()
-    assert len(lines) == 1 and lines[0].startswith("discovery: "), lines
+    assert len(lines) == 1 and lines[0].startswith("WARNING discovery: call failed, reason="), lines
     assert len(lines[0]) < 400 and "Traceback" not in lines[0]
     assert fed <= 2
     assert not loop_errors and started.discovery.version in (0, 41)
--- a/tests/sidecar/test_fleet_list.py
+++ b/tests/sidecar/test_fleet_list.py
@@ -14,7 +14,7 @@
 from brassfall.sidecar.discovery.endpoint_index import EndpointList
 from brassfall.sidecar.discovery.endpoint_list import ServerList
 from brassfall.sidecar.discovery.fleet_list import DOUBT_S, ListDoubt
-from brassfall.sidecar.discovery.list_age import ListAge
+from brassfall.sidecar.discovery.list_age import FRESH_AGAIN, ListAge
 from brassfall.sidecar.discovery.sources import FIRST_BACKOFF_S, MAX_BACKOFF_S, Sources
 
 ADDRESSES = [Address("127.0.0.1", port) for port in (1, 2, 3)]
@@ -63,13 +63,13 @@
 def test_the_age_of_a_list_is_logged_as_it_passes_each_bound_once():
     age = ListAge()
     age.confirmed(0.0, 0.1, 0)
-    logged = [text for now in range(0, 400) if (text := age.change_to_log(float(now)))]
+    logged = [passed for now in range(0, 400) if (passed := age.change_to_log(float(now))) is not None]
     age.confirmed(400.0, 400.1, 0)
     assert [*logged, age.change_to_log(401.0)] == [
-        "the list is older than 5 s",
-        "the list is older than 30 s",
-        "the list is older than 300 s",
-        "the list is fresh again",
+        5.0,
+        30.0,
+        300.0,
+        FRESH_AGAIN,
     ]
 
 
--- a/tests/sidecar/test_process_signals.py
+++ b/tests/sidecar/test_process_signals.py
@@ -85,8 +85,8 @@
     _, said = await process.communicate()
     assert process.returncode == 0
     assert said.decode().splitlines() == [
-        "SIGTERM during startup; exiting",
-        "exiting; requests in flight: 0",
+        "INFO SIGTERM during startup, exiting",
+        "INFO exiting, requests_in_flight=0",
     ]
     registry.stop()
 
--- a/tests/sidecar/test_upgrade.py
+++ b/tests/sidecar/test_upgrade.py
@@ -47,7 +47,7 @@
     old.send_signal(signal.SIGTERM)
     _, said = await old.communicate()
     assert old.returncode == 0
-    assert b"Traceback" not in said and b"requests in flight: 0" in said
+    assert b"Traceback" not in said and b"exiting, requests_in_flight=0" in said
     answered = load.answered
     await until(lambda: load.answered > answered + 100)
     load.going = False
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -179,7 +179,7 @@
 ATTEMPTS = "brassfall.sidecar.core.attempts"
 EVENT_SINK = "brassfall.sidecar.core.event_sink"
 CLOCK = "brassfall.sidecar.core.clock"
-CONSOLE = "brassfall.sidecar.console"
+LOG = "brassfall.sidecar.log"
 INTERFACES = "brassfall.sidecar.core.interfaces"
 LIST = "brassfall.sidecar.discovery.endpoint_list"
 VALUES = "brassfall.sidecar.config_values"
@@ -214,7 +214,7 @@
         ("reload.py", {CONFIG, VALUES, "brassfall.balancer.settings"}),
         ("framing.py", {BODY}),
         ("body.py", set()),
-        ("console.py", set()),
+        ("log.py", set()),
         ("core/clock.py", set()),
         ("core/interfaces.py", {BODY, LIST, MODEL}),
         ("core/attempts.py", {INTERFACES, MODEL}),
@@ -227,14 +227,14 @@
             "core/request_lifecycle.py",
             {
                 *own("core.attempt_runner", "core.balancer_timers", "core.request_table"),
-                *(ATTEMPTS, CLOCK, CONSOLE, EVENT_SINK, EVENTS, INTERFACES, MODEL),
+                *(ATTEMPTS, CLOCK, LOG, EVENT_SINK, EVENTS, INTERFACES, MODEL),
             },
         ),
         (
             "core/actions.py",
             {
                 *own("core.balancer_timers", "core.health_checks", "core.request_lifecycle"),
-                *(CONSOLE, INTERFACES, MODEL),
+                *(LOG, INTERFACES, MODEL),
             },
         ),
         (
@@ -242,14 +242,14 @@
             {
                 *own("core.actions", "core.balancer_timers", "core.health_checks"),
                 *own("core.request_lifecycle", "core.request_table"),
-                *(ATTEMPTS, CLOCK, CONFIG, CONSOLE, EVENTS, INTERFACES, LIST, MODEL, MODULE, START_TIMES),
+                *(ATTEMPTS, CLOCK, CONFIG, LOG, EVENTS, INTERFACES, LIST, MODEL, MODULE, START_TIMES),
             },
         ),
         ("discovery/start_times.py", {LIST, MODEL}),
         ("core/process_state.py", set()),
-        ("lifecycle/handover.py", {CONSOLE, VALUES}),
+        ("lifecycle/handover.py", {LOG, VALUES}),
         ("clients/listener.py", {VALUES}),
-        ("lifecycle/admin.py", {CONFIG, CONSOLE, LIFECYCLE, LISTENER, VALUES}),
+        ("lifecycle/admin.py", {CONFIG, LOG, LIFECYCLE, LISTENER, VALUES}),
         ("servers/exchange.py", {BODY, INTERFACES}),
         ("servers/health_checks.py", set()),
         ("servers/server_answers.py", {FRAMING, INTERFACES, MODEL, "brassfall.balancer.settings"}),
@@ -336,13 +336,13 @@
                     "agent.member",
                     "discovery.endpoint_index",
                 ),
-                *own("config", "config_values", "console", "core.clock", "core.driver", "core.process_state"),
+                *own("config", "config_values", "log", "core.clock", "core.driver", "core.process_state"),
                 *own("clients.inbound", "clients.listener", "discovery.discovery", "discovery.endpoint_list"),
                 *own("servers.pool", "peers", "reload"),
                 MODEL,
             },
         ),
-        ("__main__.py", own("config", "console", "lifecycle.sidecar")),
+        ("__main__.py", own("config", "log", "lifecycle.sidecar")),
         ("lifecycle/shutdown.py", {CLOCK, INBOUND, "brassfall.sidecar.core.driver"}),
         ("agent/lists.py", {ENDPOINT_INDEX, SOURCES}),
         ("agent/forms.py", set()),
@@ -351,13 +351,13 @@
         ("agent/calls.py", {VALUES}),
         (
             "agent/agent.py",
-            {CONFIG, CONSOLE, VALUES, *fleet("lease_client", "lists", "reporter", "watch")},
+            {CONFIG, LOG, VALUES, *fleet("lease_client", "lists", "reporter", "watch")},
         ),
         ("agent/deadlines.py", set()),
         ("agent/override_layer.py", fleet("deadlines")),
         ("agent/overrides.py", fleet("deadlines", "override_layer")),
-        ("agent/reporter.py", {CONFIG, CONSOLE, *fleet("calls", "lease_client", "lists")}),
-        ("agent/watch.py", {CHANNEL, CONSOLE, VALUES, *fleet("lists", "reporter")}),
+        ("agent/reporter.py", {CONFIG, LOG, *fleet("calls", "lease_client", "lists")}),
+        ("agent/watch.py", {CHANNEL, LOG, VALUES, *fleet("lists", "reporter")}),
         ("agent/delays.py", set()),
         (
             "agent/steering.py",
@@ -373,14 +373,14 @@
             "agent/member.py",
             {
                 CONFIG,
-                CONSOLE,
+                LOG,
                 MODEL,
                 FLEET,
                 "brassfall.sidecar.reload",
                 *fleet("agent", "delays", "lease_client", "lists", "rules", "steering"),
             },
         ),
-        ("discovery/channel.py", {CONSOLE, MODEL, VALUES}),
+        ("discovery/channel.py", {LOG, MODEL, VALUES}),
         ("discovery/interfaces.py", {LIST, MODEL, VALUES}),
         ("discovery/endpoint_index.py", {LIST, MODEL, VALUES}),
         ("discovery/list_age.py", set()),
@@ -389,7 +389,7 @@
             "discovery/fleet_list.py",
             {
                 CHANNEL,
-                CONSOLE,
+                LOG,
                 CURRENT_LIST,
                 ENDPOINT_INDEX,
                 LIST,
@@ -424,7 +424,7 @@
                 ),
             },
         ),
-        ("peers.py", {CONFIG, CONSOLE, VALUES}),
+        ("peers.py", {CONFIG, LOG, VALUES}),
     ],
 )
 def test_imports_run_from_sockets_to_driver_to_module(name, allowed):
