--- a/tests/sidecar/test_standing.py
+++ b/tests/sidecar/test_standing.py
@@ -94,6 +94,14 @@
     return now()
 
 
+def reserve(address):
+    """A socket that keeps an address while nothing listens there: no other connection gets its port."""
+    sock = socket.socket()
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    sock.bind(address)
+    return sock
+
+
 RULES = {"Rules": {"AskWithin": 10_000.0, "StopSendingWithin": 500.0}}
 
 
@@ -128,8 +136,9 @@
         agent = await Agent().start()
         address = parse_address(agent.address)
         agent.stop()
+        port = reserve(address)
         if down == "lost":
-            full = socket.create_server(address, backlog=0)
+            port.listen(0)
             waiting = [socket.socket() for _ in range(3)]  # the queue is full: what comes next is dropped
             for sock in waiting:
                 sock.setblocking(False)
@@ -137,9 +146,10 @@
         async with running(registry=agent, raw={"seed": str(seed)}) as sidecar:
             await asyncio.sleep(20.0 + 0.37 * seed)
             if down == "lost":
-                for sock in (full, *waiting):
+                for sock in (port, *waiting):
                     sock.close()
-            await agent.start(port=address.port)
+                port = reserve(address)
+            await agent.start(sock=port)
             back = now()
             assert await list_arrives(sidecar) - back < limit_s
         agent.stop()
