--- a/tests/sidecar/test_races_servers.py
+++ b/tests/sidecar/test_races_servers.py
@@ -43,11 +43,11 @@
 
 def to(*upstreams):
     """Return a filter of the sidecar's sockets to these servers, for faults as they are read and written."""
-    ports = {int(upstream.address.rpartition(":")[2]) for upstream in upstreams}
+    addresses = {upstream.address for upstream in upstreams}
 
     def picked(sock):
         with contextlib.suppress(OSError):
-            return sock.getpeername()[1] in ports
+            return "{}:{}".format(*sock.getpeername()) in addresses
         return False
 
     return picked
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -6,6 +6,7 @@
 import contextlib
 import functools
 import json
+import os
 import socket
 from dataclasses import dataclass, field
 
@@ -17,6 +18,9 @@
 from tests.support.balancer_records import left_over
 
 PATIENCE_S = 15.0
+# A loopback address for the servers of this process. On 127.0.0.1 a server may get the port that discovery
+# had in a test of another process, whose sidecar goes on calling it.
+SERVER_HOST = f"127.1.{os.getpid() // 250 % 250}.{1 + os.getpid() % 250}"
 BUDGET = "4000m"
 
 SETTINGS = {
@@ -120,8 +124,8 @@
     address: str = ""
 
     async def start(self):
-        self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
-        self.address = f"127.0.0.1:{self._server.sockets[0].getsockname()[1]}"
+        self._server = await asyncio.start_server(self._serve, SERVER_HOST, 0)
+        self.address = f"{SERVER_HOST}:{self._server.sockets[0].getsockname()[1]}"
         return self
 
     async def _serve(self, reader, writer):
