--- a/brassfall/controlplane/registry/aggregator/configuration.py
+++ b/brassfall/controlplane/registry/aggregator/configuration.py
@@ -70,7 +70,7 @@
             if made.status == 200:
                 self._step(read_state(made.body))
         except (UpstreamError, StateError) as error:
-            log.warning("state not fetched", reason=error.summary)
+            log.warning("state not fetched", reason=error.summary, action=error.action)
         finally:
             self._fetching = False
 
--- a/brassfall/controlplane/registry/aggregator/list_feed.py
+++ b/brassfall/controlplane/registry/aggregator/list_feed.py
@@ -28,6 +28,9 @@
 NO_LIST, NO_LATER_LIST = "no list", "no list that late"
 LATE_MS = 2000.0  # for which the service may be ahead; a watch that works brings changes far sooner
 
+BEGAN_ANEW = "Look at the list service, which lost its list or runs twice; sidecars reject the list for 30 s."
+LATE = "Nothing if it does not repeat; else look at the network to the list service. It is watched anew."
+
 log = logger("aggregator")
 
 
@@ -108,7 +111,7 @@
     def _take(self, line: Line) -> None:
         taken = self.mirror.take(line.heard, parse_line(line.text), first=line.lines == 1)
         if taken.replaced:
-            log.warning("list began anew", index=self.mirror.index)
+            log.warning("list began anew", index=self.mirror.index, action=BEGAN_ANEW)
             self._channel.end()
             self._channel = self._front.channels[INSTANCES] = self._new_channel()
         for change in taken.changes:
@@ -127,7 +130,7 @@
         elif self._late_since_ms is None:
             self._late_since_ms = now_ms()
         elif now_ms() - self._late_since_ms > LATE_MS:
-            log.warning("list is late", index=self.mirror.index, above=lease.list_index)
+            log.warning("list is late", index=self.mirror.index, above=lease.list_index, action=LATE)
             self._late_since_ms = None
             self._open_watch()
 
--- a/brassfall/controlplane/registry/aggregator/reporter.py
+++ b/brassfall/controlplane/registry/aggregator/reporter.py
@@ -8,6 +8,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
+from brassfall import logs
 from brassfall.controlplane.aggregation.actions import Action, SendReport
 from brassfall.controlplane.aggregation.aggregator import Aggregator
 from brassfall.controlplane.aggregation.events import Event, ReportDue, UpstreamAnswered, UpstreamFailed
@@ -64,7 +65,7 @@
             try:
                 wait_s = await self._report()
             except Exception:  # without reports no child would get a lease
-                log.exception("fault")
+                log.exception("fault", action=logs.REPORT)
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(wait_s):
                     await self._urgent.wait()
--- a/brassfall/controlplane/registry/aggregator/upstream.py
+++ b/brassfall/controlplane/registry/aggregator/upstream.py
@@ -10,6 +10,7 @@
 import aiohttp
 import msgspec
 
+from brassfall import logs
 from brassfall.controlplane.aggregation.messages import AggregatorLease, AggregatorReport
 from brassfall.controlplane.registry.aggregator.addresses import Addresses
 from brassfall.controlplane.registry.client import UNANSWERED, UNREADABLE, read_bounded, retry_after_s
@@ -146,7 +147,7 @@
                 log.warning("line refused", at=state.at, reason=error.summary, action=error.action)
             except Exception as error:  # without a watch the children would get no changes
                 state.failing = f"a defect here: {error!r}"
-                log.exception("fault")
+                log.exception("fault", action=logs.REPORT)
             state.open = False
             await asyncio.sleep(addresses.failed(retry_s))
 
--- a/brassfall/controlplane/registry/front.py
+++ b/brassfall/controlplane/registry/front.py
@@ -14,6 +14,7 @@
 
 from aiohttp import web
 
+from brassfall import logs
 from brassfall.controlplane.registry import calls
 from brassfall.controlplane.registry.callers import HEAD_BYTES, QUIET, Callers, Connection
 from brassfall.controlplane.registry.http_errors import UnknownPathError, error_response, status_response
@@ -182,7 +183,7 @@
         except (ConnectionError, asyncio.CancelledError, web.RequestPayloadError):
             raise
         except Exception:
-            log.exception("fault", path=request.path)
+            log.exception("fault", path=request.path, action=logs.REPORT)
             return status_response(500, "a fault in the service")
 
     async def body(self, request: web.Request) -> bytes:
--- a/brassfall/controlplane/registry/gathering.py
+++ b/brassfall/controlplane/registry/gathering.py
@@ -39,7 +39,11 @@
         """Note that a caller knows an index of an earlier incarnation that this store does not know."""
         if self._until and not self._evidence:
             self._evidence = True
-            log.warning("gathering", reason="callers know a list that this service has lost")
+            log.warning(
+                "gathering",
+                reason="callers know a list that this service has lost",
+                action="Nothing if servers register again; else check their leases and addresses.",
+            )
 
     def has_ended(self, instances: int) -> bool:
         """Whether it has ended since the last call; `instances` are listed by now, for the log."""
--- a/brassfall/controlplane/registry/geo.py
+++ b/brassfall/controlplane/registry/geo.py
@@ -38,6 +38,7 @@
 REPORT_BATCH = 256  # reports that are merged into the evidence at once
 MAX_ANSWERS = 2**53  # of one row
 LEASE_HOLDER = "list service"
+NO_PLAN = "Look at the reason; the last plan fades out, and requests are then steered without one."
 
 log = logger("geo")
 _encode = msgspec.json.Encoder().encode
@@ -224,7 +225,7 @@
         try:
             event = await self._perform(action)
         except RequestError as error:
-            log.warning("no plan", reason=str(error))
+            log.warning("no plan", reason=str(error), action=NO_PLAN)
             event = publisher.CallFailed()
         self._step(event)
 
--- a/brassfall/controlplane/registry/override_clock.py
+++ b/brassfall/controlplane/registry/override_clock.py
@@ -63,7 +63,7 @@
         try:
             await self._store.submit(self.mark())
         except UnavailableError as error:
-            log.warning("time not durable", reason=error.summary)
+            log.warning("time not durable", reason=error.summary, action=error.action)
 
 
 def _monotonic_ms() -> float:
--- a/brassfall/controlplane/registry/overrides.py
+++ b/brassfall/controlplane/registry/overrides.py
@@ -42,6 +42,8 @@
 REPEAT_CALL = "Send the same call again: it is answered with the outcome, and changes nothing twice."
 DENIED = "it acts on other overrides than are due"  # on the wire, as the reason to grant no lease
 
+NOT_PUBLISHED = "Look at the reason and at /status; it is published again by itself."
+
 log = logger("overrides")
 _encode = msgspec.json.Encoder().encode
 
@@ -171,7 +173,7 @@
                     self._resend.add(node)
                 case reconciliation.DenyLease(node):
                     self.revisions.blocked[node] = DENIED
-                    log.warning("refused", edge=node)
+                    log.warning("refused", edge=node, action="Upgrade that sidecar, or end the override.")
                 case reconciliation.AllowLease(node):
                     self.revisions.blocked.pop(node, None)
                 case reconciliation.AlertOperator(finding):
@@ -232,7 +234,7 @@
         try:
             await self.revisions.publish(overrides=layer)
         except UnavailableError as error:
-            log.warning("not published", reason=str(error))
+            log.warning("not published", reason=str(error), action=NOT_PUBLISHED)
         finally:
             self._publishing = False
 
--- a/brassfall/controlplane/registry/revision_service.py
+++ b/brassfall/controlplane/registry/revision_service.py
@@ -37,6 +37,9 @@
 CHANNEL = "/rules"  # among the channels of watches
 TICK_S = 0.05
 SWEEP_S = 60.0
+UNWRITTEN = "Look at the disk of the list service (/status says what it answered); nothing has changed."
+FORGOTTEN = "Nothing if it is gone for good; else look at its process and its network to the service."
+HALTED = "Fix what the objections name and publish again; the revision before stays active."
 
 AnswerFields = dict[str, Any]  # by the wire's names
 
@@ -219,7 +222,7 @@
         try:
             await self.host.store.submit(row)
         except NotWrittenError as error:
-            log.error("not durable", reason=str(error))  # noqa: TRY400 - the reason is enough, no traceback
+            log.error("not durable", reason=str(error), action=UNWRITTEN)  # noqa: TRY400 - no traceback is needed
             self.step(messages.PersistFailed())
             return
         self.step(messages.Persisted())
@@ -247,7 +250,7 @@
                 continue
             node = membership.nodes.get(name)
             if (node.reported_ms if node is not None else self.started_ms) < limit_ms:
-                log.warning("forgotten", name=name, reason="no report for too long")
+                log.warning("forgotten", name=name, reason="no report for too long", action=FORGOTTEN)
                 self.step(messages.RemoveMember(name))
                 self.forget(name)
 
@@ -288,7 +291,7 @@
         try:
             yield
         except NotWrittenError as error:
-            log.warning("member not durable", name=name, reason=str(error))
+            log.warning("member not durable", name=name, reason=str(error), action=UNWRITTEN)
         finally:
             self._writing.discard(name)
 
@@ -316,6 +319,11 @@
     if after.committed.number != before.committed.number:
         log.info("committed", edition=after.committed.number)
     if after.halted is not None and after.halted != before.halted:
-        log.warning("halted", edition=after.halted.revision.number, objections=after.halted.objections)
+        log.warning(
+            "halted",
+            edition=after.halted.revision.number,
+            objections=after.halted.objections,
+            action=HALTED,
+        )
     if after.pending is not None and after.pending != before.pending:
         log.info("prepared", edition=after.pending.number, layers=after.pending.layers)
--- a/brassfall/controlplane/registry/tasks.py
+++ b/brassfall/controlplane/registry/tasks.py
@@ -6,6 +6,7 @@
 from collections.abc import Coroutine
 from typing import Any
 
+from brassfall import logs
 from brassfall.logs import logger
 
 log = logger("tasks")
@@ -31,7 +32,7 @@
         self._running.discard(task)
         error = None if task.cancelled() else task.exception()
         if error is not None:
-            log.error("fault", exc_info=error)
+            log.error("fault", exc_info=error, action=logs.REPORT)
 
     async def end(self) -> None:
         """Cancel all running tasks, and wait until they have ended."""
--- a/brassfall/controlplane/store/row_leases.py
+++ b/brassfall/controlplane/store/row_leases.py
@@ -22,6 +22,8 @@
 CHECK_S = 0.1
 Guarded = Callable[[str, Row], bool]
 
+SUSPECT = "Look at the network between them and this service; if they are dead, `registry leave` each."
+
 log = logger("table")
 
 
@@ -88,7 +90,7 @@
                 found = leases.check(monotonic_ms())
                 if found.suspected:
                     self._statistics.suspected += len(found.suspected)
-                    log.warning("suspect", table=table, keys=found.suspected)
+                    log.warning("suspect", table=table, keys=found.suspected, action=SUSPECT)
                 for key in found.expired:
                     self._expire(table, key)
 
--- a/brassfall/controlplane/store/writer.py
+++ b/brassfall/controlplane/store/writer.py
@@ -228,7 +228,12 @@
     # --- outcomes that are unknown --------------------------------------------
 
     def _wait_for_outcome(self, batch: UnsettledBatch) -> None:
-        log.error("outcome unknown", reason=batch.reason, records=len(batch.records))
+        log.error(
+            "outcome unknown",
+            reason=batch.reason,
+            records=len(batch.records),
+            action=LogOutcomeUnknownError.action,
+        )
         self._unsettled = batch
         batch.retry_later(asyncio.get_running_loop().time())
         for one in batch.decided:
--- a/brassfall/logs.py
+++ b/brassfall/logs.py
@@ -9,6 +9,8 @@
 import msgspec
 import structlog
 
+REPORT = "Report it with the traceback: a defect of the program."
+
 
 class _StandardError:
     """Sink that looks up standard error at each line, since cached loggers outlive a redirection."""
@@ -50,4 +52,4 @@
     try:
         yield
     except Exception:
-        log.exception("fault")
+        log.exception("fault", action=REPORT)
