--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -5,6 +5,7 @@
 import asyncio
 import json
 import math
+import os
 import shutil
 import signal
 import socket
@@ -305,6 +306,17 @@
         return []
 
 
+def has_ended(process):
+    """Return True if a process and all its threads have ended: until then its sockets may be open.
+
+    A killed process is a zombie as soon as its first thread has ended, while others still hold its sockets.
+    """
+    try:
+        return process.status() == "zombie" and len(os.listdir(f"/proc/{process.pid}/task")) == 1
+    except (psutil.NoSuchProcess, FileNotFoundError, ProcessLookupError):
+        return True
+
+
 async def _killed(tmp_path, text, number):
     file, out = tmp_path / "e.toml", tmp_path / "out"
     # The real one is long enough not to be over when it is killed, however long the look before takes.
@@ -324,7 +336,7 @@
     assert len(started) >= (11 if real else 2) and bool(ports) == real
     lab.send_signal(number)
     await lab.wait()
-    while any(process.is_running() and process.status() != "zombie" for process in started):
+    while not all(has_ended(process) for process in started):
         await asyncio.sleep(0.02)
     for port in ports:
         with socket.socket() as sock:
