--- a/tests/support/wire_scenario.py
+++ b/tests/support/wire_scenario.py
@@ -236,11 +236,18 @@
             await until(lambda: acting(n0) == acting(n1) == 0)
             await _publish(operator, n0, n1)
             await _override(operator)
+            await until(lambda: child_has_times_left(recorder))
             await _report_all(Operator(session, recorder, service, "service"))
             await _list_all(operator, Operator(session, recorder, below, "aggregator"))
     return recorder.messages
 
 
+def child_has_times_left(recorder: Recorder) -> bool:
+    """Return True if an aggregator has told its child how long an override lasts."""
+    answers = recorder.messages.get("child POST /edges answer", [])
+    return any("slack_ms" in row for answer in answers for row in answer.get("left", {}).values())
+
+
 async def _list_servers(operator: Operator) -> None:
     entry = {
         "address": "127.0.0.1:7001",
