--- a/tests/sidecar/test_agent.py
+++ b/tests/sidecar/test_agent.py
@@ -21,7 +21,7 @@
 from brassfall.sidecar.config import Agreement, ConfigError
 from brassfall.sidecar.config_values import Address
 from brassfall.sidecar.discovery.endpoint_list import ServerList
-from tests.support.loopback import told
+from tests.support.loopback import sidecar_config
 
 RARELY_MS, SOON_S = (
     9_000.0,
@@ -209,7 +209,9 @@
 
     def __init__(self):
         self.now, self.busy, self.list_version, self.steers = 0.0, (), 0, []
-        self.running = told(raw={"fleet": {"registry": ["127.0.0.1:9"], "agreement": {"agree_ms": 3000}}})
+        self.running = sidecar_config(
+            raw={"fleet": {"registry": ["127.0.0.1:9"], "agreement": {"agree_ms": 3000}}}
+        )
         self.listed = EndpointList()
 
     def time(self):
--- a/tests/sidecar/test_answer_boundaries.py
+++ b/tests/sidecar/test_answer_boundaries.py
@@ -16,15 +16,15 @@
     OK,
     PATIENCE_S,
     App,
-    Scripted,
+    ScriptedBalancer,
     Upstream,
     entry,
     failing,
-    hear,
+    list_changes,
     loopback,
     never_cancels,
     request,
-    tidy,
+    running_until_idle,
     until,
 )
 
@@ -37,8 +37,8 @@
 @loopback
 async def test_a_second_answer_that_comes_before_the_next_request_is_complete_is_not_taken_for_its_answer():
     upstream = await Upstream([OK]).start()
-    balancer = Scripted(outcome=failing)
-    async with tidy(upstream, balancer=balancer, **never_cancels()) as sidecar:
+    balancer = ScriptedBalancer(outcome=failing)
+    async with running_until_idle(upstream, balancer=balancer, **never_cancels()) as sidecar:
         app = await App.connect(sidecar.address)
         assert (await app.ask()).body == b"done"
         message = request("POST", "/book", LARGE)
@@ -53,8 +53,8 @@
 @loopback
 async def test_an_answer_that_rejects_may_come_before_the_request_is_complete():
     upstream = await Upstream([OK]).start()
-    balancer = Scripted(outcome=failing)
-    async with tidy(upstream, balancer=balancer, **never_cancels()) as sidecar:
+    balancer = ScriptedBalancer(outcome=failing)
+    async with running_until_idle(upstream, balancer=balancer, **never_cancels()) as sidecar:
         app = await App.connect(sidecar.address)
         assert (await app.ask()).body == b"done"
         app.writer.write(request("POST", "/book", LARGE)[:-1])
@@ -69,7 +69,7 @@
 async def test_a_second_answer_that_comes_to_an_idle_connection_is_seen_before_the_next_request():
     """Also where the loop has not read it yet, as the next request is written in the same turn."""
     upstream = await Upstream([OK]).start()
-    async with tidy(upstream, balancer=Scripted(), **never_cancels()) as sidecar:
+    async with running_until_idle(upstream, balancer=ScriptedBalancer(), **never_cancels()) as sidecar:
         app = await App.connect(sidecar.address)
         await app.ask()
         server = sidecar.pool.servers["s0"]
@@ -85,7 +85,7 @@
 async def test_a_connection_that_has_just_given_an_answer_is_not_used_while_another_has_settled():
     """A second answer that arrives some milliseconds later is recognised on the idle connection."""
     upstream = await Upstream([OK]).start()
-    async with tidy(upstream, balancer=Scripted(), **never_cancels()) as sidecar:
+    async with running_until_idle(upstream, balancer=ScriptedBalancer(), **never_cancels()) as sidecar:
         one, two = await App.connect(sidecar.address), await App.connect(sidecar.address)
         one.send()
         two.send()
@@ -130,8 +130,8 @@
             await asyncio.sleep(0)
 
     upstream = await Upstream([endless]).start()
-    balancer = Scripted(outcome=failing)
-    async with tidy(upstream, balancer=balancer, **never_cancels()) as sidecar:
+    balancer = ScriptedBalancer(outcome=failing)
+    async with running_until_idle(upstream, balancer=balancer, **never_cancels()) as sidecar:
         app = await App.connect(sidecar.address)
         app.send(X_Budget="60000m")
         with contextlib.suppress(asyncio.IncompleteReadError):
@@ -145,8 +145,8 @@
 async def test_trailers_are_no_headers_of_an_answer():
     chunked = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n"
     upstream = await Upstream([chunked + b"X-Load-Report: inflight=9\r\nX-Other: 1\r\n\r\n"]).start()
-    balancer = Scripted()
-    async with tidy(upstream, balancer=balancer, **never_cancels()) as sidecar:
+    balancer = ScriptedBalancer()
+    async with running_until_idle(upstream, balancer=balancer, **never_cancels()) as sidecar:
         app = await App.connect(sidecar.address)
         answer = await app.ask()
         assert (answer.body, "x-other" in answer.headers) == (b"done", False)
@@ -170,8 +170,8 @@
         writer.transport.abort()
 
     upstream = await Upstream([reset]).start()
-    balancer = Scripted(outcome=failing)
-    async with tidy(upstream, balancer=balancer, **never_cancels()) as sidecar:
+    balancer = ScriptedBalancer(outcome=failing)
+    async with running_until_idle(upstream, balancer=balancer, **never_cancels()) as sidecar:
         app = await App.connect(sidecar.address)
         app.send()
         got = b""
@@ -188,8 +188,8 @@
 @loopback
 async def test_a_server_with_an_impossible_address_fails_to_connect_at_once(address):
     upstream = await Upstream([OK]).start()
-    balancer = Scripted(outcome=failing)
-    async with tidy(upstream, balancer=balancer, **never_cancels()) as sidecar:
-        hear(sidecar, entry("s0", address))
+    balancer = ScriptedBalancer(outcome=failing)
+    async with running_until_idle(upstream, balancer=balancer, **never_cancels()) as sidecar:
+        list_changes(sidecar, entry("s0", address))
         assert (await (await App.connect(sidecar.address)).ask()).status == 502
         assert balancer.outcomes() == [(0, Outcome.CONNECT_FAILED, False)]
--- a/tests/sidecar/test_answer_order.py
+++ b/tests/sidecar/test_answer_order.py
@@ -19,7 +19,7 @@
     OK,
     PATIENCE_S,
     App,
-    Scripted,
+    ScriptedBalancer,
     Upstream,
     hang,
     loopback,
@@ -37,7 +37,7 @@
 
 @loopback
 async def test_only_the_first_final_answer_is_given():
-    balancer = Scripted(
+    balancer = ScriptedBalancer(
         request=lambda now, arrival: [Refuse(arrival.request, 250.0), Fail(arrival.request), Timer(0.0, "t")],
         timer=lambda now, token: [Fail(1), Refuse(2, 0.0)],
     )
@@ -96,7 +96,7 @@
         return OK
 
     upstream = await Upstream([wait, OK]).start()
-    balancer = Scripted()
+    balancer = ScriptedBalancer()
     async with running(upstream, balancer=balancer) as sidecar:
         app = await App.connect(sidecar.address)
         app.send()
@@ -151,7 +151,7 @@
 @loopback
 async def test_no_more_is_read_while_many_requests_wait_for_their_answers():
     upstream = await Upstream([hang]).start()
-    balancer = Scripted()
+    balancer = ScriptedBalancer()
     async with one_client(upstream, balancer=balancer) as (sidecar, app, connection):
         for sent in range(1, client_connection.MAX_PENDING + 1):
             app.send(X_Budget="400m")
@@ -179,7 +179,7 @@
         return LONG[len(LONG) // 2 :]
 
     upstream = await Upstream([long]).start()
-    balancer = Scripted()
+    balancer = ScriptedBalancer()
     async with one_client(upstream, balancer=balancer) as (sidecar, app, connection):
         sidecar.inbound.last_answers()
         app.send(X_Budget=LONG_BUDGET)
@@ -206,7 +206,7 @@
         writer.close()
 
     upstream, stuck = await Upstream([till_end]).start(), await Upstream([hang]).start()
-    balancer = Scripted(
+    balancer = ScriptedBalancer(
         request=lambda now, arrival: [Send(arrival.request, "s1" if arrival.request_class else "s0", 0.0)]
     )
     async with running(upstream, stuck, balancer=balancer) as sidecar:
@@ -235,7 +235,7 @@
             writer.close()
 
     upstream = await ReadsOn().start()
-    balancer = Scripted(
+    balancer = ScriptedBalancer(
         request=lambda now, arrival: [Send(arrival.request, "s0", 0.0), Timer(50.0, str(arrival.request))],
         timer=lambda now, number: [Refuse(int(number), 0.0)],
     )
--- a/tests/sidecar/test_attempts.py
+++ b/tests/sidecar/test_attempts.py
@@ -16,7 +16,7 @@
 from tests.support.loopback import (
     OK,
     App,
-    Scripted,
+    ScriptedBalancer,
     Upstream,
     break_off,
     failing,
@@ -63,7 +63,7 @@
         await reply(reader, writer)
 
     upstream = await Upstream([then_end if callable(reply) else reply]).start()
-    balancer = Scripted(outcome=failing)
+    balancer = ScriptedBalancer(outcome=failing)
     async with running(upstream, balancer=balancer) as sidecar:
         app = await App.connect(sidecar.address)
         answer = await app.ask()
@@ -83,7 +83,7 @@
 @loopback
 async def test_bytes_after_an_answer_are_no_part_of_it_and_end_the_connection(more):
     upstream = await Upstream([OK + more, OK]).start()
-    balancer = Scripted(outcome=failing)
+    balancer = ScriptedBalancer(outcome=failing)
     async with running(upstream, balancer=balancer) as sidecar:
         app = await App.connect(sidecar.address)
         for _ in range(2):
@@ -109,7 +109,7 @@
 @loopback
 async def test_a_refused_connection_is_a_failure_to_connect():
     upstream = await Upstream().start()
-    balancer = Scripted(outcome=failing)
+    balancer = ScriptedBalancer(outcome=failing)
     async with running(upstream, balancer=balancer) as sidecar:
         upstream.stop()
         await (await App.connect(sidecar.address)).ask()
@@ -119,7 +119,7 @@
 @loopback
 async def test_an_attempt_cancelled_while_it_connects_writes_nothing():
     upstream = await Upstream().start()
-    balancer = Scripted(
+    balancer = ScriptedBalancer(
         request=lambda now, arrival: [Send(arrival.request, "s0", 0.0), Cancel(arrival.request, 0)],
         outcome=failing,
     )
@@ -134,7 +134,9 @@
 @loopback
 async def test_a_timeout_closes_the_connection_and_has_one_outcome():
     upstream = await Upstream([hang]).start()
-    balancer = Scripted(request=lambda now, arrival: [Send(arrival.request, "s0", 500.0)], outcome=failing)
+    balancer = ScriptedBalancer(
+        request=lambda now, arrival: [Send(arrival.request, "s0", 500.0)], outcome=failing
+    )
     async with running(upstream, balancer=balancer) as sidecar:
         app = await App.connect(sidecar.address)
         await app.ask()
@@ -149,7 +151,7 @@
     def later(now, number, hop, status, spent, last, report):
         return [] if last else [Send(number, "s0", 0.0)]
 
-    balancer = Scripted(outcome=later)
+    balancer = ScriptedBalancer(outcome=later)
     async with running(upstream, balancer=balancer) as sidecar:
         app = await App.connect(sidecar.address)
         app.send()
@@ -174,7 +176,7 @@
             return [Send(number, "s0", 0.0)]
         return [Refuse(number, 0.0), Send(number, "s0", 0.0)] if hop == 3 else []
 
-    balancer = Scripted(outcome=retry)
+    balancer = ScriptedBalancer(outcome=retry)
     async with running(upstream, balancer=balancer) as sidecar:
         await (await App.connect(sidecar.address)).ask()
         await until(lambda: len(balancer.outcomes()) == 5)
@@ -192,7 +194,7 @@
         return OK.replace(b"done", b"late")
 
     first, second = await Upstream([wait]).start(), await Upstream([OK]).start()
-    balancer = Scripted(
+    balancer = ScriptedBalancer(
         request=lambda now, arrival: [Send(arrival.request, "s0", 0.0), Send(arrival.request, "s1", 0.0)]
     )
     async with running(first, second, balancer=balancer) as sidecar:
@@ -207,7 +209,7 @@
 @loopback
 async def test_a_request_on_a_dropped_connection_is_reset_and_not_sent_again_by_the_pool():
     upstream = await Upstream([OK, break_off]).start()
-    balancer = Scripted(outcome=failing)
+    balancer = ScriptedBalancer(outcome=failing)
     async with running(upstream, balancer=balancer) as sidecar:
         app = await App.connect(sidecar.address)
         await app.ask()
@@ -293,7 +295,7 @@
 @loopback
 async def test_a_timer_about_an_open_request_comes_due_and_a_later_one_is_cancelled_at_its_end():
     upstream = await Upstream([hang]).start()
-    balancer = Scripted(
+    balancer = ScriptedBalancer(
         request=lambda now, arrival: [
             Timer(20.0, "due", arrival.request),
             Timer(60_000.0, "later", arrival.request),
@@ -318,7 +320,7 @@
 @loopback
 async def test_load_reports_come_with_outcomes_and_health_checks():
     upstream = await Upstream([OK, b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\ninflight=3"]).start()
-    balancer = Scripted()
+    balancer = ScriptedBalancer()
     async with running(upstream, balancer=balancer) as sidecar:
         await (await App.connect(sidecar.address)).ask()
         assert balancer.named("outcome")[0][-1] == {"inflight": 1.0, "queue": 0.0}
--- a/tests/sidecar/test_client_departures.py
+++ b/tests/sidecar/test_client_departures.py
@@ -29,7 +29,7 @@
     OK,
     PATIENCE_S,
     App,
-    Scripted,
+    ScriptedBalancer,
     Upstream,
     hang,
     loopback,
@@ -147,7 +147,7 @@
 @loopback
 async def test_a_request_from_the_backlog_is_not_forwarded_once_its_client_left(leave, body):
     upstream = await Upstream([OK]).start()
-    balancer = Scripted()
+    balancer = ScriptedBalancer()
     async with running(upstream, balancer=balancer) as sidecar:
         async with accept_paused(sidecar):
             app = await App.connect(sidecar.address)
@@ -182,7 +182,7 @@
 @loopback
 async def test_requests_that_arrived_together_with_the_close_are_not_forwarded():
     upstream = await Upstream([OK, hang]).start()
-    balancer = Scripted()
+    balancer = ScriptedBalancer()
     async with running(upstream, balancer=balancer) as sidecar:
         app = await App.connect(sidecar.address)
         await app.ask()
@@ -257,7 +257,7 @@
 @loopback
 async def test_the_requests_of_a_client_that_sends_many_and_leaves_are_abandoned(leave):
     upstream = await Upstream([hang]).start()
-    balancer = Scripted()
+    balancer = ScriptedBalancer()
     async with running(upstream, balancer=balancer) as sidecar:
         app = await App.connect(sidecar.address)
         app.writer.write(partners.request(X_Budget="500m"))
@@ -284,7 +284,7 @@
 @loopback
 async def test_a_client_that_closes_is_gone_and_its_attempt_is_still_awaited():
     upstream = await Upstream([hang]).start()
-    balancer = Scripted()
+    balancer = ScriptedBalancer()
     async with running(upstream, balancer=balancer) as sidecar:
         app = await App.connect(sidecar.address)
         app.send(X_Budget="300m")
--- a/tests/sidecar/test_client_timeouts.py
+++ b/tests/sidecar/test_client_timeouts.py
@@ -17,7 +17,7 @@
     OK,
     PATIENCE_S,
     App,
-    Scripted,
+    ScriptedBalancer,
     Upstream,
     hang,
     loopback,
@@ -32,7 +32,7 @@
 @loopback
 async def test_an_incomplete_request_is_rejected_after_its_time_limit(monkeypatch):
     monkeypatch.setattr(connection_timeouts, "INCOMPLETE_S", 0.05)
-    balancer = Scripted()
+    balancer = ScriptedBalancer()
     async with running(balancer=balancer) as sidecar:
         app = await App.connect(sidecar.address)
         app.writer.write(b"POST /pay HTTP/1.1\r\nContent-Length: 5\r\n\r\nab")
--- a/tests/sidecar/test_connection_limits.py
+++ b/tests/sidecar/test_connection_limits.py
@@ -22,7 +22,7 @@
     PATIENCE_S,
     App,
     Registry,
-    Scripted,
+    ScriptedBalancer,
     Upstream,
     entry,
     hang,
@@ -67,7 +67,7 @@
 @loopback
 async def test_connections_are_evicted_by_least_progress(monkeypatch):
     monkeypatch.setattr(inbound, "QUIET_MS", 0.0)
-    balancer = Scripted(request=lambda now, arrival: [])  # answers none
+    balancer = ScriptedBalancer(request=lambda now, arrival: [])  # answers none
     async with running(balancer=balancer) as sidecar:
         apps = [await App.connect(sidecar.address) for _ in range(5)]
         busy, begun, silent, later, idle = apps
--- a/tests/sidecar/test_discovery.py
+++ b/tests/sidecar/test_discovery.py
@@ -10,7 +10,7 @@
 from brassfall.balancer.model import Fetch, Watch
 from brassfall.sidecar.config_values import parse_address
 from brassfall.sidecar.discovery import channel, single_address
-from tests.support.loopback import Registry, Scripted, entry, listed, loopback, running, until
+from tests.support.loopback import Registry, ScriptedBalancer, entry, listed, loopback, running, until
 from tests.support.sidecar_views import carry_out, pool_servers
 
 
@@ -21,7 +21,7 @@
 
 @loopback
 async def test_the_remembered_list_comes_first_and_a_pushed_one_is_watched_from_there():
-    registry, balancer = await Registry().start(), Scripted()
+    registry, balancer = await Registry().start(), ScriptedBalancer()
     known = listed(41, entry("s0"))
     async with running(balancer=balancer, registry=registry, raw={"known": known}):
         await until(lambda: registry.watches)
@@ -35,7 +35,7 @@
 
 @loopback
 async def test_lines_are_read_however_they_are_cut_into_chunks():
-    registry, balancer = await Registry().start(), Scripted()
+    registry, balancer = await Registry().start(), ScriptedBalancer()
     async with running(balancer=balancer, registry=registry):
         await until(lambda: registry.watches)
         line = json.dumps(listed(42, entry("s1"), snapshot=False)).encode() + b"\n\n"
@@ -58,7 +58,7 @@
 
 @loopback
 async def test_older_changes_are_not_passed_on_and_the_current_version_answers_a_watch():
-    registry, balancer = await Registry().start(), Scripted()
+    registry, balancer = await Registry().start(), ScriptedBalancer()
     async with running(balancer=balancer, registry=registry):
         await until(lambda: registry.watches)
         registry.tell(41)
@@ -74,7 +74,7 @@
     monkeypatch.setattr(single_address, "BACKOFF_S", 0.01)
     if how == "silent":
         monkeypatch.setattr(channel, "SILENT_S", 1.0)
-    registry, balancer = await Registry().start(), Scripted()
+    registry, balancer = await Registry().start(), ScriptedBalancer()
     async with running(balancer=balancer, registry=registry):
         await until(lambda: registry.watches)
         registry.tell(44, entry("s1"))
@@ -91,7 +91,7 @@
 
 @loopback
 async def test_where_discovery_is_polled_the_balancer_decides_when_and_is_notified_of_failures():
-    registry, balancer = await Registry(listed(60, entry("s5"))).start(), Scripted()
+    registry, balancer = await Registry(listed(60, entry("s5"))).start(), ScriptedBalancer()
     async with running(balancer=balancer, registry=registry, Discovery="subscribe") as sidecar:
         assert registry.asked == []
         carry_out(sidecar, balancer, Watch(True))
@@ -110,7 +110,7 @@
 @pytest.mark.parametrize("pushed", [True, False])
 @loopback
 async def test_a_watch_goes_on_at_the_address_that_discovery_has_moved_to(pushed):
-    old, new, balancer = await Registry().start(), await Registry().start(), Scripted()
+    old, new, balancer = await Registry().start(), await Registry().start(), ScriptedBalancer()
     settings = {"Discovery": "automatic" if pushed else "subscribe"}
     async with running(balancer=balancer, registry=old, **settings) as sidecar:
         if not pushed:
@@ -130,7 +130,7 @@
 
 @loopback
 async def test_discovery_is_watched_at_its_new_address_though_no_watch_is_open():
-    gone, new, balancer = await Registry().start(), await Registry().start(), Scripted()
+    gone, new, balancer = await Registry().start(), await Registry().start(), ScriptedBalancer()
     gone.stop()
     async with running(balancer=balancer, registry=gone, Discovery="subscribe") as sidecar:
         carry_out(sidecar, balancer, Watch(True))
--- a/tests/sidecar/test_discovery_fleet.py
+++ b/tests/sidecar/test_discovery_fleet.py
@@ -11,13 +11,13 @@
 from tests.sidecar.test_discovery import notifications
 from tests.support.loopback import (
     Registry,
-    Scripted,
+    ScriptedBalancer,
     Upstream,
     entry,
     listed,
     loopback,
     running,
-    told,
+    sidecar_config,
     until,
 )
 from tests.support.sidecar_views import list_age_s, pool_servers
@@ -70,7 +70,7 @@
     """Two watches meet the same line; an implausible list is logged once, until one is believed."""
     registry = await Registry().start()
     raw = fleet(registry, known=("s0", "s1"))
-    async with running(balancer=Scripted(), registry=registry, raw=raw) as sidecar:
+    async with running(balancer=ScriptedBalancer(), registry=registry, raw=raw) as sidecar:
         for watches in range(1, 3):
             await until(lambda watches=watches: len(registry.watches) >= watches)
             registry.write(line)
@@ -97,7 +97,7 @@
 
     full, works = await Upstream([reject]).start(), await Registry().start()
     raw = {"fleet": {"registry": ["127.0.0.1:9", works.address]}}
-    async with running(balancer=Scripted(), registry=works, raw=raw) as sidecar:
+    async with running(balancer=ScriptedBalancer(), registry=works, raw=raw) as sidecar:
         for number in range(1, 4):  # the watch breaks, and each time the working address is found again
             await until(lambda number=number: len(works.watches) >= number)
             works.tell(50 + number, entry("s0"))
@@ -112,7 +112,7 @@
 @pytest.mark.parametrize("stated", [b"2000", b"90000", b"", b"-1", b"nan", b"soon"])
 @loopback
 async def test_the_stated_age_of_an_aggregators_list_is_added_until_a_line_states_another(stated):
-    registry, balancer = await Registry(current=True).start(), Scripted()
+    registry, balancer = await Registry(current=True).start(), ScriptedBalancer()
     registry.headers = b"X-List-Age-Ms: %b\r\n" % stated
     async with running(balancer=balancer, registry=registry, raw=fleet(registry)) as sidecar:
         await until(lambda: list_age_s(sidecar) is not None)
@@ -132,7 +132,7 @@
 @loopback
 async def test_no_older_list_is_accepted_from_another_address_or_after_an_invalid_one():
     ahead, behind = await Registry().start(), await Registry().start()
-    async with running(balancer=Scripted(), registry=ahead, raw=fleet(ahead, behind)) as sidecar:
+    async with running(balancer=ScriptedBalancer(), registry=ahead, raw=fleet(ahead, behind)) as sidecar:
         move(sidecar, ahead)
         await until(lambda: ahead.watches)
         ahead.tell(50, entry("s5"), snapshot=True)
@@ -157,7 +157,9 @@
 @loopback
 async def test_a_watch_that_has_fallen_behind_is_opened_at_the_next_address():
     registries = [await Registry(current=True).start() for _ in range(2)]
-    async with running(balancer=Scripted(), registry=registries[0], raw=fleet(*registries)) as sidecar:
+    async with running(
+        balancer=ScriptedBalancer(), registry=registries[0], raw=fleet(*registries)
+    ) as sidecar:
         await until(lambda: sum(len(each.watches) for each in registries) == 1)
         sidecar.discovery.reopen()
         await until(lambda: [len(each.watches) for each in registries] == [1, 1])
@@ -169,4 +171,4 @@
 )
 def test_an_invalid_fleet_key_is_refused_at_the_start(value):
     with pytest.raises((ValueError, KeyError)):
-        told(raw={"fleet": value})
+        sidecar_config(raw={"fleet": value})
--- a/tests/sidecar/test_driver.py
+++ b/tests/sidecar/test_driver.py
@@ -20,7 +20,7 @@
 from brassfall.sidecar.core.driver import Driver, DriverCounts
 from brassfall.sidecar.core.interfaces import Answer, Result
 from tests.support.driver_stubs import RecordedCall, UpstreamsStub
-from tests.support.loopback import Scripted, loopback, told, until
+from tests.support.loopback import ScriptedBalancer, loopback, sidecar_config, until
 
 NOTHING = DriverCounts(
     awaiting_answer=0, streaming_answer=0, requests=0, attempts_in_flight=0, armed_timers=0
@@ -30,7 +30,7 @@
 def driver_of(balancer, state="written"):
     """A driver with a scripted balancer, and the stand-in for the pool."""
     loop = asyncio.get_running_loop()
-    driver = Driver(loop, Clock(loop), told(), balancer)
+    driver = Driver(loop, Clock(loop), sidecar_config(), balancer)
     upstreams = UpstreamsStub(loop, state)
     driver.connect(upstreams, None, None)
     return driver, upstreams
@@ -86,7 +86,7 @@
 
 @loopback
 async def test_the_counts_follow_a_request_from_its_arrival_to_a_streamed_answer():
-    send_and_wait = Scripted(
+    send_and_wait = ScriptedBalancer(
         request=lambda now, arrival: [
             Send(arrival.request, "s0", 0.0),
             Timer(60_000.0, "later", arrival.request),
@@ -113,9 +113,9 @@
 
 @loopback
 async def test_more_requests_than_may_be_open_are_rejected_and_counted():
-    driver, _ = driver_of(Scripted(request=lambda now, arrival: []))
+    driver, _ = driver_of(ScriptedBalancer(request=lambda now, arrival: []))
     calls = [RecordedCall() for _ in range(3)]
-    driver.reload(told(PolicyLimits={"MaxOpen": 2}), frozenset())
+    driver.reload(sidecar_config(PolicyLimits={"MaxOpen": 2}), frozenset())
     requests = [driver.arrive(call, driver.clock.now()) for call in calls]
     assert [call.given for call in calls] == [[], [], ["refused"]]
     assert requests[2] is None and driver.counts.awaiting_answer == 2
@@ -127,7 +127,7 @@
 
 @loopback
 async def test_an_attempt_for_an_unknown_request_is_logged_and_not_sent(capsys):
-    driver, upstreams = driver_of(Scripted())
+    driver, upstreams = driver_of(ScriptedBalancer())
     driver.perform(Send(99, "s0", 0.0))
     line = "ERROR attempt for an unknown request, not sent, request=99; report it\n"
     assert capsys.readouterr().err == line
@@ -136,7 +136,7 @@
 
 @loopback
 async def test_a_request_without_a_decision_is_failed_after_its_deadline_and_logged(capsys):
-    balancer = Scripted(request=lambda now, arrival: [])
+    balancer = ScriptedBalancer(request=lambda now, arrival: [])
     driver, _ = driver_of(balancer)
     call = RecordedCall()
     call.budget = 30.0
@@ -153,7 +153,7 @@
     def faulty(now, arrival):
         raise ValueError("a defect")
 
-    balancer = Scripted(request=faulty)
+    balancer = ScriptedBalancer(request=faulty)
     driver, _ = driver_of(balancer)
     call = RecordedCall()
     request = driver.arrive(call, driver.clock.now())
--- a/tests/sidecar/test_graceful_shutdown.py
+++ b/tests/sidecar/test_graceful_shutdown.py
@@ -22,13 +22,13 @@
     PATIENCE_S,
     SETTINGS,
     App,
-    Scripted,
+    ScriptedBalancer,
     Upstream,
     hang,
     loopback,
     request,
     running,
-    told,
+    sidecar_config,
     until,
 )
 from tests.support.processes import Process
@@ -194,7 +194,7 @@
 async def test_the_time_limit_of_the_shutdown_follows_from_the_present_classes(immediate_shutdown):
     def with_deadline(name, deadline):
         row = {"Name": name, "Semantics": "pure", "Objective": 200.0, "Deadline": deadline}
-        return told(Profiles=[row])
+        return sidecar_config(Profiles=[row])
 
     async with running() as sidecar:
         sidecar.adopt(with_deadline("view", 400.0))
@@ -219,7 +219,9 @@
     row = {"Name": "look", "Semantics": "pure", "Objective": 50.0, "Deadline": 100.0}
     upstream = await Upstream([hang]).start()
     loop = asyncio.get_running_loop()
-    balancer = Scripted(outcome=lambda now, number, *rest: [Fail(number)])  # once the attempt has ended
+    balancer = ScriptedBalancer(
+        outcome=lambda now, number, *rest: [Fail(number)]
+    )  # once the attempt has ended
     async with running(upstream, balancer=balancer, Profiles=[row]) as sidecar:
         app = await App.connect(sidecar.address)
         stopped = loop.time()
--- a/tests/sidecar/test_hold_up.py
+++ b/tests/sidecar/test_hold_up.py
@@ -19,8 +19,8 @@
 from tests.support.loopback import (
     OK,
     App,
-    Hands,
-    Scripted,
+    ManualClock,
+    ScriptedBalancer,
     Upstream,
     break_off,
     entry,
@@ -45,7 +45,7 @@
     left_ms: float
 
 
-class HoldUp(Hands):
+class HoldUp(ManualClock):
     """Holds the process up before each attempt is written: its clock moves on, and no timer runs."""
 
     def __init__(self, monkeypatch, sidecar, app):
@@ -57,7 +57,7 @@
 
         def write(transport, data):
             if found := TIME_LEFT.search(bytes(data)):
-                self.on(HOLD_UP_MS)
+                self.advance(HOLD_UP_MS)
                 self.writes.append(Write(self.clock.now(), int(found[1]) / 1000.0))
             write_at_once(transport, data)
 
@@ -93,7 +93,7 @@
 async def test_an_attempt_passes_on_no_more_time_than_is_left(monkeypatch, attempt, budget_ms):
     first = await Upstream([break_off if attempt == "a retry" else hang]).start()
     second = await Upstream([OK]).start()
-    balancer = Scripted(**ATTEMPTS[attempt])
+    balancer = ScriptedBalancer(**ATTEMPTS[attempt])
     async with running(first, second, balancer=balancer) as sidecar:
         app = await App.connect(sidecar.address)
         hold_up = HoldUp(monkeypatch, sidecar, app)
@@ -116,7 +116,7 @@
     def retry_late(now, number, hop, status, spent, last, report):
         if last or hop:
             return [] if last else [Fail(number)]
-        hold_up.on(ends[0] - before_ms - now)
+        hold_up.advance(ends[0] - before_ms - now)
         return [Send(number, "s1", 0.0, ends[0])]
 
     def first(now, arrival):
@@ -124,7 +124,7 @@
         return [Send(arrival.request, "s0", 0.0)]
 
     upstreams = await Upstream([break_off]).start(), await Upstream([OK]).start()
-    async with running(*upstreams, balancer=Scripted(request=first, outcome=retry_late)) as sidecar:
+    async with running(*upstreams, balancer=ScriptedBalancer(request=first, outcome=retry_late)) as sidecar:
         app = await App.connect(sidecar.address)
         hold_up = HoldUp(monkeypatch, sidecar, app)
         app.send("POST", "/book")
@@ -148,7 +148,7 @@
         return await connect(*args, **kwargs)
 
     upstream = await Upstream([OK]).start()
-    balancer = Scripted(
+    balancer = ScriptedBalancer(
         outcome=lambda now, number, hop, status, spent, last, report: [] if last else [Fail(number)]
     )
     async with running(upstream, balancer=balancer, Rules={"StopSendingWithin": grace_ms}) as sidecar:
@@ -161,7 +161,7 @@
         changes = parse_list(listed(42, row, snapshot=False), sidecar.running.names)
         ends = hold_up.clock.now() + grace_ms
         sidecar.driver.endpoints_listed(ListForm.CHANGES, changes)
-        hold_up.on(ends - before_ms - hold_up.clock.now())
+        hold_up.advance(ends - before_ms - hold_up.clock.now())
         gate.set()
         answer = await app.answer()
         app.close()
@@ -177,7 +177,7 @@
     The loop runs what is due before it reads."""
     first, second = await Upstream([hang]).start(), await Upstream([OK]).start()
     targets = iter(["s1", "s0"])
-    balancer = Scripted(request=lambda now, arrival: [Send(arrival.request, next(targets), 0.0)])
+    balancer = ScriptedBalancer(request=lambda now, arrival: [Send(arrival.request, next(targets), 0.0)])
     async with running(first, second, balancer=balancer) as sidecar:
         await (await App.connect(sidecar.address)).ask()  # a connection to s1 is idle from now on
         app = await App.connect(sidecar.address)
--- a/tests/sidecar/test_invalid_requests.py
+++ b/tests/sidecar/test_invalid_requests.py
@@ -18,7 +18,7 @@
     OK,
     PATIENCE_S,
     App,
-    Scripted,
+    ScriptedBalancer,
     Upstream,
     loopback,
     running,
@@ -158,7 +158,7 @@
 async def test_a_body_in_endless_chunks_that_drip_is_cut_off_and_frees_the_server(monkeypatch):
     monkeypatch.setattr(connection_timeouts, "INCOMPLETE_S", 0.2)
     monkeypatch.setattr(connection_timeouts, "BODY_BYTES_PER_S", 10_000_000)
-    balancer = Scripted()
+    balancer = ScriptedBalancer()
     reads, freed = asyncio.Event(), asyncio.Event()
 
     class ReadsOn(Upstream):
--- a/tests/sidecar/test_known_classes.py
+++ b/tests/sidecar/test_known_classes.py
@@ -15,7 +15,7 @@
     Upstream,
     loopback,
     running,
-    told,
+    sidecar_config,
 )
 
 
@@ -26,7 +26,7 @@
         rows = [
             {"Name": name, "Semantics": "pure", "Objective": 2000.0, "Deadline": 5000.0} for name in names
         ]
-        return told([upstream], Profiles=rows)
+        return sidecar_config([upstream], Profiles=rows)
 
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
@@ -47,8 +47,8 @@
         loop = asyncio.get_running_loop()
         later = loop.call_later
         monkeypatch.setattr(loop, "call_later", lambda wait, *rest: waits.append(wait) or later(wait, *rest))
-        sidecar.adopt(told(Profiles=[{**rows[0], "Name": "view", "Deadline": 100.0}]))
+        sidecar.adopt(sidecar_config(Profiles=[{**rows[0], "Name": "view", "Deadline": 100.0}]))
         assert 10.2 in [pytest.approx(wait) for wait in waits]
         waits.clear()
-        sidecar.adopt(told(Profiles=[{**rows[0], "Name": "see"}]))
+        sidecar.adopt(sidecar_config(Profiles=[{**rows[0], "Name": "see"}]))
         assert known_classes.KEEP_S in waits  # and no less, where deadlines are short
--- a/tests/sidecar/test_large_answers.py
+++ b/tests/sidecar/test_large_answers.py
@@ -31,7 +31,7 @@
     OK,
     PATIENCE_S,
     App,
-    Scripted,
+    ScriptedBalancer,
     Upstream,
     break_off,
     loopback,
@@ -110,7 +110,7 @@
         return b""
 
     first, second = await StreamingServer([broken]).start(), await StreamingServer([OK]).start()
-    balancer = Scripted(
+    balancer = ScriptedBalancer(
         outcome=lambda now, number, hop, status, *rest: [Send(number, "s1", 0.0)] if hop < 1 else []
     )
     async with running(first, second, balancer=balancer) as sidecar:
@@ -129,7 +129,7 @@
         return await break_off(reader, writer) or b""
 
     upstream = await StreamingServer([half]).start()
-    balancer = Scripted()
+    balancer = ScriptedBalancer()
     async with running(upstream, balancer=balancer) as sidecar:
         app = await App.connect(sidecar.address)
         app.send()
@@ -184,7 +184,7 @@
         return LENGTH % size + LARGE[:size]
 
     upstream, slow = await Upstream([LENGTH % size + LARGE[:size]]).start(), await Upstream([last]).start()
-    balancer = Scripted(
+    balancer = ScriptedBalancer(
         request=lambda now, arrival: [Send(arrival.request, "s1" if arrival.request_class else "s0", 0.0)]
     )
     async with one_client(upstream, slow, balancer=balancer, little_buffering=True) as (
@@ -275,7 +275,7 @@
         return OK
 
     slow = await StreamingServer([wait]).start()
-    balancer = Scripted(
+    balancer = ScriptedBalancer(
         request=lambda now, arrival: [Send(arrival.request, "s0" if arrival.request_class else "s1", 0.0)],
         answer_started=lambda now, *rest: release.set() or [],
     )
--- a/tests/sidecar/test_large_requests.py
+++ b/tests/sidecar/test_large_requests.py
@@ -22,7 +22,7 @@
 from tests.support.loopback import (
     OK,
     App,
-    Scripted,
+    ScriptedBalancer,
     Upstream,
     loopback,
     running,
@@ -105,7 +105,7 @@
     upstream = await StreamingServer([OK]).start()
     gone = await StreamingServer([OK]).start()
     gone.stop()  # refuses connections
-    balancer = Scripted(
+    balancer = ScriptedBalancer(
         request=lambda now, arrival: [Send(arrival.request, "s1", 0.0)],
         outcome=lambda now, number, hop, status, *rest: [Send(number, "s0", 0.0)] if hop < 1 else [],
     )
@@ -122,7 +122,7 @@
 async def test_a_large_request_that_was_passed_on_is_sent_to_no_second_server():
     first = await StreamingServer().start()
     first.slow = asyncio.Event()
-    balancer = Scripted(
+    balancer = ScriptedBalancer(
         outcome=lambda now, number, hop, status, *rest: (
             [Send(number, "s0", 0.0)] if hop < 1 else [Fail(number)]
         )
@@ -159,7 +159,7 @@
 
 @loopback
 async def test_a_rejected_large_request_is_answered_before_its_end():
-    balancer = Scripted(request=lambda now, arrival: [Fail(arrival.request)])
+    balancer = ScriptedBalancer(request=lambda now, arrival: [Fail(arrival.request)])
     async with running(balancer=balancer) as sidecar:
         app = await App.connect(sidecar.address)
         message = partners.request("POST", "/pay", LARGE)
--- a/tests/sidecar/test_peers.py
+++ b/tests/sidecar/test_peers.py
@@ -8,7 +8,7 @@
 import pytest
 
 from brassfall.balancer.model import Tell
-from tests.support.loopback import Scripted, loopback, running, until
+from tests.support.loopback import ScriptedBalancer, loopback, running, until
 from tests.support.sidecar_views import carry_out
 
 
@@ -36,7 +36,7 @@
     here = own.getsockname()
     own.close()
     raw = {"peer_listen": address, "peers": [address, other], "peers_all": broadcast}
-    balancer = Scripted()
+    balancer = ScriptedBalancer()
     async with running(balancer=balancer, raw=raw) as sidecar:
         stranger.sendto(b"who", here)
         peer.sendto(b"x" * 257, here)
--- a/tests/sidecar/test_pool.py
+++ b/tests/sidecar/test_pool.py
@@ -14,7 +14,7 @@
 from tests.support.loopback import (
     OK,
     App,
-    Scripted,
+    ScriptedBalancer,
     Upstream,
     entry,
     failing,
@@ -110,7 +110,7 @@
 @loopback
 async def test_close_idle_closes_only_idle_connections():
     upstream = await Upstream([OK, OK, hang]).start()
-    balancer = Scripted(outcome=failing)
+    balancer = ScriptedBalancer(outcome=failing)
     async with running(upstream, balancer=balancer) as sidecar:
         one, two = await App.connect(sidecar.address), await App.connect(sidecar.address)
         one.send()
@@ -128,7 +128,7 @@
 @loopback
 async def test_a_full_pool_closes_idle_connections_first_and_then_fails_to_connect():
     first, second = await Upstream([OK]).start(), await Upstream([OK, hang]).start()
-    balancer = Scripted(outcome=failing)
+    balancer = ScriptedBalancer(outcome=failing)
     servers = iter(["s0", "s1", "s1", "s1"])
     balancer.scripts["request"] = lambda now, arrival: [Send(arrival.request, next(servers), 0.0)]
     async with running(first, second, balancer=balancer) as sidecar:
@@ -182,7 +182,7 @@
 @loopback
 async def test_no_request_is_begun_past_the_grace_even_on_a_connection_that_is_being_opened(state):
     upstream = await Upstream([OK]).start()
-    balancer = Scripted(outcome=failing)
+    balancer = ScriptedBalancer(outcome=failing)
     leaving = servers_of(entry("s0", upstream.address, status=state))
     async with running(upstream, balancer=balancer, Rules={"StopSendingWithin": 0.0}) as sidecar:
 
@@ -202,7 +202,9 @@
 @loopback
 async def test_within_the_grace_an_attempt_may_still_be_written():
     upstream = await Upstream([OK]).start()
-    async with running(upstream, balancer=Scripted(), Rules={"StopSendingWithin": 60_000.0}) as sidecar:
+    async with running(
+        upstream, balancer=ScriptedBalancer(), Rules={"StopSendingWithin": 60_000.0}
+    ) as sidecar:
         app = await App.connect(sidecar.address)
         leaving = servers_of(entry("s0", upstream.address, status="leaving"))
         sidecar.pool.update(sidecar.driver.clock.now(), leaving, complete=False)
@@ -223,7 +225,7 @@
 @loopback
 async def test_connections_from_before_a_restart_are_not_reused():
     upstream = await Upstream([OK]).start()
-    async with running(upstream, balancer=Scripted()) as sidecar:
+    async with running(upstream, balancer=ScriptedBalancer()) as sidecar:
         app = await App.connect(sidecar.address)
         await app.ask()
         # A machine that vanished resets nothing: its connections look open until they are used.
--- a/tests/sidecar/test_process_signals.py
+++ b/tests/sidecar/test_process_signals.py
@@ -23,7 +23,7 @@
     entry,
     listed,
     loopback,
-    told,
+    sidecar_config,
     until,
 )
 from tests.support.processes import ROOT, Process, environment, free_port, start_fails
@@ -94,7 +94,7 @@
 @loopback
 async def test_a_reload_during_startup_is_done_at_its_end(tmp_path, monkeypatch):
     old, new = await Registry(current=True).start(), await Registry(current=True).start()
-    sidecar = Sidecar(asyncio.get_running_loop(), told(registry=old.address))
+    sidecar = Sidecar(asyncio.get_running_loop(), sidecar_config(registry=old.address))
     raw = json.loads(Path(environment(tmp_path, discovery=new.address)["NODE_CONFIG"]).read_text())
     (tmp_path / "config.json").write_text(json.dumps(raw))
     monkeypatch.setenv("NODE_CONFIG", str(tmp_path / "config.json"))
--- a/tests/sidecar/test_races_reload.py
+++ b/tests/sidecar/test_races_reload.py
@@ -36,7 +36,7 @@
 from brassfall.sidecar.servers import pool as outbound
 from tests.sidecar.test_reload import raw, row, take
 from tests.support.helpers import CLASSES, answered, arrival, balancer, listing, of_type, raw_settings
-from tests.support.loopback import OK, App, Upstream, entry, listed, loopback, running, told
+from tests.support.loopback import OK, App, Upstream, entry, listed, loopback, running, sidecar_config
 
 EFFECTS = ("pure", "token", "side_effect")
 NOWHERE = "127.0.0.1:9"
@@ -319,7 +319,7 @@
 @loopback
 async def test_a_shorter_grace_period_applies_to_servers_that_drain_already(grace, closed_from):
     loop = asyncio.get_running_loop()
-    before, after = (told(Rules={"StopSendingWithin": ms}) for ms in (500.0, grace))
+    before, after = (sidecar_config(Rules={"StopSendingWithin": ms}) for ms in (500.0, grace))
     pool = outbound.Pool(loop, Clock(loop), before)
     pool.update(0.0, parse_list(listed(1, entry("s0"), entry("s1")), before.names), complete=True)
     leaving = listed(2, entry("s0", status="leaving"), snapshot=False)
--- a/tests/sidecar/test_races_servers.py
+++ b/tests/sidecar/test_races_servers.py
@@ -22,17 +22,17 @@
     App,
     Gate,
     Registry,
-    Scripted,
+    ScriptedBalancer,
     Upstream,
-    asked,
     break_off,
     entry,
     failing,
     hang,
-    hear,
+    list_changes,
     loopback,
     never_cancels,
-    tidy,
+    running_until_idle,
+    start_request,
     until,
 )
 from tests.support.system_calls import BROKEN, CONNECT_ERRORS, SOCKET_ERRORS, Faults
@@ -60,7 +60,7 @@
     Discovery's connection is open: the next one that is opened is to a server.
     """
     registry = await Registry(current=True).start()
-    async with tidy(*upstreams, registry=registry, **settings) as sidecar:
+    async with running_until_idle(*upstreams, registry=registry, **settings) as sidecar:
         app = await App.connect(sidecar.address)
         await until(lambda: registry.watches)
         with Faults(seed) as faults:
@@ -100,7 +100,7 @@
 @loopback
 async def test_an_error_of_the_server_or_the_network_is_a_failure_to_connect(error):
     upstream = await Upstream([OK]).start()
-    balancer = Scripted(outcome=failing)
+    balancer = ScriptedBalancer(outcome=failing)
     async with client_of(upstream, balancer=balancer) as (_, app, faults):
         faults.script("connect", error)
         assert await ask(app, "/look") == 502
@@ -110,7 +110,7 @@
 @loopback
 async def test_a_connect_that_is_interrupted_goes_on():
     upstream = await Upstream([OK]).start()
-    balancer = Scripted(outcome=failing)
+    balancer = ScriptedBalancer(outcome=failing)
     async with client_of(upstream, balancer=balancer) as (_, app, faults):
         faults.script("connect", errno.EINTR)
         assert await ask(app, "/look") == 200
@@ -140,7 +140,7 @@
     upstream = await Upstream([OK]).start()
     monkeypatch.setattr(connecting, "LOCAL_PAUSE_S", 60.0)
     monkeypatch.setattr(connecting, "LOCAL_PAUSE_MOST_S", 60.0)
-    balancer = Scripted()
+    balancer = ScriptedBalancer()
     async with client_of(upstream, balancer=balancer, **never_cancels()) as (sidecar, app, faults):
         faults.script("socket", errno.ENOMEM)
         app.send()
@@ -164,7 +164,7 @@
     async with client_of(known, Report={"How": "off"}) as (sidecar, app, faults):
         for _ in range(4):
             await app.ask()
-        hear(sidecar, entry("s1", joining.address))
+        list_changes(sidecar, entry("s1", joining.address))
         faults.script(call, *[error] * failures)
         for _ in range(400):
             assert await ask(app, "/look") == 200
@@ -214,7 +214,7 @@
 @loopback
 async def test_reads_and_writes_of_one_byte_between_interruptions_carry_all(reply, error):
     upstream = await Upstream([reply]).start()
-    balancer = Scripted(outcome=failing)
+    balancer = ScriptedBalancer(outcome=failing)
     async with client_of(upstream, balancer=balancer) as (_, app, faults):
         for call in ("recv", "send"):
             faults.shorten(call, 1, on=to(upstream))
@@ -232,7 +232,7 @@
 async def test_a_body_that_flows_in_short_writes_is_complete_and_has_never_run_if_one_breaks():
     body = b"0123456789abcdef" * 16384
     upstream = await Upstream([OK]).start()
-    balancer = Scripted(outcome=failing)
+    balancer = ScriptedBalancer(outcome=failing)
     async with client_of(upstream, balancer=balancer) as (_, app, faults):
         faults.shorten("send", 10_000, on=to(upstream))
         assert (await app.ask("POST", "/pay", body)).status == 200
@@ -246,7 +246,7 @@
 @loopback
 async def test_a_look_at_a_connection_that_fails_costs_that_connection_and_no_request(monkeypatch):
     upstream = await Upstream([OK]).start()
-    balancer = Scripted(outcome=failing)
+    balancer = ScriptedBalancer(outcome=failing)
     async with client_of(upstream, balancer=balancer) as (sidecar, app, _):
         assert await ask(app, "/pay") == 200
         (connection,) = sidecar.pool.connections
@@ -407,7 +407,7 @@
     second = await Upstream([OK]).start()
     gate = Gate(monkeypatch, [second])
     retries = [lambda number: Send(number, "s1", 0.0)]
-    balancer = Scripted(
+    balancer = ScriptedBalancer(
         request=lambda now, arrival: [
             Send(arrival.request, "s0", 0.0),
             *(Send(arrival.request, "s1", 0.0) for _ in range(kind == "hedge")),
@@ -416,7 +416,7 @@
             [] if last else [retries.pop()(number)] if retries and kind == "retry" else [Fail(number)]
         ),
     )
-    async with tidy(first, second, balancer=balancer, **PARALLEL | never_cancels()) as sidecar:
+    async with running_until_idle(first, second, balancer=balancer, **PARALLEL | never_cancels()) as sidecar:
         writes = []
         begin = server_connection.Connection.begin
         clock = StoppedClock(sidecar)
@@ -429,7 +429,7 @@
             begin(connection, exchange, message)
 
         monkeypatch.setattr(server_connection.Connection, "begin", delayed)
-        app = await asked(sidecar, X_Budget="4000m")
+        app = await start_request(sidecar, X_Budget="4000m")
         await until(lambda: gate.waiting)
         clock.time += late_ms
         gate.open.set()
--- a/tests/sidecar/test_random_days.py
+++ b/tests/sidecar/test_random_days.py
@@ -17,7 +17,7 @@
 from brassfall.sidecar.core.request_lifecycle import RequestLifecycle
 from brassfall.sidecar.core.request_table import RequestTable
 from brassfall.sidecar.servers.pool import Pool
-from tests.support.loopback import Scripted
+from tests.support.loopback import ScriptedBalancer
 from tests.support.random_day import Day, play
 from tests.support.random_day.clients import BodySource, ClientCall
 
@@ -160,7 +160,7 @@
 
 
 def test_a_large_request_that_is_complete_after_its_deadline_is_failed_at_once(day_of):
-    day = day_of(Scripted(request=lambda now, arrival: []))
+    day = day_of(ScriptedBalancer(request=lambda now, arrival: []))
     source = BodySource()
     call = call_in(day, Body(source, b"x", 1), source)
     call.request = day.driver.arrive(call, day.oracle.now)
@@ -172,7 +172,7 @@
 
 @pytest.mark.parametrize("answer", [lambda number: Refuse(number, 0.0), Fail])
 def test_a_request_that_a_timer_answers_is_released(day_of, answer):
-    scripted = Scripted(
+    scripted = ScriptedBalancer(
         request=lambda now, arrival: [Timer(10.0, f"{arrival.request}")],
         timer=lambda now, token: [answer(int(token))],
     )
--- a/tests/sidecar/test_reload.py
+++ b/tests/sidecar/test_reload.py
@@ -26,7 +26,7 @@
     listed,
     loopback,
     running,
-    told,
+    sidecar_config,
     until,
 )
 from tests.support.processes import Process
@@ -179,7 +179,9 @@
     async with running(upstream) as made:
         app = await App.connect(made.address)
         news = take(
-            told([upstream]), raw(Profiles=new), made.driver.request_classes | made.inbound.request_classes
+            sidecar_config([upstream]),
+            raw(Profiles=new),
+            made.driver.request_classes | made.inbound.request_classes,
         )
         made.driver.reload(news.config, news.same_classes)
         made.inbound.reload(news.config.names)
--- a/tests/sidecar/test_requests.py
+++ b/tests/sidecar/test_requests.py
@@ -13,14 +13,14 @@
 from tests.support.loopback import (
     OK,
     App,
-    Scripted,
+    ScriptedBalancer,
     Upstream,
     entry,
     hang,
     listed,
     loopback,
     running,
-    told,
+    sidecar_config,
     until,
 )
 
@@ -30,7 +30,7 @@
     clock = Clock(asyncio.get_running_loop())
     assert abs(clock.now() - time.time() * 1000.0) < 1000.0
     rows = listed(1, entry("old"), entry("new", since_ms=1_790_000_000_000))
-    news = endpoint_list.parse_list(rows, told().names)
+    news = endpoint_list.parse_list(rows, sidecar_config().names)
     assert [row.started for row in news.entries] == [0.0, 1_790_000_000_000.0]
 
 
@@ -42,7 +42,7 @@
 @loopback
 async def test_the_balancer_gets_indices_and_the_deadline_of_the_client():
     upstream = await Upstream([OK]).start()
-    balancer = Scripted()
+    balancer = ScriptedBalancer()
     async with running(upstream, balancer=balancer) as sidecar:
         app = await App.connect(sidecar.address)
         before = sidecar.inbound.clock.now()
@@ -66,7 +66,7 @@
 @loopback
 async def test_an_exception_in_the_balancer_fails_that_request_alone():
     upstream = await Upstream([OK]).start()
-    balancer = Scripted()
+    balancer = ScriptedBalancer()
     plain = balancer.scripts["request"]
 
     def fault(now, arrival):
@@ -84,7 +84,7 @@
 
 @loopback
 async def test_a_request_that_the_balancer_leaves_unanswered_fails_at_its_deadline():
-    balancer = Scripted(request=lambda now, arrival: [])
+    balancer = ScriptedBalancer(request=lambda now, arrival: [])
     async with running(balancer=balancer) as sidecar:
         app = await App.connect(sidecar.address)
         assert (await app.ask(X_Budget="60m")).status == 504
@@ -94,7 +94,7 @@
 @loopback
 async def test_past_max_open_a_request_is_answered_503_without_an_event_to_the_balancer():
     upstream = await Upstream([hang]).start()
-    balancer = Scripted()
+    balancer = ScriptedBalancer()
     limits = {**partners.SETTINGS["PolicyLimits"], "MaxOpen": 1}
     async with running(upstream, balancer=balancer, PolicyLimits=limits) as sidecar:
         one, two = await App.connect(sidecar.address), await App.connect(sidecar.address)
@@ -132,7 +132,7 @@
 
 @loopback
 async def test_the_sidecar_is_ready_once_it_listens_and_the_balancer_has_the_known_list():
-    balancer = Scripted()
+    balancer = ScriptedBalancer()
     async with running(balancer=balancer) as sidecar:
         app = await App.connect(sidecar.address)
         assert (await app.ask("GET", "/health/ready", X_Call_Class=None)).status == 200
--- a/tests/sidecar/test_server_incarnations.py
+++ b/tests/sidecar/test_server_incarnations.py
@@ -9,15 +9,15 @@
 from tests.support.balancer_records import blame_of
 from tests.support.loopback import (
     OK,
-    Scripted,
+    ScriptedBalancer,
     Upstream,
-    asked,
     entry,
-    hear,
+    list_changes,
     loopback,
     never_cancels,
     request_that_waits,
-    tidy,
+    running_until_idle,
+    start_request,
     until,
 )
 
@@ -32,8 +32,8 @@
     async with request_that_waits(monkeypatch, Rules={"StopSendingWithin": 0.0}) as waiting:
         sidecar, old = waiting.sidecar, waiting.upstream
         if drained:
-            hear(sidecar, entry("s0", old.address, status="leaving"))
-        hear(sidecar, entry("s0", new.address, since_ms=1))
+            list_changes(sidecar, entry("s0", old.address, status="leaving"))
+        list_changes(sidecar, entry("s0", new.address, since_ms=1))
         waiting.gate.open.set()
         assert (await waiting.app.answer()).body == b"done"
         assert (len(old.seen), len(new.seen)) == (0, 1)
@@ -52,11 +52,11 @@
 
     old, new = await Upstream([wait]).start(), await Upstream([OK]).start()
     address = new.address if changes.pop("address", False) else old.address
-    async with tidy(old, balancer=Scripted(), **never_cancels()) as sidecar:
-        app = await asked(sidecar)
+    async with running_until_idle(old, balancer=ScriptedBalancer(), **never_cancels()) as sidecar:
+        app = await start_request(sidecar)
         await until(lambda: old.seen)
-        hear(sidecar, entry("s0", old.address, status="leaving"))
-        hear(sidecar, entry("s0", address, **changes))
+        list_changes(sidecar, entry("s0", old.address, status="leaving"))
+        list_changes(sidecar, entry("s0", address, **changes))
         go_on.set()
         assert (await app.answer()).body == b"done"  # what it had taken it may end
         assert (await app.ask()).body == b"done"
@@ -68,10 +68,10 @@
 @loopback
 async def test_draining_stays_with_the_incarnation_that_drains():
     old, new = await Upstream([OK]).start(), await Upstream([OK]).start()
-    async with tidy(old, balancer=Scripted(), **never_cancels()) as sidecar:
+    async with running_until_idle(old, balancer=ScriptedBalancer(), **never_cancels()) as sidecar:
         before = sidecar.pool.servers["s0"]
-        hear(sidecar, entry("s0", old.address, status="leaving"))
-        hear(sidecar, entry("s0", new.address, since_ms=1))
+        list_changes(sidecar, entry("s0", old.address, status="leaving"))
+        list_changes(sidecar, entry("s0", new.address, since_ms=1))
         assert before.draining
         assert not sidecar.pool.servers["s0"].draining
     new.stop()
--- a/tests/sidecar/test_simultaneous_events.py
+++ b/tests/sidecar/test_simultaneous_events.py
@@ -18,16 +18,16 @@
 from tests.support.loopback import (
     OK,
     App,
-    Scripted,
+    ScriptedBalancer,
     Upstream,
     entry,
     failing,
-    hear,
+    list_changes,
     loopback,
     never_cancels,
     nothing_left,
-    tidy,
-    told,
+    running_until_idle,
+    sidecar_config,
     until,
 )
 
@@ -68,7 +68,9 @@
     def __init__(self, state, cancels, large=False):
         self.loop = asyncio.get_running_loop()
         limits = {"MaxAttempts": 3, "MayCancel": cancels, "ConnectTimeout": 250.0}
-        config = told([Upstream(address=f"127.0.0.1:{port}") for port in (9, 10, 11)], PolicyLimits=limits)
+        config = sidecar_config(
+            [Upstream(address=f"127.0.0.1:{port}") for port in (9, 10, 11)], PolicyLimits=limits
+        )
         self.clock = Clock(self.loop)
         self.balancer = OutcomeRecorder(Balancer(self.clock.now(), config.settings, config.seed))
         self.driver = Driver(self.loop, self.clock, config, self.balancer)
@@ -176,7 +178,9 @@
 async def test_an_event_in_each_turn_between_a_send_and_its_end_leaves_nothing_open(event, fresh):
     """On real sockets, where opening, writing and reading each take turns of the loop."""
     upstream = await Upstream([OK]).start()
-    async with tidy(upstream, balancer=Scripted(outcome=failing), **never_cancels()) as sidecar:
+    async with running_until_idle(
+        upstream, balancer=ScriptedBalancer(outcome=failing), **never_cancels()
+    ) as sidecar:
         driver, attempts = sidecar.driver, sidecar.driver.lifecycle.attempts
         await (await App.connect(sidecar.address)).ask()
         before = descriptors()
@@ -209,7 +213,7 @@
                 case "window":
                     attempts.drop_unwritten(request.attempts[-1])
                 case "restart":
-                    hear(sidecar, entry("s0", upstream.address, since_ms=1 + after))
+                    list_changes(sidecar, entry("s0", upstream.address, since_ms=1 + after))
                 case "close_idle":
                     sidecar.pool.close_idle("s0")
             await until(lambda: nothing_left(sidecar))
--- a/tests/sidecar/test_standing.py
+++ b/tests/sidecar/test_standing.py
@@ -21,7 +21,7 @@
     OK,
     App,
     Registry,
-    Scripted,
+    ScriptedBalancer,
     Upstream,
     entry,
     listed,
@@ -120,7 +120,7 @@
 
 @hurried
 async def test_a_silent_call_for_the_complete_list_ends_in_time_for_another():
-    agent, balancer = await Agent("mute").start(), Scripted()
+    agent, balancer = await Agent("mute").start(), ScriptedBalancer()
     async with running(registry=agent, balancer=balancer, Discovery="subscribe") as sidecar:
         carry_out(sidecar, balancer, Fetch())
         while ["refused", ()] not in balancer.named("server_list"):
@@ -256,7 +256,7 @@
 
     for _ in range(3):
         upstream = await Upstream([answer_slowly]).start()
-        async with running(upstream, balancer=Scripted()) as sidecar:
+        async with running(upstream, balancer=ScriptedBalancer()) as sidecar:
             clients = [Client(sidecar.address, rng) for _ in range(40)]
             tasks = [asyncio.create_task(client.run()) for client in clients]
             await asyncio.sleep(1.0)
--- a/tests/sidecar/test_standing_brink.py
+++ b/tests/sidecar/test_standing_brink.py
@@ -22,7 +22,7 @@
     App,
     Gate,
     Registry,
-    Scripted,
+    ScriptedBalancer,
     Upstream,
     entry,
     hang,
@@ -30,7 +30,7 @@
     loopback,
     request,
     running,
-    tidy,
+    running_until_idle,
     until,
 )
 from tests.support.processes import ROOT, Process
@@ -135,7 +135,7 @@
 
     first, second = await Upstream([in_a_while]).start(), await Upstream([hang]).start()
     gate = Gate(monkeypatch, [second])
-    module = Scripted(outcome=lambda now, number, *rest: [Send(number, "s1", 0.0)])
+    module = ScriptedBalancer(outcome=lambda now, number, *rest: [Send(number, "s1", 0.0)])
     async with running(first, second, balancer=module, **PATIENT) as sidecar:
         app, begun = await App.connect(sidecar.address), now()
         app.send(X_Budget="4000m")
@@ -200,7 +200,9 @@
     never, here = await Upstream().start(), await Upstream([OK]).start()
     never.stop()
     never.address = "{}:{}".format(*full.getsockname())
-    async with tidy(never, here, **HASTY) as sidecar:  # nothing is left of those that did not come up
+    async with running_until_idle(
+        never, here, **HASTY
+    ) as sidecar:  # nothing is left of those that did not come up
         app, begun, slow = await App.connect(sidecar.address), now(), 0
         for _ in range(20):
             asked = now()
@@ -223,7 +225,7 @@
 async def test_half_a_line_on_a_resting_connection_spoils_no_request():
     """Whether it is read before the next request is written, or lies there unread."""
     upstream = await Upstream([OK]).start()
-    async with tidy(upstream) as sidecar:
+    async with running_until_idle(upstream) as sidecar:
         app = await App.connect(sidecar.address)
         for read in (True, False):
             assert (await app.ask()).body == b"done"
@@ -250,8 +252,8 @@
         await reader.read()  # until the sidecar closes
 
     upstream = await Upstream([half, OK]).start()
-    module = Scripted(client_gone=lambda now, number: [Cancel(number, 0)])
-    async with tidy(upstream, balancer=module) as sidecar:
+    module = ScriptedBalancer(client_gone=lambda now, number: [Cancel(number, 0)])
+    async with running_until_idle(upstream, balancer=module) as sidecar:
         app = await App.connect(sidecar.address)
         app.send()
         await until(lambda: any(read_part_of_a_head(it) for it in sidecar.pool.connections))
@@ -271,7 +273,7 @@
         await reader.read()  # until the sidecar closes
 
     upstream = await Upstream([half]).start()
-    async with running(upstream, balancer=Scripted()) as sidecar:
+    async with running(upstream, balancer=ScriptedBalancer()) as sidecar:
         app = await App.connect(sidecar.address)
         app.send(X_Budget="900m")
         await comes(lambda: upstream.seen)
@@ -297,7 +299,7 @@
 
     monkeypatch.setattr(client_request.ClientRequest, "served", crossed)
     upstream = await Upstream([OK]).start()
-    async with running(upstream, balancer=Scripted()) as sidecar:
+    async with running(upstream, balancer=ScriptedBalancer()) as sidecar:
         app = await App.connect(sidecar.address)
         sidecar.inbound.last_answers()
         answer = await app.ask()
@@ -314,7 +316,7 @@
 async def test_of_a_burst_of_clients_that_leave_while_they_wait_none_is_sent_on(monkeypatch):
     upstream = await Upstream([OK]).start()
     gate = Gate(monkeypatch, [upstream])
-    async with tidy(upstream, balancer=Scripted(), **PATIENT) as sidecar:
+    async with running_until_idle(upstream, balancer=ScriptedBalancer(), **PATIENT) as sidecar:
         apps = [await App.connect(sidecar.address) for _ in range(100)]
         for app in apps:
             app.send()
@@ -364,7 +366,7 @@
 @loopback
 async def test_a_request_in_each_form_goes_on_whole_though_it_comes_byte_by_byte(form):
     upstream = await Upstream([OK]).start()
-    async with tidy(upstream, balancer=Scripted()) as sidecar:
+    async with running_until_idle(upstream, balancer=ScriptedBalancer()) as sidecar:
         app = await App.connect(sidecar.address)
         for _ in range(2):
             await byte_by_byte(app.writer, REQUESTS[form])
@@ -384,8 +386,8 @@
         return b""
 
     upstream = await Upstream([answer]).start()
-    module = Scripted()
-    async with tidy(upstream, balancer=module) as sidecar:
+    module = ScriptedBalancer()
+    async with running_until_idle(upstream, balancer=module) as sidecar:
         app = await App.connect(sidecar.address)
         for _ in range(2):
             answered = await app.ask()
--- a/tests/sidecar/test_start_times.py
+++ b/tests/sidecar/test_start_times.py
@@ -23,7 +23,7 @@
     now,
     simulated_time,
 )
-from tests.support.loopback import Hands, entry, listed
+from tests.support.loopback import ManualClock, entry, listed
 from tests.support.sidecar_views import balancer_servers
 
 HOUR_S = 3600.0
@@ -47,7 +47,7 @@
             [UNIX_TIME_AT_0 + now() + error_s], itertools.cycle([0.0, 4e9, UNIX_TIME_AT_0])
         )
         super().__init__(registry, strategy, **rules)
-        self.clock = Hands(self.sidecar).clock
+        self.clock = ManualClock(self.sidecar).clock
 
     def up_s(self, name):
         """How long a server has been up by the balancer's count, in seconds."""
--- a/tests/sidecar/test_unwanted_attempts.py
+++ b/tests/sidecar/test_unwanted_attempts.py
@@ -14,16 +14,16 @@
     OK,
     App,
     Gate,
-    Scripted,
+    ScriptedBalancer,
     Upstream,
-    asked,
     entry,
     hang,
-    hear,
+    list_changes,
     loopback,
     never_cancels,
     request_that_waits,
-    tidy,
+    running_until_idle,
+    start_request,
     until,
 )
 
@@ -33,7 +33,7 @@
 async def test_an_attempt_that_waits_for_its_connection_is_not_written_once_its_client_has_left(
     monkeypatch, real
 ):
-    balancer = None if real else Scripted()
+    balancer = None if real else ScriptedBalancer()
     async with request_that_waits(monkeypatch, balancer) as waiting:
         sidecar, upstream = waiting.sidecar, waiting.upstream
         waiting.app.close()
@@ -55,7 +55,7 @@
 async def test_an_attempt_that_waits_for_its_connection_is_not_written_after_the_final_answer(
     monkeypatch, answer
 ):
-    balancer = Scripted()
+    balancer = ScriptedBalancer()
     async with request_that_waits(monkeypatch, balancer) as waiting:
         sidecar = waiting.sidecar
         (request,) = sidecar.driver.requests
@@ -76,10 +76,10 @@
 ):
     late, quick = await Upstream([OK]).start(), await Upstream([OK]).start()
     gate = Gate(monkeypatch, [late])
-    balancer = Scripted(
+    balancer = ScriptedBalancer(
         request=lambda now, arrival: [Send(arrival.request, "s0", 0.0), Send(arrival.request, "s1", 0.0)]
     )
-    async with tidy(late, quick, balancer=balancer, **never_cancels()) as sidecar:
+    async with running_until_idle(late, quick, balancer=balancer, **never_cancels()) as sidecar:
         app = await App.connect(sidecar.address)
         assert (await app.ask()).body == b"done"
         gate.open.set()
@@ -90,11 +90,11 @@
 
 @loopback
 async def test_a_connection_established_for_an_ended_attempt_is_closed_if_its_server_drains(monkeypatch):
-    async with request_that_waits(monkeypatch, Scripted()) as waiting:
+    async with request_that_waits(monkeypatch, ScriptedBalancer()) as waiting:
         sidecar = waiting.sidecar
         waiting.app.close()
         await until(lambda: not sidecar.driver.requests)
-        hear(sidecar, entry("s0", waiting.upstream.address, status="leaving"))
+        list_changes(sidecar, entry("s0", waiting.upstream.address, status="leaving"))
         waiting.gate.open.set()
         await until(lambda: waiting.upstream.writers and not sidecar.pool.opening)
         assert not sidecar.pool.servers["s0"].idle
@@ -105,10 +105,10 @@
     late, quick = await Upstream([OK]).start(), await Upstream([OK]).start()
     gate = Gate(monkeypatch, [late])
     servers = iter(["s0", "s1"])
-    balancer = Scripted(request=lambda now, arrival: [Send(arrival.request, next(servers), 0.0)])
-    async with tidy(late, quick, balancer=balancer, **never_cancels()) as sidecar:
+    balancer = ScriptedBalancer(request=lambda now, arrival: [Send(arrival.request, next(servers), 0.0)])
+    async with running_until_idle(late, quick, balancer=balancer, **never_cancels()) as sidecar:
         sidecar.pool.max_connections = 1
-        app = await asked(sidecar)
+        app = await start_request(sidecar)
         await until(lambda: gate.waiting)
         app.close()
         await until(lambda: not sidecar.driver.requests)
@@ -121,9 +121,9 @@
     monkeypatch,
 ):
     upstream = await Upstream([hang]).start()
-    balancer = Scripted()
-    async with tidy(upstream, balancer=balancer, **never_cancels()) as sidecar:
-        app = await asked(sidecar)
+    balancer = ScriptedBalancer()
+    async with running_until_idle(upstream, balancer=balancer, **never_cancels()) as sidecar:
+        app = await start_request(sidecar)
         await until(lambda: upstream.seen)
         (connection,) = sidecar.pool.connections
         connection.written = False  # as if its last byte were still buffered in this process
@@ -141,9 +141,9 @@
         return OK
 
     upstream = await Upstream([wait]).start()
-    balancer = Scripted()
-    async with tidy(upstream, balancer=balancer, **never_cancels()) as sidecar:
-        app = await asked(sidecar)
+    balancer = ScriptedBalancer()
+    async with running_until_idle(upstream, balancer=balancer, **never_cancels()) as sidecar:
+        app = await start_request(sidecar)
         await until(lambda: upstream.seen)
         app.close()
         await until(lambda: balancer.named("client_gone"))
@@ -157,7 +157,7 @@
 async def test_a_cancelled_request_does_not_reach_its_server_later_from_the_kernel():
     """The kernel holds its last bytes, while its server reads no more."""
     loop = asyncio.get_running_loop()
-    balancer = Scripted(outcome=lambda now, number, hop, status, *rest: [Fail(number)])
+    balancer = ScriptedBalancer(outcome=lambda now, number, hop, status, *rest: [Fail(number)])
     with socket.socket() as listener:
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         listener.bind(("127.0.0.1", 0))
@@ -166,7 +166,7 @@
         upstream = Upstream(address=f"127.0.0.1:{listener.getsockname()[1]}")
         upstream.stop = lambda: None
         body = b"x" * 60_000
-        async with tidy(upstream, balancer=balancer, **never_cancels()) as sidecar:
+        async with running_until_idle(upstream, balancer=balancer, **never_cancels()) as sidecar:
             app = await App.connect(sidecar.address)
             app.send("POST", "/book", body)
             server, _ = await loop.sock_accept(listener)
--- a/tests/sidecar/test_upgrade.py
+++ b/tests/sidecar/test_upgrade.py
@@ -20,7 +20,7 @@
     entry,
     listed,
     loopback,
-    told,
+    sidecar_config,
     until,
 )
 from tests.support.processes import Load, Platform, ping, yes
@@ -149,7 +149,7 @@
     listening = socket.create_server(("127.0.0.1", 0))
     made = []
     for _ in range(2):
-        one = told(registry=registry.address)
+        one = sidecar_config(registry=registry.address)
         one = replace(one, inherited=os.dup(listening.fileno()))
         made.append(Sidecar(asyncio.get_running_loop(), one))
     old, new = made
--- a/tests/sidecar/test_wall_clock.py
+++ b/tests/sidecar/test_wall_clock.py
@@ -19,7 +19,7 @@
     OK,
     App,
     Registry,
-    Scripted,
+    ScriptedBalancer,
     Upstream,
     break_off,
     entry,
@@ -98,7 +98,7 @@
 
     upstreams = await Upstream([break_off]).start(), await Upstream([note]).start()
     with Faults() as faults:
-        async with running(*upstreams, balancer=Scripted(request=first, outcome=retry)) as sidecar:
+        async with running(*upstreams, balancer=ScriptedBalancer(request=first, outcome=retry)) as sidecar:
             app = await App.connect(sidecar.address)
             answer = await app.ask("POST", "/book")
             app.close()
@@ -109,7 +109,7 @@
 @loopback
 async def test_the_grace_of_a_draining_server_is_a_span_of_real_time(step_s):
     upstream = await Upstream([OK]).start()
-    balancer = Scripted(
+    balancer = ScriptedBalancer(
         outcome=lambda now, number, hop, status, spent, last, report: [] if last else [Fail(number)]
     )
     with Faults() as faults:
--- a/tests/sidecar/test_write_deadlines.py
+++ b/tests/sidecar/test_write_deadlines.py
@@ -13,11 +13,10 @@
     SETTINGS,
     App,
     Gate,
-    Hands,
-    Scripted,
+    ManualClock,
+    ScriptedBalancer,
     Upstream,
     Waiting,
-    asked,
     break_off,
     failing,
     hang,
@@ -25,8 +24,9 @@
     never_cancels,
     request,
     request_that_waits,
+    running_until_idle,
     small_buffers,
-    tidy,
+    start_request,
     until,
 )
 
@@ -43,9 +43,9 @@
 async def retry_that_waits(monkeypatch, **changes):
     """A request with a key whose first attempt was reset, and whose retry waits for its connection."""
     servers = [await Upstream([break_off]).start() for _ in range(2)]
-    async with tidy(*servers, **keyed(**changes)) as sidecar:
+    async with running_until_idle(*servers, **keyed(**changes)) as sidecar:
         gate = Gate(monkeypatch, servers, free=1)
-        app = await asked(sidecar, "/book", "POST")
+        app = await start_request(sidecar, "/book", "POST")
         await until(lambda: gate.waiting == 2)
         yield Waiting(sidecar, servers, gate, app)
 
@@ -58,7 +58,7 @@
 @loopback
 async def test_a_retry_whose_connection_is_established_past_its_window_is_not_written(monkeypatch):
     async with retry_that_waits(monkeypatch) as waiting:
-        Hands(waiting.sidecar).on(1200.0 - KEY_MARGIN_MS)  # its timer has not run
+        ManualClock(waiting.sidecar).advance(1200.0 - KEY_MARGIN_MS)  # its timer has not run
         waiting.gate.open.set()
         assert (await waiting.app.answer()).status == 502
         assert sent(waiting.upstream) == 1
@@ -89,11 +89,11 @@
 async def test_a_body_that_still_flows_when_the_window_ends_is_broken_off_before_its_last_byte(part):
     """Whether the client has yet to send its end, or this process has it in a buffer."""
     upstream = await Upstream([hang]).start()
-    balancer = Scripted(
+    balancer = ScriptedBalancer(
         request=lambda now, arrival: [Send(arrival.request, "s0", 0.0, now + KEY_MARGIN_MS + 130.0)],
         outcome=failing,
     )
-    async with tidy(upstream, balancer=balancer, **never_cancels()) as sidecar:
+    async with running_until_idle(upstream, balancer=balancer, **never_cancels()) as sidecar:
         app = await App.connect(sidecar.address)
         app.writer.write(request("POST", "/book", LARGE)[: -len(LARGE)] + part[:-1])
         assert (await app.answer()).status == 502
@@ -105,16 +105,16 @@
 @loopback
 async def test_a_part_of_a_body_that_comes_past_the_window_is_not_written():
     upstream = await Upstream([hang]).start()
-    balancer = Scripted(
+    balancer = ScriptedBalancer(
         request=lambda now, arrival: [Send(arrival.request, "s0", 0.0, now + 9000.0)],
         outcome=failing,
     )
-    async with tidy(upstream, balancer=balancer, **never_cancels()) as sidecar:
+    async with running_until_idle(upstream, balancer=balancer, **never_cancels()) as sidecar:
         app = await App.connect(sidecar.address)
         message = request("POST", "/book", LARGE)
         app.writer.write(message[:-1])
         await until(lambda: balancer.named("body_gone") and upstream.writers)
-        Hands(sidecar).on(9000.0)  # its timer has not run
+        ManualClock(sidecar).advance(9000.0)  # its timer has not run
         app.writer.write(message[-1:])
         assert (await app.answer()).status == 502
         assert balancer.outcomes() == [(0, Outcome.ABANDONED, False)]
@@ -126,11 +126,11 @@
     """It stays in a buffer of this process until its window ends, and is dropped with its connection."""
     upstream = await Upstream([OK, hang]).start()
     windows = iter([float("inf"), KEY_MARGIN_MS + 80.0])
-    balancer = Scripted(
+    balancer = ScriptedBalancer(
         request=lambda now, arrival: [Send(arrival.request, "s0", 0.0, now + next(windows))],
         outcome=failing,
     )
-    async with tidy(upstream, balancer=balancer, **never_cancels()) as sidecar:
+    async with running_until_idle(upstream, balancer=balancer, **never_cancels()) as sidecar:
         app = await App.connect(sidecar.address)
         await app.ask()
         (connection,) = sidecar.pool.connections
@@ -145,9 +145,9 @@
 
 @loopback
 async def test_past_its_deadline_a_request_is_not_written(monkeypatch):
-    balancer = Scripted(outcome=failing)
+    balancer = ScriptedBalancer(outcome=failing)
     async with request_that_waits(monkeypatch, balancer) as waiting:
-        Hands(waiting.sidecar).on(4000.0)  # its timer has not run
+        ManualClock(waiting.sidecar).advance(4000.0)  # its timer has not run
         waiting.gate.open.set()
         assert (await waiting.app.answer()).status == 504
         assert balancer.outcomes() == [(0, Outcome.ABANDONED, False)]
--- a/tests/support/clients.py
+++ b/tests/support/clients.py
@@ -13,7 +13,7 @@
 from brassfall.sidecar.clients.connection_state import ConnectionState
 from brassfall.sidecar.clients.read_control import Hold
 from tests.support import loopback
-from tests.support.loopback import PATIENCE_S, App, Scripted, read_message, until
+from tests.support.loopback import PATIENCE_S, App, ScriptedBalancer, read_message, until
 
 LONG_BUDGET = "60000m"  # no deadline ends before the test
 
@@ -79,7 +79,7 @@
 EACH_WAY_TO_LEAVE = pytest.mark.parametrize("leave", [end_sending, App.close, reset])
 
 
-class HeldRequests(Scripted):
+class HeldRequests(ScriptedBalancer):
     """A balancer that holds each request until `send`, and then sends those whose clients have not left."""
 
     def __init__(self):
--- a/tests/support/discovery.py
+++ b/tests/support/discovery.py
@@ -13,7 +13,7 @@
 
 from brassfall.sidecar.config_values import Address
 from brassfall.sidecar.lifecycle.sidecar import Sidecar
-from tests.support.loopback import entry, listed, told
+from tests.support.loopback import entry, listed, sidecar_config
 from tests.support.sidecar_views import balancer_active_servers, pool_servers
 
 NOTIFIED_S = 6.0  # after discovery had a change and could be reached
@@ -220,7 +220,7 @@
         loop.create_connection = self._connect
         self.registry, self._moved_to = registry, {}
         rules = {"AskWithin": ask_within_ms, "StopSendingWithin": 500.0, **rules}
-        configuration = told(raw={"seed": str(seed)}, Discovery=strategy, Rules=rules)
+        configuration = sidecar_config(raw={"seed": str(seed)}, Discovery=strategy, Rules=rules)
         self.sidecar = RecordingSidecar(loop, configuration)
         self.discovery = self.sidecar.discovery
         self.sidecar.driver.connect(self.sidecar.pool, self.discovery, self.sidecar.peers)
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -58,7 +58,7 @@
 
 
 def bounded(limit_s):
-    """Run an async test in a loop of its own, for a bounded time."""
+    """Run an async test in an event loop of its own, with a time limit in seconds."""
 
     def wrap(test):
         @functools.wraps(test)
@@ -74,14 +74,14 @@
 
 
 async def until(condition):
-    """Wait for a condition; the test fails if it does not come."""
+    """Wait until a condition holds; fail the test after `PATIENCE_S`."""
     async with asyncio.timeout(PATIENCE_S):
         while not condition():
             await asyncio.sleep(0.002)
 
 
 def small_buffers(*transports):
-    """Let the kernel hold little of what goes over these, however much this machine lets it take."""
+    """Give the sockets of transports small buffers, whatever the defaults of this machine."""
     for transport in transports:
         for option in (socket.SO_SNDBUF, socket.SO_RCVBUF):
             transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, option, 65_536)
@@ -89,7 +89,7 @@
 
 @dataclass
 class Seen:
-    """A message as a partner read it."""
+    """A message as a server or client of the test read it."""
 
     start: str
     headers: dict[str, str]
@@ -98,12 +98,12 @@
 
     @property
     def status(self):
-        """Of an answer."""
+        """The status of an answer."""
         return int(self.start.split(" ")[1])
 
 
 async def read_message(reader):
-    """One HTTP message with a Content-Length, or None at the end."""
+    """Read one HTTP message with a Content-Length; return None at the end of the stream."""
     try:
         head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
         start, *rows = head[:-4].split("\r\n")
@@ -116,7 +116,7 @@
 
 @dataclass
 class Upstream:
-    """A server; `replies` holds what it does with each request, and the last one stays."""
+    """A server; `replies` has its answer to each request, and the last one is repeated."""
 
     replies: list = field(default_factory=lambda: [OK])
     seen: list[Seen] = field(default_factory=list)
@@ -150,12 +150,12 @@
 
 
 async def hang(reader, writer):
-    """A reply that never comes: until the sidecar closes."""
+    """Answer nothing until the sidecar closes the connection."""
     await reader.read()
 
 
 async def break_off(reader, writer):
-    """A connection that is reset after the request."""
+    """Reset the connection after the request."""
     writer.transport.abort()
 
 
@@ -194,11 +194,11 @@
         writer.close()
 
     def write(self, data):
-        """One chunk to the newest watch."""
+        """Write one chunk to the newest watch."""
         self.watches[-1].write(b"%x\r\n%b\r\n" % (len(data), data))
 
     def tell(self, index, *entries, snapshot=False):
-        """One line to the newest watch."""
+        """Write one line to the newest watch."""
         self.write(json.dumps(listed(index, *entries, snapshot=snapshot)).encode() + b"\n")
 
     def stop(self):
@@ -206,12 +206,12 @@
 
 
 def listed(index, *entries, snapshot=True):
-    """A list in discovery's form."""
+    """Return a list in the form that discovery sends."""
     return {"index": index, "snapshot": snapshot, "endpoints": list(entries)}
 
 
 def entry(name, address="127.0.0.1:9", **changes):
-    """One server of a list."""
+    """Return one entry of a list."""
     row = {"name": name, "address": address, "zone": "west", "type": "small", "group": 3, "status": "active"}
     return {**row, "weight": 1.0, "since_ms": 0, **changes}
 
@@ -230,8 +230,8 @@
 }
 
 
-class Scripted:
-    """Stands in for the balancer: records events, and answers each with a script's actions.
+class ScriptedBalancer:
+    """Stand-in for the balancer that records events and answers each with the actions of a script.
 
     A script has the short name of its event, and takes the time and the event's fields."""
 
@@ -240,7 +240,7 @@
         self.scripts = {"request": lambda now, arrival: [Send(arrival.request, "s0", 0.0)], **scripts}
 
     def step(self, now, event):
-        """The actions of the script for this event; none where it has no script."""
+        """Record an event; return the actions of its script, or none."""
         name, args = self._short(event)
         self.events.append((name, *args))
         return self.scripts.get(name, lambda now, *args: [])(now, *args)
@@ -256,16 +256,16 @@
         return SHORT_NAMES[type(event)], tuple(event)
 
     def named(self, name):
-        """The events of one name, without it."""
+        """Return the fields of the events with this short name."""
         return [rest for found, *rest in self.events if found == name]
 
     def outcomes(self):
-        """Attempt number, outcome and `last` of each outcome event."""
+        """Return attempt, outcome and whether the request ended, for each ended attempt."""
         return [(hop, status, last) for _, hop, status, _, last, _ in self.named("outcome")]
 
 
-def told(upstreams=(), registry="127.0.0.1:9", raw=None, **settings):
-    """A configuration that knows these servers, as s0, s1 and on."""
+def sidecar_config(upstreams=(), registry="127.0.0.1:9", raw=None, **settings):
+    """Return a configuration whose known list has these servers, named s0, s1 and so on."""
     known = listed(41, *(entry(f"s{i}", upstream.address) for i, upstream in enumerate(upstreams)))
     base = {
         "name": "n0",
@@ -281,10 +281,10 @@
 
 @contextlib.asynccontextmanager
 async def running(*upstreams, balancer=None, registry=None, raw=None, **settings):
-    """A sidecar in this process, and the upstreams it knows."""
+    """Run a sidecar in this process; stop it and its servers at the end."""
     own = registry is None
     registry = await Registry(current=True).start() if own else registry
-    configuration = told(upstreams, registry=registry.address, raw=raw, **settings)
+    configuration = sidecar_config(upstreams, registry=registry.address, raw=raw, **settings)
     made = Sidecar(asyncio.get_running_loop(), configuration, balancer=balancer)
     if not registry.current:
         made.discovery.skip_first_call()  # this test's watches tell nothing before it has started
@@ -300,7 +300,7 @@
 
 
 class App:
-    """The application: one connection to its sidecar."""
+    """One connection of the application to its sidecar."""
 
     def __init__(self, reader, writer):
         self.reader, self.writer = reader, writer
@@ -325,7 +325,7 @@
 
 
 def request(method="GET", target="/look", body=b"", **headers):
-    """A request as the application writes it; a header of None is left out."""
+    """Return a request as the application writes it; a header of None is left out."""
     sent = {
         "Host": "api.internal",
         "X-Call-Id": "9b1f03aa5c7e2d41",
@@ -340,11 +340,11 @@
     return f"{method} {target} HTTP/1.1\r\n{rows}\r\n".encode() + body
 
 
-# --- builders for tests of a send and its outcome
+# --- builders for tests of an attempt and its outcome
 
 
 class Gate:
-    """Connections to the servers come up late, but for the first few: when the test lets them."""
+    """Delays connections to servers, but for the first `free`, until the test opens it."""
 
     def __init__(self, monkeypatch, upstreams, free=0):
         self.open = asyncio.Event()
@@ -368,7 +368,7 @@
     driver, pool = sidecar.driver, sidecar.pool
     if any(driver.counts) or not driver.idle or pool.opening:
         return False
-    if not isinstance(driver.balancer, Scripted) and any(left_over(driver.balancer).values()):
+    if not isinstance(driver.balancer, ScriptedBalancer) and any(left_over(driver.balancer).values()):
         return False
     idle = pool.idle_connections
     free = not any(connection.busy for connection in idle)
@@ -376,34 +376,34 @@
 
 
 @contextlib.asynccontextmanager
-async def tidy(*upstreams, **settings):
-    """A sidecar of which nothing is left over at the end: no request, attempt or connection."""
+async def running_until_idle(*upstreams, **settings):
+    """Run a sidecar, and wait at the end until no request, attempt or busy connection is left."""
     async with running(*upstreams, **settings) as sidecar:
         yield sidecar
         await until(lambda: nothing_left(sidecar))
         balancer = sidecar.driver.balancer
-        if isinstance(balancer, Scripted):
+        if isinstance(balancer, ScriptedBalancer):
             ends = [(number, hop) for number, hop, *_ in balancer.named("outcome")]
             assert len(ends) == len(set(ends))
 
 
-class Hands:
-    """The driver's clock, moved on by hand: no timer runs for it."""
+class ManualClock:
+    """The clock of a sidecar, advanced by the test; timers of the loop do not run for it."""
 
     def __init__(self, sidecar):
         self.clock = sidecar.driver.clock
 
-    def on(self, ms):
+    def advance(self, ms):
         self.clock.offset_ms += ms
 
 
 def never_cancels():
-    """Settings that allow no cancelling, and connections that may take their time."""
+    """Return settings without cancelling and with a long connect time-out."""
     return {"PolicyLimits": {"MaxAttempts": 3, "ParallelTries": True, "ConnectTimeout": 9000.0}}
 
 
-async def asked(sidecar, target="/look", method="GET", **headers):
-    """A client whose request has been taken."""
+async def start_request(sidecar, target="/look", method="GET", **headers):
+    """Send a request; return its client once the driver has accepted it."""
     app = await App.connect(sidecar.address)
     before = len(sidecar.driver.requests)
     app.send(method, target, **headers)
@@ -413,7 +413,7 @@
 
 @dataclass
 class Waiting:
-    """A sidecar whose one request waits for its connection, until the test opens the gate."""
+    """A sidecar whose one request waits for its connection until the test opens the gate."""
 
     sidecar: Sidecar
     upstream: Upstream | list[Upstream]
@@ -423,22 +423,23 @@
 
 @contextlib.asynccontextmanager
 async def request_that_waits(monkeypatch, balancer=None, **settings):
-    """A client's request that has been decided, and whose connection comes up late."""
+    """Run a sidecar with one request that was sent to a server whose connection is not up."""
     upstream = await Upstream([OK]).start()
     gate = Gate(monkeypatch, [upstream])
-    async with tidy(upstream, balancer=balancer, **never_cancels(), **settings) as sidecar:
-        app = await asked(sidecar)
+    async with running_until_idle(upstream, balancer=balancer, **never_cancels(), **settings) as sidecar:
+        app = await start_request(sidecar)
         await until(lambda: gate.waiting)
         yield Waiting(sidecar, upstream, gate, app)
 
 
-def hear(sidecar, *entries):
-    """News of discovery."""
+def list_changes(sidecar, *entries):
+    """Let discovery report changes of the list."""
     sidecar.driver.endpoints_listed(
-        ListForm.CHANGES, endpoint_list.parse_list(listed(42, *entries, snapshot=False), told().names)
+        ListForm.CHANGES,
+        endpoint_list.parse_list(listed(42, *entries, snapshot=False), sidecar_config().names),
     )
 
 
 def failing(now, number, hop, status, spent, last, report):
-    """A decision on an outcome: the request fails, unless it is answered."""
+    """Decide on an outcome: fail the request unless it is answered."""
     return [] if last else [Fail(number)]
--- a/tests/support/pools.py
+++ b/tests/support/pools.py
@@ -10,20 +10,20 @@
 from brassfall.sidecar.discovery.endpoint_list import parse_list
 from brassfall.sidecar.servers.pool import Pool
 from brassfall.sidecar.servers.server_connection import Connection
-from tests.support.loopback import entry, listed, told
+from tests.support.loopback import entry, listed, sidecar_config
 
 SMALL_BUFFER = 4096  # bytes that the kernel holds of what is written
 
 
 def servers_of(*entries):
     """Changes of the endpoint list."""
-    return parse_list(listed(42, *entries, snapshot=False), told().names)
+    return parse_list(listed(42, *entries, snapshot=False), sidecar_config().names)
 
 
 def pool_of(address, **settings):
     """A pool with one server, s0, at this address."""
     loop = asyncio.get_running_loop()
-    pool = Pool(loop, Clock(loop), told(**settings))
+    pool = Pool(loop, Clock(loop), sidecar_config(**settings))
     pool.update(0.0, servers_of(entry("s0", address)), complete=True)
     return pool
 
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -629,9 +629,9 @@
     """It pays for no code of the control plane's client, nor for a fleet's part of discovery."""
     assert all((ROOT / name.replace(".", "/")).with_suffix(".py").exists() for name in FLEET_ONLY[1:])
     program = (
-        "import asyncio, sys; from tests.support.loopback import told; "
+        "import asyncio, sys; from tests.support.loopback import sidecar_config; "
         "from brassfall.sidecar.lifecycle.sidecar import Sidecar; "
-        "asyncio.set_event_loop(loop := asyncio.new_event_loop()); Sidecar(loop, told()); "
+        "asyncio.set_event_loop(loop := asyncio.new_event_loop()); Sidecar(loop, sidecar_config()); "
         f"print([name for name in sys.modules if name.startswith({FLEET_ONLY})])"
     )
     made = subprocess.run(
