--- a/brassfall/cli/lab.py
+++ b/brassfall/cli/lab.py
@@ -48,7 +48,7 @@
     """Measure the cost of simulated plays on this machine; prints a Markdown table, in some minutes."""
     from brassfall.lab import bench
 
-    typer.echo(run(bench.run(rounds, compiled, progress)))
+    typer.echo(run(bench.run(rounds, progress, compiled=compiled)))
 
 
 @app.command("agreement")
--- a/brassfall/lab/bench.py
+++ b/brassfall/lab/bench.py
@@ -1,4 +1,4 @@
-"""What simulated plays cost on this machine: `brassfall lab bench`, a table in Markdown."""
+"""`brassfall lab bench`: the cost of simulated plays on this machine, as a table in Markdown."""
 
 from __future__ import annotations
 
@@ -7,83 +7,112 @@
 import time
 from collections.abc import Callable, Sequence
 from pathlib import Path
+from typing import NamedTuple
 
 from brassfall.lab import runner
 from brassfall.lab.play import Result
 from brassfall.lab.report import spread
 
-# Sidecars, servers, simulated seconds: the same load for each server, and about as many requests.
-SIZES = ((20, 10, 100), (200, 100, 20), (2000, 1000, 4))
-HEAD = """[experiment]
+EXPERIMENT = """[experiment]
 name = "cost"
 mode = "simulated"
-for = "{seconds} s"
-repeats = {repeats}
-workers = {workers}
+for = "{size.seconds} s"
+repeats = {batch.repeats}
+workers = {batch.workers}
 compiled = {compiled}
 
 [fleet]
-sidecars = {sidecars}
-servers = {servers}
+sidecars = {size.sidecars}
+servers = {size.servers}
 
 [load]
 share = 0.6
 """
+COLUMNS = (
+    "sidecars",
+    "servers",
+    "plays at a time",
+    "requests",
+    "start, s",
+    "requests a second and core",
+    "requests a second in all",
+    "memory, MB",
+)
 
 
-async def run(rounds: int, compiled: bool, say: Callable[[str], None]) -> str:
-    """Play each size `rounds` times, one play at a time, and the middle one on all cores; the table."""
-    lines = [
-        "| sidecars | servers | plays at a time | requests | start, s | requests a second and core "
-        "| requests a second in all | memory, MB |",
-        "| --- |" + " --- |" * 7,
-    ]
+class Size(NamedTuple):
+    """A simulated fleet, and the simulated seconds of a play with it."""
+
+    sidecars: int
+    servers: int
+    seconds: int
+
+
+class Batch(NamedTuple):
+    """One row of the table: plays of one size, `workers` of them at a time."""
+
+    size: Size
+    repeats: int
+    workers: int
+
+
+# The same load for each server, and about as many requests.
+SMALL = Size(sidecars=20, servers=10, seconds=100)
+MIDDLE = Size(sidecars=200, servers=100, seconds=20)
+LARGE = Size(sidecars=2000, servers=1000, seconds=4)
+
+
+async def run(rounds: int, say: Callable[[str], None], *, compiled: bool) -> str:
+    """Return the table: `rounds` plays of each size, one at a time, and of the middle one on all cores.
+
+    `compiled` tells whether the plays use the compiled decision module; `say` is given the progress.
+    """
     cores = os.cpu_count() or 1
-    plays = [(size, rounds, 1) for size in SIZES] + [(SIZES[1], cores * rounds, cores)]
+    batches = [Batch(size, repeats=rounds, workers=1) for size in (SMALL, MIDDLE, LARGE)]
+    batches.append(Batch(MIDDLE, repeats=cores * rounds, workers=cores))
+    lines = [_table_line(COLUMNS), _table_line(["---"] * len(COLUMNS))]
     with tempfile.TemporaryDirectory(prefix="brassfall-bench-") as folder:
-        for number, (size, repeats, workers) in enumerate(plays):
-            place = Path(folder) / str(number)
-            lines.append(await _measure(place, size, repeats, workers, compiled, say))
+        for number, batch in enumerate(batches):
+            experiment = _write_experiment(Path(folder) / str(number), batch, compiled=compiled)
+            lines.append(await _measure(batch, experiment, say))
     return "\n".join(lines)
 
 
-async def _measure(
-    place: Path,
-    size: tuple[int, int, int],
-    repeats: int,
-    workers: int,
-    compiled: bool,
-    say: Callable[[str], None],
-) -> str:
-    sidecars, servers, seconds = size
-    place.mkdir()
-    file = place / "cost.toml"
-    file.write_text(
-        HEAD.format(
-            seconds=seconds,
-            repeats=repeats,
-            workers=workers,
-            compiled=str(compiled).lower(),
-            sidecars=sidecars,
-            servers=servers,
-        )
-    )
-    say(f"{sidecars} sidecars, {servers} servers, {workers} at a time")
-    prepared = runner.prepare(file, place / "out", say)
+def _write_experiment(folder: Path, batch: Batch, *, compiled: bool) -> Path:
+    folder.mkdir()
+    file = folder / "cost.toml"
+    file.write_text(EXPERIMENT.format(size=batch.size, batch=batch, compiled=str(compiled).lower()))
+    return file
+
+
+async def _measure(batch: Batch, experiment: Path, say: Callable[[str], None]) -> str:
+    """Play an experiment; return its row of the table."""
+    say(f"{batch.size.sidecars} sidecars, {batch.size.servers} servers, {batch.workers} at a time")
+    prepared = runner.prepare(experiment, experiment.parent / "out", say)
     begun = time.monotonic()
     results = await prepared.go()
-    took = time.monotonic() - begun
-    return _row(sidecars, servers, workers, [r for r in results if r.valid and r.judgement], took)
-
-
-def _row(sidecars: int, servers: int, workers: int, results: Sequence[Result], took: float) -> str:
-    asked = [float(r.judgement.statistics.requests) for r in results if r.judgement]
-    rates = [number / r.cost["play_s"] for number, r in zip(asked, results, strict=True)]
-    cells = [
-        spread(asked, ".0f"),
-        spread([r.cost["start_s"] for r in results], ".1f"),
-        spread(rates, ".0f"),
-        f"{sum(asked) / took:.0f}",
-        spread([r.cost["memory_mb"] for r in results], ".0f"),
-    ]
-    return f"| {sidecars} | {servers} | {workers} | {' | '.join(cells)} |"
+    took_s = time.monotonic() - begun
+    return _row(batch, [result for result in results if result.valid], took_s)
+
+
+def _row(batch: Batch, results: Sequence[Result], took_s: float) -> str:
+    judged = [(result.judgement, result.cost) for result in results if result.judgement]
+    requests = [float(judgement.statistics.requests) for judgement, _ in judged]
+    costs = [cost for _, cost in judged]
+    rates = [count / cost["play_s"] for count, cost in zip(requests, costs, strict=True)]
+    return _table_line(
+        [
+            f"{batch.size.sidecars}",
+            f"{batch.size.servers}",
+            f"{batch.workers}",
+            spread(requests, ".0f"),
+            spread([cost["start_s"] for cost in costs], ".1f"),
+            spread(rates, ".0f"),
+            f"{sum(requests) / took_s:.0f}",
+            spread([cost["memory_mb"] for cost in costs], ".0f"),
+        ]
+    )
+
+
+def _table_line(cells: Sequence[str]) -> str:
+    return f"| {' | '.join(cells)} |"
