--- a/brassfall/lab/overrides/__init__.py
+++ b/brassfall/lab/overrides/__init__.py
@@ -1,1 +1,1 @@
-"""Overrides under simulated time: what is played, who judges it, and list services with a flaw each."""
+"""Overrides under simulated time: the simulation, the judge of its outcome, and injected defects."""
--- a/brassfall/lab/overrides/parts.py
+++ b/brassfall/lab/overrides/parts.py
@@ -1,20 +1,23 @@
-"""What a play of overrides is put together from: both sides' seams, and what lasts over a kill. Pure code."""
+"""Interfaces, messages and durable state of the simulated service and sidecars. Pure code."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass, field
-from typing import Any, Protocol
+from typing import Any, NamedTuple, Protocol
 
 from brassfall.controlplane.overrides.clock import SteadyClock
 from brassfall.controlplane.overrides.history import HistoryRing
 from brassfall.controlplane.overrides.store import OverrideStore
 
+Row = Mapping[str, Any]  # an override as JSON: a row of a layer, of the times left, or of the store
+StoredRows = Iterable[tuple[str, Any]]
 
-class Decided(Protocol):
-    """What a sidecar's side says is to be done now."""
 
-    acted: tuple[tuple[str, int], ...]
+class Decision(Protocol):
+    """The rules that a sidecar applies at one moment."""
+
+    acted: tuple[tuple[str, int], ...]  # id and revision of each override in force
     tenant_pins: Mapping[str, str]
     tenant_shares: Mapping[str, Mapping[str, float]]
     excluded_regions: frozenset[str]
@@ -22,59 +25,130 @@
     frozen: bool
 
 
-class Edge(Protocol):
-    """A sidecar's side; times in s of its own monotonic clock."""
+class SidecarState(NamedTuple):
+    """What a sidecar states in each report."""
+
+    digest: str  # of the overrides in force
+    refresh: bool  # True if all times left are requested anew
+    newest: int  # the newest override revision received
+
+
+class Sidecar(Protocol):
+    """A sidecar's override logic; times are in seconds of its own monotonic clock."""
 
-    def told(self, asked_s: float, answered_s: float, found: Mapping[str, Any]) -> None:
-        """The times left, out of an answer."""
+    def receive_times(self, asked_s: float, answered_s: float, times: Mapping[str, Any]) -> None:
+        """Use the times left in an answer."""
 
-    def layer(self, raw: list[dict[str, Any]]) -> None:
-        """The overrides of a new edition."""
+    def receive_layer(self, rows: list[dict[str, Any]]) -> None:
+        """Use the overrides of a new configuration revision."""
 
-    def report(self, now_s: float) -> tuple[str, bool, int]:
-        """The digest of what is acted on, whether times are asked for, and the newest revision told."""
+    def report(self, now_s: float) -> SidecarState:
+        """Return the state to report."""
 
     def timer(self, now_s: float) -> None:
-        """Called every 100 ms while the process runs."""
+        """Run periodic work; called every 100 ms while the process runs."""
 
-    def decide(self, now_s: float) -> Decided:
-        """What is to be done."""
+    def decide(self, now_s: float) -> Decision:
+        """Return the rules in force."""
 
 
 class Clock(Protocol):
-    """`SteadyClock`, or one with a flaw."""
+    """The interface of `SteadyClock`."""
+
+    def now(self, monotonic_ms: float, /) -> int:
+        """Return Unix ms."""
+
+    def mark(self, monotonic_ms: float, /) -> int | None:
+        """Return the mark to store; None if none is due."""
+
 
-    def now(self, monotonic_ms: float) -> int:
-        """Unix ms."""
+class ClockStart(NamedTuple):
+    """What a clock has at a start of the service."""
 
-    def mark(self, monotonic_ms: float) -> int | None:
-        """The mark to write."""
+    wall: Callable[[], float]  # Unix ms
+    monotonic_ms: float
+    mark_ms: float  # the stored mark, in Unix ms
+    marked_at_ms: float | None  # on the monotonic clock; None after a reboot
 
 
-def steady(wall: Callable[[], float], mono: float, mark: float, marked_at: float | None) -> Clock:
-    """The clock as it is."""
-    return SteadyClock(wall(), mono, mark, marked_at)
+def steady_clock(start: ClockStart) -> Clock:
+    """Return the service's own clock."""
+    return SteadyClock(start.wall(), start.monotonic_ms, start.mark_ms, start.marked_at_ms)
 
 
-def as_stored(rows: Iterable[tuple[str, Any]], now: int) -> list[tuple[str, Any]]:
-    """Rows as they are read after a start."""
+def rows_as_stored(rows: StoredRows, _now_ms: int) -> StoredRows:
+    """Return the rows unchanged."""
     return list(rows)
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(frozen=True, slots=True, kw_only=True)
 class Parts:
-    """The service's side; flaws replace some of it."""
+    """The replaceable parts of the service; an injected defect replaces one."""
 
-    clock: Callable[[Callable[[], float], float, float, float | None], Clock] = steady
+    clock: Callable[[ClockStart], Clock] = steady_clock
     store: Callable[[HistoryRing], OverrideStore] = OverrideStore
-    loaded: Callable[[Iterable[tuple[str, Any]], int], list[tuple[str, Any]]] = as_stored
+    loaded: Callable[[StoredRows, int], StoredRows] = rows_as_stored
+    write_failure_share: float = 0.01  # of the commits
+
+
+class Mark(NamedTuple):
+    """A stored mark of the service's clock."""
+
+    unix_ms: float
+    monotonic_ms: float
+    boot: int
 
 
 @dataclass(slots=True)
 class Disk:
-    """What lasts over a kill of the service."""
+    """The service's durable state."""
 
     rows: dict[str, Any] = field(default_factory=dict)
     history: dict[str, Any] = field(default_factory=dict)
-    mark: tuple[float, float, int] = (0.0, 0.0, -1)  # Unix ms, monotonic ms, which boot
-    marked_true: float = 0.0
+    mark: Mark = field(default_factory=lambda: Mark(0.0, 0.0, -1))
+    marked_true_ms: float = 0.0  # simulated time of the mark
+
+
+class Revision(NamedTuple):
+    """A configuration revision, as far as overrides go."""
+
+    number: int
+    rows: list[dict[str, Any]]
+
+
+class Report(NamedTuple):
+    """A sidecar's report."""
+
+    state: SidecarState
+    revision: int  # number of the configuration revision in use; 0 for none
+    acted: dict[str, int] | None  # id and revision of overrides in force, if details were requested
+
+
+class Answer(NamedTuple):
+    """The service's answer to a report."""
+
+    details_requested: bool
+    times: Mapping[str, Row]  # times left by id; empty if the answer has none
+    revision: Revision | None  # a configuration revision that the sidecar doesn't have
+
+
+class ServiceView(Protocol):
+    """What the judge reads of the service."""
+
+    disk: Disk
+    store: OverrideStore
+    rate: float
+
+    def unix(self) -> int:
+        """Return the service's time in Unix ms."""
+
+
+class NodeView(Protocol):
+    """What the judge reads of a node."""
+
+    number: int
+    region: str
+    layer: Mapping[str, Row]  # rows of the configuration revision in use, by id
+    received: dict[str, int]  # the revision of the times received last, by id
+    well_since: float  # simulated ms; no fault is active from then on
+    faulted: bool  # True if it ever had a fault
--- a/tests/lab/test_overrides.py
+++ b/tests/lab/test_overrides.py
@@ -7,9 +7,11 @@
 
 import pytest
 
-from brassfall.lab.overrides.flaws import FLAWS
-from brassfall.lab.overrides.world import CLASSES, REGIONS, TENANTS, World
-from brassfall.sidecar.agent.deadlines import Deadlines, digest
+from brassfall.lab.overrides.defects import DEFECTS
+from brassfall.lab.overrides.parts import SidecarState
+from brassfall.lab.overrides.workload import CLASSES, REGIONS, TENANTS
+from brassfall.lab.overrides.world import World
+from brassfall.sidecar.agent.deadlines import Deadlines, Phase, digest
 from brassfall.sidecar.agent.override_layer import Place, read_layer
 from brassfall.sidecar.agent.overrides import LocalView, Names, Rules, effective
 
@@ -18,21 +20,21 @@
 
 
 class Sidecar:
-    """A sidecar's side as it is."""
+    """The override logic of a sidecar, without defects."""
 
     def __init__(self, region):
         self.deadlines, self.lines, self.place = Deadlines(), (), Place("", region)
 
-    def told(self, asked_s, answered_s, found):
-        self.deadlines.receive(asked_s, found, answered_s)
+    def receive_times(self, asked_s, answered_s, times):
+        self.deadlines.receive(asked_s, times, answered_s)
 
-    def layer(self, raw):
+    def receive_layer(self, raw):
         self.lines, wrong = read_layer(raw)
         assert not wrong
 
     def report(self, now_s):
         acted = digest(self.decide(now_s).acted)
-        return acted, self.deadlines.refresh_due(now_s), self.deadlines.newest
+        return SidecarState(acted, self.deadlines.refresh_due(now_s), self.deadlines.newest)
 
     def timer(self, now_s):
         pass
@@ -42,76 +44,98 @@
 
 
 @pytest.mark.parametrize("seed", range(SEEDS))
-def test_seeds(seed):
+def test_random_seeds_break_no_rule(seed):
     nodes, length = (20, 60_000.0) if seed % 20 == 7 else (3, 90_000.0)
     if seed % 100 == 57 and seed > 100:
         nodes = 200
-    outcome = World(seed, nodes, length, Sidecar).play()
+    outcome = World(seed, nodes, length, Sidecar).run()
     assert outcome.broken == []
     assert outcome.acted and outcome.starts
 
 
-# --- seeded defects: each has to be found, by the rule that it breaks ------------------------------
+# --- injected defects: the judge has to find each by a rule that it breaks ------------------------------
 
 
-class FromTheAnswer(Sidecar):
-    """Counts the time left from when the answer came."""
+class CountsFromAnswer(Sidecar):
+    """Counts the time left from when the answer was received."""
 
-    def told(self, asked_s, answered_s, found):
-        super().told(answered_s, answered_s, found)
+    def receive_times(self, asked_s, answered_s, times):
+        super().receive_times(answered_s, answered_s, times)
 
 
-class Prolongs(Sidecar):
-    """Believes each new time left of the same revision."""
+class ReplacedDeadlines:
+    """Separate deadlines for each override, so that received times can replace earlier ones."""
 
-    def told(self, asked_s, answered_s, found):
-        for key, row in found.items():
-            if (
-                self.deadlines._bounds.get(key, [None])[0]
-                and self.deadlines._bounds[key][0].rev == row["rev"]
-            ):
-                self.deadlines._bounds.pop(key)
-        super().told(asked_s, answered_s, found)
+    def __init__(self, *, older_accepted):
+        self.older_accepted = older_accepted  # and times apply to any revision of the override
+        self.by_id, self.revisions, self.newest = {}, {}, 0
 
+    def receive(self, asked_s, times, answered_s):
+        for key, row in times.items():
+            if self.older_accepted or self.revisions.get(key) == row["rev"]:
+                self.by_id.pop(key, None)
+            deadlines = self.by_id.setdefault(key, Deadlines())
+            deadlines.receive(asked_s, {key: row}, answered_s)
+            self.newest = max(self.newest, row["rev"])
+            newest = row["rev"] if self.older_accepted else max(row["rev"], self.revisions.get(key, 0))
+            self.revisions[key] = newest
 
-class TakesLower(Sidecar):
-    """Believes an older revision that comes late."""
+    def phase(self, key, rev, now_s):
+        if key not in self.by_id:
+            return Phase.OVER
+        return self.by_id[key].phase(key, self.revisions[key] if self.older_accepted else rev, now_s)
 
-    def told(self, asked_s, answered_s, found):
-        for key in found:
-            self.deadlines._bounds.pop(key, None)
-        super().told(asked_s, answered_s, found)
+    def exclusive_phase(self, key, rev, now_s):
+        if key not in self.by_id:
+            return Phase.OVER
+        if self.older_accepted and rev >= self.revisions[key]:
+            return self.phase(key, rev, now_s)
+        if self.older_accepted:
+            return min(self.phase(key, rev, now_s), Phase.DOUBTFUL)
+        return self.by_id[key].exclusive_phase(key, rev, now_s)
 
-    def decide(self, now_s):
-        for line in self.lines:  # and acts on what it has, at whichever revision
-            for told in self.deadlines._bounds.get(line.id, ()):
-                told.same_from = min(told.same_from, line.revision)
-                told.rev = max(told.rev, line.revision)
-        return super().decide(now_s)
+    def refresh_due(self, now_s):
+        return any(deadlines.refresh_due(now_s) for deadlines in self.by_id.values())
+
+
+class ProlongsSameRevision(Sidecar):
+    """Replaces the end of a revision with each new time left."""
+
+    def __init__(self, region):
+        super().__init__(region)
+        self.deadlines = ReplacedDeadlines(older_accepted=False)
+
+
+class AcceptsLowerRevision(Sidecar):
+    """Accepts times of an older revision that arrive late, and applies times of any revision."""
+
+    def __init__(self, region):
+        super().__init__(region)
+        self.deadlines = ReplacedDeadlines(older_accepted=True)
 
 
-class NoMargin(Sidecar):
-    """Takes its own clock for as quick as the service's."""
+class NoDriftMargin(Sidecar):
+    """Assumes that its clock and the service's have the same rate."""
 
     def __init__(self, region):
         super().__init__(region)
         self.deadlines = Deadlines(drift=0.0)
 
 
-class ByTimer(Sidecar):
-    """Looks for what is over when a timer comes round, not when it decides."""
+class ExpiresByTimer(Sidecar):
+    """Checks ends at each timer and not at each decision."""
 
-    looked_s = 0.0
+    checked_s = 0.0
 
     def timer(self, now_s):
-        self.looked_s = now_s
+        self.checked_s = now_s
 
     def decide(self, now_s):
-        return super().decide(self.looked_s or now_s)
+        return super().decide(self.checked_s or now_s)
 
 
-class Undoes(Sidecar):
-    """Puts back what was before an override, when it ends."""
+class RestoresPreviousState(Sidecar):
+    """Restores the state before an override when it ends."""
 
     def __init__(self, region):
         super().__init__(region)
@@ -130,8 +154,8 @@
         return replace(found, tenant_pins=self.now)
 
 
-class DropsPin(Sidecar):
-    """Forgets a tenant's pin when another override of the same tenant ends, until something else changes."""
+class DropsPinOfOtherOverride(Sidecar):
+    """Drops a tenant's pin when another override of the tenant ends, until the next change."""
 
     tenants = frozenset()
 
@@ -144,37 +168,37 @@
         return replace(found, tenant_pins={t: r for t, r in found.tenant_pins.items() if t not in lost})
 
 
-class GivesWay(Sidecar):
-    """Serves a tenant anywhere as soon as its pin is over by this clock."""
+class ReleasesPinEarly(Sidecar):
+    """Serves a tenant in any region as soon as its pin is over by this clock."""
 
     def decide(self, now_s):
         found = super().decide(now_s)
         return replace(found, tenant_pins={t: r for t, r in found.tenant_pins.items() if r})
 
 
-PAST, SAYS = "acted on past its end", "not what settings and overrides say"
-OURS = {
-    "deadline from the answer": (FromTheAnswer, {PAST}),
-    "the same revision prolongs": (Prolongs, {PAST}),
-    "a lower revision is taken": (TakesLower, {PAST, "an old revision is acted on"}),
-    "clocks taken for equal": (NoMargin, {PAST}),
-    "expiry by a timer": (ByTimer, {PAST}),
-    "undo to the previous state": (Undoes, {SAYS}),
-    "an inner end drops the pin": (DropsPin, {SAYS}),
-    "a pin gives way too soon": (GivesWay, {"a pin gave way before its end"}),
+PAST_END, WRONG_RULES = "acted on past its end", "not what settings and overrides say"
+SIDECAR_DEFECTS = {
+    "deadline from the answer": (CountsFromAnswer, {PAST_END}),
+    "the same revision prolongs": (ProlongsSameRevision, {PAST_END}),
+    "a lower revision is taken": (AcceptsLowerRevision, {PAST_END, "an old revision is acted on"}),
+    "clocks taken for equal": (NoDriftMargin, {PAST_END}),
+    "expiry by a timer": (ExpiresByTimer, {PAST_END}),
+    "undo to the previous state": (RestoresPreviousState, {WRONG_RULES}),
+    "an inner end drops the pin": (DropsPinOfOtherOverride, {WRONG_RULES}),
+    "a pin gives way too soon": (ReleasesPinEarly, {"a pin gave way before its end"}),
 }
 
 
 def found_by(make, parts, wanted, seeds):
-    """The first seed at which a rule that the flaw breaks is broken."""
+    """Return the first seed at which one of the wanted rules is broken; None if there is none."""
     for seed in seeds:
-        if World(seed, 3, 90_000.0, make, parts).play().rules() & wanted:
+        if World(seed, 3, 90_000.0, make, parts).run().rules() & wanted:
             return seed
     return None
 
 
-@pytest.mark.parametrize("name", [*OURS, *FLAWS])
+@pytest.mark.parametrize("name", [*SIDECAR_DEFECTS, *DEFECTS])
 def test_seeded_defects_are_found(name):
-    make, parts = (OURS[name][0], None) if name in OURS else (Sidecar, FLAWS[name][0])
-    wanted = OURS[name][1] if name in OURS else FLAWS[name][1]
+    make, parts = (SIDECAR_DEFECTS[name][0], None) if name in SIDECAR_DEFECTS else (Sidecar, DEFECTS[name][0])
+    wanted = SIDECAR_DEFECTS[name][1] if name in SIDECAR_DEFECTS else DEFECTS[name][1]
     assert found_by(make, parts, wanted, range(200)) is not None
