--- a/brassfall/lab/revision_chaos/clients.py
+++ b/brassfall/lab/revision_chaos/clients.py
@@ -8,7 +8,7 @@
 
 import aiohttp
 
-from brassfall.lab.revision_chaos.judge import Asked
+from brassfall.lab.revision_chaos.judge import ClientRequest
 
 BUDGET_S = 2.0
 SLACK_S = 1.0  # past its budget a request has had its answer
@@ -17,12 +17,12 @@
 
 
 def sidecar_of(call_id: str) -> int:
-    """The sidecar that a request was sent to."""
+    """Return the sidecar that a request was sent to."""
     return int(call_id[:4], 16)
 
 
 def tenant_of(call_id: str) -> str:
-    """The tenant that a request is of."""
+    """Return the tenant of a request."""
     return TENANTS[int(call_id[4], 16)]
 
 
@@ -35,7 +35,7 @@
         self._rate = rate
         self._rng = random.Random(f"{seed} {number}")
         self._count = 0
-        self.answers: list[Asked] = []
+        self.answers: list[ClientRequest] = []
         self._until = 0.0
 
     async def play(self, until: float) -> None:
@@ -69,7 +69,7 @@
         method = "GET" if name == "look" else "POST"
         sent = time.monotonic()
         how = await self._answer(session, method, f"http://{self._address}/{name}/1", headers)
-        self.answers.append(Asked(call_id, self._number, sent, time.monotonic(), how))
+        self.answers.append(ClientRequest(call_id, self._number, sent, time.monotonic(), how))
 
     @staticmethod
     async def _answer(session: aiohttp.ClientSession, method: str, url: str, headers: dict[str, str]) -> str:
--- a/brassfall/lab/revision_chaos/command.py
+++ b/brassfall/lab/revision_chaos/command.py
@@ -9,6 +9,7 @@
 import tomllib
 from collections.abc import Callable
 from pathlib import Path
+from typing import NamedTuple
 
 import msgspec
 
@@ -22,7 +23,14 @@
 Say = Callable[[str], None]
 
 
-class Run:
+class PlayEnd(NamedTuple):
+    """How the process of one schedule ended."""
+
+    status: int
+    error_text: str
+
+
+class ScheduleRunner:
     """All schedules of one experiment."""
 
     def __init__(self, experiment: spec.Experiment, file: Path, out: Path, say: Say) -> None:
@@ -34,18 +42,18 @@
         self.results: list[Result] = []
         self.failed: dict[int, str] = {}
 
-    async def go(self) -> None:
-        """Play those that were not played yet."""
+    async def run(self) -> None:
+        """Play the schedules that have no result yet."""
         room = asyncio.Semaphore(self._experiment.side_by_side)
         first = self._experiment.first_seed
         try:
             async with asyncio.TaskGroup() as group:
                 for seed in range(first, first + self._experiment.schedules):
-                    group.create_task(self._one(seed, room))
+                    group.create_task(self._play_if_missing(seed, room))
         finally:
             await self._end()
 
-    async def _one(self, seed: int, room: asyncio.Semaphore) -> None:
+    async def _play_if_missing(self, seed: int, room: asyncio.Semaphore) -> None:
         folder = self._out / "plays" / f"{seed}"
         path = folder / "result.json"
         if path.exists():
@@ -54,15 +62,16 @@
         async with room:
             shutil.rmtree(folder, ignore_errors=True)
             folder.mkdir(parents=True)
-            status, error_text = await self._play(Order(str(self._file), seed, str(folder)))
-        if status == 0 and path.exists():
+            end = await self._play(Order(str(self._file), seed, str(folder)))
+        if end.status == 0 and path.exists():
             self.results.append(load(path))
-            self._tell(self.results[-1])
+            self._print_result(self.results[-1])
         else:
-            self.failed[seed] = error_text.splitlines()[-1] if error_text else f"ended with status {status}"
+            lines = end.error_text.splitlines()
+            self.failed[seed] = lines[-1] if lines else f"ended with status {end.status}"
             self._say(f"seed {seed} was not played: {self.failed[seed]}")
 
-    def _tell(self, result: Result) -> None:
+    def _print_result(self, result: Result) -> None:
         verdict, done = result.verdict, len(self.results) + len(self.failed)
         broken = ", ".join(f"{rule} {times}" for rule, times in verdict.broken.items())
         broken = ", ".join(filter(None, (broken, *result.crashes))) or "all rules held"
@@ -72,9 +81,9 @@
             + ("" if verdict.counts else "; does not count, the observer was late")
         )
 
-    async def _play(self, order: Order) -> tuple[int, str]:
+    async def _play(self, order: Order) -> PlayEnd:
         log = Path(order.folder) / "errors.txt"
-        with open(log, "wb") as errors:
+        with await asyncio.to_thread(log.open, "wb") as errors:
             process = await asyncio.create_subprocess_exec(
                 *(sys.executable, "-m", "brassfall.lab.revision_chaos.play"),
                 cwd=ROOT,
@@ -82,17 +91,17 @@
                 stdin=asyncio.subprocess.PIPE,
                 stdout=asyncio.subprocess.DEVNULL,
                 stderr=errors,
-                start_new_session=True,  # a Ctrl-C comes to it from here, and only once
+                start_new_session=True,  # Ctrl-C is passed on by `_end`, once
             )
         self._running.add(process)
         assert process.stdin is not None
         process.stdin.write(msgspec.json.encode(order) + b"\n")
         status = await process.wait()
         self._running.discard(process)
-        return status, log.read_text(errors="replace").strip()
+        return PlayEnd(status, log.read_text(errors="replace").strip())
 
     async def _end(self) -> None:
-        """End what still runs: each ends its own processes first."""
+        """Terminate the schedules that still run; each ends its own processes first."""
         for process in self._running:
             if process.returncode is None:
                 process.terminate()
@@ -106,7 +115,10 @@
 
 
 def load(path: Path) -> Result:
-    """A result that was written down; `SettingsError` if it is none."""
+    """Read a stored result.
+
+    Raises `SettingsError` if the file holds none.
+    """
     try:
         return msgspec.json.decode(path.read_bytes(), type=Result)
     except (msgspec.MsgspecError, ValueError) as error:
@@ -114,8 +126,8 @@
         raise SettingsError(str(path), str(error), action) from error
 
 
-def _lay_out(file: Path, out: Path) -> None:
-    """The folder of the results, with the experiment in it."""
+def _create_folder(file: Path, out: Path) -> None:
+    """Create the folder of the results, with the experiment in it."""
     stored = out / "experiment.toml"
     text = file.read_text(encoding="utf-8")
     if stored.exists() and read_toml(stored) != tomllib.loads(text):
@@ -130,14 +142,14 @@
 
 
 async def run(file: Path, out: Path, say: Say) -> int:
-    """Run an experiment; 0 if every schedule was played and every rule held."""
+    """Run an experiment; return 0 if every schedule was played and no rule was broken."""
     experiment = spec.load(file)
-    _lay_out(file, out)
-    made = Run(experiment, file, out, say)
+    _create_folder(file, out)
+    runner = ScheduleRunner(experiment, file, out, say)
     try:
-        await made.go()
+        await runner.run()
     finally:
-        report.write(experiment, made.results, made.failed, out)
+        report.write(experiment, runner.results, runner.failed, out)
     say(f"report in {out / 'report.md'}")
-    good = not made.failed and all(result.passed or not result.verdict.counts for result in made.results)
+    good = not runner.failed and all(result.passed or not result.verdict.counts for result in runner.results)
     return 0 if good else 1
--- a/brassfall/lab/revision_chaos/environment.py
+++ b/brassfall/lab/revision_chaos/environment.py
@@ -8,10 +8,8 @@
 import json
 import os
 import shutil
-import signal
 import sys
 from pathlib import Path
-from typing import Any
 
 import aiohttp
 
@@ -25,28 +23,31 @@
     sidecar_environment,
 )
 from brassfall.lab.revision_chaos.clients import TENANTS
-from brassfall.lab.revision_chaos.judge import Away
-from brassfall.lab.revision_chaos.proxies import ControlProxy, ServerProxy
+from brassfall.lab.revision_chaos.judge import Absence
+from brassfall.lab.revision_chaos.processes import end_process, pause_process
+from brassfall.lab.revision_chaos.proxies import Address, ControlProxy, ServerProxy
 from brassfall.lab.revision_chaos.publisher import GROUPS, RARE, now
 from brassfall.lab.revision_chaos.spec import Experiment
 from brassfall.lab.revision_chaos.tier import Tier
 
 FIRST_PORT = 20_001
 KEY_MS = 1500.0
+POLL_S = 0.05
 SETTLE_S = 1.0  # after a pause or a start: what came meanwhile is served by then
-LEAVE_S = 10.0  # from SIGTERM; then SIGKILL
 
 
 def own_host() -> str:
-    """An address of loopback that no other play has, nor any connection that goes out. With ports below those
-    that the system gives away, each is free still when the process that had it is followed by another."""
+    """Return a loopback address that no other play and no outgoing connection uses.
+
+    With ports below the ephemeral range, a port is still free when its process is replaced.
+    """
     pid = os.getpid()
     return f"127.{64 + (pid >> 16) % 64}.{(pid >> 8) % 256}.{pid % 254 + 1}"
 
 
-def settings(experiment: Experiment, number: int) -> dict[str, Any]:
-    """A sidecar's own file. One of them has no class `rare`: it objects to what names it."""
-    rows: list[dict[str, Any]] = [
+def settings(experiment: Experiment, number: int) -> dict[str, object]:
+    """Return a sidecar's own settings; the last sidecar lacks the class `rare` and objects to it."""
+    rows: list[dict[str, object]] = [
         {"Name": "look", "Semantics": "pure", "Objective": 500.0, "Deadline": 2000.0},
         {
             "Name": "book",
@@ -75,7 +76,7 @@
 
 
 class Environment:
-    """Everything that runs."""
+    """The processes and proxies of a play."""
 
     def __init__(self, experiment: Experiment, folder: Path, group: ProcessGroup) -> None:
         self.experiment = experiment
@@ -90,7 +91,7 @@
         self.listens = [f"{self.host}:{next(self._ports)}" for _ in range(experiment.sidecars)]
         self.sidecars: list[MemberProcess | None] = [None] * experiment.sidecars
         self._replacing = [asyncio.Lock() for _ in range(experiment.sidecars)]
-        self.away: list[Away] = []
+        self.absences: list[Absence] = []
         self.tier = (
             Tier(experiment, folder, group, self.host, self._ports) if experiment.aggregators else None
         )
@@ -101,67 +102,67 @@
         return self.experiment.delay_ms[number % len(self.experiment.regions)] / 1000.0
 
     async def start(self) -> None:
-        """All of it, until each sidecar serves."""
-        await self.service("main")
+        """Start all processes and wait until each sidecar serves."""
+        await self.start_service("main")
         if self.tier is not None:
-            await self.tier.start(self.where("main"))
+            await self.tier.start(self.address("main"))
         for number in range(self.experiment.sidecars):
             self.control_proxies.append(await self._control_proxies(number))
         await asyncio.gather(*(self._server(number) for number in range(self.experiment.servers)))
         for number in range(self.experiment.sidecars):
-            await self.sidecar(number)
-        await asyncio.gather(*(self.serving(number) for number in range(self.experiment.sidecars)))
+            await self.start_sidecar(number)
+        await asyncio.gather(*(self.wait_until_serving(number) for number in range(self.experiment.sidecars)))
 
     async def _control_proxies(self, number: int) -> list[ControlProxy]:
         if self.tier is not None and number >= self.experiment.direct:
             return await self.tier.children(number)
-        proxy = ControlProxy(self.where("main"))
+        proxy = ControlProxy(self.address("main"))
         await proxy.start(self.host)
         return [proxy]
 
     # --- the list service ---------------------------------------------------------------
 
-    def disk(self, name: str) -> Path:
-        """Where a service keeps what must last."""
+    def data_folder(self, name: str) -> Path:
+        """Return the data folder of a service."""
         return self.folder / f"disk-{name}"
 
-    def at(self, name: str) -> str:
-        """Where a service listens."""
+    def endpoint(self, name: str) -> str:
+        """Return `host:port` of a service."""
         return f"{self.host}:{self.ports[name]}"
 
-    def where(self, name: str) -> tuple[str, int]:
-        """The same as a pair."""
-        return self.host, self.ports[name]
+    def address(self, name: str) -> Address:
+        """Return the address where a service listens."""
+        return Address(self.host, self.ports[name])
 
-    def lead(self, who: list[int], name: str) -> None:
-        """Lead some sidecars to another service; where there are aggregators, half of those."""
+    def redirect(self, numbers: list[int], name: str) -> None:
+        """Redirect sidecars to another service, and half of the aggregators."""
         if self.tier is not None:
             for number in range((self.experiment.aggregators + 1) // 2):
-                self.tier.lead(number, self.where(name))
-            who = [number for number in who if number < self.experiment.direct]
-        for number in who:
+                self.tier.redirect(number, self.address(name))
+            numbers = [number for number in numbers if number < self.experiment.direct]
+        for number in numbers:
             for proxy in self.control_proxies[number]:
-                proxy.turn(self.where(name))
+                proxy.redirect(self.address(name))
 
-    def links(self) -> list[ControlProxy]:
-        """Everything that leads to a service or an aggregator."""
+    def all_proxies(self) -> list[ControlProxy]:
+        """Return all proxies that lead to a service or an aggregator."""
         own = [proxy for proxies in self.control_proxies for proxy in proxies]
-        return own if self.tier is None else [*own, *self.tier.above, *self.tier.fronts]
+        return own if self.tier is None else [*own, *self.tier.upstream_proxies, *self.tier.entry_proxies]
 
-    def above(self) -> list[ControlProxy]:
-        """What leads to a service alone."""
+    def service_proxies(self) -> list[ControlProxy]:
+        """Return the proxies that lead to a service."""
         direct = self.control_proxies if self.tier is None else self.control_proxies[: self.experiment.direct]
         own = [proxy for proxies in direct for proxy in proxies]
-        return own if self.tier is None else [*own, *self.tier.above]
+        return own if self.tier is None else [*own, *self.tier.upstream_proxies]
 
-    async def service(self, name: str) -> None:
-        """Start one on its disk, as it is."""
+    async def start_service(self, name: str) -> None:
+        """Start a service on its present data folder."""
         port = self.ports.setdefault(name, next(self._ports))
         file = self.folder / f"service-{name}.toml"
         lines = [
             "[registry]",
             f'listen = "{self.host}:{port}"',
-            f"data = {json.dumps(str(self.disk(name)))}",
+            f"data = {json.dumps(str(self.data_folder(name)))}",
             "[registry.agreement]",
             f"agree_ms = {self.experiment.agree_ms}",
         ]
@@ -172,17 +173,13 @@
         await member.report("ready")
 
     async def kill(self, name: str) -> None:
-        """End a service without a warning."""
-        member = self.services[name]
-        if member.alive:
-            member.ending = True
-            member.process.kill()
-        await member.wait()
+        """Kill a service with SIGKILL."""
+        await end_process(self.services[name], planned=False)
 
     def copy(self, name: str, to: Path) -> None:
-        """A copy of a disk, as it is at this moment."""
+        """Copy the data folder of a service in its present state."""
         shutil.rmtree(to, ignore_errors=True)
-        shutil.copytree(self.disk(name), to)
+        shutil.copytree(self.data_folder(name), to)
 
     # --- servers --------------------------------------------------------------------------
 
@@ -191,11 +188,11 @@
         await server_proxy.start(self.host)
         listen = f"{self.host}:{next(self._ports)}"
         host, _, port = listen.rpartition(":")
-        server_proxy.upstream = (host, int(port))
+        server_proxy.upstream = Address(host, int(port))
         region = self.experiment.regions[number % len(self.experiment.regions)]
         command = [
             *(sys.executable, "-m", "brassfall", "lab", "server", name),
-            *("--registry", self.at("main"), "--listen", listen, "--advertise", server_proxy.address),
+            *("--registry", self.endpoint("main"), "--listen", listen, "--advertise", server_proxy.address),
             *("--zone", region, "--ledger", str(self.folder / f"ledger-{name}.jsonl")),
         ]
         member = await self.group.start(name, "server", command)
@@ -203,8 +200,8 @@
 
     # --- sidecars ---------------------------------------------------------------------------
 
-    async def sidecar(self, number: int) -> MemberProcess:
-        """Start one as the platform does."""
+    async def start_sidecar(self, number: int) -> MemberProcess:
+        """Start a sidecar by its `run` command."""
         folder = self.folder / f"sidecar-{number}"
         folder.mkdir(exist_ok=True)
         file = folder / "config.json"
@@ -233,70 +230,61 @@
         self.sidecars[number] = member
         return member
 
-    async def serving(self, number: int) -> None:
+    async def wait_until_serving(self, number: int) -> None:
         """Wait until a request through a sidecar is answered by a server."""
         headers = {"X-Call-Id": f"{number:04x}1{2**40:011x}", "X-Call-Class": "look", "X-Budget": "1000m"}
         headers["X-Caller"] = TENANTS[-1]
         limit = aiohttp.ClientTimeout(total=1.5)
         async with aiohttp.ClientSession(timeout=limit) as session:
-            for _ in range(int(READY_S / 0.05)):
+            for _ in range(int(READY_S / POLL_S)):
                 member = self.sidecars[number]
                 if member is not None and not member.alive:
-                    raise PlayError(f"{member.name} ended: {member.last}")
+                    text = f"{member.name} ended: {member.last}"
+                    raise PlayError(text)
                 with contextlib.suppress(aiohttp.ClientError, OSError, TimeoutError):
                     url = f"http://{self.listens[number]}/look/first"
                     async with session.get(url, headers=headers) as answer:
                         if answer.status == 200:
                             return
-                await asyncio.sleep(0.05)
-        raise PlayError(f"sidecar {number}: no answer within {READY_S:g} s")
+                await asyncio.sleep(POLL_S)
+        text = f"sidecar {number}: no answer within {READY_S:g} s"
+        raise PlayError(text)
 
-    async def pause(self, number: int, span: float) -> None:
-        """SIGSTOP, and SIGCONT after a while."""
+    async def pause(self, number: int, duration_s: float) -> None:
+        """Stop a sidecar with SIGSTOP, and continue it after `duration_s`."""
         member, since = self.sidecars[number], now()
         if member is None or not member.alive:
             return
-        member.process.send_signal(signal.SIGSTOP)
         try:
-            await asyncio.sleep(span)
+            await pause_process(member, duration_s)
         finally:
-            if member.alive:
-                member.process.send_signal(signal.SIGCONT)
-            self.away.append(Away(number, since, now() + SETTLE_S))
+            self.absences.append(Absence(number, since, now() + SETTLE_S))
 
-    async def replace(self, number: int, planned: bool, wait: float = 0.0) -> None:
-        """End one, with a warning or without, and start its follower."""
+    async def replace(self, number: int, *, planned: bool, wait_s: float = 0.0) -> None:
+        """End a sidecar, by SIGTERM if `planned`, and start another in its place after `wait_s`."""
         async with self._replacing[number]:
-            await self._replace(number, planned, wait)
+            await self._replace(number, planned=planned, wait_s=wait_s)
 
-    async def _replace(self, number: int, planned: bool, wait: float) -> None:
+    async def _replace(self, number: int, *, planned: bool, wait_s: float) -> None:
         member, since = self.sidecars[number], now()
         if member is None or not member.alive:
             return
-        member.ending = True
-        if planned:
-            member.process.terminate()
-            with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(LEAVE_S):
-                    await member.process.wait()
-        if member.alive:
-            member.process.kill()
-        await member.wait()
-        await asyncio.sleep(wait)
-        await self.sidecar(number)
-        await self.serving(number)
-        self.away.append(Away(number, since, now() + SETTLE_S))
-
-    def crashed(self) -> list[str]:
-        """Whoever ended and was not meant to."""
+        await end_process(member, planned=planned)
+        await asyncio.sleep(wait_s)
+        await self.start_sidecar(number)
+        await self.wait_until_serving(number)
+        self.absences.append(Absence(number, since, now() + SETTLE_S))
+
+    def unexpected_ends(self) -> list[str]:
+        """Return a text for each process that ended unexpectedly."""
         found = [a for a in self.group.members if not a.alive and not a.ending]
         return [f"{a.name} ended with {a.process.returncode}: {a.last}" for a in found]
 
     def close(self) -> None:
-        """Close what listens here."""
+        """Close all proxies."""
         for server_proxy in self.server_proxies:
             with contextlib.suppress(AttributeError):
                 server_proxy.close()
-        for proxy in self.links():
+        for proxy in self.all_proxies():
             with contextlib.suppress(AttributeError):
                 proxy.close()
--- a/brassfall/lab/revision_chaos/judge.py
+++ b/brassfall/lab/revision_chaos/judge.py
@@ -1,4 +1,4 @@
-"""Judges a play from servers' ledgers and clients' books alone: pure, and nobody's own word is taken.
+"""Judge a play by the ledgers of servers and the records of clients alone, without side effects.
 
 All times are seconds of the machine's one monotonic clock. What the observer can't tell is an
 *allowance*: the way from a sidecar to a server, and how late the observing processes ran.
@@ -11,10 +11,10 @@
 
 import msgspec
 
-SAFE = "safe"
-DOUBTFUL_S = 0.5  # an observer that ran later than this can accuse nobody
+FALLBACK = "safe"
+DOUBTFUL_S = 0.5  # an observer that ran later than this does not count
 LATE_S = 0.5  # an override may be acted on so long after its end
-BACK_S = 0.5  # two revisions take longer: nobody goes to another region and back in that time
+BACK_S = 0.5  # two revisions take longer: no tenant goes to another region and back in that time
 TEXTS_MOST = 5  # of each rule; the rest is counted
 
 
@@ -33,17 +33,17 @@
     tenant: str = ""
 
 
-class Asked(msgspec.Struct, frozen=True):
+class ClientRequest(msgspec.Struct, frozen=True):
     """One request as its client saw it."""
 
     id: str
     sidecar: int
     sent: float
     end: float
-    how: str  # a status, "unreached", "broken" or "silent"
+    outcome: str  # a status, "unreached", "broken" or "silent"
 
 
-class Away(msgspec.Struct, frozen=True):
+class Absence(msgspec.Struct, frozen=True):
     """When a sidecar was stopped, or not there, by the play's own doing."""
 
     sidecar: int
@@ -65,7 +65,7 @@
 
     agree_s: float
     key_s: float  # how long a key keeps a repeat from being run again
-    held: Mapping[int, Sequence[str]]  # regions that each revision holds off
+    held_regions: Mapping[int, Sequence[str]]  # regions that each revision holds off
     homes: Mapping[int, Mapping[str, str]] = {}  # the region of each tenant that a revision pins
     pins: Sequence[Pin] = ()
     exclusive: bool = True  # whether this program acts on held regions
@@ -94,10 +94,9 @@
     override_ms: float | None = None  # the latest that a pin was acted on, from its end on
     sticky: int = msgspec.field(default=0, name="pinned")  # sends that a sticky tenant decided
     sends: int = 0
-    safe: int = 0
-    safe_into_held: int = (
-        0  # under the fallback configuration, by sidecars that may not know of that revision
-    )
+    fallback: int = msgspec.field(default=0, name="safe")
+    # Under the fallback configuration, by sidecars that may not know of the revision that holds the region.
+    fallback_into_held: int = msgspec.field(default=0, name="safe_into_held")
     revisions: int = msgspec.field(default=0, name="editions")
     asked: int = 0
     answers: dict[str, int] = {}
@@ -111,6 +110,8 @@
 
 
 class _Findings:
+    """The broken rules of a play: all counted, the first of each with a text."""
+
     def __init__(self) -> None:
         self.findings: list[Finding] = []
         self.broken: Counter[str] = Counter()
@@ -130,37 +131,39 @@
         self.last = calls[-1]
 
 
-def judge(calls: Iterable[Call], asked: Sequence[Asked], away: Sequence[Away], terms: Terms) -> Verdict:
-    """All rules, over one play."""
+def judge(
+    calls: Iterable[Call], asked: Sequence[ClientRequest], away: Sequence[Absence], terms: Terms
+) -> Verdict:
+    """Check all rules over one play."""
     rows = sorted(calls, key=lambda call: call.at)
-    findings, made = _Findings(), Verdict(counts=terms.late_s <= DOUBTFUL_S)
+    findings, verdict = _Findings(), Verdict(counts=terms.late_s <= DOUBTFUL_S)
     under: dict[int, list[Call]] = defaultdict(list)
     for call in rows:
         if isinstance(call.revision, int):
             under[call.revision].append(call)
-        elif call.revision != SAFE:
+        elif call.revision != FALLBACK:
             findings.add("no-stamp", f"{call.id} reached {call.server} with the stamp {call.revision!r}")
     activities = {number: _Activity(found) for number, found in sorted(under.items())}
-    made.sends, made.revisions = len(rows), len(activities)
-    made.safe = sum(call.revision == SAFE for call in rows)
-    made.unknown = sum(number != 0 and number not in terms.held for number in activities)
-    made.contradiction_ms = _contradictions(activities, terms, findings)
-    made.held_ms, made.safe_into_held = _check_held_regions(rows, activities, terms, findings)
-    _reached(rows, terms, made)
-    made.override_ms, made.sticky = _pins(rows, terms, findings)
-    _apart([call for call in rows if _home(call, terms)], terms, findings)
-    _twice(rows, terms, findings)
-    made.asked = len(asked)
-    made.answers = dict(sorted(Counter(row.how for row in asked).items()))
-    _lost(asked, away, terms, findings)
-    made.findings, made.broken = findings.findings, dict(findings.broken)
-    return made
-
-
-def _contradictions(activities: Mapping[int, _Activity], terms: Terms, findings: _Findings) -> float:
-    """The longest span in ms for which two revisions were acted on side by side."""
+    verdict.sends, verdict.revisions = len(rows), len(activities)
+    verdict.fallback = sum(call.revision == FALLBACK for call in rows)
+    verdict.unknown = sum(number != 0 and number not in terms.held_regions for number in activities)
+    verdict.contradiction_ms = _check_contradictions(activities, terms, findings)
+    verdict.held_ms, verdict.fallback_into_held = _check_held_regions(rows, activities, terms, findings)
+    _record_reach_times(rows, terms, verdict)
+    verdict.override_ms, verdict.sticky = _check_pins(rows, terms, findings)
+    _check_two_regions([call for call in rows if _home_region(call, terms)], terms, findings)
+    _check_repeats(rows, terms, findings)
+    verdict.asked = len(asked)
+    verdict.answers = dict(sorted(Counter(row.outcome for row in asked).items()))
+    _check_lost(asked, away, findings)
+    verdict.findings, verdict.broken = findings.findings, dict(findings.broken)
+    return verdict
+
+
+def _check_contradictions(activities: Mapping[int, _Activity], terms: Terms, findings: _Findings) -> float:
+    """Return the longest span in ms for which two revisions were acted on side by side."""
     worst, allowed = 0.0, terms.agree_s + terms.link_s + terms.late_s
-    # The newer has the greater number, whenever it was first seen: nobody may go back.
+    # The newer has the greater number, whenever it was first seen: no sidecar may go back.
     ordered = list(activities.items())
     for place, (older, before) in enumerate(ordered):
         for newer, after in ordered[place + 1 :]:
@@ -183,11 +186,11 @@
 def _check_held_regions(
     rows: Sequence[Call], activities: Mapping[int, _Activity], terms: Terms, findings: _Findings
 ) -> tuple[float, int]:
-    """How late in ms a region was sent to that another revision held; and how often under the fallback."""
+    """Return how late in ms a region was sent to that another revision held, and how often under fallback."""
     worst, safe = 0.0, 0
     allowed = terms.link_s + terms.late_s
     for call in rows:
-        if isinstance(call.revision, int) and call.zone in terms.held.get(call.revision, ()):
+        if isinstance(call.revision, int) and call.zone in terms.held_regions.get(call.revision, ()):
             if terms.exclusive:
                 text = f"{call.id} reached {call.zone} under {call.revision}, which holds it off"
                 findings.add("held-by-own", text)
@@ -195,7 +198,7 @@
         found = _holder(call, activities, terms)
         if found is None:
             continue
-        if call.revision == SAFE:
+        if call.revision == FALLBACK:
             safe += 1
             continue
         span = call.at - activities[found].first.at
@@ -209,21 +212,21 @@
 
 
 def _holder(call: Call, activities: Mapping[int, _Activity], terms: Terms) -> int | None:
-    """The revision newer than a send's own that others act on, and that holds its region off."""
+    """Return the revision newer than a send's own that others act on, and that holds its region off."""
     own = call.revision if isinstance(call.revision, int) else -1
     found = None
     for number, activity in activities.items():
         if number <= own or activity.first.at >= call.at:
             continue
-        if call.zone not in terms.held.get(number, ()):
+        if call.zone not in terms.held_regions.get(number, ()):
             found = None  # a later one opens it again, or says nothing of it
         elif found is None:
             found = number if activity.first.sidecar != call.sidecar else None
     return found
 
 
-def _reached(rows: Sequence[Call], terms: Terms, made: Verdict) -> None:
-    """How long revisions took to be acted on; as fine as requests are close."""
+def _record_reach_times(rows: Sequence[Call], terms: Terms, verdict: Verdict) -> None:
+    """Record how long revisions took to be acted on; the spacing of requests limits the precision."""
     sidecars = {call.sidecar for call in rows}
     begun = [call for call in rows if isinstance(call.revision, int)]
     for number, published in sorted(terms.committed.items()):
@@ -235,24 +238,27 @@
                     break
         reached = sorted(spans.values())
         if len(reached) < len(sidecars):
-            made.unreached += 1
+            verdict.unreached += 1
             continue
-        made.first_ms.append(reached[0])
-        made.half_ms.append(reached[(len(reached) - 1) // 2])
-        made.all_ms.append(reached[-1])
+        verdict.first_ms.append(reached[0])
+        verdict.half_ms.append(reached[(len(reached) - 1) // 2])
+        verdict.all_ms.append(reached[-1])
 
 
-def _home(call: Call, terms: Terms) -> str:
-    """The region that a send's revision pins its tenant to, if it does."""
+def _home_region(call: Call, terms: Terms) -> str:
+    """Return the region that a send's revision pins its tenant to, if it does."""
     found = terms.homes.get(call.revision, {}) if isinstance(call.revision, int) else {}
     return found.get(call.tenant, "")
 
 
-def _pins(rows: Sequence[Call], terms: Terms, findings: _Findings) -> tuple[float | None, int]:
-    """The latest in ms that a pin was acted on after its end (less than 0: before it), and how many sends."""
+def _check_pins(rows: Sequence[Call], terms: Terms, findings: _Findings) -> tuple[float | None, int]:
+    """Return how late in ms a pin was acted on after its end, and how many sends a pin decided.
+
+    A latest time below 0 is before the end; None stands for no such send.
+    """
     latest, count = None, 0
     for call in rows:
-        if _home(call, terms) in ("", call.zone):
+        if _home_region(call, terms) in ("", call.zone):
             continue
         begun = [p for p in terms.pins if (p.tenant, p.region) == (call.tenant, call.zone)]
         begun = [p for p in begun if p.since <= call.at]
@@ -270,8 +276,8 @@
     return None if latest is None else latest * 1000.0, count
 
 
-def _apart(rows: Sequence[Call], terms: Terms, findings: _Findings) -> None:
-    """Whether a pinned tenant was served by two regions at once: to another one and back, in no time."""
+def _check_two_regions(rows: Sequence[Call], terms: Terms, findings: _Findings) -> None:
+    """Find sticky tenants that moved to another region and back within `BACK_S`."""
     apart = terms.link_s + terms.late_s
     last: dict[str, list[Call]] = defaultdict(list)  # of each tenant: the last of each run in one region
     for call in rows:
@@ -292,8 +298,8 @@
             )
 
 
-def _twice(rows: Sequence[Call], terms: Terms, findings: _Findings) -> None:
-    """Requests that ran more often than their class allows."""
+def _check_repeats(rows: Sequence[Call], terms: Terms, findings: _Findings) -> None:
+    """Find requests that ran more often than their class allows."""
     ids: dict[str, list[Call]] = defaultdict(list)
     keys: dict[str, list[Call]] = defaultdict(list)
     for call in rows:
@@ -310,14 +316,14 @@
             findings.add("key-outlived", f"key {key} ran again after {span * 1000.0:.0f} ms")
 
 
-def _lost(asked: Sequence[Asked], away: Sequence[Away], terms: Terms, findings: _Findings) -> None:
-    """Requests without an end, at sidecars that were there all the time."""
-    spans: dict[int, list[Away]] = defaultdict(list)
+def _check_lost(asked: Sequence[ClientRequest], away: Sequence[Absence], findings: _Findings) -> None:
+    """Find requests without an answer at sidecars that ran all the time."""
+    spans: dict[int, list[Absence]] = defaultdict(list)
     for span in away:
         spans[span.sidecar].append(span)
     for row in asked:
         excused = any(s.since <= row.end and row.sent <= s.until for s in spans[row.sidecar])
-        if row.how in ("silent", "broken", "unreached") and not excused:
+        if row.outcome in ("silent", "broken", "unreached") and not excused:
             findings.add(
-                "lost", f"{row.id} to sidecar {row.sidecar}: {row.how} after {row.end - row.sent:.2f} s"
+                "lost", f"{row.id} to sidecar {row.sidecar}: {row.outcome} after {row.end - row.sent:.2f} s"
             )
--- a/brassfall/lab/revision_chaos/play.py
+++ b/brassfall/lab/revision_chaos/play.py
@@ -13,9 +13,8 @@
 import sys
 import threading
 import time
-from collections.abc import Awaitable, Callable
+from collections.abc import AsyncIterator, Awaitable, Callable
 from pathlib import Path
-from typing import Any
 
 import msgspec
 
@@ -56,76 +55,105 @@
 
     @property
     def passed(self) -> bool:
-        """Whether every rule held and nothing ended that was not meant to."""
+        """True if no rule was broken and no process ended unexpectedly."""
         return not self.verdict.findings and not self.crashes
 
 
+class LedgerRow(msgspec.Struct, frozen=True):
+    """One line of a server's ledger."""
+
+    id: str
+    server: str
+    zone: str
+    at: float
+    ran: bool
+    call_class: str = msgspec.field(name="class")
+    key: str | None
+    revision: str | None = msgspec.field(name="edition", default=None)
+
+
 Script = Callable[[Faults], Awaitable[None]]
 
 
 async def play(experiment: Experiment, seed: int, folder: Path, script: Script | None = None) -> Result:
     """Start everything, play the schedule, end everything, and judge.
 
-    A `script` takes the place of the schedule: the play is over when it is, and after `told.seconds` at
-    the latest."""
+    A `script` takes the place of the schedule: the play is over when it is, and after `experiment.seconds` at
+    the latest.
+    """
     group, lateness = ProcessGroup(folder / "logs"), Lateness()
     environment, publisher = Environment(experiment, folder, group), Publisher(experiment.regions)
     faults = Faults(environment, publisher)
-    await group.open()
+    async with _running(environment, publisher, lateness):
+        begun = now()
+        answers = await _perform(environment, faults, script, seed, begun)
+        crashes = environment.unexpected_ends()
+    verdict = judge.judge(
+        [call for call in _calls(folder) if call.at >= begun],
+        [request for client_requests in answers for request in client_requests],
+        environment.absences,
+        _terms(environment, publisher, late_ms=lateness.most, slowest_s=_slowest(experiment, seed)),
+    )
+    return Result(
+        seed=seed,
+        verdict=verdict,
+        events=faults.events,
+        published=publisher.outcomes,
+        states=_states(publisher),
+        late_ms=lateness.most,
+        crashes=crashes,
+        held_regions=publisher.held_regions,
+        delayed=sum(proxy.delayed for proxy in environment.all_proxies()),
+    )
+
+
+@contextlib.asynccontextmanager
+async def _running(environment: Environment, publisher: Publisher, lateness: Lateness) -> AsyncIterator[None]:
+    """Start all processes and observers, and end them on the way out."""
+    await environment.group.open()
     await publisher.open()
     helpers: list[asyncio.Task[None]] = []
     try:
         await environment.start()
         helpers = [
             asyncio.create_task(lateness.measure()),
-            asyncio.create_task(publisher.observe(environment.at("main"))),
+            asyncio.create_task(publisher.observe(environment.endpoint("main"))),
         ]
-        begun = now()
-        answers = await _perform(environment, faults, script, seed, begun)
-        crashes = environment.crashed()
+        yield
     finally:
         for task in helpers:
             task.cancel()
         await publisher.close()
         environment.close()
-        await group.close()
-    verdict = judge.judge(
-        [call for call in _calls(folder) if call.at >= begun],
-        [row for answers in answers for row in answers],
-        environment.away,
-        judge.Terms(
-            agree_s=experiment.agree_ms / 1000.0,
-            key_s=KEY_MS / 1000.0,
-            held=publisher.held_regions,
-            homes=publisher.homes,
-            pins=publisher.pins,
-            exclusive=experiment.exclusive,
-            committed={
-                number: sent
-                for number, sent in publisher.sent.items()
-                if publisher.states.get(number) == "committed"
-            },
-            link_s=max(proxy.delay_s for proxy in environment.server_proxies) + _slowest(experiment, seed),
-            late_s=lateness.most / 1000.0,
-        ),
-    )
-    return Result(
-        seed,
-        verdict,
-        faults.events,
-        publisher.outcomes,
-        _states(publisher),
-        lateness.most,
-        crashes,
-        publisher.held_regions,
-        sum(proxy.delayed for proxy in environment.links()),
+        await environment.group.close()
+
+
+def _terms(
+    environment: Environment, publisher: Publisher, *, late_ms: float, slowest_s: float
+) -> judge.Terms:
+    """Return what a play is judged against, by what was published in it."""
+    experiment = environment.experiment
+    return judge.Terms(
+        agree_s=experiment.agree_ms / 1000.0,
+        key_s=KEY_MS / 1000.0,
+        held_regions=publisher.held_regions,
+        homes=publisher.homes,
+        pins=publisher.pins,
+        exclusive=experiment.exclusive,
+        committed={
+            number: sent
+            for number, sent in publisher.sent.items()
+            if publisher.states.get(number) == "committed"
+        },
+        link_s=max(proxy.delay_s for proxy in environment.server_proxies) + slowest_s,
+        late_s=late_ms / 1000.0,
     )
 
 
 def _slowest(experiment: Experiment, seed: int) -> float:
-    """By how much links are slowed at most."""
+    """Return the largest added delay of links, in seconds."""
     return max(
-        (step.by for step in schedule.sample(experiment, seed) if step.do == "slow-links"), default=0.0
+        (step.value for step in schedule.sample(experiment, seed) if step.action == "slow-links"), default=0.0
     )
 
 
@@ -138,8 +166,8 @@
 
 async def _perform(
     environment: Environment, faults: Faults, script: Script | None, seed: int, begun: float
-) -> list[list[judge.Asked]]:
-    """Clients throughout, and each step when it is due."""
+) -> list[list[judge.ClientRequest]]:
+    """Run the clients throughout, and each step when it is due."""
     experiment = environment.experiment
     applications = [
         clients.Client(number, listen, experiment.rate, seed)
@@ -169,37 +197,37 @@
 
 async def _step(faults: Faults, step: Step, begun: float) -> None:
     await asyncio.sleep(max(0.0, begun + step.at - now()))
-    await faults.take(step)
+    await faults.carry_out(step)
 
 
 def _calls(folder: Path) -> list[judge.Call]:
-    """What all servers wrote down; a line that was cut off by a server's end says nothing."""
-    found = []
+    """Read the ledgers of all servers; a line cut short by a server's end is left out."""
+    rows = []
     for path in sorted(folder.glob("ledger-*.jsonl")):
         for line in path.read_bytes().splitlines():
             with contextlib.suppress(msgspec.DecodeError):
-                found.append(_call(msgspec.json.decode(line)))
-    return found
+                rows.append(msgspec.json.decode(line))
+    return [_call(msgspec.convert(row, LedgerRow)) for row in rows]
 
 
-def _call(row: dict[str, Any]) -> judge.Call:
-    stamp = row.get("edition")
+def _call(row: LedgerRow) -> judge.Call:
+    stamp = row.revision
     return judge.Call(
-        id=row["id"],
-        sidecar=clients.sidecar_of(row["id"]),
-        server=row["server"],
-        zone=row["zone"],
+        id=row.id,
+        sidecar=clients.sidecar_of(row.id),
+        server=row.server,
+        zone=row.zone,
         revision=int(stamp) if stamp is not None and stamp.isdigit() else stamp,
-        at=row["at"],
-        unsafe=row["class"] == "pay",
-        key=row["key"] or "",
-        ran=row["ran"],
-        tenant=clients.tenant_of(row["id"]),
+        at=row.at,
+        unsafe=row.call_class == "pay",
+        key=row.key or "",
+        ran=row.ran,
+        tenant=clients.tenant_of(row.id),
     )
 
 
 def _end_with(source: int, loop: asyncio.AbstractEventLoop, task: asyncio.Task[Result]) -> None:
-    """Come to an end when whoever started this is gone."""
+    """Cancel the play when the process that started it is gone."""
 
     def wait() -> None:
         while os.read(source, 4096):
@@ -221,7 +249,7 @@
 
 
 def main() -> int:
-    """Carry out one order; the exit status."""
+    """Carry out one order and return the exit status."""
     order = msgspec.json.decode(sys.stdin.buffer.readline(), type=Order)
     folder = Path(order.folder)
     try:
--- a/brassfall/lab/revision_chaos/proxies.py
+++ b/brassfall/lab/revision_chaos/proxies.py
@@ -1,70 +1,108 @@
-"""What stands between the processes of a play: links with a delay, and a door to the list service that fails.
+"""Proxies between the processes of a play: links with a delay, and a partitionable way to the list service.
 
-A cut holds bytes back as a network does, rather than closing connections: what was held comes late, if
-whoever waits for it still does.
+A partition delays bytes as a network does, rather than closing connections: they arrive after it heals if
+the connection is still open.
 """
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
+import enum
 import re
 from collections.abc import Callable
+from dataclasses import dataclass
+from typing import NamedTuple
 
 READ = 65_536
 LENGTH = re.compile(rb"\r\ncontent-length: *([0-9]+)", re.IGNORECASE)
-REPORT, REVISIONS, LISTS, OTHER = "reports", "editions", "lists", "other"
-ASK, ANSWER = "ask", "answer"
 GONE = (OSError, asyncio.IncompleteReadError, asyncio.LimitOverrunError)
 
 
-def kind_of(head: bytes) -> str:
-    """What a call of a sidecar, or of an aggregator, is about, by its first line."""
+class CallKind(enum.Enum):
+    """What a call of a sidecar or an aggregator is about."""
+
+    REPORT = enum.auto()
+    REVISIONS = enum.auto()
+    LISTS = enum.auto()
+    OTHER = enum.auto()
+
+
+class Direction(enum.Enum):
+    """Which way bytes pass through a proxy."""
+
+    REQUEST = enum.auto()
+    ANSWER = enum.auto()
+
+
+class Partition(NamedTuple):
+    """One kind of call that does not pass, in one direction."""
+
+    kind: CallKind
+    direction: Direction
+
+
+class Address(NamedTuple):
+    """Where a process listens."""
+
+    host: str
+    port: int
+
+
+@dataclass(slots=True)
+class _Connection:
+    """A connection through a control proxy: the kind of the latest call on it."""
+
+    kind: CallKind = CallKind.OTHER
+
+
+def kind_of(head: bytes) -> CallKind:
+    """Return what a call is about, by its request line."""
     method, _, rest = head.partition(b" ")
     if method == b"POST" and rest.startswith((b"/edges/", b"/aggregators/")):
-        return REPORT
+        return CallKind.REPORT
     if method == b"GET" and rest.startswith(b"/rules"):
-        return REVISIONS
-    return LISTS if rest.startswith(b"/registry/") else OTHER
+        return CallKind.REVISIONS
+    return CallKind.LISTS if rest.startswith(b"/registry/") else CallKind.OTHER
 
 
 class ControlProxy:
     """The way of a sidecar, or of an aggregator, to the list service; or of a sidecar to an aggregator."""
 
-    def __init__(self, upstream: tuple[str, int]) -> None:
+    def __init__(self, upstream: Address) -> None:
         self.upstream = upstream
-        self._partitions: set[tuple[str, str]] = set()
+        self._partitions: set[Partition] = set()
         self._open = asyncio.Event()  # set, and another in its place, whenever something heals
         self._server: asyncio.Server
         self._tasks: set[asyncio.Task[None]] = set()
         self.late_s = 0.0  # for each answer
-        self.delayed = 0  # how often something met a cut
+        self.delayed = 0  # messages that met a partition
         self.address = ""
 
     async def start(self, host: str) -> None:
-        """Listen."""
+        """Begin to listen."""
         self._server = await asyncio.start_server(self._accept, host, 0)
         host, port = self._server.sockets[0].getsockname()[:2]
         self.address = f"{host}:{port}"
 
-    def partition(self, kind: str, direction: str) -> None:
-        """Let nothing of a kind pass, one way."""
-        self._partitions.add((kind, direction))
+    def partition(self, partition: Partition) -> None:
+        """Let nothing of a kind pass in one direction."""
+        self._partitions.add(partition)
 
-    def heal(self, kind: str, direction: str) -> None:
-        """Let it pass again, with what was held."""
-        self._partitions.discard((kind, direction))
+    def heal(self, partition: Partition) -> None:
+        """End a partition; what it delayed passes."""
+        self._partitions.discard(partition)
         self._open.set()
         self._open = asyncio.Event()
 
-    def turn(self, upstream: tuple[str, int]) -> None:
-        """Lead elsewhere from now on; what was open is broken."""
+    def redirect(self, upstream: Address) -> None:
+        """Lead to another upstream, and break the open connections."""
         self.upstream = upstream
         for task in self._tasks:
             task.cancel()
 
     def close(self) -> None:
-        """End."""
+        """Stop listening and close the open connections."""
         self._server.close()
         for task in self._tasks:
             task.cancel()
@@ -82,9 +120,9 @@
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         up_reader, up_writer = await asyncio.open_connection(*self.upstream)
-        kind = [OTHER]
-        back = asyncio.create_task(self._back(up_reader, writer, kind))
-        asks = asyncio.create_task(self._asks(reader, up_writer, kind))
+        connection = _Connection()
+        back = asyncio.create_task(self._back(up_reader, writer, connection))
+        asks = asyncio.create_task(self._asks(reader, up_writer, connection))
         try:
             await asyncio.wait((back, asks), return_when=asyncio.FIRST_COMPLETED)
         finally:
@@ -94,31 +132,31 @@
             up_writer.close()
 
     async def _asks(
-        self, reader: asyncio.StreamReader, up_writer: asyncio.StreamWriter, kind: list[str]
+        self, reader: asyncio.StreamReader, up_writer: asyncio.StreamWriter, connection: _Connection
     ) -> None:
         while True:
             head = await reader.readuntil(b"\r\n\r\n")
             length = LENGTH.search(head)
             body = await reader.readexactly(int(length[1])) if length else b""
-            kind[0] = kind_of(head)
-            await self._pass(kind[0], ASK)
+            connection.kind = kind_of(head)
+            await self._pass(Partition(connection.kind, Direction.REQUEST))
             up_writer.write(head + body)
             await up_writer.drain()
 
     async def _back(
-        self, up_reader: asyncio.StreamReader, writer: asyncio.StreamWriter, kind: list[str]
+        self, up_reader: asyncio.StreamReader, writer: asyncio.StreamWriter, connection: _Connection
     ) -> None:
         while data := await up_reader.read(READ):
-            await self._pass(kind[0], ANSWER)
+            await self._pass(Partition(connection.kind, Direction.ANSWER))
             if self.late_s:
                 await asyncio.sleep(self.late_s)
             writer.write(data)
             await writer.drain()
 
-    async def _pass(self, kind: str, direction: str) -> None:
-        if (kind, direction) in self._partitions:
+    async def _pass(self, partition: Partition) -> None:
+        if partition in self._partitions:
             self.delayed += 1
-        while (kind, direction) in self._partitions:
+        while partition in self._partitions:
             await self._open.wait()
 
 
@@ -136,7 +174,7 @@
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Whatever came for this end meanwhile goes out."""
+        """Write the bytes that arrived before the connection was made."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         for data in self._early:
@@ -154,28 +192,28 @@
         if self.other is not None:
             self._loop.call_at(self._due, self.other.put, data)
 
-    def connection_lost(self, exc: Exception | None) -> None:
-        """Pass that on, too."""
+    def connection_lost(self, _exc: Exception | None) -> None:
+        """Close the other end after the delay."""
         due = max(self._due, self._loop.time() + self._delay())
         if self.other is not None:
             self._loop.call_at(due, self.other.end)
 
     def put(self, data: bytes) -> None:
-        """Bytes from the other end."""
+        """Write bytes from the other end."""
         if self.transport is None:
             self._early.append(data)
         elif not self.transport.is_closing():
             self.transport.write(data)
 
     def end(self) -> None:
-        """The other end is closed."""
+        """Close this end, since the other end is closed."""
         self._over = True
         if self.transport is not None:
             self.transport.close()
 
 
 class ServerProxy:
-    """The link to one server: a door on a port of its own, with a delay that can be changed."""
+    """A proxy in front of one server, with a delay that can be changed."""
 
     def __init__(self, delay_s: float) -> None:
         self.delay_s = delay_s
@@ -183,21 +221,21 @@
         self.loses = False  # each third answer: the server has done what it was asked
         self.lost = 0
         self._answers = 0
-        self.upstream: tuple[str, int] | None = None  # once it is known
+        self.upstream: Address | None = None  # once it is known
         self.address = ""
         self._server: asyncio.Server
         self._ends: set[Link] = set()
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self, host: str) -> None:
-        """Listen."""
+        """Begin to listen."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(self._accepted, host, 0)
         host, port = self._server.sockets[0].getsockname()[:2]
         self.address = f"{host}:{port}"
 
     def close(self) -> None:
-        """End."""
+        """Stop listening and close the open connections."""
         self._server.close()
         for end in self._ends:
             end.end()
--- a/brassfall/lab/revision_chaos/schedule.py
+++ b/brassfall/lab/revision_chaos/schedule.py
@@ -1,4 +1,4 @@
-"""What is published and what breaks, when: drawn by seed. Pure."""
+"""What is published and what breaks, when: sampled by seed. Pure."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def sample(experiment: Experiment, seed: int) -> list[Step]:
-    """The steps of one schedule, in order of time."""
+    """Return the steps of one schedule, in order of time."""
     if experiment.steps:
         return sorted(experiment.steps, key=lambda step: step.at)
     rng = random.Random(seed * 1_000_003 + 17)
@@ -44,67 +44,86 @@
 
 
 def _hold(experiment: Experiment, rng: random.Random, at: float) -> Step:
-    """One region held off, or none."""
-    return Step(at=at, do="hold", by=float(rng.randrange(-1, len(experiment.regions))))
+    """Return a step that holds one region, or none."""
+    return Step(at=at, action="hold", value=float(rng.randrange(-1, len(experiment.regions))))
 
 
 def _publishes(experiment: Experiment, rng: random.Random) -> list[Step]:
     steps, at = [], 0.2
     while at < experiment.seconds - REST_S / 2.0:
         kind: Publish = rng.choice(PUBLISHES) if at > SETTLED_S else "hold"
-        by = float(rng.randrange(-1, len(experiment.regions)))
-        steps.append(Step(at=at, do=kind, by=by))
+        value = float(rng.randrange(-1, len(experiment.regions)))
+        steps.append(Step(at=at, action=kind, value=value))
         at += rng.uniform(*EVERY_S) + (2.0 if at < SETTLED_S else 0.0)
     return steps
 
 
 def _pins(experiment: Experiment, rng: random.Random) -> list[Step]:
-    """Overrides, one after the other; some are extended before their end."""
+    """Return overrides in turn; some are extended before their end."""
     steps, at = [], SETTLED_S + rng.uniform(0.0, 2.0)
-    while (lasts := rng.uniform(2.0, 7.0)) + at < experiment.seconds - 1.0:
-        by = float(rng.randrange(1, len(experiment.regions)))
-        steps.append(Step(at=at, do="pin", lasts=lasts, by=by))
-        at += lasts + rng.uniform(1.5, 4.0)
+    while (duration_s := rng.uniform(2.0, 7.0)) + at < experiment.seconds - 1.0:
+        value = float(rng.randrange(1, len(experiment.regions)))
+        steps.append(Step(at=at, action="pin", duration_s=duration_s, value=value))
+        at += duration_s + rng.uniform(1.5, 4.0)
     return steps
 
 
 def _tier_fault(experiment: Experiment, rng: random.Random, kind: TierFault, at: float) -> Step:
-    """A fault of one aggregator; of all of them now and then."""
+    """Return a fault of one aggregator, or of all."""
     left = experiment.seconds - at - 1.0
-    who = (
+    targets = (
         [rng.randrange(experiment.aggregators)] if rng.random() < 0.8 else list(range(experiment.aggregators))
     )
     if kind in ("aggregator-kill", "aggregator-leave"):
-        lasts = rng.choice((0.0, rng.uniform(0.2, 2.0), rng.uniform(2.0, 8.0)))
+        duration_s = rng.choice((0.0, rng.uniform(0.2, 2.0), rng.uniform(2.0, 8.0)))
     else:
-        lasts = rng.uniform(2.0, 10.0)
-    return Step(at=at, do=kind, who=who, lasts=min(left, lasts))
+        duration_s = rng.uniform(2.0, 10.0)
+    return Step(at=at, action=kind, targets=targets, duration_s=min(left, duration_s))
+
+
+def _link_fault(experiment: Experiment, rng: random.Random, kind: Fault, at: float) -> Step:
+    """Return a fault of the links to the servers of one region."""
+    left = experiment.seconds - at - 1.0
+    duration_s, value = min(left, rng.uniform(3.0, 9.0)), 0.15 if kind == "slow-links" else 0.0
+    return Step(
+        at=at,
+        action=kind,
+        targets=[rng.randrange(len(experiment.regions))],
+        duration_s=duration_s,
+        value=value,
+    )
+
+
+def _service_fault(experiment: Experiment, rng: random.Random, kind: Fault, at: float) -> Step:
+    """Return a restart of the service, or several in a row."""
+    if kind == "kills":
+        return Step(at=at, action=kind, duration_s=0.25, value=float(rng.randint(2, 4)))
+    left = experiment.seconds - at - 1.0
+    return Step(at=at, action=kind, duration_s=min(left, rng.choice((0.0, 0.0, rng.uniform(0.2, 4.0)))))
 
 
 def _fault(experiment: Experiment, rng: random.Random, kind: Fault | TierFault, at: float) -> Step:
     if is_tier_fault(kind):
         return _tier_fault(experiment, rng, kind, at)
     left = experiment.seconds - at - 1.0
-    who = sorted(rng.sample(range(experiment.sidecars), rng.randint(1, max(1, experiment.sidecars // 2))))
+    targets = sorted(rng.sample(range(experiment.sidecars), rng.randint(1, max(1, experiment.sidecars // 2))))
     match kind:
-        case "kills":
-            return Step(at=at, do=kind, lasts=0.25, by=float(rng.randint(2, 4)))
-        case "kill" | "lost-disk" | "old-copy":
-            return Step(at=at, do=kind, lasts=min(left, rng.choice((0.0, 0.0, rng.uniform(0.2, 4.0)))))
+        case "kills" | "kill" | "lost-disk" | "old-copy":
+            return _service_fault(experiment, rng, kind, at)
         case "second":
             half = sorted(rng.sample(range(experiment.sidecars), experiment.sidecars // 2))
-            return Step(at=at, do=kind, who=half, lasts=min(left, rng.uniform(4.0, 12.0)))
+            return Step(at=at, action=kind, targets=half, duration_s=min(left, rng.uniform(4.0, 12.0)))
         case "stop":
-            return Step(at=at, do=kind, who=who, lasts=min(left, rng.uniform(2.0, 10.0)))
+            return Step(at=at, action=kind, targets=targets, duration_s=min(left, rng.uniform(2.0, 10.0)))
         case "crash":
-            return Step(at=at, do=kind, who=who, lasts=rng.uniform(0.0, 2.0))
+            return Step(at=at, action=kind, targets=targets, duration_s=rng.uniform(0.0, 2.0))
         case "roll":
-            return Step(at=at, do=kind, who=list(range(experiment.sidecars)))
+            return Step(at=at, action=kind, targets=list(range(experiment.sidecars)))
         case "slow-service":
-            return Step(at=at, do=kind, lasts=min(left, rng.uniform(3.0, 9.0)), by=rng.uniform(0.4, 4.0))
+            return Step(
+                at=at, action=kind, duration_s=min(left, rng.uniform(3.0, 9.0)), value=rng.uniform(0.4, 4.0)
+            )
         case "slow-links" | "lost-answers":
-            lasts, by = min(left, rng.uniform(3.0, 9.0)), 0.15 if kind == "slow-links" else 0.0
-            return Step(at=at, do=kind, who=[rng.randrange(len(experiment.regions))], lasts=lasts, by=by)
-    if rng.random() < 0.3:
-        who = list(range(experiment.sidecars))
-    return Step(at=at, do=kind, who=who, lasts=min(left, rng.uniform(2.0, 9.0)))
+            return _link_fault(experiment, rng, kind, at)
+    targets = list(range(experiment.sidecars)) if rng.random() < 0.3 else targets
+    return Step(at=at, action=kind, targets=targets, duration_s=min(left, rng.uniform(2.0, 9.0)))
--- a/brassfall/lab/revision_chaos/spec.py
+++ b/brassfall/lab/revision_chaos/spec.py
@@ -48,18 +48,23 @@
 
 
 def is_tier_fault(name: str) -> TypeGuard[TierFault]:
-    """Whether a step is a fault of an aggregator."""
+    """Return whether a step is a fault of an aggregator."""
     return name in TIER_FAULTS
 
 
-class Step(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Something that is done at a time of the play."""
+class Step(
+    msgspec.Struct,
+    frozen=True,
+    forbid_unknown_fields=True,
+    rename={"action": "do", "targets": "who", "duration_s": "lasts", "value": "by"},
+):
+    """A publish or a fault at a time of the play; the file has shorter keys."""
 
     at: Seconds
-    do: Publish | Fault | TierFault
-    who: list[int] = []  # sidecars; of a fault of the tier: aggregators
-    lasts: Seconds = 0.0
-    by: float = 0.0  # a figure that the step needs: a delay in s, a place among regions
+    action: Publish | Fault | TierFault
+    targets: list[int] = []  # sidecars; of a fault of the tier: aggregators
+    duration_s: Seconds = 0.0
+    value: float = 0.0  # a figure that the step needs: a delay in s, a place among regions
 
 
 class Experiment(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
@@ -83,11 +88,14 @@
     agree_ms: Annotated[float, msgspec.Meta(ge=1000.0, le=60_000.0)] = 3000.0
     faults: Annotated[int, msgspec.Meta(ge=0, le=100)] = 4
     exclusive: bool = True  # judge held regions
-    steps: list[Step] = []  # in place of what would be drawn
+    steps: list[Step] = []  # in place of those sampled by seed
 
 
 def is_one(path: Path) -> bool:
-    """Whether a file is such an experiment; `SettingsError` if it can't be read."""
+    """Return whether a file is such an experiment.
+
+    Raises `SettingsError` if it can't be read.
+    """
     return read_toml(path).get("kind") == KIND
 
 
@@ -98,13 +106,13 @@
     except msgspec.ValidationError as error:
         raise SettingsError(str(path), str(error)) from error
     if len(experiment.delay_ms) != len(experiment.regions):
-        raise SettingsError(
-            f"{path}: delay_ms", f"{len(experiment.regions)} figures are wanted, one a region"
-        )
+        where, reason = f"{path}: delay_ms", f"{len(experiment.regions)} figures are wanted, one a region"
+        raise SettingsError(where, reason)
     for step in experiment.steps:
         known, kind = experiment.sidecars, "sidecar"
-        if is_tier_fault(step.do):
+        if is_tier_fault(step.action):
             known, kind = experiment.aggregators, "aggregator"
-        if any(not 0 <= number < known for number in step.who):
-            raise SettingsError(f"{path}: steps", f"{step.do} at {step.at:g} s names no {kind}")
+        if any(not 0 <= number < known for number in step.targets):
+            where, reason = f"{path}: steps", f"{step.action} at {step.at:g} s names no {kind}"
+            raise SettingsError(where, reason)
     return experiment
