--- a/brassfall/lab/capacity/datapath/client.py
+++ b/brassfall/lab/capacity/datapath/client.py
@@ -13,7 +13,6 @@
 import random
 import selectors
 import time
-from typing import Any
 
 import msgspec
 
@@ -158,14 +157,13 @@
     return asyncio.SelectorEventLoop(selectors.SelectSelector())
 
 
-async def work(raw: dict[str, Any], commands: child.Commands, lateness: child.Lateness) -> None:
+async def work(order: Order, commands: child.Commands[Turn], lateness: child.Lateness) -> None:
     """Play turns until the starter is gone."""
-    client = Client(msgspec.convert(raw, Order).name)
-    child.say("ready")
+    client = Client(order.name)
+    child.report("ready")
     async for command in commands:
-        outcome = await client.play(msgspec.convert(command, Turn))
-        child.say("played", **msgspec.to_builtins(outcome))
+        child.report("played", await client.play(command))
 
 
 if __name__ == "__main__":
-    child.main(work, loop)
+    child.main(work, Order, msgspec.json.Decoder(Turn), loop)
--- a/brassfall/lab/capacity/datapath/scene.py
+++ b/brassfall/lab/capacity/datapath/scene.py
@@ -20,6 +20,7 @@
 from brassfall.controlplane.registry.client import call
 from brassfall.lab import arrivals, day
 from brassfall.lab.capacity.datapath import client, server
+from brassfall.lab.real.messages import ListServiceReady, Ready
 from brassfall.lab.real.process_group import (
     ROOT,
     MemberProcess,
@@ -27,8 +28,6 @@
     ProcessGroup,
     free_port,
     lend_environment,
-    run_command,
-    sidecar_environment,
 )
 
 MODULE = "brassfall.lab.capacity.datapath"
@@ -125,7 +124,7 @@
         )
         command = [sys.executable, "-m", "brassfall", "registry", "serve", "--config", str(config)]
         service = await self._group.start("list service", "list service", command)
-        self._list_at = (await service.report("ready"))["listen"]
+        self._list_at = (await service.report("ready", ListServiceReady))["listen"]
         await self._register(addresses, entries)
         self._known = await call(self._list_at, "GET", "/registry/instances")
 
@@ -156,12 +155,12 @@
     async def start_servers(self, sockets: int) -> tuple[MemberProcess, list[str]]:
         """Start a process of servers; where they listen."""
         member = await self._own("server", server.Order(sockets))
-        return member, (await member.report("ready"))["addresses"]
+        return member, (await member.report("ready", server.Ready))["addresses"]
 
     async def start_client(self) -> MemberProcess:
         """Start a client that is ready to play turns."""
         member = await self._own("client", client.Order(f"client-{next(self._numbers)}"))
-        await member.report("ready")
+        await member.report("ready", Ready)
         return member
 
     async def start_sidecar(self) -> Sidecar:
@@ -183,11 +182,8 @@
         }
         config = folder / "config.json"
         config.write_text(json.dumps(raw), encoding="utf-8")
-        env = sidecar_environment(NODE_CONFIG=str(config), TMPDIR=str(folder))
         started = time.monotonic()
-        member = await self._group.start(
-            name, "sidecar", ["/bin/sh", "-c", run_command(ROOT)], None, ROOT, env
-        )
+        member = await self._group.start_sidecar(name, ROOT, config)
         await self._ready(member, listen)
         return Sidecar(member, listen, operator, started)
 
@@ -204,7 +200,7 @@
                 await asyncio.sleep(LOOK_S)
         raise PlayError(f"sidecar {member.name}: not ready: {member.last}")
 
-    async def _own(self, module: str, order: Any) -> MemberProcess:
+    async def _own(self, module: str, order: msgspec.Struct) -> MemberProcess:
         name = f"{module} {next(self._numbers)}"
         return await self._group.start(name, "lab", [sys.executable, "-m", f"{MODULE}.{module}"], order)
 
--- a/brassfall/lab/capacity/datapath/server.py
+++ b/brassfall/lab/capacity/datapath/server.py
@@ -11,7 +11,7 @@
 import itertools
 import os
 from collections.abc import Sequence
-from typing import Any, cast
+from typing import TypedDict, cast
 
 import httptools
 import msgspec
@@ -35,6 +35,12 @@
     direct: list[str]
 
 
+class Ready(TypedDict):
+    """The servers listen; event `ready`."""
+
+    addresses: list[str]
+
+
 class Host:
     """What all connections of the process share."""
 
@@ -97,9 +103,8 @@
         self._transport.write(ANSWER % (200 if good else 502, b"OK" if good else b"Bad Gateway"))
 
 
-async def work(raw: dict[str, Any], commands: child.Commands, lateness: child.Lateness) -> None:
+async def work(order: Order, commands: child.Commands[Routes], lateness: child.Lateness) -> None:
     """Serve until the starter is gone."""
-    order = msgspec.convert(raw, Order)
     host = Host()
     loop = asyncio.get_running_loop()
     addresses = []
@@ -107,10 +112,10 @@
         server = await loop.create_server(lambda: Connection(host), "127.0.0.1", 0, backlog=1024)
         port = server.sockets[0].getsockname()[1]
         addresses.append(f"127.0.0.1:{port}")
-    child.say("ready", addresses=addresses)
+    child.report("ready", Ready(addresses=addresses))
     async for command in commands:
-        host.learn(msgspec.convert(command, Routes))
+        host.learn(command)
 
 
 if __name__ == "__main__":
-    child.main(work)
+    child.main(work, Order, msgspec.json.Decoder(Routes))
--- a/brassfall/lab/capacity/datapath/turns.py
+++ b/brassfall/lab/capacity/datapath/turns.py
@@ -7,13 +7,13 @@
 from dataclasses import dataclass, field
 from statistics import median
 
-import msgspec
 import numpy
 
 from brassfall.lab.capacity.datapath import calls, wire
 from brassfall.lab.capacity.datapath.client import Outcome, Turn
 from brassfall.lab.capacity.datapath.options import DatapathOptions
 from brassfall.lab.capacity.datapath.scene import Scene, Sidecar, Used, scene
+from brassfall.lab.capacity.datapath.server import Routes
 from brassfall.lab.capacity.measurements import Measurement
 from brassfall.lab.real.child import raise_descriptors
 from brassfall.lab.real.process_group import MemberProcess, PlayError
@@ -85,7 +85,7 @@
         await stage.start_list(addresses, options.chain)
         sidecars = [await stage.start_sidecar() for _ in range(options.chain)]
         for (member, _), onward in zip(servers, sidecars, strict=True):
-            member.send(sidecar=onward.listen, direct=addresses)
+            member.send(Routes(onward.listen, addresses))
         client = await stage.start_client()
         pairs = await _pairs(options, rate, client, addresses, sidecars[0], sidecars, options.chain - 1)
         return _measurements(pairs, f"in a chain at {rate:g}/s, sidecars", options.chain)
@@ -143,9 +143,8 @@
 
 async def _spell(client: MemberProcess, turn: Turn, sidecars: Sequence[Sidecar]) -> Spell:
     before = [sidecar.used() for sidecar in sidecars]
-    client.send(**msgspec.to_builtins(turn))
-    played = await client.report("played")
-    outcome = msgspec.convert(played, Outcome, strict=False)
+    client.send(turn)
+    outcome = await client.report("played", Outcome)
     if not outcome.from_plan:
         raise PlayError(f"none of the calls by way of {turn.route} was answered with 200: {outcome.statuses}")
     if not sidecars:
--- a/brassfall/lab/play.py
+++ b/brassfall/lab/play.py
@@ -15,6 +15,7 @@
 import threading
 import time
 from collections.abc import Callable
+from dataclasses import asdict
 from pathlib import Path
 from typing import Any
 
@@ -133,7 +134,8 @@
 
 def perform(order: Order) -> Result:
     """Play a day with real processes, and judge it."""
-    from brassfall.lab.real.controller import run_play
+    from brassfall.lab.real.controller import PlayResult, run_play
+    from brassfall.lab.real.environment import Play
     from brassfall.lab.real.process_group import ROOT
 
     experiment, recorded = load_experiment(Path(order.experiment))
@@ -142,18 +144,27 @@
     folder = Path(order.folder)
     code = Path(order.code) if order.code else ROOT
 
-    async def work() -> tuple[str, list[str], dict[str, float], list[ledger.Event]]:
+    async def work() -> PlayResult:
         task = asyncio.current_task()
         assert task is not None
         asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
         return await run_play(
-            experiment, version, sampled_day, folder, code, order.experiment, _progress(order)
+            Play(
+                experiment=experiment,
+                experiment_path=order.experiment,
+                version=version,
+                day=sampled_day,
+                folder=folder,
+                code=code,
+                progress=_progress(order),
+            )
         )
 
-    why, crashes, cost, events = asyncio.run(work())
+    played = asyncio.run(work())
     judgement = judged(folder, experiment)
-    judgement.findings += [rules.Finding("crashed", 1, crash) for crash in crashes]
-    return Result(order.version, order.seed, not why, why, judgement, events, cost)
+    judgement.findings += [rules.Finding("crashed", 1, crash) for crash in played.crashes]
+    why = played.invalid_reason
+    return Result(order.version, order.seed, not why, why, judgement, played.events, asdict(played.cost))
 
 
 def _progress(order: Order) -> Callable[[float], None]:
--- a/brassfall/lab/real/__init__.py
+++ b/brassfall/lab/real/__init__.py
@@ -1,1 +1,1 @@
-"""A fleet of real processes on loopback around the same models, and who conducts it."""
+"""A fleet of real processes on loopback around the lab's models, and its controller."""
--- a/brassfall/lab/real/child.py
+++ b/brassfall/lab/real/child.py
@@ -1,7 +1,7 @@
-"""What the lab's own processes have in common: orders on standard input, reports on standard output.
+"""What the lab's own processes share: commands on standard input, reports on standard output.
 
-A child ends when its standard input does: whoever started it is gone. It measures how late its loop
-runs, because a lab that is late tells lies about others.
+A process exits when its standard input ends, because its controller has ended. It measures how late its
+event loop runs: a play in which the lab was late does not count.
 """
 
 from __future__ import annotations
@@ -11,30 +11,36 @@
 import resource
 import sys
 import time
-from collections.abc import AsyncIterator, Callable, Coroutine
-from typing import Any
+from collections.abc import AsyncIterator, Callable, Coroutine, Mapping
+from typing import Generic, TypeVar
 
 import msgspec
 import uvloop
 
-BEAT_S = 0.02
-BUFFER = 2**24
+from brassfall.lab.real.messages import Done
+
+PROBE_INTERVAL_S = 0.02
+MAX_LINE = 2**24  # bytes
 LATE_MS = 50.0
 
+Order = TypeVar("Order")
+CommandT = TypeVar("CommandT")
+
 
 def clock() -> float:
-    """Monotonic ms: one clock for all processes of a machine."""
+    """Return the monotonic time in ms; all processes of a machine have the same clock."""
     return time.monotonic() * 1000.0
 
 
-def say(event: str, **message: Any) -> None:
-    """Report to whoever started this process."""
-    sys.stdout.buffer.write(msgspec.json.encode({"event": event, **message}) + b"\n")
+def report(event: str, message: Mapping[str, object] | msgspec.Struct | None = None) -> None:
+    """Write a report to standard output for the process that started this one."""
+    fields = {} if message is None else msgspec.to_builtins(message)
+    sys.stdout.buffer.write(msgspec.json.encode({"event": event, **fields}) + b"\n")
     sys.stdout.buffer.flush()
 
 
 class Lateness:
-    """How late things are that were due, in ms: the most, and how many were late at all."""
+    """Statistics of how late due things came: the most in ms, and how many were late."""
 
     def __init__(self) -> None:
         self.most = 0.0
@@ -42,64 +48,73 @@
         self.due = 0
 
     def note(self, behind: float) -> None:
-        """Something that was due came so much later."""
+        """Count one due thing that came `behind` ms after its time."""
         self.due += 1
         self.most = max(self.most, behind)
         self.late += behind > LATE_MS
 
     async def measure(self) -> None:
-        """Beat until cancelled, and note how late the loop is."""
+        """Measure the delay of the event loop at a fixed interval until cancelled."""
         while True:
-            due = clock() + BEAT_S * 1000.0
-            await asyncio.sleep(BEAT_S)
+            due = clock() + PROBE_INTERVAL_S * 1000.0
+            await asyncio.sleep(PROBE_INTERVAL_S)
             self.note(clock() - due)
 
-    def say(self, **more: Any) -> None:
-        """Report it: this process is done."""
-        say("done", late_ms=self.most, late=self.late, due=self.due, **more)
+    def done(self) -> Done:
+        """Return the report with which a process finishes."""
+        return Done(late_ms=self.most, late=self.late, due=self.due)
 
 
-class Commands:
-    """The lines on standard input; at their end the process ends."""
+class Commands(Generic[CommandT]):
+    """The commands on standard input; at its end the process exits with status 1."""
 
-    def __init__(self) -> None:
-        self._reader = asyncio.StreamReader(limit=BUFFER)
+    def __init__(self, decoder: msgspec.json.Decoder[CommandT]) -> None:
+        self._decoder = decoder
+        self._reader = asyncio.StreamReader(limit=MAX_LINE)
 
     async def open(self) -> None:
-        """Begin to read."""
+        """Begin to read standard input."""
         loop = asyncio.get_running_loop()
         await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(self._reader), sys.stdin)
 
-    async def next(self) -> dict[str, Any]:
-        """One command."""
+    async def order(self, order_type: type[Order]) -> Order:
+        """Return the order, which is the first line."""
+        return msgspec.json.decode(await self._line(), type=order_type)
+
+    async def next(self) -> CommandT:
+        """Return the next command."""
+        return self._decoder.decode(await self._line())
+
+    async def _line(self) -> bytes:
         line = await self._reader.readline()
         if not line:
             os._exit(1)
-        message: dict[str, Any] = msgspec.json.decode(line)
-        return message
+        return line
 
-    async def __aiter__(self) -> AsyncIterator[dict[str, Any]]:
+    async def __aiter__(self) -> AsyncIterator[CommandT]:
         while True:
             yield await self.next()
 
 
 def raise_descriptors() -> int:
-    """Take as many descriptors as the system gives; how many there are."""
+    """Raise the limit of descriptors to what the system allows; return it."""
     _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
     return hard
 
 
 def main(
-    work: Callable[[dict[str, Any], Commands, Lateness], Coroutine[Any, Any, None]],
+    work: Callable[[Order, Commands[CommandT], Lateness], Coroutine[None, None, None]],
+    order_type: type[Order],
+    decoder: msgspec.json.Decoder[CommandT],
     loop_factory: Callable[[], asyncio.AbstractEventLoop] = uvloop.new_event_loop,
 ) -> None:
-    """Run a child whose first command is its order."""
+    """Run a process of the lab: read its order, then do its work until it returns."""
 
     async def run() -> None:
-        commands, lateness = Commands(), Lateness()
+        commands, lateness = Commands(decoder), Lateness()
         await commands.open()
-        order = await commands.next()
+        order = await commands.order(order_type)
         measuring = asyncio.get_running_loop().create_task(lateness.measure())
         await work(order, commands, lateness)
         measuring.cancel()
--- a/brassfall/lab/real/clients.py
+++ b/brassfall/lab/real/clients.py
@@ -1,5 +1,8 @@
-"""The applications: `python -m brassfall.lab.real.clients`. Open loop: a request goes out when it is due,
-whatever has become of those before it, and its latency runs from then."""
+"""The applications' clients of a real play: `python -m brassfall.lab.real.clients`.
+
+They work in an open loop: each request is sent when it is due, independently of earlier requests, and its
+latency is counted from that time.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +10,6 @@
 import errno
 import random
 from pathlib import Path
-from typing import Any
 
 import aiohttp
 import msgspec
@@ -18,13 +20,17 @@
 from brassfall.lab.models import client
 from brassfall.lab.models.client import BROKEN, FAILED, REFUSED, SERVED, SILENT, UNREACHED
 from brassfall.lab.real import child
+from brassfall.lab.real.messages import Begin, Done
+from brassfall.lab.spec import RequestClass
 
-SLACK_MS = 20.0  # how long past its time a client still reads an answer
+READ_ON_MS = 20.0  # after the end of its budget, how long an answer is still read
+KEEPALIVE_S = 30.0
+POST_BODY = b"x" * 64
 METHODS = {"safe": "GET", "keyed": "POST", "unsafe": "POST"}
 
 
 class Order(msgspec.Struct):
-    """Whose clients to be, of which day."""
+    """Which sidecars' clients to be, and of which day."""
 
     experiment: str
     seed: int
@@ -35,49 +41,55 @@
 class Clients:
     """The clients of some sidecars."""
 
-    def __init__(self, order: Order, day: Day, ledger_writer: ledger.LedgerWriter) -> None:
-        self.order = order
-        self.day = day
-        self.ledger_writer = ledger_writer
-        self.t0 = 0.0
-        self.lateness = child.Lateness()
-        self.starved = 0  # tries that failed for want of descriptors
-        self.session: aiohttp.ClientSession
+    def __init__(self, order: Order, day: Day, writer: ledger.LedgerWriter) -> None:
+        self._order = order
+        self._day = day
+        self._writer = writer
+        self._start_ms = 0.0
+        self._lateness = child.Lateness()
+        self._starved = 0  # attempts that failed because no descriptor was left
+        self._session: aiohttp.ClientSession
         self._rng = random.Random(day.seed * 7919 + 2)
         self._ids = random.Random(f"{day.seed} {sorted(order.sidecars)}")
 
     def now(self) -> float:
-        """Ms from the start of the play."""
-        return child.clock() - self.t0
-
-    async def play(self) -> None:
-        """Send everything as it becomes due, and wait for the last answer."""
-        arrivals = self.day.arrivals
-        mine = {number for number, app in enumerate(self.day.apps) if app.name in self.order.sidecars}
-        rows = zip(*(column.tolist() for column in _columns(arrivals)), strict=True)
+        """Return the time in ms from the start of the play."""
+        return child.clock() - self._start_ms
+
+    def done(self) -> Done:
+        """Return the report with which the process finishes."""
+        return {**self._lateness.done(), "starved": self._starved}
+
+    async def play(self, start_ms: float) -> None:
+        """Send all requests as they become due, and wait for the last answer."""
+        self._start_ms = start_ms
+        arrivals = self._day.arrivals
+        own = {number for number, app in enumerate(self._day.apps) if app.name in self._order.sidecars}
+        columns = (arrivals.at, arrivals.app, arrivals.cls, arrivals.work)
+        rows = zip(*(column.tolist() for column in columns), strict=True)
         tasks: set[asyncio.Task[None]] = set()
-        connector = aiohttp.TCPConnector(limit=0, keepalive_timeout=30.0)
+        connector = aiohttp.TCPConnector(limit=0, keepalive_timeout=KEEPALIVE_S)
         async with aiohttp.ClientSession(
             connector=connector, cookie_jar=aiohttp.DummyCookieJar()
-        ) as self.session:
-            for due, app, cls, work in rows:
-                if app not in mine:
+        ) as self._session:
+            for due, app, cls, work_ms in rows:
+                if app not in own:
                     continue
                 wait = due - self.now()
                 if wait > 0.0:
                     await asyncio.sleep(wait / 1000.0)
-                task = asyncio.create_task(self._request(due, app, cls, work))
+                task = asyncio.create_task(self._request(due, app, cls, work_ms))
                 tasks.add(task)
                 task.add_done_callback(tasks.discard)
             while tasks:
                 await asyncio.wait(tasks)
 
-    async def _request(self, due: float, app: int, cls: int, work: float) -> None:
-        """One request, through all its tries."""
-        row = self.day.classes[cls]
-        behaviour = self.day.client_behaviour
-        first, tries = "", 0
-        self.lateness.note(self.now() - due)
+    async def _request(self, due: float, app: int, cls: int, work_ms: float) -> None:
+        """Send one request, with all its retries."""
+        row = self._day.classes[cls]
+        behaviour = self._day.client_behaviour
+        first, attempts = "", 0
+        self._lateness.note(self.now() - due)
         while True:
             sent = self.now()
             budget = client.call_budget(behaviour, row, due + row.deadline - sent)
@@ -85,32 +97,38 @@
                 return
             call_id = f"{self._ids.getrandbits(64):016x}"
             first = first or call_id
-            answer = ledger.Answer(
-                id=call_id,
-                cls=row.name,
-                sidecar=self.day.apps[app].name,
-                first=first,
-                hop=tries,
-                due=round(due, 3),
-                sent=round(sent, 3),
-                budget=round(budget, 3),
-                end=0.0,
-                status=SILENT,
-                key=f"k{first}" if row.effect == "keyed" else "",
-            )
-            retry_after = await self._try(answer, METHODS[row.effect], work)
-            tries += 1
+            answer = self._new_answer(row, app, call_id, first)
+            answer.hop, answer.due = attempts, round(due, 3)
+            answer.sent, answer.budget = round(sent, 3), round(budget, 3)
+            retry_after = await self._attempt(answer, METHODS[row.effect], work_ms)
+            attempts += 1
             now = self.now()
             answer.end = round(now, 3)
-            self.ledger_writer.add(answer)
-            outcome = client.CallOutcome(answer.status, tries, now - due, now - due, retry_after)
+            self._writer.add(answer)
+            outcome = client.CallOutcome(answer.status, attempts, now - due, now - due, retry_after)
             wait = client.retry_delay(behaviour, row, outcome, self._rng.random())
             if wait is None:
                 return
             await asyncio.sleep(wait / 1000.0)
 
-    async def _try(self, answer: ledger.Answer, method: str, work: float) -> float:
-        """One try: fills in how it ended; the Retry-After in ms."""
+    def _new_answer(self, row: RequestClass, app: int, call_id: str, first: str) -> ledger.Answer:
+        """Return the record of an attempt whose times are not yet known."""
+        return ledger.Answer(
+            id=call_id,
+            cls=row.name,
+            sidecar=self._day.apps[app].name,
+            first=first,
+            hop=0,
+            due=0.0,
+            sent=0.0,
+            budget=0.0,
+            end=0.0,
+            status=SILENT,
+            key=f"k{first}" if row.effect == "keyed" else "",
+        )
+
+    async def _attempt(self, answer: ledger.Answer, method: str, work_ms: float) -> float:
+        """Send one attempt, record its outcome in `answer`, and return the Retry-After in ms."""
         headers = {
             "X-Call-Id": answer.id,
             "X-Call-Class": answer.cls,
@@ -120,30 +138,28 @@
             headers["X-Again"] = "1"
         if answer.key:
             headers["Idempotency-Key"] = answer.key
-        url = f"http://{self.order.sidecars[answer.sidecar]}/{answer.cls}/{answer.first}?w={work:.3f}"
+        url = f"http://{self._order.sidecars[answer.sidecar]}/{answer.cls}/{answer.first}?w={work_ms:.3f}"
         try:
-            async with asyncio.timeout((answer.budget + SLACK_MS) / 1000.0):
-                return await self._ask(answer, method, url, headers)
+            async with asyncio.timeout((answer.budget + READ_ON_MS) / 1000.0):
+                return await self._send(answer, method, url, headers)
         except TimeoutError:
             answer.status = SILENT
         except OSError as error:
-            self.starved += error.errno in (errno.EMFILE, errno.ENFILE)
-            answer.status = UNREACHED
+            self._fail_to_connect(answer, error)
         return 0.0
 
-    async def _ask(self, answer: ledger.Answer, method: str, url: str, headers: dict[str, str]) -> float:
+    async def _send(self, answer: ledger.Answer, method: str, url: str, headers: dict[str, str]) -> float:
+        body = POST_BODY if method == "POST" else None
         for is_retry in (False, True):
             try:
-                body = b"x" * 64 if method == "POST" else None
-                async with self.session.request(method, url, headers=headers, data=body) as response:
+                async with self._session.request(method, url, headers=headers, data=body) as response:
                     text = (await response.read()).decode("latin-1")
                     return self._read(answer, response, text)
             except aiohttp.ClientConnectorError as error:
-                self.starved += error.errno in (errno.EMFILE, errno.ENFILE)
-                answer.status = UNREACHED
+                self._fail_to_connect(answer, error)
                 return 0.0
             except aiohttp.ServerDisconnectedError:
-                # A close that crossed the request: it is sent once more, on a new connection.
+                # The connection was closed while the request was sent: send it again on a new one.
                 answer.status = BROKEN
                 if is_retry:
                     return 0.0
@@ -152,6 +168,10 @@
                 return 0.0
         return 0.0
 
+    def _fail_to_connect(self, answer: ledger.Answer, error: OSError) -> None:
+        self._starved += error.errno in (errno.EMFILE, errno.ENFILE)
+        answer.status = UNREACHED
+
     def _read(self, answer: ledger.Answer, response: aiohttp.ClientResponse, text: str) -> float:
         if response.status == 200:
             answer.status = SERVED
@@ -164,29 +184,27 @@
             return 0.0
 
 
-def _columns(arrivals: Any) -> tuple[Any, ...]:
-    return arrivals.at, arrivals.app, arrivals.cls, arrivals.work
-
+async def work(order: Order, commands: child.Commands[Begin], _loop_lateness: child.Lateness) -> None:
+    """Report ready, and play the day from the time in the `Begin` command.
 
-async def work(raw: dict[str, Any], commands: child.Commands, lateness: child.Lateness) -> None:
-    """Be ready, and play when told."""
-    order = msgspec.convert(raw, Order)
+    How late the requests are sent is reported, which includes how late the event loop is.
+    """
     declared, recorded = load_experiment(Path(order.experiment))
-    ledger_writer = ledger.LedgerWriter(Path(order.folder), kinds=(ledger.Answer,))
-    clients = Clients(order, sample_day(declared, order.seed, recorded), ledger_writer)
-    child.say("ready")
-    clients.t0 = (await commands.next())["t0"]
+    writer = ledger.LedgerWriter(Path(order.folder), kinds=(ledger.Answer,))
+    clients = Clients(order, sample_day(declared, order.seed, recorded), writer)
+    child.report("ready")
+    begin = await commands.next()
 
-    async def obey() -> None:
+    async def exit_with_input() -> None:
         async for _ in commands:
-            pass  # there is nothing else to be told; the end of it ends this process
+            pass  # no command follows; the end of standard input ends this process
 
-    obeying = asyncio.get_running_loop().create_task(obey())
-    await clients.play()
-    ledger_writer.close()
-    obeying.cancel()
-    clients.lateness.say(starved=clients.starved)
+    reading = asyncio.get_running_loop().create_task(exit_with_input())
+    await clients.play(begin.start_ms)
+    writer.close()
+    reading.cancel()
+    child.report("done", clients.done())
 
 
 if __name__ == "__main__":
-    child.main(work)
+    child.main(work, Order, msgspec.json.Decoder(Begin))
--- a/brassfall/lab/real/server.py
+++ b/brassfall/lab/real/server.py
@@ -1,7 +1,7 @@
 """One real server around the model of a transcriber: `python -m brassfall.lab.real.server`.
 
-It registers itself, serves HTTP/1.1 as PROTOCOL has it, and writes down each attempt as it comes and as
-it ends, unbuffered: what a server that is killed had in work stays on record.
+It registers itself, serves HTTP/1.1 according to the protocol, and records each attempt when it arrives and
+when it ends. The ledger is unbuffered, so that the attempts in flight at a killed server are on record.
 """
 
 from __future__ import annotations
@@ -23,13 +23,18 @@
 from brassfall.lab.day import Machine
 from brassfall.lab.models.server import ACCEPTED, BROKEN, DRAINING, FULL, Job, Server
 from brassfall.lab.real import child
+from brassfall.lab.real.messages import ChangeLoad, Drain, ServerCommand, ServerReady
 
-FELL = 9  # the exit status of a server that was pushed over
-NAMED = {FULL: "full", DRAINING: "draining", BROKEN: "error"}
+COLLAPSED = 9  # the exit status of a server that collapsed under load
+STATUS_LIMIT_S = 2.0  # for a change of the status in the list
+KEEPALIVE_S = 60.0
+BACKLOG = 1024
+COMMANDS: msgspec.json.Decoder[ServerCommand] = msgspec.json.Decoder(ServerCommand)
+OUTCOMES = {FULL: "full", DRAINING: "draining", BROKEN: "error"}
 
 
 class Order(msgspec.Struct):
-    """What to be."""
+    """Which server to be, and which incarnation of it."""
 
     machine: Machine
     name: str
@@ -40,7 +45,7 @@
     ttl_ms: int
     zones: list[str]
     kinds: list[str]
-    noise: dict[str, float]  # of the work of each class, from one attempt to the next
+    noise: dict[str, float]  # coefficient of variation of the work of an attempt, by class
     folder: str
 
 
@@ -53,8 +58,7 @@
         self._ledger = ledger_writer
         self._loop = asyncio.get_running_loop()
         self._timer: asyncio.TimerHandle | None = None
-        self._seen: set[Any] = set()
-        self.idle = asyncio.Event()
+        self._connections: set[web.RequestHandler] = set()
         self._work_parameters = {
             name: (-s * s / 2.0, s)
             for name, cv in order.noise.items()
@@ -62,7 +66,7 @@
         }
 
     async def serve(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Take one call."""
+        """Serve one attempt, a health check or a request for statistics."""
         if request.path in ("/health/live", "/stats"):
             return web.Response(headers=self._report())
         call_id = request.headers.get("X-Call-Id")
@@ -71,29 +75,29 @@
             return web.Response(status=404)
         sent = child.clock()
         await request.read()
-        fresh = self._connected(request)
+        is_new = self._is_new_connection(request)
         mu, sigma = self._work_parameters[cls]
         work = float(request.query.get("w", "1")) * random.lognormvariate(mu, sigma)
         job = Job(work, self._loop.create_future())
         now = child.clock()
         row = ledger.Attempt(
-            call_id,
-            self.order.name,
-            self.order.incarnation,
-            round(sent, 3),
-            round(now, 3),
-            -1.0,
-            "unfinished",
-            cls,
-            request.headers.get("Idempotency-Key", ""),
-            round(work, 3),
+            id=call_id,
+            server=self.order.name,
+            incarnation=self.order.incarnation,
+            sent=round(sent, 3),
+            at=round(now, 3),
+            end=-1.0,
+            outcome="unfinished",
+            cls=cls,
+            key=request.headers.get("Idempotency-Key", ""),
+            work=round(work, 3),
         )
         self._ledger.add(row)
         self.settle(now)
-        reason = self.core.offer(now, job, new_connection=fresh)
+        reason = self.core.offer(now, job, new_connection=is_new)
         if self.core.collapsed:
             self._ledger.flush()
-            os._exit(FELL)
+            os._exit(COLLAPSED)
         if reason == ACCEPTED:
             self._arm()
             await job.data
@@ -102,10 +106,8 @@
     def _answer(self, row: ledger.Attempt, job: Job, reason: str) -> web.Response:
         row.end = round(child.clock(), 3)
         row.work = round(job.work, 3)
-        row.outcome = NAMED.get(reason) or ("error" if job.failed else "ok")
+        row.outcome = OUTCOMES.get(reason) or ("error" if job.failed else "ok")
         self._ledger.add(row)
-        if not self.core.in_flight:
-            self.idle.set()
         headers = self._report()
         if row.outcome == "ok":
             return web.Response(body=f"{self.order.name} {row.id}".encode(), headers=headers)
@@ -116,18 +118,18 @@
     def _report(self) -> dict[str, str]:
         return {"X-Load-Report": f"inflight={self.core.report(child.clock()):.0f}"}
 
-    def _connected(self, request: web.BaseRequest) -> bool:
-        """Whether this is the first request of its connection."""
+    def _is_new_connection(self, request: web.BaseRequest) -> bool:
+        """Return whether this is the first request of its connection."""
         protocol = request.protocol
-        if protocol in self._seen:
+        if protocol in self._connections:
             return False
-        self._seen.add(protocol)
-        self._seen = {seen for seen in self._seen if seen.transport is not None}
-        self.core.connections = len(self._seen)
+        self._connections.add(protocol)
+        self._connections = {each for each in self._connections if each.transport is not None}
+        self.core.connections = len(self._connections)
         return True
 
     def settle(self, now: float) -> None:
-        """Let the model work until now."""
+        """Advance the model to `now`, and finish the jobs that are done by then."""
         for job in self.core.advance(now):
             job.data.set_result(None)
 
@@ -144,63 +146,66 @@
         self.settle(child.clock())
         self._arm()
 
-    def command(self, command: dict[str, Any]) -> None:
-        """A change of what it can do."""
+    def change_load(self, change: ChangeLoad) -> None:
+        """Apply a change of load or error share to the model."""
         self.settle(child.clock())
-        if "errors" in command:
-            self.core.errors = command["errors"]
-        self.core.change_load(slowdown=command.get("slow"), neighbour_share=command.get("taken"))
+        if change.error_share is not None:
+            self.core.errors = change.error_share
+        self.core.change_load(slowdown=change.slowdown, neighbour_share=change.neighbour_share)
         self._arm()
 
 
-async def work(raw: dict[str, Any], commands: child.Commands, lateness: child.Lateness) -> None:
-    """Serve until it is told to drain, or its starter is gone."""
+async def work(order: Order, commands: child.Commands[ServerCommand], lateness: child.Lateness) -> None:
+    """Serve until the controller sends `Drain` or `Stop`."""
     logs.set_up()
-    order = msgspec.convert(raw, Order)
-    ledger_writer = ledger.LedgerWriter(
+    writer = ledger.LedgerWriter(
         Path(order.folder), buffered=False, kinds=(ledger.Attempt, ledger.Incarnation)
     )
-    host = Host(order, ledger_writer)
-    runner = web.ServerRunner(web.Server(host.serve, access_log=None, keepalive_timeout=60.0))
+    host = Host(order, writer)
+    runner = web.ServerRunner(web.Server(host.serve, access_log=None, keepalive_timeout=KEEPALIVE_S))
     await runner.setup()
-    site = web.TCPSite(runner, "127.0.0.1", 0, backlog=1024)
-    await site.start()
+    await web.TCPSite(runner, "127.0.0.1", 0, backlog=BACKLOG).start()
     address = f"127.0.0.1:{runner.addresses[0][1]}"
-    machine = order.machine
-    ledger_writer.add(
-        ledger.Incarnation(
-            order.name,
-            order.incarnation,
-            round(host.core.began, 3),
-            round(machine.capacity, 4),
-            machine.warmup_start if order.warming_up else 1.0,
-            machine.warmup_ms if order.warming_up else 0.0,
-        )
-    )
+    writer.add(_incarnation(order, host.core.began))
     member = Member([order.registry], _entry(order, address), order.ttl_ms)
     member.start()
-    child.say("ready", listen=address, pid=os.getpid())
+    child.report("ready", ServerReady(listen=address, pid=os.getpid()))
     async for command in commands:
-        if command["do"] == "drain":
-            await _drain(host, member, command["drain_s"])
-            break
-        if command["do"] == "end":
-            break
-        host.command(command)
-    lateness.say()
+        if isinstance(command, ChangeLoad):
+            host.change_load(command)
+            continue
+        if isinstance(command, Drain):
+            await _drain(host, member, command.drain_s)
+        break
+    child.report("done", lateness.done())
     await runner.cleanup()
 
 
+def _incarnation(order: Order, began: float) -> ledger.Incarnation:
+    """Return the record of this incarnation at its start."""
+    machine = order.machine
+    return ledger.Incarnation(
+        server=order.name,
+        incarnation=order.incarnation,
+        begun=round(began, 3),
+        capacity=round(machine.capacity, 4),
+        warmup_start=machine.warmup_start if order.warming_up else 1.0,
+        warmup_ms=machine.warmup_ms if order.warming_up else 0.0,
+    )
+
+
 async def _drain(host: Host, member: Member, drain_s: float) -> None:
+    """Deregister, and reject attempts, over `drain_s` seconds."""
     begun = time.monotonic()
     host.core.drain(child.clock())
-    await member.request_status("leaving", 2.0)
+    await member.request_status("leaving", STATUS_LIMIT_S)
     await asyncio.sleep(max(0.0, begun + drain_s - time.monotonic()))
-    await member.request_status("left", 2.0)
+    await member.request_status("left", STATUS_LIMIT_S)
     await member.close()
 
 
 def _entry(order: Order, address: str) -> dict[str, Any]:
+    """Return the server's entry as it is registered with the list service."""
     return {
         "name": order.name,
         "address": address,
@@ -213,4 +218,4 @@
 
 
 if __name__ == "__main__":
-    child.main(work)
+    child.main(work, Order, COMMANDS)
--- a/brassfall/lab/real/supervisor.py
+++ b/brassfall/lab/real/supervisor.py
@@ -1,40 +1,38 @@
-"""Ends processes whose starter is gone: `python -m brassfall.lab.real.supervisor`.
+"""Kills the processes of a play whose controller has ended: `python -m brassfall.lab.real.supervisor`.
 
-It is told process ids, one a line, and kills those that still live when its standard input ends. An id
-counts only with the time at which its process was started, so that nobody else's is ever struck.
+It reads process ids from standard input, one a line, and kills those that still run when it ends. A process
+is identified by its id and its start time, so that another process that got the same id is left alone.
 """
 
 from __future__ import annotations
 
+import contextlib
 import sys
 
 import psutil
 
+START_TOLERANCE_S = 0.5
 
-def end(pid: int, started: float) -> None:
-    """Kill one process, if it is still the one that was meant."""
-    try:
+
+def kill(pid: int, started: float) -> None:
+    """Kill one process, unless its id now belongs to one that started at another time."""
+    with contextlib.suppress(psutil.NoSuchProcess):
         process = psutil.Process(pid)
-        if abs(process.create_time() - started) < 0.5:
+        if abs(process.create_time() - started) < START_TOLERANCE_S:
             process.kill()
-    except psutil.NoSuchProcess:
-        pass
 
 
 def main() -> None:
-    """Read until the end, and clear up."""
+    """Read process ids until standard input ends, then kill what still runs."""
     process_starts: dict[int, float] = {}
-    try:
+    # Ctrl-C reaches the controller too, which ends its processes itself, or exits.
+    with contextlib.suppress(KeyboardInterrupt):
         for line in sys.stdin:
             pid = int(line)
-            try:
+            with contextlib.suppress(psutil.NoSuchProcess):
                 process_starts[pid] = psutil.Process(pid).create_time()
-            except psutil.NoSuchProcess:
-                continue
-    except KeyboardInterrupt:
-        pass  # a Ctrl-C goes to the lab too, which then ends all by itself, or dies
     for pid, started in process_starts.items():
-        end(pid, started)
+        kill(pid, started)
 
 
 if __name__ == "__main__":
--- a/brassfall/lab/revision_chaos/environment.py
+++ b/brassfall/lab/revision_chaos/environment.py
@@ -15,14 +15,13 @@
 
 import aiohttp
 
+from brassfall.lab.real.messages import Ready
 from brassfall.lab.real.process_group import (
     READY_S,
     ROOT,
     MemberProcess,
     PlayError,
     ProcessGroup,
-    run_command,
-    sidecar_environment,
 )
 from brassfall.lab.revision_chaos.clients import TENANTS
 from brassfall.lab.revision_chaos.judge import Away
@@ -169,7 +168,7 @@
         command = [sys.executable, "-m", "brassfall", "registry", "serve", "--config", str(file)]
         member = await self.group.start(f"service {name}", "service", command)
         self.services[name] = member
-        await member.report("ready")
+        await member.report("ready", Ready)
 
     async def kill(self, name: str) -> None:
         """End a service without a warning."""
@@ -199,7 +198,7 @@
             *("--zone", region, "--ledger", str(self.folder / f"ledger-{name}.jsonl")),
         ]
         member = await self.group.start(name, "server", command)
-        await member.report("ready")
+        await member.report("ready", Ready)
 
     # --- sidecars ---------------------------------------------------------------------------
 
@@ -227,9 +226,7 @@
             "fleet": fleet,
         }
         file.write_text(json.dumps(raw))
-        env = sidecar_environment(NODE_CONFIG=str(file), TMPDIR=str(folder))
-        command = ["/bin/sh", "-c", run_command(ROOT)]
-        member = await self.group.start(f"n{number}", "sidecar", command, None, ROOT, env)
+        member = await self.group.start_sidecar(f"n{number}", ROOT, file)
         self.sidecars[number] = member
         return member
 
--- a/brassfall/lab/revision_chaos/tier.py
+++ b/brassfall/lab/revision_chaos/tier.py
@@ -10,6 +10,7 @@
 from collections.abc import Iterator
 from pathlib import Path
 
+from brassfall.lab.real.messages import Ready
 from brassfall.lab.real.process_group import MemberProcess, ProcessGroup
 from brassfall.lab.revision_chaos.proxies import ANSWER, ASK, LISTS, OTHER, REPORT, REVISIONS, ControlProxy
 from brassfall.lab.revision_chaos.spec import Experiment, TierFault
@@ -80,7 +81,7 @@
         command = [sys.executable, "-m", "brassfall", "registry", "aggregate", "--config", str(file)]
         member = await self._group.start(f"aggregator {number}", "aggregator", command)
         self.processes[number] = member
-        await member.report("ready")
+        await member.report("ready", Ready)
         for proxy in (self.fronts[number], *self.below[number]):
             proxy.turn((self._host, port))
         return member
