--- a/brassfall/lab/revision_chaos/environment.py
+++ b/brassfall/lab/revision_chaos/environment.py
@@ -13,14 +13,13 @@
 
 import aiohttp
 
+from brassfall.lab.real.messages import Ready
 from brassfall.lab.real.process_group import (
     READY_S,
     ROOT,
     MemberProcess,
     PlayError,
     ProcessGroup,
-    run_command,
-    sidecar_environment,
 )
 from brassfall.lab.revision_chaos.clients import TENANTS
 from brassfall.lab.revision_chaos.judge import Absence
@@ -170,7 +169,7 @@
         command = [sys.executable, "-m", "brassfall", "registry", "serve", "--config", str(file)]
         member = await self.group.start(f"service {name}", "service", command)
         self.services[name] = member
-        await member.report("ready")
+        await member.report("ready", Ready)
 
     async def kill(self, name: str) -> None:
         """Kill a service with SIGKILL."""
@@ -196,7 +195,7 @@
             *("--zone", region, "--ledger", str(self.folder / f"ledger-{name}.jsonl")),
         ]
         member = await self.group.start(name, "server", command)
-        await member.report("ready")
+        await member.report("ready", Ready)
 
     # --- sidecars ---------------------------------------------------------------------------
 
@@ -224,9 +223,7 @@
             "fleet": fleet,
         }
         file.write_text(json.dumps(raw))
-        env = sidecar_environment(NODE_CONFIG=str(file), TMPDIR=str(folder))
-        command = ["/bin/sh", "-c", run_command(ROOT)]
-        member = await self.group.start(f"n{number}", "sidecar", command, None, ROOT, env)
+        member = await self.group.start_sidecar(f"n{number}", ROOT, file)
         self.sidecars[number] = member
         return member
 
--- a/brassfall/lab/revision_chaos/tier.py
+++ b/brassfall/lab/revision_chaos/tier.py
@@ -8,6 +8,7 @@
 from collections.abc import Iterator
 from pathlib import Path
 
+from brassfall.lab.real.messages import Ready
 from brassfall.lab.real.process_group import MemberProcess, ProcessGroup
 from brassfall.lab.revision_chaos.processes import end_process, pause_process
 from brassfall.lab.revision_chaos.proxies import Address, CallKind, ControlProxy, Direction, Partition
@@ -84,7 +85,7 @@
         command = [sys.executable, "-m", "brassfall", "registry", "aggregate", "--config", str(file)]
         member = await self._group.start(f"aggregator {number}", "aggregator", command)
         self.processes[number] = member
-        await member.report("ready")
+        await member.report("ready", Ready)
         for proxy in (self.entry_proxies[number], *self.child_proxies[number]):
             proxy.redirect(Address(self._host, port))
         return member
