--- a/brassfall/balancer/balancer.py
+++ b/brassfall/balancer/balancer.py
@@ -24,7 +24,7 @@
     CANCELLED,
     CONNECT_FAILED,
     ERROR,
-    FULL,
+    REJECTED,
     NO_SERVER,
     OK,
     QUEUED_TOO_LONG,
@@ -42,9 +42,9 @@
 from brassfall.balancer.selection import Selector
 from brassfall.balancer.settings import Settings
 
-NEVER_RAN = frozenset((FULL, CONNECT_FAILED, ABANDONED))
+NEVER_RAN = frozenset((REJECTED, CONNECT_FAILED, ABANDONED))
 MAY_STILL_RUN = frozenset((TIMEOUT, RESET, CANCELLED))
-CONNECTION_KEPT = frozenset((OK, ERROR, FULL))  # after these the attempt's connection becomes idle
+CONNECTION_KEPT = frozenset((OK, ERROR, REJECTED))  # after these the attempt's connection becomes idle
 
 # An attempt's timer is due before a time-out at its objective, however the sums of times are rounded.
 OBJECTIVE_ROUNDING_MS = 1.0
@@ -68,8 +68,8 @@
         self._rng = components.rng
         self._throttle = components.throttle
         self._shedder = components.shedder
-        self._rate = components.rate
-        self._paces = components.paces
+        self._rate = components.send_rate
+        self._paces = components.pace_tracker
         self._connections = components.connections
         self._overload = components.overload
         self._endpoints = components.endpoints
@@ -92,7 +92,7 @@
             events.BodyDiscarded: Balancer._body_discarded,
             events.ClientLeft: Balancer._client_left,
             events.TimerDue: Balancer._timer_due,
-            events.EndpointsListed: Balancer._endpoints_listed,
+            events.EndpointListReceived: Balancer._endpoints_listed,
             events.DiscoveryFailed: Balancer._discovery_failed,
             events.HealthCheckEnded: Balancer._ignored,
             events.PeerMessageReceived: Balancer._ignored,
@@ -195,8 +195,8 @@
 
     def _attempt(self, now: float, request: Request) -> None:
         """Refuse a request by the throttle or a cap, or send it to the least loaded candidate."""
-        drop = self._throttle.drop_chance(now)
-        chance = self._shedder.refusal_chance(now, drop, request.request_class, over=request.over_quota)
+        drop = self._throttle.refusal_probability(now)
+        chance = self._shedder.class_refusal_probability(now, drop, request.request_class, over_quota=request.over_quota)
         if chance > 0.0 and self._rng.random() < chance:
             self._refuse_locally(now, request, drop)
             return
@@ -233,7 +233,7 @@
         idle_for = now - server.used_at if server.used_at and not server.in_flight else 0.0
         attempt = Attempt(server, sent_at, stalls_at, idle_for, server.group(profile.group))
         if idle_for > self._connections.safe_ms(now):
-            self._actions.append(model.CloseIdle(server.name))
+            self._actions.append(model.CloseIdleConnections(server.name))
             server.idle_connections = 0
         attempt.new_connection = server.idle_connections == 0
         if not attempt.new_connection:
@@ -249,13 +249,13 @@
         server.budget -= 1.0
         server.in_flight += 1
         self._endpoints.in_flight += 1
-        self._actions.append(model.Send(request.id, server.name, timeout, retries.write_by(request, bound)))
+        self._actions.append(model.SendAttempt(request.id, server.name, timeout, retries.write_by(request, bound)))
 
     def _set_objective_timer(self, request: Request, delay: float) -> None:
         """Ask for a timer at the objective of the newest attempt, if it may be in flight until then."""
         if delay > request.profile.objective - 2.0 * OBJECTIVE_ROUNDING_MS:
             token = model.ObjectiveTimer(request.id, len(request.attempts) - 1)
-            self._actions.append(model.Timer(delay, token, request.id))
+            self._actions.append(model.StartTimer(delay, token, request.id))
 
     # --- attempts -------------------------------------------------------------
 
@@ -344,7 +344,7 @@
                     self._actions += self._connections.close_again(server)
             case model.DiscoveryRetryTimer():
                 if self._discovery.take_due():
-                    self._actions.append(model.Watch(on=True))
+                    self._actions.append(model.WatchEndpointList(on=True))
 
     def _objective_reached(self, now: float, request_id: int, number: int) -> None:
         request = self._requests.get(request_id)
@@ -365,12 +365,12 @@
         self._advance_queue(now, key)
         if not request.ended and not request.attempts:
             token = model.QueueDeadlineTimer(request.id)
-            self._actions.append(model.Timer(deadline_ms, token, request.id))
+            self._actions.append(model.StartTimer(deadline_ms, token, request.id))
 
     def _advance_queue(self, now: float, key: int) -> None:
         pause_ms = self._key_queues.advance(now, key, self._attempt)
         if pause_ms is not None:
-            self._actions.append(model.Timer(pause_ms, model.KeyPauseTimer(key)))
+            self._actions.append(model.StartTimer(pause_ms, model.KeyPauseTimer(key)))
 
     # --- ends -----------------------------------------------------------------
 
@@ -386,9 +386,9 @@
             return
         self._refusals[reason] += 1
         if retries.may_refuse(request):
-            self._actions.append(model.Refuse(request.id, retries.retry_after(now, request)))
+            self._actions.append(model.RefuseRequest(request.id, retries.retry_after(now, request)))
         else:
-            self._actions.append(model.Fail(request.id))
+            self._actions.append(model.FailRequest(request.id))
         self._close(request)
         self._forget_if_over(now, request)
 
@@ -401,7 +401,7 @@
         if request.limits.may_cancel:
             for number, attempt in enumerate(request.attempts):
                 if attempt.outstanding and number != retained:
-                    self._actions.append(model.Cancel(request.id, number))
+                    self._actions.append(model.CancelAttempt(request.id, number))
 
     def _forget_if_over(self, now: float, request: Request) -> None:
         """Drop the record of a request that is over, and start the next one of its key."""
@@ -412,10 +412,10 @@
 
     # --- the endpoint list ----------------------------------------------------
 
-    def _endpoints_listed(self, now: float, event: events.EndpointsListed) -> None:
+    def _endpoints_listed(self, now: float, event: events.EndpointListReceived) -> None:
         """Take over an endpoint list; servers that a complete one does not name are gone."""
         entries = event.entries
-        if event.form is ListForm.REMEMBERED:
+        if event.form is ListForm.CONFIGURED:
             self._call_discovery_after(self._discovery.started())
         else:
             self._discovery.succeeded()
@@ -434,7 +434,7 @@
 
     def _call_discovery_after(self, delay_ms: float | None) -> None:
         if delay_ms is not None:
-            self._actions.append(model.Timer(delay_ms, model.DiscoveryRetryTimer()))
+            self._actions.append(model.StartTimer(delay_ms, model.DiscoveryRetryTimer()))
 
     def _rebuild(self) -> None:
         """Make the ring anew: other servers may be sent to."""
--- a/brassfall/balancer/components.py
+++ b/brassfall/balancer/components.py
@@ -29,14 +29,14 @@
         "ejector",
         "endpoints",
         "overload",
-        "paces",
-        "rate",
+        "pace_tracker",
+        "send_rate",
         "rng",
         "shedder",
         "slow_start",
         "steering",
         "throttle",
-        "zones",
+        "zone_spillover",
     )
 
     def __init__(self, now: float, settings: Settings, seed: int) -> None:
@@ -44,22 +44,22 @@
         self.rng = random.Random(seed)
         self.throttle = Throttle()
         self.shedder = LoadShedder(settings)
-        self.rate = SendRate(now)
-        self.paces = PaceTracker()
+        self.send_rate = SendRate(now)
+        self.pace_tracker = PaceTracker()
         self.affinity = KeyAffinity()
         self.connections = IdleConnections(now, settings)
-        self.overload = OverloadEstimator(settings, self.rate)
+        self.overload = OverloadEstimator(settings, self.send_rate)
         self.endpoints = Endpoints(settings)
-        self.zones = ZoneSpillover(settings)
+        self.zone_spillover = ZoneSpillover(settings)
         self.steering = Steering(self.rng)
         self.ejector = OutlierEjector(self.endpoints, self.shedder, self.rng)
-        self.slow_start = SlowStart(settings, self.endpoints, self.zones, self.steering, self.rate)
+        self.slow_start = SlowStart(settings, self.endpoints, self.zone_spillover, self.steering, self.send_rate)
 
     def reload(self, settings: Settings, retained: Collection[int]) -> None:
         """Apply other settings; what was learned of classes that are not `retained` is forgotten."""
-        self.paces.keep_classes(retained)
+        self.pace_tracker.keep_classes(retained)
         self.shedder.reload(settings, retained)
-        self.zones.reload(settings, retained)
+        self.zone_spillover.reload(settings, retained)
         self.connections.reload(settings)
         self.overload.reload(settings)
         self.endpoints.reload(settings)
--- a/brassfall/balancer/connections.py
+++ b/brassfall/balancer/connections.py
@@ -4,7 +4,7 @@
 
 import math
 
-from brassfall.balancer.model import RESET, CloseIdle, IdleCloseTimer, Outcome, Timer
+from brassfall.balancer.model import RESET, CloseIdleConnections, IdleCloseTimer, Outcome, StartTimer
 from brassfall.balancer.records import Attempt, Server
 from brassfall.balancer.settings import Settings
 
@@ -55,7 +55,7 @@
             self._learned_ms, self._learned_at = max(MIN_LEARNED_IDLE_MS, TRUSTED_IDLE_SHARE * idle_for), now
         return True
 
-    def close_if_draining(self, server: Server, closings: int = CLOSINGS) -> list[CloseIdle | Timer]:
+    def close_if_draining(self, server: Server, closings: int = CLOSINGS) -> list[CloseIdleConnections | StartTimer]:
         """Return the actions that close idle connections to a draining server, now and again later.
 
         A connection may become idle later without an event, so they are closed again before the time limit,
@@ -63,14 +63,14 @@
         """
         if self._release_within_ms <= 0.0 or server.usable:
             return []
-        actions: list[CloseIdle | Timer] = [CloseIdle(server.name)]
+        actions: list[CloseIdleConnections | StartTimer] = [CloseIdleConnections(server.name)]
         if closings and (closings < CLOSINGS or not server.closings_left):
             delay_ms = self._release_within_ms * CLOSING_INTERVAL_SHARE
-            actions.append(Timer(delay_ms, IdleCloseTimer(server.name)))
+            actions.append(StartTimer(delay_ms, IdleCloseTimer(server.name)))
         server.closings_left = closings
         return actions
 
-    def close_again(self, server: Server) -> list[CloseIdle | Timer]:
+    def close_again(self, server: Server) -> list[CloseIdleConnections | StartTimer]:
         """Return the actions for a timer of `close_if_draining` that has come due."""
         if not server.closings_left:
             return []
--- a/brassfall/balancer/discovery_backoff.py
+++ b/brassfall/balancer/discovery_backoff.py
@@ -4,7 +4,7 @@
 
 import random
 
-from brassfall.balancer.model import MAX_POLL_BACKOFF_MS
+from brassfall.balancer.model import MAX_DISCOVERY_BACKOFF_MS
 from brassfall.balancer.settings import DiscoveryMode, Settings
 
 FIRST_CALL_SPREAD_MS = 2500.0  # sidecars that start together call at different times within this
@@ -29,7 +29,7 @@
         """Apply other settings from now on."""
         self._subscribes = settings.discovery == DiscoveryMode.SUBSCRIBE
         self._spread_ms = min(FIRST_CALL_SPREAD_MS, settings.ask_within * FIRST_CALL_SPREAD_SHARE)
-        self._max_backoff_ms = min(MAX_POLL_BACKOFF_MS, MAX_BACKOFF_SHARE * settings.ask_within)
+        self._max_backoff_ms = min(MAX_DISCOVERY_BACKOFF_MS, MAX_BACKOFF_SHARE * settings.ask_within)
 
     def started(self) -> float | None:
         """Schedule the first call; return the milliseconds until then, or None if no call is to be made."""
--- a/brassfall/balancer/endpoints.py
+++ b/brassfall/balancer/endpoints.py
@@ -7,7 +7,7 @@
 from collections.abc import Collection
 from hashlib import blake2b
 
-from brassfall.balancer.model import Listing, Steer
+from brassfall.balancer.model import EndpointEntry, SteeringDirectives
 from brassfall.balancer.pace import PaceTracker
 from brassfall.balancer.records import Group, Server
 from brassfall.balancer.settings import Settings
@@ -79,7 +79,7 @@
             self._groups[group] = ring or [s for s in self._excluded if s.group(scope) == group]
         return self._groups[group]
 
-    def update(self, now: float, entry: Listing, paces: PaceTracker, rng: random.Random) -> Server:
+    def update(self, now: float, entry: EndpointEntry, paces: PaceTracker, rng: random.Random) -> Server:
         """Take over one entry of the list; return its server."""
         server = self.servers.get(entry.server)
         if server is None:
@@ -115,7 +115,7 @@
     def _forgettable(now: float, server: Server) -> bool:
         return not server.usable and not server.in_flight and now - server.gone_at > FORGET_MS
 
-    def rebuild(self, steer: Steer) -> None:
+    def rebuild(self, steer: SteeringDirectives) -> None:
         """Make the ring anew: the usable servers by name, from this sidecar's starting point on.
 
         Servers that have left keep their places, so a crash changes few subsets. The ring mixes the zones:
--- a/brassfall/balancer/events.py
+++ b/brassfall/balancer/events.py
@@ -9,7 +9,7 @@
 from collections.abc import Collection, Iterable, Mapping
 from typing import NamedTuple
 
-from brassfall.balancer.model import ListForm, Listing, Outcome, Steer, TimerToken
+from brassfall.balancer.model import ListForm, EndpointEntry, Outcome, SteeringDirectives, TimerToken
 from brassfall.balancer.settings import Settings
 
 LoadReport = Mapping[str, float]  # load measures by name, as a server puts them into its answers
@@ -75,11 +75,11 @@
     token: TimerToken
 
 
-class EndpointsListed(NamedTuple):
+class EndpointListReceived(NamedTuple):
     """An endpoint list arrived: the complete list, or the entries that changed."""
 
     form: ListForm
-    entries: Iterable[Listing]
+    entries: Iterable[EndpointEntry]
 
 
 class DiscoveryFailed(NamedTuple):
@@ -112,7 +112,7 @@
 class SteeringChanged(NamedTuple):
     """Another steering plan and other overrides apply from now on."""
 
-    steer: Steer
+    steer: SteeringDirectives
 
 
 Event = (
@@ -123,7 +123,7 @@
     | BodyDiscarded
     | ClientLeft
     | TimerDue
-    | EndpointsListed
+    | EndpointListReceived
     | DiscoveryFailed
     | HealthCheckEnded
     | PeerMessageReceived
--- a/brassfall/balancer/learning.py
+++ b/brassfall/balancer/learning.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from brassfall.balancer.components import Components
-from brassfall.balancer.model import FULL, OK, TIMEOUT, Outcome
+from brassfall.balancer.model import REJECTED, OK, TIMEOUT, Outcome
 from brassfall.balancer.records import EVIDENCE, Attempt, Request
 
 LATE_ACCEPT = 0.5  # an answer past its objective counts as half an accept: the service is falling behind
@@ -32,11 +32,11 @@
         self._connections = components.connections
         self._ejector = components.ejector
         self._overload = components.overload
-        self._paces = components.paces
+        self._paces = components.pace_tracker
         self._shedder = components.shedder
         self._steering = components.steering
         self._throttle = components.throttle
-        self._zones = components.zones
+        self._zones = components.zone_spillover
 
     def learn(
         self, now: float, request: Request, attempt: Attempt, outcome: Outcome, elapsed_ms: float
@@ -46,7 +46,7 @@
             return
         server, objective = attempt.server, request.profile.objective
         self._ejector.count(outcome)
-        if outcome is OK or outcome is FULL or outcome is TIMEOUT:
+        if outcome is OK or outcome is REJECTED or outcome is TIMEOUT:
             self._shedder.observe(now, self._overload.signal(now, server, outcome))
             least_ms = MIN_ELAPSED_MS if outcome is OK else objective
             self._paces.learn(server.pace, server.kind_pace, max(elapsed_ms, least_ms), request.work)
@@ -57,7 +57,7 @@
             self._zones.learn(server.zone, request.request_class, missed)
         if outcome is OK:
             self._learn_answer(now, request, attempt, elapsed_ms)
-        elif outcome is FULL:
+        elif outcome is REJECTED:
             self._ejector.rejected(now, server)
             self._throttle.add(now, 0.0)
         else:
--- a/brassfall/balancer/load_shedding.py
+++ b/brassfall/balancer/load_shedding.py
@@ -70,7 +70,7 @@
         """The classes of the recent arrivals."""
         return {request_class for request_class, _ in self._mix}
 
-    def arrive(self, request_class: int, weight: float, work: float, tenant: int, chance: float) -> bool:
+    def count_arrival(self, request_class: int, weight: float, work: float, tenant: int, chance: float) -> bool:
         """Count an arrival; return whether it counts as over its tenant's quota, by a random `chance`."""
         over = False
         self._seen_all = self._seen_all * MIX_MEMORY + 1.0
@@ -100,7 +100,7 @@
         """Return the shed probability, 0 to 1: the share of the work that should be refused."""
         return self._probability * math.exp((self._updated_at - now) / SHED_FADE_MS)
 
-    def refusal_chance(self, now: float, drop: float, request_class: int, *, over: bool) -> float:
+    def class_refusal_probability(self, now: float, drop: float, request_class: int, *, over_quota: bool) -> float:
         """Return the chance of refusing such a request.
 
         In all, the share `drop` of the work is refused, or what the shed probability asks if that is more:
@@ -118,13 +118,13 @@
             if within:
                 break
             work = self._mix[kind, True].work
-            if kind == request_class and over:
+            if kind == request_class and over_quota:
                 return need / work
             need -= work
             if need <= 0.0:
                 return 0.0
         order = [kind for within, _, kind in kinds if within]
-        return self._chance_within_quota(need, order, weights, -1 if over else request_class)
+        return self._chance_within_quota(need, order, weights, -1 if over_quota else request_class)
 
     def _weights(self) -> dict[tuple[int, bool], float]:
         """Return the priority weight of all recent requests of each kind."""
--- a/brassfall/balancer/model.py
+++ b/brassfall/balancer/model.py
@@ -10,12 +10,12 @@
 
 # Time limit for a change of the endpoint list to be in force, from when discovery has it and can be reached.
 # The backoff before a call to discovery and the call's own time limit are parts of it.
-NOTIFIED_MS = 6000.0
-SPARE_MS = 500.0  # left over for an event loop that lags
-CALL_MS = 1000.0  # time limit of one call to discovery
+LIST_CHANGE_DEADLINE_MS = 6000.0
+LOOP_LAG_ALLOWANCE_MS = 500.0  # left over for an event loop that lags
+DISCOVERY_CALL_TIMEOUT_MS = 1000.0  # time limit of one call to discovery
 # Jitter doubles the backoff at most. After discovery is back, the call under way and the next one may still
 # fail; the third has to be in time.
-MAX_POLL_BACKOFF_MS = (NOTIFIED_MS - SPARE_MS - 3.0 * CALL_MS) / 4.0
+MAX_DISCOVERY_BACKOFF_MS = (LIST_CHANGE_DEADLINE_MS - LOOP_LAG_ALLOWANCE_MS - 3.0 * DISCOVERY_CALL_TIMEOUT_MS) / 4.0
 
 
 class Outcome(IntEnum):
@@ -23,7 +23,7 @@
 
     OK = 0
     ERROR = 1  # answered with an error: it may have run
-    FULL = 2  # rejected without being looked at: it never ran
+    REJECTED = 2  # rejected without being looked at: it never ran
     TIMEOUT = 3  # no answer in time: it may run still
     CONNECT_FAILED = 4  # no connection in time: it never ran
     RESET = 5  # the connection broke: it may have run
@@ -32,7 +32,7 @@
 
 
 # The members as names of this module: a look-up on the enumeration costs more than a comparison.
-OK, ERROR, FULL, TIMEOUT, CONNECT_FAILED, RESET, CANCELLED, ABANDONED = Outcome
+OK, ERROR, REJECTED, TIMEOUT, CONNECT_FAILED, RESET, CANCELLED, ABANDONED = Outcome
 
 
 class RefusalReason(StrEnum):
@@ -54,12 +54,12 @@
 class ListForm(Enum):
     """What an endpoint list contains; the value is its name on the simulator's wire."""
 
-    REMEMBERED = "remembered"  # the complete list that the configuration had
+    CONFIGURED = "remembered"  # the complete list that the configuration had
     COMPLETE = "all"
     CHANGES = "changes"
 
 
-class Send(NamedTuple):
+class SendAttempt(NamedTuple):
     """Start an attempt; it times out after `timeout` milliseconds.
 
     The last byte of a retry with an idempotency key has to reach the server before `write_by`, a time of the
@@ -72,7 +72,7 @@
     write_by: float = math.inf
 
 
-class Refuse(NamedTuple):
+class RefuseRequest(NamedTuple):
     """Answer the client that its request was refused and did not run.
 
     The client may retry it after `retry_after` milliseconds.
@@ -82,13 +82,13 @@
     retry_after: float
 
 
-class Fail(NamedTuple):
+class FailRequest(NamedTuple):
     """Answer the client that its request failed; it may have run."""
 
     request: int
 
 
-class Cancel(NamedTuple):
+class CancelAttempt(NamedTuple):
     """Stop waiting for an attempt; `attempt` is its place among those of its request."""
 
     request: int
@@ -127,7 +127,7 @@
 TimerToken = ObjectiveTimer | QueueDeadlineTimer | KeyPauseTimer | IdleCloseTimer | DiscoveryRetryTimer
 
 
-class Timer(NamedTuple):
+class StartTimer(NamedTuple):
     """Ask for a `TimerDue` event with this token after `delay` milliseconds.
 
     A timer about a `request` may be left out once that has its answer and none of its attempts is in flight:
@@ -139,45 +139,45 @@
     request: int | None = None
 
 
-class Fetch(NamedTuple):
+class FetchEndpointList(NamedTuple):
     """Ask discovery for the complete endpoint list once."""
 
 
-class Watch(NamedTuple):
+class WatchEndpointList(NamedTuple):
     """Ask discovery to send changes of the endpoint list from now on, or to stop."""
 
     on: bool
 
 
-class Probe(NamedTuple):
+class CheckServerHealth(NamedTuple):
     """Check the health of one server."""
 
     server: str
 
 
-class CloseIdle(NamedTuple):
+class CloseIdleConnections(NamedTuple):
     """Close the idle connections to a server."""
 
     server: str
 
 
-class Tell(NamedTuple):
+class SendPeerMessage(NamedTuple):
     """Send a message to one peer, or to all when `peer` is None."""
 
     peer: int | None
     data: bytes
 
 
-class Log(NamedTuple):
+class WriteLog(NamedTuple):
     """A line for on-call staff."""
 
     text: str
 
 
-Action = Send | Refuse | Fail | Cancel | Timer | Fetch | Watch | Probe | CloseIdle | Tell | Log
+Action = SendAttempt | RefuseRequest | FailRequest | CancelAttempt | StartTimer | FetchEndpointList | WatchEndpointList | CheckServerHealth | CloseIdleConnections | SendPeerMessage | WriteLog
 
 
-class Listing(NamedTuple):
+class EndpointEntry(NamedTuple):
     """One entry of the endpoint list; `zone`, `kind` and `cell` are numbers that it gives."""
 
     server: str
@@ -189,7 +189,7 @@
     started: float = 0.0  # when, in milliseconds of the clock of the events; 0: long ago
 
 
-class Steer(NamedTuple):
+class SteeringDirectives(NamedTuple):
     """The steering plan and the overrides; a new value replaces the one before it as a whole.
 
     Zones are positions in `FailureDomains`. Requests beyond the sum of the shares, where that is below 1, are
--- a/brassfall/balancer/overload.py
+++ b/brassfall/balancer/overload.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 
 from brassfall.balancer.load_shedding import SHED_FADE_MS, SHED_GAIN
-from brassfall.balancer.model import FULL, OK, TIMEOUT, Outcome
+from brassfall.balancer.model import REJECTED, OK, TIMEOUT, Outcome
 from brassfall.balancer.rates import RATE_MS, SendRate
 from brassfall.balancer.records import Server
 from brassfall.balancer.settings import ReportMode, Settings
@@ -80,17 +80,17 @@
 
         Load reports count by their mean and not by their sum: a busy sidecar receives more of them.
         """
-        if outcome is FULL and self.reports and server.reported_at != now:
+        if outcome is REJECTED and self.reports and server.reported_at != now:
             # Without a load report a rejection is a weak signal: the server may be draining or starting.
             return min(1.0, SHARE_GAIN * self._weight(now))
-        if (outcome is OK or outcome is FULL) and self._in_flight_reported and server.reported_at == now:
+        if (outcome is OK or outcome is REJECTED) and self._in_flight_reported and server.reported_at == now:
             # A server that rejects requests while it has few in flight is at fault itself.
             overload = min(
                 1.0, max(0.0, (server.reported_load - OVERLOAD_IN_FLIGHT) / OVERLOAD_IN_FLIGHT_SPAN)
             )
-            return overload if outcome is FULL else overload * self._weight(now)
+            return overload if outcome is REJECTED else overload * self._weight(now)
         if outcome is not TIMEOUT:
-            return 1.0 if outcome is FULL else 0.0
+            return 1.0 if outcome is REJECTED else 0.0
         # Lost answers must shed no load. Where an overloaded service drops requests, this comes late.
         return MAX_LATE_SIGNAL * min(1.0, max(0.0, (self.slowness - SLOW_SHARE) / SLOW_SHARE_SPAN))
 
--- a/brassfall/balancer/records.py
+++ b/brassfall/balancer/records.py
@@ -6,7 +6,7 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from brassfall.balancer.model import CONNECT_FAILED, ERROR, FULL, OK, RESET, TIMEOUT, Listing
+from brassfall.balancer.model import CONNECT_FAILED, ERROR, REJECTED, OK, RESET, TIMEOUT, EndpointEntry
 from brassfall.balancer.pace import Pace
 from brassfall.balancer.settings import ZONE, KeyScope, Profile, Settings
 
@@ -14,7 +14,7 @@
 HASH_MASK = 0xFFFFFFFFFFFFFFFF
 
 # Outcomes that say something of a server or of the service; a cancelled or unsent attempt says nothing.
-EVIDENCE = frozenset((OK, ERROR, FULL, TIMEOUT, CONNECT_FAILED, RESET))
+EVIDENCE = frozenset((OK, ERROR, REJECTED, TIMEOUT, CONNECT_FAILED, RESET))
 
 Group = tuple[KeyScope, int]  # the servers of a zone or a cell, by its number
 
@@ -50,7 +50,7 @@
     budget: float = 0.0  # sends that it may have while in slow start
     budget_at: float = 0.0  # when the budget was last brought up to date
 
-    def update(self, entry: Listing) -> None:
+    def update(self, entry: EndpointEntry) -> None:
         """Take over what the endpoint list says of it."""
         self.zone = entry.zone
         self.kind = entry.kind
--- a/brassfall/balancer/selection.py
+++ b/brassfall/balancer/selection.py
@@ -62,12 +62,12 @@
         """Use the parts of one balancer."""
         self._rng = components.rng
         self._endpoints = components.endpoints
-        self._zones = components.zones
+        self._zones = components.zone_spillover
         self._steering = components.steering
         self._slow_start = components.slow_start
         self._ejector = components.ejector
         self._overload = components.overload
-        self._paces = components.paces
+        self._paces = components.pace_tracker
         self._affinity = components.affinity
         self.reload(settings)
 
@@ -180,7 +180,7 @@
         if zone is not None:
             return endpoints.members((ZONE, zone))
         if self._zones.active and endpoints.near and endpoints.far:
-            crosses = self._rng.random() < self._zones.spill[search.request.request_class]
+            crosses = self._rng.random() < self._zones.spill_shares[search.request.request_class]
             return endpoints.far if crosses else endpoints.near
         return endpoints.ring
 
--- a/brassfall/balancer/steering.py
+++ b/brassfall/balancer/steering.py
@@ -11,7 +11,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from brassfall.balancer.model import Steer
+from brassfall.balancer.model import SteeringDirectives
 
 RAMP_MS = 5000.0  # a change of shares, and the return of what was excluded, are spread over this time
 MAX_STAGES = 8.0  # changes that come faster than this many in a ramp are ramped as one
@@ -59,7 +59,7 @@
     def __init__(self, rng: random.Random) -> None:
         """Begin without a plan and without overrides; `rng` is that of the same balancer."""
         self.on = False  # True once there were any
-        self.steer = Steer()
+        self.steer = SteeringDirectives()
         self.capped = 0  # requests refused for a cap
         self._rng = rng
         self._stages = [(-math.inf, self.steer)]  # plans, and when each began to replace the one before
@@ -72,7 +72,7 @@
         """The number of plans that still have an effect."""
         return len(self._stages)
 
-    def replace(self, now: float, steer: Steer) -> bool:
+    def replace(self, now: float, steer: SteeringDirectives) -> bool:
         """Apply another plan and other overrides; return whether they exclude others than before."""
         weight, (since, last) = min(1.0, max(0.0, steer.weight)), self._stages[-1]
         self.on = True
--- a/brassfall/balancer/throttle.py
+++ b/brassfall/balancer/throttle.py
@@ -37,7 +37,7 @@
             self.accepts -= entries.popleft()[1]
             self.requests -= 1
 
-    def drop_chance(self, now: float) -> float:
+    def refusal_probability(self, now: float) -> float:
         """Return the chance, 0 to 1, with which the next request is to be refused."""
         self.trim(now)
         return max(
--- a/brassfall/balancer/zones.py
+++ b/brassfall/balancer/zones.py
@@ -18,18 +18,18 @@
     Requests stay in the sidecar's own zone until that misses more objectives than sending elsewhere costs.
     """
 
-    __slots__ = ("_far_missed", "_locality", "margins", "active", "spill")
+    __slots__ = ("_far_missed", "_locality", "active", "spill_margins", "spill_shares")
 
     def __init__(self, settings: Settings) -> None:
         """Begin with all requests in the sidecar's own zone."""
-        self.spill = [0.0] * len(settings.profiles)  # by class, 0 to 1
+        self.spill_shares = [0.0] * len(settings.profiles)  # by class, 0 to 1
         self._far_missed = 0.0  # fading share of the outcomes in other zones that miss their objective
         self._price(settings)
 
     def reload(self, settings: Settings, retained: Collection[int]) -> None:
         """Apply other settings; what was learned of classes that are not `retained` is forgotten."""
         slots = range(len(settings.profiles))
-        self.spill = [self.spill[slot] if slot in retained else 0.0 for slot in slots]
+        self.spill_shares = [self.spill_shares[slot] if slot in retained else 0.0 for slot in slots]
         self._price(settings)
 
     def _price(self, settings: Settings) -> None:
@@ -38,13 +38,13 @@
         price = settings.prices.get("CrossZone", 0.0)
         self.active = settings.zones > 1 and price >= MIN_CROSS_ZONE_PRICE
         self._locality = settings.locality
-        self.margins = [PRICE_SHARE * price * max(weights) / (weight or 1.0) for weight in weights]
+        self.spill_margins = [PRICE_SHARE * price * max(weights) / (weight or 1.0) for weight in weights]
 
     def learn(self, zone: int, request_class: int, missed: float) -> None:
         """Count an outcome in a zone: `missed` is 1 if it was not served within the objective, else 0."""
         if zone != self._locality:
             self._far_missed += (1.0 - MISS_MEMORY) * (missed - self._far_missed)
             return
-        gap = missed - self._far_missed - self.margins[request_class]
-        spill = self.spill[request_class] + SPILL_GAIN * gap
-        self.spill[request_class] = min(1.0, max(0.0, spill))
+        gap = missed - self._far_missed - self.spill_margins[request_class]
+        spill = self.spill_shares[request_class] + SPILL_GAIN * gap
+        self.spill_shares[request_class] = min(1.0, max(0.0, spill))
--- a/brassfall/cli/main.py
+++ b/brassfall/cli/main.py
@@ -71,7 +71,7 @@
     elif settings.is_aggregator(file):
         settings.load_aggregator(file)
     else:
-        settings.load(file)
+        settings.load_registry(file)
     typer.echo(f"{file}: good")
 
 
--- a/brassfall/cli/options.py
+++ b/brassfall/cli/options.py
@@ -42,7 +42,7 @@
 def address(text: str, option: str = "--at") -> str:
     """Return the same HOST:PORT; raise `UsageError`, which names the option, if it is none."""
     try:
-        settings.address(text)
+        settings.parse_address(text)
     except ValueError as error:
         raise UsageError(option, str(error), "Give HOST:PORT, as in 127.0.0.1:8500.") from None
     return text
--- a/brassfall/cli/registry.py
+++ b/brassfall/cli/registry.py
@@ -33,7 +33,7 @@
     """Run a list service until SIGTERM."""
     from brassfall.controlplane.registry import server
 
-    _serve(server.serve(settings.load(config)))
+    _serve(server.serve(settings.load_registry(config)))
 
 
 @app.command()
--- a/brassfall/controlplane/registry/entries.py
+++ b/brassfall/controlplane/registry/entries.py
@@ -12,7 +12,7 @@
 from brassfall.controlplane.store.commands import Delete, Patch, Put
 from brassfall.controlplane.store.records import Change, Row
 from brassfall.errors import RequestError
-from brassfall.settings import LeaseSettings, address
+from brassfall.settings import LeaseSettings, parse_address
 
 INSTANCES = "instances"
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._:-]{0,127}")
@@ -88,7 +88,7 @@
         message = f"name: the path says {key!r}, the entry says {str(asked.name)[:MAX_QUOTED]!r}"
         raise RequestError(message)
     try:
-        address(asked.address)
+        parse_address(asked.address)
     except ValueError as error:
         message = f"address: {error}"
         raise RequestError(message) from error
--- a/brassfall/controlplane/registry/front.py
+++ b/brassfall/controlplane/registry/front.py
@@ -22,7 +22,7 @@
 from brassfall.controlplane.registry.watches import TICK_S, Channel, chunk
 from brassfall.errors import RequestError, UnavailableError
 from brassfall.logs import faults, logger
-from brassfall.settings import CallerLimits, address
+from brassfall.settings import CallerLimits, parse_address
 
 BACKLOG = 4096  # a whole fleet may connect at once
 BIND_RETRY_S, BIND_PAUSE_S = 3.0, 0.1
@@ -77,7 +77,7 @@
         Failures for lack of memory or descriptors are retried for `BIND_RETRY_S`.
         """
         _raise_descriptors()
-        self._socket = await _create_server(address(listen))
+        self._socket = await _create_server(parse_address(listen))
         # Otherwise the kernel buffers megabytes for each slow reader, beyond the limit of its watch.
         self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, self.limits.watch_bytes // 2)
 
--- a/brassfall/controlplane/registry/writes.py
+++ b/brassfall/controlplane/registry/writes.py
@@ -11,7 +11,7 @@
 from brassfall.controlplane.store.records import Result, Status
 from brassfall.controlplane.store.store import Store
 from brassfall.errors import UnavailableError
-from brassfall.settings import Limits
+from brassfall.settings import RegistryLimits
 
 MORE_ROOM = "Delete what is not needed, or raise the limit in the service's configuration."
 FULL_RETRY_S = 10.0
@@ -30,7 +30,7 @@
 class Writes:
     """Carries out commands on a store, and answers their results."""
 
-    def __init__(self, store: Store, limits: Limits) -> None:
+    def __init__(self, store: Store, limits: RegistryLimits) -> None:
         self._store = store
         self._limits = limits
 
--- a/brassfall/lab/capacity/topology.py
+++ b/brassfall/lab/capacity/topology.py
@@ -22,7 +22,7 @@
 )
 from brassfall.lab.capacity.fleet import HollowFleet, Worker
 from brassfall.lab.capacity.relay import Relay
-from brassfall.settings import address
+from brassfall.settings import parse_address
 
 _drafts = count(1)
 PUBLISH_S = 30.0
@@ -134,7 +134,7 @@
 
 
 async def _aggregator(environment: Environment, topology: Topology, name: str, region: str) -> Aggregator:
-    relay = Relay(*address(topology.service.address))
+    relay = Relay(*parse_address(topology.service.address))
     await relay.start()
     environment.push_async_callback(relay.close)
     made = Aggregator(environment, name, region, relay)
--- a/brassfall/lab/play.py
+++ b/brassfall/lab/play.py
@@ -73,7 +73,7 @@
     setattr(sys.modules["brassfall"], PACKAGE.rpartition(".")[2], module)
     model, events = sys.modules[f"{PACKAGE}.model"], sys.modules.get(f"{PACKAGE}.events")
     request = getattr(events, "RequestArrived", None)
-    if not hasattr(request, "request_class") or not hasattr(model, "TimerToken"):
+    if not hasattr(request, "request_class") or not hasattr(model, "SendAttempt"):
         raise SettingsError(str(code), "its decision module has an earlier interface", LATER_REVISION)
 
 
--- a/brassfall/lab/sim/defects.py
+++ b/brassfall/lab/sim/defects.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from brassfall.balancer.model import RESET, Listing, Outcome, Send
+from brassfall.balancer.model import RESET, EndpointEntry, Outcome, SendAttempt
 from brassfall.lab.models.client import BROKEN, SERVED
 from brassfall.lab.sim.sidecar import Attempt, Request, Sidecar
 
@@ -23,7 +23,7 @@
 class NoticeTwice(_Counting):
     """Sends a request that must not run twice to a second server, where the first is slow to answer."""
 
-    def send(self, now: float, action: Send) -> None:
+    def send(self, now: float, action: SendAttempt) -> None:
         """Begin an attempt, and sometimes another one."""
         super().send(now, action)
         request = self.requests.get(action.request)
@@ -62,7 +62,7 @@
 class IgnoresDrain(Sidecar):
     """Goes on sending to servers that drain or are gone."""
 
-    def list_received(self, now: float, form: str, entries: list[Listing], index: int) -> None:
+    def list_received(self, now: float, form: str, entries: list[EndpointEntry], index: int) -> None:
         """Changes of the list, all servers marked active."""
         as_active = [entry._replace(state="active") for entry in entries]
         super().list_received(now, form, as_active, index)
@@ -73,7 +73,7 @@
 
     _last_key = ""
 
-    def send(self, now: float, action: Send) -> None:
+    def send(self, now: float, action: SendAttempt) -> None:
         """Begin an attempt, sometimes with a key that is another's."""
         request = self.requests.get(action.request)
         if request is None or not request.call.key:
@@ -119,7 +119,7 @@
     _newest = ""
     _until = 0.0
 
-    def list_received(self, now: float, form: str, entries: list[Listing], index: int) -> None:
+    def list_received(self, now: float, form: str, entries: list[EndpointEntry], index: int) -> None:
         """Changes of the list; the newest server is noted."""
         started = [entry for entry in entries if entry.state == "active" and entry.started > 0.0]
         if started:
@@ -127,7 +127,7 @@
             self._until = now + 4000.0
         super().list_received(now, form, entries, index)
 
-    def send(self, now: float, action: Send) -> None:
+    def send(self, now: float, action: SendAttempt) -> None:
         """Begin an attempt, at the newest server."""
         chosen = self._newest if now < self._until else action.server
         super().send(now, action._replace(server=chosen))
--- a/brassfall/lab/sim/lists.py
+++ b/brassfall/lab/sim/lists.py
@@ -5,7 +5,7 @@
 import random
 from typing import Any, NamedTuple
 
-from brassfall.balancer.model import Listing
+from brassfall.balancer.model import EndpointEntry
 from brassfall.controlplane.registry.membership import Call
 from brassfall.lab import ledger
 from brassfall.lab.sim.listing import ListService
@@ -58,7 +58,7 @@
 
     request: _WatchRequest
     form: str  # "all" or "changes"
-    entries: list[Listing]
+    entries: list[EndpointEntry]
     list_index: int
 
 
@@ -131,9 +131,9 @@
             self._notify_watches(now)
         self.world.at(now + EXPIRY_CHECK_MS, self._expire, None)
 
-    def _listing(self, row: dict[str, Any]) -> Listing:
+    def _listing(self, row: dict[str, Any]) -> EndpointEntry:
         since = float(row["since_ms"])
-        return Listing(row["name"], int(row["zone"]), int(row["type"]), 0, row["status"], 1.0, since)
+        return EndpointEntry(row["name"], int(row["zone"]), int(row["type"]), 0, row["status"], 1.0, since)
 
     def _notify_watches(self, now: float) -> None:
         """Send the watches what has changed."""
@@ -156,7 +156,7 @@
         sidecar.list_heard = now
         sidecar.list_received(now, form, entries, index)
 
-    def _note_events(self, now: float, sidecar: Sidecar, form: str, entries: list[Listing]) -> None:
+    def _note_events(self, now: float, sidecar: Sidecar, form: str, entries: list[EndpointEntry]) -> None:
         endpoints = sidecar.endpoints
         changed = [
             (entry.server, entry.started, entry.state)
--- a/brassfall/lab/sim/sidecar.py
+++ b/brassfall/lab/sim/sidecar.py
@@ -14,23 +14,23 @@
 from brassfall.balancer.model import (
     ABANDONED,
     CANCELLED,
-    FULL,
+    REJECTED,
     OK,
     TIMEOUT,
-    Cancel,
-    CloseIdle,
-    Fail,
-    Fetch,
+    CancelAttempt,
+    CloseIdleConnections,
+    FailRequest,
+    FetchEndpointList,
     ListForm,
-    Listing,
-    Log,
+    EndpointEntry,
+    WriteLog,
     Outcome,
-    Probe,
-    Refuse,
-    Send,
-    Timer,
+    CheckServerHealth,
+    RefuseRequest,
+    SendAttempt,
+    StartTimer,
     TimerToken,
-    Watch,
+    WatchEndpointList,
 )
 from brassfall.lab.day import Day
 from brassfall.lab.ledger import LedgerWriter
@@ -159,7 +159,7 @@
         self.name = name
         self.zone = zone
         self.group = group
-        self.steer: model.Steer | None = None  # what it received last; it survives a restart
+        self.steer: model.SteeringDirectives | None = None  # what it received last; it survives a restart
         self.settings = Settings.parse(settings)
         self.idle_ms = self.settings.idle_close
         self.max_attempts = self.settings.max_attempts
@@ -169,22 +169,22 @@
         self.watch_asked = 0  # number of the last request for the list; answers to earlier ones are void
         self.list_index = 0
         self.list_heard = 0.0  # when its list was last known to be true
-        self.endpoints: dict[str, Listing] = {}
+        self.endpoints: dict[str, EndpointEntry] = {}
         self.requests: dict[int, Request] = {}
         self.pools: dict[str, Pool] = {}
         self._balancer: Balancer
         self._next = 0
         self._acts: dict[type, Callable[[float, Any], None]] = {
-            Send: self.send,
-            Timer: self._set_timer,
-            Refuse: self._refuse,
-            Fail: self._fail,
-            Cancel: self._cancel,
-            CloseIdle: self._close_idle,
-            Watch: self._watch,
-            Fetch: self._fetch,
-            Probe: self._probe,
-            Log: self._log,
+            SendAttempt: self.send,
+            StartTimer: self._set_timer,
+            RefuseRequest: self._refuse,
+            FailRequest: self._fail,
+            CancelAttempt: self._cancel,
+            CloseIdleConnections: self._close_idle,
+            WatchEndpointList: self._watch,
+            FetchEndpointList: self._fetch,
+            CheckServerHealth: self._probe,
+            WriteLog: self._log,
         }
 
     # --- start and end -----------------------------------------------------------------
@@ -197,12 +197,12 @@
         self.requests, self.pools = {}, {}
         self._next = seed % 2**32
         self._balancer = Balancer(now, self.settings, seed)
-        known = events.EndpointsListed(ListForm.REMEMBERED, list(self.endpoints.values()))
+        known = events.EndpointListReceived(ListForm.CONFIGURED, list(self.endpoints.values()))
         self.do(now, self._balancer.step(now, known))
         if self.steer is not None:
             self.steered(now, self.steer)
 
-    def steered(self, now: float, steer: model.Steer) -> None:
+    def steered(self, now: float, steer: model.SteeringDirectives) -> None:
         """A plan or overrides have changed."""
         self.steer = steer
         if self.up:
@@ -253,7 +253,7 @@
         attempt.over = True
         request = attempt.request
         request.out -= 1
-        if outcome <= FULL:
+        if outcome <= REJECTED:
             self._give_back(now, attempt)
         if outcome is OK and self._end(request):
             self.served(now, request, attempt)
@@ -279,7 +279,7 @@
         if token[0] == self.incarnation and self.up:
             self.do(now, self._balancer.step(now, events.TimerDue(token[1])))
 
-    def list_received(self, now: float, form: str, entries: list[Listing], index: int) -> None:
+    def list_received(self, now: float, form: str, entries: list[EndpointEntry], index: int) -> None:
         """The complete list, or changes of it, have arrived."""
         if form == "all":
             self.endpoints = {entry.server: entry for entry in entries}
@@ -289,7 +289,7 @@
             else:
                 self.endpoints[entry.server] = entry
         self.list_index = max(self.list_index, index)
-        self.do(now, self._balancer.step(now, events.EndpointsListed(ListForm(form), entries)))
+        self.do(now, self._balancer.step(now, events.EndpointListReceived(ListForm(form), entries)))
 
     def list_refused(self, now: float) -> None:
         """A request for the list has failed, or its watch has broken."""
@@ -310,7 +310,7 @@
         for action in actions:
             acts[type(action)](now, action)
 
-    def send(self, now: float, action: Send) -> None:
+    def send(self, now: float, action: SendAttempt) -> None:
         """Begin an attempt."""
         request = self.requests.get(action.request)
         server = self.world.servers.get(action.server)
@@ -331,16 +331,16 @@
     def _abandon(self, now: float, attempt: Attempt) -> None:
         self.ended(now, attempt, ABANDONED)
 
-    def _set_timer(self, now: float, action: Timer) -> None:
+    def _set_timer(self, now: float, action: StartTimer) -> None:
         self.world.at(now + max(0.0, action.delay), self.timer, (self.incarnation, action.token))
 
-    def _refuse(self, now: float, action: Refuse) -> None:
+    def _refuse(self, now: float, action: RefuseRequest) -> None:
         request = self.requests.get(action.request)
         if request is not None and self._end(request):
             self.refused(now, request, action.retry_after)
             self._forget(request)
 
-    def _fail(self, now: float, action: Fail) -> None:
+    def _fail(self, now: float, action: FailRequest) -> None:
         request = self.requests.get(action.request)
         if request is not None and self._end(request):
             self.world.answered(now, request.call, FAILED)
@@ -354,7 +354,7 @@
         """The final answer: refused."""
         self.world.answered(now, request.call, REFUSED, retry_after)
 
-    def _cancel(self, now: float, action: Cancel) -> None:
+    def _cancel(self, now: float, action: CancelAttempt) -> None:
         request = self.requests.get(action.request)
         if request is not None and 0 <= action.attempt < len(request.attempts):
             attempt = request.attempts[action.attempt]
@@ -366,24 +366,24 @@
             self._drop_connection(attempt)
             self.ended(now, attempt, CANCELLED)
 
-    def _close_idle(self, _now: float, action: CloseIdle) -> None:
+    def _close_idle(self, _now: float, action: CloseIdleConnections) -> None:
         pool = self.pools.pop(action.server, None)
         if pool is not None:
             self.world.disconnect(action.server, pool, len(pool.idle))
 
-    def _watch(self, now: float, action: Watch) -> None:
+    def _watch(self, now: float, action: WatchEndpointList) -> None:
         self.watching = False
         self.watch_asked += 1
         if action.on:
             self.world.watch(now, self, self.watch_asked)
 
-    def _fetch(self, now: float, _action: Fetch) -> None:
+    def _fetch(self, now: float, _action: FetchEndpointList) -> None:
         self.world.watch(now, self, self.watch_asked)
 
-    def _probe(self, now: float, action: Probe) -> None:
+    def _probe(self, now: float, action: CheckServerHealth) -> None:
         self.world.probe(now, self, action.server)
 
-    def _log(self, _now: float, _action: Log) -> None:
+    def _log(self, _now: float, _action: WriteLog) -> None:
         """Logs are for real sidecars."""
 
     # --- connections ----------------------------------------------------------
--- a/brassfall/lab/sim/world.py
+++ b/brassfall/lab/sim/world.py
@@ -16,7 +16,7 @@
 from itertools import count
 from typing import Any, NamedTuple
 
-from brassfall.balancer.model import CONNECT_FAILED, ERROR, FULL, OK, RESET, TIMEOUT, Outcome
+from brassfall.balancer.model import CONNECT_FAILED, ERROR, REJECTED, OK, RESET, TIMEOUT, Outcome
 from brassfall.controlplane.registry.membership import Membership
 from brassfall.lab import ledger
 from brassfall.lab.day import Day
@@ -313,7 +313,7 @@
             at_once = reason == ERROR_AT_ONCE
             named = "error" if at_once else "full" if reason == ROOM_FULL else "draining"
             self._note(host, job.data, now, named, job.work)
-            self._outcome_later(now, attempt, ERROR if at_once else FULL, core.report(now))
+            self._outcome_later(now, attempt, ERROR if at_once else REJECTED, core.report(now))
 
     def wake(self, host: Host) -> None:
         """Schedule the time at which the next request of a server is finished."""
--- a/brassfall/lab/steering.py
+++ b/brassfall/lab/steering.py
@@ -28,7 +28,7 @@
 
     at: float  # ms from the start
     group: int
-    steer: model.Steer
+    steer: model.SteeringDirectives
 
 
 def ideal_shares(
@@ -71,9 +71,9 @@
     return events
 
 
-def _steer(shares: ZoneShares, excluded: frozenset[int], explore: float) -> model.Steer:
+def _steer(shares: ZoneShares, excluded: frozenset[int], explore: float) -> model.SteeringDirectives:
     """By position: the decision module of an earlier revision has other names for the fields."""
-    return model.Steer(shares, {}, {}, excluded, frozenset(), {}, 1.0, explore)
+    return model.SteeringDirectives(shares, {}, {}, excluded, frozenset(), {}, 1.0, explore)
 
 
 def _shares(
--- a/brassfall/lab/transcriber.py
+++ b/brassfall/lab/transcriber.py
@@ -22,7 +22,7 @@
 from brassfall.controlplane.registry.member import Member
 from brassfall.errors import ListenError
 from brassfall.logs import logger
-from brassfall.settings import address
+from brassfall.settings import parse_address
 
 NOTICE_S = 0.55  # 500 ms after the notice sidecars send nothing new; a little more for the network
 UNLISTED = "End the other process of that name, or mend what the list service refuses."
@@ -112,7 +112,7 @@
         app.router.add_route("*", "/{rest:.*}", server.serve)
         runner = web.AppRunner(app, access_log=None, keepalive_timeout=15.0)
         await runner.setup()
-        site = web.TCPSite(runner, *address(listen))
+        site = web.TCPSite(runner, *parse_address(listen))
         try:
             await site.start()
         except OSError as error:
--- a/brassfall/settings.py
+++ b/brassfall/settings.py
@@ -49,7 +49,7 @@
     idle_ms: int = 15_000  # a connection without a call
 
 
-class Limits(CallerLimits, frozen=True, forbid_unknown_fields=True):
+class RegistryLimits(CallerLimits, frozen=True, forbid_unknown_fields=True):
     """Limits of callers, and of what a list service stores for them."""
 
     queue: int = 4096  # writes that wait for the disk
@@ -112,7 +112,7 @@
     data: str
     ring: int = 8192
     batch: int = 1024  # writes that share one sync
-    limits: Limits = Limits()
+    limits: RegistryLimits = RegistryLimits()
     guard: GuardSettings = GuardSettings()
     leases: LeaseSettings = LeaseSettings()
     agreement: AgreementSettings = AgreementSettings()
@@ -152,7 +152,7 @@
     aggregator: AggregatorSettings
 
 
-def address(text: str) -> tuple[str, int]:
+def parse_address(text: str) -> tuple[str, int]:
     """Split `HOST:PORT` into a pair; raise `ValueError` if it is none."""
     host, _, port = text.rpartition(":")
     bare = host[1:-1] if host.startswith("[") and host.endswith("]") else host
@@ -181,7 +181,7 @@
         raise SettingsError(str(path), str(error)) from error
 
 
-def load(path: Path) -> RegistrySettings:
+def load_registry(path: Path) -> RegistrySettings:
     """Read the file of a list service; raise `SettingsError` if it is invalid."""
     return _load(path, lambda raw: check(msgspec.convert(raw, File, strict=True).registry))
 
@@ -226,7 +226,7 @@
 
 def check(settings: RegistrySettings) -> RegistrySettings:
     """Return the same settings; raise `ValueError`, which names the first value that is out of range."""
-    address(settings.listen)
+    parse_address(settings.listen)
     if not settings.data or "\0" in settings.data:
         message = "registry.data: no folder is named"
         raise ValueError(message)
@@ -253,7 +253,7 @@
 
 def _check_address(key: str, text: str) -> None:
     try:
-        address(text)
+        parse_address(text)
     except ValueError as error:
         message = f"{key}: {error}"
         raise ValueError(message) from error
--- a/brassfall/sidecar/agent/member.py
+++ b/brassfall/sidecar/agent/member.py
@@ -8,7 +8,7 @@
 from dataclasses import replace
 from typing import Any, Protocol
 
-from brassfall.balancer.model import Steer
+from brassfall.balancer.model import SteeringDirectives
 from brassfall.sidecar import config, log, reload
 from brassfall.sidecar.agent import rules
 from brassfall.sidecar.agent.agent import Agent
@@ -35,8 +35,8 @@
     def adopt(self, found: Config) -> None:
         """Use another configuration from now on; raise `ConfigError` if it can't replace the one in use."""
 
-    def steer(self, steer: Steer) -> None:
-        """Use another `Steer` from now on."""
+    def steer(self, steer: SteeringDirectives) -> None:
+        """Use another `SteeringDirectives` from now on."""
 
     def listings(self) -> EndpointList:
         """Return the endpoint list."""
@@ -98,7 +98,7 @@
     def file_read(self, file: Config) -> None:
         """Apply revisions to this file from now on.
 
-        Classes may have other numbers by it, so the `Steer` is made anew.
+        Classes may have other numbers by it, so the `SteeringDirectives` is made anew.
         """
         self._file = file
         self._decided_for = None
--- a/brassfall/sidecar/agent/steering.py
+++ b/brassfall/sidecar/agent/steering.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Mapping
 from typing import Any, NamedTuple
 
-from brassfall.balancer.model import Steer
+from brassfall.balancer.model import SteeringDirectives
 from brassfall.sidecar.agent import overrides, rules
 from brassfall.sidecar.agent.deadlines import Deadlines, digest
 from brassfall.sidecar.agent.lease_client import ActiveConfiguration, Revision
@@ -19,15 +19,15 @@
 from brassfall.sidecar.config import Agreement
 from brassfall.sidecar.config_values import Names
 
-NEUTRAL = Steer()
+NEUTRAL = SteeringDirectives()
 DEFAULT_PLAN_AGE_LIMIT_MS = 15_000.0
-WEIGHT_STEP = 0.1  # a plan's weight is rounded down to this: each change of it replaces the `Steer`
+WEIGHT_STEP = 0.1  # a plan's weight is rounded down to this: each change of it replaces the directives
 MAX_EXPLORE = 0.5  # share of requests
 MAX_LAYERS = 8  # layers of overrides kept, one for each revision
 
 
 class Inputs(NamedTuple):
-    """What the rules and the `Steer` depend on, beside the active configuration and the clock."""
+    """What the rules and the directives depend on, beside the active configuration and the clock."""
 
     names: Names
     list_changes: int
@@ -37,7 +37,7 @@
 
 
 class Steering:
-    """The overrides' deadlines, and the `Steer` that follows from them and the active configuration."""
+    """The overrides' deadlines, and the directives that follows from them and the active configuration."""
 
     def __init__(
         self, agreement: Agreement, names: Callable[[], Names], listings: Callable[[], EndpointList]
@@ -53,7 +53,7 @@
         self._layers: dict[int, Layer] = {0: Layer()}  # by configuration revision
         self._plan_revision = -1  # the configuration revision that stated the plan
         self._plan_since = -math.inf  # when it was first used here
-        self._frozen: Steer | None = None  # the one in use when steering was frozen
+        self._frozen: SteeringDirectives | None = None  # the one in use when steering was frozen
 
     # --- reports ------------------------------------------------------------------------
 
@@ -85,7 +85,7 @@
     # --- the rules in force ------------------------------------------------------------------
 
     def inputs(self, revision: Revision, now: float) -> Inputs:
-        """Return what the rules and the `Steer` depend on; they change only with it, or at `next_end`."""
+        """Return what the rules and the directives depend on; they change only with it, or at `next_end`."""
         return Inputs(
             names=self._names(),
             list_changes=self._listings().changes,
@@ -150,7 +150,7 @@
 
     # --- the balancer's form -------------------------------------------------------------------
 
-    def steer(self, active: ActiveConfiguration, found: Effective, now: float) -> Steer:
+    def steer(self, active: ActiveConfiguration, found: Effective, now: float) -> SteeringDirectives:
         """Return the rules by the balancer's numbers of classes, tenants and zones."""
         steer = self._by_numbers(found)._replace(
             weight=self._plan_weight(active.revision, now),
@@ -165,7 +165,7 @@
             shares=self._frozen.shares, weight=self._frozen.weight, explore=self._frozen.explore
         )
 
-    def _by_numbers(self, found: Effective) -> Steer:
+    def _by_numbers(self, found: Effective) -> SteeringDirectives:
         names = self._names()
         zones, tenants, classes = names.zones, names.tenants, names.classes
         pins = {
@@ -178,7 +178,7 @@
             for name, shares in found.tenant_shares.items()
             if name in tenants
         }
-        return Steer(
+        return SteeringDirectives(
             shares=_by_zone(found.shares, zones),
             class_shares={
                 classes[name].slot: _by_zone(shares, zones)
--- a/brassfall/sidecar/core/actions.py
+++ b/brassfall/sidecar/core/actions.py
@@ -26,19 +26,19 @@
     def perform(self, action: model.Action, stamp: bytes) -> None:
         """Carry out one action, decided under the configuration revision of `stamp`."""
         match action:
-            case model.Send():
+            case model.SendAttempt():
                 self._send(action, stamp)
-            case model.Timer(request=number):
+            case model.StartTimer(request=number):
                 self.timers.arm(action, is_tracked=number in self.requests.table.by_number)
-            case model.Refuse(number, retry_after):
+            case model.RefuseRequest(number, retry_after):
                 self.requests.refuse(number, retry_after)
-            case model.Fail(number):
+            case model.FailRequest(number):
                 self.requests.fail_by_number(number)
-            case model.Cancel(number, attempt):
+            case model.CancelAttempt(number, attempt):
                 self.requests.cancel_attempt(number, attempt)
-            case model.CloseIdle(server):
+            case model.CloseIdleConnections(server):
                 self.upstreams.close_idle(server)
-            case model.Probe(server):
+            case model.CheckServerHealth(server):
                 self.health_checks.start(server)
             case _:
                 self._perform_outward(action)
@@ -46,16 +46,16 @@
     def _perform_outward(self, action: model.Action) -> None:
         """Carry out an action towards discovery, other sidecars or the log."""
         match action:
-            case model.Watch(on):
+            case model.WatchEndpointList(on):
                 self.registry.watch(on=on)
-            case model.Fetch():
+            case model.FetchEndpointList():
                 self.registry.fetch()
-            case model.Tell(peer, data):
+            case model.SendPeerMessage(peer, data):
                 self.gossip.tell(peer, data)
-            case model.Log(text):
+            case model.WriteLog(text):
                 log.info("balancer", text=text)
 
-    def _send(self, send: model.Send, stamp: bytes) -> None:
+    def _send(self, send: model.SendAttempt, stamp: bytes) -> None:
         request = self.requests.table.by_number.get(send.request)
         if request is None:
             log.error("attempt for an unknown request, not sent", request=send.request, action="report it")
--- a/brassfall/sidecar/core/attempt_runner.py
+++ b/brassfall/sidecar/core/attempt_runner.py
@@ -55,7 +55,7 @@
 
     # --- what the balancer decides ------------------------------------------------
 
-    def start(self, request: Request, send: model.Send, stamp: bytes) -> None:
+    def start(self, request: Request, send: model.SendAttempt, stamp: bytes) -> None:
         """Start an attempt, decided under the revision of `stamp`.
 
         It ends as abandoned, in a later turn, if the request is answered or out of time or attempts.
@@ -83,7 +83,7 @@
         attempt.exchange = self._upstreams.send(send.server, request.call, expires, attempt)
 
     @staticmethod
-    def _may_start(attempt: Attempt, send: model.Send, left: float, now: float) -> bool:
+    def _may_start(attempt: Attempt, send: model.SendAttempt, left: float, now: float) -> bool:
         request = attempt.request
         body = request.call.body
         return not (
--- a/brassfall/sidecar/core/balancer_timers.py
+++ b/brassfall/sidecar/core/balancer_timers.py
@@ -22,7 +22,7 @@
         now = self._loop.time()
         return sum(timer.when() > now for timers in self._of_requests.values() for timer in timers)
 
-    def arm(self, timer: model.Timer, *, is_tracked: bool) -> None:
+    def arm(self, timer: model.StartTimer, *, is_tracked: bool) -> None:
         """Give the balancer a `TimerDue` after the delay of `timer`.
 
         `is_tracked` tells whether the request that it is about is still in the table, and will cancel it.
@@ -36,5 +36,5 @@
         for handle in self._of_requests.pop(request, ()):
             handle.cancel()
 
-    def _due(self, timer: model.Timer) -> None:
+    def _due(self, timer: model.StartTimer) -> None:
         self._events.notify(events.TimerDue(timer.token))
--- a/brassfall/sidecar/core/driver.py
+++ b/brassfall/sidecar/core/driver.py
@@ -153,7 +153,7 @@
         self._settings, self._max_open = config.settings, config.max_open
         self.notify(events.SettingsReloaded(config.settings, unchanged))
 
-    def steer(self, steer: model.Steer) -> None:
+    def steer(self, steer: model.SteeringDirectives) -> None:
         """Use another steering plan and other overrides from now on."""
         self.notify(events.SteeringChanged(steer))
 
@@ -198,7 +198,7 @@
         now = self._clock.now()
         update = self._start_times.bounded(now, self._clock.from_loop(update.fresh_at), update)
         self._upstreams.update(now, update, complete=form is not model.ListForm.CHANGES)
-        self.notify(events.EndpointsListed(form, update.entries))
+        self.notify(events.EndpointListReceived(form, update.entries))
 
     def peer_message(self, peer: int, data: bytes) -> None:
         """Take a message of another sidecar."""
--- a/brassfall/sidecar/discovery/endpoint_index.py
+++ b/brassfall/sidecar/discovery/endpoint_index.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from collections.abc import Iterable, Mapping, Set
 
-from brassfall.balancer.model import Listing
+from brassfall.balancer.model import EndpointEntry
 from brassfall.sidecar.config_values import Address
 from brassfall.sidecar.discovery.endpoint_list import ServerList
 
@@ -19,7 +19,7 @@
     """
 
     def __init__(self, known: ServerList = NO_LIST) -> None:
-        self._entries: dict[str, tuple[Listing, Address | None]] = {}
+        self._entries: dict[str, tuple[EndpointEntry, Address | None]] = {}
         self._groups: dict[str, set[str]] = {}  # names of servers by group; none is empty
         self._active: Counter[int] = Counter()  # active servers by zone; none is 0
         self.changes = 0  # updates applied
@@ -59,7 +59,7 @@
             if entry.state != "left":
                 self._add(entry, update.addresses.get(entry.server))
 
-    def _add(self, entry: Listing, address: Address | None) -> None:
+    def _add(self, entry: EndpointEntry, address: Address | None) -> None:
         self._entries[entry.server] = (entry, address)
         self._groups.setdefault(str(entry.cell), set()).add(entry.server)
         if entry.state == "active":
--- a/brassfall/sidecar/discovery/endpoint_list.py
+++ b/brassfall/sidecar/discovery/endpoint_list.py
@@ -31,7 +31,7 @@
 
     version: int
     complete: bool
-    entries: list[model.Listing]
+    entries: list[model.EndpointEntry]
     addresses: dict[str, Address]
     # When the list before this one was last known to be the newest, in seconds of the loop: what this one
     # adds was not there then. -inf where discovery has sent none before.
@@ -78,7 +78,7 @@
     return str(row.get("name", "")) if isinstance(row, Mapping) else ""
 
 
-def _listing(row: Mapping[str, Any], names: Names) -> model.Listing:
+def _listing(row: Mapping[str, Any], names: Names) -> model.EndpointEntry:
     state = row.get("status", ACTIVE)
     if state not in STATES:
         why = f"status {state!r} is not known"
@@ -87,7 +87,7 @@
     if not isinstance(name, str) or not name or not name.isprintable():
         why = f"name {name!r} is not valid"
         raise ValueError(why)
-    return model.Listing(
+    return model.EndpointEntry(
         server=name,
         zone=_zone(row.get("zone") or "", names),
         kind=names.kinds.get(row.get("type", ""), 0),
--- a/brassfall/sidecar/discovery/list_call.py
+++ b/brassfall/sidecar/discovery/list_call.py
@@ -5,7 +5,7 @@
 import asyncio
 import json
 
-from brassfall.balancer.model import MAX_POLL_BACKOFF_MS, ListForm
+from brassfall.balancer.model import MAX_DISCOVERY_BACKOFF_MS, ListForm
 from brassfall.sidecar.config_values import MALFORMED
 from brassfall.sidecar.discovery.channel import (
     CALL_S,
@@ -23,7 +23,7 @@
 from brassfall.sidecar.discovery.watch_call import PATH
 
 # Time limit of a call; the balancer's backoff, up to twice, and one more call have to follow in time.
-LIST_CALL_S = NOTIFIED_S - SPARE_S - 2.0 * MAX_POLL_BACKOFF_MS / 1000.0 - CALL_S
+LIST_CALL_S = NOTIFIED_S - SPARE_S - 2.0 * MAX_DISCOVERY_BACKOFF_MS / 1000.0 - CALL_S
 
 
 class ListCalls:
--- a/brassfall/sidecar/discovery/notifier.py
+++ b/brassfall/sidecar/discovery/notifier.py
@@ -52,7 +52,7 @@
 
     def remembered(self, known: ServerList) -> None:
         """Pass on the list that the configuration had."""
-        self._listener.endpoints_listed(ListForm.REMEMBERED, known)
+        self._listener.endpoints_listed(ListForm.CONFIGURED, known)
 
     def listed(self, form: ListForm, update: ServerList, *, on_watch: bool) -> None:
         """Take in and pass on an update; `on_watch` if it came on the open watch.
--- a/brassfall/sidecar/discovery/start_times.py
+++ b/brassfall/sidecar/discovery/start_times.py
@@ -17,7 +17,7 @@
 import math
 from dataclasses import dataclass, replace
 
-from brassfall.balancer.model import Listing
+from brassfall.balancer.model import EndpointEntry
 from brassfall.sidecar.discovery.endpoint_list import LEFT, ServerList
 
 FORGET_MS = 600_000.0  # how long the start of an unlisted server is remembered: it may come back
@@ -56,7 +56,7 @@
         entries = [self._bounded(now, fresh_at, entry) for entry in update.entries]
         return replace(update, entries=entries)
 
-    def _bounded(self, now: float, fresh_at: float, entry: Listing) -> Listing:
+    def _bounded(self, now: float, fresh_at: float, entry: EndpointEntry) -> EndpointEntry:
         known = self._starts.get(entry.server)
         if entry.state == LEFT:
             if known is not None:
--- a/brassfall/sidecar/lifecycle/sidecar.py
+++ b/brassfall/sidecar/lifecycle/sidecar.py
@@ -7,7 +7,7 @@
 from collections.abc import Mapping
 from typing import TYPE_CHECKING
 
-from brassfall.balancer.model import ListForm, Steer
+from brassfall.balancer.model import ListForm, SteeringDirectives
 from brassfall.sidecar import config, log, reload
 from brassfall.sidecar.clients.inbound import Inbound
 from brassfall.sidecar.clients.listener import retry_while_exhausted
@@ -90,7 +90,7 @@
 
     # --- called by the membership (agent.member.Process) --------------------------
 
-    def steer(self, steer: Steer) -> None:
+    def steer(self, steer: SteeringDirectives) -> None:
         """Select servers by this steering plan from now on."""
         self.driver.steer(steer)
 
--- a/brassfall/sidecar/servers/pool.py
+++ b/brassfall/sidecar/servers/pool.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Mapping, Set
 from types import MappingProxyType
 
-from brassfall.balancer.model import Listing, Outcome
+from brassfall.balancer.model import EndpointEntry, Outcome
 from brassfall.sidecar.config import Config
 from brassfall.sidecar.config_values import Address
 from brassfall.sidecar.core.clock import HOLD_UP_MS, Clock
@@ -117,7 +117,7 @@
             for name in [name for name in self._servers if name not in named]:
                 self._leave(now, name, "left")
 
-    def _note(self, now: float, entry: Listing, address: Address | None) -> None:
+    def _note(self, now: float, entry: EndpointEntry, address: Address | None) -> None:
         """Take in one entry of a list."""
         known = self._servers.get(entry.server)
         address = address or (known.address if known is not None else None)
--- a/brassfall/sidecar/servers/server_answers.py
+++ b/brassfall/sidecar/servers/server_answers.py
@@ -37,7 +37,7 @@
         if status == OK:
             return Result(Outcome.OK, Answer(client_headers(parser), bytes(parser.body)), report)
         if status in REJECTIONS and (health_check or parser.header(REJECTED) == b"1"):
-            return Result(Outcome.FULL, None, report)
+            return Result(Outcome.REJECTED, None, report)
         return Result(Outcome.ERROR, None, report)
 
     def _report(self, parser: framing.AnswerParser, *, health_check: bool) -> dict[str, float] | None:
--- a/brassfall/simulator.py
+++ b/brassfall/simulator.py
@@ -78,28 +78,28 @@
 def _line(action: model.Action) -> str:  # noqa: C901 - a case an action
     """Return the line that asks the simulator for an action."""
     match action:
-        case model.Send():
+        case model.SendAttempt():
             return f"relay RequestId={action.request} Server={action.server} Timeout={action.timeout:.3f}"
-        case model.Timer():
+        case model.StartTimer():
             return f"defer SleepFor={action.delay:.3f} Tag={timer_token(action.token)}"
-        case model.Refuse():
+        case model.RefuseRequest():
             return f"busy RequestId={action.request} ComeBack={action.retry_after:.3f}"
-        case model.Fail():
+        case model.FailRequest():
             return f"finish_error RequestId={action.request}"
-        case model.Cancel():
+        case model.CancelAttempt():
             return f"retract RequestId={action.request} Hop={action.attempt}"
-        case model.CloseIdle():
+        case model.CloseIdleConnections():
             return f"close_idle Server={action.server}"
-        case model.Watch():
+        case model.WatchEndpointList():
             return f"subscribe Want={int(action.on)}"
-        case model.Fetch():
+        case model.FetchEndpointList():
             return "resolve"
-        case model.Probe():
+        case model.CheckServerHealth():
             return f"poll Server={action.server}"
-        case model.Tell():
+        case model.SendPeerMessage():
             peer = "*" if action.peer is None else action.peer
             return f"tell Whom={peer} Msg={base64.b64encode(action.data).decode() or '-'}"
-        case model.Log():
+        case model.WriteLog():
             return f"log ReasonText={action.text}"
 
 
@@ -151,12 +151,12 @@
     return b"" if text == "-" else base64.b64decode(text, validate=True)
 
 
-def _listing(members: dict[str, str]) -> model.Listing:
+def _listing(members: dict[str, str]) -> model.EndpointEntry:
     state = members.get("StageState", "active")
     if state not in STATES:
         message = f"StageState: {state!r} is not known"
         raise WireError(message)
-    return model.Listing(
+    return model.EndpointEntry(
         server=members["Server"],
         zone=int(members.get("RegionPart", 0)),
         kind=int(members.get("Sku", 0)),
@@ -243,7 +243,7 @@
         self._sink = sink
         self._line_number = 0
         self._balancers: dict[str, Balancer] = {}
-        self._lists: dict[int, list[model.Listing]] = {}
+        self._lists: dict[int, list[model.EndpointEntry]] = {}
         self._instance: str | None = None  # that the lines of the batch are about
         self._answering: str | None = None  # that the last lines of the reply are about
         self._replies: list[str] = []
@@ -389,7 +389,7 @@
         if number not in self._lists:
             message = f"list {number} was not given"
             raise WireError(message)
-        self._step(self._balancer(), events.EndpointsListed(FORMS[form], self._lists[number]))
+        self._step(self._balancer(), events.EndpointListReceived(FORMS[form], self._lists[number]))
 
 
 def main() -> int:
--- a/tests/balancer/test_idle_connections.py
+++ b/tests/balancer/test_idle_connections.py
@@ -2,41 +2,41 @@
 
 from __future__ import annotations
 
-from brassfall.balancer.events import AttemptEnded, EndpointsListed, TimerDue
-from brassfall.balancer.model import CloseIdle, IdleCloseTimer, ListForm, Listing, Outcome, Send, Timer
-from tests.support.helpers import answered, arrival, balancer, of_type
+from brassfall.balancer.events import AttemptEnded, EndpointListReceived, TimerDue
+from brassfall.balancer.model import CloseIdleConnections, IdleCloseTimer, ListForm, EndpointEntry, Outcome, SendAttempt, StartTimer
+from tests.support.helpers import attempt_answered, request_arrival, make_balancer, of_type
 
 
 def test_idle_connections_to_a_draining_server_are_closed_also_after_a_late_outcome():
-    made = balancer("safe", servers=1, Rules={"ReleaseWithin": 1000.0})
-    made.step(0.0, arrival(1))
-    leaving = [Listing("s0", state="leaving")]
-    actions = made.step(10.0, EndpointsListed(ListForm.CHANGES, leaving))
-    assert of_type(actions, CloseIdle)
-    (timer,) = [t for t in of_type(actions, Timer) if isinstance(t.token, IdleCloseTimer)]
-    assert of_type(made.step(700.0, answered(1, 690.0)), CloseIdle)
+    made = make_balancer("safe", servers=1, Rules={"ReleaseWithin": 1000.0})
+    made.step(0.0, request_arrival(1))
+    leaving = [EndpointEntry("s0", state="leaving")]
+    actions = made.step(10.0, EndpointListReceived(ListForm.CHANGES, leaving))
+    assert of_type(actions, CloseIdleConnections)
+    (timer,) = [t for t in of_type(actions, StartTimer) if isinstance(t.token, IdleCloseTimer)]
+    assert of_type(made.step(700.0, attempt_answered(1, 690.0)), CloseIdleConnections)
     closings, now = 0, 10.0
     while timer is not None:
         now += timer.delay
         actions = made.step(now, TimerDue(timer.token))
-        closings += len(of_type(actions, CloseIdle))
-        timer = next(iter(of_type(actions, Timer)), None)
+        closings += len(of_type(actions, CloseIdleConnections))
+        timer = next(iter(of_type(actions, StartTimer)), None)
     assert 1 <= closings <= 4 and now > 700.0
 
 
 def test_a_connection_dropped_while_idle_blames_no_server_and_later_ones_are_closed():
     # Middle boxes drop idle connections without a word.
-    made = balancer("safe", servers=1)
-    made.step(0.0, arrival(1))
-    made.step(20.0, answered(1, 20.0))
-    made.step(2000.0, arrival(2, 2000.0))
+    made = make_balancer("safe", servers=1)
+    made.step(0.0, request_arrival(1))
+    made.step(20.0, attempt_answered(1, 20.0))
+    made.step(2000.0, request_arrival(2, 2000.0))
     actions = made.step(2001.0, AttemptEnded(2, 0, Outcome.RESET, 1.0))
     assert made.components.endpoints.servers["s0"].fault_share == 0.0
-    (retry,) = of_type(actions, Send)  # over a new connection
-    made.step(2020.0, answered(2, 20.0, attempt=1))
+    (retry,) = of_type(actions, SendAttempt)  # over a new connection
+    made.step(2020.0, attempt_answered(2, 20.0, attempt=1))
     assert retry.server == "s0"
-    soon = made.step(2500.0, arrival(3, 2500.0))
-    assert of_type(soon, Send) and not of_type(soon, CloseIdle)
-    made.step(2520.0, answered(3, 20.0))
-    later = made.step(4500.0, arrival(4, 4500.0))
-    assert [type(a) for a in later if isinstance(a, CloseIdle | Send)] == [CloseIdle, Send]
+    soon = made.step(2500.0, request_arrival(3, 2500.0))
+    assert of_type(soon, SendAttempt) and not of_type(soon, CloseIdleConnections)
+    made.step(2520.0, attempt_answered(3, 20.0))
+    later = made.step(4500.0, request_arrival(4, 4500.0))
+    assert [type(a) for a in later if isinstance(a, CloseIdleConnections | SendAttempt)] == [CloseIdleConnections, SendAttempt]
--- a/tests/balancer/test_key_affinity.py
+++ b/tests/balancer/test_key_affinity.py
@@ -4,14 +4,14 @@
 
 from collections import Counter
 
-from brassfall.balancer.events import EndpointsListed, RequestArrived
-from brassfall.balancer.model import ListForm, Listing, Send
-from tests.support.helpers import answered, balancer, listing, of_type
+from brassfall.balancer.events import EndpointListReceived, RequestArrived
+from brassfall.balancer.model import ListForm, EndpointEntry, SendAttempt
+from tests.support.helpers import attempt_answered, make_balancer, endpoint_entries, of_type
 
 
 def warm(servers=30, me=0, seed=1, **changes):
-    made = balancer("safe", servers=0, seed=seed, Domain={"WarmKeys": True}, Me=me, Balancers=40, **changes)
-    made.step(0.0, EndpointsListed(ListForm.COMPLETE, listing(servers)))
+    made = make_balancer("safe", servers=0, seed=seed, Domain={"WarmKeys": True}, Me=me, Balancers=40, **changes)
+    made.step(0.0, EndpointListReceived(ListForm.COMPLETE, endpoint_entries(servers)))
     return made
 
 
@@ -20,9 +20,9 @@
     sends = Counter()
     for number in range(first, first + count):
         now += 500.0
-        (send,) = of_type(made.step(now, RequestArrived(number, 0, now + 1000.0, key=key)), Send)
+        (send,) = of_type(made.step(now, RequestArrived(number, 0, now + 1000.0, key=key)), SendAttempt)
         sends[send.server] += 1
-        made.step(now + 20.0, answered(number, 20.0))
+        made.step(now + 20.0, attempt_answered(number, 20.0))
     return sends
 
 
@@ -47,7 +47,7 @@
     met = set()
     for seed in range(12):
         made = warm(seed=seed)
-        made.step(0.0, EndpointsListed(ListForm.CHANGES, [Listing(name, state="left") for name in gone]))
+        made.step(0.0, EndpointListReceived(ListForm.CHANGES, [EndpointEntry(name, state="left") for name in gone]))
         met |= set(sends_for(made, key=key, count=1))
     return met
 
--- a/tests/balancer/test_recovery.py
+++ b/tests/balancer/test_recovery.py
@@ -6,11 +6,11 @@
 
 import pytest
 
-from brassfall.balancer.model import RefusalReason, Refuse
+from brassfall.balancer.model import RefusalReason, RefuseRequest
 from brassfall.lab import day, ledger, spec
 from brassfall.lab.sim.sidecar import Sidecar
 from brassfall.lab.sim.world import World
-from tests.support.helpers import LOAD_REPORTS, answered, arrival, balancer, of_type, selector
+from tests.support.helpers import LOAD_REPORTS, attempt_answered, request_arrival, make_balancer, of_type, make_selector
 
 # Every reason that the balancer itself has, by its name in `REFUSALS`.
 LOCAL_REFUSALS = ("formula", "level", "heavy", "room", "line", "failed")
@@ -69,34 +69,34 @@
 
 def test_requests_refused_by_the_shed_probability_do_not_count_for_the_throttle():
     # The throttle would go on to refuse because of refusals that no server asked for.
-    made = balancer("safe", **LOAD_REPORTS)
+    made = make_balancer("safe", **LOAD_REPORTS)
     for number in range(200):
         made.components.shedder.observe(number, 1.0)
-        actions = made.step(float(number), arrival(number, number))
-        if not of_type(actions, Refuse):
+        actions = made.step(float(number), request_arrival(number, number))
+        if not of_type(actions, RefuseRequest):
             made.step(
                 number + 0.5,
-                answered(number, 0.5, in_flight=1.0),
+                attempt_answered(number, 0.5, in_flight=1.0),
             )
     assert made.refusals[RefusalReason.SHED] > 100 and made.refusals[RefusalReason.THROTTLED] == 0
-    assert made.components.throttle.drop_chance(200.0) == 0.0
+    assert made.components.throttle.refusal_probability(200.0) == 0.0
 
 
 def test_each_refusal_is_counted_by_its_reason():
-    made = balancer("safe", servers=0)
+    made = make_balancer("safe", servers=0)
     for number in range(3):
-        assert of_type(made.step(0.0, arrival(number)), Refuse)
+        assert of_type(made.step(0.0, request_arrival(number)), RefuseRequest)
     assert made.refusals == dict.fromkeys(LOCAL_REFUSALS, 0) | {RefusalReason.NO_SERVER: 3}
     for _ in range(40):
         made.components.throttle.add(1.0, 0.0)
-    refused = sum(bool(of_type(made.step(1.0, arrival(number, 1.0)), Refuse)) for number in range(10, 50))
+    refused = sum(bool(of_type(made.step(1.0, request_arrival(number, 1.0)), RefuseRequest)) for number in range(10, 50))
     assert made.refusals[RefusalReason.THROTTLED] > 20 and sum(made.refusals.values()) == refused + 3
 
 
 def test_a_server_without_a_load_report_counts_as_the_mean_of_the_others():
     # The subset of a busy sidecar widens, and new servers must not get all requests.
-    made = balancer("safe", servers=2, **LOAD_REPORTS)
+    made = make_balancer("safe", servers=2, **LOAD_REPORTS)
     known, unknown = made.components.endpoints.servers["s0"], made.components.endpoints.servers["s1"]
     for number in range(30):
         made.components.overload.observe_report(10.0 * number, known, {"inflight": 6.0})
-    assert selector(made).load(300.0, unknown) == pytest.approx(selector(made).load(300.0, known), rel=0.1)
+    assert make_selector(made).load(300.0, unknown) == pytest.approx(make_selector(made).load(300.0, known), rel=0.1)
--- a/tests/balancer/test_retry_windows.py
+++ b/tests/balancer/test_retry_windows.py
@@ -5,9 +5,9 @@
 import pytest
 
 from brassfall.balancer import Settings
-from brassfall.balancer.events import AttemptEnded, EndpointsListed, RequestArrived, SettingsReloaded
-from brassfall.balancer.model import ListForm, Listing, Outcome, Send
-from tests.support.helpers import CLASSES, balancer, of_type, raw_settings
+from brassfall.balancer.events import AttemptEnded, EndpointListReceived, RequestArrived, SettingsReloaded
+from brassfall.balancer.model import ListForm, EndpointEntry, Outcome, SendAttempt
+from tests.support.helpers import CLASSES, make_balancer, of_type, raw_settings
 
 NO_WINDOW = float("inf")
 BUDGET_MS = 1000.0
@@ -15,7 +15,7 @@
 
 def sends_on(made, now, event):
     """The attempts that an event leads to."""
-    return of_type(made.step(now, event), Send)
+    return of_type(made.step(now, event), SendAttempt)
 
 
 def arrived(request, now=0.0, request_class=0):
@@ -27,7 +27,7 @@
 
 
 def test_only_a_retry_with_an_idempotency_key_has_a_time_by_which_it_is_written():
-    made = balancer(
+    made = make_balancer(
         Profiles=[{**CLASSES["keyed"], "Group": "zone"}, dict(CLASSES["safe"]), dict(CLASSES["unsafe"])]
     )
     (send,) = sends_on(made, 100.0, arrived(1, 100.0))
@@ -39,7 +39,7 @@
     (fourth,) = sends_on(made, 130.0, ended(1, 2, Outcome.RESET))
     assert fourth.write_by == 110.0 + 500.0  # the first that may have run binds
     for request_class in (1, 2):
-        made = balancer("keyed", "safe", "unsafe")
+        made = make_balancer("keyed", "safe", "unsafe")
         sends = sends_on(made, 500.0, arrived(2, 500.0, request_class))
         sends += sends_on(made, 510.0, ended(2, 0, Outcome.CONNECT_FAILED))
         sends += sends_on(made, 520.0, ended(2, 1, Outcome.RESET))
@@ -47,7 +47,7 @@
 
 
 def test_the_window_is_that_of_the_settings_at_the_requests_arrival():
-    made = balancer("keyed")
+    made = make_balancer("keyed")
     made.step(0.0, arrived(1))
     profile = {**CLASSES["keyed"], "KeyTtl": 60_000.0}
     made.step(5.0, SettingsReloaded(Settings.parse(raw_settings(Profiles=[profile])), {0}))
@@ -58,10 +58,10 @@
 @pytest.mark.parametrize("state", ["active", "left"])
 def test_a_retry_keeps_to_the_group_that_its_first_server_was_in(state):
     """A server of that name that comes back elsewhere, or has left, moves no key."""
-    made = balancer("keyed", servers=4)
+    made = make_balancer("keyed", servers=4)
     (send,) = sends_on(made, 0.0, arrived(1))
     group = int(send.server[1:]) // 2
-    back = Listing(send.server, cell=7, started=1.0, state=state)
-    made.step(1.0, EndpointsListed(ListForm.CHANGES, [back, Listing("s9", cell=7)]))
+    back = EndpointEntry(send.server, cell=7, started=1.0, state=state)
+    made.step(1.0, EndpointListReceived(ListForm.CHANGES, [back, EndpointEntry("s9", cell=7)]))
     sends = sends_on(made, 2.0, ended(1, 0, Outcome.RESET))
     assert [int(retry.server[1:]) // 2 for retry in sends] == [group]
--- a/tests/balancer/test_rules_property.py
+++ b/tests/balancer/test_rules_property.py
@@ -15,7 +15,7 @@
     AttemptEnded,
     ClientLeft,
     DiscoveryFailed,
-    EndpointsListed,
+    EndpointListReceived,
     HealthCheckEnded,
     PeerMessageReceived,
     RequestArrived,
@@ -23,22 +23,22 @@
     TimerDue,
 )
 from brassfall.balancer.model import (
-    Cancel,
-    CloseIdle,
-    Fail,
+    CancelAttempt,
+    CloseIdleConnections,
+    FailRequest,
     IdleCloseTimer,
     KeyPauseTimer,
     ListForm,
-    Listing,
+    EndpointEntry,
     ObjectiveTimer,
     Outcome,
-    Probe,
+    CheckServerHealth,
     QueueDeadlineTimer,
-    Refuse,
-    Send,
-    Steer,
-    Timer,
-    Watch,
+    RefuseRequest,
+    SendAttempt,
+    SteeringDirectives,
+    StartTimer,
+    WatchEndpointList,
 )
 from brassfall.simulator import timer_token
 
@@ -48,12 +48,12 @@
     KeyPauseTimer(key=999_999),
     IdleCloseTimer("nobody"),
 )
-NEVER_RAN = {Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.ABANDONED}
+NEVER_RAN = {Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.ABANDONED}
 ENDS = [
     Outcome.OK,
     Outcome.OK,
     Outcome.ERROR,
-    Outcome.FULL,
+    Outcome.REJECTED,
     Outcome.CONNECT_FAILED,
     Outcome.RESET,
     Outcome.TIMEOUT,
@@ -135,15 +135,15 @@
         self.unsettled = {}  # by key: when an attempt last ended that may still run, and its request
         self.touched = {}  # draining servers: when it was listed so, or the last send or outcome there
         self.closed = {}
-        self.steer = Steer()
+        self.steer = SteeringDirectives()
         self.balancer = Balancer(self.now, Settings.parse(self.given), self.rng.getrandbits(40))
         entries = [self.entry(i) for i in range(self.rng.choice([0, 1, 5, 9]))]
         self.listed = {entry.server: entry for entry in entries}
-        self.apply(self.balancer.step(self.now, EndpointsListed(ListForm.REMEMBERED, entries)))
+        self.apply(self.balancer.step(self.now, EndpointListReceived(ListForm.CONFIGURED, entries)))
 
     def entry(self, number, state="active", started=0.0):
         weight = 1.0 + number % 3
-        return Listing(f"s{number}", number % 3, number % 2, number // 3, state, weight, started)
+        return EndpointEntry(f"s{number}", number % 3, number % 2, number // 3, state, weight, started)
 
     def at(self, delay, what, *args):
         self.count += 1
@@ -152,24 +152,24 @@
     def apply(self, actions):
         limits = self.raw["PolicyLimits"]
         for action in actions:
-            if isinstance(action, Send):
+            if isinstance(action, SendAttempt):
                 self.sent(action)
-            elif isinstance(action, Refuse | Fail):
+            elif isinstance(action, RefuseRequest | FailRequest):
                 self.ended(action)
-            elif isinstance(action, Cancel):
+            elif isinstance(action, CancelAttempt):
                 assert limits["MayCancel"]
                 assert action.attempt < len(self.requests[action.request]["attempts"])
-            elif isinstance(action, Probe):
+            elif isinstance(action, CheckServerHealth):
                 assert limits["MayProbe"] and action.server in self.listed
                 delay = self.rng.choice([TICK_MS, 20.0, 500.0])
                 self.at(delay, "probed", action.server)
-            elif isinstance(action, Timer):
+            elif isinstance(action, StartTimer):
                 assert action.delay >= 0.0 and 1 <= len(timer_token(action.token)) <= 64
                 self.at(max(action.delay, TICK_MS), "timer", action.token)
-            elif isinstance(action, CloseIdle):
+            elif isinstance(action, CloseIdleConnections):
                 assert action.server in self.listed
                 self.closed[action.server] = self.now
-            elif isinstance(action, Watch):
+            elif isinstance(action, WatchEndpointList):
                 self.asked_at = self.now
                 self.at(50.0, "listed", self.rng.random() < 0.5)
 
@@ -226,7 +226,7 @@
         draw, zones = self.rng.choice, range(-1, 4)
         shares = {z: draw([0.0, 0.3, 1.0, 5.0, -1.0, float("nan"), float("inf")]) for z in zones}
         off = frozenset(z for z in zones if self.rng.random() < 0.3)
-        self.steer = Steer(
+        self.steer = SteeringDirectives(
             draw([{}, shares]), {0: draw([{}, shares])}, {1: shares}, off, frozenset({f"s{draw(range(9))}"}),
             {1: draw([0.0, 3.0, float("nan"), -1.0])}, draw([0.0, 0.5, 1.0, 3.0]), draw([0.0, 0.5]),
         )  # fmt: skip
@@ -252,7 +252,7 @@
         request["ended"] = True
         assert self.now <= request["give_up_at"] + SLACK_MS, "an answer after the client left"
         profile = self.raw["Profiles"][request["band"]]
-        if isinstance(action, Refuse) and profile["Semantics"] != "pure":
+        if isinstance(action, RefuseRequest) and profile["Semantics"] != "pure":
             ran = [a for a in request["attempts"] if a["out"] or a["status"] not in NEVER_RAN]
             keyed_by_all = profile["Semantics"] == "token" and profile["Group"] == "all"
             assert not ran or keyed_by_all, "refused though it may have run"
@@ -311,7 +311,7 @@
         self.apply(self.balancer.step(self.now, TimerDue(token)))
 
     def probed(self, server):
-        status = self.rng.choice([Outcome.OK, Outcome.OK, Outcome.FULL, Outcome.TIMEOUT])
+        status = self.rng.choice([Outcome.OK, Outcome.OK, Outcome.REJECTED, Outcome.TIMEOUT])
         report = {"inflight": self.rng.choice([0.0, 9.0, 300.0])}
         found = report if status == Outcome.OK else None
         self.apply(self.balancer.step(self.now, HealthCheckEnded(server, status, TICK_MS, found)))
@@ -330,7 +330,7 @@
         started = self.now - self.rng.choice([0.0, 500.0]) if state == "active" else 0.0
         made = self.entry(number, state, started)
         self.notice(made)
-        self.apply(self.balancer.step(self.now, EndpointsListed(ListForm.CHANGES, [made])))
+        self.apply(self.balancer.step(self.now, EndpointListReceived(ListForm.CHANGES, [made])))
 
     def whole(self):
         kept = [e for e in self.listed.values() if e.state == "active"]
@@ -338,7 +338,7 @@
         for entry in list(self.listed.values()):
             if entry not in kept:
                 self.notice(entry._replace(state="left"))
-        self.apply(self.balancer.step(self.now, EndpointsListed(ListForm.COMPLETE, kept)))
+        self.apply(self.balancer.step(self.now, EndpointListReceived(ListForm.COMPLETE, kept)))
 
     def notice(self, entry):
         """Note in the model what the balancer learns of one server."""
--- a/tests/balancer/test_slow_start.py
+++ b/tests/balancer/test_slow_start.py
@@ -6,27 +6,27 @@
 from collections import Counter
 
 from brassfall.balancer import Balancer, Settings
-from brassfall.balancer.events import AttemptEnded, EndpointsListed
-from brassfall.balancer.model import ListForm, Listing, Outcome, Send
-from tests.support.helpers import answered, arrival, balancer, listing, of_type, raw_settings
+from brassfall.balancer.events import AttemptEnded, EndpointListReceived
+from brassfall.balancer.model import ListForm, EndpointEntry, Outcome, SendAttempt
+from tests.support.helpers import attempt_answered, request_arrival, make_balancer, endpoint_entries, of_type, raw_settings
 
 
 def test_a_server_in_slow_start_gets_requests_by_its_warmth():
-    made = balancer("safe", servers=10, Rules={"ColdFrom": 0.2, "WarmUp": 1000.0})
-    made.step(1000.0, EndpointsListed(ListForm.CHANGES, [Listing("s0", started=1000.0)]))
+    made = make_balancer("safe", servers=10, Rules={"ColdFrom": 0.2, "WarmUp": 1000.0})
+    made.step(1000.0, EndpointListReceived(ListForm.CHANGES, [EndpointEntry("s0", started=1000.0)]))
     picks = Counter()
     for number in range(2000):
         now = 1001.0 + 0.1 * number  # within 200 ms, in which its warmth hardly changes
-        (send,) = of_type(made.step(now, arrival(number, now)), Send)
+        (send,) = of_type(made.step(now, request_arrival(number, now)), SendAttempt)
         picks[send.server] += 1
-        made.step(now, answered(number, 0.1))
+        made.step(now, attempt_answered(number, 0.1))
     assert 0 < picks["s0"] < 0.4 * 2000 / 10
     assert made.components.slow_start.warmth(3000.0, made.components.endpoints.servers["s0"]) == 1.0
 
 
 def warm(servers=30, me=0, seed=1, **changes):
-    made = balancer("safe", servers=0, seed=seed, Domain={"WarmKeys": True}, Me=me, Balancers=40, **changes)
-    made.step(0.0, EndpointsListed(ListForm.COMPLETE, listing(servers)))
+    made = make_balancer("safe", servers=0, seed=seed, Domain={"WarmKeys": True}, Me=me, Balancers=40, **changes)
+    made.step(0.0, EndpointListReceived(ListForm.COMPLETE, endpoint_entries(servers)))
     return made
 
 
@@ -35,17 +35,17 @@
     sent, number = 0, 0
     for me in range(100):
         made = Balancer(0.0, Settings.parse(raw_settings("safe", Me=me, Balancers=100, Rules=rules)), me)
-        made.step(0.0, EndpointsListed(ListForm.COMPLETE, listing(10)))
+        made.step(0.0, EndpointListReceived(ListForm.COMPLETE, endpoint_entries(10)))
         for step in range(20):
             number += 1
-            made.step(500.0 * step, arrival(number, 500.0 * step))
-            made.step(500.0 * step + 20.0, answered(number, 20.0))
-        gone = [Listing(f"s{i}", state="left") for i in range(1, 10)]
-        made.step(10_000.0, EndpointsListed(ListForm.CHANGES, [*gone, Listing("s0", started=10_000.0)]))
+            made.step(500.0 * step, request_arrival(number, 500.0 * step))
+            made.step(500.0 * step + 20.0, attempt_answered(number, 20.0))
+        gone = [EndpointEntry(f"s{i}", state="left") for i in range(1, 10)]
+        made.step(10_000.0, EndpointListReceived(ListForm.CHANGES, [*gone, EndpointEntry("s0", started=10_000.0)]))
         for step in range(2):
             number += 1
             now = 10_010.0 + 500.0 * step
-            sent += len(of_type(made.step(now, arrival(number, now)), Send))
+            sent += len(of_type(made.step(now, request_arrival(number, now)), SendAttempt))
     # Of 200 requests a second a warm server's share is a tenth; this one collapses at two fifths of that.
     assert sent < 0.1 * 200 * 0.2 * 2.0 * 1.5
 
@@ -53,11 +53,11 @@
 def test_a_retry_may_go_to_a_server_in_slow_start_that_has_capacity():
     # After a mass restart retries would otherwise overload the few warm servers.
     rules = {"ColdFrom": 0.2, "WarmUp": 60_000.0, "FallMultiple": 3.0, "OverloadFor": 1000.0}
-    made = balancer("safe", servers=0, now=0.0, Rules=rules)
+    made = make_balancer("safe", servers=0, now=0.0, Rules=rules)
     made.step(
         0.0,
-        EndpointsListed(
-            ListForm.COMPLETE, [Listing("warm"), *[Listing(f"c{i}", started=1.0) for i in range(5)]]
+        EndpointListReceived(
+            ListForm.COMPLETE, [EndpointEntry("warm"), *[EndpointEntry(f"c{i}", started=1.0) for i in range(5)]]
         ),
     )
     retries = 0
@@ -66,13 +66,13 @@
         made.components.endpoints.servers["warm"].consecutive_rejections = 0
         for server in made.components.endpoints.servers.values():
             server.budget = 1.0
-        for first in of_type(made.step(now, arrival(number, now)), Send):
+        for first in of_type(made.step(now, request_arrival(number, now)), SendAttempt):
             ok = first.server != "warm"
-            status = Outcome.OK if ok else Outcome.FULL
+            status = Outcome.OK if ok else Outcome.REJECTED
             retries += len(
-                of_type(made.step(now + 2.0, AttemptEnded(number, 0, status, 2.0, request_ended=ok)), Send)
+                of_type(made.step(now + 2.0, AttemptEnded(number, 0, status, 2.0, request_ended=ok)), SendAttempt)
             )
-            made.step(now + 20.0, answered(number, 18.0, attempt=1))
+            made.step(now + 20.0, attempt_answered(number, 18.0, attempt=1))
     assert retries > 0
 
 
@@ -87,18 +87,18 @@
     for me in range(sidecars):
         raw = raw_settings("safe", Me=me, Balancers=sidecars, Rules=rules, Report=reports)
         made = Balancer(0.0, Settings.parse(raw), me)
-        made.step(0.0, EndpointsListed(ListForm.COMPLETE, [Listing(name) for name in names]))
+        made.step(0.0, EndpointListReceived(ListForm.COMPLETE, [EndpointEntry(name) for name in names]))
         for step in range(300):  # twenty requests a second for each sidecar
             now = 50.0 * step + me
             if step == 200:
                 made.step(
                     now,
-                    EndpointsListed(ListForm.CHANGES, [Listing(name, started=10_000.0) for name in joined]),
+                    EndpointListReceived(ListForm.CHANGES, [EndpointEntry(name, started=10_000.0) for name in joined]),
                 )
-            for send in of_type(made.step(now, arrival(step, now)), Send):
+            for send in of_type(made.step(now, request_arrival(step, now)), SendAttempt):
                 sent[send.server, int(now // 1000.0)] += 1
                 in_flight = 1.0 if send.server in joined and step >= 200 else 2.5
-                made.step(now + 20.0, answered(step, 20.0, in_flight=in_flight))
+                made.step(now + 20.0, attempt_answered(step, 20.0, in_flight=in_flight))
     # Between 2 s and 4 s after the start each has a fifth to a quarter of a warm server's capacity.
     window = {name: sent[name, 12] + sent[name, 13] for name in names}
     warm = sum(window[name] for name in names if name not in joined) / (servers - joiners)
--- a/tests/balancer/test_slow_start_fleet.py
+++ b/tests/balancer/test_slow_start_fleet.py
@@ -18,13 +18,13 @@
 from brassfall.balancer import Balancer, Settings
 from brassfall.balancer.events import (
     AttemptEnded,
-    EndpointsListed,
+    EndpointListReceived,
     RequestArrived,
     SettingsReloaded,
     TimerDue,
 )
-from brassfall.balancer.model import Fail, ListForm, Listing, Outcome, Refuse, Send, Timer
-from tests.support.helpers import answered, of_type, raw_settings
+from brassfall.balancer.model import FailRequest, ListForm, EndpointEntry, Outcome, RefuseRequest, SendAttempt, StartTimer
+from tests.support.helpers import attempt_answered, of_type, raw_settings
 
 MULTIPLE, SPAN, START_SHARE, WARM_UP = 4.0, 2000.0, 0.12, 22_000.0
 RULES = {"ColdFrom": START_SHARE, "WarmUp": WARM_UP, "FallMultiple": MULTIPLE, "OverloadFor": SPAN}
@@ -108,11 +108,11 @@
         # A server that replaces another has a name of its own, anywhere on the ring.
         name = f"s-{self.rng.getrandbits(32):08x}"
         self.servers[name] = Server(started)
-        self.tell(now, Listing(name, started=started or 0.0))
+        self.tell(now, EndpointEntry(name, started=started or 0.0))
 
     def end(self, now, name):
         self.servers[name].up = False
-        self.tell(now, Listing(name, state="left"))
+        self.tell(now, EndpointEntry(name, state="left"))
 
     def tell(self, now, entry):
         self.listed[entry.server] = entry
@@ -120,14 +120,14 @@
             self.at(now + 300.0 * self.rng.random(), self.hear, me, entry)
 
     def hear(self, now, me, entry):
-        self.do(now, me, self.sidecars[me].step(now, EndpointsListed(ListForm.CHANGES, [entry])))
+        self.do(now, me, self.sidecars[me].step(now, EndpointListReceived(ListForm.CHANGES, [entry])))
 
     def restart(self, now, me):
         self.incarnations[me] += 1
         made = Balancer(now, self.sidecars[me].settings, self.rng.getrandbits(32))
         self.sidecars[me] = made
         here = [entry for entry in self.listed.values() if entry.state == "active"]
-        self.do(now, me, made.step(now, EndpointsListed(ListForm.COMPLETE, here)))
+        self.do(now, me, made.step(now, EndpointListReceived(ListForm.COMPLETE, here)))
 
     def arrive(self, now):
         self.at(now + self.rng.expovariate(self.rate), self.arrive)
@@ -142,13 +142,13 @@
     def do(self, now, me, actions):
         incarnation = self.incarnations[me]
         for action in actions:
-            if isinstance(action, Send):
+            if isinstance(action, SendAttempt):
                 number = self.attempts[action.request]
                 self.attempts[action.request] += 1
                 self.at(now + 0.3, self.reach, me, incarnation, (action.request, number, now), action)
-            elif isinstance(action, Timer):
+            elif isinstance(action, StartTimer):
                 self.at(now + action.delay, self.timer, me, incarnation, action.token)
-            elif isinstance(action, Refuse | Fail):
+            elif isinstance(action, RefuseRequest | FailRequest):
                 first, tries = self.taken.pop(action.request)
                 if tries < MAX_ATTEMPTS:
                     self.at(now + self.rng.uniform(20.0, 160.0), self.ask, me, first, tries + 1)
@@ -165,7 +165,7 @@
             return
         server.sent.append(now)
         if server.jobs >= SLOTS:
-            self.at(now, self.outcome, me, incarnation, attempt, Outcome.FULL, server)
+            self.at(now, self.outcome, me, incarnation, attempt, Outcome.REJECTED, server)
             return
         server.jobs += 1
         begun = max(now, server.free_at)
@@ -205,25 +205,25 @@
     for me in range(sidecars):
         made = settled(me, sidecars, me)
         names = [f"s{n}" for n in range(10)]
-        made.step(0.0, EndpointsListed(ListForm.COMPLETE, [Listing(name) for name in names]))
+        made.step(0.0, EndpointListReceived(ListForm.COMPLETE, [EndpointEntry(name) for name in names]))
         now, number = gap * ((me * 0.618) % 1.0), 0
         listed = False
         while now < start + age:
             if now >= start and not listed:
                 listed = True
-                made.step(now, EndpointsListed(ListForm.CHANGES, [Listing("s0", started=start)]))
-            for send in of_type(made.step(now, RequestArrived(number, 0, now + DEADLINE)), Send):
+                made.step(now, EndpointListReceived(ListForm.CHANGES, [EndpointEntry("s0", started=start)]))
+            for send in of_type(made.step(now, RequestArrived(number, 0, now + DEADLINE)), SendAttempt):
                 sent += [now] * (listed and send.server == "s0")
                 made.step(
                     now + 300.0,
-                    answered(number, 300.0, in_flight=1.0),
+                    attempt_answered(number, 300.0, in_flight=1.0),
                 )
             now, number = now + gap, number + 1
         now = start + age
-        gone = [Listing(name, state="left") for name in names[1:]]
-        made.step(now, EndpointsListed(ListForm.CHANGES, [Listing("s0", started=start), *gone]))
+        gone = [EndpointEntry(name, state="left") for name in names[1:]]
+        made.step(now, EndpointListReceived(ListForm.CHANGES, [EndpointEntry("s0", started=start), *gone]))
         for number in range(1000, 1005):
-            sent += [now] * len(of_type(made.step(now, RequestArrived(number, 0, now + DEADLINE)), Send))
+            sent += [now] * len(of_type(made.step(now, RequestArrived(number, 0, now + DEADLINE)), SendAttempt))
     assert sum(at > start + age - SPAN for at in sent) <= allowed(age, able / 1000.0)
 
 
@@ -263,22 +263,22 @@
 
 def test_a_longer_warm_up_after_a_reload_charges_no_earlier_sends():
     made = settled(0, 1, 1)
-    made.step(0.0, EndpointsListed(ListForm.COMPLETE, [Listing("s0", started=0.5)]))
+    made.step(0.0, EndpointListReceived(ListForm.COMPLETE, [EndpointEntry("s0", started=0.5)]))
     for number in range(200):
         now = 25_000.0 + 100.0 * number
         made.step(now, RequestArrived(number, 0, now + DEADLINE))
         made.step(
             now + 20.0,
-            answered(number, 20.0, in_flight=1.0),
+            attempt_answered(number, 20.0, in_flight=1.0),
         )
     raw = raw_settings("safe", Rules={**RULES, "WarmUp": 400_000.0})
     made.step(45_000.0, SettingsReloaded(Settings.parse(raw), [0]))
     sends = 0
     for number in range(1000, 1040):
         now = 45_000.0 + 100.0 * (number - 1000)
-        sends += len(of_type(made.step(now, RequestArrived(number, 0, now + DEADLINE)), Send))
+        sends += len(of_type(made.step(now, RequestArrived(number, 0, now + DEADLINE)), SendAttempt))
         made.step(
             now + 20.0,
-            answered(number, 20.0, in_flight=1.0),
+            attempt_answered(number, 20.0, in_flight=1.0),
         )
     assert sends > 0
--- a/tests/balancer/test_standing_module.py
+++ b/tests/balancer/test_standing_module.py
@@ -17,8 +17,8 @@
 import pytest
 
 from brassfall.balancer import Balancer, Settings
-from brassfall.balancer.events import AttemptEnded, EndpointsListed, RequestArrived, TimerDue
-from brassfall.balancer.model import ListForm, Listing, Outcome, Refuse, Send, Timer
+from brassfall.balancer.events import AttemptEnded, EndpointListReceived, RequestArrived, TimerDue
+from brassfall.balancer.model import ListForm, EndpointEntry, Outcome, RefuseRequest, SendAttempt, StartTimer
 from tests.support.helpers import raw_settings
 
 RULES = {"ColdFrom": 0.12, "WarmUp": 22_000.0, "FallMultiple": 4.0, "OverloadFor": 2000.0}
@@ -61,7 +61,7 @@
         self.raw = {**raw, "Balancers": sidecars}
         self.names = [f"s{i}" for i in range(servers)]
         self.sidecars = [
-            self.sidecar(me, 0.0, [Listing(name) for name in self.names]) for me in range(sidecars)
+            self.sidecar(me, 0.0, [EndpointEntry(name) for name in self.names]) for me in range(sidecars)
         ]
         weights = [self.rng.lognormvariate(0.0, 0.8) for _ in self.sidecars]
         mean = sum(kind.part * kind.work for kind in kinds)
@@ -76,7 +76,7 @@
 
     def sidecar(self, me, now, known):
         made = Balancer(now, Settings.parse({**self.raw, "Me": me}), 1000 * self.rng.randrange(10**6) + me)
-        made.step(now, EndpointsListed(ListForm.REMEMBERED, known))
+        made.step(now, EndpointListReceived(ListForm.CONFIGURED, known))
         return made
 
     def later(self, at, deed, *args):
@@ -103,11 +103,11 @@
 
     def act(self, now, me, actions):
         for action in actions:
-            if isinstance(action, Send):
+            if isinstance(action, SendAttempt):
                 self.send(now, me, action)
-            elif isinstance(action, Timer):
+            elif isinstance(action, StartTimer):
                 self.later(now + action.delay, self.timer, me, self.sidecars[me], action.token)
-            elif isinstance(action, Refuse):
+            elif isinstance(action, RefuseRequest):
                 _, request_class, tenant, born, tries, _ = self.requests[action.request]
                 if tries > 1:
                     self.later(now + RETRY_MS, self.ask, me, request_class, tenant, born, tries - 1)
@@ -124,7 +124,7 @@
         if name in self.gone:
             self.later(now + 1.0, self.end, attempt, name, Outcome.CONNECT_FAILED)
         elif len(self.queues[name]) >= QUEUE_LENGTH or self.rng.random() < self.rejecting:
-            self.later(now + 1.0, self.end, attempt, name, Outcome.FULL)
+            self.later(now + 1.0, self.end, attempt, name, Outcome.REJECTED)
         else:
             self.queues[name].append(attempt)
             self.work(now, name)
@@ -151,7 +151,7 @@
             self.served[request_class] += 1
             self.served["tenant", tenant] += 1
         in_flight = {"inflight": float(len(self.queues[name]) + self.running[name])}
-        report = in_flight if status in (Outcome.OK, Outcome.FULL) else None
+        report = in_flight if status in (Outcome.OK, Outcome.REJECTED) else None
         spent = now - born
         ended = AttemptEnded(*attempt, status, spent, request_ended=answered, report=report)
         self.act(now, me, self.sidecars[me].step(now, ended))
@@ -176,18 +176,18 @@
     names = fleet.names[:]
     fleet.rng.shuffle(names)
     joined, lost = names[:starting], names[starting : starting + gone]
-    changes = [Listing(name, started=START) for name in joined]
-    changes += [Listing(name, state="left") for name in lost]
+    changes = [EndpointEntry(name, started=START) for name in joined]
+    changes += [EndpointEntry(name, state="left") for name in lost]
 
     def start(now):
         fleet.sent.clear()
         fleet.gone, fleet.rejecting = set(lost), rejecting
         for me, made in enumerate(fleet.sidecars):
             if fleet.rng.random() < restarted:
-                known = [Listing(name) for name in names[starting + gone :]] + changes[:starting]
+                known = [EndpointEntry(name) for name in names[starting + gone :]] + changes[:starting]
                 fleet.sidecars[me] = fleet.sidecar(me, now, known)
             else:
-                fleet.act(now, me, made.step(now, EndpointsListed(ListForm.CHANGES, changes)))
+                fleet.act(now, me, made.step(now, EndpointListReceived(ListForm.CHANGES, changes)))
 
     fleet.later(START, start)
     fleet.run(START + 3000.0)
@@ -240,18 +240,18 @@
     names = fleet.names[:]
     fleet.rng.shuffle(names)
     joined, lost = names[: start.joined], names[start.joined : start.joined + start.lost]
-    fresh = [Listing(name, started=START) for name in joined]
-    changes = fresh + [Listing(name, state="left") for name in lost]
+    fresh = [EndpointEntry(name, started=START) for name in joined]
+    changes = fresh + [EndpointEntry(name, state="left") for name in lost]
 
     def begin(now):
         fleet.sent.clear()
         fleet.gone = set(lost)
         for me, made in enumerate(fleet.sidecars):
             if start.restarted:
-                warm = [Listing(name) for name in names[start.joined + start.lost :]]
+                warm = [EndpointEntry(name) for name in names[start.joined + start.lost :]]
                 fleet.sidecars[me] = fleet.sidecar(me, now, warm + fresh)
             else:
-                fleet.act(now, me, made.step(now, EndpointsListed(ListForm.CHANGES, changes)))
+                fleet.act(now, me, made.step(now, EndpointListReceived(ListForm.CHANGES, changes)))
 
     fleet.later(START, begin)
     fleet.run(START + 5000.0)
--- a/tests/balancer/test_subset.py
+++ b/tests/balancer/test_subset.py
@@ -7,21 +7,21 @@
 
 import pytest
 
-from brassfall.balancer.events import EndpointsListed, SteeringChanged
-from brassfall.balancer.model import ListForm, Listing, Send, Steer
+from brassfall.balancer.events import EndpointListReceived, SteeringChanged
+from brassfall.balancer.model import ListForm, EndpointEntry, SendAttempt, SteeringDirectives
 from brassfall.balancer.settings import KeyScope
-from tests.support.helpers import answered, arrival, balancer, listing, of_type
+from tests.support.helpers import attempt_answered, request_arrival, make_balancer, endpoint_entries, of_type
 
 PRICED = {"Connection": 0.05}
 
 
 def sent(count: int, **changes) -> Counter[str]:
     """Return the sends by server of requests that arrive together and are all in flight at the end."""
-    made = balancer(servers=16, **changes)
+    made = make_balancer(servers=16, **changes)
     servers: Counter[str] = Counter()
     for number in range(count):
-        actions = made.step(float(number), arrival(number, float(number)))
-        servers.update(send.server for send in of_type(actions, Send))
+        actions = made.step(float(number), request_arrival(number, float(number)))
+        servers.update(send.server for send in of_type(actions, SendAttempt))
     return servers
 
 
@@ -42,17 +42,17 @@
     refused = 0
     for number in range(first, first + count):
         now = float(number)
-        sends = of_type(made.step(now, arrival(number, now)), Send)
+        sends = of_type(made.step(now, request_arrival(number, now)), SendAttempt)
         refused += not sends
         if sends:
-            made.step(now + 0.5, answered(number, elapsed))
+            made.step(now + 0.5, attempt_answered(number, elapsed))
     return refused
 
 
 @pytest.mark.parametrize("seed", range(1, 9))
 def test_after_slow_answers_from_all_servers_no_request_is_refused_while_they_are_idle(seed):
     """The mean pace forgets a stall sooner than the pace of each server, so that all servers look slow."""
-    made = balancer(servers=17, seed=seed)
+    made = make_balancer(servers=17, seed=seed)
     assert refused_of(made, 0, 500, 0.5) == 0
     assert refused_of(made, 500, 50, 60.0) == 0
     assert refused_of(made, 550, 2000, 0.5) == 0
@@ -61,27 +61,27 @@
 def test_a_server_in_slow_start_that_was_passed_over_by_its_warmth_is_not_sent_to():
     """A warm server that was passed over may have the request; one in slow start may not."""
     rules = {"ColdFrom": 0.02, "WarmUp": 20000.0, "FallMultiple": 1000.0, "OverloadFor": 2000.0}
-    made = balancer(servers=0, now=1000.0, Rules=rules)
-    made.step(1000.0, EndpointsListed(ListForm.COMPLETE, listing(1, started=1000.0)))
-    sends = [made.step(1000.0 + n, arrival(n, 1000.0 + n)) for n in range(100)]
-    assert sum(bool(of_type(actions, Send)) for actions in sends) < 50
+    made = make_balancer(servers=0, now=1000.0, Rules=rules)
+    made.step(1000.0, EndpointListReceived(ListForm.COMPLETE, endpoint_entries(1, started=1000.0)))
+    sends = [made.step(1000.0 + n, request_arrival(n, 1000.0 + n)) for n in range(100)]
+    assert sum(bool(of_type(actions, SendAttempt)) for actions in sends) < 50
 
 
 @pytest.mark.parametrize("seed", range(20))
 def test_the_members_of_a_group_are_those_on_the_ring_or_else_the_excluded_ones(seed):
     """Groups are made when they are first asked for: with each list it would take too long."""
     rng = random.Random(seed)
-    made = balancer(servers=0)
+    made = make_balancer(servers=0)
     servers = [
-        Listing(
+        EndpointEntry(
             f"s{n:02}", zone=rng.randrange(3), cell=rng.randrange(4), state=rng.choice(["active", "left"])
         )
         for n in range(rng.randrange(1, 30))
     ]
-    made.step(0.0, EndpointsListed(ListForm.COMPLETE, servers))
+    made.step(0.0, EndpointListReceived(ListForm.COMPLETE, servers))
     zones = frozenset(rng.sample(range(3), rng.randrange(4)))
     names = frozenset(rng.sample([s.server for s in servers], min(len(servers), 3)))
-    made.step(1.0, SteeringChanged(Steer(excluded_zones=zones, excluded_servers=names)))
+    made.step(1.0, SteeringChanged(SteeringDirectives(excluded_zones=zones, excluded_servers=names)))
     assert not made.components.endpoints.known_groups
     usable = [s for s in servers if s.state == "active"]
     free = [s for s in usable if s.zone not in zones and s.server not in names] or usable
@@ -94,7 +94,7 @@
             assert sorted(members) == sorted(s.server for s in wanted)
             on_ring = [server.name for server in made.components.endpoints.ring if server.name in members]
             assert members == on_ring or not on_ring, "the order is the ring's"
-    made.step(2.0, EndpointsListed(ListForm.CHANGES, [Listing("s00", zone=7)]))
+    made.step(2.0, EndpointListReceived(ListForm.CHANGES, [EndpointEntry("s00", zone=7)]))
     assert not made.components.endpoints.known_groups and [
         s.name for s in made.components.endpoints.members((KeyScope.ZONE, 7))
     ] == ["s00"]
--- a/tests/balancer/test_throttle.py
+++ b/tests/balancer/test_throttle.py
@@ -3,9 +3,9 @@
 import pytest
 
 from brassfall.balancer.events import AttemptEnded
-from brassfall.balancer.model import Fail, Outcome, Refuse, Send
+from brassfall.balancer.model import FailRequest, Outcome, RefuseRequest, SendAttempt
 from brassfall.balancer.throttle import Throttle
-from tests.support.helpers import arrival, balancer, of_type
+from tests.support.helpers import request_arrival, make_balancer, of_type
 
 
 def filled(accepts, refusals, now=0.0):
@@ -28,7 +28,7 @@
     ],
 )
 def test_the_drop_chance_follows_the_formula(accepts, refusals, chance):
-    assert filled(accepts, refusals).drop_chance(0.0) == pytest.approx(chance)
+    assert filled(accepts, refusals).refusal_probability(0.0) == pytest.approx(chance)
 
 
 def test_the_window_forgets_requests_by_age():
@@ -51,43 +51,43 @@
 
 
 def test_refused_requests_are_not_sent_and_count_for_the_throttle():
-    made = balancer("safe")
+    made = make_balancer("safe")
     window = made.components.throttle
     for _ in range(20):
         window.add(0.0, 0.0)
     before = window.requests
     refused = 0
     for i in range(40):
-        actions = made.step(0.0, arrival(i))
-        if of_type(actions, Refuse):
+        actions = made.step(0.0, request_arrival(i))
+        if of_type(actions, RefuseRequest):
             refused += 1
-            assert not of_type(actions, Send)
+            assert not of_type(actions, SendAttempt)
     assert refused > 20
     assert window.requests == before + refused
 
 
 @pytest.mark.parametrize(
     "status",
-    [Outcome.ERROR, Outcome.FULL, Outcome.TIMEOUT, Outcome.CONNECT_FAILED, Outcome.RESET],
+    [Outcome.ERROR, Outcome.REJECTED, Outcome.TIMEOUT, Outcome.CONNECT_FAILED, Outcome.RESET],
 )
 def test_an_outcome_other_than_ok_is_not_an_accept(status):
-    made = balancer("unsafe")
-    made.step(0.0, arrival(1))
+    made = make_balancer("unsafe")
+    made.step(0.0, request_arrival(1))
     made.step(10.0, AttemptEnded(1, 0, status, 10.0))
     assert made.components.throttle.requests == 1
     assert made.components.throttle.accepts == 0.0
 
 
 def test_the_server_with_the_fewest_requests_in_flight_is_chosen():
-    made = balancer("safe", servers=2)
+    made = make_balancer("safe", servers=2)
     counts = {"s0": 0, "s1": 0}
     for i in range(20):
-        (send,) = of_type(made.step(0.0, arrival(i)), Send)
+        (send,) = of_type(made.step(0.0, request_arrival(i)), SendAttempt)
         counts[send.server] += 1
         assert abs(counts["s0"] - counts["s1"]) <= 1
 
 
 def test_without_a_server_a_request_is_refused_at_once():
-    made = balancer("unsafe", servers=0)
-    actions = made.step(0.0, arrival(1))
-    assert of_type(actions, Refuse) and not of_type(actions, Fail)
+    made = make_balancer("unsafe", servers=0)
+    actions = made.step(0.0, request_arrival(1))
+    assert of_type(actions, RefuseRequest) and not of_type(actions, FailRequest)
--- a/tests/compare_traces.py
+++ b/tests/compare_traces.py
@@ -44,10 +44,35 @@
 NAMES = {
     "RequestArrived": ("RequestArrived", "Arrival"),
     "refusals": ("refusals", "given_up"),
+    "EndpointListReceived": ("EndpointListReceived", "EndpointsListed"),
+    "EndpointEntry": ("EndpointEntry", "Listing"),
+    "SteeringDirectives": ("SteeringDirectives", "Steer"),
+    "SendAttempt": ("SendAttempt", "Send"),
+    "RefuseRequest": ("RefuseRequest", "Refuse"),
+    "FailRequest": ("FailRequest", "Fail"),
+    "CancelAttempt": ("CancelAttempt", "Cancel"),
+    "StartTimer": ("StartTimer", "Timer"),
+    "FetchEndpointList": ("FetchEndpointList", "Fetch"),
+    "WatchEndpointList": ("WatchEndpointList", "Watch"),
+    "CheckServerHealth": ("CheckServerHealth", "Probe"),
+    "CloseIdleConnections": ("CloseIdleConnections", "CloseIdle"),
+    "SendPeerMessage": ("SendPeerMessage", "Tell"),
+    "WriteLog": ("WriteLog", "Log"),
 }
+# The actions; a trace shows each under the oldest of its names, so that traces of all revisions compare.
 ACTIONS = (
-    "Send", "Refuse", "Fail", "Cancel", "Timer", "Fetch", "Watch", "Probe", "CloseIdle", "Tell", "Log"
-)  # fmt: skip
+    "SendAttempt",
+    "RefuseRequest",
+    "FailRequest",
+    "CancelAttempt",
+    "StartTimer",
+    "FetchEndpointList",
+    "WatchEndpointList",
+    "CheckServerHealth",
+    "CloseIdleConnections",
+    "SendPeerMessage",
+    "WriteLog",
+)
 # The event of each method whose values are those of the event.
 EVENTS = {
     "unsent": "AttemptWithdrawn",
@@ -79,7 +104,12 @@
             self.events = importlib.import_module(f"{self.package.__name__}.events")
             wire = importlib.import_module("brassfall.simulator")
             self.wire = wire if hasattr(wire, "timer_token") else None
-        self._kinds = {getattr(self.model, name): name for name in ACTIONS if hasattr(self.model, name)}
+        self._kinds = {
+            getattr(self.model, known): NAMES[name][-1]
+            for name in ACTIONS
+            for known in NAMES[name]
+            if hasattr(self.model, known)
+        }
 
     def make(self, name, *args):
         """A value of one of the interface's classes, its fields by position."""
@@ -106,7 +136,7 @@
             form, entries = args
             refused = form == "refused"
             return (
-                events.DiscoveryFailed() if refused else events.EndpointsListed(model.ListForm(form), entries)
+                events.DiscoveryFailed() if refused else self.get(events, "EndpointListReceived")(model.ListForm(form), entries)
             )
         if name == "probe_result":
             server, status, *rest = args
@@ -120,7 +150,7 @@
 
     def printed(self, action):
         """The values of an action as they are printed: a typed timer as its token on the wire."""
-        if self.wire is not None and isinstance(action, self.model.Timer):
+        if self.wire is not None and isinstance(action, self.get(self.model, "StartTimer")):
             return action._replace(token=self.wire.timer_token(action.token))
         return action
 
@@ -305,7 +335,7 @@
     def listing(self, server):
         weight = self.rng.choice([server.weight] * 19 + [0.0, math.nan])
         place = (server.zone, server.kind, server.cell)
-        return self.revision.make("Listing", server.name, *place, server.state, weight, server.started)
+        return self.revision.make("EndpointEntry", server.name, *place, server.state, weight, server.started)
 
     def change_servers(self):
         changed = self.rng.sample(self.servers, self.rng.choice([1, 1, 2, len(self.servers) // 2]))
@@ -355,7 +385,7 @@
             draw([0.0, 0.5]),
             draw([{}, {}, {0: 1, 2: -1}]),
         )
-        self.step("steer", self.revision.make("Steer", *steer))
+        self.step("steer", self.revision.make("SteeringDirectives", *steer))
 
     # --- clients
 
--- a/tests/controlplane/test_registry_clocks.py
+++ b/tests/controlplane/test_registry_clocks.py
@@ -191,7 +191,7 @@
 
 def configured(tmp_path, **changes):
     """Settings of a service in process."""
-    return settings.load(Service(tmp_path, **changes).config)
+    return settings.load_registry(Service(tmp_path, **changes).config)
 
 
 class Incarnation:
--- a/tests/controlplane/test_registry_service.py
+++ b/tests/controlplane/test_registry_service.py
@@ -248,7 +248,7 @@
     assert after["brassfall_watches"] == 2000
     assert 0 < after["brassfall_lists_built_total"] - before["brassfall_lists_built_total"] <= versions + 1
     # How many are turned away depends on how fast they come; that no more get in than should doesn't.
-    joins = settings.Limits().joins_per_s
+    joins = settings.RegistryLimits().joins_per_s
     assert took >= (2000 - joins / 4.0) / joins
     turned_away = after["brassfall_turned_away_total"] - before["brassfall_turned_away_total"]
     assert turned_away == len(waits)
@@ -433,7 +433,7 @@
     path = tmp_path / "c.toml"
     path.write_text(text)
     with pytest.raises(settings.SettingsError, match=wrong) as caught:
-        settings.load(path)
+        settings.load_registry(path)
     assert str(caught.value).startswith(str(path)) and "\n" not in str(caught.value)
     path.write_text(GOOD)
-    assert settings.load(path).limits.watches == 6000
+    assert settings.load_registry(path).limits.watches == 6000
--- a/tests/sidecar/test_agent.py
+++ b/tests/sidecar/test_agent.py
@@ -205,7 +205,7 @@
 
 
 class StandInProcess:
-    """The process of a member, which records each `Steer`; its clock is the test's."""
+    """The process of a member, which records each `SteeringDirectives`; its clock is the test's."""
 
     def __init__(self):
         self.now, self.busy, self.list_version, self.steers = 0.0, (), 0, []
@@ -256,7 +256,7 @@
         "left": left,
         "edges": rng.choice([1, 4]),
     }
-    entry = model.Listing(rng.choice("abc"), rng.randrange(3), cell=rng.randrange(4))
+    entry = model.EndpointEntry(rng.choice("abc"), rng.randrange(3), cell=rng.randrange(4))
     step = rng.choice([0.01, 0.3, 3.0])
 
     def answered(member, process):
--- a/tests/sidecar/test_agent_overrides.py
+++ b/tests/sidecar/test_agent_overrides.py
@@ -341,7 +341,7 @@
 
     names = config_values.Names({}, {}, {"a": 0, "b": 1, "c": 2, "empty": 3}, {})
     listing = EndpointList(
-        endpoint_list.ServerList(1, True, [model.Listing(f"s{zone}", zone) for zone in range(3)], {})
+        endpoint_list.ServerList(1, True, [model.EndpointEntry(f"s{zone}", zone) for zone in range(3)], {})
     )
     agreement = config.Agreement(3000.0, "", "", {})
     made = steering.Steering(agreement, lambda: names, lambda: listing)
--- a/tests/sidecar/test_agent_rules.py
+++ b/tests/sidecar/test_agent_rules.py
@@ -104,7 +104,7 @@
 
     def __init__(self, sidecar, service, app):
         self.sidecar, self.service, self.app = sidecar, service, app
-        self.steers = []  # each `Steer` that took effect
+        self.steers = []  # each `SteeringDirectives` that took effect
         steer = sidecar.steer
         sidecar.steer = lambda changed: (self.steers.append(changed), steer(changed))
 
--- a/tests/sidecar/test_answer_boundaries.py
+++ b/tests/sidecar/test_answer_boundaries.py
@@ -61,7 +61,7 @@
         await until(lambda: balancer.named("body_gone"))
         upstream.writers[0].write(b"HTTP/1.1 503 Busy\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n")
         assert (await app.answer()).status == 502
-        assert balancer.outcomes()[1:] == [(0, Outcome.FULL, False)]
+        assert balancer.outcomes()[1:] == [(0, Outcome.REJECTED, False)]
         app.close()
 
 
--- a/tests/sidecar/test_answer_order.py
+++ b/tests/sidecar/test_answer_order.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from brassfall.balancer.model import Fail, Refuse, Send, Timer
+from brassfall.balancer.model import FailRequest, RefuseRequest, SendAttempt, StartTimer
 from brassfall.sidecar.clients import (
     client_connection,
     connection_timeouts,
@@ -38,8 +38,8 @@
 @loopback
 async def test_only_the_first_final_answer_is_given():
     balancer = ScriptedBalancer(
-        request=lambda now, arrival: [Refuse(arrival.request, 250.0), Fail(arrival.request), Timer(0.0, "t")],
-        timer=lambda now, token: [Fail(1), Refuse(2, 0.0)],
+        request=lambda now, arrival: [RefuseRequest(arrival.request, 250.0), FailRequest(arrival.request), StartTimer(0.0, "t")],
+        timer=lambda now, token: [FailRequest(1), RefuseRequest(2, 0.0)],
     )
     async with running(balancer=balancer) as sidecar:
         app = await App.connect(sidecar.address)
@@ -207,7 +207,7 @@
 
     upstream, stuck = await Upstream([till_end]).start(), await Upstream([hang]).start()
     balancer = ScriptedBalancer(
-        request=lambda now, arrival: [Send(arrival.request, "s1" if arrival.request_class else "s0", 0.0)]
+        request=lambda now, arrival: [SendAttempt(arrival.request, "s1" if arrival.request_class else "s0", 0.0)]
     )
     async with running(upstream, stuck, balancer=balancer) as sidecar:
         app = await App.connect(sidecar.address)
@@ -236,8 +236,8 @@
 
     upstream = await ReadsOn().start()
     balancer = ScriptedBalancer(
-        request=lambda now, arrival: [Send(arrival.request, "s0", 0.0), Timer(50.0, str(arrival.request))],
-        timer=lambda now, number: [Refuse(int(number), 0.0)],
+        request=lambda now, arrival: [SendAttempt(arrival.request, "s0", 0.0), StartTimer(50.0, str(arrival.request))],
+        timer=lambda now, number: [RefuseRequest(int(number), 0.0)],
     )
     async with running(upstream, balancer=balancer) as sidecar:
         app = await App.connect(sidecar.address)
--- a/tests/sidecar/test_attempts.py
+++ b/tests/sidecar/test_attempts.py
@@ -8,7 +8,7 @@
 import pytest
 
 from brassfall.balancer.events import TimerDue
-from brassfall.balancer.model import Cancel, Outcome, Probe, Refuse, Send, Timer
+from brassfall.balancer.model import CancelAttempt, Outcome, CheckServerHealth, RefuseRequest, SendAttempt, StartTimer
 from brassfall.sidecar.clients import client_request, request_message
 from brassfall.sidecar.core.attempts import Attempt, Request
 from brassfall.sidecar.servers.exchange import Exchange
@@ -50,8 +50,8 @@
         (end_after, Outcome.OK, "200"),
         (ERROR, Outcome.ERROR, "502"),
         (UNMARKED, Outcome.ERROR, "502"),
-        (FULL, Outcome.FULL, "502"),
-        (OVER, Outcome.FULL, "502"),
+        (FULL, Outcome.REJECTED, "502"),
+        (OVER, Outcome.REJECTED, "502"),
         (break_off, Outcome.RESET, "502"),
         (end_early, Outcome.RESET, "502"),
         (b"no HTTP at all\r\n\r\n", Outcome.RESET, "502"),
@@ -120,7 +120,7 @@
 async def test_an_attempt_cancelled_while_it_connects_writes_nothing():
     upstream = await Upstream().start()
     balancer = ScriptedBalancer(
-        request=lambda now, arrival: [Send(arrival.request, "s0", 0.0), Cancel(arrival.request, 0)],
+        request=lambda now, arrival: [SendAttempt(arrival.request, "s0", 0.0), CancelAttempt(arrival.request, 0)],
         outcome=failing,
     )
     async with running(upstream, balancer=balancer) as sidecar:
@@ -135,7 +135,7 @@
 async def test_a_timeout_closes_the_connection_and_has_one_outcome():
     upstream = await Upstream([hang]).start()
     balancer = ScriptedBalancer(
-        request=lambda now, arrival: [Send(arrival.request, "s0", 500.0)], outcome=failing
+        request=lambda now, arrival: [SendAttempt(arrival.request, "s0", 500.0)], outcome=failing
     )
     async with running(upstream, balancer=balancer) as sidecar:
         app = await App.connect(sidecar.address)
@@ -149,7 +149,7 @@
     upstream = await Upstream([hang, OK]).start()
 
     def later(now, number, hop, status, spent, last, report):
-        return [] if last else [Send(number, "s0", 0.0)]
+        return [] if last else [SendAttempt(number, "s0", 0.0)]
 
     balancer = ScriptedBalancer(outcome=later)
     async with running(upstream, balancer=balancer) as sidecar:
@@ -157,8 +157,8 @@
         app.send()
         await until(lambda: upstream.seen)
         (request,) = sidecar.driver.requests
-        sidecar.driver.perform(Cancel(request.id, 0))
-        sidecar.driver.perform(Cancel(request.id, 0))
+        sidecar.driver.perform(CancelAttempt(request.id, 0))
+        sidecar.driver.perform(CancelAttempt(request.id, 0))
         # Its time runs out, too, before the outcome is reported.
         sidecar.driver.lifecycle.attempts.expire(request.attempts[0])
         assert (await app.answer()).body == b"done"
@@ -172,9 +172,9 @@
     upstream = await Upstream([FULL, FULL, FULL, OK]).start()
 
     def retry(now, number, hop, status, spent, last, report):
-        if status == Outcome.FULL:
-            return [Send(number, "s0", 0.0)]
-        return [Refuse(number, 0.0), Send(number, "s0", 0.0)] if hop == 3 else []
+        if status == Outcome.REJECTED:
+            return [SendAttempt(number, "s0", 0.0)]
+        return [RefuseRequest(number, 0.0), SendAttempt(number, "s0", 0.0)] if hop == 3 else []
 
     balancer = ScriptedBalancer(outcome=retry)
     async with running(upstream, balancer=balancer) as sidecar:
@@ -195,7 +195,7 @@
 
     first, second = await Upstream([wait]).start(), await Upstream([OK]).start()
     balancer = ScriptedBalancer(
-        request=lambda now, arrival: [Send(arrival.request, "s0", 0.0), Send(arrival.request, "s1", 0.0)]
+        request=lambda now, arrival: [SendAttempt(arrival.request, "s0", 0.0), SendAttempt(arrival.request, "s1", 0.0)]
     )
     async with running(first, second, balancer=balancer) as sidecar:
         app = await App.connect(sidecar.address)
@@ -232,7 +232,7 @@
 
         def recorded_step(now, event):
             actions = step(now, event)
-            timers = [action for action in actions if isinstance(action, Timer)]
+            timers = [action for action in actions if isinstance(action, StartTimer)]
             wanted.extend(timer for timer in timers if timer.request is not None)
             return actions
 
@@ -297,11 +297,11 @@
     upstream = await Upstream([hang]).start()
     balancer = ScriptedBalancer(
         request=lambda now, arrival: [
-            Timer(20.0, "due", arrival.request),
-            Timer(60_000.0, "later", arrival.request),
-            Send(arrival.request, "s0", 0.0),
+            StartTimer(20.0, "due", arrival.request),
+            StartTimer(60_000.0, "later", arrival.request),
+            SendAttempt(arrival.request, "s0", 0.0),
         ],
-        timer=lambda now, token: [Cancel(balancer.named("request")[0][0].request, 0)],
+        timer=lambda now, token: [CancelAttempt(balancer.named("request")[0][0].request, 0)],
         outcome=failing,
     )
     async with running(upstream, balancer=balancer) as sidecar:
@@ -324,7 +324,7 @@
     async with running(upstream, balancer=balancer) as sidecar:
         await (await App.connect(sidecar.address)).ask()
         assert balancer.named("outcome")[0][-1] == {"inflight": 1.0, "queue": 0.0}
-        sidecar.driver.perform(Probe("s0"))
+        sidecar.driver.perform(CheckServerHealth("s0"))
         await until(lambda: balancer.named("probe_result"))
         ((server, status, spent, report),) = balancer.named("probe_result")
         assert (server, status, report) == ("s0", Outcome.OK, {"inflight": 3.0})
--- a/tests/sidecar/test_discovery.py
+++ b/tests/sidecar/test_discovery.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from brassfall.balancer.model import Fetch, Watch
+from brassfall.balancer.model import FetchEndpointList, WatchEndpointList
 from brassfall.sidecar.config_values import parse_address
 from brassfall.sidecar.discovery import channel, single_address
 from tests.support.loopback import Registry, ScriptedBalancer, entry, listed, loopback, running, until
@@ -94,14 +94,14 @@
     registry, balancer = await Registry(listed(60, entry("s5"))).start(), ScriptedBalancer()
     async with running(balancer=balancer, registry=registry, Discovery="subscribe") as sidecar:
         assert registry.asked == []
-        carry_out(sidecar, balancer, Watch(True))
+        carry_out(sidecar, balancer, WatchEndpointList(True))
         await until(lambda: registry.watches)
         registry.watches[0].close()
         await until(lambda: len(notifications(balancer)) == 2)
-        carry_out(sidecar, balancer, Fetch())
+        carry_out(sidecar, balancer, FetchEndpointList())
         await until(lambda: len(notifications(balancer)) == 3)
         registry.stop()
-        carry_out(sidecar, balancer, Fetch())
+        carry_out(sidecar, balancer, FetchEndpointList())
         await until(lambda: len(notifications(balancer)) == 4)
         assert notifications(balancer)[1:] == [("refused", []), ("all", ["s5"]), ("refused", [])]
         assert len(registry.watches) == 1
@@ -114,7 +114,7 @@
     settings = {"Discovery": "automatic" if pushed else "subscribe"}
     async with running(balancer=balancer, registry=old, **settings) as sidecar:
         if not pushed:
-            carry_out(sidecar, balancer, Watch(True))
+            carry_out(sidecar, balancer, WatchEndpointList(True))
         await until(lambda: old.watches)
         old.tell(44, entry("s1"))
         await until(lambda: len(notifications(balancer)) == 2)
@@ -133,7 +133,7 @@
     gone, new, balancer = await Registry().start(), await Registry().start(), ScriptedBalancer()
     gone.stop()
     async with running(balancer=balancer, registry=gone, Discovery="subscribe") as sidecar:
-        carry_out(sidecar, balancer, Watch(True))
+        carry_out(sidecar, balancer, WatchEndpointList(True))
         await until(lambda: ("refused", []) in notifications(balancer))
         sidecar.discovery.move(parse_address(new.address))
         await until(lambda: new.watches)
--- a/tests/sidecar/test_driver.py
+++ b/tests/sidecar/test_driver.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from brassfall.balancer.model import Outcome, Send, Timer
+from brassfall.balancer.model import Outcome, SendAttempt, StartTimer
 from brassfall.sidecar.core import attempts
 from brassfall.sidecar.core.attempts import (
     Attempt,
@@ -88,8 +88,8 @@
 async def test_the_counts_follow_a_request_from_its_arrival_to_a_streamed_answer():
     send_and_wait = ScriptedBalancer(
         request=lambda now, arrival: [
-            Send(arrival.request, "s0", 0.0),
-            Timer(60_000.0, "later", arrival.request),
+            SendAttempt(arrival.request, "s0", 0.0),
+            StartTimer(60_000.0, "later", arrival.request),
         ]
     )
     driver, upstreams = driver_of(send_and_wait)
@@ -128,7 +128,7 @@
 @loopback
 async def test_an_attempt_for_an_unknown_request_is_logged_and_not_sent(capsys):
     driver, upstreams = driver_of(ScriptedBalancer())
-    driver.perform(Send(99, "s0", 0.0))
+    driver.perform(SendAttempt(99, "s0", 0.0))
     line = "ERROR attempt for an unknown request, not sent, request=99; report it\n"
     assert capsys.readouterr().err == line
     assert not upstreams.sent
--- a/tests/sidecar/test_fleet_list.py
+++ b/tests/sidecar/test_fleet_list.py
@@ -88,7 +88,7 @@
 
 
 ENTRIES = st.builds(
-    model.Listing,
+    model.EndpointEntry,
     st.sampled_from(["s0", "s1", "s2", "s3"]),
     st.integers(0, 2),
     cell=st.integers(0, 2),
--- a/tests/sidecar/test_graceful_shutdown.py
+++ b/tests/sidecar/test_graceful_shutdown.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from brassfall.balancer.model import Fail
+from brassfall.balancer.model import FailRequest
 from brassfall.sidecar.clients import (
     client_request,
     connection_timeouts,
@@ -220,7 +220,7 @@
     upstream = await Upstream([hang]).start()
     loop = asyncio.get_running_loop()
     balancer = ScriptedBalancer(
-        outcome=lambda now, number, *rest: [Fail(number)]
+        outcome=lambda now, number, *rest: [FailRequest(number)]
     )  # once the attempt has ended
     async with running(upstream, balancer=balancer, Profiles=[row]) as sidecar:
         app = await App.connect(sidecar.address)
--- a/tests/sidecar/test_hold_up.py
+++ b/tests/sidecar/test_hold_up.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from brassfall.balancer.model import Fail, ListForm, Outcome, Send, Timer
+from brassfall.balancer.model import FailRequest, ListForm, Outcome, SendAttempt, StartTimer
 from brassfall.sidecar.core.request_lifecycle import DEADLINE_MARGIN_MS
 from brassfall.sidecar.discovery.endpoint_list import parse_list
 from tests.support.loopback import (
@@ -65,15 +65,15 @@
 
 
 def hedged(now, arrival):
-    return [Send(arrival.request, "s0", 0.0), Send(arrival.request, "s1", 0.0)]
+    return [SendAttempt(arrival.request, "s0", 0.0), SendAttempt(arrival.request, "s1", 0.0)]
 
 
 def hedged_later(now, arrival):
-    return [Send(arrival.request, "s0", 0.0), Timer(80.0, f"{arrival.request}", arrival.request)]
+    return [SendAttempt(arrival.request, "s0", 0.0), StartTimer(80.0, f"{arrival.request}", arrival.request)]
 
 
 def retry(now, number, hop, status, spent, last, report):
-    return [] if last else [Send(number, "s1", 0.0)]
+    return [] if last else [SendAttempt(number, "s1", 0.0)]
 
 
 ATTEMPTS = {
@@ -81,7 +81,7 @@
     "a hedged request": {"request": hedged},
     "a hedged request, later": {
         "request": hedged_later,
-        "timer": lambda now, token: [Send(int(token), "s1", 0.0)],
+        "timer": lambda now, token: [SendAttempt(int(token), "s1", 0.0)],
     },
     "a retry": {"outcome": retry},
 }
@@ -115,13 +115,13 @@
 
     def retry_late(now, number, hop, status, spent, last, report):
         if last or hop:
-            return [] if last else [Fail(number)]
+            return [] if last else [FailRequest(number)]
         hold_up.advance(ends[0] - before_ms - now)
-        return [Send(number, "s1", 0.0, ends[0])]
+        return [SendAttempt(number, "s1", 0.0, ends[0])]
 
     def first(now, arrival):
         ends.append(now + window_ms)
-        return [Send(arrival.request, "s0", 0.0)]
+        return [SendAttempt(arrival.request, "s0", 0.0)]
 
     upstreams = await Upstream([break_off]).start(), await Upstream([OK]).start()
     async with running(*upstreams, balancer=ScriptedBalancer(request=first, outcome=retry_late)) as sidecar:
@@ -149,7 +149,7 @@
 
     upstream = await Upstream([OK]).start()
     balancer = ScriptedBalancer(
-        outcome=lambda now, number, hop, status, spent, last, report: [] if last else [Fail(number)]
+        outcome=lambda now, number, hop, status, spent, last, report: [] if last else [FailRequest(number)]
     )
     async with running(upstream, balancer=balancer, Rules={"StopSendingWithin": grace_ms}) as sidecar:
         app = await App.connect(sidecar.address)
@@ -177,7 +177,7 @@
     The loop runs what is due before it reads."""
     first, second = await Upstream([hang]).start(), await Upstream([OK]).start()
     targets = iter(["s1", "s0"])
-    balancer = ScriptedBalancer(request=lambda now, arrival: [Send(arrival.request, next(targets), 0.0)])
+    balancer = ScriptedBalancer(request=lambda now, arrival: [SendAttempt(arrival.request, next(targets), 0.0)])
     async with running(first, second, balancer=balancer) as sidecar:
         await (await App.connect(sidecar.address)).ask()  # a connection to s1 is idle from now on
         app = await App.connect(sidecar.address)
@@ -189,7 +189,7 @@
         time.sleep(0.15)
         if late == "a retry":
             first.writers[0].transport.abort()
-        carry_out(sidecar, balancer, Send(number, "s1", 0.0))
+        carry_out(sidecar, balancer, SendAttempt(number, "s1", 0.0))
         await until(lambda: balancer.named("client_gone"))
         await asyncio.sleep(0.05)
         assert len(second.seen) == 1
--- a/tests/sidecar/test_large_answers.py
+++ b/tests/sidecar/test_large_answers.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from brassfall.balancer.model import Outcome, Send
+from brassfall.balancer.model import Outcome, SendAttempt
 from brassfall.sidecar import body
 from brassfall.sidecar.clients import connection_timeouts
 from brassfall.sidecar.clients.connection_state import ConnectionState
@@ -17,15 +17,15 @@
     released,
 )
 from tests.support.large_messages import (
-    CHUNKED,
+    CHUNKED_HEAD,
     LARGE,
-    LENGTH,
-    PIECE,
+    HEAD_WITH_LENGTH,
+    ONE_CHUNK,
     StreamingServer,
-    chunks,
+    chunked_body,
     read_answer,
     read_head,
-    until_closed,
+    reply_until_close,
 )
 from tests.support.loopback import (
     OK,
@@ -40,7 +40,7 @@
 )
 
 
-@pytest.mark.parametrize("reply", [LENGTH % len(LARGE) + LARGE, CHUNKED + chunks(LARGE), until_closed])
+@pytest.mark.parametrize("reply", [HEAD_WITH_LENGTH % len(LARGE) + LARGE, CHUNKED_HEAD + chunked_body(LARGE), reply_until_close])
 @loopback
 async def test_a_large_answer_comes_complete_in_any_framing(reply):
     upstream = await StreamingServer([reply]).start()
@@ -60,11 +60,11 @@
     async def in_two(reader, writer):
         first = LARGE[:1000]
         if framed == "length":
-            writer.write(LENGTH % len(LARGE) + first)
+            writer.write(HEAD_WITH_LENGTH % len(LARGE) + first)
         else:
-            writer.write(CHUNKED + b"3e8\r\n%b\r\n" % first)
+            writer.write(CHUNKED_HEAD + b"3e8\r\n%b\r\n" % first)
         await more.wait()
-        return LARGE[1000:] if framed == "length" else chunks(LARGE[1000:])
+        return LARGE[1000:] if framed == "length" else chunked_body(LARGE[1000:])
 
     upstream = await StreamingServer([in_two]).start()
     async with running(upstream) as sidecar:
@@ -83,7 +83,7 @@
     more = asyncio.Event()
 
     async def in_two(reader, writer):
-        writer.write(LENGTH % len(LARGE) + LARGE[:1000])
+        writer.write(HEAD_WITH_LENGTH % len(LARGE) + LARGE[:1000])
         await more.wait()
         return LARGE[1000:]
 
@@ -104,14 +104,14 @@
 @loopback
 async def test_a_small_answer_without_a_length_that_breaks_is_retried_on_another_server():
     async def broken(reader, writer):
-        writer.write(CHUNKED + b"5\r\nhe")
+        writer.write(CHUNKED_HEAD + b"5\r\nhe")
         await writer.drain()
         writer.close()
         return b""
 
     first, second = await StreamingServer([broken]).start(), await StreamingServer([OK]).start()
     balancer = ScriptedBalancer(
-        outcome=lambda now, number, hop, status, *rest: [Send(number, "s1", 0.0)] if hop < 1 else []
+        outcome=lambda now, number, hop, status, *rest: [SendAttempt(number, "s1", 0.0)] if hop < 1 else []
     )
     async with running(first, second, balancer=balancer) as sidecar:
         app = await App.connect(sidecar.address)
@@ -123,7 +123,7 @@
 async def test_a_client_can_tell_that_a_large_answer_is_broken(framed):
     async def half(reader, writer):
         writer.write(
-            LENGTH % len(LARGE) + LARGE[:200_000] if framed == "length" else CHUNKED + chunks(LARGE)[:-9]
+            HEAD_WITH_LENGTH % len(LARGE) + LARGE[:200_000] if framed == "length" else CHUNKED_HEAD + chunked_body(LARGE)[:-9]
         )
         await writer.drain()
         return await break_off(reader, writer) or b""
@@ -147,9 +147,9 @@
 
     async def endless(reader, writer):
         nonlocal given
-        writer.write(CHUNKED)
+        writer.write(CHUNKED_HEAD)
         while not enough.is_set():
-            writer.write(PIECE)
+            writer.write(ONE_CHUNK)
             given += 1
             await writer.drain()
         return b"0\r\n\r\n"
@@ -181,11 +181,11 @@
 
     async def last(reader, writer):
         await release.wait()
-        return LENGTH % size + LARGE[:size]
+        return HEAD_WITH_LENGTH % size + LARGE[:size]
 
-    upstream, slow = await Upstream([LENGTH % size + LARGE[:size]]).start(), await Upstream([last]).start()
+    upstream, slow = await Upstream([HEAD_WITH_LENGTH % size + LARGE[:size]]).start(), await Upstream([last]).start()
     balancer = ScriptedBalancer(
-        request=lambda now, arrival: [Send(arrival.request, "s1" if arrival.request_class else "s0", 0.0)]
+        request=lambda now, arrival: [SendAttempt(arrival.request, "s1" if arrival.request_class else "s0", 0.0)]
     )
     async with one_client(upstream, slow, balancer=balancer, little_buffering=True) as (
         sidecar,
@@ -215,9 +215,9 @@
     monkeypatch.setattr(connection_timeouts, "UNREAD_S", 0.1)
 
     async def endless(reader, writer):
-        writer.write(CHUNKED)
+        writer.write(CHUNKED_HEAD)
         while True:  # until the sidecar closes
-            writer.write(PIECE)
+            writer.write(ONE_CHUNK)
             await writer.drain()
 
     upstream = await StreamingServer([endless]).start()
@@ -235,7 +235,7 @@
     monkeypatch.setattr(server_connection, "STALLED_S", 0.1)
 
     async def stuck(reader, writer):
-        writer.write(LENGTH % len(LARGE) + LARGE[:1000])
+        writer.write(HEAD_WITH_LENGTH % len(LARGE) + LARGE[:1000])
         await reader.read()
         return b""
 
@@ -250,7 +250,7 @@
 @loopback
 async def test_a_client_that_leaves_within_an_answer_frees_the_server():
     async def stuck(reader, writer):
-        writer.write(LENGTH % len(LARGE) + LARGE[:1000])
+        writer.write(HEAD_WITH_LENGTH % len(LARGE) + LARGE[:1000])
         await reader.read()
         return b""
 
@@ -267,7 +267,7 @@
 
 @loopback
 async def test_large_answers_keep_the_order_of_pipelined_requests():
-    upstream = await StreamingServer([LENGTH % len(LARGE) + LARGE]).start()
+    upstream = await StreamingServer([HEAD_WITH_LENGTH % len(LARGE) + LARGE]).start()
     release = asyncio.Event()
 
     async def wait(reader, writer):
@@ -276,7 +276,7 @@
 
     slow = await StreamingServer([wait]).start()
     balancer = ScriptedBalancer(
-        request=lambda now, arrival: [Send(arrival.request, "s0" if arrival.request_class else "s1", 0.0)],
+        request=lambda now, arrival: [SendAttempt(arrival.request, "s0" if arrival.request_class else "s1", 0.0)],
         answer_started=lambda now, *rest: release.set() or [],
     )
     async with running(upstream, slow, balancer=balancer) as sidecar:
@@ -291,7 +291,7 @@
 
 @loopback
 async def test_http_1_0_gets_no_chunks():
-    upstream = await StreamingServer([CHUNKED + chunks(LARGE)]).start()
+    upstream = await StreamingServer([CHUNKED_HEAD + chunked_body(LARGE)]).start()
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
         app.writer.write(partners.request().replace(b"HTTP/1.1", b"HTTP/1.0"))
--- a/tests/sidecar/test_large_requests.py
+++ b/tests/sidecar/test_large_requests.py
@@ -6,17 +6,17 @@
 
 import pytest
 
-from brassfall.balancer.model import Fail, Outcome, Send
+from brassfall.balancer.model import FailRequest, Outcome, SendAttempt
 from brassfall.sidecar import body
 from brassfall.sidecar.clients import connection_timeouts
 from brassfall.sidecar.clients.read_control import Hold
 from tests.support import loopback as partners
 from tests.support.large_messages import (
     LARGE,
-    LENGTH,
-    PIECE,
+    HEAD_WITH_LENGTH,
+    ONE_CHUNK,
     StreamingServer,
-    chunks,
+    chunked_body,
     read_answer,
 )
 from tests.support.loopback import (
@@ -40,7 +40,7 @@
             app.send("POST", "/pay", LARGE)
         else:
             app.send("POST", "/pay", Content_Length=None, Transfer_Encoding="chunked")
-            app.writer.write(chunks(LARGE))
+            app.writer.write(chunked_body(LARGE))
         assert await read_answer(app) == (200, b"done")
         assert upstream.seen == [LARGE]
         assert (await app.ask()).body == b"done"
@@ -50,7 +50,7 @@
 @loopback
 async def test_a_server_that_reads_slowly_pauses_the_client():
     upstream = await StreamingServer([OK]).start()
-    upstream.slow = asyncio.Event()
+    upstream.may_read_body = asyncio.Event()
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
         app.send("POST", "/pay", Content_Length=None, Transfer_Encoding="chunked")
@@ -62,13 +62,13 @@
             (connection,) = sidecar.inbound.connections
             if connection.read_control.holds(Hold.SLOW_SERVER):
                 return not connection.transport.is_reading()
-            app.writer.write(PIECE)
+            app.writer.write(ONE_CHUNK)
             sent += 1
             return False
 
         await until(lambda: sidecar.inbound.connections)
         await until(stopped)
-        upstream.slow.set()
+        upstream.may_read_body.set()
         app.writer.write(b"0\r\n\r\n")
         assert await read_answer(app) == (200, b"done")
         assert len(upstream.seen[0]) == sent * len(LARGE)
@@ -106,8 +106,8 @@
     gone = await StreamingServer([OK]).start()
     gone.stop()  # refuses connections
     balancer = ScriptedBalancer(
-        request=lambda now, arrival: [Send(arrival.request, "s1", 0.0)],
-        outcome=lambda now, number, hop, status, *rest: [Send(number, "s0", 0.0)] if hop < 1 else [],
+        request=lambda now, arrival: [SendAttempt(arrival.request, "s1", 0.0)],
+        outcome=lambda now, number, hop, status, *rest: [SendAttempt(number, "s0", 0.0)] if hop < 1 else [],
     )
     async with running(upstream, gone, balancer=balancer) as sidecar:
         app = await App.connect(sidecar.address)
@@ -121,10 +121,10 @@
 @loopback
 async def test_a_large_request_that_was_passed_on_is_sent_to_no_second_server():
     first = await StreamingServer().start()
-    first.slow = asyncio.Event()
+    first.may_read_body = asyncio.Event()
     balancer = ScriptedBalancer(
         outcome=lambda now, number, hop, status, *rest: (
-            [Send(number, "s0", 0.0)] if hop < 1 else [Fail(number)]
+            [SendAttempt(number, "s0", 0.0)] if hop < 1 else [FailRequest(number)]
         )
     )
     async with running(first, balancer=balancer) as sidecar:
@@ -140,7 +140,7 @@
             False,
         )  # not written completely: it did not run
         assert balancer.outcomes()[1][1] == Outcome.ABANDONED
-        first.slow.set()
+        first.may_read_body.set()
 
 
 @loopback
@@ -159,7 +159,7 @@
 
 @loopback
 async def test_a_rejected_large_request_is_answered_before_its_end():
-    balancer = ScriptedBalancer(request=lambda now, arrival: [Fail(arrival.request)])
+    balancer = ScriptedBalancer(request=lambda now, arrival: [FailRequest(arrival.request)])
     async with running(balancer=balancer) as sidecar:
         app = await App.connect(sidecar.address)
         message = partners.request("POST", "/pay", LARGE)
@@ -252,7 +252,7 @@
 
 @loopback
 async def test_a_large_message_reserves_memory_only_while_it_is_passed_on():
-    upstream = await StreamingServer([LENGTH % len(LARGE) + LARGE]).start()
+    upstream = await StreamingServer([HEAD_WITH_LENGTH % len(LARGE) + LARGE]).start()
     async with running(upstream) as sidecar:
         seen = []
         attempts = sidecar.driver.lifecycle.attempts
--- a/tests/sidecar/test_pool.py
+++ b/tests/sidecar/test_pool.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from brassfall.balancer.model import CloseIdle, Outcome, Send
+from brassfall.balancer.model import CloseIdleConnections, Outcome, SendAttempt
 from tests.support.loopback import (
     OK,
     App,
@@ -120,7 +120,7 @@
         one.send()
         await until(lambda: len(upstream.seen) == 3)
         busy = upstream.seen[2].connection
-        sidecar.driver.perform(CloseIdle("s0"))
+        sidecar.driver.perform(CloseIdleConnections("s0"))
         await until(lambda: upstream.writers[1 - busy].is_closing())
         assert not upstream.writers[busy].is_closing()
 
@@ -130,7 +130,7 @@
     first, second = await Upstream([OK]).start(), await Upstream([OK, hang]).start()
     balancer = ScriptedBalancer(outcome=failing)
     servers = iter(["s0", "s1", "s1", "s1"])
-    balancer.scripts["request"] = lambda now, arrival: [Send(arrival.request, next(servers), 0.0)]
+    balancer.scripts["request"] = lambda now, arrival: [SendAttempt(arrival.request, next(servers), 0.0)]
     async with running(first, second, balancer=balancer) as sidecar:
         sidecar.pool.max_connections = 1
         app, other = await App.connect(sidecar.address), await App.connect(sidecar.address)
@@ -190,7 +190,7 @@
             # The watch event comes while the attempt waits for its connection.
             hear = functools.partial(sidecar.pool.update, now, leaving, complete=False)
             asyncio.get_running_loop().call_soon(hear)
-            return [Send(arrival.request, "s0", 0.0)]
+            return [SendAttempt(arrival.request, "s0", 0.0)]
 
         balancer.scripts["request"] = send_then_hear
         app = await App.connect(sidecar.address)
--- a/tests/sidecar/test_races_reload.py
+++ b/tests/sidecar/test_races_reload.py
@@ -13,20 +13,20 @@
 from brassfall.balancer import Balancer, Settings
 from brassfall.balancer.events import (
     AttemptEnded,
-    EndpointsListed,
+    EndpointListReceived,
     RequestArrived,
     SettingsReloaded,
     TimerDue,
 )
 from brassfall.balancer.model import (
-    CloseIdle,
+    CloseIdleConnections,
     IdleCloseTimer,
     KeyPauseTimer,
     ListForm,
-    Listing,
+    EndpointEntry,
     Outcome,
-    Send,
-    Timer,
+    SendAttempt,
+    StartTimer,
 )
 from brassfall.sidecar import config, reload
 from brassfall.sidecar.clients import inbound
@@ -35,7 +35,7 @@
 from brassfall.sidecar.discovery.endpoint_list import parse_list
 from brassfall.sidecar.servers import pool as outbound
 from tests.sidecar.test_reload import raw, row, take
-from tests.support.helpers import CLASSES, answered, arrival, balancer, listing, of_type, raw_settings
+from tests.support.helpers import CLASSES, attempt_answered, request_arrival, make_balancer, endpoint_entries, of_type, raw_settings
 from tests.support.loopback import OK, App, Upstream, entry, listed, loopback, running, sidecar_config
 
 EFFECTS = ("pure", "token", "side_effect")
@@ -52,7 +52,7 @@
 
 DERIVED_VALUES = {
     "endpoints": ("subset_size",),
-    "zones": ("active", "margins"),
+    "zone_spillover": ("active", "spill_margins"),
     "shedder": ("weight_by_work", "over_quota_weight", "worst_class", "quotas"),
 }
 SITES = [
@@ -67,9 +67,9 @@
 @pytest.mark.parametrize("before", SITES)
 @pytest.mark.parametrize("after", SITES)
 def test_values_derived_from_settings_are_those_of_a_new_balancer(before, after):
-    made = balancer("safe", "keyed", **before)
+    made = make_balancer("safe", "keyed", **before)
     reloaded(made, 1.0, {0, 1}, "safe", "keyed", **after)
-    fresh = balancer("safe", "keyed", **after)
+    fresh = make_balancer("safe", "keyed", **after)
     for part, names in DERIVED_VALUES.items():
         for name in names:
             before, expected = getattr(made.components, part), getattr(fresh.components, part)
@@ -108,13 +108,13 @@
 
 def test_a_longer_idle_time_applies_to_connections_that_are_open():
     def closes_idle(made):
-        made.step(0.0, arrival(1))
-        made.step(10.0, answered(1, 10.0))
-        return of_type(made.step(3010.0, arrival(2, 3010.0)), CloseIdle)
+        made.step(0.0, request_arrival(1))
+        made.step(10.0, attempt_answered(1, 10.0))
+        return of_type(made.step(3010.0, request_arrival(2, 3010.0)), CloseIdleConnections)
 
     short, long = ({"PolicyLimits": {"MaxAttempts": 4, "IdleClose": idle}} for idle in (500.0, 5000.0))
-    assert closes_idle(balancer(servers=1, **short)) and not closes_idle(balancer(servers=1, **long))
-    made = balancer(servers=1, **short)
+    assert closes_idle(make_balancer(servers=1, **short)) and not closes_idle(make_balancer(servers=1, **long))
+    made = make_balancer(servers=1, **short)
     reloaded(made, 1.0, {0}, **long)
     assert not closes_idle(made)
 
@@ -128,7 +128,7 @@
 def count_arrivals(made, count=100):
     for number in range(count):
         profile = made.settings.profiles[number % 2]
-        made.components.shedder.arrive(number % 2, profile.priority_weight, 1.0 + number % 2, 0, 1.0)
+        made.components.shedder.count_arrival(number % 2, profile.priority_weight, 1.0 + number % 2, 0, 1.0)
 
 
 @pytest.mark.parametrize(
@@ -143,77 +143,77 @@
     fresh = Balancer(0.0, weighted_settings(*values, **change), 1)
     count_arrivals(fresh)
     for band in (0, 1):
-        assert made.components.shedder.refusal_chance(0.0, 0.2, band, over=False) == pytest.approx(
-            fresh.components.shedder.refusal_chance(0.0, 0.2, band, over=False)
+        assert made.components.shedder.class_refusal_probability(0.0, 0.2, band, over_quota=False) == pytest.approx(
+            fresh.components.shedder.class_refusal_probability(0.0, 0.2, band, over_quota=False)
         )
 
 
 def test_classes_without_priority_weight_are_shed_like_others():
     made = Balancer(0.0, weighted_settings(0.0, 0.0), 1)
     count_arrivals(made)
-    assert 0.0 < made.components.shedder.refusal_chance(0.0, 0.2, 0, over=False) <= 1.0
+    assert 0.0 < made.components.shedder.class_refusal_probability(0.0, 0.2, 0, over_quota=False) <= 1.0
 
 
 def test_a_time_limit_for_idle_connections_applies_to_servers_that_drain_already():
-    made = balancer()
-    made.step(1.0, EndpointsListed(ListForm.CHANGES, [Listing("s0", state="leaving")]))
+    made = make_balancer()
+    made.step(1.0, EndpointListReceived(ListForm.CHANGES, [EndpointEntry("s0", state="leaving")]))
     actions = reloaded(made, 2.0, {0}, Rules={"ReleaseWithin": 100.0})
-    assert of_type(actions, CloseIdle) == [CloseIdle("s0")]
-    assert of_type(actions, Timer) == [Timer(40.0, IdleCloseTimer("s0"))]
+    assert of_type(actions, CloseIdleConnections) == [CloseIdleConnections("s0")]
+    assert of_type(actions, StartTimer) == [StartTimer(40.0, IdleCloseTimer("s0"))]
 
 
 @pytest.mark.parametrize(("before", "after"), [(100.0, 10.0), (10.0, 100.0)])
 def test_a_key_pauses_for_the_longer_time_of_both_settings(before, after):
     ordered = {**CLASSES["late"], "InTurn": True}
-    made = balancer(Profiles=[ordered], Rules={"SettleAfterDoubt": before})
+    made = make_balancer(Profiles=[ordered], Rules={"SettleAfterDoubt": before})
     made.step(0.0, RequestArrived(1, 0, 1000.0, key=7))
     reloaded(made, 1.0, {0}, Profiles=[ordered], Rules={"SettleAfterDoubt": after})
     made.step(2.0, RequestArrived(2, 0, 1000.0, key=7))
-    assert not of_type(made.step(20.0, AttemptEnded(1, 0, Outcome.RESET, 20.0, request_ended=True)), Send)
-    assert not of_type(made.step(119.0, TimerDue(KeyPauseTimer(7))), Send)
-    assert of_type(made.step(120.0, TimerDue(KeyPauseTimer(7))), Send)
+    assert not of_type(made.step(20.0, AttemptEnded(1, 0, Outcome.RESET, 20.0, request_ended=True)), SendAttempt)
+    assert not of_type(made.step(119.0, TimerDue(KeyPauseTimer(7))), SendAttempt)
+    assert of_type(made.step(120.0, TimerDue(KeyPauseTimer(7))), SendAttempt)
 
 
 def test_a_server_that_a_reload_puts_into_slow_start_is_not_charged_for_earlier_sends():
-    made = balancer(servers=0)
-    made.step(0.0, EndpointsListed(ListForm.CHANGES, [Listing("s0", started=1.0)]))
+    made = make_balancer(servers=0)
+    made.step(0.0, EndpointListReceived(ListForm.CHANGES, [EndpointEntry("s0", started=1.0)]))
     for number in range(1, 201):
-        assert of_type(made.step(number * 10.0, arrival(number, number * 10.0)), Send)
-        made.step(number * 10.0 + 5.0, answered(number, 5.0))
+        assert of_type(made.step(number * 10.0, request_arrival(number, number * 10.0)), SendAttempt)
+        made.step(number * 10.0 + 5.0, attempt_answered(number, 5.0))
     cold = {"WarmUp": 20000.0, "ColdFrom": 0.2, "OverloadFor": 2000.0, "FallMultiple": 4.0}
     reloaded(made, 2010.0, {0}, Rules=cold)
-    assert of_type(made.step(2100.0, arrival(999, 2100.0)), Send)
+    assert of_type(made.step(2100.0, request_arrival(999, 2100.0)), SendAttempt)
 
 
 # --- positions of classes ---------------------------------------------------------------------
 
 
 def test_what_was_learned_of_a_class_stays_and_is_not_inherited_by_another():
-    made = balancer("safe", "safe", "safe", Prices=CROSSING)
-    made.components.zones.spill = [0.1, 0.2, 0.3]
+    made = make_balancer("safe", "safe", "safe", Prices=CROSSING)
+    made.components.zone_spillover.spill_shares = [0.1, 0.2, 0.3]
     reloaded(made, 1.0, {0, 2}, "safe", "keyed", "safe", "unsafe", Prices=CROSSING)
-    assert made.components.zones.spill == [0.1, 0.0, 0.3, 0.0]
+    assert made.components.zone_spillover.spill_shares == [0.1, 0.0, 0.3, 0.0]
 
 
 def test_a_removed_class_does_not_affect_the_price_of_other_zones():
     before = config.parse(raw(Profiles=[row("a", Worth=1.0), row("dear", Worth=100.0)], Prices=CROSSING), {})
     after = take(before, raw(Profiles=[row("a", Worth=1.0)], Prices=CROSSING))
-    margins = [Balancer(0.0, c.settings, 1).components.zones.margins[0] for c in (before, after.config)]
+    margins = [Balancer(0.0, c.settings, 1).components.zone_spillover.spill_margins[0] for c in (before, after.config)]
     alone = Balancer(0.0, config.parse(raw(Profiles=[row("a")], Prices=CROSSING), {}).settings, 1)
-    assert margins[0] > margins[1] == alone.components.zones.margins[0]
+    assert margins[0] > margins[1] == alone.components.zone_spillover.spill_margins[0]
 
 
 def test_an_open_request_of_a_removed_class_is_learned_from():
     before = config.parse(raw(Profiles=[row("a"), row("b")], Prices=CROSSING), {})
     made = Balancer(0.0, before.settings, 1)
-    made.step(0.0, EndpointsListed(ListForm.REMEMBERED, listing(4)))
+    made.step(0.0, EndpointListReceived(ListForm.CONFIGURED, endpoint_entries(4)))
     made.step(0.0, RequestArrived(1, 1, 1000.0))
     for names in ("ac", "ad", "ae"):
         news = take(before, raw(Profiles=[row(name) for name in names], Prices=CROSSING), busy={1})
         before = news.config
         made.step(1.0, SettingsReloaded(before.settings, news.same_classes))
         assert all(kind.slot != 1 for kind in before.names.classes.values())
-    assert not made.step(5.0, answered(1, 5.0)) and not made.open_requests
+    assert not made.step(5.0, attempt_answered(1, 5.0)) and not made.open_requests
 
 
 def test_key_settings_are_required_only_of_classes_with_a_key():
@@ -243,9 +243,9 @@
     assert zones_of["s0"] == zones_of["s2"] and len({0, -1, *zones_of.values()}) == 4
     for seed in range(20):
         made = Balancer(0.0, after.config.settings, seed)
-        made.step(0.0, EndpointsListed(ListForm.REMEMBERED, entries))
-        (first,) = of_type(made.step(0.0, RequestArrived(1, 0, 1000.0)), Send)
-        for again in of_type(made.step(1.0, AttemptEnded(1, 0, Outcome.ERROR, 1.0)), Send):
+        made.step(0.0, EndpointListReceived(ListForm.CONFIGURED, entries))
+        (first,) = of_type(made.step(0.0, RequestArrived(1, 0, 1000.0)), SendAttempt)
+        for again in of_type(made.step(1.0, AttemptEnded(1, 0, Outcome.ERROR, 1.0)), SendAttempt):
             assert zones_of[again.server] == zones_of[first.server]
 
 
--- a/tests/sidecar/test_races_servers.py
+++ b/tests/sidecar/test_races_servers.py
@@ -14,9 +14,9 @@
 
 import pytest
 
-from brassfall.balancer.model import Fail, Outcome, Send
+from brassfall.balancer.model import FailRequest, Outcome, SendAttempt
 from brassfall.sidecar.servers import connecting, server_connection
-from tests.support.balancer_records import blame, ejection_of, fault_shares, left_over
+from tests.support.balancer_records import fault_records, ejection_record, fault_shares, leaked_counts
 from tests.support.loopback import (
     OK,
     App,
@@ -89,11 +89,11 @@
 async def test_a_failure_of_this_machine_blames_no_server_and_uses_up_no_attempt(call, error):
     upstream = await Upstream([OK]).start()
     async with client_of(upstream, PolicyLimits={"MaxAttempts": 1}) as (sidecar, app, faults):
-        before = blame(sidecar.driver.balancer)
+        before = fault_records(sidecar.driver.balancer)
         faults.script(call, error, error, error, error)
         assert await ask(app, "/look") == 200
         assert (faults.injected[call, error], len(upstream.seen)) == (4, 1)
-        assert blame(sidecar.driver.balancer) == before
+        assert fault_records(sidecar.driver.balancer) == before
 
 
 @pytest.mark.parametrize("error", [errno.ECONNREFUSED, errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNRESET])
@@ -125,12 +125,12 @@
     upstreams = [await Upstream([OK]).start() for _ in range(2)]
     loop = asyncio.get_running_loop()
     async with client_of(*upstreams) as (sidecar, app, faults):
-        before, began = blame(sidecar.driver.balancer), loop.time()
+        before, began = fault_records(sidecar.driver.balancer), loop.time()
         faults.share("socket", 1.0, (errno.ENOMEM,))
         assert await ask(app, target, X_Budget="400m") == 503
         assert loop.time() - began < 0.4 + 0.5
         assert 3 <= faults.injected["socket", errno.ENOMEM] <= 12  # pauses double, by 5 ms at first
-        assert blame(sidecar.driver.balancer) == before
+        assert fault_records(sidecar.driver.balancer) == before
         faults.clear()
         assert await ask(app, target) == 200
 
@@ -171,7 +171,7 @@
             if len(joining.seen) >= 8:
                 break
         assert faults.injected[call, error] == failures
-        assert ejection_of(sidecar.driver.balancer, "s1") == (0.0, 0, 0.0)
+        assert ejection_record(sidecar.driver.balancer, "s1") == (0.0, 0, 0.0)
         assert len(joining.seen) >= 8
     joining.stop()
 
@@ -360,7 +360,7 @@
             assert status == 200
             assert sent <= 3 if how == "forgotten" else sent == 1
         assert await ask(app, "/look") == 200
-        assert left_over(sidecar.driver.balancer)["servers' attempts in flight"] == 0
+        assert leaked_counts(sidecar.driver.balancer)["servers' attempts in flight"] == 0
 
 
 @pytest.mark.parametrize("limits", [{}, PARALLEL], ids=["one at a time", "hedged"])
@@ -406,14 +406,14 @@
     first = await Upstream([break_off if kind == "retry" else hang]).start()
     second = await Upstream([OK]).start()
     gate = Gate(monkeypatch, [second])
-    retries = [lambda number: Send(number, "s1", 0.0)]
+    retries = [lambda number: SendAttempt(number, "s1", 0.0)]
     balancer = ScriptedBalancer(
         request=lambda now, arrival: [
-            Send(arrival.request, "s0", 0.0),
-            *(Send(arrival.request, "s1", 0.0) for _ in range(kind == "hedge")),
+            SendAttempt(arrival.request, "s0", 0.0),
+            *(SendAttempt(arrival.request, "s1", 0.0) for _ in range(kind == "hedge")),
         ],
         outcome=lambda now, number, hop, status, spent, last, report: (
-            [] if last else [retries.pop()(number)] if retries and kind == "retry" else [Fail(number)]
+            [] if last else [retries.pop()(number)] if retries and kind == "retry" else [FailRequest(number)]
         ),
     )
     async with running_until_idle(first, second, balancer=balancer, **PARALLEL | never_cancels()) as sidecar:
--- a/tests/sidecar/test_random_days.py
+++ b/tests/sidecar/test_random_days.py
@@ -10,7 +10,7 @@
 
 from brassfall.balancer import Balancer
 from brassfall.balancer.events import RequestArrived
-from brassfall.balancer.model import Fail, Refuse, Send, Timer
+from brassfall.balancer.model import FailRequest, RefuseRequest, SendAttempt, StartTimer
 from brassfall.sidecar.body import Body
 from brassfall.sidecar.core.attempt_runner import AttemptRunner
 from brassfall.sidecar.core.driver import Driver
@@ -99,7 +99,7 @@
     def twice(self, now, event):
         actions = list(step(self, now, event))
         if isinstance(event, RequestArrived):
-            actions += [action for action in actions if isinstance(action, Send)]
+            actions += [action for action in actions if isinstance(action, SendAttempt)]
         return actions
 
     monkeypatch.setattr(Balancer, "step", twice)
@@ -170,10 +170,10 @@
     assert call.final == "failed" and day.driver.counts.awaiting_answer == 0
 
 
-@pytest.mark.parametrize("answer", [lambda number: Refuse(number, 0.0), Fail])
+@pytest.mark.parametrize("answer", [lambda number: RefuseRequest(number, 0.0), FailRequest])
 def test_a_request_that_a_timer_answers_is_released(day_of, answer):
     scripted = ScriptedBalancer(
-        request=lambda now, arrival: [Timer(10.0, f"{arrival.request}")],
+        request=lambda now, arrival: [StartTimer(10.0, f"{arrival.request}")],
         timer=lambda now, token: [answer(int(token))],
     )
     day = day_of(scripted)
--- a/tests/sidecar/test_reload.py
+++ b/tests/sidecar/test_reload.py
@@ -13,10 +13,10 @@
 
 from brassfall.balancer import Settings
 from brassfall.balancer.events import AttemptEnded, RequestArrived, SettingsReloaded
-from brassfall.balancer.model import Fail, Outcome, Refuse, Send
+from brassfall.balancer.model import FailRequest, Outcome, RefuseRequest, SendAttempt
 from brassfall.sidecar import config, reload
 from brassfall.sidecar.clients import known_classes
-from tests.support.helpers import balancer, of_type, raw_settings
+from tests.support.helpers import make_balancer, of_type, raw_settings
 from tests.support.loopback import (
     OK,
     SETTINGS,
@@ -139,27 +139,27 @@
 
 
 def test_an_open_request_keeps_its_limit_of_attempts_and_a_later_one_has_the_new():
-    made = balancer("safe")
+    made = make_balancer("safe")
     made.step(0.0, RequestArrived(1, 0, 1000.0))
     made.step(1.0, SettingsReloaded(settings("safe", attempts=1), {0}))
     made.step(2.0, RequestArrived(2, 0, 1000.0))
-    assert of_type(made.step(3.0, AttemptEnded(1, 0, Outcome.ERROR, 3.0)), Send)
-    assert not of_type(made.step(4.0, AttemptEnded(2, 0, Outcome.ERROR, 2.0)), Send)
+    assert of_type(made.step(3.0, AttemptEnded(1, 0, Outcome.ERROR, 3.0)), SendAttempt)
+    assert not of_type(made.step(4.0, AttemptEnded(2, 0, Outcome.ERROR, 2.0)), SendAttempt)
 
 
 def test_an_open_request_keeps_its_semantics():
-    made = balancer("unsafe")
+    made = make_balancer("unsafe")
     made.step(0.0, RequestArrived(1, 0, 1000.0))
     made.step(1.0, SettingsReloaded(settings("safe"), set()))
     actions = made.step(2.0, AttemptEnded(1, 0, Outcome.TIMEOUT, 2.0))
-    assert not of_type(actions, Send) and not of_type(actions, Refuse) and of_type(actions, Fail)
+    assert not of_type(actions, SendAttempt) and not of_type(actions, RefuseRequest) and of_type(actions, FailRequest)
 
 
 def test_what_was_learned_of_servers_and_of_retained_classes_is_kept():
-    made = balancer("safe", "unsafe")
+    made = make_balancer("safe", "unsafe")
     for number in range(40):
         made.step(float(number), RequestArrived(number, number % 2, 1e6))
-        made.step(number + 0.5, AttemptEnded(number, 0, Outcome.FULL, 0.5))
+        made.step(number + 0.5, AttemptEnded(number, 0, Outcome.REJECTED, 0.5))
     strikes = {name: server.ejected_until for name, server in made.components.endpoints.servers.items()}
     throttle, level = made.components.throttle.requests, made.components.shedder.probability(50.0)
     made.step(50.0, SettingsReloaded(settings("safe", "keyed", "safe"), {0}))
@@ -168,7 +168,7 @@
     } == strikes
     assert (made.components.throttle.requests, made.components.shedder.probability(50.0)) == (throttle, level)
     assert made.components.shedder.request_classes == {0}
-    assert len(made.components.zones.spill) == len(made.components.zones.margins) == 3
+    assert len(made.components.zone_spillover.spill_shares) == len(made.components.zone_spillover.spill_margins) == 3
 
 
 @loopback
--- a/tests/sidecar/test_server_incarnations.py
+++ b/tests/sidecar/test_server_incarnations.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.support.balancer_records import blame_of
+from tests.support.balancer_records import nonzero_faults
 from tests.support.loopback import (
     OK,
     ScriptedBalancer,
@@ -37,7 +37,7 @@
         waiting.gate.open.set()
         assert (await waiting.app.answer()).body == b"done"
         assert (len(old.seen), len(new.seen)) == (0, 1)
-        assert not blame_of(sidecar.driver.balancer, "s0")
+        assert not nonzero_faults(sidecar.driver.balancer, "s0")
     new.stop()
 
 
--- a/tests/sidecar/test_simultaneous_events.py
+++ b/tests/sidecar/test_simultaneous_events.py
@@ -9,11 +9,11 @@
 
 from brassfall.balancer import Balancer
 from brassfall.balancer.events import AttemptEnded
-from brassfall.balancer.model import Cancel, ListForm, Outcome
+from brassfall.balancer.model import CancelAttempt, ListForm, Outcome
 from brassfall.sidecar.core.clock import Clock
 from brassfall.sidecar.core.driver import Driver
 from brassfall.sidecar.core.interfaces import Answer, Result
-from tests.support.balancer_records import left_over
+from tests.support.balancer_records import leaked_counts
 from tests.support.driver_stubs import RecordedCall, UpstreamsStub
 from tests.support.loopback import (
     OK,
@@ -77,7 +77,7 @@
         self.attempts = self.driver.lifecycle.attempts
         self.upstreams = UpstreamsStub(self.loop, state)
         self.driver.connect(self.upstreams, None, None)
-        self.driver.endpoints_listed(ListForm.REMEMBERED, config.known)
+        self.driver.endpoints_listed(ListForm.CONFIGURED, config.known)
         self.call = RecordedCall(large)
         self.request = self.driver.arrive(self.call, self.clock.now())
         self.attempt = self.request.attempts[0]
@@ -112,7 +112,7 @@
         self.driver.lifecycle.fail_overdue(self.request)
 
     def cancel(self):
-        self.driver.perform(Cancel(self.request.id, 0))
+        self.driver.perform(CancelAttempt(self.request.id, 0))
 
     def gone(self):
         self.left, self.sent_then = True, len(self.upstreams.sent)
@@ -130,7 +130,7 @@
         assert len(finals) == (0 if self.left and not finals else 1)
         assert sorted(self.balancer.ended) == list(range(len(self.request.attempts)))
         assert not any(self.driver.counts), self.driver.counts
-        held = left_over(self.balancer.real)
+        held = leaked_counts(self.balancer.real)
         assert not any(held.values()), held
         timers = (self.attempt.timeout, self.attempt.window, self.request.deadline_guard)
         assert all(timer is None or timer.cancelled() for timer in timers)
@@ -205,7 +205,7 @@
                 case "gone":
                     driver.client_gone(request)
                 case "cancel":
-                    driver.perform(Cancel(request.id, len(request.attempts) - 1))
+                    driver.perform(CancelAttempt(request.id, len(request.attempts) - 1))
                 case "expire":
                     attempts.expire(request.attempts[-1])
                 case "overdue":
--- a/tests/sidecar/test_standing.py
+++ b/tests/sidecar/test_standing.py
@@ -15,7 +15,7 @@
 import looptime
 import pytest
 
-from brassfall.balancer.model import Fetch
+from brassfall.balancer.model import FetchEndpointList
 from brassfall.sidecar.config_values import parse_address
 from tests.support.loopback import (
     OK,
@@ -122,7 +122,7 @@
 async def test_a_silent_call_for_the_complete_list_ends_in_time_for_another():
     agent, balancer = await Agent("mute").start(), ScriptedBalancer()
     async with running(registry=agent, balancer=balancer, Discovery="subscribe") as sidecar:
-        carry_out(sidecar, balancer, Fetch())
+        carry_out(sidecar, balancer, FetchEndpointList())
         while ["refused", ()] not in balancer.named("server_list"):
             await asyncio.sleep(0.01)
         assert now() - agent.silent_from < NOTIFIED_S - 1.0  # the balancer polls again within a second
--- a/tests/sidecar/test_standing_brink.py
+++ b/tests/sidecar/test_standing_brink.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from brassfall.balancer.model import Cancel, Fetch, Outcome, Send
+from brassfall.balancer.model import CancelAttempt, FetchEndpointList, Outcome, SendAttempt
 from brassfall.sidecar.clients import client_request
 from tests.sidecar.test_standing import KILLED_S, RULES, SENDS_ON_S, hurried, now
 from tests.support.loopback import (
@@ -75,7 +75,7 @@
 
 async def answer_a_call(agent, sidecar):
     """The whole list is asked for."""
-    sidecar.driver.perform(Fetch())
+    sidecar.driver.perform(FetchEndpointList())
 
 
 @pytest.mark.parametrize("deed", [tell_on_the_open_watch, end_the_watch, answer_a_call])
@@ -135,7 +135,7 @@
 
     first, second = await Upstream([in_a_while]).start(), await Upstream([hang]).start()
     gate = Gate(monkeypatch, [second])
-    module = ScriptedBalancer(outcome=lambda now, number, *rest: [Send(number, "s1", 0.0)])
+    module = ScriptedBalancer(outcome=lambda now, number, *rest: [SendAttempt(number, "s1", 0.0)])
     async with running(first, second, balancer=module, **PATIENT) as sidecar:
         app, begun = await App.connect(sidecar.address), now()
         app.send(X_Budget="4000m")
@@ -252,7 +252,7 @@
         await reader.read()  # until the sidecar closes
 
     upstream = await Upstream([half, OK]).start()
-    module = ScriptedBalancer(client_gone=lambda now, number: [Cancel(number, 0)])
+    module = ScriptedBalancer(client_gone=lambda now, number: [CancelAttempt(number, 0)])
     async with running_until_idle(upstream, balancer=module) as sidecar:
         app = await App.connect(sidecar.address)
         app.send()
--- a/tests/sidecar/test_unwanted_attempts.py
+++ b/tests/sidecar/test_unwanted_attempts.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from brassfall.balancer.model import Cancel, Fail, Outcome, Refuse, Send
-from tests.support.balancer_records import blame_of
+from brassfall.balancer.model import CancelAttempt, FailRequest, Outcome, RefuseRequest, SendAttempt
+from tests.support.balancer_records import nonzero_faults
 from tests.support.loopback import (
     OK,
     App,
@@ -45,12 +45,12 @@
             assert balancer.outcomes() == [(0, Outcome.ABANDONED, True)]
             assert len(balancer.named("client_gone")) == 1 and not balancer.named("unsent")
         else:
-            assert not blame_of(sidecar.driver.balancer, "s0")
+            assert not nonzero_faults(sidecar.driver.balancer, "s0")
         assert (await (await App.connect(sidecar.address)).ask()).body == b"done"
         assert [seen.connection for seen in upstream.seen] == [0]
 
 
-@pytest.mark.parametrize("answer", [Refuse, Fail, "guard"])
+@pytest.mark.parametrize("answer", [RefuseRequest, FailRequest, "guard"])
 @loopback
 async def test_an_attempt_that_waits_for_its_connection_is_not_written_after_the_final_answer(
     monkeypatch, answer
@@ -62,7 +62,7 @@
         if answer == "guard":
             sidecar.driver.lifecycle.fail_overdue(request)
         else:
-            sidecar.driver.perform(Refuse(request.id, 0.0) if answer is Refuse else Fail(request.id))
+            sidecar.driver.perform(RefuseRequest(request.id, 0.0) if answer is RefuseRequest else FailRequest(request.id))
         waiting.gate.open.set()
         assert (await waiting.app.answer()).status in (502, 503, 504)
         await until(lambda: sidecar.pool.servers["s0"].idle)
@@ -77,7 +77,7 @@
     late, quick = await Upstream([OK]).start(), await Upstream([OK]).start()
     gate = Gate(monkeypatch, [late])
     balancer = ScriptedBalancer(
-        request=lambda now, arrival: [Send(arrival.request, "s0", 0.0), Send(arrival.request, "s1", 0.0)]
+        request=lambda now, arrival: [SendAttempt(arrival.request, "s0", 0.0), SendAttempt(arrival.request, "s1", 0.0)]
     )
     async with running_until_idle(late, quick, balancer=balancer, **never_cancels()) as sidecar:
         app = await App.connect(sidecar.address)
@@ -105,7 +105,7 @@
     late, quick = await Upstream([OK]).start(), await Upstream([OK]).start()
     gate = Gate(monkeypatch, [late])
     servers = iter(["s0", "s1"])
-    balancer = ScriptedBalancer(request=lambda now, arrival: [Send(arrival.request, next(servers), 0.0)])
+    balancer = ScriptedBalancer(request=lambda now, arrival: [SendAttempt(arrival.request, next(servers), 0.0)])
     async with running_until_idle(late, quick, balancer=balancer, **never_cancels()) as sidecar:
         sidecar.pool.max_connections = 1
         app = await start_request(sidecar)
@@ -157,7 +157,7 @@
 async def test_a_cancelled_request_does_not_reach_its_server_later_from_the_kernel():
     """The kernel holds its last bytes, while its server reads no more."""
     loop = asyncio.get_running_loop()
-    balancer = ScriptedBalancer(outcome=lambda now, number, hop, status, *rest: [Fail(number)])
+    balancer = ScriptedBalancer(outcome=lambda now, number, hop, status, *rest: [FailRequest(number)])
     with socket.socket() as listener:
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         listener.bind(("127.0.0.1", 0))
@@ -173,7 +173,7 @@
             with server:
                 await until(lambda: any(it.written and it.busy for it in sidecar.pool.connections))
                 (request,) = sidecar.driver.requests
-                sidecar.driver.perform(Cancel(request.id, 0))
+                sidecar.driver.perform(CancelAttempt(request.id, 0))
                 await app.answer()
                 got = b""
                 with contextlib.suppress(ConnectionResetError):
--- a/tests/sidecar/test_wall_clock.py
+++ b/tests/sidecar/test_wall_clock.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from brassfall.balancer.model import Fail, ListForm, Send
+from brassfall.balancer.model import FailRequest, ListForm, SendAttempt
 from brassfall.sidecar.agent.agent import Agent
 from brassfall.sidecar.config import Agreement
 from brassfall.sidecar.config_values import Address
@@ -86,11 +86,11 @@
 
     def first(now, arrival):
         ends.append(now + 1000.0)
-        return [Send(arrival.request, "s0", 0.0)]
+        return [SendAttempt(arrival.request, "s0", 0.0)]
 
     def retry(now, number, hop, status, spent, last, report):
         faults.step(step_s)
-        return [] if last else [Fail(number)] if hop else [Send(number, "s1", 0.0, ends[0])]
+        return [] if last else [FailRequest(number)] if hop else [SendAttempt(number, "s1", 0.0, ends[0])]
 
     async def note(reader, writer):
         sent_at.append(loop.time())
@@ -110,7 +110,7 @@
 async def test_the_grace_of_a_draining_server_is_a_span_of_real_time(step_s):
     upstream = await Upstream([OK]).start()
     balancer = ScriptedBalancer(
-        outcome=lambda now, number, hop, status, spent, last, report: [] if last else [Fail(number)]
+        outcome=lambda now, number, hop, status, spent, last, report: [] if last else [FailRequest(number)]
     )
     with Faults() as faults:
         async with running(upstream, balancer=balancer, Rules={"StopSendingWithin": 800.0}) as sidecar:
--- a/tests/sidecar/test_write_deadlines.py
+++ b/tests/sidecar/test_write_deadlines.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from brassfall.balancer.model import Outcome, Send
+from brassfall.balancer.model import Outcome, SendAttempt
 from brassfall.sidecar.core.attempt_runner import KEY_MARGIN_MS
 from tests.support.loopback import (
     OK,
@@ -90,7 +90,7 @@
     """Whether the client has yet to send its end, or this process has it in a buffer."""
     upstream = await Upstream([hang]).start()
     balancer = ScriptedBalancer(
-        request=lambda now, arrival: [Send(arrival.request, "s0", 0.0, now + KEY_MARGIN_MS + 130.0)],
+        request=lambda now, arrival: [SendAttempt(arrival.request, "s0", 0.0, now + KEY_MARGIN_MS + 130.0)],
         outcome=failing,
     )
     async with running_until_idle(upstream, balancer=balancer, **never_cancels()) as sidecar:
@@ -106,7 +106,7 @@
 async def test_a_part_of_a_body_that_comes_past_the_window_is_not_written():
     upstream = await Upstream([hang]).start()
     balancer = ScriptedBalancer(
-        request=lambda now, arrival: [Send(arrival.request, "s0", 0.0, now + 9000.0)],
+        request=lambda now, arrival: [SendAttempt(arrival.request, "s0", 0.0, now + 9000.0)],
         outcome=failing,
     )
     async with running_until_idle(upstream, balancer=balancer, **never_cancels()) as sidecar:
@@ -127,7 +127,7 @@
     upstream = await Upstream([OK, hang]).start()
     windows = iter([float("inf"), KEY_MARGIN_MS + 80.0])
     balancer = ScriptedBalancer(
-        request=lambda now, arrival: [Send(arrival.request, "s0", 0.0, now + next(windows))],
+        request=lambda now, arrival: [SendAttempt(arrival.request, "s0", 0.0, now + next(windows))],
         outcome=failing,
     )
     async with running_until_idle(upstream, balancer=balancer, **never_cancels()) as sidecar:
--- a/tests/support/balancer_records.py
+++ b/tests/support/balancer_records.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 
-def left_over(balancer):
+def leaked_counts(balancer):
     """Return the counts that should be 0 when no request is under way, by name."""
     endpoints = balancer.components.endpoints
     servers = endpoints.servers.values()
@@ -22,7 +22,7 @@
     }
 
 
-def blame(balancer):
+def fault_records(balancer):
     """Return the faults of all servers and what counts towards refusals; equal if nothing changed."""
     servers = balancer.components.endpoints.servers.values()
     of_servers = [(it.fault_share, it.consecutive_failures, it.ejected_until) for it in servers]
@@ -31,18 +31,18 @@
         *of_servers,
         ejector.connect_failures,
         ejector.not_accepted,
-        balancer.components.throttle.drop_chance(0.0),
+        balancer.components.throttle.refusal_probability(0.0),
     ]
 
 
-def blame_of(balancer, server):
+def nonzero_faults(balancer, server):
     """Return the faults of one server and those of new connections that are not 0."""
     record = balancer.components.endpoints.servers[server]
     faults = (record.fault_share, record.consecutive_failures, balancer.components.ejector.connect_failures)
     return [fault for fault in faults if fault != 0]
 
 
-def ejection_of(balancer, server):
+def ejection_record(balancer, server):
     """Return a server's share of faults, its consecutive failures and the end of its ejection."""
     record = balancer.components.endpoints.servers[server]
     return (record.fault_share, record.consecutive_failures, record.ejected_until)
--- a/tests/support/clients.py
+++ b/tests/support/clients.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from brassfall.balancer.model import Send
+from brassfall.balancer.model import SendAttempt
 from brassfall.sidecar.clients.connection_state import ConnectionState
 from brassfall.sidecar.clients.read_control import Hold
 from tests.support import loopback
@@ -92,7 +92,7 @@
     def _on_message(self, now, peer, data):
         gone = {number for (number,) in self.named("client_gone")}
         held = [arrival.request for (arrival,) in self.named("request") if arrival.request not in gone]
-        return [Send(number, "s0", 0.0) for number in held]
+        return [SendAttempt(number, "s0", 0.0) for number in held]
 
 
 # --- clients on plain sockets ----------------------------------------------------------
--- a/tests/support/helpers.py
+++ b/tests/support/helpers.py
@@ -7,8 +7,8 @@
 from typing import Any, TypeVar
 
 from brassfall.balancer import Balancer, Settings
-from brassfall.balancer.events import AttemptEnded, EndpointsListed, RequestArrived
-from brassfall.balancer.model import Action, ListForm, Listing, Outcome, Send
+from brassfall.balancer.events import AttemptEnded, EndpointListReceived, RequestArrived
+from brassfall.balancer.model import Action, ListForm, EndpointEntry, Outcome, SendAttempt
 from brassfall.balancer.selection import Selector
 
 ActionType = TypeVar("ActionType", bound=Action)
@@ -42,24 +42,24 @@
     return raw
 
 
-def listing(count: int, **changes: Any) -> list[Listing]:
+def endpoint_entries(count: int, **changes: Any) -> list[EndpointEntry]:
     """Return the entries of `count` active servers, two in each cell, in one zone unless `changes` say so."""
-    return [Listing(f"s{number}", cell=number // 2, **changes) for number in range(count)]
+    return [EndpointEntry(f"s{number}", cell=number // 2, **changes) for number in range(count)]
 
 
-def balancer(*names: str, servers: int = 6, now: float = 0.0, seed: int = 1, **changes: Any) -> Balancer:
+def make_balancer(*names: str, servers: int = 6, now: float = 0.0, seed: int = 1, **changes: Any) -> Balancer:
     """Return a balancer with the named classes that has its remembered list."""
     made = Balancer(now, Settings.parse(raw_settings(*names, **changes)), seed)
-    made.step(now, EndpointsListed(ListForm.REMEMBERED, listing(servers)))
+    made.step(now, EndpointListReceived(ListForm.CONFIGURED, endpoint_entries(servers)))
     return made
 
 
-def arrival(request: int, now: float = 0.0, request_class: int = 0, left: float = 1000.0) -> RequestArrived:
+def request_arrival(request: int, now: float = 0.0, request_class: int = 0, left: float = 1000.0) -> RequestArrived:
     """Return the arrival of a request whose client gives up after `left` milliseconds."""
     return RequestArrived(request, request_class, now + left)
 
 
-def answered(
+def attempt_answered(
     request: int, elapsed: float, *, attempt: int = 0, in_flight: float | None = None
 ) -> AttemptEnded:
     """Return the end of an attempt whose answer went to the client, with its load report if there is one."""
@@ -73,7 +73,7 @@
     )
 
 
-def serve(
+def serve_requests(
     made: Balancer,
     count: int,
     answer: Callable[[str], tuple[Outcome, float]],
@@ -87,9 +87,9 @@
     sends: Counter[str] = Counter()
     for number in range(count):
         now += interval
-        actions = made.step(now, arrival(number, now)._replace(work=10.0))
+        actions = made.step(now, request_arrival(number, now)._replace(work=10.0))
         attempt = 0
-        while sent := of_type(actions, Send):
+        while sent := of_type(actions, SendAttempt):
             (send,) = sent
             sends[send.server] += 1
             outcome, elapsed = answer(send.server)
@@ -99,7 +99,7 @@
     return sends
 
 
-def selector(made: Balancer) -> Selector:
+def make_selector(made: Balancer) -> Selector:
     """Return a selector over the parts of a balancer."""
     return Selector(made.settings, made.components)
 
--- a/tests/support/large_messages.py
+++ b/tests/support/large_messages.py
@@ -8,29 +8,29 @@
 from tests.support.loopback import PATIENCE_S, Upstream, until
 
 LARGE = bytes(range(256)) * 12_000  # 3 MB
-LENGTH = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n"
-PIECE = b"%x\r\n%b\r\n" % (len(LARGE), LARGE)  # all of it in one chunk
-CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+HEAD_WITH_LENGTH = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n"
+ONE_CHUNK = b"%x\r\n%b\r\n" % (len(LARGE), LARGE)  # all of it in one chunk
+CHUNKED_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
-def chunks(data, size=100_000):
+def chunked_body(data, size=100_000):
     """Chunks with extensions, and a trailer."""
     parts = [data[i : i + size] for i in range(0, len(data), size)]
     return b"".join(b"%x;note=1\r\n%b\r\n" % (len(part), part) for part in parts) + b"0\r\nX-End: 1\r\n\r\n"
 
 
 class StreamingServer(Upstream):
-    """A server that reads requests in any framing; with `slow` it reads a body only once that is set."""
+    """A server that reads requests in any framing; with `may_read_body` it reads a body only once that is set."""
 
-    slow: asyncio.Event | None = None
+    may_read_body: asyncio.Event | None = None
 
     async def _serve(self, reader, writer):
         self.writers.append(writer)
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
             while True:
                 head = (await reader.readuntil(b"\r\n\r\n")).decode().lower()
-                if self.slow is not None:
-                    await self.slow.wait()
+                if self.may_read_body is not None:
+                    await self.may_read_body.wait()
                 if "chunked" in head:
                     data = b""
                     while size := int(await reader.readuntil(b"\r\n"), 16):
@@ -49,7 +49,7 @@
         await until(lambda: all(writer.transport.is_closing() for writer in self.writers))
 
 
-async def until_closed(reader, writer):
+async def reply_until_close(reader, writer):
     """A reply of a large answer without a length, which the close delimits."""
     writer.write(b"HTTP/1.1 200 OK\r\n\r\n" + LARGE)
     writer.close()
