--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -11,11 +11,11 @@
 from dataclasses import dataclass, field
 
 from brassfall.balancer import events
-from brassfall.balancer.model import Fail, ListForm, Send
+from brassfall.balancer.model import FailRequest, ListForm, SendAttempt
 from brassfall.sidecar import config
 from brassfall.sidecar.discovery import endpoint_list
 from brassfall.sidecar.lifecycle.sidecar import Sidecar
-from tests.support.balancer_records import left_over
+from tests.support.balancer_records import leaked_counts
 
 PATIENCE_S = 15.0
 # A loopback address for the servers of this process. On 127.0.0.1 a server may get the port that discovery
@@ -237,7 +237,7 @@
 
     def __init__(self, **scripts):
         self.events, self.refusals = [], {}
-        self.scripts = {"request": lambda now, arrival: [Send(arrival.request, "s0", 0.0)], **scripts}
+        self.scripts = {"request": lambda now, arrival: [SendAttempt(arrival.request, "s0", 0.0)], **scripts}
 
     def step(self, now, event):
         """Record an event; return the actions of its script, or none."""
@@ -249,7 +249,7 @@
         match event:
             case events.RequestArrived():
                 return "request", (event,)
-            case events.EndpointsListed(form, entries):
+            case events.EndpointListReceived(form, entries):
                 return "server_list", (form.value, entries)
             case events.DiscoveryFailed():
                 return "server_list", ("refused", ())
@@ -368,7 +368,7 @@
     driver, pool = sidecar.driver, sidecar.pool
     if any(driver.counts) or not driver.idle or pool.opening:
         return False
-    if not isinstance(driver.balancer, ScriptedBalancer) and any(left_over(driver.balancer).values()):
+    if not isinstance(driver.balancer, ScriptedBalancer) and any(leaked_counts(driver.balancer).values()):
         return False
     idle = pool.idle_connections
     free = not any(connection.busy for connection in idle)
@@ -442,4 +442,4 @@
 
 def failing(now, number, hop, status, spent, last, report):
     """Decide on an outcome: fail the request unless it is answered."""
-    return [] if last else [Fail(number)]
+    return [] if last else [FailRequest(number)]
--- a/tests/support/random_day/day.py
+++ b/tests/support/random_day/day.py
@@ -11,12 +11,12 @@
 import io
 from unittest import mock
 
-from brassfall.balancer.model import ListForm, Steer
+from brassfall.balancer.model import ListForm, SteeringDirectives
 from brassfall.sidecar import framing
 from brassfall.sidecar.core.clock import Clock
 from brassfall.sidecar.core.driver import Driver
 from brassfall.sidecar.servers.pool import Pool
-from tests.support.balancer_records import left_over
+from tests.support.balancer_records import leaked_counts
 from tests.support.random_day.chance import Chance
 from tests.support.random_day.clients import GRID_S, Clients
 from tests.support.random_day.event_loop import DayLoop
@@ -127,7 +127,7 @@
     def _steer(self):
         draw, zones = self.chance.rng.choice, range(2)
         self.driver.steer(
-            Steer(
+            SteeringDirectives(
                 shares={zone: draw([0.0, 0.3, 1.0]) for zone in zones},
                 excluded_zones=frozenset(zone for zone in zones if self.chance.rng.random() < 0.3),
                 excluded_servers=frozenset({f"s{draw(range(9))}"}),
@@ -148,7 +148,7 @@
         """Plan what happens when, on a grid; much of it in the same turn."""
         rng, servers = self.chance.rng, self.servers
         started = [servers.start(f"s{number}") for number in range(rng.choice([1, 2, 4, 6, 9]))]
-        servers.list_to_program(ListForm.REMEMBERED, started)
+        servers.list_to_program(ListForm.CONFIGURED, started)
         steps = [self.clients.arrive] * rng.randrange(8, 26) + [servers.change] * rng.randrange(3, 12)
         steps += [self._reload] * rng.randrange(4) + [servers.close_some] * 3 + [self._change_stamp] * 2
         steps += [self._share] * rng.randrange(3) + [self._steer] * (rng.random() < 0.2)
@@ -184,7 +184,7 @@
     def _left_over(self):
         return {
             **{f"driver's {name}": count for name, count in self.driver.counts._asdict().items()},
-            **left_over(self.driver.balancer),
+            **leaked_counts(self.driver.balancer),
             "connections": len(self.pool.connections),
             "connections being opened": self.pool.opening,
         }
--- a/tests/support/random_day/servers.py
+++ b/tests/support/random_day/servers.py
@@ -7,7 +7,7 @@
 import re
 from dataclasses import dataclass, field
 
-from brassfall.balancer.model import ListForm, Listing
+from brassfall.balancer.model import ListForm, EndpointEntry
 from brassfall.sidecar.config_values import Address
 from brassfall.sidecar.discovery.endpoint_list import ServerList
 
@@ -37,7 +37,7 @@
 
     @property
     def entry(self):
-        return Listing(self.name, self.zone, 0, self.cell, self.state, 1.0, self.started)
+        return EndpointEntry(self.name, self.zone, 0, self.cell, self.state, 1.0, self.started)
 
 
 @dataclass(eq=False)
