--- a/brassfall/balancer/__init__.py
+++ b/brassfall/balancer/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions of a sidecar balancer for service-to-service calls."""
+"""Load-balancing decisions of one sidecar for requests between services."""
 
 from brassfall.balancer.balancer import Balancer
 from brassfall.balancer.settings import Settings
--- a/brassfall/balancer/events.py
+++ b/brassfall/balancer/events.py
@@ -1,7 +1,8 @@
-"""Events that the balancer takes: what has happened, as typed values without decisions.
+"""Events that the balancer receives, as typed values without logic.
 
-Times are in milliseconds of the clock whose time is passed to `Balancer.step` beside the event. Requests are
-named by the number that the caller gave them, attempts by their place among the attempts of their request.
+Times are in milliseconds of the clock whose time is passed to `Balancer.step` together with the event. A
+request is identified by the number that the caller gave it, and an attempt by its index among the attempts of
+its request.
 """
 
 from __future__ import annotations
@@ -9,41 +10,46 @@
 from collections.abc import Collection, Iterable, Mapping
 from typing import NamedTuple
 
-from brassfall.balancer.model import ListForm, EndpointEntry, Outcome, SteeringDirectives, TimerToken
+from brassfall.balancer.model import EndpointEntry, ListForm, Outcome, SteeringDirectives, TimerToken
 from brassfall.balancer.settings import Settings
 
-LoadReport = Mapping[str, float]  # load measures by name, as a server puts them into its answers
+LoadReport = Mapping[str, float]  # Load measures by name, as a server states them in its answers
 
 
 class RequestArrived(NamedTuple):
-    """A client's request, with the clock time at which the client gives up."""
+    """A request of a client has arrived.
+
+    `request_class` is the index of its profile in `Settings.profiles`, and `give_up_at` is the clock time, in
+    milliseconds, at which the client stops waiting.
+    """
 
     request: int
-    request_class: int  # its position in `Settings.profiles`
+    request_class: int  # Index of the request's profile in `Settings.profiles`
     give_up_at: float
     tenant: int = 0
     key: int | None = None
-    work: float | None = None  # expected, in milliseconds on a standard core
-    retried: bool = False  # True if the client marked it as a retry
+    work: float | None = None  # Expected work of the request, in milliseconds on a standard core
+    retried: bool = False  # True if the client marked the request as a retry
     mutates: bool = False
-    large: bool = False  # True while its body is still arriving: only the beginning can be sent again
+    large: bool = False  # True while the body still arrives; only its beginning can be sent again
 
 
 class AttemptEnded(NamedTuple):
-    """An attempt has its outcome; every `Send` is followed by exactly one."""
+    """An attempt has ended with an outcome; exactly one such event follows each `SendAttempt` action."""
 
     request: int
     attempt: int
     outcome: Outcome
-    elapsed: float = 0.0  # from the end of the request to the beginning of the answer
+    elapsed: float = 0.0  # Milliseconds from the end of the request to the beginning of the answer
     request_ended: bool = False  # True if the request has its final answer
     report: LoadReport | None = None
 
 
 class AttemptWithdrawn(NamedTuple):
-    """An attempt was abandoned before it was sent since the configuration changed.
+    """An attempt was abandoned before it was sent, because the configuration changed.
 
-    Its `AttemptEnded` follows. It does not count against the attempts that its request may have.
+    The `AttemptEnded` event of the attempt follows. The attempt does not count against the maximum number of
+    attempts of its request.
     """
 
     request: int
@@ -51,43 +57,43 @@
 
 
 class AnswerStarted(NamedTuple):
-    """The first part of a large answer has arrived and is being passed to the client."""
+    """The first part of a large answer has arrived and is being forwarded to the client."""
 
     request: int
     attempt: int
 
 
 class BodyDiscarded(NamedTuple):
-    """More of a large body has been forwarded than is buffered: the request can't be sent again."""
+    """More of a large request body was forwarded than is buffered, so the request can't be sent again."""
 
     request: int
 
 
 class ClientLeft(NamedTuple):
-    """The client has closed its connection: no answer is owed."""
+    """The client has closed its connection and no longer needs an answer."""
 
     request: int
 
 
 class TimerDue(NamedTuple):
-    """A timer that a `Timer` action asked for has come due."""
+    """A timer that a `StartTimer` action started has expired."""
 
     token: TimerToken
 
 
 class EndpointListReceived(NamedTuple):
-    """An endpoint list arrived: the complete list, or the entries that changed."""
+    """An endpoint list was received: the complete list, or only the entries that changed."""
 
     form: ListForm
     entries: Iterable[EndpointEntry]
 
 
 class DiscoveryFailed(NamedTuple):
-    """A call to discovery failed, was rejected, or its watch ended."""
+    """A call to discovery failed or was rejected, or the watch on the endpoint list ended."""
 
 
 class HealthCheckEnded(NamedTuple):
-    """A health check of a server has its outcome."""
+    """A health check of a server has ended with an outcome."""
 
     server: str
     outcome: Outcome
@@ -96,21 +102,21 @@
 
 
 class PeerMessageReceived(NamedTuple):
-    """A message of another sidecar arrived."""
+    """A message from another sidecar was received."""
 
     peer: int
     data: bytes
 
 
 class SettingsReloaded(NamedTuple):
-    """Other settings apply to the requests that arrive from now on."""
+    """New settings apply to the requests that arrive from now on."""
 
     settings: Settings
-    retained: Collection[int]  # positions of the classes that are the same as before
+    retained: Collection[int]  # Indexes of the request classes that the new settings leave unchanged
 
 
 class SteeringChanged(NamedTuple):
-    """Another steering plan and other overrides apply from now on."""
+    """A new steering plan and new overrides apply from now on."""
 
     steer: SteeringDirectives
 
--- a/tests/balancer/test_endurance.py
+++ b/tests/balancer/test_endurance.py
@@ -12,7 +12,7 @@
 
 from brassfall.balancer import Balancer, Settings
 from brassfall.balancer.events import AttemptEnded, ClientLeft, EndpointListReceived, RequestArrived
-from brassfall.balancer.model import ListForm, EndpointEntry, Outcome, SendAttempt
+from brassfall.balancer.model import EndpointEntry, ListForm, Outcome, SendAttempt
 from brassfall.balancer.selection import Selector
 from brassfall.balancer.slow_start import SlowStart
 from tests.support.helpers import attempt_answered, endpoint_entries, of_type, raw_settings
@@ -107,7 +107,7 @@
 SCRIPT = """
 from brassfall.balancer import Balancer, Settings
 from brassfall.balancer.events import AttemptEnded, EndpointListReceived, RequestArrived
-from brassfall.balancer.model import ListForm, EndpointEntry, Outcome, SendAttempt
+from brassfall.balancer.model import EndpointEntry, ListForm, Outcome, SendAttempt
 raw = {"Profiles": [{"Semantics": "pure", "Objective": 200, "Deadline": 900}],
        "Domain": {"WarmKeys": True}, "PolicyLimits": {"MaxAttempts": 3},
        "Report": {"How": "inline", "Fields": ["inflight"]}}
--- a/tests/balancer/test_library.py
+++ b/tests/balancer/test_library.py
@@ -17,7 +17,7 @@
     (example,) = re.findall(r"```python\n(.*?)```", README.read_text(), re.S)
     exec(compile(example, "README", "exec"), {})
     first, second = capsys.readouterr().out.splitlines()
-    assert "Send(request=1, server=" in first
+    assert "SendAttempt(request=1, server=" in first
     assert second == "[]"
 
 
