--- a/brassfall/balancer/components.py
+++ b/brassfall/balancer/components.py
@@ -1,4 +1,4 @@
-"""The parts of one balancer, made from its settings in the order in which they depend on each other."""
+"""Components of one balancer, created from its settings in the order in which they depend on each other."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Components:
-    """What one balancer has learned and decides with; all parts share its random numbers."""
+    """The components that hold the state of one balancer; all share one random number generator."""
 
     __slots__ = (
         "affinity",
@@ -40,7 +40,7 @@
     )
 
     def __init__(self, now: float, settings: Settings, seed: int) -> None:
-        """Make all parts, with nothing learned yet; `seed` is that of the random numbers."""
+        """Create all components in their initial state; `seed` is the seed of the random number generator."""
         self.rng = random.Random(seed)
         self.throttle = Throttle()
         self.shedder = LoadShedder(settings)
@@ -53,11 +53,13 @@
         self.zone_spillover = ZoneSpillover(settings)
         self.steering = Steering(self.rng)
         self.ejector = OutlierEjector(self.endpoints, self.shedder, self.rng)
-        self.slow_start = SlowStart(settings, self.endpoints, self.zone_spillover, self.steering, self.send_rate)
+        self.slow_start = SlowStart(
+            settings, self.endpoints, self.zone_spillover, self.steering, self.send_rate
+        )
 
     def reload(self, settings: Settings, retained: Collection[int]) -> None:
-        """Apply other settings; what was learned of classes that are not `retained` is forgotten."""
-        self.pace_tracker.keep_classes(retained)
+        """Apply new settings and forget what was learned about request classes that are not `retained`."""
+        self.pace_tracker.retain_classes(retained)
         self.shedder.reload(settings, retained)
         self.zone_spillover.reload(settings, retained)
         self.connections.reload(settings)
--- a/brassfall/balancer/learning.py
+++ b/brassfall/balancer/learning.py
@@ -1,4 +1,4 @@
-"""What outcomes teach: of one server, of the service, or nothing."""
+"""Distribution of each outcome to the components that learn from it."""
 
 from __future__ import annotations
 
@@ -6,15 +6,19 @@
 from brassfall.balancer.model import REJECTED, OK, TIMEOUT, Outcome
 from brassfall.balancer.records import EVIDENCE, Attempt, Request
 
-LATE_ACCEPT = 0.5  # an answer past its objective counts as half an accept: the service is falling behind
-MIN_ELAPSED_MS = 1e-3  # an answer may begin before its request has ended; a pace divides by the time it took
-# A timer that is later than this shows that the process itself stood still: a lagging loop is later by far
-# less.
+# Part of an accept that the throttle counts for an answer after its latency objective, which shows that the
+# service cannot keep up.
+LATE_ACCEPT = 0.5
+# Smallest time of an answer in milliseconds. An answer may begin before its request has ended, and the pace
+# of a server divides by the time of its answers.
+MIN_ELAPSED_MS = 1e-3
+# A timer that expires more than this many milliseconds late shows that this process was stalled; a lagging
+# event loop delays timers by far less.
 OWN_STALL_MS = 100.0
 
 
 class OutcomeLearner:
-    """Passes each outcome to the parts that learn from it."""
+    """Distributor of outcomes to the components that learn from them."""
 
     __slots__ = (
         "_connections",
@@ -28,7 +32,7 @@
     )
 
     def __init__(self, components: Components) -> None:
-        """Use the parts of one balancer."""
+        """Create the distributor for the components of one balancer."""
         self._connections = components.connections
         self._ejector = components.ejector
         self._overload = components.overload
@@ -41,25 +45,27 @@
     def learn(
         self, now: float, request: Request, attempt: Attempt, outcome: Outcome, elapsed_ms: float
     ) -> None:
-        """Charge an outcome to the server's own health or to the service."""
+        """Learn from an outcome about the server that the attempt was sent to and about the service."""
         if outcome not in EVIDENCE:
             return
         server, objective = attempt.server, request.profile.objective
-        self._ejector.count(outcome)
+        self._ejector.count_outcome(outcome)
         if outcome is OK or outcome is REJECTED or outcome is TIMEOUT:
-            self._shedder.observe(now, self._overload.signal(now, server, outcome))
-            least_ms = MIN_ELAPSED_MS if outcome is OK else objective
-            self._paces.learn(server.pace, server.kind_pace, max(elapsed_ms, least_ms), request.work)
+            self._shedder.observe(now, self._overload.overload_signal(now, server, outcome))
+            min_elapsed_ms = MIN_ELAPSED_MS if outcome is OK else objective
+            self._paces.count_answer(
+                server.pace, server.kind_pace, max(elapsed_ms, min_elapsed_ms), request.work
+            )
         missed = float(outcome is not OK or elapsed_ms > objective)
-        if self._steering.on:
-            self._steering.learn(now, server.zone, missed)
+        if self._steering.is_active:
+            self._steering.count_outcome(now, server.zone, missed)
         if self._zones.active:
-            self._zones.learn(server.zone, request.request_class, missed)
+            self._zones.count_outcome(server.zone, request.request_class, missed)
         if outcome is OK:
             self._learn_answer(now, request, attempt, elapsed_ms)
         elif outcome is REJECTED:
-            self._ejector.rejected(now, server)
-            self._throttle.add(now, 0.0)
+            self._ejector.count_rejection(now, server)
+            self._throttle.count_request(now, 0.0)
         else:
             self._learn_fault(now, attempt, outcome, elapsed_ms)
 
@@ -67,28 +73,28 @@
         objective = request.profile.objective
         self._overload.observe_answer(elapsed_ms, objective)
         if not request.work_known:
-            self._paces.learn_class(request.request_class, elapsed_ms)
-        self._ejector.answered(now, attempt.server)
-        self._throttle.add(now, 1.0 if elapsed_ms <= objective else LATE_ACCEPT)
+            self._paces.count_class_answer(request.request_class, elapsed_ms)
+        self._ejector.count_answer(now, attempt.server)
+        self._throttle.count_request(now, 1.0 if elapsed_ms <= objective else LATE_ACCEPT)
 
     def _learn_fault(self, now: float, attempt: Attempt, outcome: Outcome, elapsed_ms: float) -> None:
-        """Blame the server, unless it is not at fault or was blamed already; the throttle counts it."""
-        if self._connections.was_dropped(now, attempt, outcome, elapsed_ms):
+        """Count a fault for the throttle, and for the server unless it is not at fault or already blamed."""
+        if self._connections.excuse_if_dropped(now, attempt, outcome, elapsed_ms):
             return
         silent = outcome is TIMEOUT
         if not silent or (not attempt.blamed and attempt.server.answered_at < attempt.sent_at):
-            self._ejector.blame(now, attempt.server, silent=silent)
-        self._throttle.add(now, 0.0)
+            self._ejector.count_fault(now, attempt.server, silent=silent)
+        self._throttle.count_request(now, 0.0)
 
     def observe_overdue(self, now: float, request: Request, attempt: Attempt) -> None:
-        """Count an attempt that is in flight at its objective as a signal of overload.
+        """Count an attempt that is still in flight at its latency objective as a signal of overload.
 
-        It counts then and not at its end: where an attempt may go on for long, a stalled service would be
-        noticed only as clients give up.
+        Counting it only when it ends would be too late: where attempts may take long, a stalled service would
+        be noticed only when clients give up.
         """
         if now - attempt.sent_at - request.profile.objective > OWN_STALL_MS:
             return
-        self._shedder.observe(now, self._overload.late_signal(now))
-        if self._overload.quick and attempt.server.answered_at < attempt.sent_at:
+        self._shedder.observe(now, self._overload.overdue_signal(now))
+        if self._overload.answers_are_quick and attempt.server.answered_at < attempt.sent_at:
             attempt.blamed = True
-            self._ejector.blame(now, attempt.server, silent=True)
+            self._ejector.count_fault(now, attempt.server, silent=True)
--- a/brassfall/balancer/load_shedding.py
+++ b/brassfall/balancer/load_shedding.py
@@ -1,4 +1,4 @@
-"""Load shedding: under overload, requests of the least priority weight per unit of work are refused first."""
+"""Load shedding: under overload, requests with the least priority weight per work are refused first."""
 
 from __future__ import annotations
 
@@ -8,29 +8,31 @@
 
 from brassfall.balancer.settings import Settings
 
-# Time constant with which the shed probability fades. It has to be short: a probability that outlasts an
-# overload is kept up by the retries of the clients that were refused.
+# Time constant in milliseconds of the exponential decay of the shed probability. It has to be short: if the
+# probability outlasted an overload, the retries of refused clients would keep it up.
 SHED_FADE_MS = 1000.0
-SHED_GAIN = 500.0 / SHED_FADE_MS  # per rejected outcome; the steady state does not depend on the fading
-SHED_THRESHOLD = 0.1  # a lower shed probability may be an accident and sheds nothing
-MIX_MEMORY = 0.98  # weight of the past in the mix of arrivals: about the last fifty
-MIN_QUOTA_ARRIVALS = 10.0  # fewer arrivals say nothing of a tenant's quota
+# Increase of the shed probability for each rejected attempt, scaled so that the steady state does not depend
+# on the time constant.
+SHED_GAIN = 500.0 / SHED_FADE_MS
+SHED_THRESHOLD = 0.1  # A shed probability up to this value may be accidental and sheds no requests
+MIX_MEMORY = 0.98  # Weight of the past in the mix of arrivals, which covers about the last fifty arrivals
+MIN_QUOTA_ARRIVALS = 10.0  # Smallest number of arrivals by which tenants are compared with their quotas
 
 
 @dataclass(slots=True)
 class MixEntry:
-    """Recent arrivals of one request class, within or over their tenants' quotas."""
+    """Recent arrivals of one request class that are either within or over their tenants' quotas."""
 
-    work: float = 0.0  # fading sum
-    requests: float = 0.0  # fading count
-    weight: float = 0.0  # priority weight of one request, or of one unit of work
+    work: float = 0.0  # Exponentially decaying sum of the work of the requests
+    requests: float = 0.0  # Exponentially decaying number of requests
+    weight: float = 0.0  # Priority weight of one request, or of one unit of work
 
 
 class LoadShedder:
-    """The shed probability, and the mix of recent arrivals that it is spread over.
+    """The shed probability, and the mix of recent arrivals among which the shed requests are chosen.
 
-    A tenant's allowance is for the whole fleet, and one sidecar sees a part of it. So the tenant's share of
-    this sidecar's arrivals is compared with its share of all allowances.
+    A tenant's quota applies to the whole fleet, while one sidecar sees only a part of the tenant's requests.
+    Therefore the tenant's share of this sidecar's arrivals is compared with its share of all quotas.
     """
 
     __slots__ = (
@@ -39,23 +41,24 @@
         "_mix",
         "over_quota_weight",
         "quotas",
-        "_seen",
-        "_seen_all",
+        "_arrivals_by_tenant",
+        "_arrivals",
         "_updated_at",
         "worst_class",
     )
 
     def __init__(self, settings: Settings) -> None:
-        """Begin with a shed probability of 0."""
-        self._seen = [0.0] * len(settings.allowances)
-        self._seen_all = 0.0
-        self._mix: dict[tuple[int, bool], MixEntry] = {}  # by class, and whether over the tenant's quota
+        """Create the component with a shed probability of 0."""
+        self._arrivals_by_tenant = [0.0] * len(settings.allowances)
+        self._arrivals = 0.0
+        # Recent arrivals by request class and by whether they are over the quota of their tenant.
+        self._mix: dict[tuple[int, bool], MixEntry] = {}
         self._probability = 0.0
         self._updated_at = 0.0
         self.reload(settings, ())
 
     def reload(self, settings: Settings, retained: Collection[int]) -> None:
-        """Apply other settings; arrivals of classes that are not `retained` are forgotten."""
+        """Apply new settings and forget the arrivals of request classes that are not `retained`."""
         self.weight_by_work = settings.weight_by_work
         self.over_quota_weight = settings.over_quota_weight
         self.worst_class = settings.worst_class
@@ -67,18 +70,24 @@
 
     @property
     def request_classes(self) -> set[int]:
-        """The classes of the recent arrivals."""
+        """The request classes of the recent arrivals."""
         return {request_class for request_class, _ in self._mix}
 
-    def count_arrival(self, request_class: int, weight: float, work: float, tenant: int, chance: float) -> bool:
-        """Count an arrival; return whether it counts as over its tenant's quota, by a random `chance`."""
+    def count_arrival(
+        self, request_class: int, weight: float, work: float, tenant: int, chance: float
+    ) -> bool:
+        """Count an arrival; return whether it counts as over its tenant's quota.
+
+        `chance` is a random number from 0 to 1 that decides which of the tenant's requests are over the
+        quota.
+        """
         over = False
-        self._seen_all = self._seen_all * MIX_MEMORY + 1.0
+        self._arrivals = self._arrivals * MIX_MEMORY + 1.0
         if tenant < len(self.quotas):
-            self._seen = [seen * MIX_MEMORY for seen in self._seen]
-            self._seen[tenant] += 1.0
-            within = self.quotas[tenant] * self._seen_all / self._seen[tenant]
-            over = self._seen_all >= MIN_QUOTA_ARRIVALS and chance > within
+            self._arrivals_by_tenant = [arrivals * MIX_MEMORY for arrivals in self._arrivals_by_tenant]
+            self._arrivals_by_tenant[tenant] += 1.0
+            within_share = self.quotas[tenant] * self._arrivals / self._arrivals_by_tenant[tenant]
+            over = self._arrivals >= MIN_QUOTA_ARRIVALS and chance > within_share
         for entry in self._mix.values():
             entry.work *= MIX_MEMORY
             entry.requests *= MIX_MEMORY
@@ -92,42 +101,47 @@
         return over
 
     def observe(self, now: float, overload: float) -> None:
-        """Learn from a signal of overload: 1 for a rejection, 0 for an answer in time."""
+        """Update the shed probability by a signal of overload: 1 for a rejection, 0 for an answer in time."""
         self._probability = min(1.0, self.probability(now) + SHED_GAIN * overload)
         self._updated_at = now
 
     def probability(self, now: float) -> float:
-        """Return the shed probability, 0 to 1: the share of the work that should be refused."""
+        """Return the shed probability, which is the share of the work that should be refused, from 0 to 1."""
         return self._probability * math.exp((self._updated_at - now) / SHED_FADE_MS)
 
-    def class_refusal_probability(self, now: float, drop: float, request_class: int, *, over_quota: bool) -> float:
-        """Return the chance of refusing such a request.
+    def class_refusal_probability(
+        self, now: float, throttled: float, request_class: int, *, over_quota: bool
+    ) -> float:
+        """Return the probability of refusing a request of a class that is within or over its tenant's quota.
 
-        In all, the share `drop` of the work is refused, or what the shed probability asks if that is more:
-        first the requests over their tenants' quotas, then evenly those of the classes with the least
-        priority weight per work. How many classes is weighed by the goal, which counts the worst class by
-        itself beside the weight lost in all.
+        Altogether the share `throttled` of the work is refused, or the share that the shed probability
+        demands if that is larger. Requests over their tenants' quotas are refused first, then requests of the
+        classes with the lowest priority weight per unit of work, evenly among these classes. The number of
+        such classes minimizes the loss for the goal, which counts the worst class separately from the total
+        lost weight.
         """
-        part = max(drop, self.probability(now) - SHED_THRESHOLD)
-        if part <= 0.0:
+        refused_share = max(throttled, self.probability(now) - SHED_THRESHOLD)
+        if refused_share <= 0.0:
             return 0.0
         weights = self._weights()
-        need = part * sum(entry.work for entry in self._mix.values())
+        excess_work = refused_share * sum(entry.work for entry in self._mix.values())
         kinds = sorted((not k[1], weights[k] / entry.work, k[0]) for k, entry in self._mix.items())
-        for within, _, kind in kinds:
+        for within, _, class_over_quota in kinds:
             if within:
                 break
-            work = self._mix[kind, True].work
-            if kind == request_class and over_quota:
-                return need / work
-            need -= work
-            if need <= 0.0:
+            work = self._mix[class_over_quota, True].work
+            if class_over_quota == request_class and over_quota:
+                return excess_work / work
+            excess_work -= work
+            if excess_work <= 0.0:
                 return 0.0
-        order = [kind for within, _, kind in kinds if within]
-        return self._chance_within_quota(need, order, weights, -1 if over_quota else request_class)
+        classes = [class_within for within, _, class_within in kinds if within]
+        return self._probability_within_quota(
+            excess_work, classes, weights, -1 if over_quota else request_class
+        )
 
     def _weights(self) -> dict[tuple[int, bool], float]:
-        """Return the priority weight of all recent requests of each kind."""
+        """Return the priority weight of the recent arrivals, by class and by whether they are over quota."""
         return {
             kind: entry.weight
             * (entry.work if self.weight_by_work else entry.requests)
@@ -135,19 +149,27 @@
             for kind, entry in self._mix.items()
         }
 
-    def _chance_within_quota(
-        self, need: float, order: list[int], weights: dict[tuple[int, bool], float], request_class: int
+    def _probability_within_quota(
+        self,
+        excess_work: float,
+        classes: list[int],
+        weights: dict[tuple[int, bool], float],
+        request_class: int,
     ) -> float:
-        """Return the chance for one class, where `need` work is refused from the first few of `order`."""
-        chance, least, taken, lost = 0.0, math.inf, 0.0, 0.0
-        all_weights = sum(weights.values()) or 1.0  # all of it may have no weight
+        """Return the probability of refusing a request of a class that is within its tenant's quota.
+
+        The work `excess_work` is refused evenly from the first few of `classes`, which are in the order of
+        their priority weight per unit of work.
+        """
+        probability, lowest_cost, covered_work, lost_weight = 0.0, math.inf, 0.0, 0.0
+        all_weights = sum(weights.values()) or 1.0  # Avoids a division by 0 if no request has a weight
         included = False
-        for kind in order:
-            taken += self._mix[kind, False].work
-            lost += weights[kind, False]
-            included = included or kind == request_class
-            part = need / taken
-            cost = part * ((1.0 - self.worst_class) * lost / all_weights + self.worst_class)
-            if cost < least and (part <= 1.0 or kind == order[-1]):
-                least, chance = cost, part if included else 0.0
-        return chance
+        for refused_class in classes:
+            covered_work += self._mix[refused_class, False].work
+            lost_weight += weights[refused_class, False]
+            included = included or refused_class == request_class
+            refused_share = excess_work / covered_work
+            cost = refused_share * ((1.0 - self.worst_class) * lost_weight / all_weights + self.worst_class)
+            if cost < lowest_cost and (refused_share <= 1.0 or refused_class == classes[-1]):
+                lowest_cost, probability = cost, refused_share if included else 0.0
+        return probability
--- a/brassfall/balancer/rates.py
+++ b/brassfall/balancer/rates.py
@@ -1,32 +1,33 @@
-"""How many requests this sidecar sends."""
+"""Rate of the attempts that this sidecar sends."""
 
 from __future__ import annotations
 
 import math
 
-RATE_MS = 10000.0  # time constant with which counted sends fade
+RATE_MS = 10000.0  # Time constant in milliseconds with which the count of attempts decays
 
 
 class SendRate:
-    """A fading count of this sidecar's own sends."""
+    """Exponentially decaying count of the attempts that this sidecar sent."""
 
     __slots__ = ("_counted_at", "_sends", "started_at")
 
     def __init__(self, now: float) -> None:
-        """Begin at `now`, in milliseconds of the clock of the events."""
+        """Start counting at `now`, in milliseconds of the events' clock."""
         self.started_at = now
         self._sends = 0.0
         self._counted_at = now
 
-    def count(self, now: float) -> None:
-        """Count one send."""
+    def count_send(self, now: float) -> None:
+        """Count one attempt that is sent."""
         self._sends = self._sends * math.exp((self._counted_at - now) / RATE_MS) + 1.0
         self._counted_at = now
 
-    def per_ms(self, now: float, least: float = 0.0) -> float:
-        """Return the sends per millisecond; `least` is the smallest count that is assumed.
+    def sends_per_ms(self, now: float, min_sends: float = 0.0) -> float:
+        """Return the attempts per millisecond; a decaying count below `min_sends` is raised to `min_sends`.
 
-        The count fades, and that of a young sidecar has had less time to grow.
+        The count decays with time, and the rate allows for the shorter time in which a recently started
+        sidecar has counted.
         """
         covered_ms = RATE_MS * (1.0 - math.exp((self.started_at - now - 1.0) / RATE_MS))
-        return max(least, self._sends * math.exp((self._counted_at - now) / RATE_MS)) / covered_ms
+        return max(min_sends, self._sends * math.exp((self._counted_at - now) / RATE_MS)) / covered_ms
--- a/brassfall/balancer/retries.py
+++ b/brassfall/balancer/retries.py
@@ -1,6 +1,6 @@
-"""The rules for each send and each refusal: what may be retried, where, until when, and how long to wait.
+"""Rules for attempts and refusals: what may be retried, at which server, until when, and after which delay.
 
-No request is hedged: a retry begins only when no attempt of the request is in flight.
+No request is hedged: a retry starts only when no attempt of the request is in flight.
 """
 
 from __future__ import annotations
@@ -11,24 +11,32 @@
 from brassfall.balancer.records import Attempt, Request, Server
 from brassfall.balancer.settings import ALL, IDEMPOTENT, KEYED, Profile
 
-STALL_SHARE = 0.5  # of the objective: the server of an attempt in flight for longer may be hung
-MIN_TRIAL_ANSWERS = 3.0  # shortened time-outs leave at least the time of this many usual answers
-RETRY_AFTER_SHARE = 0.1  # of the objective: a client's retry can still be served in time
-SILENCE_MEMORY_MS = 16000.0  # how long the ejection of a silent server shortens time-outs
+# Time in flight after which the server of an attempt counts as possibly hung, as a share of the latency
+# objective.
+STALL_SHARE = 0.5
+MIN_TRIAL_ANSWERS = 3.0  # Smallest shortened time-out, in multiples of the average time of an answer
+# Retry-After of a refusal as a share of the latency objective, so that the client's retry can be served in
+# time.
+RETRY_AFTER_SHARE = 0.1
+# Time in milliseconds for which time-outs are shortened after a server was ejected because it did not answer.
+SILENCE_MEMORY_MS = 16000.0
 
 
-def repeatable(profile: Profile) -> bool:
-    """Return whether requests of this class may be sent again, whether or not earlier attempts have run."""
-    return profile.semantics is IDEMPOTENT or (profile.semantics is KEYED and profile.group is ALL)
+def is_repeatable(profile: Profile) -> bool:
+    """Return whether requests of this class may be sent again even if earlier attempts have run."""
+    return profile.semantics is IDEMPOTENT or (profile.semantics is KEYED and profile.key_scope is ALL)
 
 
 def may_refuse(request: Request) -> bool:
-    """Return whether the client may be told that its request did not run, or that a retry does no harm."""
-    return repeatable(request.profile) or request.bound() is None
+    """Return whether the client may be told to retry, because the request did not run or may run again."""
+    return is_repeatable(request.profile) or request.binding_attempt() is None
 
 
-def may_attempt(now: float, request: Request, bound: Attempt | None) -> bool:
-    """Return whether any server may have a request now; `bound` is its first attempt that may have run."""
+def may_attempt(now: float, request: Request, binding: Attempt | None) -> bool:
+    """Return whether a request may be sent to any server now.
+
+    `binding` is the first attempt of the request that may have run, or None.
+    """
     if request.ended or request.body_forwarded or now >= request.give_up_at:
         return False
     limits = request.limits
@@ -38,65 +46,65 @@
     if queue is not None and not request.attempts and not queue.may_start(now, request):
         return False
     profile = request.profile
-    if bound is None or profile.semantics is IDEMPOTENT:
+    if binding is None or profile.semantics is IDEMPOTENT:
         return True
-    return profile.semantics is KEYED and now - bound.sent_at < profile.key_ttl
+    return profile.semantics is KEYED and now - binding.sent_at < profile.key_ttl
 
 
-def may_have(request: Request, bound: Attempt | None, server: Server) -> bool:
-    """Return whether this server may have a request that `may_attempt` allows."""
+def may_receive(request: Request, binding: Attempt | None, server: Server) -> bool:
+    """Return whether this server may receive a request for which `may_attempt` returned True."""
     if not server.usable:
         return False
     profile = request.profile
-    if bound is None or profile.semantics is IDEMPOTENT or profile.group is ALL:
+    if binding is None or profile.semantics is IDEMPOTENT or profile.key_scope is ALL:
         return True
-    return server.group(profile.group) == bound.group
+    return server.group(profile.key_scope) == binding.group
 
 
 def may_retry(now: float, request: Request) -> bool:
-    """Return whether a request without an attempt in flight has one left, and time for it to be of use."""
+    """Return whether a request with no attempt in flight has an attempt and enough time left."""
     return len(request.attempts) < request.limits.max_attempts and now < request.useful_until()
 
 
-def write_by(request: Request, bound: Attempt | None) -> float:
-    """Return the time by which a retry with an idempotency key has to reach its server.
+def write_deadline(request: Request, binding: Attempt | None) -> float:
+    """Return the time by which a retry with an idempotency key has to reach its server; infinity for others.
 
-    The key is valid for its time to live from the send of the first attempt that may have run.
+    The key is valid for its time to live, counted from the start of the first attempt that may have run.
     """
-    if bound is None or request.profile.semantics is not KEYED:
+    if binding is None or request.profile.semantics is not KEYED:
         return math.inf
-    return bound.sent_at + request.profile.key_ttl
+    return binding.sent_at + request.profile.key_ttl
 
 
-def timeout(
+def attempt_timeout_ms(
     now: float, request: Request, overload: OverloadEstimator, silent_at: float, usual_ms: float
 ) -> float:
     """Return the time-out of an attempt, in milliseconds.
 
-    It is the time left to the request, or less where a retry may be served in time after a hung or silent
-    server: only if such a server was ejected lately (`silent_at`) and answers are quick, since retries add to
-    an overload. `usual_ms` is the time that an answer usually takes.
+    The time-out is the remaining time of the request. It is shorter if a retry could be served in time after
+    a hung or silent server, but only if such a server was recently ejected (at `silent_at`) and answers come
+    quickly, because retries add to an overload. `usual_ms` is the average time of an answer in milliseconds.
     """
-    useful, profile = request.useful_until(), request.profile
-    remaining = max(0.0, (useful if useful > now else request.give_up_at) - now)
-    if request.large or not overload.quick or now - silent_at >= SILENCE_MEMORY_MS:
-        return remaining
-    if not repeatable(profile) or len(request.attempts) + 1 >= request.limits.max_attempts:
-        return remaining
-    trial = max(STALL_SHARE * profile.objective, MIN_TRIAL_ANSWERS * usual_ms)
-    retried_after = trial + usual_ms
-    in_time = retried_after < remaining and (
-        profile.semantics is IDEMPOTENT or retried_after < profile.key_ttl
+    useful_until, profile = request.useful_until(), request.profile
+    remaining_ms = max(0.0, (useful_until if useful_until > now else request.give_up_at) - now)
+    if request.large or not overload.answers_are_quick or now - silent_at >= SILENCE_MEMORY_MS:
+        return remaining_ms
+    if not is_repeatable(profile) or len(request.attempts) + 1 >= request.limits.max_attempts:
+        return remaining_ms
+    trial_ms = max(STALL_SHARE * profile.objective, MIN_TRIAL_ANSWERS * usual_ms)
+    retry_answered_ms = trial_ms + usual_ms
+    in_time = retry_answered_ms < remaining_ms and (
+        profile.semantics is IDEMPOTENT or retry_answered_ms < profile.key_ttl
     )
-    return trial if in_time else remaining
+    return trial_ms if in_time else remaining_ms
 
 
-def retry_after(now: float, request: Request) -> float:
+def retry_after_ms(now: float, request: Request) -> float:
     """Return the Retry-After of a refusal, in milliseconds.
 
-    It is the longest allowed if a retry would come too late to be of use: it could only take capacity from
-    other requests.
+    It is the largest allowed value if a retry would come too late to be of use, because such a retry would
+    only take capacity from other requests.
     """
     limits = request.limits
-    wait, most = RETRY_AFTER_SHARE * request.profile.objective, limits.max_retry_after * limits.retry_after
-    return min(wait, most) if now + wait < request.useful_until() else most
+    delay, limit = RETRY_AFTER_SHARE * request.profile.objective, limits.max_retry_after * limits.retry_after
+    return min(delay, limit) if now + delay < request.useful_until() else limit
--- a/brassfall/balancer/selection.py
+++ b/brassfall/balancer/selection.py
@@ -1,4 +1,4 @@
-"""Candidates for a request: a few servers sampled at random by their capacity, and the load of each."""
+"""Selection of a server: a few candidates are sampled by their capacity, and the least loaded is chosen."""
 
 from __future__ import annotations
 
@@ -6,44 +6,50 @@
 
 from brassfall.balancer.components import Components
 from brassfall.balancer.records import HASH_MASK, HASH_MULTIPLIER, Attempt, Request, Server
-from brassfall.balancer.retries import may_attempt, may_have, repeatable
+from brassfall.balancer.retries import is_repeatable, may_attempt, may_receive
 from brassfall.balancer.settings import ALL, KEYED, ZONE, Settings
 from brassfall.balancer.slow_start import MAX_SPEED
 
-CANDIDATES = 3
-SAMPLES = 16  # at most, for one request
-WIDE_SAMPLES = 4  # the last of them are from all servers and not from the subset alone
+CANDIDATES = 3  # Number of candidates for one request
+SAMPLES = 16  # Largest number of servers sampled for one request
+WIDE_SAMPLES = 4  # Number of samples, the last ones, that are taken from all servers instead of the subset
 
-# Loads are in requests in flight at a server.
-OWN_WEIGHT = 4.0  # of an own request in flight against a reported one: other sidecars decide in the same way
-FAULT_LOAD = 8.0  # of a server that always fails; it decides between servers without requests in flight
-STALL_LOAD = 8.0  # of an attempt that may hang
+# All loads are in the unit of one request in flight at a server. Load of one of this sidecar's own attempts
+# in flight, relative to one reported request. It is above 1 because the other sidecars decide in the same
+# way.
+OWN_WEIGHT = 4.0
+# Load of a server that always fails, which decides between servers without requests in flight.
+FAULT_LOAD = 8.0
+STALL_LOAD = 8.0  # Load of a server with an attempt that may hang
 
-# Where new connections fail, servers without an idle connection count as more loaded.
-MIN_CONNECT_FAILURES = 0.3  # share of new connections that fail; a single crash causes as much
-CONNECT_LOAD = 30.0  # if all of them fail
-CONNECT_CANDIDATES = 12  # additional candidates if all of them fail
+# If new connections fail, servers without an idle connection count as more loaded.
+# Share of failing new connections without effect; a single crash can cause as much.
+MIN_CONNECT_FAILURES = 0.3
+CONNECT_LOAD = 30.0  # Load of a server without an idle connection if all new connections fail
+CONNECT_CANDIDATES = 12  # Number of additional candidates if all new connections fail
 
-MIN_EXPLORE_ANSWERS = (
-    4.0  # a request explores a zone of low share if it has the time of this many usual answers
-)
+# Smallest remaining time with which a request explores a zone with a low share, in multiples of the average
+# time of an answer.
+MIN_EXPLORE_ANSWERS = 4.0
 
 
 @dataclass(slots=True)
 class Search:
-    """One search for the candidates of a request."""
+    """State of one search for the candidates of a request."""
 
     now: float
     request: Request
-    bound: Attempt | None  # the first attempt that may have run
-    sendable: bool  # True if any server may have the request
-    tried: list[Server]  # the servers of earlier attempts, without those that were not at fault
-    wanted: float  # number of candidates
-    chance: float = 0.0  # for `Steering.readmits`, while servers ramp up after an exclusion
+    binding: Attempt | None  # First attempt of the request that may have run
+    may_send: bool  # True if the request may be sent to any server now
+    # Servers of earlier attempts, except attempts that failed without their fault.
+    tried_servers: list[Server]
+    max_candidates: float  # Number of candidates after which the search ends
+    # Random number for `Steering.is_readmitted`; 0 if no server is ramping up after an exclusion.
+    readmission_chance: float = 0.0
 
 
 class Selector:
-    """The choice of candidates for a request, and of the least loaded among them."""
+    """Chooser of the candidates for a request, and of the least loaded one among them."""
 
     __slots__ = (
         "_affinity",
@@ -72,197 +78,212 @@
         self.reload(settings)
 
     def reload(self, settings: Settings) -> None:
-        """Apply other settings from now on."""
+        """Apply new settings from now on."""
         self._warm_keys = settings.warm_keys
 
     # --- load ----------------------------------------------------------------
 
     def least_loaded(self, now: float, candidates: list[Server]) -> Server:
-        """Return the least loaded candidate, the first of equals; there has to be one."""
+        """Return the least loaded candidate, or the first of several; `candidates` must not be empty."""
         if len(candidates) == 1:
             return candidates[0]
         return min(candidates, key=lambda server: self.load(now, server))
 
     def load(self, now: float, server: Server) -> float:
-        """Return a server's load: own requests in flight, reported ones and faults, per capacity."""
+        """Return the load of a server relative to its capacity.
+
+        The load consists of this sidecar's attempts in flight, the reported requests, faults, stalled
+        attempts and failing connections.
+        """
         load = server.in_flight * OWN_WEIGHT + server.fault_share * FAULT_LOAD
         overload = self._overload
-        if overload.reports:
+        if overload.has_load_reports:
             load += overload.assumed_load(server)
             load += overload.reported_load(now, server)
         if server.outstanding and now >= next(iter(server.outstanding)).stalls_at:
             load += STALL_LOAD
         if not server.idle_connections:
-            load += CONNECT_LOAD * max(0.0, self._ejector.connect_failures - MIN_CONNECT_FAILURES)
-        # Sampling and the budget allow for slow start. Counted here as well it would leave such servers idle.
+            load += CONNECT_LOAD * max(0.0, self._ejector.connect_failure_share - MIN_CONNECT_FAILURES)
+        # Sampling and the budget already allow for slow start. If the load did as well, servers in slow start
+        # would stay idle.
         return load / (server.weight * min(server.kind_pace.speed * server.pace.speed, MAX_SPEED))
 
     # --- candidates ----------------------------------------------------------
 
     def candidates(self, now: float, request: Request) -> list[Server]:
-        """Return servers that may each have the request; none if no server can take it."""
-        search = self._search(now, request)
-        return self._steered(search) if self._steering.on else self._sampled(search)
-
-    def _search(self, now: float, request: Request) -> Search:
-        bound = request.bound()
-        failing = max(0.0, self._ejector.connect_failures - MIN_CONNECT_FAILURES)
-        wanted = CANDIDATES + CONNECT_CANDIDATES * failing
-        sendable = may_attempt(now, request, bound)
+        """Return servers that may receive the request, or an empty list if no server can take it."""
+        search = self._new_search(now, request)
+        return self._plan_candidates(search) if self._steering.is_active else self._sample_candidates(search)
+
+    def _new_search(self, now: float, request: Request) -> Search:
+        binding = request.binding_attempt()
+        failing = max(0.0, self._ejector.connect_failure_share - MIN_CONNECT_FAILURES)
+        max_candidates = CANDIDATES + CONNECT_CANDIDATES * failing
+        may_send = may_attempt(now, request, binding)
         tried = [attempt.server for attempt in request.attempts if not attempt.excused]
-        return Search(now, request, bound, sendable, tried, wanted)
+        return Search(now, request, binding, may_send, tried, max_candidates)
 
-    def _steered(self, search: Search) -> list[Server]:
-        """Return candidates from the zone that the plan samples, or from all if that has none."""
+    def _plan_candidates(self, search: Search) -> list[Server]:
+        """Return candidates from the zone that the plan selects, or from all zones if that zone has none."""
         now, request = search.now, search.request
         found: list[Server] = []
-        search.chance = self._steering.settle(now)
+        search.readmission_chance = self._steering.draw_readmission_chance(now)
         if not request.attempts and not (self._warm_keys and request.key is not None):
-            zone = self._steered_zone(search)
-            found = [] if zone is None else self._sampled(search, zone)
-        if search.chance and not (found := found or self._sampled(search)):
-            found = self._readmitted(search)
-        search.chance = 0.0
-        return found or self._sampled(search)
-
-    def _steered_zone(self, search: Search) -> int | None:
-        """Return the zone that the plan samples for a first attempt, or None to sample without a plan."""
+            zone = self._plan_zone(search)
+            found = [] if zone is None else self._sample_candidates(search, zone)
+        if search.readmission_chance and not (found := found or self._sample_candidates(search)):
+            found = self._readmitted_candidates(search)
+        search.readmission_chance = 0.0
+        return found or self._sample_candidates(search)
+
+    def _plan_zone(self, search: Search) -> int | None:
+        """Return the zone that the plan selects for a first attempt, or None to sample without the plan."""
         now, request, steer = search.now, search.request, self._steering.steer
         explore = (
             steer.explore > 0.0
             and self._rng.random() < steer.explore * steer.weight
             and not request.large
-            and repeatable(request.profile)
+            and is_repeatable(request.profile)
             and self._has_time_to_explore(search)
         )
-        return self._steering.zone(
-            now, request.request_class, request.tenant, self._ejector.zones(now), explore=explore
+        return self._steering.sample_zone(
+            now, request.request_class, request.tenant, self._ejector.ejected_zones(now), explore=explore
         )
 
     def _has_time_to_explore(self, search: Search) -> bool:
         return search.request.useful_until() - search.now > MIN_EXPLORE_ANSWERS * self._paces.usual_ms()
 
-    def _readmitted(self, search: Search) -> list[Server]:
-        """Return candidates from all servers: the whole subset may be ramping up after an exclusion."""
+    def _readmitted_candidates(self, search: Search) -> list[Server]:
+        """Return candidates from all servers, since the whole subset may be ramping up after an exclusion."""
         now, request = search.now, search.request
         tried = [attempt.server for attempt in request.attempts]
-        able = [
+        readmitted = [
             server
             for server in self._endpoints.ring
             if server not in tried
-            and self._steering.readmits(now, search.chance, server.name, server.zone)
-            and self._is_fit(now, server)
-            and self._may_have(search, server)
+            and self._steering.is_readmitted(now, search.readmission_chance, server.name, server.zone)
+            and self._accepts_sends(now, server)
+            and self._may_receive(search, server)
         ]
-        return self._rng.sample(able, min(CANDIDATES, len(able)))
+        return self._rng.sample(readmitted, min(CANDIDATES, len(readmitted)))
 
-    def _sampled(self, search: Search, zone: int | None = None) -> list[Server]:
-        """Return a few random servers, of one zone if given, each as likely as its share of the capacity."""
+    def _sample_candidates(self, search: Search, zone: int | None = None) -> list[Server]:
+        """Return a few random servers, of one zone if given, sampled in proportion to their capacity."""
         request = search.request
-        if self._warm_keys and request.key is not None and (found := self._for_key(search, request.key)):
+        if (
+            self._warm_keys
+            and request.key is not None
+            and (found := self._key_candidates(search, request.key))
+        ):
             return found
         found = []
         declined: dict[Server, None] = {}
-        if ring := self._ring(search, zone):
-            found, declined = self._sample(search, ring, anywhere=zone is None)
-        if not found and zone is None and not search.chance:
-            # A low share alone must not refuse a request: after slow answers all servers may seem slow.
+        if ring := self._sampling_ring(search, zone):
+            found, declined = self._sample_ring(search, ring, anywhere=zone is None)
+        if not found and zone is None and not search.readmission_chance:
+            # A request must not be refused only because servers were declined for their low share of the
+            # capacity: after slow answers, all servers may seem slow.
             now = search.now
-            warm = (server for server in declined if self._slow_start.warmth(now, server) >= 1.0)
-            found = [server for server in warm if self._can_take(search, server, search.tried)][:CANDIDATES]
+            warm = (server for server in declined if self._slow_start.capacity_share(now, server) >= 1.0)
+            found = [
+                server for server in warm if self._can_take(search, server, search.tried_servers)
+            ][:CANDIDATES]
         return found
 
-    def _ring(self, search: Search, zone: int | None) -> list[Server]:
-        """Return the servers to sample from."""
-        profile, endpoints, bound = search.request.profile, self._endpoints, search.bound
-        if bound is not None and profile.semantics is KEYED and profile.group is not ALL:
-            return endpoints.members(bound.group)  # no other group may have a retry
+    def _sampling_ring(self, search: Search, zone: int | None) -> list[Server]:
+        """Return the servers that the candidates are sampled from, in ring order."""
+        profile, endpoints, binding = search.request.profile, self._endpoints, search.binding
+        if binding is not None and profile.semantics is KEYED and profile.key_scope is not ALL:
+            # Only the group of the first attempt may receive a retry.
+            return endpoints.group_members(binding.group)
         if zone is not None:
-            return endpoints.members((ZONE, zone))
-        if self._zones.active and endpoints.near and endpoints.far:
+            return endpoints.group_members((ZONE, zone))
+        if self._zones.active and endpoints.local_servers and endpoints.remote_servers:
             crosses = self._rng.random() < self._zones.spill_shares[search.request.request_class]
-            return endpoints.far if crosses else endpoints.near
+            return endpoints.remote_servers if crosses else endpoints.local_servers
         return endpoints.ring
 
-    def _sample(
+    def _sample_ring(
         self, search: Search, ring: list[Server], *, anywhere: bool
     ) -> tuple[list[Server], dict[Server, None]]:
-        """Return candidates from the subset of a ring, and the servers passed over for their share alone.
+        """Return candidates from the subset of a ring, and the servers declined only for their low share.
 
-        The last samples are from all servers if the request may go `anywhere`.
+        The last `WIDE_SAMPLES` samples are taken from all servers if the request may go `anywhere`.
         """
-        now, random_, warmth = search.now, self._rng.random, self._slow_start.warmth
+        now, random_, capacity_share = search.now, self._rng.random, self._slow_start.capacity_share
         found: list[Server] = []
         declined: dict[Server, None] = {}
-        most = self._endpoints.top_weight * MAX_SPEED
-        reach = min(self._endpoints.reach(len(search.request.attempts)), len(ring))
+        max_capacity = self._endpoints.max_weight * MAX_SPEED
+        reach = min(self._endpoints.sampling_reach(len(search.request.attempts)), len(ring))
         for sample in range(SAMPLES):
-            if sample == SAMPLES - WIDE_SAMPLES and search.bound is None:
+            if sample == SAMPLES - WIDE_SAMPLES and search.binding is None:
                 if found or not anywhere:
                     break
                 ring, reach = self._endpoints.ring, len(self._endpoints.ring)
             server = ring[int(random_() * reach)]
             speed = server.kind_pace.speed * server.pace.speed
-            share = server.weight * min(speed, MAX_SPEED) * warmth(now, server) / most
+            share = server.weight * min(speed, MAX_SPEED) * capacity_share(now, server) / max_capacity
             if share < 1.0 and random_() >= share:
                 declined[server] = None
                 continue
-            if server in found or not self._can_take(search, server, search.tried):
+            if server in found or not self._can_take(search, server, search.tried_servers):
                 continue
             found.append(server)
-            if len(found) >= search.wanted:
+            if len(found) >= search.max_candidates:
                 break
         return found, declined
 
-    def _for_key(self, search: Search, key: int) -> list[Server]:
-        """Return the first servers in a key's rendezvous order, more of them for a popular key.
+    def _key_candidates(self, search: Search, key: int) -> list[Server]:
+        """Return the first servers in the rendezvous order of a key; a popular key gets more servers.
 
-        All sidecars get the same few candidates for a key. A server that is slow or warming up leaves a part
-        of its keys to the next ones: hashing alone would send an overloaded server as much as the others.
+        All sidecars choose the same few candidates for a key. A server that is slow or warming up leaves a
+        part of its keys to the next servers in the order, because hashing alone would send an overloaded
+        server as many requests as the others.
         """
         now, ring = search.now, self._endpoints.ring
-        width = self._affinity.width(key, len(ring))
-        mixed = key * HASH_MULTIPLIER & HASH_MASK
+        max_servers = self._affinity.server_count(key, len(ring))
+        key_hash = key * HASH_MULTIPLIER & HASH_MASK
         tried = [attempt.server for attempt in search.request.attempts]
         found: list[Server] = []
-        for server in sorted(ring, key=lambda server: server.rank(mixed)):
-            warmth = self._slow_start.warmth(now, server)
-            if warmth < 1.0 and search.request.attempts:
+        for server in sorted(ring, key=lambda server: server.rank(key_hash)):
+            capacity_share = self._slow_start.capacity_share(now, server)
+            if capacity_share < 1.0 and search.request.attempts:
                 continue
-            fitness = warmth * server.pace.speed
+            fitness = capacity_share * server.pace.speed
             if fitness < 1.0 and self._rng.random() >= fitness:
                 continue
             if not self._can_take(search, server, tried):
                 continue
             found.append(server)
-            if len(found) >= width:
+            if len(found) >= max_servers:
                 break
-        # Mostly no own requests are in flight, and the first of equally loaded servers is chosen.
+        # The order is random because the first of equally loaded servers is chosen, and usually this sidecar
+        # has no attempts in flight at any of these servers.
         self._rng.shuffle(found)
         return found
 
     # --- one server ----------------------------------------------------------
 
     def _can_take(self, search: Search, server: Server, tried: list[Server]) -> bool:
-        """Return whether a sampled server can take the request; those `tried` may not."""
+        """Return whether a sampled server can take the request; the servers in `tried` cannot."""
         if server in tried:
             return False
-        chance, now = search.chance, search.now
-        if chance and not self._steering.readmits(now, chance, server.name, server.zone):
+        chance, now = search.readmission_chance, search.now
+        if chance and not self._steering.is_readmitted(now, chance, server.name, server.zone):
             return False
-        return self._is_fit(now, server) and self._may_have(search, server)
+        return self._accepts_sends(now, server) and self._may_receive(search, server)
 
-    def _is_fit(self, now: float, server: Server) -> bool:
-        """Return whether a server may be sent to; one that has failed gets one request at a time."""
+    def _accepts_sends(self, now: float, server: Server) -> bool:
+        """Return whether a server may receive any request; one that has failed gets one request at a time."""
         if now < server.ejected_until or not self._slow_start.has_budget(now, server):
             return False
         return server.consecutive_failures == 0 or server.in_flight == 0
 
-    def _may_have(self, search: Search, server: Server) -> bool:
-        """Return whether the rules for retries and the overrides allow a server to have the request."""
-        if not search.sendable:
+    def _may_receive(self, search: Search, server: Server) -> bool:
+        """Return whether the rules for retries and the overrides allow a server to receive the request."""
+        if not search.may_send:
             return False
-        pins = self._steering.steer.pins  # only one zone may serve a pinned tenant
+        pins = self._steering.steer.pins  # Only one zone may serve the requests of a pinned tenant
         if pins and pins.get(search.request.tenant, server.zone) != server.zone:
             return False
-        return may_have(search.request, search.bound, server)
+        return may_receive(search.request, search.binding, server)
--- a/tests/balancer/test_answers.py
+++ b/tests/balancer/test_answers.py
@@ -46,7 +46,7 @@
     assert once.timeout == 1000.0, "a single silence may be a burst of one's own"
     made.step(1330.0, attempt_answered(51, 30.0))
     for _ in range(2):
-        made.components.ejector.blame(1400.0, made.components.endpoints.servers[silent.server], silent=True)
+        made.components.ejector.count_fault(1400.0, made.components.endpoints.servers[silent.server], silent=True)
     (after,) = of_type(made.step(1500.0, request_arrival(2, 1500.0)), SendAttempt)
     assert after.timeout < 300.0
 
--- a/tests/balancer/test_ejection.py
+++ b/tests/balancer/test_ejection.py
@@ -112,7 +112,7 @@
     for number in range(300):
         now = 20.0 * number
         if number % 2:
-            made.components.throttle.add(now, 0.0)
+            made.components.throttle.count_request(now, 0.0)
         for send in of_type(made.step(now, request_arrival(number, now)), SendAttempt):
             sends[send.server] += number >= 50
             bad = send.server == "s0" and number % 5
--- a/tests/balancer/test_endurance.py
+++ b/tests/balancer/test_endurance.py
@@ -71,7 +71,7 @@
 
 
 def test_the_slow_start_oracle_can_fail(monkeypatch):
-    monkeypatch.setattr(SlowStart, "warmth", lambda self, now, server: 4.0)
+    monkeypatch.setattr(SlowStart, "capacity_share", lambda self, now, server: 4.0)
     monkeypatch.setattr(Selector, "load", lambda self, now, server: 0.0 if server.name == "s0" else 1.0)
     assert slow_start_load(False) > MULTIPLE
 
--- a/tests/balancer/test_recovery.py
+++ b/tests/balancer/test_recovery.py
@@ -88,7 +88,7 @@
         assert of_type(made.step(0.0, request_arrival(number)), RefuseRequest)
     assert made.refusals == dict.fromkeys(LOCAL_REFUSALS, 0) | {RefusalReason.NO_SERVER: 3}
     for _ in range(40):
-        made.components.throttle.add(1.0, 0.0)
+        made.components.throttle.count_request(1.0, 0.0)
     refused = sum(bool(of_type(made.step(1.0, request_arrival(number, 1.0)), RefuseRequest)) for number in range(10, 50))
     assert made.refusals[RefusalReason.THROTTLED] > 20 and sum(made.refusals.values()) == refused + 3
 
--- a/tests/balancer/test_selection.py
+++ b/tests/balancer/test_selection.py
@@ -139,7 +139,7 @@
         (send,) = of_type(made.step(500.0 * number, request_arrival(number, 500.0 * number)), SendAttempt)
         known.add(send.server)
         made.step(500.0 * number + 20.0, attempt_answered(number, 20.0))
-    made.components.ejector.connect_failures = 0.9
+    made.components.ejector.connect_failure_share = 0.9
     sends = [of_type(made.step(3000.0 + n, request_arrival(50 + n, 3000.0)), SendAttempt)[0].server for n in range(2)]
     assert set(sends) <= known
 
--- a/tests/balancer/test_slow_start.py
+++ b/tests/balancer/test_slow_start.py
@@ -21,7 +21,7 @@
         picks[send.server] += 1
         made.step(now, attempt_answered(number, 0.1))
     assert 0 < picks["s0"] < 0.4 * 2000 / 10
-    assert made.components.slow_start.warmth(3000.0, made.components.endpoints.servers["s0"]) == 1.0
+    assert made.components.slow_start.capacity_share(3000.0, made.components.endpoints.servers["s0"]) == 1.0
 
 
 def warm(servers=30, me=0, seed=1, **changes):
--- a/tests/balancer/test_subset.py
+++ b/tests/balancer/test_subset.py
@@ -90,11 +90,11 @@
         for number in numbers:
             wanted = [s for s in free if getattr(s, scope.value) == number]
             wanted = wanted or [s for s in usable if getattr(s, scope.value) == number]
-            members = [server.name for server in made.components.endpoints.members((scope, number))]
+            members = [server.name for server in made.components.endpoints.group_members((scope, number))]
             assert sorted(members) == sorted(s.server for s in wanted)
             on_ring = [server.name for server in made.components.endpoints.ring if server.name in members]
             assert members == on_ring or not on_ring, "the order is the ring's"
     made.step(2.0, EndpointListReceived(ListForm.CHANGES, [EndpointEntry("s00", zone=7)]))
     assert not made.components.endpoints.known_groups and [
-        s.name for s in made.components.endpoints.members((KeyScope.ZONE, 7))
+        s.name for s in made.components.endpoints.group_members((KeyScope.ZONE, 7))
     ] == ["s00"]
--- a/tests/balancer/test_throttle.py
+++ b/tests/balancer/test_throttle.py
@@ -11,9 +11,9 @@
 def filled(accepts, refusals, now=0.0):
     throttle = Throttle(window_ms=1e9, max_requests=1000)
     for _ in range(accepts):
-        throttle.add(now, 1.0)
+        throttle.count_request(now, 1.0)
     for _ in range(refusals):
-        throttle.add(now, 0.0)
+        throttle.count_request(now, 0.0)
     return throttle
 
 
@@ -33,20 +33,20 @@
 
 def test_the_window_forgets_requests_by_age():
     window = Throttle(window_ms=100.0, max_requests=50)
-    window.add(0.0, 1.0)
-    window.add(60.0, 0.0)
-    window.trim(99.0)
+    window.count_request(0.0, 1.0)
+    window.count_request(60.0, 0.0)
+    window.drop_old_requests(99.0)
     assert (window.requests, window.accepts) == (2, 1.0)
-    window.trim(100.0)
+    window.drop_old_requests(100.0)
     assert (window.requests, window.accepts) == (1, 0.0)
-    window.trim(160.0)
+    window.drop_old_requests(160.0)
     assert (window.requests, window.accepts) == (0, 0.0)
 
 
 def test_the_window_forgets_requests_by_number():
     window = Throttle(window_ms=1e9, max_requests=3)
     for accepted in (1.0, 1.0, 0.0, 0.0, 0.0):
-        window.add(0.0, accepted)
+        window.count_request(0.0, accepted)
     assert (window.requests, window.accepts) == (3, 0.0)
 
 
@@ -54,7 +54,7 @@
     made = make_balancer("safe")
     window = made.components.throttle
     for _ in range(20):
-        window.add(0.0, 0.0)
+        window.count_request(0.0, 0.0)
     before = window.requests
     refused = 0
     for i in range(40):
--- a/tests/support/balancer_records.py
+++ b/tests/support/balancer_records.py
@@ -29,8 +29,8 @@
     ejector = balancer.components.ejector
     return [
         *of_servers,
-        ejector.connect_failures,
-        ejector.not_accepted,
+        ejector.connect_failure_share,
+        ejector.unaccepted_share,
         balancer.components.throttle.refusal_probability(0.0),
     ]
 
@@ -38,7 +38,7 @@
 def nonzero_faults(balancer, server):
     """Return the faults of one server and those of new connections that are not 0."""
     record = balancer.components.endpoints.servers[server]
-    faults = (record.fault_share, record.consecutive_failures, balancer.components.ejector.connect_failures)
+    faults = (record.fault_share, record.consecutive_failures, balancer.components.ejector.connect_failure_share)
     return [fault for fault in faults if fault != 0]
 
 
