--- a/brassfall/settings.py
+++ b/brassfall/settings.py
@@ -222,7 +222,7 @@
     _check_label("aggregator.name", settings.name)
     _check_label("aggregator.region", settings.region)
     if not 1 <= len(settings.upstream) <= MAX_UPSTREAMS:
-        message = f"aggregator.upstream: 1 to {MAX_UPSTREAMS} are required"
+        message = f"aggregator.upstream: 1 to {MAX_UPSTREAMS} addresses are required"
         raise ValueError(message)
     _check_address("aggregator.listen", settings.listen)
     if settings.advertise:
--- a/tests/balancer/test_answers.py
+++ b/tests/balancer/test_answers.py
@@ -1,4 +1,4 @@
-"""Retry-After, time-outs and the time of answers."""
+"""Tests of Retry-After, of time-outs and of answers that take no time."""
 
 from __future__ import annotations
 
@@ -10,51 +10,51 @@
 
 
 @pytest.mark.parametrize(
-    ("limits", "wait"),
+    ("limits", "retry_after_ms"),
     [
         ({"RetryAfter": True, "MaxRetryAfter": 2000.0}, 20.0),
         ({"RetryAfter": True, "MaxRetryAfter": 5.0}, 5.0),
         ({"RetryAfter": False, "MaxRetryAfter": 2000.0}, 0.0),
     ],
 )
-def test_a_refusal_is_immediate_and_has_a_retry_after(limits, wait):
-    made = make_balancer("safe", servers=0, PolicyLimits={"MaxAttempts": 3, **limits})
-    assert made.step(0.0, request_arrival(1)) == [RefuseRequest(1, wait)]
+def test_a_refusal_is_immediate_and_has_a_retry_after(limits, retry_after_ms):
+    balancer = make_balancer("safe", servers=0, PolicyLimits={"MaxAttempts": 3, **limits})
+    assert balancer.step(0.0, request_arrival(1)) == [RefuseRequest(1, retry_after_ms)]
 
 
 def test_a_client_whose_retry_would_come_too_late_gets_the_longest_retry_after():
-    made = make_balancer("safe", servers=4, PolicyLimits={"RetryAfter": True, "MaxRetryAfter": 2000.0})
-    made.step(0.0, request_arrival(1))
-    assert made.step(200.0, AttemptEnded(1, 0, Outcome.TIMEOUT, 200.0)) == [RefuseRequest(1, 2000.0)]
-    (send,) = of_type(made.step(300.0, request_arrival(2, 300.0)), SendAttempt)
-    made.step(310.0, EndpointListReceived(ListForm.COMPLETE, []))
-    # A retry can still be served in time here.
-    assert made.step(320.0, AttemptEnded(send.request, 0, Outcome.REJECTED, 20.0)) == [RefuseRequest(2, 20.0)]
-
-
-def test_after_a_silent_server_idempotent_requests_get_a_short_time_out():
-    made = make_balancer("late", servers=4)
-    (before,) = of_type(made.step(0.0, request_arrival(1)), SendAttempt)
-    assert before.timeout == 1000.0
-    made.step(30.0, attempt_answered(1, 30.0))
+    balancer = make_balancer("safe", servers=4, PolicyLimits={"RetryAfter": True, "MaxRetryAfter": 2000.0})
+    balancer.step(0.0, request_arrival(1))
+    assert balancer.step(200.0, AttemptEnded(1, 0, Outcome.TIMEOUT, 200.0)) == [RefuseRequest(1, 2000.0)]
+    (send,) = of_type(balancer.step(300.0, request_arrival(2, 300.0)), SendAttempt)
+    balancer.step(310.0, EndpointListReceived(ListForm.COMPLETE, []))
+    # A retry of the second request can still be served in time.
+    assert balancer.step(320.0, AttemptEnded(send.request, 0, Outcome.REJECTED, 20.0)) == [RefuseRequest(2, 20.0)]
+
+
+def test_after_a_server_did_not_answer_idempotent_requests_get_a_shorter_time_out():
+    balancer = make_balancer("late", servers=4)
+    (first,) = of_type(balancer.step(0.0, request_arrival(1)), SendAttempt)
+    assert first.timeout == 1000.0
+    balancer.step(30.0, attempt_answered(1, 30.0))
     for number in range(10, 40):
-        made.step(100.0, request_arrival(number, 100.0))
-        made.step(130.0, attempt_answered(number, 30.0))
-    (silent,) = of_type(made.step(200.0, request_arrival(50, 200.0)), SendAttempt)
-    made.step(1200.0, AttemptEnded(50, 0, Outcome.TIMEOUT, 1000.0))
-    (once,) = of_type(made.step(1300.0, request_arrival(51, 1300.0)), SendAttempt)
-    assert once.timeout == 1000.0, "a single silence may be a burst of one's own"
-    made.step(1330.0, attempt_answered(51, 30.0))
+        balancer.step(100.0, request_arrival(number, 100.0))
+        balancer.step(130.0, attempt_answered(number, 30.0))
+    (silent,) = of_type(balancer.step(200.0, request_arrival(50, 200.0)), SendAttempt)
+    balancer.step(1200.0, AttemptEnded(50, 0, Outcome.TIMEOUT, 1000.0))
+    (after_one_fault,) = of_type(balancer.step(1300.0, request_arrival(51, 1300.0)), SendAttempt)
+    assert after_one_fault.timeout == 1000.0, "one missing answer may have been caused by a burst of this sidecar"
+    balancer.step(1330.0, attempt_answered(51, 30.0))
     for _ in range(2):
-        made.components.ejector.count_fault(1400.0, made.components.endpoints.servers[silent.server], silent=True)
-    (after,) = of_type(made.step(1500.0, request_arrival(2, 1500.0)), SendAttempt)
-    assert after.timeout < 300.0
-
-
-def test_a_first_answer_that_took_no_time_is_learned_from():
-    # An answer may begin before its request has ended; the pace must not be divided by zero then.
-    made = make_balancer()
-    made.step(0.0, request_arrival(1))
-    made.step(0.0, attempt_answered(1, 0.0))
-    assert not made.open_requests
-    assert of_type(made.step(1.0, request_arrival(2)), SendAttempt)
+        balancer.components.ejector.count_fault(1400.0, balancer.components.endpoints.servers[silent.server], silent=True)
+    (after_more_faults,) = of_type(balancer.step(1500.0, request_arrival(2, 1500.0)), SendAttempt)
+    assert after_more_faults.timeout < 300.0
+
+
+def test_a_first_answer_that_took_no_time_causes_no_division_by_zero():
+    # An answer may begin before its request has ended, and the pace divides by the time of the answers.
+    balancer = make_balancer()
+    balancer.step(0.0, request_arrival(1))
+    balancer.step(0.0, attempt_answered(1, 0.0))
+    assert not balancer.open_requests
+    assert of_type(balancer.step(1.0, request_arrival(2)), SendAttempt)
--- a/tests/balancer/test_library.py
+++ b/tests/balancer/test_library.py
@@ -1,4 +1,4 @@
-"""The example in the README, invalid settings, and events that are stale or have invalid values."""
+"""Tests of the README's example, of invalid settings, and of events that are stale or have invalid values."""
 
 import re
 from pathlib import Path
@@ -16,13 +16,13 @@
 def test_readme_example_runs(capsys):
     (example,) = re.findall(r"```python\n(.*?)```", README.read_text(), re.S)
     exec(compile(example, "README", "exec"), {})
-    first, second = capsys.readouterr().out.splitlines()
-    assert "SendAttempt(request=1, server=" in first
-    assert second == "[]"
+    first_line, second_line = capsys.readouterr().out.splitlines()
+    assert "SendAttempt(request=1, server=" in first_line
+    assert second_line == "[]"
 
 
 @pytest.mark.parametrize(
-    ("changes", "field"),
+    ("changes", "path"),
     [
         ({"Profiles": []}, "Profiles"),
         ({"Profiles": [{"Semantics": "pure"}]}, r"Profiles\[0\].Deadline"),
@@ -39,47 +39,47 @@
         ({"Goal": {"WorstClass": -1}}, "Goal.WorstClass"),
     ],
 )
-def test_an_invalid_setting_is_named_by_its_path(changes, field):
-    with pytest.raises(ValueError, match=field):
+def test_an_invalid_setting_is_named_by_its_path(changes, path):
+    with pytest.raises(ValueError, match=path):
         Settings.parse(raw_settings(**changes))
 
 
 def test_events_about_finished_or_unknown_requests_are_ignored():
-    made = make_balancer("safe")
-    made.step(0.0, request_arrival(1))
-    assert made.step(5.0, attempt_answered(1, 5.0)) == []
-    assert made.step(6.0, AttemptEnded(1, 0, Outcome.TIMEOUT)) == []
-    assert made.step(6.0, AttemptEnded(2, 0, Outcome.OK)) == []
-    assert made.step(6.0, ClientLeft(1)) == []
-    assert made.step(6.0, TimerDue(ObjectiveTimer(request=1, attempt=0))) == []
-    assert made.step(6.0, HealthCheckEnded("never heard of", Outcome.OK)) == []
-
-
-def test_a_server_first_seen_among_changes_is_used_by_its_state():
-    made = make_balancer("safe", servers=0)
-    made.step(1.0, EndpointListReceived(ListForm.CHANGES, [EndpointEntry("new"), EndpointEntry("old", state="left")]))
-    (send,) = of_type(made.step(2.0, request_arrival(1)), SendAttempt)
+    balancer = make_balancer("safe")
+    balancer.step(0.0, request_arrival(1))
+    assert balancer.step(5.0, attempt_answered(1, 5.0)) == []
+    assert balancer.step(6.0, AttemptEnded(1, 0, Outcome.TIMEOUT)) == []
+    assert balancer.step(6.0, AttemptEnded(2, 0, Outcome.OK)) == []
+    assert balancer.step(6.0, ClientLeft(1)) == []
+    assert balancer.step(6.0, TimerDue(ObjectiveTimer(request=1, attempt=0))) == []
+    assert balancer.step(6.0, HealthCheckEnded("never heard of", Outcome.OK)) == []
+
+
+def test_a_server_first_listed_in_a_change_is_used_according_to_its_state():
+    balancer = make_balancer("safe", servers=0)
+    balancer.step(1.0, EndpointListReceived(ListForm.CHANGES, [EndpointEntry("new"), EndpointEntry("old", state="left")]))
+    (send,) = of_type(balancer.step(2.0, request_arrival(1)), SendAttempt)
     assert send.server == "new"
 
 
 def test_a_server_missing_from_a_complete_list_is_gone():
-    made = make_balancer("safe", servers=3)
-    made.step(1.0, EndpointListReceived(ListForm.COMPLETE, endpoint_entries(1)))
-    sends = [of_type(made.step(2.0, request_arrival(i)), SendAttempt)[0].server for i in range(10)]
+    balancer = make_balancer("safe", servers=3)
+    balancer.step(1.0, EndpointListReceived(ListForm.COMPLETE, endpoint_entries(1)))
+    sends = [of_type(balancer.step(2.0, request_arrival(i)), SendAttempt)[0].server for i in range(10)]
     assert set(sends) == {"s0"}
 
 
-@pytest.mark.parametrize("bad", [float("nan"), float("inf"), -float("inf")])
-def test_values_that_are_not_finite_lose_no_request(bad):
-    made = make_balancer("safe", servers=0)
-    made.step(0.0, EndpointListReceived(ListForm.COMPLETE, [EndpointEntry("a", weight=bad, started=bad), EndpointEntry("b")]))
+@pytest.mark.parametrize("value", [float("nan"), float("inf"), -float("inf")])
+def test_values_that_are_not_finite_do_not_prevent_requests_from_being_served(value):
+    balancer = make_balancer("safe", servers=0)
+    balancer.step(0.0, EndpointListReceived(ListForm.COMPLETE, [EndpointEntry("a", weight=value, started=value), EndpointEntry("b")]))
     for number in range(30):
         now = 10.0 * number
-        request = request_arrival(number, now)._replace(give_up_at=bad, work=bad, key=number)
-        (send,) = of_type(made.step(now, request), SendAttempt)
+        request = request_arrival(number, now)._replace(give_up_at=value, work=value, key=number)
+        (send,) = of_type(balancer.step(now, request), SendAttempt)
         assert 0.0 < send.timeout <= 1000.0
-        made.step(now + 5.0, attempt_answered(number, bad, in_flight=bad))
-    assert not made.open_requests
+        balancer.step(now + 5.0, attempt_answered(number, value, in_flight=value))
+    assert not balancer.open_requests
 
 
 def test_a_request_of_an_unknown_class_is_an_error():
--- a/tests/balancer/test_recovery.py
+++ b/tests/balancer/test_recovery.py
@@ -1,4 +1,4 @@
-"""How soon refusals end after an overload, and how they are counted."""
+"""Tests of how soon refusals end after an overload, and of how they are counted."""
 
 from __future__ import annotations
 
@@ -12,10 +12,11 @@
 from brassfall.lab.sim.world import World
 from tests.support.helpers import LOAD_REPORTS, attempt_answered, request_arrival, make_balancer, of_type, make_selector
 
-# Every reason that the balancer itself has, by its name in `REFUSALS`.
+# The reasons of the refusals that the balancer itself decides on, by their names in `REFUSALS`.
 LOCAL_REFUSALS = ("formula", "level", "heavy", "room", "line", "failed")
 
-# Servers with capacity for 2.5 times the load, and a burst of that; clients retry when they are refused.
+# An experiment in which the servers have 2.5 times the capacity that the load needs, and a burst multiplies
+# the load by 2.5. Clients retry refused requests.
 BURST = """
 [experiment]
 name = "a burst"
@@ -57,7 +58,7 @@
     world.begin()
     world.run()
     writer.close()
-    sent, refused = Counter(), Counter()
+    sent, refused = Counter(), Counter()  # Requests by the second in which they were sent
     for answer in ledger.read(tmp_path / "play", ledger.Answer):
         sent[int(answer.sent // 1000)] += 1
         refused[int(answer.sent // 1000)] += answer.status == "refused"
@@ -68,35 +69,35 @@
 
 
 def test_requests_refused_by_the_shed_probability_do_not_count_for_the_throttle():
-    # The throttle would go on to refuse because of refusals that no server asked for.
-    made = make_balancer("safe", **LOAD_REPORTS)
+    # Otherwise the throttle would continue to refuse requests only because of earlier refusals.
+    balancer = make_balancer("safe", **LOAD_REPORTS)
     for number in range(200):
-        made.components.shedder.observe(number, 1.0)
-        actions = made.step(float(number), request_arrival(number, number))
+        balancer.components.shedder.observe(number, 1.0)
+        actions = balancer.step(float(number), request_arrival(number, number))
         if not of_type(actions, RefuseRequest):
-            made.step(
+            balancer.step(
                 number + 0.5,
                 attempt_answered(number, 0.5, in_flight=1.0),
             )
-    assert made.refusals[RefusalReason.SHED] > 100 and made.refusals[RefusalReason.THROTTLED] == 0
-    assert made.components.throttle.refusal_probability(200.0) == 0.0
+    assert balancer.refusals[RefusalReason.SHED] > 100 and balancer.refusals[RefusalReason.THROTTLED] == 0
+    assert balancer.components.throttle.refusal_probability(200.0) == 0.0
 
 
 def test_each_refusal_is_counted_by_its_reason():
-    made = make_balancer("safe", servers=0)
+    balancer = make_balancer("safe", servers=0)
     for number in range(3):
-        assert of_type(made.step(0.0, request_arrival(number)), RefuseRequest)
-    assert made.refusals == dict.fromkeys(LOCAL_REFUSALS, 0) | {RefusalReason.NO_SERVER: 3}
+        assert of_type(balancer.step(0.0, request_arrival(number)), RefuseRequest)
+    assert balancer.refusals == dict.fromkeys(LOCAL_REFUSALS, 0) | {RefusalReason.NO_SERVER: 3}
     for _ in range(40):
-        made.components.throttle.count_request(1.0, 0.0)
-    refused = sum(bool(of_type(made.step(1.0, request_arrival(number, 1.0)), RefuseRequest)) for number in range(10, 50))
-    assert made.refusals[RefusalReason.THROTTLED] > 20 and sum(made.refusals.values()) == refused + 3
+        balancer.components.throttle.count_request(1.0, 0.0)
+    refused = sum(bool(of_type(balancer.step(1.0, request_arrival(number, 1.0)), RefuseRequest)) for number in range(10, 50))
+    assert balancer.refusals[RefusalReason.THROTTLED] > 20 and sum(balancer.refusals.values()) == refused + 3
 
 
 def test_a_server_without_a_load_report_counts_as_the_mean_of_the_others():
-    # The subset of a busy sidecar widens, and new servers must not get all requests.
-    made = make_balancer("safe", servers=2, **LOAD_REPORTS)
-    known, unknown = made.components.endpoints.servers["s0"], made.components.endpoints.servers["s1"]
+    # The subset of a busy sidecar grows, and the servers that are new in it must not get all requests.
+    balancer = make_balancer("safe", servers=2, **LOAD_REPORTS)
+    known, unknown = balancer.components.endpoints.servers["s0"], balancer.components.endpoints.servers["s1"]
     for number in range(30):
-        made.components.overload.observe_report(10.0 * number, known, {"inflight": 6.0})
-    assert make_selector(made).load(300.0, unknown) == pytest.approx(make_selector(made).load(300.0, known), rel=0.1)
+        balancer.components.overload.observe_report(10.0 * number, known, {"inflight": 6.0})
+    assert make_selector(balancer).load(300.0, unknown) == pytest.approx(make_selector(balancer).load(300.0, known), rel=0.1)
--- a/tests/balancer/test_simulator.py
+++ b/tests/balancer/test_simulator.py
@@ -1,4 +1,4 @@
-"""The adapter to the simulator's wire, as a process with standard input and output."""
+"""Tests of the simulator's adapter, which runs as a process with standard input and output."""
 
 from __future__ import annotations
 
@@ -21,6 +21,7 @@
 from brassfall.simulator import parse_timer, timer_token
 
 ROOT = Path(__file__).resolve().parents[2]
+# Settings of a balancer as JSON, with some unknown members.
 SETUP = json.dumps(
     {
         "Profiles": [
@@ -33,12 +34,14 @@
         "Unknown": [1, 2],
     }
 )
+# The lines of an endpoint list with three servers.
 LIST = "snapshot_rows List=3 Elements=3\n" + "".join(
     f"item StageState=active Server=s.{i} RegionPart={i % 2} Other=1\n" for i in range(3)
 )
 
 
 def run(text, hash_seed="0"):
+    """Run the adapter with the input `text`; return the completed process."""
     return subprocess.run(
         [sys.executable, "-m", "brassfall.simulator"],
         input=text,
@@ -51,10 +54,12 @@
 
 
 def batch(number, body, now=100.0):
+    """Return the lines of one batch of messages."""
     return f"sync seq={number} Now={now + 5 * number}\n{body}over_to_you\n"
 
 
 def born(instance, seed=7):
+    """Return the lines that create the balancer of a sidecar and give it the endpoint list."""
     return (
         f"context SidecarId=sidecar/{instance}\nborn RngSeed={seed} Setup={SETUP}\n"
         "discovery Version=1 List=3 Form=remembered\n"
@@ -62,7 +67,7 @@
 
 
 def day(instances):
-    """Return a short day of several balancers, each with events of its own."""
+    """Return the batches of a short day of several balancers, each with its own events."""
     text = batch(0, "") + batch(1, LIST + "".join(born(i, seed=i + 5) for i in instances))
     for number in range(2, 40):
         body = ""
@@ -79,14 +84,14 @@
     return text
 
 
-def test_a_day_is_answered_and_ends_at_eof():
-    done = run(day([0]))
-    assert (done.returncode, done.stderr) == (0, "")
-    replies = re.findall(r"^yield seq=(\d+)$", done.stdout, re.M)
+def test_all_batches_of_a_day_are_answered_and_the_adapter_exits_at_the_end_of_the_input():
+    completed = run(day([0]))
+    assert (completed.returncode, completed.stderr) == (0, "")
+    replies = re.findall(r"^yield seq=(\d+)$", completed.stdout, re.M)
     assert replies == [str(n) for n in range(40)]
-    sent = re.findall(r"^relay RequestId=(\d+) Server=s\.\d Timeout=[\d.]+$", done.stdout, re.M)
-    assert len(sent) > 10
-    assert done.stdout.startswith("yield seq=0\n")
+    send_lines = re.findall(r"^relay RequestId=(\d+) Server=s\.\d Timeout=[\d.]+$", completed.stdout, re.M)
+    assert len(send_lines) > 10
+    assert completed.stdout.startswith("yield seq=0\n")
 
 
 def test_the_output_does_not_depend_on_the_hash_seed():
@@ -95,29 +100,29 @@
 
 
 def actions_by_instance(output):
-    """Return each balancer's actions, in order."""
-    by_instance, speaker = {}, None
+    """Return the lines with the actions of each balancer, by its sidecar."""
+    by_instance, instance = {}, None
     for line in output.splitlines():
         if line.startswith("speaking "):
-            speaker = line.partition("=")[2]
+            instance = line.partition("=")[2]
         elif not line.startswith("yield "):
-            by_instance.setdefault(speaker, []).append(line)
+            by_instance.setdefault(instance, []).append(line)
     return by_instance
 
 
-def test_the_actions_of_a_balancer_do_not_depend_on_others_in_the_process():
+def test_the_actions_of_a_balancer_do_not_depend_on_other_balancers_in_the_process():
     together = actions_by_instance(run(day([0, 1, 2])).stdout)
     for i in range(3):
         assert actions_by_instance(run(day([i])).stdout) == {f"sidecar/{i}": together[f"sidecar/{i}"]}
 
 
 def test_lists_apply_in_the_order_of_events_and_a_balancer_may_restart_within_a_batch():
-    other = "snapshot_rows List=3 Elements=1\nitem Server=s.9\n"
-    body = LIST + born(0) + "kill\n" + other + born(0)
-    ask = "context SidecarId=sidecar/0\narrival RequestId=1 Band=0 GiveUpAt=900\n"
-    done = run(batch(1, body) + batch(2, ask))
-    assert done.returncode == 0
-    assert set(re.findall(r"Server=(\S+)", done.stdout)) == {"s.9"}
+    second_list = "snapshot_rows List=3 Elements=1\nitem Server=s.9\n"
+    body = LIST + born(0) + "kill\n" + second_list + born(0)
+    arrival = "context SidecarId=sidecar/0\narrival RequestId=1 Band=0 GiveUpAt=900\n"
+    completed = run(batch(1, body) + batch(2, arrival))
+    assert completed.returncode == 0
+    assert set(re.findall(r"Server=(\S+)", completed.stdout)) == {"s.9"}
 
 
 @pytest.mark.parametrize(
@@ -135,20 +140,20 @@
         (f"sync seq=1 Now=1\n{LIST}", 5, "without over_to_you"),
     ],
 )
-def test_malformed_input_ends_with_one_line_that_names_it(text, line, message):
-    done = run(text)
-    assert done.returncode == 1
-    assert len(done.stderr.splitlines()) == 1
-    assert done.stderr.startswith(f"line {line}: ")
-    assert message in done.stderr
-    assert "Traceback" not in done.stderr + done.stdout
+def test_malformed_input_ends_the_adapter_with_one_line_that_names_it(text, line, message):
+    completed = run(text)
+    assert completed.returncode == 1
+    assert len(completed.stderr.splitlines()) == 1
+    assert completed.stderr.startswith(f"line {line}: ")
+    assert message in completed.stderr
+    assert "Traceback" not in completed.stderr + completed.stdout
 
 
 def test_an_exception_in_the_balancer_is_reported_as_fatal():
     body = LIST + born(0) + "arrival RequestId=1 Band=7 GiveUpAt=900\n"
-    done = run(batch(1, body))
-    assert done.returncode == 1
-    assert re.search(r"^fatal ReasonText=ValueError: request 1: no class 7$", done.stdout, re.M)
+    completed = run(batch(1, body))
+    assert completed.returncode == 1
+    assert re.search(r"^fatal ReasonText=ValueError: request 1: no class 7$", completed.stdout, re.M)
 
 
 def test_a_closed_output_ends_the_adapter_without_an_error():
@@ -159,12 +164,12 @@
         stderr=subprocess.PIPE,
         text=True,
         cwd=ROOT,
-    ) as host:
-        host.stdout.close()
-        host.stdin.write(day([0]))
-        host.stdin.close()
-        assert host.wait(timeout=60) == 0
-        assert host.stderr.read() == ""
+    ) as process:
+        process.stdout.close()
+        process.stdin.write(day([0]))
+        process.stdin.close()
+        assert process.wait(timeout=60) == 0
+        assert process.stderr.read() == ""
 
 
 @pytest.mark.parametrize(
@@ -177,18 +182,18 @@
         (DiscoveryRetryTimer(), "watch"),
     ],
 )
-def test_each_timer_has_its_tag_on_the_wire(token, tag):
+def test_each_timer_token_has_its_tag_in_the_line_protocol(token, tag):
     assert timer_token(token) == tag
     assert parse_timer(tag) == token and type(parse_timer(tag)) is type(token)
 
 
-def test_a_tag_that_is_not_the_balancers_own_is_ignored():
+def test_a_timer_tag_that_is_not_from_the_balancer_is_ignored():
     assert parse_timer("look:7:0") is None and parse_timer("watch:1") is None
-    done = run(batch(1, LIST + born(0) + "tick_due Tag=look:7:0\n"))
-    assert done.returncode == 0 and "fatal" not in done.stdout
+    completed = run(batch(1, LIST + born(0) + "tick_due Tag=look:7:0\n"))
+    assert completed.returncode == 0 and "fatal" not in completed.stdout
 
 
-def test_a_tag_with_an_unreadable_number_is_reported_as_fatal():
-    done = run(batch(1, LIST + born(0) + "tick_due Tag=due:x:0\n"))
-    assert done.returncode == 1
-    assert "fatal ReasonText=ValueError" in done.stdout and "Traceback" not in done.stderr
+def test_a_timer_tag_with_an_invalid_number_is_reported_as_fatal():
+    completed = run(batch(1, LIST + born(0) + "tick_due Tag=due:x:0\n"))
+    assert completed.returncode == 1
+    assert "fatal ReasonText=ValueError" in completed.stdout and "Traceback" not in completed.stderr
--- a/tests/balancer/test_throttle.py
+++ b/tests/balancer/test_throttle.py
@@ -1,4 +1,4 @@
-"""The client-side throttle, with values worked out by hand, and the choice of the least loaded server."""
+"""Tests of the client-side throttle, with values calculated by hand, and of the least loaded server."""
 
 import pytest
 
@@ -8,7 +8,8 @@
 from tests.support.helpers import request_arrival, make_balancer, of_type
 
 
-def filled(accepts, refusals, now=0.0):
+def throttle_with(accepts, refusals, now=0.0):
+    """Return a throttle that has counted some accepted and some refused requests."""
     throttle = Throttle(window_ms=1e9, max_requests=1000)
     for _ in range(accepts):
         throttle.count_request(now, 1.0)
@@ -18,7 +19,7 @@
 
 
 @pytest.mark.parametrize(
-    ("accepts", "refusals", "chance"),
+    ("accepts", "refusals", "probability"),
     [
         (0, 0, 0.0),
         (0, 3, 0.0),  # 3 - 3 - 0 = 0
@@ -27,11 +28,11 @@
         (10, 29, 0.4),  # (39 - 3 - 20) / 40
     ],
 )
-def test_the_drop_chance_follows_the_formula(accepts, refusals, chance):
-    assert filled(accepts, refusals).refusal_probability(0.0) == pytest.approx(chance)
+def test_the_refusal_probability_follows_the_formula(accepts, refusals, probability):
+    assert throttle_with(accepts, refusals).refusal_probability(0.0) == pytest.approx(probability)
 
 
-def test_the_window_forgets_requests_by_age():
+def test_the_window_drops_requests_by_age():
     window = Throttle(window_ms=100.0, max_requests=50)
     window.count_request(0.0, 1.0)
     window.count_request(60.0, 0.0)
@@ -43,51 +44,51 @@
     assert (window.requests, window.accepts) == (0, 0.0)
 
 
-def test_the_window_forgets_requests_by_number():
+def test_the_window_drops_requests_beyond_its_maximum_number():
     window = Throttle(window_ms=1e9, max_requests=3)
     for accepted in (1.0, 1.0, 0.0, 0.0, 0.0):
         window.count_request(0.0, accepted)
     assert (window.requests, window.accepts) == (3, 0.0)
 
 
-def test_refused_requests_are_not_sent_and_count_for_the_throttle():
-    made = make_balancer("safe")
-    window = made.components.throttle
+def test_refused_requests_are_not_sent_and_are_counted_by_the_throttle():
+    balancer = make_balancer("safe")
+    window = balancer.components.throttle
     for _ in range(20):
         window.count_request(0.0, 0.0)
-    before = window.requests
+    requests_before = window.requests
     refused = 0
     for i in range(40):
-        actions = made.step(0.0, request_arrival(i))
+        actions = balancer.step(0.0, request_arrival(i))
         if of_type(actions, RefuseRequest):
             refused += 1
             assert not of_type(actions, SendAttempt)
     assert refused > 20
-    assert window.requests == before + refused
+    assert window.requests == requests_before + refused
 
 
 @pytest.mark.parametrize(
     "status",
     [Outcome.ERROR, Outcome.REJECTED, Outcome.TIMEOUT, Outcome.CONNECT_FAILED, Outcome.RESET],
 )
-def test_an_outcome_other_than_ok_is_not_an_accept(status):
-    made = make_balancer("unsafe")
-    made.step(0.0, request_arrival(1))
-    made.step(10.0, AttemptEnded(1, 0, status, 10.0))
-    assert made.components.throttle.requests == 1
-    assert made.components.throttle.accepts == 0.0
+def test_an_outcome_other_than_ok_is_not_counted_as_an_accept(status):
+    balancer = make_balancer("unsafe")
+    balancer.step(0.0, request_arrival(1))
+    balancer.step(10.0, AttemptEnded(1, 0, status, 10.0))
+    assert balancer.components.throttle.requests == 1
+    assert balancer.components.throttle.accepts == 0.0
 
 
 def test_the_server_with_the_fewest_requests_in_flight_is_chosen():
-    made = make_balancer("safe", servers=2)
-    counts = {"s0": 0, "s1": 0}
+    balancer = make_balancer("safe", servers=2)
+    attempts = {"s0": 0, "s1": 0}
     for i in range(20):
-        (send,) = of_type(made.step(0.0, request_arrival(i)), SendAttempt)
-        counts[send.server] += 1
-        assert abs(counts["s0"] - counts["s1"]) <= 1
+        (send,) = of_type(balancer.step(0.0, request_arrival(i)), SendAttempt)
+        attempts[send.server] += 1
+        assert abs(attempts["s0"] - attempts["s1"]) <= 1
 
 
-def test_without_a_server_a_request_is_refused_at_once():
-    made = make_balancer("unsafe", servers=0)
-    actions = made.step(0.0, request_arrival(1))
+def test_without_a_server_a_request_is_refused_immediately():
+    balancer = make_balancer("unsafe", servers=0)
+    actions = balancer.step(0.0, request_arrival(1))
     assert of_type(actions, RefuseRequest) and not of_type(actions, FailRequest)
--- a/tests/compare_traces.py
+++ b/tests/compare_traces.py
@@ -1,16 +1,16 @@
-"""Play the same generated days into the decisions of two revisions and compare their actions byte for byte.
+"""Play the same generated days with the balancers of two revisions and compare their actions byte for byte.
 
     python tests/compare_traces.py OLD NEW [--seeds 10] [--times 0]
 
-OLD and NEW are folders that hold a revision, or names of revisions (then unpacked into a temporary folder).
-Each day is a function of its seed and of the actions taken so far: lists that change, arrivals of several
-classes with and without keys, outcomes of all kinds with and without load reports, timers, peers, steering,
-reloads, clients that leave, large bodies, zones, slow start and ejection. The script plays each revision
-through its public interface: one `step` with a typed event, or in earlier revisions one method for each event
-with its values by position. The tables below map each of today's names to the ones that it had before. Timers
-are printed as their tokens on the simulator's wire. The exit code is 1 where a trace differs.
+OLD and NEW are folders that contain a revision, or names of revisions, which are unpacked into a temporary
+folder. Each day is a function of its seed and of the actions so far. It has changing lists, arrivals of
+several classes with and without keys, outcomes of all kinds with and without load reports, timers, peer
+messages, steering, reloads, clients that leave, large bodies, zones, slow start and ejection. The script uses
+the public interface of each revision, which is one `step` with a typed event, or in earlier revisions one
+method per event with its values by position. The tables below map each current name to its earlier names.
+Timers are printed as their tags in the simulator's line protocol. The exit code is 1 if any trace differs.
 
-With `--times N` the processor time of the ten days is also measured, N times for each revision in turn.
+With `--times N`, the processor time of all days is also measured, N times for each revision alternately.
 """
 
 from __future__ import annotations
@@ -34,12 +34,12 @@
 from io import BytesIO
 from pathlib import Path
 
-SEEDS = 10
-DAY_MS = 40_000.0
-LONG_QUIET_MS = 700_000.0  # longer than servers that are gone are remembered
-HELD_UP_MS = 150.0  # a whole process, now and then
+SEEDS = 10  # Number of generated days
+DAY_MS = 40_000.0  # Length of a day in milliseconds
+LONG_QUIET_MS = 700_000.0  # Longer than the records of servers that left are kept, in milliseconds
+STALL_MS = 150.0  # Time in milliseconds for which the process is stalled now and then
 
-# Packages of the decisions, newest first, and what has had other names, with the newest of them first.
+# Names of the balancer package, and all names of what has been renamed; the newest name is first.
 PACKAGES = ("brassfall.balancer", "poppypulley")
 NAMES = {
     "RequestArrived": ("RequestArrived", "Arrival"),
@@ -59,7 +59,8 @@
     "SendPeerMessage": ("SendPeerMessage", "Tell"),
     "WriteLog": ("WriteLog", "Log"),
 }
-# The actions; a trace shows each under the oldest of its names, so that traces of all revisions compare.
+# Names of the actions. A trace contains the oldest name of each, so that traces of all revisions are
+# comparable.
 ACTIONS = (
     "SendAttempt",
     "RefuseRequest",
@@ -73,7 +74,7 @@
     "SendPeerMessage",
     "WriteLog",
 )
-# The event of each method whose values are those of the event.
+# The event for each method of earlier revisions whose parameters are the fields of the event.
 EVENTS = {
     "unsent": "AttemptWithdrawn",
     "answer_started": "AnswerStarted",
@@ -83,14 +84,15 @@
     "reload": "SettingsReloaded",
     "steer": "SteeringChanged",
 }
-OK, ERROR, FULL, TIMEOUT, CONNECT_FAILED, RESET, CANCELLED, UNSENT = range(8)
+# The outcomes of attempts, by their numbers in all revisions.
+OK, ERROR, REJECTED, TIMEOUT, CONNECT_FAILED, RESET, CANCELLED, ABANDONED = range(8)
 
 
 class Revision:
-    """The decision package that is importable here, under whichever names it has.
+    """The balancer package that can be imported in this process, under any of its names.
 
-    `events` is its module of typed events, and `wire` the one that maps typed timers to the simulator's wire;
-    each is None in revisions from before it.
+    `events` is its module of typed events, and `simulator` the module that converts timer tokens to tags.
+    Each is None in revisions that do not have the module yet.
     """
 
     def __init__(self):
@@ -99,11 +101,11 @@
                 self.package = importlib.import_module(package)
                 self.model = importlib.import_module(f"{package}.model")
                 break
-        self.events = self.wire = None
+        self.events = self.simulator = None
         with contextlib.suppress(ImportError):
             self.events = importlib.import_module(f"{self.package.__name__}.events")
-            wire = importlib.import_module("brassfall.simulator")
-            self.wire = wire if hasattr(wire, "timer_token") else None
+            simulator = importlib.import_module("brassfall.simulator")
+            self.simulator = simulator if hasattr(simulator, "timer_token") else None
         self._kinds = {
             getattr(self.model, known): NAMES[name][-1]
             for name in ACTIONS
@@ -112,12 +114,12 @@
         }
 
     def make(self, name, *args):
-        """A value of one of the interface's classes, its fields by position."""
+        """Return an instance of an interface class, with its fields by position."""
         in_events = self.events is not None and hasattr(self.events, name)
         return self.get(self.events if in_events else self.model, name)(*args)
 
     def step(self, balancer, name, args):
-        """A function of the time that gives an event to a balancer, by the name that its method had."""
+        """Return a function of the time that passes an event, by its earlier method's name, to a balancer."""
         if self.events is None:
             method = self.get(balancer, name)
             return lambda now: method(now, *args)
@@ -125,13 +127,13 @@
         return (lambda now: balancer.step(now, event)) if event is not None else (lambda now: [])
 
     def event(self, name, args):
-        """The typed event for what a method took; None for a timer that is not one of the balancer's own."""
+        """Return the typed event for a call of an earlier method; None for an unknown timer tag."""
         events, model = self.events, self.model
         if name == "request":
             return args[0]
         if name == "outcome":
-            number, attempt, status, *rest = args
-            return events.AttemptEnded(number, attempt, model.Outcome(status), *rest)
+            number, attempt, outcome, *rest = args
+            return events.AttemptEnded(number, attempt, model.Outcome(outcome), *rest)
         if name == "server_list":
             form, entries = args
             refused = form == "refused"
@@ -139,41 +141,41 @@
                 events.DiscoveryFailed() if refused else self.get(events, "EndpointListReceived")(model.ListForm(form), entries)
             )
         if name == "probe_result":
-            server, status, *rest = args
-            return events.HealthCheckEnded(server, model.Outcome(status), *rest)
+            server, outcome, *rest = args
+            return events.HealthCheckEnded(server, model.Outcome(outcome), *rest)
         if name == "timer":
             (token,) = args
-            if self.wire is not None and isinstance(token, str):
-                token = self.wire.parse_timer(token)
+            if self.simulator is not None and isinstance(token, str):
+                token = self.simulator.parse_timer(token)
             return events.TimerDue(token) if token is not None else None
         return getattr(events, EVENTS[name])(*args)
 
     def printed(self, action):
-        """The values of an action as they are printed: a typed timer as its token on the wire."""
-        if self.wire is not None and isinstance(action, self.get(self.model, "StartTimer")):
-            return action._replace(token=self.wire.timer_token(action.token))
+        """Return the fields of an action for the trace; a timer token is replaced by its tag."""
+        if self.simulator is not None and isinstance(action, self.get(self.model, "StartTimer")):
+            return action._replace(token=self.simulator.timer_token(action.token))
         return action
 
     def settings(self, raw):
-        """The settings read from the form on the wire."""
+        """Return the settings parsed from their JSON form."""
         return self.get(self.get(self.package, "Settings"), "parse")(raw)
 
     def balancer(self, now, raw, seed):
-        """A new instance."""
+        """Return a new balancer."""
         return self.get(self.package, "Balancer")(now, self.settings(raw), seed)
 
     def kind(self, action):
-        """The name of an action's class."""
+        """Return the oldest name of the class of an action."""
         return self._kinds[type(action)]
 
     @staticmethod
     def get(owner, name):
-        """An attribute under the newest of its names that the owner has."""
+        """Return an attribute of `owner` by the newest of its names that `owner` has."""
         return next(getattr(owner, known) for known in NAMES.get(name, (name,)) if hasattr(owner, known))
 
 
 def drawn_settings(rng):
-    """Settings that the wire allows; every part of the decisions is asked for by some of them."""
+    """Return random valid settings; together they make use of all components of the balancer."""
     profiles = []
     for _ in range(rng.randint(1, 4)):
         objective = rng.choice([60.0, 200.0, 400.0])
@@ -232,16 +234,17 @@
 
 
 class Server:
-    """A stand-in for a server: it slows down as it fills and misbehaves for a while at times."""
+    """A model of a server, which is slower with more requests and is faulty at random times."""
 
     def __init__(self, number, rng):
         self.name, self.zone, self.kind, self.cell = f"s{number:02}", number % 3, number % 2, number // 3
         self.weight = rng.choice([1.0, 1.0, 2.0, 0.5])
-        self.started, self.state, self.fault, self.held, self.used_at = 0.0, "active", None, 0, 0.0
+        self.started, self.state, self.fault, self.in_flight, self.used_at = 0.0, "active", None, 0, 0.0
 
 
-# What happens in a day, and the mean time between two of each; the rate of arrivals changes with the day.
-EVERY = (
+# Methods that are called at random times, with the mean interval in milliseconds. The interval of arrivals is
+# None, because their rate changes during the day.
+INTERVALS = (
     ("arrive", None),
     ("burst", 6000.0),
     ("change_rate", 7000.0),
@@ -255,13 +258,13 @@
     ("reload_settings", 9000.0),
     ("fail_discovery", 4000.0),
     ("restart", 20_000.0),
-    ("name_unknown", 2500.0),
-    ("hold_up_process", 2500.0),
+    ("send_unknown", 2500.0),
+    ("stall_process", 2500.0),
 )
 
 
 class Day:
-    """One generated day of one sidecar; `lines` is the trace of what it decided."""
+    """One generated day of one sidecar; `lines` is the trace of its events and actions."""
 
     def __init__(self, revision, seed):
         self.revision, self.rng, self.lines = revision, random.Random(seed), []
@@ -269,24 +272,24 @@
         self.raw_settings = drawn_settings(self.rng)
         self.servers = [Server(n, self.rng) for n in range(self.rng.choice([4, 12, 24]))]
         self.numbers = itertools.count(self.rng.randrange(1000))
-        self.rate = self.rng.choice([0.02, 0.08, 0.15])  # requests a millisecond
-        self.spent_cpu = self.held_up_until = 0.0
-        self.births = 0
+        self.rate = self.rng.choice([0.02, 0.08, 0.15])  # Requests per millisecond
+        self.cpu_seconds = self.stalled_until = 0.0
+        self.incarnation = 0
         self.start()
-        for what, mean_ms in EVERY:
+        for method, mean_ms in INTERVALS:
             if mean_ms is None:
-                self.later(self.rng.expovariate(self.rate), what)
+                self.call_after(self.rng.expovariate(self.rate), method)
             else:
-                self.later(self.rng.expovariate(1.0 / mean_ms), "repeat", what, mean_ms)
+                self.call_after(self.rng.expovariate(1.0 / mean_ms), "repeat", method, mean_ms)
 
     def run(self):
-        """Play the day to its end; the trace."""
+        """Play the day to its end; return the trace."""
         until = self.now + DAY_MS
         while self.queue[0][0] <= until:
-            due, _, birth, what, args = heapq.heappop(self.queue)
-            self.now = max(due, self.held_up_until)
-            if birth in (None, self.births):
-                getattr(self, what)(*args)
+            due, _, incarnation, method, args = heapq.heappop(self.queue)
+            self.now = max(due, self.stalled_until)
+            if incarnation in (None, self.incarnation):
+                getattr(self, method)(*args)
         self.now += LONG_QUIET_MS
         self.list_all()
         for _ in range(50):
@@ -295,19 +298,21 @@
         self.lines.append(repr(list(self.revision.get(self.balancer, "refusals").values())))
         return "\n".join(self.lines)
 
-    def later(self, delay, what, *args, birth=None):
-        heapq.heappush(self.queue, (self.now + delay, next(self.order), birth, what, args))
+    def call_after(self, delay, method, *args, incarnation=None):
+        """Schedule a call of a method, by name, unless another incarnation of the sidecar runs by then."""
+        heapq.heappush(self.queue, (self.now + delay, next(self.order), incarnation, method, args))
 
-    def repeat(self, what, mean):
-        self.later(self.rng.expovariate(1.0 / mean), "repeat", what, mean)
-        getattr(self, what)()
+    def repeat(self, method, mean_ms):
+        """Call a method and schedule its next call after a random interval."""
+        self.call_after(self.rng.expovariate(1.0 / mean_ms), "repeat", method, mean_ms)
+        getattr(self, method)()
 
     def step(self, event, *args):
-        """Give the sidecar an event and carry out what it decides."""
+        """Pass an event to the balancer, add it and the actions to the trace, and carry out the actions."""
         step = self.revision.step(self.balancer, event, args)
-        begun = time.process_time()
+        started_at = time.process_time()
         actions = step(self.now)
-        self.spent_cpu += time.process_time() - begun
+        self.cpu_seconds += time.process_time() - started_at
         self.lines.append(f"{self.now!r} {event}")
         for action in actions:
             kind = self.revision.kind(action)
@@ -316,26 +321,30 @@
             if handler is not None:
                 handler(*action)
 
-    # --- the sidecar and its lists
+    # --- the sidecar and its endpoint lists
 
     def start(self):
-        self.births += 1
-        self.out, self.ended, self.hops, self.tries = {}, set(), Counter(), {}
+        """Start a new incarnation of the sidecar with its endpoint lists."""
+        self.incarnation += 1
+        # Attempts in flight, requests with a final answer, number of attempts by request, and requests by
+        # number.
+        self.in_flight, self.ended, self.attempt_counts, self.requests = {}, set(), Counter(), {}
         for server in self.servers:
-            server.held = 0
+            server.in_flight = 0
         self.balancer = self.revision.balancer(self.now, self.raw_settings, self.rng.getrandbits(40))
-        known = [self.listing(server) for server in self.servers if self.rng.random() < 0.8]
-        self.step("server_list", "remembered", known)
-        self.step("server_list", "all", [self.listing(s) for s in self.servers if s.state == "active"])
+        configured = [self.entry(server) for server in self.servers if self.rng.random() < 0.8]
+        self.step("server_list", "remembered", configured)
+        self.step("server_list", "all", [self.entry(s) for s in self.servers if s.state == "active"])
 
     def restart(self):
-        if self.births < 3:
+        if self.incarnation < 3:
             self.start()
 
-    def listing(self, server):
+    def entry(self, server):
+        """Return the entry of a server in the endpoint list, sometimes with an invalid weight."""
         weight = self.rng.choice([server.weight] * 19 + [0.0, math.nan])
-        place = (server.zone, server.kind, server.cell)
-        return self.revision.make("EndpointEntry", server.name, *place, server.state, weight, server.started)
+        location = (server.zone, server.kind, server.cell)
+        return self.revision.make("EndpointEntry", server.name, *location, server.state, weight, server.started)
 
     def change_servers(self):
         changed = self.rng.sample(self.servers, self.rng.choice([1, 1, 2, len(self.servers) // 2]))
@@ -345,40 +354,41 @@
                 server.started = self.rng.choice([server.started, self.now, self.now - 700.0])
         if self.rng.random() < 0.1:
             self.servers.append(Server(len(self.servers), self.rng))
-        self.step("server_list", "changes", [self.listing(server) for server in changed])
+        self.step("server_list", "changes", [self.entry(server) for server in changed])
 
     def list_all(self):
-        kept = [s for s in self.servers if s.state == "active" and self.rng.random() < 0.95]
-        self.step("server_list", "all", [self.listing(server) for server in kept])
+        listed = [s for s in self.servers if s.state == "active" and self.rng.random() < 0.95]
+        self.step("server_list", "all", [self.entry(server) for server in listed])
 
     def fail_discovery(self):
         self.step("server_list", "refused", [])
 
     def on_watch(self, on):
         if self.rng.random() < 0.3:
-            self.later(30.0, "fail_discovery", birth=self.births)
+            self.call_after(30.0, "fail_discovery", incarnation=self.incarnation)
         else:
-            self.later(30.0, "change_servers", birth=self.births)
+            self.call_after(30.0, "change_servers", incarnation=self.incarnation)
 
     def reload_settings(self):
         before, other = self.raw_settings, drawn_settings(self.rng)
-        other["Tenants"] = before["Tenants"]  # like zones and kinds, told at the start alone
+        other["Tenants"] = before["Tenants"]  # Tenants, zones and kinds can't change after the start
         if self.rng.random() < 0.6:
             other["Profiles"] = []
-        other["Profiles"] += before["Profiles"][len(other["Profiles"]) :]  # requests may name them still
-        kept = [slot for slot in range(len(before["Profiles"])) if self.rng.random() < 0.7]
+        # Open requests may still have these classes.
+        other["Profiles"] += before["Profiles"][len(other["Profiles"]) :]
+        retained = [index for index in range(len(before["Profiles"])) if self.rng.random() < 0.7]
         self.raw_settings = other
-        self.step("reload", self.revision.settings(other), kept)
+        self.step("reload", self.revision.settings(other), retained)
 
     def replace_steering(self):
         draw, zones = self.rng.choice, range(-1, 4)
         shares = {zone: draw([0.0, 0.02, 0.3, 1.0, 5.0, -1.0, math.nan, math.inf]) for zone in zones}
-        some = {zone for zone in zones if self.rng.random() < 0.15}
+        excluded_zones = {zone for zone in zones if self.rng.random() < 0.15}
         steer = (
             draw([{}, shares, {0: 0.9, 1: 0.1}]),
             {0: draw([{}, shares])},
             {1: shares},
-            frozenset(draw([set(), some])),
+            frozenset(draw([set(), excluded_zones])),
             frozenset(draw([set(), {draw(self.servers).name}])),
             draw([{}, {0: 3.0}, {1: math.nan}]),
             draw([0.0, 0.5, 1.0, 3.0]),
@@ -390,48 +400,50 @@
     # --- clients
 
     def arrive(self):
-        self.later(self.rng.expovariate(self.rate), "arrive")
+        self.call_after(self.rng.expovariate(self.rate), "arrive")
         self.send_request()
 
     def burst(self):
         for _ in range(self.rng.choice([3, 30, 150])):
-            self.later(200.0 * self.rng.random(), "send_request")
+            self.call_after(200.0 * self.rng.random(), "send_request")
 
-    def hold_up_process(self):
-        self.held_up_until = self.now + HELD_UP_MS
+    def stall_process(self):
+        """Delay all calls that are due within the next `STALL_MS`, as if the process had been stalled."""
+        self.stalled_until = self.now + STALL_MS
 
     def change_rate(self):
         self.rate = self.rng.choice([0.003, 0.02, 0.08, 0.15, 0.3])
 
     def send_request(self):
         profiles = self.raw_settings["Profiles"]
-        number, band = next(self.numbers), self.rng.randrange(len(profiles))
-        left = profiles[band]["Deadline"] * self.rng.choice([0.02, 0.4, 0.9, 1.0, 1.0])
-        give_up_at = math.inf if self.rng.random() < 0.01 else self.now + left
+        number, request_class = next(self.numbers), self.rng.randrange(len(profiles))
+        time_left = profiles[request_class]["Deadline"] * self.rng.choice([0.02, 0.4, 0.9, 1.0, 1.0])
+        give_up_at = math.inf if self.rng.random() < 0.01 else self.now + time_left
         key = None if self.rng.random() < 0.3 else min(int(self.rng.paretovariate(0.6)), 2**50)
         work = self.rng.choice([None, 5.0, 10.0, 30.0, 300.0, math.inf])
         large = self.rng.random() < 0.05
         flags = (self.rng.random() < 0.1, self.rng.random() < 0.1, large)
-        self.tries[number] = (band, work or 10.0)
-        made = (number, band, give_up_at, self.rng.randrange(4), key, work, *flags)
-        self.step("request", self.revision.make("RequestArrived", *made))
+        self.requests[number] = (request_class, work or 10.0)
+        fields = (number, request_class, give_up_at, self.rng.randrange(4), key, work, *flags)
+        self.step("request", self.revision.make("RequestArrived", *fields))
         if large:
-            self.later(20.0, "discard_body", number, birth=self.births)
+            self.call_after(20.0, "discard_body", number, incarnation=self.incarnation)
 
     def discard_body(self, number):
         self.step("body_gone", number)
 
     def client_leaves(self):
-        held = [number for number in self.tries if number not in self.ended]
-        if held:
-            number = self.rng.choice(held)
+        open_requests = [number for number in self.requests if number not in self.ended]
+        if open_requests:
+            number = self.rng.choice(open_requests)
             self.ended.add(number)
             self.step("client_gone", number)
 
     # --- servers
 
     def disturb_servers(self):
-        if self.rng.random() < 0.15:  # one fault for many: an overload, a lost zone
+        """Make one server faulty, or sometimes many at once, as in an overload or the loss of a zone."""
+        if self.rng.random() < 0.15:
             fault, zone = self.rng.choice(["full", "slow", "silent", "error"]), self.rng.randrange(3)
             for server in self.servers:
                 server.fault = fault if server.zone == zone or self.rng.random() < 0.4 else None
@@ -440,92 +452,93 @@
                 [None, None, None, "slow", "silent", "full", "error", "reset", "no_connect"]
             )
             self.rng.choice(self.servers).fault = fault
-        self.later(2500.0, "mend_servers")
+        self.call_after(2500.0, "repair_servers")
 
-    def mend_servers(self):
+    def repair_servers(self):
         for server in self.servers:
             if self.rng.random() < 0.7:
                 server.fault = None
 
     def on_send(self, number, name, timeout, write_by):
         server = next(server for server in self.servers if server.name == name)
-        attempt = (number, self.hops[number])
-        self.hops[number] += 1
-        self.out[attempt] = (server, self.now)
-        band, work = self.tries[number]
+        attempt = (number, self.attempt_counts[number])
+        self.attempt_counts[number] += 1
+        self.in_flight[attempt] = (server, self.now)
+        request_class, work = self.requests[number]
         if self.rng.random() < 0.01:
-            self.later(0.5, "never_sent", attempt, birth=self.births)
+            self.call_after(0.5, "abandon_attempt", attempt, incarnation=self.incarnation)
             return
-        self.later(timeout if timeout < math.inf else 1e9, "end_attempt", attempt, TIMEOUT, birth=self.births)
-        gap, server.used_at = self.now - server.used_at, self.now
-        server.held += 1
-        if gap > 400.0 and self.rng.random() < 0.2:  # a connection that was dropped while it was idle
-            self.later(0.4, "end_attempt", attempt, RESET, birth=self.births)
+        self.call_after(timeout if timeout < math.inf else 1e9, "end_attempt", attempt, TIMEOUT, incarnation=self.incarnation)
+        idle_ms, server.used_at = self.now - server.used_at, self.now
+        server.in_flight += 1
+        if idle_ms > 400.0 and self.rng.random() < 0.2:  # The connection was dropped while it was idle
+            self.call_after(0.4, "end_attempt", attempt, RESET, incarnation=self.incarnation)
             return
-        quick = {"full": FULL, "error": ERROR, "no_connect": CONNECT_FAILED}
-        if server.fault in quick or server.held > 20:
-            self.later(1.0, "end_attempt", attempt, quick.get(server.fault, FULL), birth=self.births)
+        immediate = {"full": REJECTED, "error": ERROR, "no_connect": CONNECT_FAILED}
+        if server.fault in immediate or server.in_flight > 20:
+            self.call_after(1.0, "end_attempt", attempt, immediate.get(server.fault, REJECTED), incarnation=self.incarnation)
         elif server.fault == "reset":
-            self.later(9.0 * self.rng.random(), "end_attempt", attempt, RESET, birth=self.births)
+            self.call_after(9.0 * self.rng.random(), "end_attempt", attempt, RESET, incarnation=self.incarnation)
         elif server.fault != "silent":
-            took = min(work, 300.0) * (0.5 + self.rng.random()) * (1.0 + 0.3 * server.held)
-            took *= (1.0 + 0.5 * server.kind) * (12.0 if server.fault == "slow" else 1.0)
-            if self.raw_settings["Profiles"][band]["Streaming"]:
-                self.later(0.3 * took, "start_answer", attempt, birth=self.births)
-            status = self.rng.choices([OK, ERROR, RESET], [0.97, 0.02, 0.01])[0]
-            self.later(took, "end_attempt", attempt, status, birth=self.births)
-
-    def never_sent(self, attempt):
-        if attempt in self.out:
+            elapsed = min(work, 300.0) * (0.5 + self.rng.random()) * (1.0 + 0.3 * server.in_flight)
+            elapsed *= (1.0 + 0.5 * server.kind) * (12.0 if server.fault == "slow" else 1.0)
+            if self.raw_settings["Profiles"][request_class]["Streaming"]:
+                self.call_after(0.3 * elapsed, "start_answer", attempt, incarnation=self.incarnation)
+            outcome = self.rng.choices([OK, ERROR, RESET], [0.97, 0.02, 0.01])[0]
+            self.call_after(elapsed, "end_attempt", attempt, outcome, incarnation=self.incarnation)
+
+    def abandon_attempt(self, attempt):
+        if attempt in self.in_flight:
             if self.rng.random() < 0.5:
                 self.step("unsent", *attempt)
-            self.end_attempt(attempt, UNSENT)
+            self.end_attempt(attempt, ABANDONED)
 
     def start_answer(self, attempt):
-        if attempt in self.out and attempt[0] not in self.ended:
+        if attempt in self.in_flight and attempt[0] not in self.ended:
             self.ended.add(attempt[0])
             self.step("answer_started", *attempt)
 
-    def end_attempt(self, attempt, status):
-        if attempt not in self.out:
+    def end_attempt(self, attempt, outcome):
+        if attempt not in self.in_flight:
             return
-        server, sent = self.out.pop(attempt)
-        server.held -= 1
-        if status == OK:
+        server, sent_at = self.in_flight.pop(attempt)
+        server.in_flight -= 1
+        if outcome == OK:
             self.ended.add(attempt[0])
-        held = float(server.held)
-        figures = [None, {"inflight": held}, {"inflight": held}, {"queue": held, "util": 0.5, "x": 1.0}]
-        report = self.rng.choice([*figures, {"inflight": math.nan}])
-        spent = self.rng.choice([self.now - sent] * 99 + [math.nan])
-        self.step("outcome", *attempt, status, spent, attempt[0] in self.ended, report)
+        load = float(server.in_flight)
+        reports = [None, {"inflight": load}, {"inflight": load}, {"queue": load, "util": 0.5, "x": 1.0}]
+        report = self.rng.choice([*reports, {"inflight": math.nan}])
+        elapsed = self.rng.choice([self.now - sent_at] * 99 + [math.nan])
+        self.step("outcome", *attempt, outcome, elapsed, attempt[0] in self.ended, report)
 
-    def on_cancel(self, number, hop):
-        self.later(0.3, "end_attempt", (number, hop), CANCELLED, birth=self.births)
+    def on_cancel(self, number, index):
+        self.call_after(0.3, "end_attempt", (number, index), CANCELLED, incarnation=self.incarnation)
 
     def on_refuse(self, number, retry_after):
         self.ended.add(number)
         if self.rng.random() < 0.3:
-            self.later(60.0 + retry_after, "send_request", birth=self.births)
+            self.call_after(60.0 + retry_after, "send_request", incarnation=self.incarnation)
 
     def on_fail(self, number):
         self.ended.add(number)
 
     def on_timer(self, delay, token, request):
-        self.later(max(delay, 0.01), "timer_due", token, birth=self.births)
+        self.call_after(max(delay, 0.01), "timer_due", token, incarnation=self.incarnation)
 
     def timer_due(self, token):
         self.step("timer", token)
 
-    # --- what changes nothing today, and what names nothing that is known
+    # --- events that have no effect, and events about unknown requests and timers
 
     def peer_message(self):
         self.step("peer_message", self.rng.randrange(20), self.rng.randbytes(8))
 
     def check_health(self):
-        status, held = self.rng.choice([OK, OK, FULL, TIMEOUT]), {"inflight": 4.0}
-        self.step("probe_result", self.rng.choice(self.servers).name, status, 2.0, held)
+        outcome, report = self.rng.choice([OK, OK, REJECTED, TIMEOUT]), {"inflight": 4.0}
+        self.step("probe_result", self.rng.choice(self.servers).name, outcome, 2.0, report)
 
-    def name_unknown(self):
+    def send_unknown(self):
+        """Pass events about a request, a timer and a class that the balancer does not know."""
         number = 2**40 + next(self.order)
         self.step("client_gone", number)
         self.step("outcome", number, 0, OK, 1.0, True, None)
@@ -538,25 +551,25 @@
 
 
 def trace(seed):
-    """The trace of one day, of the decision package that is importable here."""
+    """Return the trace of one day with the balancer package that can be imported in this process."""
     return Day(Revision(), seed).run()
 
 
 def digest(text):
-    """A short name for a trace."""
+    """Return a hash that identifies a trace."""
     return hashlib.blake2b(text.encode(), digest_size=16).hexdigest()
 
 
-def fixed_cost(seeds):
-    """Processor seconds that the decisions of these days take."""
+def cpu_cost(seeds):
+    """Return the processor seconds that the balancer uses on the days of the first `seeds` seeds."""
     days = [Day(Revision(), seed) for seed in range(seeds)]
     for day in days:
         day.run()
-    return sum(day.spent_cpu for day in days)
+    return sum(day.cpu_seconds for day in days)
 
 
-def _folder(stack, name):
-    """The folder of a revision, unpacked first if it is named by its commit."""
+def _unpacked_folder(stack, name):
+    """Return the folder of a revision; unpack the revision if `name` is no folder."""
     if Path(name).is_dir():
         return str(Path(name).resolve())
     archive = subprocess.run(["git", "archive", name], capture_output=True, check=True).stdout
@@ -566,26 +579,26 @@
     return folder
 
 
-def _played(folder, *words):
-    """What this script prints in a process that imports the revision in `folder`."""
+def _run_with(folder, *arguments):
+    """Return the output of this script in a process that imports the revision in `folder`."""
     env = {**os.environ, "PYTHONPATH": folder, "PYTHONHASHSEED": "0"}
-    command = [sys.executable, "-P", str(Path(__file__).resolve()), *words]
+    command = [sys.executable, "-P", str(Path(__file__).resolve()), *arguments]
     return subprocess.run(command, capture_output=True, text=True, check=True, env=env, cwd=folder).stdout
 
 
 def _differs(seed, old, new):
-    """Say whether two traces of a day are the same, and where they part; whether they differ."""
+    """Return whether two traces of a day differ, and print where the difference begins."""
     if old == new:
         print(f"seed {seed}: same, {len(old.splitlines())} lines, {digest(old)}")
         return False
     pairs = itertools.zip_longest(old.splitlines(), new.splitlines(), fillvalue="(ends)")
-    number, (was, now) = next((n, pair) for n, pair in enumerate(pairs, 1) if pair[0] != pair[1])
-    print(f"seed {seed}: differs from line {number} on\n  old {was}\n  new {now}")
+    number, (old_line, new_line) = next((n, pair) for n, pair in enumerate(pairs, 1) if pair[0] != pair[1])
+    print(f"seed {seed}: differs from line {number} on\n  old {old_line}\n  new {new_line}")
     return True
 
 
 def main():
-    """Compare two revisions, or (for the processes that this starts) play one."""
+    """Compare two revisions, or play one in a process that a comparison has started."""
     parser = argparse.ArgumentParser(description=__doc__.partition("\n")[0])
     parser.add_argument("revisions", nargs="*", metavar="REVISION")
     parser.add_argument("--seeds", type=int, default=SEEDS)
@@ -597,18 +610,18 @@
         sys.stdout.write(trace(options.play))
         return 0
     if options.cost:
-        print(fixed_cost(options.seeds))
+        print(cpu_cost(options.seeds))
         return 0
     if len(options.revisions) != 2:
-        parser.error("two revisions are compared")
+        parser.error("exactly two revisions are required")
     with contextlib.ExitStack() as stack:
-        folders = [_folder(stack, name) for name in options.revisions]
-        pairs = ((seed, *(_played(f, "--play", str(seed)) for f in folders)) for seed in range(options.seeds))
+        folders = [_unpacked_folder(stack, name) for name in options.revisions]
+        pairs = ((seed, *(_run_with(f, "--play", str(seed)) for f in folders)) for seed in range(options.seeds))
         differing = sum([_differs(*pair) for pair in pairs])
-        costs = [[], []]
+        costs = [[], []]  # Processor seconds of each measurement, for each revision
         for _ in range(options.times):
             for folder, taken in zip(folders, costs, strict=True):
-                taken.append(float(_played(folder, "--cost", "--seeds", str(options.seeds))))
+                taken.append(float(_run_with(folder, "--cost", "--seeds", str(options.seeds))))
         for name, taken in zip(options.revisions, costs, strict=True):
             if taken:
                 print(f"{name}: least {min(taken):.3f} s, median {statistics.median(taken):.3f} s of CPU")
--- a/tests/support/helpers.py
+++ b/tests/support/helpers.py
@@ -13,6 +13,7 @@
 
 ActionType = TypeVar("ActionType", bound=Action)
 
+# Request classes by name, in the JSON form of the settings.
 CLASSES = {
     "safe": {"Semantics": "pure", "Objective": 200.0, "Deadline": 1000.0},
     "keyed": {
@@ -23,16 +24,16 @@
         "Deadline": 1000.0,
     },
     "unsafe": {"Semantics": "side_effect", "Objective": 200.0, "Deadline": 1000.0},
-    # Answers after the objective count by half.
+    # A class whose answers after the latency objective count with half of their weight.
     "late": {"Semantics": "pure", "Objective": 200.0, "Deadline": 1000.0, "LateWorth": 0.5},
 }
 
-# A change of the settings: answers report the requests in flight at their server.
+# Settings with which answers contain load reports that state the requests in flight at their server.
 LOAD_REPORTS = {"Report": {"How": "inline", "Fields": ["inflight"]}}
 
 
 def raw_settings(*names: str, **changes: Any) -> dict[str, Any]:
-    """Return settings in their form on the wire, with the named classes; `changes` replace whole members."""
+    """Return settings in their JSON form with the classes in `names`; `changes` replace whole members."""
     raw: dict[str, Any] = {
         "Profiles": [dict(CLASSES[name]) for name in names or ("safe",)],
         "FailureDomains": ["left", "right"],
@@ -43,15 +44,15 @@
 
 
 def endpoint_entries(count: int, **changes: Any) -> list[EndpointEntry]:
-    """Return the entries of `count` active servers, two in each cell, in one zone unless `changes` say so."""
+    """Return the entries of `count` active servers, two per cell; `changes` are fields of all entries."""
     return [EndpointEntry(f"s{number}", cell=number // 2, **changes) for number in range(count)]
 
 
 def make_balancer(*names: str, servers: int = 6, now: float = 0.0, seed: int = 1, **changes: Any) -> Balancer:
-    """Return a balancer with the named classes that has its remembered list."""
-    made = Balancer(now, Settings.parse(raw_settings(*names, **changes)), seed)
-    made.step(now, EndpointListReceived(ListForm.CONFIGURED, endpoint_entries(servers)))
-    return made
+    """Return a balancer with the classes in `names` that has received its configured endpoint list."""
+    balancer = Balancer(now, Settings.parse(raw_settings(*names, **changes)), seed)
+    balancer.step(now, EndpointListReceived(ListForm.CONFIGURED, endpoint_entries(servers)))
+    return balancer
 
 
 def request_arrival(request: int, now: float = 0.0, request_class: int = 0, left: float = 1000.0) -> RequestArrived:
@@ -62,7 +63,10 @@
 def attempt_answered(
     request: int, elapsed: float, *, attempt: int = 0, in_flight: float | None = None
 ) -> AttemptEnded:
-    """Return the end of an attempt whose answer went to the client, with its load report if there is one."""
+    """Return the end of an attempt whose answer was sent to the client.
+
+    `in_flight` is the number of requests in flight in its load report; None stands for no load report.
+    """
     return AttemptEnded(
         request,
         attempt,
@@ -74,36 +78,36 @@
 
 
 def serve_requests(
-    made: Balancer,
+    balancer: Balancer,
     count: int,
     answer: Callable[[str], tuple[Outcome, float]],
     now: float = 0.0,
     interval: float = 50.0,
 ) -> Counter[str]:
-    """Send `count` requests, each `interval` milliseconds after the one before; return the sends by server.
+    """Pass `count` requests to a balancer at an interval in milliseconds; return the attempts by server.
 
-    `answer(server)` gives the outcome of each attempt and the time that it took, in milliseconds.
+    `answer(server)` returns the outcome of each attempt and its elapsed time in milliseconds.
     """
-    sends: Counter[str] = Counter()
+    attempts_by_server: Counter[str] = Counter()
     for number in range(count):
         now += interval
-        actions = made.step(now, request_arrival(number, now)._replace(work=10.0))
+        actions = balancer.step(now, request_arrival(number, now)._replace(work=10.0))
         attempt = 0
-        while sent := of_type(actions, SendAttempt):
-            (send,) = sent
-            sends[send.server] += 1
+        while sends := of_type(actions, SendAttempt):
+            (send,) = sends
+            attempts_by_server[send.server] += 1
             outcome, elapsed = answer(send.server)
             ended = outcome == Outcome.OK
-            actions = made.step(now, AttemptEnded(number, attempt, outcome, elapsed, request_ended=ended))
+            actions = balancer.step(now, AttemptEnded(number, attempt, outcome, elapsed, request_ended=ended))
             attempt += 1
-    return sends
+    return attempts_by_server
 
 
-def make_selector(made: Balancer) -> Selector:
-    """Return a selector over the parts of a balancer."""
-    return Selector(made.settings, made.components)
+def make_selector(balancer: Balancer) -> Selector:
+    """Return a new selector that uses the components of a balancer."""
+    return Selector(balancer.settings, balancer.components)
 
 
 def of_type(actions: list[Action], kind: type[ActionType]) -> list[ActionType]:
-    """Return the actions of one kind, in order."""
+    """Return the actions of one type, in their order."""
     return [action for action in actions if isinstance(action, kind)]
