--- a/brassfall/balancer/ejection.py
+++ b/brassfall/balancer/ejection.py
@@ -23,12 +23,14 @@
 # servers.
 MAX_EJECTED_SHARE = 0.5
 
-# A server is ejected if its share of faults exceeds `FAULT_MARGIN` plus `FAULT_MULTIPLE` times the share of
-# the whole service. Weight of the past in a server's share of faults; the newest fault has the remaining
-# weight.
+# Weight of the past in a server's share of faults; the newest fault has the remaining weight.
 FAULT_MEMORY = 0.7
+# A server is ejected if its share of faults exceeds `FAULT_MARGIN` plus `FAULT_MULTIPLE` times the share of
+# the whole service.
 FAULT_MULTIPLE = 1.5
-FAULT_MARGIN = 0.35  # More than a single fault adds to a share of 0, because one fault is no evidence
+# Larger than the share of faults that a single fault causes, because one fault gives no evidence about a
+# server.
+FAULT_MARGIN = 0.35
 
 
 class OutlierEjector:
--- a/brassfall/balancer/endpoints.py
+++ b/brassfall/balancer/endpoints.py
@@ -19,7 +19,7 @@
 SERVERS_PER_REQUEST_IN_FLIGHT = 2  # Number of servers by which each request in flight widens the subset
 GOLDEN_RATIO = (math.sqrt(5.0) - 1.0) / 2.0  # Factor that spreads the sidecars' start positions over the ring
 FORGET_MS = 600000.0  # Time in milliseconds after which the record of a server that left the list is dropped
-MOST_SERVERS_MEMORY = 0.98  # Factor by which the recent maximum number of servers decays with each list
+MAX_SERVERS_MEMORY = 0.98  # Factor by which the recent maximum number of servers decays with each list
 
 
 class Endpoints:
@@ -141,4 +141,4 @@
         self.remote_servers = [server for server in self.ring if server.zone != self._locality]
         self._groups = {}
         self.max_weight = max((server.weight for server in self.ring), default=1.0)
-        self.recent_max_servers = max(1.0, len(self.ring), MOST_SERVERS_MEMORY * self.recent_max_servers)
+        self.recent_max_servers = max(1.0, len(self.ring), MAX_SERVERS_MEMORY * self.recent_max_servers)
--- a/brassfall/balancer/overload.py
+++ b/brassfall/balancer/overload.py
@@ -41,7 +41,7 @@
         """Create the estimator without load reports; `rate` is the send rate of the same balancer."""
         self._rate = rate
         usable_fields = {"inflight", "queue"} & set(settings.report_fields)
-        # True if answers report load.
+        # True if answers contain load reports with at least one usable field.
         self.has_load_reports = settings.report_how == ReportMode.INLINE and bool(usable_fields)
         self._mean_reported_load = 0.0  # Moving average of the load reports of all servers
         self.slowness = SLOW_SHARE  # Mean time of answers, as a share of their latency objective
--- a/brassfall/balancer/selection.py
+++ b/brassfall/balancer/selection.py
@@ -14,15 +14,17 @@
 SAMPLES = 16  # Largest number of servers sampled for one request
 WIDE_SAMPLES = 4  # Number of samples, the last ones, that are taken from all servers instead of the subset
 
-# All loads are in the unit of one request in flight at a server. Load of one of this sidecar's own attempts
-# in flight, relative to one reported request. It is above 1 because the other sidecars decide in the same
-# way.
+# The unit of all loads is one request in flight at a server.
+
+# Load of one of this sidecar's own attempts in flight, relative to one reported request. It is above 1
+# because the other sidecars decide in the same way.
 OWN_WEIGHT = 4.0
 # Load of a server that always fails, which decides between servers without requests in flight.
 FAULT_LOAD = 8.0
 STALL_LOAD = 8.0  # Load of a server with an attempt that may hang
 
-# If new connections fail, servers without an idle connection count as more loaded.
+# While new connections fail, servers without an idle connection count as more loaded than others.
+
 # Share of failing new connections without effect; a single crash can cause as much.
 MIN_CONNECT_FAILURES = 0.3
 CONNECT_LOAD = 30.0  # Load of a server without an idle connection if all new connections fail
@@ -65,7 +67,7 @@
     )
 
     def __init__(self, settings: Settings, components: Components) -> None:
-        """Use the parts of one balancer."""
+        """Create the selector for the components of one balancer."""
         self._rng = components.rng
         self._endpoints = components.endpoints
         self._zones = components.zone_spillover
--- a/brassfall/settings.py
+++ b/brassfall/settings.py
@@ -61,14 +61,14 @@
 class GuardSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Condition under which the expiry of many leases counts as a fault of the network.
 
-    Then the entries with expired leases are kept for a limited time.
+    Entries whose leases end under this condition are kept for a limited time.
     """
 
     # Share of the leases whose expiry within `window_ms` counts as a fault of the network.
     share: float = 0.25
     least: int = 2  # Smallest number of expired leases that counts as a fault of the network
     window_ms: int = 10_000  # Length of the window in which expired leases are counted
-    keep_ms: int = 60_000  # Longest time for which entries with expired leases are kept
+    keep_ms: int = 60_000  # Longest time for which an entry is kept after the end of its lease
 
 
 class LeaseSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
