--- a/brassfall/balancer/balancer.py
+++ b/brassfall/balancer/balancer.py
@@ -24,10 +24,10 @@
     CANCELLED,
     CONNECT_FAILED,
     ERROR,
-    REJECTED,
     NO_SERVER,
     OK,
     QUEUED_TOO_LONG,
+    REJECTED,
     RESET,
     SHED,
     THROTTLED,
@@ -161,7 +161,7 @@
             raise ValueError(message)
         request = self._requests[event.request] = self._new_request(now, event)
         self._paces.count_arrival(request.work)
-        request.over_quota = self._shedder.arrive(
+        request.over_quota = self._shedder.count_arrival(
             request.request_class,
             request.profile.priority_weight,
             request.work,
--- a/brassfall/balancer/learning.py
+++ b/brassfall/balancer/learning.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from brassfall.balancer.components import Components
-from brassfall.balancer.model import REJECTED, OK, TIMEOUT, Outcome
+from brassfall.balancer.model import OK, REJECTED, TIMEOUT, Outcome
 from brassfall.balancer.records import EVIDENCE, Attempt, Request
 
 # Part of an accept that the throttle counts for an answer after its latency objective, which shows that the
--- a/brassfall/balancer/overload.py
+++ b/brassfall/balancer/overload.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 
 from brassfall.balancer.load_shedding import SHED_FADE_MS, SHED_GAIN
-from brassfall.balancer.model import REJECTED, OK, TIMEOUT, Outcome
+from brassfall.balancer.model import OK, REJECTED, TIMEOUT, Outcome
 from brassfall.balancer.rates import RATE_MS, SendRate
 from brassfall.balancer.records import Server
 from brassfall.balancer.settings import ReportMode, Settings
--- a/brassfall/balancer/records.py
+++ b/brassfall/balancer/records.py
@@ -6,7 +6,7 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from brassfall.balancer.model import CONNECT_FAILED, ERROR, REJECTED, OK, RESET, TIMEOUT, EndpointEntry
+from brassfall.balancer.model import CONNECT_FAILED, ERROR, OK, REJECTED, RESET, TIMEOUT, EndpointEntry
 from brassfall.balancer.pace import Pace
 from brassfall.balancer.settings import ZONE, KeyScope, Profile, Settings
 
--- a/brassfall/balancer/selection.py
+++ b/brassfall/balancer/selection.py
@@ -187,9 +187,9 @@
             # capacity: after slow answers, all servers may seem slow.
             now = search.now
             warm = (server for server in declined if self._slow_start.capacity_share(now, server) >= 1.0)
-            found = [
-                server for server in warm if self._can_take(search, server, search.tried_servers)
-            ][:CANDIDATES]
+            found = [server for server in warm if self._can_take(search, server, search.tried_servers)][
+                :CANDIDATES
+            ]
         return found
 
     def _sampling_ring(self, search: Search, zone: int | None) -> list[Server]:
--- a/brassfall/lab/sim/sidecar.py
+++ b/brassfall/lab/sim/sidecar.py
@@ -14,23 +14,23 @@
 from brassfall.balancer.model import (
     ABANDONED,
     CANCELLED,
-    REJECTED,
     OK,
+    REJECTED,
     TIMEOUT,
     CancelAttempt,
+    CheckServerHealth,
     CloseIdleConnections,
+    EndpointEntry,
     FailRequest,
     FetchEndpointList,
     ListForm,
-    EndpointEntry,
-    WriteLog,
     Outcome,
-    CheckServerHealth,
     RefuseRequest,
     SendAttempt,
     StartTimer,
     TimerToken,
     WatchEndpointList,
+    WriteLog,
 )
 from brassfall.lab.day import Day
 from brassfall.lab.ledger import LedgerWriter
--- a/brassfall/lab/sim/world.py
+++ b/brassfall/lab/sim/world.py
@@ -16,7 +16,7 @@
 from itertools import count
 from typing import Any, NamedTuple
 
-from brassfall.balancer.model import CONNECT_FAILED, ERROR, REJECTED, OK, RESET, TIMEOUT, Outcome
+from brassfall.balancer.model import CONNECT_FAILED, ERROR, OK, REJECTED, RESET, TIMEOUT, Outcome
 from brassfall.controlplane.registry.membership import Membership
 from brassfall.lab import ledger
 from brassfall.lab.day import Day
--- a/brassfall/sidecar/discovery/channel.py
+++ b/brassfall/sidecar/discovery/channel.py
@@ -21,7 +21,11 @@
 from brassfall.sidecar.config_values import Address
 
 # A change counts as notified after this; the waits before calls and their time limits are parts of it.
-NOTIFIED_S, SPARE_S, CALL_S = LIST_CHANGE_DEADLINE_MS / 1000.0, LOOP_LAG_ALLOWANCE_MS / 1000.0, DISCOVERY_CALL_TIMEOUT_MS / 1000.0
+NOTIFIED_S, SPARE_S, CALL_S = (
+    LIST_CHANGE_DEADLINE_MS / 1000.0,
+    LOOP_LAG_ALLOWANCE_MS / 1000.0,
+    DISCOVERY_CALL_TIMEOUT_MS / 1000.0,
+)
 # A pushed list counts from the moment the agent has it, except that sends may go wrong for half a second:
 # within that the watch has to be open again once the agent can be reached.
 BACKOFF_S, SPREAD = 0.1, 0.5
--- a/tests/balancer/test_answers.py
+++ b/tests/balancer/test_answers.py
@@ -6,7 +6,7 @@
 
 from brassfall.balancer.events import AttemptEnded, EndpointListReceived
 from brassfall.balancer.model import ListForm, Outcome, RefuseRequest, SendAttempt
-from tests.support.helpers import attempt_answered, request_arrival, make_balancer, of_type
+from tests.support.helpers import attempt_answered, make_balancer, of_type, request_arrival
 
 
 @pytest.mark.parametrize(
@@ -29,7 +29,9 @@
     (send,) = of_type(balancer.step(300.0, request_arrival(2, 300.0)), SendAttempt)
     balancer.step(310.0, EndpointListReceived(ListForm.COMPLETE, []))
     # A retry of the second request can still be served in time.
-    assert balancer.step(320.0, AttemptEnded(send.request, 0, Outcome.REJECTED, 20.0)) == [RefuseRequest(2, 20.0)]
+    assert balancer.step(320.0, AttemptEnded(send.request, 0, Outcome.REJECTED, 20.0)) == [
+        RefuseRequest(2, 20.0)
+    ]
 
 
 def test_after_a_server_did_not_answer_idempotent_requests_get_a_shorter_time_out():
@@ -43,10 +45,14 @@
     (silent,) = of_type(balancer.step(200.0, request_arrival(50, 200.0)), SendAttempt)
     balancer.step(1200.0, AttemptEnded(50, 0, Outcome.TIMEOUT, 1000.0))
     (after_one_fault,) = of_type(balancer.step(1300.0, request_arrival(51, 1300.0)), SendAttempt)
-    assert after_one_fault.timeout == 1000.0, "one missing answer may have been caused by a burst of this sidecar"
+    assert after_one_fault.timeout == 1000.0, (
+        "one missing answer may have been caused by a burst of this sidecar"
+    )
     balancer.step(1330.0, attempt_answered(51, 30.0))
     for _ in range(2):
-        balancer.components.ejector.count_fault(1400.0, balancer.components.endpoints.servers[silent.server], silent=True)
+        balancer.components.ejector.count_fault(
+            1400.0, balancer.components.endpoints.servers[silent.server], silent=True
+        )
     (after_more_faults,) = of_type(balancer.step(1500.0, request_arrival(2, 1500.0)), SendAttempt)
     assert after_more_faults.timeout < 300.0
 
--- a/tests/balancer/test_discovery_calls.py
+++ b/tests/balancer/test_discovery_calls.py
@@ -13,7 +13,9 @@
     delays = set()
     for seed in range(20):
         balancer = Balancer(0.0, Settings.parse(raw), seed)
-        (timer,) = of_type(balancer.step(0.0, EndpointListReceived(ListForm.CONFIGURED, endpoint_entries(3))), StartTimer)
+        (timer,) = of_type(
+            balancer.step(0.0, EndpointListReceived(ListForm.CONFIGURED, endpoint_entries(3))), StartTimer
+        )
         delays.add(timer.delay)
         assert balancer.step(timer.delay, TimerDue(timer.token)) == [WatchEndpointList(True)]
         (retry,) = of_type(balancer.step(3000.0, DiscoveryFailed()), StartTimer)
@@ -27,7 +29,9 @@
     raw = raw_settings("safe", Discovery="subscribe", Rules={"AskWithin": 10_000.0})
     for seed in range(20):
         balancer = Balancer(0.0, Settings.parse(raw), seed)
-        (first,) = of_type(balancer.step(0.0, EndpointListReceived(ListForm.CONFIGURED, endpoint_entries(3))), StartTimer)
+        (first,) = of_type(
+            balancer.step(0.0, EndpointListReceived(ListForm.CONFIGURED, endpoint_entries(3))), StartTimer
+        )
         now, token = 0.0, first.token
         for _ in range(10):
             assert balancer.step(now, TimerDue(token)) == [WatchEndpointList(True)]
--- a/tests/balancer/test_ejection.py
+++ b/tests/balancer/test_ejection.py
@@ -8,12 +8,14 @@
 
 from brassfall.balancer.events import AttemptEnded, ClientLeft, EndpointListReceived, TimerDue
 from brassfall.balancer.model import ListForm, Outcome, SendAttempt, StartTimer
-from tests.support.helpers import attempt_answered, request_arrival, make_balancer, of_type, serve_requests
+from tests.support.helpers import attempt_answered, make_balancer, of_type, request_arrival, serve_requests
 
 
 def test_a_server_that_fails_quickly_is_not_preferred():
     balancer = make_balancer("safe", servers=8)
-    sends = serve_requests(balancer, 200, lambda server: (Outcome.ERROR, 1.0) if server == "s0" else (Outcome.OK, 20.0))
+    sends = serve_requests(
+        balancer, 200, lambda server: (Outcome.ERROR, 1.0) if server == "s0" else (Outcome.OK, 20.0)
+    )
     assert sends["s0"] < 0.25 * 200 / 8
     assert balancer.components.throttle.refusal_probability(10_000.0) == 0.0
 
@@ -86,7 +88,9 @@
         for send in of_type(balancer.step(now, request_arrival(number, now)), SendAttempt):
             attempts[send.server] += 1
             outcome = Outcome.REJECTED if send.server == "s0" else Outcome.OK
-            balancer.step(now + 2.0, AttemptEnded(number, 0, outcome, 2.0, request_ended=outcome == Outcome.OK))
+            balancer.step(
+                now + 2.0, AttemptEnded(number, 0, outcome, 2.0, request_ended=outcome == Outcome.OK)
+            )
     assert attempts["s0"] < 20
 
 
--- a/tests/balancer/test_endurance.py
+++ b/tests/balancer/test_endurance.py
@@ -45,7 +45,9 @@
         if not listed and now >= started:
             listed = True
             for balancer in balancers:
-                balancer.step(now, EndpointListReceived(ListForm.CHANGES, [EndpointEntry("s0", started=started)]))
+                balancer.step(
+                    now, EndpointListReceived(ListForm.CHANGES, [EndpointEntry("s0", started=started)])
+                )
         while pending and pending[0][0] <= now:
             at, balancer, request = pending.pop(0)
             balancer.step(at, attempt_answered(request, 60.0))
@@ -91,7 +93,9 @@
         balancer.step(now + 6.0, ClientLeft(wave))
         for attempt in range(1, 4):
             balancer.step(now + 7.0, AttemptEnded(wave, attempt, Outcome.CANCELLED, 2.0, request_ended=True))
-        balancer.step(now + 10.0, EndpointListReceived(ListForm.CHANGES, [EndpointEntry(f"n{wave}", state="left")]))
+        balancer.step(
+            now + 10.0, EndpointListReceived(ListForm.CHANGES, [EndpointEntry(f"n{wave}", state="left")])
+        )
     assert len(balancer.components.endpoints.servers) < 40
     assert len(balancer.components.ejector.ejected) < 40 and not balancer.open_requests
 
--- a/tests/balancer/test_heavy.py
+++ b/tests/balancer/test_heavy.py
@@ -7,7 +7,14 @@
 from brassfall.balancer import Settings
 from brassfall.balancer.events import SettingsReloaded
 from brassfall.balancer.model import RefusalReason, SendAttempt
-from tests.support.helpers import LOAD_REPORTS, attempt_answered, request_arrival, make_balancer, of_type, raw_settings
+from tests.support.helpers import (
+    LOAD_REPORTS,
+    attempt_answered,
+    make_balancer,
+    of_type,
+    raw_settings,
+    request_arrival,
+)
 
 SHORT = {"Semantics": "pure", "Objective": 250.0, "Deadline": 360.0}
 LONG = {"Semantics": "pure", "Objective": 2000.0, "Deadline": 4000.0}
@@ -38,7 +45,9 @@
     """Pass 20 requests of a class to a balancer; return how many are too heavy, and how many are sent."""
     refused_before, sent = balancer.refusals[RefusalReason.TOO_HEAVY], 0
     for number in range(1000, 1020):
-        sent += len(of_type(balancer.step(now, request_arrival(number, now, request_class, left=4000.0)), SendAttempt))
+        sent += len(
+            of_type(balancer.step(now, request_arrival(number, now, request_class, left=4000.0)), SendAttempt)
+        )
     return balancer.refusals[RefusalReason.TOO_HEAVY] - refused_before, sent
 
 
--- a/tests/balancer/test_idle_connections.py
+++ b/tests/balancer/test_idle_connections.py
@@ -3,8 +3,16 @@
 from __future__ import annotations
 
 from brassfall.balancer.events import AttemptEnded, EndpointListReceived, TimerDue
-from brassfall.balancer.model import CloseIdleConnections, IdleCloseTimer, ListForm, EndpointEntry, Outcome, SendAttempt, StartTimer
-from tests.support.helpers import attempt_answered, request_arrival, make_balancer, of_type
+from brassfall.balancer.model import (
+    CloseIdleConnections,
+    EndpointEntry,
+    IdleCloseTimer,
+    ListForm,
+    Outcome,
+    SendAttempt,
+    StartTimer,
+)
+from tests.support.helpers import attempt_answered, make_balancer, of_type, request_arrival
 
 
 def test_idle_connections_to_a_draining_server_are_closed_also_after_a_late_outcome():
@@ -39,4 +47,7 @@
     assert of_type(soon, SendAttempt) and not of_type(soon, CloseIdleConnections)
     balancer.step(2520.0, attempt_answered(3, 20.0))
     later = balancer.step(4500.0, request_arrival(4, 4500.0))
-    assert [type(a) for a in later if isinstance(a, CloseIdleConnections | SendAttempt)] == [CloseIdleConnections, SendAttempt]
+    assert [type(a) for a in later if isinstance(a, CloseIdleConnections | SendAttempt)] == [
+        CloseIdleConnections,
+        SendAttempt,
+    ]
--- a/tests/balancer/test_key_affinity.py
+++ b/tests/balancer/test_key_affinity.py
@@ -5,13 +5,15 @@
 from collections import Counter
 
 from brassfall.balancer.events import EndpointListReceived, RequestArrived
-from brassfall.balancer.model import ListForm, EndpointEntry, SendAttempt
-from tests.support.helpers import attempt_answered, make_balancer, endpoint_entries, of_type
+from brassfall.balancer.model import EndpointEntry, ListForm, SendAttempt
+from tests.support.helpers import attempt_answered, endpoint_entries, make_balancer, of_type
 
 
 def warm_keys_balancer(servers=30, me=0, seed=1, **changes):
     """Return a balancer of the sidecar `me` that prefers the servers that have a key cached."""
-    balancer = make_balancer("safe", servers=0, seed=seed, Domain={"WarmKeys": True}, Me=me, Balancers=40, **changes)
+    balancer = make_balancer(
+        "safe", servers=0, seed=seed, Domain={"WarmKeys": True}, Me=me, Balancers=40, **changes
+    )
     balancer.step(0.0, EndpointListReceived(ListForm.COMPLETE, endpoint_entries(servers)))
     return balancer
 
@@ -48,7 +50,9 @@
     servers = set()
     for seed in range(12):
         balancer = warm_keys_balancer(seed=seed)
-        balancer.step(0.0, EndpointListReceived(ListForm.CHANGES, [EndpointEntry(name, state="left") for name in gone]))
+        balancer.step(
+            0.0, EndpointListReceived(ListForm.CHANGES, [EndpointEntry(name, state="left") for name in gone])
+        )
         servers |= set(sends_for(balancer, key=key, count=1))
     return servers
 
--- a/tests/balancer/test_key_order.py
+++ b/tests/balancer/test_key_order.py
@@ -59,5 +59,7 @@
     for number in range(5):
         balancer.step(0.0, keyed_arrival(100 + number, key=number))
         balancer.step(150.0, attempt_answered(100 + number, 150.0))
-    refused = [n for n in range(40) if of_type(balancer.step(200.0, keyed_arrival(n, 200.0, key=99)), RefuseRequest)]
+    refused = [
+        n for n in range(40) if of_type(balancer.step(200.0, keyed_arrival(n, 200.0, key=99)), RefuseRequest)
+    ]
     assert refused and refused[0] < 10 and balancer.key_queues.length(99) < 10
--- a/tests/balancer/test_library.py
+++ b/tests/balancer/test_library.py
@@ -6,9 +6,22 @@
 import pytest
 
 from brassfall.balancer import Settings
-from brassfall.balancer.events import AttemptEnded, ClientLeft, EndpointListReceived, HealthCheckEnded, TimerDue
-from brassfall.balancer.model import ListForm, EndpointEntry, ObjectiveTimer, Outcome, SendAttempt
-from tests.support.helpers import attempt_answered, request_arrival, make_balancer, endpoint_entries, of_type, raw_settings
+from brassfall.balancer.events import (
+    AttemptEnded,
+    ClientLeft,
+    EndpointListReceived,
+    HealthCheckEnded,
+    TimerDue,
+)
+from brassfall.balancer.model import EndpointEntry, ListForm, ObjectiveTimer, Outcome, SendAttempt
+from tests.support.helpers import (
+    attempt_answered,
+    endpoint_entries,
+    make_balancer,
+    of_type,
+    raw_settings,
+    request_arrival,
+)
 
 README = Path(__file__).resolve().parents[2] / "README.md"
 
@@ -57,7 +70,10 @@
 
 def test_a_server_first_listed_in_a_change_is_used_according_to_its_state():
     balancer = make_balancer("safe", servers=0)
-    balancer.step(1.0, EndpointListReceived(ListForm.CHANGES, [EndpointEntry("new"), EndpointEntry("old", state="left")]))
+    balancer.step(
+        1.0,
+        EndpointListReceived(ListForm.CHANGES, [EndpointEntry("new"), EndpointEntry("old", state="left")]),
+    )
     (send,) = of_type(balancer.step(2.0, request_arrival(1)), SendAttempt)
     assert send.server == "new"
 
@@ -72,7 +88,12 @@
 @pytest.mark.parametrize("value", [float("nan"), float("inf"), -float("inf")])
 def test_values_that_are_not_finite_do_not_prevent_requests_from_being_served(value):
     balancer = make_balancer("safe", servers=0)
-    balancer.step(0.0, EndpointListReceived(ListForm.COMPLETE, [EndpointEntry("a", weight=value, started=value), EndpointEntry("b")]))
+    balancer.step(
+        0.0,
+        EndpointListReceived(
+            ListForm.COMPLETE, [EndpointEntry("a", weight=value, started=value), EndpointEntry("b")]
+        ),
+    )
     for number in range(30):
         now = 10.0 * number
         request = request_arrival(number, now)._replace(give_up_at=value, work=value, key=number)
--- a/tests/balancer/test_overload.py
+++ b/tests/balancer/test_overload.py
@@ -6,7 +6,7 @@
 
 from brassfall.balancer.events import AttemptEnded, RequestArrived, TimerDue
 from brassfall.balancer.model import ObjectiveTimer, Outcome, SendAttempt, StartTimer
-from tests.support.helpers import LOAD_REPORTS, attempt_answered, request_arrival, make_balancer, of_type
+from tests.support.helpers import LOAD_REPORTS, attempt_answered, make_balancer, of_type, request_arrival
 
 
 def test_a_load_report_that_is_not_a_number_is_ignored():
@@ -28,7 +28,9 @@
             is_late = number % 6 == 0
             outcome = Outcome.TIMEOUT if is_late else Outcome.OK
             report = None if is_late else {"inflight": in_flight}
-            balancer.step(now + 50.0, AttemptEnded(number, 0, outcome, 50.0, request_ended=True, report=report))
+            balancer.step(
+                now + 50.0, AttemptEnded(number, 0, outcome, 50.0, request_ended=True, report=report)
+            )
     assert calm.components.shedder.probability(6000.0) < 0.2
     assert overloaded.components.shedder.probability(6000.0) > 0.5
 
@@ -75,7 +77,9 @@
                 outcome = Outcome.TIMEOUT if is_late else Outcome.OK
                 balancer.step(
                     now + elapsed,
-                    AttemptEnded(number, 0, outcome, elapsed, request_ended=not is_late, report={"inflight": 1.0}),
+                    AttemptEnded(
+                        number, 0, outcome, elapsed, request_ended=not is_late, report={"inflight": 1.0}
+                    ),
                 )
             samples.append(balancer.components.shedder.probability(now))
         probabilities.append(sum(samples) / len(samples))
@@ -109,7 +113,8 @@
             rejected = attempt == 0 and number % rejected_every == 0
             outcome, report = (Outcome.REJECTED, None) if rejected else (Outcome.OK, {"inflight": 1.0})
             actions = balancer.step(
-                now + 2.0, AttemptEnded(number, attempt, outcome, 2.0, request_ended=not rejected, report=report)
+                now + 2.0,
+                AttemptEnded(number, attempt, outcome, 2.0, request_ended=not rejected, report=report),
             )
             attempt += 1
     assert lowest <= balancer.components.shedder.probability(4000.0) <= highest
--- a/tests/balancer/test_recovery.py
+++ b/tests/balancer/test_recovery.py
@@ -10,7 +10,14 @@
 from brassfall.lab import day, ledger, spec
 from brassfall.lab.sim.sidecar import Sidecar
 from brassfall.lab.sim.world import World
-from tests.support.helpers import LOAD_REPORTS, attempt_answered, request_arrival, make_balancer, of_type, make_selector
+from tests.support.helpers import (
+    LOAD_REPORTS,
+    attempt_answered,
+    make_balancer,
+    make_selector,
+    of_type,
+    request_arrival,
+)
 
 # The reasons of the refusals that the balancer itself decides on, by their names in `REFUSALS`.
 LOCAL_REFUSALS = ("formula", "level", "heavy", "room", "line", "failed")
@@ -90,7 +97,10 @@
     assert balancer.refusals == dict.fromkeys(LOCAL_REFUSALS, 0) | {RefusalReason.NO_SERVER: 3}
     for _ in range(40):
         balancer.components.throttle.count_request(1.0, 0.0)
-    refused = sum(bool(of_type(balancer.step(1.0, request_arrival(number, 1.0)), RefuseRequest)) for number in range(10, 50))
+    refused = sum(
+        bool(of_type(balancer.step(1.0, request_arrival(number, 1.0)), RefuseRequest))
+        for number in range(10, 50)
+    )
     assert balancer.refusals[RefusalReason.THROTTLED] > 20 and sum(balancer.refusals.values()) == refused + 3
 
 
@@ -100,4 +110,6 @@
     known, unknown = balancer.components.endpoints.servers["s0"], balancer.components.endpoints.servers["s1"]
     for number in range(30):
         balancer.components.overload.observe_report(10.0 * number, known, {"inflight": 6.0})
-    assert make_selector(balancer).load(300.0, unknown) == pytest.approx(make_selector(balancer).load(300.0, known), rel=0.1)
+    assert make_selector(balancer).load(300.0, unknown) == pytest.approx(
+        make_selector(balancer).load(300.0, known), rel=0.1
+    )
--- a/tests/balancer/test_retry_windows.py
+++ b/tests/balancer/test_retry_windows.py
@@ -6,7 +6,7 @@
 
 from brassfall.balancer import Settings
 from brassfall.balancer.events import AttemptEnded, EndpointListReceived, RequestArrived, SettingsReloaded
-from brassfall.balancer.model import ListForm, EndpointEntry, Outcome, SendAttempt
+from brassfall.balancer.model import EndpointEntry, ListForm, Outcome, SendAttempt
 from tests.support.helpers import CLASSES, make_balancer, of_type, raw_settings
 
 NO_DEADLINE = float("inf")
--- a/tests/balancer/test_rules_property.py
+++ b/tests/balancer/test_rules_property.py
@@ -24,20 +24,20 @@
 )
 from brassfall.balancer.model import (
     CancelAttempt,
+    CheckServerHealth,
     CloseIdleConnections,
+    EndpointEntry,
     FailRequest,
     IdleCloseTimer,
     KeyPauseTimer,
     ListForm,
-    EndpointEntry,
     ObjectiveTimer,
     Outcome,
-    CheckServerHealth,
     QueueDeadlineTimer,
     RefuseRequest,
     SendAttempt,
-    SteeringDirectives,
     StartTimer,
+    SteeringDirectives,
     WatchEndpointList,
 )
 from brassfall.simulator import timer_token
@@ -215,7 +215,15 @@
         if action.server in self.drained_at:
             self.drained_at[action.server] = self.now
         index = len(attempts)
-        attempts.append({"sent_at": self.now, "entry": target, "in_flight": True, "outcome": None, "answer_started": False})
+        attempts.append(
+            {
+                "sent_at": self.now,
+                "entry": target,
+                "in_flight": True,
+                "outcome": None,
+                "answer_started": False,
+            }
+        )
         timeout = request["give_up_at"] - self.now
         if action.timeout > 0.0:
             timeout = min(timeout, action.timeout)
@@ -238,7 +246,8 @@
         shares = {z: draw([0.0, 0.3, 1.0, 5.0, -1.0, float("nan"), float("inf")]) for z in zones}
         excluded = frozenset(z for z in zones if self.rng.random() < 0.3)
         self.steer = SteeringDirectives(
-            draw([{}, shares]), {0: draw([{}, shares])}, {1: shares}, excluded, frozenset({f"s{draw(range(9))}"}),
+            draw([{}, shares]), {0: draw([{}, shares])}, {1: shares},
+            excluded, frozenset({f"s{draw(range(9))}"}),
             {1: draw([0.0, 3.0, float("nan"), -1.0])}, draw([0.0, 0.5, 1.0, 3.0]), draw([0.0, 0.5]),
         )  # fmt: skip
         self.apply(self.balancer.step(self.now, SteeringChanged(self.steer)))
@@ -302,9 +311,7 @@
             request["ended"] = True
         elapsed = self.now - attempt["sent_at"]
         report = {"inflight": 5.0, "x0": 1.0} if self.rng.random() < 0.5 else None
-        ended = AttemptEnded(
-            number, index, outcome, elapsed, request_ended=request["ended"], report=report
-        )
+        ended = AttemptEnded(number, index, outcome, elapsed, request_ended=request["ended"], report=report)
         self.apply(self.balancer.step(self.now, ended))
 
     def start_answer(self, number, index):
@@ -329,9 +336,7 @@
         outcome = self.rng.choice([Outcome.OK, Outcome.OK, Outcome.REJECTED, Outcome.TIMEOUT])
         report = {"inflight": self.rng.choice([0.0, 9.0, 300.0])}
         stated_report = report if outcome == Outcome.OK else None
-        self.apply(
-            self.balancer.step(self.now, HealthCheckEnded(server, outcome, TICK_MS, stated_report))
-        )
+        self.apply(self.balancer.step(self.now, HealthCheckEnded(server, outcome, TICK_MS, stated_report)))
 
     def close_client(self):
         """Let the client of a random open request leave, and a client of an unknown request."""
@@ -405,8 +410,8 @@
 
 STEPS = st.lists(
     st.sampled_from(
-        ["arrive", "arrive", "arrive", "burst", "short", "close_client", "change_server", "send_complete_list",
-         "wait", "long", "peer", "unknown", "restart", "refused", "replace_steering"]
+        ["arrive", "arrive", "arrive", "burst", "short", "close_client", "change_server",
+         "send_complete_list", "wait", "long", "peer", "unknown", "restart", "refused", "replace_steering"]
     ),
     max_size=40,
 )  # fmt: skip
--- a/tests/balancer/test_selection.py
+++ b/tests/balancer/test_selection.py
@@ -6,16 +6,16 @@
 
 from brassfall.balancer import Balancer, Settings
 from brassfall.balancer.events import AttemptEnded, EndpointListReceived
-from brassfall.balancer.model import ListForm, EndpointEntry, Outcome, CheckServerHealth, SendAttempt
+from brassfall.balancer.model import CheckServerHealth, EndpointEntry, ListForm, Outcome, SendAttempt
 from tests.support.helpers import (
     LOAD_REPORTS,
     attempt_answered,
-    request_arrival,
-    make_balancer,
     endpoint_entries,
+    make_balancer,
+    make_selector,
     of_type,
     raw_settings,
-    make_selector,
+    request_arrival,
     serve_requests,
 )
 
@@ -90,7 +90,9 @@
     for number in range(6):
         (send,) = of_type(balancer.step(10.0 * number, request_arrival(number)), SendAttempt)
         balancer.step(10.0 * number + 5.0, attempt_answered(number, 5.0, in_flight=in_flight[send.server]))
-    chosen = {of_type(balancer.step(70.0, request_arrival(100 + i, 70.0)), SendAttempt)[0].server for i in range(2)}
+    chosen = {
+        of_type(balancer.step(70.0, request_arrival(100 + i, 70.0)), SendAttempt)[0].server for i in range(2)
+    }
     assert chosen == {"s1"}
     reporting = balancer.components.endpoints.servers["s0"]
     assert make_selector(balancer).load(10_000.0, reporting) < make_selector(balancer).load(70.0, reporting)
@@ -99,7 +101,9 @@
 def balancer_with_priced_zones():
     """Return a balancer with two zones, where sending to the other zone has a price."""
     balancer = make_balancer("unsafe", servers=0, Prices={"CrossZone": 0.2})
-    balancer.step(0.0, EndpointListReceived(ListForm.COMPLETE, [EndpointEntry(f"s{i}", zone=i % 2) for i in range(8)]))
+    balancer.step(
+        0.0, EndpointListReceived(ListForm.COMPLETE, [EndpointEntry(f"s{i}", zone=i % 2) for i in range(8)])
+    )
     return balancer
 
 
@@ -112,14 +116,18 @@
             is_local = int(send.server[1:]) % 2 == 0
             attempts[is_local] += 1
             outcome = local_outcome(number) if is_local else Outcome.OK
-            balancer.step(at + 20.0, AttemptEnded(int(at), 0, outcome, 20.0, request_ended=outcome == Outcome.OK))
+            balancer.step(
+                at + 20.0, AttemptEnded(int(at), 0, outcome, 20.0, request_ended=outcome == Outcome.OK)
+            )
     return attempts[False] / max(1, sum(attempts.values()))
 
 
 def test_a_zone_with_a_price_gets_requests_only_while_the_own_zone_fails():
     balancer = balancer_with_priced_zones()
     assert cross_zone_share(balancer, 100, lambda n: Outcome.OK) == 0.0
-    assert cross_zone_share(balancer, 300, lambda n: Outcome.ERROR if n % 2 else Outcome.OK, now=50_000.0) > 0.2
+    assert (
+        cross_zone_share(balancer, 300, lambda n: Outcome.ERROR if n % 2 else Outcome.OK, now=50_000.0) > 0.2
+    )
 
 
 def test_a_retry_with_a_key_finds_its_group_in_a_large_fleet():
@@ -142,7 +150,10 @@
         connected.add(send.server)
         balancer.step(500.0 * number + 20.0, attempt_answered(number, 20.0))
     balancer.components.ejector.connect_failure_share = 0.9
-    sends = [of_type(balancer.step(3000.0 + n, request_arrival(50 + n, 3000.0)), SendAttempt)[0].server for n in range(2)]
+    sends = [
+        of_type(balancer.step(3000.0 + n, request_arrival(50 + n, 3000.0)), SendAttempt)[0].server
+        for n in range(2)
+    ]
     assert set(sends) <= connected
 
 
@@ -153,7 +164,9 @@
         (send,) = of_type(balancer.step(now, request_arrival(number, now)), SendAttempt)
         report = {"queue": 9.0 if send.server == "s0" else 0.0, "util": 0.5}
         balancer.step(now + 5.0, AttemptEnded(number, 0, Outcome.OK, 5.0, request_ended=True, report=report))
-    chosen = {of_type(balancer.step(70.0, request_arrival(100 + i, 70.0)), SendAttempt)[0].server for i in range(2)}
+    chosen = {
+        of_type(balancer.step(70.0, request_arrival(100 + i, 70.0)), SendAttempt)[0].server for i in range(2)
+    }
     assert chosen == {"s1"}
 
 
--- a/tests/balancer/test_slow_start.py
+++ b/tests/balancer/test_slow_start.py
@@ -7,8 +7,15 @@
 
 from brassfall.balancer import Balancer, Settings
 from brassfall.balancer.events import AttemptEnded, EndpointListReceived
-from brassfall.balancer.model import ListForm, EndpointEntry, Outcome, SendAttempt
-from tests.support.helpers import attempt_answered, request_arrival, make_balancer, endpoint_entries, of_type, raw_settings
+from brassfall.balancer.model import EndpointEntry, ListForm, Outcome, SendAttempt
+from tests.support.helpers import (
+    attempt_answered,
+    endpoint_entries,
+    make_balancer,
+    of_type,
+    raw_settings,
+    request_arrival,
+)
 
 
 def test_a_server_in_slow_start_gets_requests_in_proportion_to_its_capacity():
@@ -21,11 +28,16 @@
         sends[send.server] += 1
         balancer.step(now, attempt_answered(number, 0.1))
     assert 0 < sends["s0"] < 0.4 * 2000 / 10
-    assert balancer.components.slow_start.capacity_share(3000.0, balancer.components.endpoints.servers["s0"]) == 1.0
+    assert (
+        balancer.components.slow_start.capacity_share(3000.0, balancer.components.endpoints.servers["s0"])
+        == 1.0
+    )
 
 
 def warm(servers=30, me=0, seed=1, **changes):
-    balancer = make_balancer("safe", servers=0, seed=seed, Domain={"WarmKeys": True}, Me=me, Balancers=40, **changes)
+    balancer = make_balancer(
+        "safe", servers=0, seed=seed, Domain={"WarmKeys": True}, Me=me, Balancers=40, **changes
+    )
     balancer.step(0.0, EndpointListReceived(ListForm.COMPLETE, endpoint_entries(servers)))
     return balancer
 
@@ -41,7 +53,9 @@
             balancer.step(500.0 * step, request_arrival(number, 500.0 * step))
             balancer.step(500.0 * step + 20.0, attempt_answered(number, 20.0))
         gone = [EndpointEntry(f"s{i}", state="left") for i in range(1, 10)]
-        balancer.step(10_000.0, EndpointListReceived(ListForm.CHANGES, [*gone, EndpointEntry("s0", started=10_000.0)]))
+        balancer.step(
+            10_000.0, EndpointListReceived(ListForm.CHANGES, [*gone, EndpointEntry("s0", started=10_000.0)])
+        )
         for step in range(2):
             number += 1
             now = 10_010.0 + 500.0 * step
@@ -58,7 +72,8 @@
     balancer.step(
         0.0,
         EndpointListReceived(
-            ListForm.COMPLETE, [EndpointEntry("warm"), *[EndpointEntry(f"c{i}", started=1.0) for i in range(5)]]
+            ListForm.COMPLETE,
+            [EndpointEntry("warm"), *[EndpointEntry(f"c{i}", started=1.0) for i in range(5)]],
         ),
     )
     retries = 0
@@ -71,7 +86,10 @@
             is_ok = first.server != "warm"
             outcome = Outcome.OK if is_ok else Outcome.REJECTED
             retries += len(
-                of_type(balancer.step(now + 2.0, AttemptEnded(number, 0, outcome, 2.0, request_ended=is_ok)), SendAttempt)
+                of_type(
+                    balancer.step(now + 2.0, AttemptEnded(number, 0, outcome, 2.0, request_ended=is_ok)),
+                    SendAttempt,
+                )
             )
             balancer.step(now + 20.0, attempt_answered(number, 18.0, attempt=1))
     assert retries > 0
@@ -94,7 +112,9 @@
             if step == 200:
                 balancer.step(
                     now,
-                    EndpointListReceived(ListForm.CHANGES, [EndpointEntry(name, started=10_000.0) for name in joined]),
+                    EndpointListReceived(
+                        ListForm.CHANGES, [EndpointEntry(name, started=10_000.0) for name in joined]
+                    ),
                 )
             for send in of_type(balancer.step(now, request_arrival(step, now)), SendAttempt):
                 sent[send.server, int(now // 1000.0)] += 1
@@ -102,7 +122,9 @@
                 balancer.step(now + 20.0, attempt_answered(step, 20.0, in_flight=in_flight))
     # Between 2 s and 4 s after its start, a server has a fifth to a quarter of its full capacity.
     requests_in_window = {name: sent[name, 12] + sent[name, 13] for name in names}
-    warm_mean = sum(requests_in_window[name] for name in names if name not in joined) / (servers - joined_count)
+    warm_mean = sum(requests_in_window[name] for name in names if name not in joined) / (
+        servers - joined_count
+    )
     joined_mean = sum(requests_in_window[name] for name in joined) / joined_count
     assert joined_mean > 0.17 * warm_mean
     full = 2 * sidecars * 20 / servers  # Requests per server in two seconds if all servers are warmed up
--- a/tests/balancer/test_slow_start_fleet.py
+++ b/tests/balancer/test_slow_start_fleet.py
@@ -24,7 +24,15 @@
     SettingsReloaded,
     TimerDue,
 )
-from brassfall.balancer.model import FailRequest, ListForm, EndpointEntry, Outcome, RefuseRequest, SendAttempt, StartTimer
+from brassfall.balancer.model import (
+    EndpointEntry,
+    FailRequest,
+    ListForm,
+    Outcome,
+    RefuseRequest,
+    SendAttempt,
+    StartTimer,
+)
 from tests.support.helpers import attempt_answered, of_type, raw_settings
 
 # Settings of slow start: collapse multiple, time span, capacity share at the start and warm-up time.
@@ -152,7 +160,9 @@
         """Send a request or its retry to the sidecar `me`."""
         number = next(self.numbers)
         self.open_requests[number] = (first_sent_at, tries)
-        self.perform(now, me, self.balancers[me].step(now, RequestArrived(number, 0, first_sent_at + DEADLINE)))
+        self.perform(
+            now, me, self.balancers[me].step(now, RequestArrived(number, 0, first_sent_at + DEADLINE))
+        )
 
     def perform(self, now, me, actions):
         """Carry out the actions of the balancer of the sidecar `me`."""
@@ -238,7 +248,9 @@
         while now < start + age:
             if now >= start and not listed:
                 listed = True
-                balancer.step(now, EndpointListReceived(ListForm.CHANGES, [EndpointEntry("s0", started=start)]))
+                balancer.step(
+                    now, EndpointListReceived(ListForm.CHANGES, [EndpointEntry("s0", started=start)])
+                )
             for send in of_type(balancer.step(now, RequestArrived(number, 0, now + DEADLINE)), SendAttempt):
                 sent += [now] * (listed and send.server == "s0")
                 balancer.step(
@@ -248,9 +260,13 @@
             now, number = now + interval, number + 1
         now = start + age
         gone = [EndpointEntry(name, state="left") for name in names[1:]]
-        balancer.step(now, EndpointListReceived(ListForm.CHANGES, [EndpointEntry("s0", started=start), *gone]))
+        balancer.step(
+            now, EndpointListReceived(ListForm.CHANGES, [EndpointEntry("s0", started=start), *gone])
+        )
         for number in range(1000, 1005):
-            sent += [now] * len(of_type(balancer.step(now, RequestArrived(number, 0, now + DEADLINE)), SendAttempt))
+            sent += [now] * len(
+                of_type(balancer.step(now, RequestArrived(number, 0, now + DEADLINE)), SendAttempt)
+            )
     assert sum(at > start + age - SPAN for at in sent) <= allowed_requests(age, capacity_per_s / 1000.0)
 
 
--- a/tests/balancer/test_standing_module.py
+++ b/tests/balancer/test_standing_module.py
@@ -18,7 +18,7 @@
 
 from brassfall.balancer import Balancer, Settings
 from brassfall.balancer.events import AttemptEnded, EndpointListReceived, RequestArrived, TimerDue
-from brassfall.balancer.model import ListForm, EndpointEntry, Outcome, RefuseRequest, SendAttempt, StartTimer
+from brassfall.balancer.model import EndpointEntry, ListForm, Outcome, RefuseRequest, SendAttempt, StartTimer
 from tests.support.helpers import raw_settings
 
 # Settings of slow start, according to which the servers of the model collapse.
@@ -84,7 +84,9 @@
 
     def new_balancer(self, me, now, entries):
         """Return a new balancer of the sidecar `me` that has received `entries` as its endpoint list."""
-        balancer = Balancer(now, Settings.parse({**self.raw, "Me": me}), 1000 * self.rng.randrange(10**6) + me)
+        balancer = Balancer(
+            now, Settings.parse({**self.raw, "Me": me}), 1000 * self.rng.randrange(10**6) + me
+        )
         balancer.step(now, EndpointListReceived(ListForm.CONFIGURED, entries))
         return balancer
 
@@ -100,9 +102,7 @@
 
     def arrive(self, now, me):
         self.call_at(now + self.rng.expovariate(self.rates[me]), self.arrive, me)
-        request_class = self.rng.choices(
-            range(len(self.classes)), [each.share for each in self.classes]
-        )[0]
+        request_class = self.rng.choices(range(len(self.classes)), [each.share for each in self.classes])[0]
         tenant = self.rng.choices(range(len(self.tenants)), self.tenants)[0] if self.tenants else 0
         self.arrived[request_class] += 1
         self.arrived["tenant", tenant] += 1
@@ -121,9 +121,7 @@
             if isinstance(action, SendAttempt):
                 self.start_attempt(now, me, action)
             elif isinstance(action, StartTimer):
-                self.call_at(
-                    now + action.delay, self.expire_timer, me, self.balancers[me], action.token
-                )
+                self.call_at(now + action.delay, self.expire_timer, me, self.balancers[me], action.token)
             elif isinstance(action, RefuseRequest):
                 _, request_class, tenant, first_sent_at, tries_left, _ = self.requests[action.request]
                 if tries_left > 1:
@@ -210,7 +208,9 @@
         fleet.lost, fleet.rejection_probability = set(lost), rejection_probability
         for me, balancer in enumerate(fleet.balancers):
             if fleet.rng.random() < restarted_share:
-                entries = [EndpointEntry(name) for name in names[starting + lost_count :]] + changes[:starting]
+                entries = [EndpointEntry(name) for name in names[starting + lost_count :]] + changes[
+                    :starting
+                ]
                 fleet.balancers[me] = fleet.new_balancer(me, now, entries)
             else:
                 fleet.perform(now, me, balancer.step(now, EndpointListReceived(ListForm.CHANGES, changes)))
@@ -335,7 +335,10 @@
     fleet.arrived.clear()
     fleet.served.clear()
     fleet.run(10_000.0)
-    served = [fleet.served[request_class] / fleet.arrived[request_class] for request_class in range(len(FOUR_CLASSES))]
+    served = [
+        fleet.served[request_class] / fleet.arrived[request_class]
+        for request_class in range(len(FOUR_CLASSES))
+    ]
     expected = shares_served_by_informed_policy(load, goal["WorstClass"])
     by_tenant = [fleet.served["tenant", i] / fleet.arrived["tenant", i] for i in range(len(tenants))]
     print(f"served {served}, expected {expected}, tenants {by_tenant}")
--- a/tests/balancer/test_steering.py
+++ b/tests/balancer/test_steering.py
@@ -10,7 +10,14 @@
 
 from brassfall.balancer import Balancer, Settings
 from brassfall.balancer.events import AttemptEnded, EndpointListReceived, RequestArrived, SteeringChanged
-from brassfall.balancer.model import ListForm, EndpointEntry, Outcome, RefuseRequest, SendAttempt, SteeringDirectives
+from brassfall.balancer.model import (
+    EndpointEntry,
+    ListForm,
+    Outcome,
+    RefuseRequest,
+    SendAttempt,
+    SteeringDirectives,
+)
 from tests.support.helpers import attempt_answered, of_type, raw_settings
 
 ZONES = ("a", "b", "c")
@@ -119,7 +126,10 @@
     for number in range(60):  # From here on, an average answer takes a third of the latency objective
         simulation.now += 10.0
         sends = of_type(
-            simulation.balancer.step(simulation.now, RequestArrived(90000 + number, 1, simulation.now + 1000.0)), SendAttempt
+            simulation.balancer.step(
+                simulation.now, RequestArrived(90000 + number, 1, simulation.now + 1000.0)
+            ),
+            SendAttempt,
         )
         simulation.balancer.step(simulation.now + 70.0, attempt_answered(90000 + number, 70.0))
     assert sends[0].server[-1] == "a"
@@ -163,7 +173,12 @@
         (SteeringDirectives(excluded_zones=frozenset({0}), shares={0: 1.0}, explore=1.0), "safe", {}, "a"),
         (SteeringDirectives(excluded_servers=frozenset(f"{n}a" for n in range(2))), "safe", {}, "a"),
         # Faults in other zones do not end an exclusion, neither for first attempts nor for retries.
-        (SteeringDirectives(excluded_zones=frozenset({0})), "safe", {"b": Outcome.REJECTED, "c": Outcome.ERROR}, "a"),
+        (
+            SteeringDirectives(excluded_zones=frozenset({0})),
+            "safe",
+            {"b": Outcome.REJECTED, "c": Outcome.ERROR},
+            "a",
+        ),
     ],
 )
 def test_excluded_servers_get_no_attempts(steer, request_class, faults, excluded_zone):
@@ -195,7 +210,9 @@
 @pytest.mark.parametrize("names", ["{n:02}{zone}", "{zone}{n:02}"])
 @pytest.mark.parametrize("shares", [{}, {0: 1.0}])
 def test_servers_ramp_up_after_an_exclusion(shares, names):
-    simulation = Simulation(per_zone=8, names=names).steer(SteeringDirectives(shares=shares, excluded_zones=frozenset({0})))
+    simulation = Simulation(per_zone=8, names=names).steer(
+        SteeringDirectives(shares=shares, excluded_zones=frozenset({0}))
+    )
     simulation.run(500)
     simulation.balancer.step(simulation.now, SteeringChanged(SteeringDirectives(shares=shares)))
     # Each run takes one second.
@@ -245,7 +262,11 @@
     simulation = Simulation("safe", "safe").steer(SteeringDirectives(caps={0: cap}))
     simulation.run(1000, gap)
     assert sum(simulation.attempts.values()) == pytest.approx(served, abs=6)
-    assert simulation.refused[0] == simulation.balancer.components.steering.capped == 1000 - sum(simulation.attempts.values())
+    assert (
+        simulation.refused[0]
+        == simulation.balancer.components.steering.capped
+        == 1000 - sum(simulation.attempts.values())
+    )
     # A cap tells nothing about the servers, so the throttle does not refuse requests of the other class.
     assert simulation.balancer.components.throttle.refusal_probability(simulation.now) == 0.0
     assert sum(simulation.run(200, gap, request_class=1).values()) == 200
@@ -257,7 +278,9 @@
         simulation.faults = {"b": Outcome.REJECTED, "1a": Outcome.TIMEOUT}
         simulation.run(500)
     assert simulations[0].attempts == simulations[1].attempts
-    assert simulations[0].balancer.components.rng.getstate() == simulations[1].balancer.components.rng.getstate()
+    assert (
+        simulations[0].balancer.components.rng.getstate() == simulations[1].balancer.components.rng.getstate()
+    )
 
 
 def test_the_driver_passes_directives_to_the_balancer_with_the_time_of_its_clock():
--- a/tests/balancer/test_subset.py
+++ b/tests/balancer/test_subset.py
@@ -8,9 +8,9 @@
 import pytest
 
 from brassfall.balancer.events import EndpointListReceived, SteeringChanged
-from brassfall.balancer.model import ListForm, EndpointEntry, SendAttempt, SteeringDirectives
+from brassfall.balancer.model import EndpointEntry, ListForm, SendAttempt, SteeringDirectives
 from brassfall.balancer.settings import KeyScope
-from tests.support.helpers import attempt_answered, request_arrival, make_balancer, endpoint_entries, of_type
+from tests.support.helpers import attempt_answered, endpoint_entries, make_balancer, of_type, request_arrival
 
 PRICED = {"Connection": 0.05}
 
@@ -81,12 +81,13 @@
     balancer.step(0.0, EndpointListReceived(ListForm.COMPLETE, servers))
     excluded_zones = frozenset(rng.sample(range(3), rng.randrange(4)))
     excluded_names = frozenset(rng.sample([s.server for s in servers], min(len(servers), 3)))
-    balancer.step(1.0, SteeringChanged(SteeringDirectives(excluded_zones=excluded_zones, excluded_servers=excluded_names)))
+    balancer.step(
+        1.0,
+        SteeringChanged(SteeringDirectives(excluded_zones=excluded_zones, excluded_servers=excluded_names)),
+    )
     assert not balancer.components.endpoints.known_groups
     usable = [s for s in servers if s.state == "active"]
-    allowed = [
-        s for s in usable if s.zone not in excluded_zones and s.server not in excluded_names
-    ] or usable
+    allowed = [s for s in usable if s.zone not in excluded_zones and s.server not in excluded_names] or usable
     assert sorted(s.name for s in balancer.components.endpoints.ring) == sorted(s.server for s in allowed)
     for scope, numbers in ((KeyScope.ZONE, range(3)), (KeyScope.CELL, range(4))):
         for number in numbers:
--- a/tests/balancer/test_throttle.py
+++ b/tests/balancer/test_throttle.py
@@ -5,7 +5,7 @@
 from brassfall.balancer.events import AttemptEnded
 from brassfall.balancer.model import FailRequest, Outcome, RefuseRequest, SendAttempt
 from brassfall.balancer.throttle import Throttle
-from tests.support.helpers import request_arrival, make_balancer, of_type
+from tests.support.helpers import make_balancer, of_type, request_arrival
 
 
 def throttle_with(accepts, refusals, now=0.0):
--- a/tests/compare_traces.py
+++ b/tests/compare_traces.py
@@ -138,7 +138,9 @@
             form, entries = args
             refused = form == "refused"
             return (
-                events.DiscoveryFailed() if refused else self.get(events, "EndpointListReceived")(model.ListForm(form), entries)
+                events.DiscoveryFailed()
+                if refused
+                else self.get(events, "EndpointListReceived")(model.ListForm(form), entries)
             )
         if name == "probe_result":
             server, outcome, *rest = args
@@ -344,7 +346,9 @@
         """Return the entry of a server in the endpoint list, sometimes with an invalid weight."""
         weight = self.rng.choice([server.weight] * 19 + [0.0, math.nan])
         location = (server.zone, server.kind, server.cell)
-        return self.revision.make("EndpointEntry", server.name, *location, server.state, weight, server.started)
+        return self.revision.make(
+            "EndpointEntry", server.name, *location, server.state, weight, server.started
+        )
 
     def change_servers(self):
         changed = self.rng.sample(self.servers, self.rng.choice([1, 1, 2, len(self.servers) // 2]))
@@ -468,7 +472,13 @@
         if self.rng.random() < 0.01:
             self.call_after(0.5, "abandon_attempt", attempt, incarnation=self.incarnation)
             return
-        self.call_after(timeout if timeout < math.inf else 1e9, "end_attempt", attempt, TIMEOUT, incarnation=self.incarnation)
+        self.call_after(
+            timeout if timeout < math.inf else 1e9,
+            "end_attempt",
+            attempt,
+            TIMEOUT,
+            incarnation=self.incarnation,
+        )
         idle_ms, server.used_at = self.now - server.used_at, self.now
         server.in_flight += 1
         if idle_ms > 400.0 and self.rng.random() < 0.2:  # The connection was dropped while it was idle
@@ -476,9 +486,17 @@
             return
         immediate = {"full": REJECTED, "error": ERROR, "no_connect": CONNECT_FAILED}
         if server.fault in immediate or server.in_flight > 20:
-            self.call_after(1.0, "end_attempt", attempt, immediate.get(server.fault, REJECTED), incarnation=self.incarnation)
+            self.call_after(
+                1.0,
+                "end_attempt",
+                attempt,
+                immediate.get(server.fault, REJECTED),
+                incarnation=self.incarnation,
+            )
         elif server.fault == "reset":
-            self.call_after(9.0 * self.rng.random(), "end_attempt", attempt, RESET, incarnation=self.incarnation)
+            self.call_after(
+                9.0 * self.rng.random(), "end_attempt", attempt, RESET, incarnation=self.incarnation
+            )
         elif server.fault != "silent":
             elapsed = min(work, 300.0) * (0.5 + self.rng.random()) * (1.0 + 0.3 * server.in_flight)
             elapsed *= (1.0 + 0.5 * server.kind) * (12.0 if server.fault == "slow" else 1.0)
@@ -616,7 +634,9 @@
         parser.error("exactly two revisions are required")
     with contextlib.ExitStack() as stack:
         folders = [_unpacked_folder(stack, name) for name in options.revisions]
-        pairs = ((seed, *(_run_with(f, "--play", str(seed)) for f in folders)) for seed in range(options.seeds))
+        pairs = (
+            (seed, *(_run_with(f, "--play", str(seed)) for f in folders)) for seed in range(options.seeds)
+        )
         differing = sum([_differs(*pair) for pair in pairs])
         costs = [[], []]  # Processor seconds of each measurement, for each revision
         for _ in range(options.times):
--- a/tests/controlplane/test_aggregator_shell.py
+++ b/tests/controlplane/test_aggregator_shell.py
@@ -18,7 +18,13 @@
 from brassfall.controlplane.registry.aggregator.channels import AGE
 from brassfall.controlplane.registry.aggregator.clock import now_ms
 from brassfall.controlplane.registry.server import Service
-from brassfall.settings import AggregatorSettings, AgreementSettings, CallerLimits, RegistryLimits, RegistrySettings
+from brassfall.settings import (
+    AggregatorSettings,
+    AgreementSettings,
+    CallerLimits,
+    RegistryLimits,
+    RegistrySettings,
+)
 from brassfall.sidecar.agent.agent import Agent
 from brassfall.sidecar.config import Agreement
 from brassfall.sidecar.config_values import Address
@@ -383,7 +389,9 @@
 def test_the_settings_of_callers_are_those_of_the_list_service_without_its_tables():
     mine, whole = CallerLimits.__struct_fields__, RegistryLimits.__struct_fields__
     assert set(whole) - set(mine) == {"queue", "rows", "tables"}
-    assert {name: getattr(CallerLimits(), name) for name in mine} == {n: getattr(RegistryLimits(), n) for n in mine}
+    assert {name: getattr(CallerLimits(), name) for name in mine} == {
+        n: getattr(RegistryLimits(), n) for n in mine
+    }
 
 
 def test_the_client_reads_what_retry_after_says():
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -430,7 +430,8 @@
     program = (
         "import sys, pathlib, brassfall.balancer; from brassfall.lab import play; "
         f"play.install(pathlib.Path({str(folder)!r})); from brassfall.balancer import Balancer; "
-        "print(sys.modules[Balancer.__module__].__file__, sys.modules['brassfall.balancer.model'].DISCOVERY_CALL_TIMEOUT_MS)"
+        "model = sys.modules['brassfall.balancer.model']; "
+        "print(sys.modules[Balancer.__module__].__file__, model.DISCOVERY_CALL_TIMEOUT_MS)"
     )
     return subprocess.run(
         [sys.executable, "-c", program], cwd=ROOT, capture_output=True, text=True, timeout=60
@@ -438,7 +439,9 @@
 
 
 def test_the_decisions_of_another_revision_take_the_place_of_all_that_were_imported(tmp_path):
-    done = installed(tmp_path, {"model.py": ("DISCOVERY_CALL_TIMEOUT_MS = 1000.0", "DISCOVERY_CALL_TIMEOUT_MS = 1001.0")})
+    done = installed(
+        tmp_path, {"model.py": ("DISCOVERY_CALL_TIMEOUT_MS = 1000.0", "DISCOVERY_CALL_TIMEOUT_MS = 1001.0")}
+    )
     assert done.returncode == 0, done.stderr
     assert done.stdout.split() == [str(tmp_path / "brassfall" / "balancer" / "balancer.py"), "1001.0"]
 
--- a/tests/sidecar/test_answer_order.py
+++ b/tests/sidecar/test_answer_order.py
@@ -38,7 +38,11 @@
 @loopback
 async def test_only_the_first_final_answer_is_given():
     balancer = ScriptedBalancer(
-        request=lambda now, arrival: [RefuseRequest(arrival.request, 250.0), FailRequest(arrival.request), StartTimer(0.0, "t")],
+        request=lambda now, arrival: [
+            RefuseRequest(arrival.request, 250.0),
+            FailRequest(arrival.request),
+            StartTimer(0.0, "t"),
+        ],
         timer=lambda now, token: [FailRequest(1), RefuseRequest(2, 0.0)],
     )
     async with running(balancer=balancer) as sidecar:
@@ -207,7 +211,9 @@
 
     upstream, stuck = await Upstream([till_end]).start(), await Upstream([hang]).start()
     balancer = ScriptedBalancer(
-        request=lambda now, arrival: [SendAttempt(arrival.request, "s1" if arrival.request_class else "s0", 0.0)]
+        request=lambda now, arrival: [
+            SendAttempt(arrival.request, "s1" if arrival.request_class else "s0", 0.0)
+        ]
     )
     async with running(upstream, stuck, balancer=balancer) as sidecar:
         app = await App.connect(sidecar.address)
@@ -236,7 +242,10 @@
 
     upstream = await ReadsOn().start()
     balancer = ScriptedBalancer(
-        request=lambda now, arrival: [SendAttempt(arrival.request, "s0", 0.0), StartTimer(50.0, str(arrival.request))],
+        request=lambda now, arrival: [
+            SendAttempt(arrival.request, "s0", 0.0),
+            StartTimer(50.0, str(arrival.request)),
+        ],
         timer=lambda now, number: [RefuseRequest(int(number), 0.0)],
     )
     async with running(upstream, balancer=balancer) as sidecar:
--- a/tests/sidecar/test_attempts.py
+++ b/tests/sidecar/test_attempts.py
@@ -8,7 +8,14 @@
 import pytest
 
 from brassfall.balancer.events import TimerDue
-from brassfall.balancer.model import CancelAttempt, Outcome, CheckServerHealth, RefuseRequest, SendAttempt, StartTimer
+from brassfall.balancer.model import (
+    CancelAttempt,
+    CheckServerHealth,
+    Outcome,
+    RefuseRequest,
+    SendAttempt,
+    StartTimer,
+)
 from brassfall.sidecar.clients import client_request, request_message
 from brassfall.sidecar.core.attempts import Attempt, Request
 from brassfall.sidecar.servers.exchange import Exchange
@@ -120,7 +127,10 @@
 async def test_an_attempt_cancelled_while_it_connects_writes_nothing():
     upstream = await Upstream().start()
     balancer = ScriptedBalancer(
-        request=lambda now, arrival: [SendAttempt(arrival.request, "s0", 0.0), CancelAttempt(arrival.request, 0)],
+        request=lambda now, arrival: [
+            SendAttempt(arrival.request, "s0", 0.0),
+            CancelAttempt(arrival.request, 0),
+        ],
         outcome=failing,
     )
     async with running(upstream, balancer=balancer) as sidecar:
@@ -195,7 +205,10 @@
 
     first, second = await Upstream([wait]).start(), await Upstream([OK]).start()
     balancer = ScriptedBalancer(
-        request=lambda now, arrival: [SendAttempt(arrival.request, "s0", 0.0), SendAttempt(arrival.request, "s1", 0.0)]
+        request=lambda now, arrival: [
+            SendAttempt(arrival.request, "s0", 0.0),
+            SendAttempt(arrival.request, "s1", 0.0),
+        ]
     )
     async with running(first, second, balancer=balancer) as sidecar:
         app = await App.connect(sidecar.address)
--- a/tests/sidecar/test_hold_up.py
+++ b/tests/sidecar/test_hold_up.py
@@ -177,7 +177,9 @@
     The loop runs what is due before it reads."""
     first, second = await Upstream([hang]).start(), await Upstream([OK]).start()
     targets = iter(["s1", "s0"])
-    balancer = ScriptedBalancer(request=lambda now, arrival: [SendAttempt(arrival.request, next(targets), 0.0)])
+    balancer = ScriptedBalancer(
+        request=lambda now, arrival: [SendAttempt(arrival.request, next(targets), 0.0)]
+    )
     async with running(first, second, balancer=balancer) as sidecar:
         await (await App.connect(sidecar.address)).ask()  # a connection to s1 is idle from now on
         app = await App.connect(sidecar.address)
--- a/tests/sidecar/test_large_answers.py
+++ b/tests/sidecar/test_large_answers.py
@@ -18,8 +18,8 @@
 )
 from tests.support.large_messages import (
     CHUNKED_HEAD,
-    LARGE,
     HEAD_WITH_LENGTH,
+    LARGE,
     ONE_CHUNK,
     StreamingServer,
     chunked_body,
@@ -40,7 +40,9 @@
 )
 
 
-@pytest.mark.parametrize("reply", [HEAD_WITH_LENGTH % len(LARGE) + LARGE, CHUNKED_HEAD + chunked_body(LARGE), reply_until_close])
+@pytest.mark.parametrize(
+    "reply", [HEAD_WITH_LENGTH % len(LARGE) + LARGE, CHUNKED_HEAD + chunked_body(LARGE), reply_until_close]
+)
 @loopback
 async def test_a_large_answer_comes_complete_in_any_framing(reply):
     upstream = await StreamingServer([reply]).start()
@@ -123,7 +125,9 @@
 async def test_a_client_can_tell_that_a_large_answer_is_broken(framed):
     async def half(reader, writer):
         writer.write(
-            HEAD_WITH_LENGTH % len(LARGE) + LARGE[:200_000] if framed == "length" else CHUNKED_HEAD + chunked_body(LARGE)[:-9]
+            HEAD_WITH_LENGTH % len(LARGE) + LARGE[:200_000]
+            if framed == "length"
+            else CHUNKED_HEAD + chunked_body(LARGE)[:-9]
         )
         await writer.drain()
         return await break_off(reader, writer) or b""
@@ -183,9 +187,14 @@
         await release.wait()
         return HEAD_WITH_LENGTH % size + LARGE[:size]
 
-    upstream, slow = await Upstream([HEAD_WITH_LENGTH % size + LARGE[:size]]).start(), await Upstream([last]).start()
+    upstream, slow = (
+        await Upstream([HEAD_WITH_LENGTH % size + LARGE[:size]]).start(),
+        await Upstream([last]).start(),
+    )
     balancer = ScriptedBalancer(
-        request=lambda now, arrival: [SendAttempt(arrival.request, "s1" if arrival.request_class else "s0", 0.0)]
+        request=lambda now, arrival: [
+            SendAttempt(arrival.request, "s1" if arrival.request_class else "s0", 0.0)
+        ]
     )
     async with one_client(upstream, slow, balancer=balancer, little_buffering=True) as (
         sidecar,
@@ -276,7 +285,9 @@
 
     slow = await StreamingServer([wait]).start()
     balancer = ScriptedBalancer(
-        request=lambda now, arrival: [SendAttempt(arrival.request, "s0" if arrival.request_class else "s1", 0.0)],
+        request=lambda now, arrival: [
+            SendAttempt(arrival.request, "s0" if arrival.request_class else "s1", 0.0)
+        ],
         answer_started=lambda now, *rest: release.set() or [],
     )
     async with running(upstream, slow, balancer=balancer) as sidecar:
--- a/tests/sidecar/test_large_requests.py
+++ b/tests/sidecar/test_large_requests.py
@@ -12,8 +12,8 @@
 from brassfall.sidecar.clients.read_control import Hold
 from tests.support import loopback as partners
 from tests.support.large_messages import (
-    LARGE,
     HEAD_WITH_LENGTH,
+    LARGE,
     ONE_CHUNK,
     StreamingServer,
     chunked_body,
--- a/tests/sidecar/test_peers.py
+++ b/tests/sidecar/test_peers.py
@@ -43,7 +43,13 @@
         peer.sendto(b"x" * 256, here)
         await until(lambda: balancer.named("peer_message"))
         assert balancer.named("peer_message") == [[1, b"x" * 256]]
-        carry_out(sidecar, balancer, SendPeerMessage(1, b"x" * 257), SendPeerMessage(1, b"one"), SendPeerMessage(None, b"all"))
+        carry_out(
+            sidecar,
+            balancer,
+            SendPeerMessage(1, b"x" * 257),
+            SendPeerMessage(1, b"one"),
+            SendPeerMessage(None, b"all"),
+        )
         loop = asyncio.get_running_loop()
         assert await loop.run_in_executor(None, peer.recv, 999) == b"one"
         assert await loop.run_in_executor(None, everyone.recv, 999) == b"all"
--- a/tests/sidecar/test_races_reload.py
+++ b/tests/sidecar/test_races_reload.py
@@ -20,10 +20,10 @@
 )
 from brassfall.balancer.model import (
     CloseIdleConnections,
+    EndpointEntry,
     IdleCloseTimer,
     KeyPauseTimer,
     ListForm,
-    EndpointEntry,
     Outcome,
     SendAttempt,
     StartTimer,
@@ -35,7 +35,15 @@
 from brassfall.sidecar.discovery.endpoint_list import parse_list
 from brassfall.sidecar.servers import pool as outbound
 from tests.sidecar.test_reload import raw, row, take
-from tests.support.helpers import CLASSES, attempt_answered, request_arrival, make_balancer, endpoint_entries, of_type, raw_settings
+from tests.support.helpers import (
+    CLASSES,
+    attempt_answered,
+    endpoint_entries,
+    make_balancer,
+    of_type,
+    raw_settings,
+    request_arrival,
+)
 from tests.support.loopback import OK, App, Upstream, entry, listed, loopback, running, sidecar_config
 
 EFFECTS = ("pure", "token", "side_effect")
@@ -113,7 +121,9 @@
         return of_type(made.step(3010.0, request_arrival(2, 3010.0)), CloseIdleConnections)
 
     short, long = ({"PolicyLimits": {"MaxAttempts": 4, "IdleClose": idle}} for idle in (500.0, 5000.0))
-    assert closes_idle(make_balancer(servers=1, **short)) and not closes_idle(make_balancer(servers=1, **long))
+    assert closes_idle(make_balancer(servers=1, **short)) and not closes_idle(
+        make_balancer(servers=1, **long)
+    )
     made = make_balancer(servers=1, **short)
     reloaded(made, 1.0, {0}, **long)
     assert not closes_idle(made)
@@ -143,7 +153,9 @@
     fresh = Balancer(0.0, weighted_settings(*values, **change), 1)
     count_arrivals(fresh)
     for band in (0, 1):
-        assert made.components.shedder.class_refusal_probability(0.0, 0.2, band, over_quota=False) == pytest.approx(
+        assert made.components.shedder.class_refusal_probability(
+            0.0, 0.2, band, over_quota=False
+        ) == pytest.approx(
             fresh.components.shedder.class_refusal_probability(0.0, 0.2, band, over_quota=False)
         )
 
@@ -169,7 +181,9 @@
     made.step(0.0, RequestArrived(1, 0, 1000.0, key=7))
     reloaded(made, 1.0, {0}, Profiles=[ordered], Rules={"SettleAfterDoubt": after})
     made.step(2.0, RequestArrived(2, 0, 1000.0, key=7))
-    assert not of_type(made.step(20.0, AttemptEnded(1, 0, Outcome.RESET, 20.0, request_ended=True)), SendAttempt)
+    assert not of_type(
+        made.step(20.0, AttemptEnded(1, 0, Outcome.RESET, 20.0, request_ended=True)), SendAttempt
+    )
     assert not of_type(made.step(119.0, TimerDue(KeyPauseTimer(7))), SendAttempt)
     assert of_type(made.step(120.0, TimerDue(KeyPauseTimer(7))), SendAttempt)
 
@@ -198,7 +212,10 @@
 def test_a_removed_class_does_not_affect_the_price_of_other_zones():
     before = config.parse(raw(Profiles=[row("a", Worth=1.0), row("dear", Worth=100.0)], Prices=CROSSING), {})
     after = take(before, raw(Profiles=[row("a", Worth=1.0)], Prices=CROSSING))
-    margins = [Balancer(0.0, c.settings, 1).components.zone_spillover.spill_margins[0] for c in (before, after.config)]
+    margins = [
+        Balancer(0.0, c.settings, 1).components.zone_spillover.spill_margins[0]
+        for c in (before, after.config)
+    ]
     alone = Balancer(0.0, config.parse(raw(Profiles=[row("a")], Prices=CROSSING), {}).settings, 1)
     assert margins[0] > margins[1] == alone.components.zone_spillover.spill_margins[0]
 
--- a/tests/sidecar/test_races_servers.py
+++ b/tests/sidecar/test_races_servers.py
@@ -16,7 +16,7 @@
 
 from brassfall.balancer.model import FailRequest, Outcome, SendAttempt
 from brassfall.sidecar.servers import connecting, server_connection
-from tests.support.balancer_records import fault_records, ejection_record, fault_shares, leaked_counts
+from tests.support.balancer_records import ejection_record, fault_records, fault_shares, leaked_counts
 from tests.support.loopback import (
     OK,
     App,
--- a/tests/sidecar/test_reload.py
+++ b/tests/sidecar/test_reload.py
@@ -152,7 +152,11 @@
     made.step(0.0, RequestArrived(1, 0, 1000.0))
     made.step(1.0, SettingsReloaded(settings("safe"), set()))
     actions = made.step(2.0, AttemptEnded(1, 0, Outcome.TIMEOUT, 2.0))
-    assert not of_type(actions, SendAttempt) and not of_type(actions, RefuseRequest) and of_type(actions, FailRequest)
+    assert (
+        not of_type(actions, SendAttempt)
+        and not of_type(actions, RefuseRequest)
+        and of_type(actions, FailRequest)
+    )
 
 
 def test_what_was_learned_of_servers_and_of_retained_classes_is_kept():
@@ -168,7 +172,11 @@
     } == strikes
     assert (made.components.throttle.requests, made.components.shedder.probability(50.0)) == (throttle, level)
     assert made.components.shedder.request_classes == {0}
-    assert len(made.components.zone_spillover.spill_shares) == len(made.components.zone_spillover.spill_margins) == 3
+    assert (
+        len(made.components.zone_spillover.spill_shares)
+        == len(made.components.zone_spillover.spill_margins)
+        == 3
+    )
 
 
 @loopback
--- a/tests/sidecar/test_start_times.py
+++ b/tests/sidecar/test_start_times.py
@@ -253,7 +253,9 @@
 def test_two_starts_at_one_moment_have_different_times():
     starts, now_ms = StartTimes(), 1e12
     entries = [
-        starts.bounded(now_ms, now_ms, ServerList(n, False, [EndpointEntry("s", started=since)], {})).entries[0]
+        starts.bounded(now_ms, now_ms, ServerList(n, False, [EndpointEntry("s", started=since)], {})).entries[
+            0
+        ]
         for n, since in enumerate([now_ms - 5.0, now_ms - 4.0])
     ]
     assert entries[0].started != entries[1].started
--- a/tests/sidecar/test_unwanted_attempts.py
+++ b/tests/sidecar/test_unwanted_attempts.py
@@ -62,7 +62,9 @@
         if answer == "guard":
             sidecar.driver.lifecycle.fail_overdue(request)
         else:
-            sidecar.driver.perform(RefuseRequest(request.id, 0.0) if answer is RefuseRequest else FailRequest(request.id))
+            sidecar.driver.perform(
+                RefuseRequest(request.id, 0.0) if answer is RefuseRequest else FailRequest(request.id)
+            )
         waiting.gate.open.set()
         assert (await waiting.app.answer()).status in (502, 503, 504)
         await until(lambda: sidecar.pool.servers["s0"].idle)
@@ -77,7 +79,10 @@
     late, quick = await Upstream([OK]).start(), await Upstream([OK]).start()
     gate = Gate(monkeypatch, [late])
     balancer = ScriptedBalancer(
-        request=lambda now, arrival: [SendAttempt(arrival.request, "s0", 0.0), SendAttempt(arrival.request, "s1", 0.0)]
+        request=lambda now, arrival: [
+            SendAttempt(arrival.request, "s0", 0.0),
+            SendAttempt(arrival.request, "s1", 0.0),
+        ]
     )
     async with running_until_idle(late, quick, balancer=balancer, **never_cancels()) as sidecar:
         app = await App.connect(sidecar.address)
@@ -105,7 +110,9 @@
     late, quick = await Upstream([OK]).start(), await Upstream([OK]).start()
     gate = Gate(monkeypatch, [late])
     servers = iter(["s0", "s1"])
-    balancer = ScriptedBalancer(request=lambda now, arrival: [SendAttempt(arrival.request, next(servers), 0.0)])
+    balancer = ScriptedBalancer(
+        request=lambda now, arrival: [SendAttempt(arrival.request, next(servers), 0.0)]
+    )
     async with running_until_idle(late, quick, balancer=balancer, **never_cancels()) as sidecar:
         sidecar.pool.max_connections = 1
         app = await start_request(sidecar)
--- a/tests/support/balancer_records.py
+++ b/tests/support/balancer_records.py
@@ -40,7 +40,11 @@
 def nonzero_faults(balancer, server):
     """Return the fault records of one server and of new connections that are not 0."""
     record = balancer.components.endpoints.servers[server]
-    faults = (record.fault_share, record.consecutive_failures, balancer.components.ejector.connect_failure_share)
+    faults = (
+        record.fault_share,
+        record.consecutive_failures,
+        balancer.components.ejector.connect_failure_share,
+    )
     return [fault for fault in faults if fault != 0]
 
 
--- a/tests/support/helpers.py
+++ b/tests/support/helpers.py
@@ -8,7 +8,7 @@
 
 from brassfall.balancer import Balancer, Settings
 from brassfall.balancer.events import AttemptEnded, EndpointListReceived, RequestArrived
-from brassfall.balancer.model import Action, ListForm, EndpointEntry, Outcome, SendAttempt
+from brassfall.balancer.model import Action, EndpointEntry, ListForm, Outcome, SendAttempt
 from brassfall.balancer.selection import Selector
 
 ActionType = TypeVar("ActionType", bound=Action)
@@ -55,7 +55,9 @@
     return balancer
 
 
-def request_arrival(request: int, now: float = 0.0, request_class: int = 0, left: float = 1000.0) -> RequestArrived:
+def request_arrival(
+    request: int, now: float = 0.0, request_class: int = 0, left: float = 1000.0
+) -> RequestArrived:
     """Return the arrival of a request whose client gives up after `left` milliseconds."""
     return RequestArrived(request, request_class, now + left)
 
--- a/tests/support/random_day/servers.py
+++ b/tests/support/random_day/servers.py
@@ -7,7 +7,7 @@
 import re
 from dataclasses import dataclass, field
 
-from brassfall.balancer.model import ListForm, EndpointEntry
+from brassfall.balancer.model import EndpointEntry, ListForm
 from brassfall.sidecar.config_values import Address
 from brassfall.sidecar.discovery.endpoint_list import ServerList
 
