--- a/brassfall/lab/capacity/hollow.py
+++ b/brassfall/lab/capacity/hollow.py
@@ -134,7 +134,7 @@
     def __init__(self, loop: asyncio.AbstractEventLoop, config: Any) -> None:
         self._loop = loop
         self._config = config
-        self.busy: set[int] = set()  # no request names a class
+        self.classes_in_use: set[int] = set()  # no request names a class
         self.acted: dict[int, float] = {}  # revision to when it was first acted on
         self.listed: dict[int, float] = {}  # version of the list to when it was held
         self.reports = 0
@@ -207,19 +207,19 @@
     # --- what a sidecar's control part asks of its process ------------------------------
 
     @property
-    def running(self) -> Any:
+    def configuration(self) -> Any:
         """The configuration in use."""
         return self._config
 
-    def adopt(self, config: Any) -> None:
+    def apply_configuration(self, config: Any) -> None:
         """Take another configuration: checked as a sidecar checks it."""
-        self._config = reload_module.successor(self._config, config, self.busy).config
+        self._config = reload_module.plan_reload(self._config, config, self.classes_in_use).config
         self.discovery.move(self._config.discovery, self._config.registry)
 
     def steer(self, steer: Any) -> None:
         """Nothing is picked here."""
 
-    def listings(self) -> Iterable[Any]:
+    def endpoint_list(self) -> Iterable[Any]:
         """The servers on the list held."""
         listed: Iterable[Any] = self.discovery.endpoints()
         return listed
@@ -229,7 +229,7 @@
         """The version of the list held."""
         return int(self.discovery.version)
 
-    def ask_for_list(self) -> None:
+    def reopen_list_watch(self) -> None:
         """Open the watch on the list anew."""
         self.discovery.reopen()
 
--- a/brassfall/sidecar/agent/member.py
+++ b/brassfall/sidecar/agent/member.py
@@ -25,27 +25,27 @@
     """The sidecar's process, as far as revisions change it."""
 
     @property
-    def busy(self) -> Collection[int]:
+    def classes_in_use(self) -> Collection[int]:
         """The slots of classes that requests or clients still use."""
 
     @property
-    def running(self) -> Config:
+    def configuration(self) -> Config:
         """The configuration in use."""
 
-    def adopt(self, found: Config) -> None:
+    def apply_configuration(self, found: Config) -> None:
         """Use another configuration from now on; raise `ConfigError` if it can't replace the one in use."""
 
     def steer(self, steer: Steer) -> None:
         """Use another `Steer` from now on."""
 
-    def listings(self) -> EndpointList:
+    def endpoint_list(self) -> EndpointList:
         """Return the endpoint list."""
 
     @property
     def list_version(self) -> int:
         """The version of the endpoint list."""
 
-    def ask_for_list(self) -> None:
+    def reopen_list_watch(self) -> None:
         """Open the watch on the endpoint list anew: it has fallen behind."""
 
 
@@ -58,7 +58,7 @@
         self._process = process
         self._now = loop.time
         self._environment = {**environment, "NODE_DISCOVERY": ""}
-        self._file = process.running
+        self._file = process.configuration
         self._overlay: Mapping[str, Any] = {}  # the settings of a revision in use over the file
         self._steer = NEUTRAL
         self._decided_for: tuple[ActiveConfiguration, Inputs] | None = None  # what was acted on last
@@ -69,7 +69,7 @@
         self.agent = Agent(
             loop, file.name, file.agreement, file.registry, self._objection, self._act, file.seed
         )
-        self.steering = Steering(file.agreement, lambda: process.running.names, process.listings)
+        self.steering = Steering(file.agreement, lambda: process.configuration.names, process.endpoint_list)
         self.delays = Delays(file.agreement.group)
         self.agent.report_extensions.append(self.steering.report)
         if file.agreement.group:
@@ -141,7 +141,7 @@
                 action="it is requested anew; if this repeats, look at the network to the list service",
             )
             self._ahead_since = math.inf
-            self._process.ask_for_list()
+            self._process.reopen_list_watch()
 
     # --- revisions --------------------------------------------------------------------------
 
@@ -153,7 +153,7 @@
         try:
             overlay = rules.overlay_of(revision.settings)
             found = self._with_overlay(self._file, overlay)
-            reload.successor(self._process.running, found, self._process.busy)
+            reload.plan_reload(self._process.configuration, found, self._process.classes_in_use)
         except ConfigError as error:
             return str(error)
         except Exception as error:  # noqa: BLE001 - any fault must be reported as an objection
@@ -184,7 +184,7 @@
         if overlay == self._overlay:
             return True
         try:
-            self._process.adopt(self._with_overlay(self._file, overlay))
+            self._process.apply_configuration(self._with_overlay(self._file, overlay))
         except ConfigError as error:
             log.warning(
                 "configuration: a revision does not fit this sidecar's file",
--- a/brassfall/sidecar/agent/steering.py
+++ b/brassfall/sidecar/agent/steering.py
@@ -17,7 +17,7 @@
 from brassfall.sidecar.agent.override_layer import Layer, Place, read_layer
 from brassfall.sidecar.agent.overrides import Effective, LocalView
 from brassfall.sidecar.config import Agreement
-from brassfall.sidecar.config_values import Names
+from brassfall.sidecar.config_values import WireNames
 
 NEUTRAL = Steer()
 DEFAULT_PLAN_AGE_LIMIT_MS = 15_000.0
@@ -29,7 +29,7 @@
 class Inputs(NamedTuple):
     """What the rules and the `Steer` depend on, beside the active configuration and the clock."""
 
-    names: Names
+    names: WireNames
     list_changes: int
     deadline_changes: int
     sidecars: int  # that share a cap
@@ -40,7 +40,7 @@
     """The overrides' deadlines, and the `Steer` that follows from them and the active configuration."""
 
     def __init__(
-        self, agreement: Agreement, names: Callable[[], Names], listings: Callable[[], EndpointList]
+        self, agreement: Agreement, names: Callable[[], WireNames], listings: Callable[[], EndpointList]
     ) -> None:
         self._place = Place(agreement.group, agreement.region)
         self._names = names
--- a/brassfall/sidecar/body.py
+++ b/brassfall/sidecar/body.py
@@ -1,7 +1,7 @@
 """A request body that is too large to be buffered completely: it flows from the client to one server.
 
-Its beginning, up to `MAX_BUFFERED` bytes, is buffered until a server has been chosen, and can be sent again
-to another server. Once more than that has been sent, it can't be.
+Its beginning, up to `MAX_BUFFERED_BYTES` bytes, is buffered until a server has been chosen, and can be sent
+again to another server. Once more than that has been sent, it can't be.
 """
 
 from __future__ import annotations
@@ -9,12 +9,13 @@
 from collections.abc import Callable
 from typing import Protocol
 
-MAX_BUFFERED = 64 * 1024  # bytes of a message that are buffered, and can be sent again
-MAX_FLOWING = 2 * MAX_BUFFERED  # bytes of a large message in memory at a time: the buffer and one read
+MAX_BUFFERED_BYTES = 64 * 1024  # bytes of a message that are buffered, and can be sent again
+# Bytes of a large message in memory at a time: the buffer and one read.
+MAX_STREAMING_BYTES = 2 * MAX_BUFFERED_BYTES
 LAST_CHUNK = b"0\r\n\r\n"
 
 
-class Budget:
+class MemoryBudget:
     """The bytes of messages that this process may hold in memory at a time."""
 
     def __init__(self, limit: int) -> None:
@@ -33,7 +34,7 @@
         self.used -= size
 
 
-class Source(Protocol):
+class BodySource(Protocol):
     """The sender of a body: a client's connection."""
 
     def pause(self) -> None:
@@ -43,7 +44,7 @@
         """Resume reading the body."""
 
 
-class Writer(Protocol):
+class BodyWriter(Protocol):
     """The receiver of a body: a server's connection."""
 
     def write_part(self, data: bytes) -> None:
@@ -59,14 +60,14 @@
     It buffers what no server has received yet, and reads from the client as fast as the server takes it.
     """
 
-    def __init__(self, source: Source, beginning: bytes, length: int | None) -> None:
+    def __init__(self, source: BodySource, beginning: bytes, length: int | None) -> None:
         self.length = length  # in bytes; None if it is not known, and sent in chunks
         self.complete = False  # its last part has come from the client
-        self.gone = False  # more has been sent than is buffered: it can't be sent again
-        self.on_gone: Callable[[], None] = lambda: None
+        self.beginning_discarded = False  # more has been sent than is buffered: it can't be sent again
+        self.on_beginning_discarded: Callable[[], None] = lambda: None
         self._source = source
         self._buffer = bytearray(beginning)
-        self._writer: Writer | None = None
+        self._writer: BodyWriter | None = None
 
     @property
     def header(self) -> bytes:
@@ -78,17 +79,17 @@
     # --- from the client -------------------------------------------------------
 
     def feed(self, data: bytes) -> None:
-        """Take a part from the client; call `on_gone` at the first one that is sent unbuffered."""
+        """Take a part from the client; call `on_beginning_discarded` at the first one sent unbuffered."""
         writer = self._writer
         if writer is None:
-            if not self.gone:  # once it is, no server gets the rest
+            if not self.beginning_discarded:  # once it is, no server gets the rest
                 self._buffer += data
                 self._source.pause()
             return
-        if not self.gone:
-            self.gone = True
+        if not self.beginning_discarded:
+            self.beginning_discarded = True
             self._buffer.clear()
-            self.on_gone()
+            self.on_beginning_discarded()
         writer.write_part(self._framed(data))
 
     def end(self) -> None:
@@ -100,7 +101,7 @@
 
     # --- to the server ----------------------------------------------------------
 
-    def attach(self, writer: Writer) -> None:
+    def attach(self, writer: BodyWriter) -> None:
         """Send the body to a server, from its beginning."""
         self._writer = writer
         writer.write_part(self._framed(bytes(self._buffer)))
@@ -109,7 +110,7 @@
         else:
             self._source.resume()
 
-    def detach(self, writer: Writer) -> None:
+    def detach(self, writer: BodyWriter) -> None:
         """Send no more to this server; do nothing if another one receives the body by now."""
         if self._writer is writer:
             self._writer = None
@@ -131,7 +132,7 @@
             return data
         return b"%x\r\n%b\r\n" % (len(data), data)
 
-    def _finish(self, writer: Writer) -> None:
+    def _finish(self, writer: BodyWriter) -> None:
         if self.length is None:
             writer.write_part(LAST_CHUNK)
         writer.body_complete()
--- a/brassfall/sidecar/clients/answer_queue.py
+++ b/brassfall/sidecar/clients/answer_queue.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 from brassfall.sidecar import framing
-from brassfall.sidecar.body import Budget
+from brassfall.sidecar.body import MemoryBudget
 from brassfall.sidecar.clients.client_request import ClientRequest, RequestHandler
 from brassfall.sidecar.clients.read_control import Hold, ReadControl
 from brassfall.sidecar.clients.streamed_answer import StreamedAnswer
@@ -29,7 +29,9 @@
 
     __slots__ = ("_budget", "_connection", "_handler", "pending")
 
-    def __init__(self, connection: AnsweringConnection, budget: Budget, handler: RequestHandler) -> None:
+    def __init__(
+        self, connection: AnsweringConnection, budget: MemoryBudget, handler: RequestHandler
+    ) -> None:
         self._connection = connection
         self._budget = budget
         self._handler = handler
@@ -52,14 +54,16 @@
         elif request.answer is not None:
             request.last = self._is_last(request)
             status, headers, body = request.answer
-            self._connection.transport.write(framing.answer(status, headers, body, close=request.last))
+            self._connection.transport.write(
+                framing.serialize_answer(status, headers, body, close=request.last)
+            )
         else:
             return None
         self.pending.popleft()
         request.reservation.release(self._budget)
         if request.reading and request.request is not None:
             # No attempt is to wait for the rest of a body that is no longer read.
-            self._handler.client_gone(request.request)
+            self._handler.client_disconnected(request.request)
         request.request = None  # it refers to this request: a cycle that only the collector would free
         return request
 
@@ -71,7 +75,7 @@
             request.reservation.release(self._budget)
             handled, request.request = request.request, None
             if handled is not None:
-                self._handler.client_gone(handled)
+                self._handler.client_disconnected(handled)
 
     def pause_stream(self) -> None:
         """Pause the server's side of the answer that is being passed on, if there is one."""
--- a/brassfall/sidecar/clients/client_connection.py
+++ b/brassfall/sidecar/clients/client_connection.py
@@ -15,7 +15,7 @@
 from typing import Protocol
 
 from brassfall.sidecar import framing
-from brassfall.sidecar.body import MAX_BUFFERED, MAX_FLOWING, Body, Budget
+from brassfall.sidecar.body import MAX_BUFFERED_BYTES, MAX_STREAMING_BYTES, Body, MemoryBudget
 from brassfall.sidecar.clients.answer_queue import AnswerQueue
 from brassfall.sidecar.clients.client_request import ClientRequest, RequestHandler
 from brassfall.sidecar.clients.connection_state import (
@@ -46,7 +46,7 @@
     loop: asyncio.AbstractEventLoop
     clock: Clock
     handler: RequestHandler
-    budget: Budget
+    budget: MemoryBudget
 
     @property
     def closing(self) -> bool:
@@ -109,7 +109,7 @@
     @property
     def readable(self) -> bool:
         """True if the socket has unread bytes or the end of the stream; polls the socket."""
-        return framing.readable(self.transport)
+        return framing.has_unread_input(self.transport)
 
     @property
     def busy(self) -> bool:
@@ -197,7 +197,7 @@
         if error is not None:
             self.reject(error.status)
         self.flush()
-        if len(data) < MAX_BUFFERED:
+        if len(data) < MAX_BUFFERED_BYTES:
             self.read_control.may_be_stale = False  # nothing more was in the socket buffer
 
     def _parse(self, data: bytes) -> BadRequestError | None:
@@ -274,7 +274,7 @@
     def client_left(self) -> bool:
         """Return whether the client has closed the connection; polls the socket.
 
-        If it has, the handler gets `client_gone` for each pending request in the next turn of the loop.
+        If it has, `client_disconnected` is called for each pending request in the next turn of the loop.
         """
         if self._state is CLOSED:
             return True
@@ -319,7 +319,7 @@
         message.body.clear()
         request = self._large_request = self._append_request(message, keep_alive=True)
         request.body = body
-        body.on_gone = lambda: self._body_gone(request)
+        body.on_beginning_discarded = lambda: self._body_gone(request)
         self._owner.serve(request, message, self.read_at)
         return body
 
@@ -355,7 +355,7 @@
 
     def _body_gone(self, request: ClientRequest) -> None:
         if request.request is not None:
-            self._owner.handler.body_gone(request.request)
+            self._owner.handler.body_discarded(request.request)
 
     def _stop_after_last(self, request: ClientRequest) -> None:
         """Read no request behind one whose answer ends the connection."""
@@ -366,8 +366,8 @@
 
     def reserve_stream(self, request: ClientRequest) -> None:
         """Reserve the memory of an answer that is passed on, even past the limit of the budget."""
-        self._owner.budget.used += MAX_FLOWING
-        request.reservation.size += MAX_FLOWING
+        self._owner.budget.used += MAX_STREAMING_BYTES
+        request.reservation.size += MAX_STREAMING_BYTES
 
     def write(self, data: bytes) -> None:
         """Write a part of an answer, unless the transport is closing."""
@@ -409,7 +409,7 @@
     def _reject_large_request(self, request: ClientRequest, status: int) -> None:
         """End a large request that will not be complete: no server is to wait for the rest."""
         if request.request is not None:
-            self._owner.handler.client_gone(request.request)
+            self._owner.handler.client_disconnected(request.request)
         if request.stream is not None:
             self.abort()  # its answer had begun
             return
--- a/brassfall/sidecar/clients/client_request.py
+++ b/brassfall/sidecar/clients/client_request.py
@@ -9,9 +9,9 @@
 from brassfall.sidecar.clients import request_checks
 from brassfall.sidecar.clients.request_message import RequestMessage, Reservation
 from brassfall.sidecar.clients.streamed_answer import StreamedAnswer
-from brassfall.sidecar.config_values import Names, stable_number
+from brassfall.sidecar.config_values import WireNames, stable_number
 from brassfall.sidecar.core.attempts import Request
-from brassfall.sidecar.core.interfaces import Answer, Flow
+from brassfall.sidecar.core.interfaces import Answer, FlowControl
 
 
 class AnswerWriter(Protocol):
@@ -39,13 +39,13 @@
 class RequestHandler(Protocol):
     """The driver, which serves requests that have passed the checks."""
 
-    def arrive(self, call: ClientRequest, now: float) -> Request | None:
+    def accept_request(self, call: ClientRequest, now: float) -> Request | None:
         """Serve a request that was read at `now`, in ms; exactly one final answer follows."""
 
-    def client_gone(self, request: Request) -> None:
+    def client_disconnected(self, request: Request) -> None:
         """Take note that the client has closed the connection, or that the body will not be complete."""
 
-    def body_gone(self, request: Request) -> None:
+    def body_discarded(self, request: Request) -> None:
         """Take note that more of the body was forwarded than is buffered: it can't be sent again."""
 
     def body_read(self, request: Request, now: float) -> None:
@@ -97,7 +97,7 @@
         """
         return self.connection.client_left()
 
-    def read(self, message: RequestMessage, names: Names, not_forwarded: frozenset[bytes]) -> None:
+    def read(self, message: RequestMessage, names: WireNames, not_forwarded: frozenset[bytes]) -> None:
         """Check a request for servers and read its properties.
 
         Headers in `not_forwarded` are left out. Raises `BadRequestError` with the answer to a bad request.
@@ -127,44 +127,44 @@
             length,
         )
 
-    def wire(self, left: float) -> bytes:
+    def request_bytes(self, left: float) -> bytes:
         """Return the request's bytes for a server that has `left` ms; of a large request the head."""
         return b"%bX-Budget: %du\r\n\r\n%b" % (self._head, max(0.0, left) * 1000.0, self._body)
 
     # --- the final answer ---------------------------------------------------
 
-    def served(self, answer: Answer) -> None:
+    def send_answer(self, answer: Answer) -> None:
         """Give a server's answer."""
         self.finish(200, answer.headers, answer.body)
 
-    def refused(self, retry_after: float) -> None:
+    def send_rejection(self, retry_after: float) -> None:
         """Reject the request, with a Retry-After of `retry_after` ms if that is positive."""
         wait = [(b"Retry-After", b"%.3f" % (retry_after / 1000.0))] if retry_after > 0.0 else []
         self.finish(503, wait, b"")
 
-    def failed(self, *, late: bool) -> None:
+    def send_failure(self, *, late: bool) -> None:
         """Fail the request, because its deadline is over if `late`."""
         self.finish(504 if late else 502, [], b"")
 
-    def begun(self, answer: Answer, flow: Flow) -> None:
+    def start_answer(self, answer: Answer, flow: FlowControl) -> None:
         """Begin to pass on a server's answer of which more is to come."""
         if self.answer is None and self.stream is None:
             self.stream = StreamedAnswer(self.connection.write, answer, flow, can_chunk=self.can_chunk)
             self.connection.reserve_stream(self)
             self.connection.flush()
 
-    def more(self, data: bytes) -> None:
+    def continue_answer(self, data: bytes) -> None:
         """Pass on a part of the answer that has begun."""
         if self.stream is not None:
             self.stream.add(data)
 
-    def finished(self) -> None:
+    def finish_answer(self) -> None:
         """End the answer that has begun: it is complete."""
         if self.stream is not None:
             self.stream.complete = True
             self.connection.flush()
 
-    def broken(self) -> None:
+    def abort_answer(self) -> None:
         """End the answer that has begun and can't be completed.
 
         Aborts the connection, by which the client can tell, or fails the request where nothing was written.
@@ -175,7 +175,7 @@
             self.connection.abort()
         else:
             self.stream = None
-            self.failed(late=False)
+            self.send_failure(late=False)
 
     def finish(self, status: int, headers: framing.Headers, body: bytes) -> None:
         """Give a complete final answer; without effect if there is one."""
--- a/brassfall/sidecar/clients/connection_timeouts.py
+++ b/brassfall/sidecar/clients/connection_timeouts.py
@@ -147,7 +147,7 @@
         if connection.state is ConnectionState.READING_REQUEST:
             extension = connection.incomplete_size / BODY_BYTES_PER_S
             if not connection.readable:
-                active_at = max(self._clock.to_loop(connection.read_at), control.resumed_at)
+                active_at = max(self._clock.to_loop_time_s(connection.read_at), control.resumed_at)
                 extension = min(extension, max(0.0, active_at + STOPPED_MS / 1000.0 - due))
             due += extension
         return due + RESUME_S if control.paused else due
@@ -175,7 +175,7 @@
         Counts bytes that the peer has not acknowledged: the transport's buffer alone falls late, since the
         kernel takes more only once a large part of what it holds is read.
         """
-        unread = framing.unacknowledged(self._connection.transport)
+        unread = framing.unacknowledged_bytes(self._connection.transport)
         if unread <= unread_before - MAX_UNSENT:
             self._answer_timer = self._loop.call_later(UNREAD_S, self._check_answer, unread)
         else:
--- a/brassfall/sidecar/clients/inbound.py
+++ b/brassfall/sidecar/clients/inbound.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from brassfall.sidecar import framing
-from brassfall.sidecar.body import Budget
+from brassfall.sidecar.body import MemoryBudget
 from brassfall.sidecar.clients.client_connection import ClientConnection
 from brassfall.sidecar.clients.client_request import ClientRequest, RequestHandler
 from brassfall.sidecar.clients.connection_limits import RESERVED, ConnectionLimits, eviction_candidates
@@ -14,9 +14,9 @@
 from brassfall.sidecar.clients.listener import Listener, inherited_socket, listening_socket
 from brassfall.sidecar.clients.request_message import BadRequestError, RequestMessage
 from brassfall.sidecar.config import Config
-from brassfall.sidecar.config_values import Address, Names
+from brassfall.sidecar.config_values import Address, WireNames
 from brassfall.sidecar.core.clock import Clock
-from brassfall.sidecar.core.process_state import Lifecycle
+from brassfall.sidecar.core.process_state import ProcessLifecycle
 
 READY_PATH = b"/health/ready"
 MEMORY_SHARE = 0.25  # of all memory, for the bytes of messages
@@ -38,13 +38,13 @@
         clock: Clock,
         config: Config,
         handler: RequestHandler,
-        lifecycle: Lifecycle,
+        lifecycle: ProcessLifecycle,
     ) -> None:
         """Give the requests of clients to `handler`, once `listen` was called."""
         self.loop = loop
         self.clock = clock
         self.handler = handler
-        self.budget = Budget(0)
+        self.budget = MemoryBudget(0)
         self.classes = KnownClasses(loop, config.names)
         self.listener: Listener | None = None
         self._listens_alone = True  # no other process shares the listening socket
@@ -85,7 +85,7 @@
         self.budget.limit = int(self._machine_limits.memory * part * MEMORY_SHARE)
         self.make_room(max(0, self.open_connections - self.limits.high_water))
 
-    def reload(self, names: Names, deadline_ms: float = 0.0) -> None:
+    def reload(self, names: WireNames, deadline_ms: float = 0.0) -> None:
         """Replace the names of request classes; earlier ones are known for a while.
 
         `deadline_ms` is the longest deadline of the requests that may still use the earlier names.
@@ -244,7 +244,7 @@
         if message.target.partition(b"?")[0] == READY_PATH:
             request.finish(200 if self._lifecycle.ready else 503, [], b"")
         elif self.open_connections > self.limits.requests and self.busy_connections > self.limits.requests:
-            request.refused(0.0)
+            request.send_rejection(0.0)
         elif not request.connection.leave_if_closed():
             self._admit(request, message, read_at)
 
@@ -255,6 +255,6 @@
             text = "" if message.method == "HEAD" else f"{error}\n"
             request.finish(error.status, [], text.encode())
             return
-        handled = self.handler.arrive(request, read_at)
+        handled = self.handler.accept_request(request, read_at)
         # The driver has forgotten a request that it answered at once.
         request.request = handled if request.answer is None else None
--- a/brassfall/sidecar/clients/known_classes.py
+++ b/brassfall/sidecar/clients/known_classes.py
@@ -8,7 +8,7 @@
 
 from brassfall.sidecar.clients.client_request import ClientRequest
 from brassfall.sidecar.clients.request_message import BadRequestError, RequestMessage
-from brassfall.sidecar.config_values import Names
+from brassfall.sidecar.config_values import WireNames
 
 LEARNED_S = 1.2  # from a reload, until clients know the new classes
 KEEP_S = 4.0  # from a reload, in which earlier names are known at least: clients may retry
@@ -17,14 +17,14 @@
 class KnownClasses:
     """The present and the recent names, against which requests are checked."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, names: Names) -> None:
+    def __init__(self, loop: asyncio.AbstractEventLoop, names: WireNames) -> None:
         """Start with these names."""
         self._loop = loop
         self._names = names
-        self._earlier: deque[Names] = deque()  # newest first
+        self._earlier: deque[WireNames] = deque()  # newest first
         self._timers: list[asyncio.TimerHandle] = []
 
-    def replace(self, names: Names, deadline_ms: float) -> None:
+    def replace(self, names: WireNames, deadline_ms: float) -> None:
         """Replace the present names, and keep the earlier ones for a while.
 
         Clients learn of a reload later, and may retry a request with earlier names until its deadline of at
@@ -37,13 +37,13 @@
         keep_s = max(KEEP_S, LEARNED_S + deadline_ms / 1000.0)
         self._timers.append(self._loop.call_later(keep_s, self.forget, earlier))
 
-    def forget(self, names: Names) -> None:
+    def forget(self, names: WireNames) -> None:
         """Forget earlier names whose time is over."""
         self._earlier.remove(names)
         self._timers = [timer for timer in self._timers if timer.when() > self._loop.time()]
 
     @property
-    def known(self) -> list[Names]:
+    def known(self) -> list[WireNames]:
         """The names that clients may use, newest first."""
         return [self._names, *self._earlier]
 
--- a/brassfall/sidecar/clients/request_checks.py
+++ b/brassfall/sidecar/clients/request_checks.py
@@ -9,14 +9,14 @@
 import re
 
 from brassfall.sidecar.clients.request_message import BadRequestError, RequestMessage
-from brassfall.sidecar.config_values import Names, RequestClass
+from brassfall.sidecar.config_values import RequestClass, WireNames
 
 BUDGET = re.compile(r"(\d{1,12}(?:\.\d{1,6})?)([mu])")  # in milliseconds or microseconds
 MAX_BUDGET_MS = 3_600_000.0
 CALL_ID = re.compile(r"[!-~]{1,128}")
 
 
-def request_class(message: RequestMessage, names: Names) -> RequestClass:
+def request_class(message: RequestMessage, names: WireNames) -> RequestClass:
     """Return the class, which the path and `X-Call-Class` have to name alike, and which fixes the method."""
     path = message.target.partition(b"?")[0].decode("latin-1")
     first = path.split("/")[1] if path.startswith("/") else ""
@@ -51,7 +51,7 @@
     return budget
 
 
-def tenant(message: RequestMessage, names: Names) -> int:
+def tenant(message: RequestMessage, names: WireNames) -> int:
     """Return the index of the client's tenant."""
     found = names.tenants.get(message.required_header("x-caller"))
     if found is None:
--- a/brassfall/sidecar/clients/request_message.py
+++ b/brassfall/sidecar/clients/request_message.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from brassfall.sidecar.body import Body, Budget
+from brassfall.sidecar.body import Body, MemoryBudget
 from brassfall.sidecar.framing import Headers
 
 
@@ -28,14 +28,14 @@
     def __init__(self) -> None:
         self.size = 0
 
-    def grow(self, budget: Budget, size: int) -> bool:
+    def grow(self, budget: MemoryBudget, size: int) -> bool:
         """Reserve `size` bytes more; return False, without reserving any, if they are not free."""
         if not budget.reserve(size):
             return False
         self.size += size
         return True
 
-    def release(self, budget: Budget) -> None:
+    def release(self, budget: MemoryBudget) -> None:
         """Free all bytes: the message is no longer in memory."""
         budget.release(self.size)
         self.size = 0
--- a/brassfall/sidecar/clients/request_parser.py
+++ b/brassfall/sidecar/clients/request_parser.py
@@ -7,7 +7,7 @@
 import httptools
 
 from brassfall.sidecar import framing
-from brassfall.sidecar.body import MAX_BUFFERED, MAX_FLOWING, Body, Budget
+from brassfall.sidecar.body import MAX_BUFFERED_BYTES, MAX_STREAMING_BYTES, Body, MemoryBudget
 from brassfall.sidecar.clients.connection_state import ConnectionStateError
 from brassfall.sidecar.clients.request_checks import check_framing
 from brassfall.sidecar.clients.request_message import BadRequestError, RequestMessage
@@ -15,7 +15,7 @@
 BLANK = b"\r\n"
 # Bytes of a request that are not its body, beside eight for each byte of the body.
 BODY_OVERHEAD = 8
-MAX_FRAMING = 2 * framing.MAX_HEAD + MAX_BUFFERED
+MAX_FRAMING = 2 * framing.MAX_HEAD_BYTES + MAX_BUFFERED_BYTES
 
 
 class Receiver(Protocol):
@@ -37,7 +37,7 @@
 class RequestParser:
     """Parses the requests on one connection, one after the other."""
 
-    def __init__(self, receiver: Receiver, budget: Budget) -> None:
+    def __init__(self, receiver: Receiver, budget: MemoryBudget) -> None:
         """Give requests to `receiver`, and reserve the memory for their bodies from `budget`."""
         self.message: RequestMessage | None = None  # that is being read
         self._stopped = False
@@ -90,7 +90,7 @@
         if message is None:
             if data[0] in BLANK and not data.strip(BLANK):
                 self._blank_bytes += count
-                if self._blank_bytes > framing.MAX_HEAD:
+                if self._blank_bytes > framing.MAX_HEAD_BYTES:
                     raise BadRequestError(400, "too many empty lines")
             return
         message.size += count
@@ -98,7 +98,7 @@
             raise BadRequestError(413, "too much framing")
         if not message.head_complete:
             self._head_bytes += count
-            if self._head_bytes > 2 * framing.MAX_HEAD:
+            if self._head_bytes > 2 * framing.MAX_HEAD_BYTES:
                 raise BadRequestError(431, "headers too large")
 
     def stop(self) -> None:
@@ -131,7 +131,7 @@
         # httptools leaves blanks behind a value.
         message.headers.append((name, value.rstrip(b" \t")))
         self._head_bytes += len(name) + len(value)
-        if self._head_bytes > framing.MAX_HEAD:
+        if self._head_bytes > framing.MAX_HEAD_BYTES:
             raise BadRequestError(431, "headers too large")
 
     def on_headers_complete(self) -> None:
@@ -143,7 +143,7 @@
         check_framing(message, self._parser.get_http_version(), upgrade=self._parser.should_upgrade())
         message.method = self._parser.get_method().decode("latin-1")
         length = message.header("content-length")
-        if length is not None and length.isdigit() and int(length) > framing.MAX_BODY:
+        if length is not None and length.isdigit() and int(length) > framing.MAX_BODY_BYTES:
             raise BadRequestError(413, "body too large")
         self._receiver.head_read(message)
 
@@ -153,13 +153,13 @@
         if message is None or self._stopped:
             return
         message.body_size += len(data)
-        if message.body_size > framing.MAX_BODY:
+        if message.body_size > framing.MAX_BODY_BYTES:
             raise BadRequestError(413, "body too large")
         if message.flowing_body is not None:
             message.flowing_body.feed(data)
             return
-        large = len(message.body) + len(data) > MAX_BUFFERED
-        size = MAX_FLOWING - message.reservation.size if large else len(data)
+        large = len(message.body) + len(data) > MAX_BUFFERED_BYTES
+        size = MAX_STREAMING_BYTES - message.reservation.size if large else len(data)
         if not message.reservation.grow(self._budget, size):
             raise BadRequestError(503, "no memory for the body")
         message.body += data
--- a/brassfall/sidecar/clients/streamed_answer.py
+++ b/brassfall/sidecar/clients/streamed_answer.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from brassfall.sidecar.core.interfaces import Answer, Flow
+from brassfall.sidecar.core.interfaces import Answer, FlowControl
 from brassfall.sidecar.framing import header_lines
 
 
@@ -12,7 +12,7 @@
     """An answer whose beginning has arrived, and the rest is to come."""
 
     def __init__(
-        self, write: Callable[[bytes], None], answer: Answer, flow: Flow, *, can_chunk: bool
+        self, write: Callable[[bytes], None], answer: Answer, flow: FlowControl, *, can_chunk: bool
     ) -> None:
         """Pass on `answer` with `write`, and pause and resume its server with `flow`.
 
--- a/brassfall/sidecar/config.py
+++ b/brassfall/sidecar/config.py
@@ -12,16 +12,16 @@
 
 from brassfall.balancer import Settings
 from brassfall.sidecar.config_values import (
-    MALFORMED,
+    MALFORMED_ERRORS,
     Address,
-    Names,
-    amount,
+    WireNames,
     as_object,
-    count,
-    named,
-    own_address,
+    bounded_number,
+    error_prefix,
+    malformed_reason,
+    non_negative_number,
     read_names,
-    reason,
+    resolvable_address,
     stable_number,
 )
 from brassfall.sidecar.discovery.endpoint_list import ServerList, parse_list
@@ -71,7 +71,7 @@
 
     name: str
     listen: Address
-    inherited: int | None  # the descriptor of the listening socket, where the platform holds it
+    inherited_descriptor: int | None  # the descriptor of the listening socket, where the platform holds it
     operator: Address | None  # of the admin endpoint
     discovery: Address
     registry: tuple[Address, ...]  # the addresses of the list service; none without the key `fleet`
@@ -80,12 +80,12 @@
     peer_listen: Address | None
     peers: tuple[Address, ...]
     peers_all: Address | None
-    known: ServerList
+    known_servers: ServerList
     settings: Settings
-    names: Names
-    max_open: int
+    names: WireNames
+    max_open_requests: int
     drain_grace: float
-    shape: frozenset[str]  # the keys of the file
+    present_keys: frozenset[str]  # the keys of the file
     agreement: Agreement | None = None
 
 
@@ -100,8 +100,8 @@
     except OSError as error:
         message = f"configuration {path}: {error.strerror}"
         raise ConfigError(message) from error
-    except MALFORMED as error:
-        message = " ".join(f"configuration {path}: {reason(error)}".split())
+    except MALFORMED_ERRORS as error:
+        message = " ".join(f"configuration {path}: {malformed_reason(error)}".split())
         raise ConfigError(message) from error
 
 
@@ -124,21 +124,21 @@
 def parse(raw: object, environment: Mapping[str, str]) -> Config:
     """Return the configuration from its JSON; for addresses the environment takes precedence.
 
-    Raise one of `MALFORMED` if it is invalid.
+    Raise one of `MALFORMED_ERRORS` if it is invalid.
     """
     root = as_object(raw)
     settings = _object(root, "settings", needed=True)
-    with named("settings"):
+    with error_prefix("settings"):
         names = read_names(settings)
     operator = _address(root, "operator", environment.get("NODE_OPERATOR"))
     registry = _registry(root)
     discovery = registry[0] if registry else _needed_address(root, "discovery", environment)
-    with named("settings"):
+    with error_prefix("settings"):
         parsed_settings = Settings.parse(settings)
     return Config(
         name=environment.get("NODE_NAME") or str(root["name"]),
         listen=_needed_address(root, "listen", environment),
-        inherited=_descriptor(environment, "NODE_INHERITED_FD"),
+        inherited_descriptor=_descriptor(environment, "NODE_INHERITED_FD"),
         operator=operator,
         discovery=discovery,
         registry=registry,
@@ -147,12 +147,12 @@
         peer_listen=_address(root, "peer_listen"),
         peers=_peers(root),
         peers_all=_address(root, "peers_all"),
-        known=_known(root, names),
+        known_servers=_known_servers(root, names),
         settings=parsed_settings,
         names=names,
-        max_open=_max_open(settings),
+        max_open_requests=_max_open_requests(settings),
         drain_grace=_drain_grace(settings),
-        shape=_shape(root),
+        present_keys=_present_keys(root),
         agreement=_agreement(root),
     )
 
@@ -166,8 +166,8 @@
 def _address(raw: Mapping[str, Any], key: str, instead: str | None = None) -> Address | None:
     """Return the address in `instead`, from the environment, or else in a member; None if in neither."""
     text = instead or raw.get(key)
-    with named(_variable(key) if instead else key):
-        return own_address(text) if text else None
+    with error_prefix(_variable(key) if instead else key):
+        return resolvable_address(text) if text else None
 
 
 def _needed_address(raw: Mapping[str, Any], key: str, environment: Mapping[str, str]) -> Address:
@@ -183,36 +183,36 @@
     return f"NODE_{key.upper()}"
 
 
-def _known(raw: Mapping[str, Any], names: Names) -> ServerList:
+def _known_servers(raw: Mapping[str, Any], names: WireNames) -> ServerList:
     known = _object(raw, "known", needed=True)
-    with named("known"):
+    with error_prefix("known"):
         return parse_list(known, names)
 
 
 def _seed(raw: Mapping[str, Any]) -> int:
-    with named("seed"):
+    with error_prefix("seed"):
         return stable_number(str(raw.get("seed", "")))
 
 
 def _peers(raw: Mapping[str, Any]) -> tuple[Address, ...]:
-    with named("peers"):
-        return tuple(own_address(peer) for peer in raw.get("peers") or ())
+    with error_prefix("peers"):
+        return tuple(resolvable_address(peer) for peer in raw.get("peers") or ())
 
 
-def _max_open(settings: Mapping[str, Any]) -> int:
-    with named("settings"):
+def _max_open_requests(settings: Mapping[str, Any]) -> int:
+    with error_prefix("settings"):
         limits = _object(settings, "PolicyLimits")
-        return int(count(limits.get("MaxOpen", NO_MAX_OPEN), "PolicyLimits.MaxOpen", 0))
+        return int(bounded_number(limits.get("MaxOpen", NO_MAX_OPEN), "PolicyLimits.MaxOpen", 0))
 
 
 def _drain_grace(settings: Mapping[str, Any]) -> float:
-    with named("settings"):
+    with error_prefix("settings"):
         rules = _object(settings, "Rules")
-        with named("Rules.StopSendingWithin"):
-            return amount(rules.get("StopSendingWithin", 0.0))
+        with error_prefix("Rules.StopSendingWithin"):
+            return non_negative_number(rules.get("StopSendingWithin", 0.0))
 
 
-def _shape(raw: Mapping[str, Any]) -> frozenset[str]:
+def _present_keys(raw: Mapping[str, Any]) -> frozenset[str]:
     """Return the keys that a configuration has: those of its objects, and those that all classes have.
 
     Keys that bind only keyed classes count if all keyed classes have them.
@@ -241,8 +241,8 @@
     if not isinstance(addresses, list) or not addresses:
         message = "fleet.registry: expected a list of addresses"
         raise ValueError(message)
-    with named("fleet.registry"):
-        return tuple(own_address(text) for text in addresses)
+    with error_prefix("fleet.registry"):
+        return tuple(resolvable_address(text) for text in addresses)
 
 
 def _agreement(raw: Mapping[str, Any]) -> Agreement | None:
@@ -252,7 +252,7 @@
     if fleet.get("agreement") is None:
         return None
     agreement = _known_keys("fleet.agreement", fleet["agreement"], {"agree_ms"})
-    agree_ms = amount(agreement.get("agree_ms", DEFAULT_AGREE_MS))
+    agree_ms = non_negative_number(agreement.get("agree_ms", DEFAULT_AGREE_MS))
     if not MIN_AGREE_MS <= agree_ms <= MAX_AGREE_MS:
         message = f"fleet.agreement.agree_ms: expected {MIN_AGREE_MS:g} to {MAX_AGREE_MS:g}"
         raise ValueError(message)
@@ -288,6 +288,6 @@
     limits = _object(raw, "limits")
     reserved = RESERVED_DESCRIPTORS + (MAX_ADMIN_CONNECTIONS + 1 if admin_endpoint else 0)
     allowed = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-    given = int(count(limits.get("sockets", DEFAULT_SOCKETS), "limits.sockets"))
-    memory = int(count(limits.get("memory_mb", DEFAULT_MEMORY_MB), "limits.memory_mb") * MIB)
+    given = int(bounded_number(limits.get("sockets", DEFAULT_SOCKETS), "limits.sockets"))
+    memory = int(bounded_number(limits.get("memory_mb", DEFAULT_MEMORY_MB), "limits.memory_mb") * MIB)
     return Limits(descriptors=given if allowed < 0 else min(given, allowed), reserved=reserved, memory=memory)
--- a/brassfall/sidecar/config_values.py
+++ b/brassfall/sidecar/config_values.py
@@ -1,6 +1,6 @@
 """The values of configuration files and endpoint lists: addresses, names, and checks of single values.
 
-The checks raise `ValueError`, or another of `MALFORMED`, whose text names the invalid value.
+The checks raise `ValueError`, or another of `MALFORMED_ERRORS`, whose text names the invalid value.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Names:
+class WireNames:
     """The names on the wire, each with its index in the settings."""
 
     classes: Mapping[str, RequestClass]
@@ -51,11 +51,11 @@
 
 
 # Raised for invalid values; each is logged as one line.
-MALFORMED = (ValueError, TypeError, KeyError, AttributeError, OverflowError, RecursionError)
+MALFORMED_ERRORS = (ValueError, TypeError, KeyError, AttributeError, OverflowError, RecursionError)
 
 
-def reason(error: Exception) -> str:
-    """Return why a value is invalid, by one of `MALFORMED`."""
+def malformed_reason(error: Exception) -> str:
+    """Return why a value is invalid, by one of `MALFORMED_ERRORS`."""
     if isinstance(error, KeyError):
         return f"{error.args[0]} is missing"
     if isinstance(error, AttributeError | TypeError):
@@ -64,27 +64,27 @@
 
 
 @contextlib.contextmanager
-def named(key: str) -> Iterator[None]:
-    """Put the key in front of the text of any of `MALFORMED`, and raise it as `ValueError`."""
+def error_prefix(key: str) -> Iterator[None]:
+    """Put the key in front of the text of any of `MALFORMED_ERRORS`, and raise it as `ValueError`."""
     try:
         yield
-    except MALFORMED as error:
-        message = f"{key}: {reason(error)}"
+    except MALFORMED_ERRORS as error:
+        message = f"{key}: {malformed_reason(error)}"
         raise ValueError(message) from error
 
 
-def read_names(settings: Mapping[str, Any]) -> Names:
-    """Return the names in the settings; raise one of `MALFORMED` if they are invalid."""
+def read_names(settings: Mapping[str, Any]) -> WireNames:
+    """Return the names in the settings; raise one of `MALFORMED_ERRORS` if they are invalid."""
     rows = settings["Profiles"]
-    with named("Profiles"):
+    with error_prefix("Profiles"):
         class_names = [row["Name"] for row in rows]
     valid = all(isinstance(name, str) and name for name in class_names)
     if len(set(class_names)) < len(class_names) or not valid:
         message = "Profiles: each class needs a name of its own"
         raise ValueError(message)
-    with named("Tenants"):
+    with error_prefix("Tenants"):
         tenants = _indices(row["Name"] for row in settings.get("Tenants") or ())
-    return Names(
+    return WireNames(
         classes={row["Name"]: _request_class(slot, row) for slot, row in enumerate(rows)},
         tenants=tenants,
         zones=_indices(settings.get("FailureDomains") or ()),
@@ -112,7 +112,7 @@
     return Address(host.strip("[]"), int(port))
 
 
-def own_address(text: object) -> Address:
+def resolvable_address(text: object) -> Address:
     """Return an address to listen at or to call; raise `ValueError` if it is none.
 
     Guards against names whose look-up fails by other errors than those of the network. A server with such a
@@ -140,7 +140,7 @@
     return value
 
 
-def count(value: object, key: str, low: int = 1) -> float:
+def bounded_number(value: object, key: str, low: int = 1) -> float:
     """Return a number from `low` on; raise `ValueError` if it is none."""
     if isinstance(value, bool) or not isinstance(value, int | float) or not low <= value < NUMBERS_BELOW:
         message = f"{key}: {value!r} is not a number from {low} on"
@@ -148,8 +148,11 @@
     return value
 
 
-def amount(value: object) -> float:
-    """Return a finite number from 0 on, which may be written as text; raise one of `MALFORMED` if none."""
+def non_negative_number(value: object) -> float:
+    """Return a finite number from 0 on, which may be written as text.
+
+    Raise one of `MALFORMED_ERRORS` if it is none.
+    """
     number = float(_numeric(value))
     if not math.isfinite(number) or number < 0.0:
         message = f"{value!r} is not a number from 0 on"
@@ -157,10 +160,10 @@
     return number
 
 
-def integer(value: object) -> int:
+def to_integer(value: object) -> int:
     """Return a number, which may be written as text, without its fraction.
 
-    Raise one of `MALFORMED` if it is none.
+    Raise one of `MALFORMED_ERRORS` if it is none.
     """
     return int(_numeric(value))
 
--- a/brassfall/sidecar/core/actions.py
+++ b/brassfall/sidecar/core/actions.py
@@ -8,7 +8,7 @@
 from brassfall.sidecar import log
 from brassfall.sidecar.core.balancer_timers import BalancerTimers
 from brassfall.sidecar.core.health_checks import HealthChecks
-from brassfall.sidecar.core.interfaces import Gossip, Registry, Upstreams
+from brassfall.sidecar.core.interfaces import DiscoveryClient, Gossip, Upstreams
 from brassfall.sidecar.core.request_lifecycle import RequestLifecycle
 
 
@@ -20,14 +20,14 @@
     timers: BalancerTimers
     health_checks: HealthChecks
     upstreams: Upstreams
-    registry: Registry
+    registry: DiscoveryClient
     gossip: Gossip
 
-    def perform(self, action: model.Action, stamp: bytes) -> None:
-        """Carry out one action, decided under the configuration revision of `stamp`."""
+    def perform(self, action: model.Action, revision_header: bytes) -> None:
+        """Carry out one action, decided under the configuration revision of `revision_header`."""
         match action:
             case model.Send():
-                self._send(action, stamp)
+                self._send(action, revision_header)
             case model.Timer(request=number):
                 self.timers.arm(action, is_tracked=number in self.requests.table.by_number)
             case model.Refuse(number, retry_after):
@@ -51,13 +51,13 @@
             case model.Fetch():
                 self.registry.fetch()
             case model.Tell(peer, data):
-                self.gossip.tell(peer, data)
+                self.gossip.send(peer, data)
             case model.Log(text):
                 log.info("balancer", text=text)
 
-    def _send(self, send: model.Send, stamp: bytes) -> None:
+    def _send(self, send: model.Send, revision_header: bytes) -> None:
         request = self.requests.table.by_number.get(send.request)
         if request is None:
             log.error("attempt for an unknown request, not sent", request=send.request, action="report it")
         else:
-            self.requests.attempts.start(request, send, stamp)
+            self.requests.attempts.start(request, send, revision_header)
--- a/brassfall/sidecar/core/attempt_runner.py
+++ b/brassfall/sidecar/core/attempt_runner.py
@@ -13,12 +13,12 @@
 from brassfall.balancer import model
 from brassfall.balancer.model import Outcome
 from brassfall.sidecar.core.attempts import IN_EXCHANGE, UNANSWERED, Attempt, AttemptState, Request
-from brassfall.sidecar.core.clock import HOLD_UP_MS, Clock
-from brassfall.sidecar.core.interfaces import Answer, Flow, Result, Upstreams
+from brassfall.sidecar.core.clock import MAX_PROCESS_PAUSE_MS, Clock
+from brassfall.sidecar.core.interfaces import Answer, ExchangeResult, FlowControl, Upstreams
 
 # A retry under an idempotency key has to have reached its server within the key's window, also where this
 # process is held up. Its transit is covered by the 50 ms that the protocol adds to each limit.
-KEY_MARGIN_MS = HOLD_UP_MS
+KEY_MARGIN_MS = MAX_PROCESS_PAUSE_MS
 # From this age of a request on, its client's socket is checked before a write: the process may have been
 # held up meanwhile, with the end of the client's connection not read yet.
 CHECK_CLIENT_AFTER_MS = 10.0
@@ -30,13 +30,13 @@
 class AttemptObserver(Protocol):
     """The part of the driver that acts on what attempts bring."""
 
-    def answer_begun(self, attempt: Attempt, answer: Answer, flow: Flow) -> bool:
+    def answer_begun(self, attempt: Attempt, answer: Answer, flow: FlowControl) -> bool:
         """Take the beginning of a large answer; return False if the request was answered before."""
 
     def attempt_withdrawn(self, attempt: Attempt) -> None:
         """Take note that the pool abandoned an attempt before it was sent."""
 
-    def attempt_ended(self, attempt: Attempt, result: Result, elapsed: float) -> None:
+    def attempt_ended(self, attempt: Attempt, result: ExchangeResult, elapsed: float) -> None:
         """Take the one outcome of an attempt; `elapsed` runs from the request's last byte to the answer."""
 
 
@@ -55,8 +55,8 @@
 
     # --- what the balancer decides ------------------------------------------------
 
-    def start(self, request: Request, send: model.Send, stamp: bytes) -> None:
-        """Start an attempt, decided under the revision of `stamp`.
+    def start(self, request: Request, send: model.Send, revision_header: bytes) -> None:
+        """Start an attempt, decided under the revision of `revision_header`.
 
         It ends as abandoned, in a later turn, if the request is answered or out of time or attempts.
         """
@@ -66,7 +66,7 @@
         number = len(request.attempts)
         time_limit = min(send.timeout, left) if send.timeout > 0.0 else left
         write_by = send.write_by - KEY_MARGIN_MS
-        attempt = Attempt(self, request, number, now, time_limit, stamp, write_by)
+        attempt = Attempt(self, request, number, now, time_limit, revision_header, write_by)
         request.attempts.append(attempt)
         request.attempts_in_flight += 1
         if not self._may_start(attempt, send, left, now):
@@ -79,7 +79,9 @@
             attempt.enter(AWAITING_ANSWER)
             self._limit(attempt, expires)
         if write_by < math.inf:
-            attempt.window = self._loop.call_at(self._clock.to_loop(write_by), self.drop_unwritten, attempt)
+            attempt.window = self._loop.call_at(
+                self._clock.to_loop_time_s(write_by), self.drop_unwritten, attempt
+            )
         attempt.exchange = self._upstreams.send(send.server, request.call, expires, attempt)
 
     @staticmethod
@@ -90,7 +92,7 @@
             request.answered
             or left <= 0.0
             or send.timeout < 0.0
-            or (body is not None and body.gone)
+            or (body is not None and body.beginning_discarded)
             or now >= attempt.write_by
             or attempt.number >= request.max_attempts
         )
@@ -107,7 +109,11 @@
 
         This needs no `MayCancel` in the settings: no server has begun to work on the request.
         """
-        if attempt.state in UNANSWERED and attempt.exchange is not None and attempt.exchange.drop():
+        if (
+            attempt.state in UNANSWERED
+            and attempt.exchange is not None
+            and attempt.exchange.abandon_unless_written()
+        ):
             self._stop(attempt, Outcome.ABANDONED)
 
     def limit_uploads(self, request: Request) -> None:
@@ -124,8 +130,8 @@
         exchange, outcome = attempt.exchange, Outcome.TIMEOUT
         if exchange is not None:
             exchange.abandon()
-            outcome = Outcome.ABANDONED if exchange.failed_here else outcome
-        attempt.ended(Result(outcome))
+            outcome = Outcome.ABANDONED if exchange.failed_locally else outcome
+        attempt.exchange_ended(ExchangeResult(outcome))
 
     # --- what its exchange tells (`AttemptOwner`) ------------------------------------
 
@@ -161,11 +167,11 @@
         self._limit(attempt, limit)
         attempt.enter(AWAITING_ANSWER)
 
-    def answer_begun(self, attempt: Attempt, answer: Answer, flow: Flow) -> Callable[[bytes], None]:
+    def answer_begun(self, attempt: Attempt, answer: Answer, flow: FlowControl) -> Callable[[bytes], None]:
         """Begin to pass a large answer on; the attempt has no time limit from here on."""
         request = attempt.request
         if self._observer.answer_begun(attempt, answer, flow):
-            return request.call.more
+            return request.call.continue_answer
         # Later: its connection is in the middle of a read.
         self._loop.call_soon(self.cancel, attempt)
         return _discard
@@ -185,7 +191,7 @@
         attempt.request.max_attempts += 1
         self._observer.attempt_withdrawn(attempt)
 
-    def ended(self, attempt: Attempt, result: Result) -> None:
+    def ended(self, attempt: Attempt, result: ExchangeResult) -> None:
         """Take the outcome of an attempt; without effect if it has one."""
         if attempt.state is ENDED:
             return
@@ -203,11 +209,11 @@
     def _stop(self, attempt: Attempt, outcome: Outcome) -> None:
         attempt.exchange = None
         attempt.enter(STOPPED)
-        self._loop.call_soon(self.ended, attempt, Result(outcome))
+        self._loop.call_soon(self.ended, attempt, ExchangeResult(outcome))
 
     def _limit(self, attempt: Attempt, until: float) -> None:
         """Set the time limit of an attempt; never later than one that is running."""
-        at, timeout = self._clock.to_loop(until), attempt.timeout
+        at, timeout = self._clock.to_loop_time_s(until), attempt.timeout
         if timeout is not None:
             timeout.cancel()
             if attempt.state is not UPLOADING:
--- a/brassfall/sidecar/core/attempts.py
+++ b/brassfall/sidecar/core/attempts.py
@@ -13,7 +13,7 @@
 from typing import Protocol, cast
 
 from brassfall.balancer.model import Outcome
-from brassfall.sidecar.core.interfaces import Answer, Call, Exchange, Flow, Result
+from brassfall.sidecar.core.interfaces import Answer, Call, Exchange, ExchangeResult, FlowControl
 
 
 class _State(Enum):
@@ -81,7 +81,7 @@
 
 
 class AttemptOwner(Protocol):
-    """The part of the driver that follows attempts; see `Watcher` for the events."""
+    """The part of the driver that follows attempts; see `ExchangeObserver` for the events."""
 
     def may_write(self, attempt: Attempt) -> bool:
         """Return whether an attempt whose bytes are due is still wanted."""
@@ -89,13 +89,13 @@
     def uploaded(self, attempt: Attempt) -> None:
         """Take note that a request has been written completely."""
 
-    def answer_begun(self, attempt: Attempt, answer: Answer, flow: Flow) -> Callable[[bytes], None]:
+    def answer_begun(self, attempt: Attempt, answer: Answer, flow: FlowControl) -> Callable[[bytes], None]:
         """Begin to pass a large answer on; return what takes the rest of it."""
 
     def withdrawn(self, attempt: Attempt) -> None:
         """Take note that the pool abandoned an attempt before it was sent."""
 
-    def ended(self, attempt: Attempt, result: Result) -> None:
+    def ended(self, attempt: Attempt, result: ExchangeResult) -> None:
         """Take the outcome of an attempt; later ones are ignored."""
 
 
@@ -108,7 +108,7 @@
     number: int  # among the request's attempts, from 0
     started_at: float
     time_limit: float  # for an answer, from when the request is written completely
-    stamp: bytes = b""  # the configuration revision under which the server was selected; empty: none
+    revision_header: bytes = b""  # of the revision under which the server was selected; empty: none
     write_by: float = math.inf  # end of the idempotency key's window, less a margin
     state: AttemptState = AttemptState.STARTING
     exchange: Exchange | None = None
@@ -126,16 +126,16 @@
         """Return whether the attempt is still wanted, now that its bytes can be written."""
         return self.owner.may_write(self)
 
-    def written(self) -> None:
+    def request_written(self) -> None:
         """Take note that the request has been written completely."""
         if self.state is _UPLOADING:
             self.owner.uploaded(self)
 
-    def begun(self, answer: Answer, flow: Flow) -> Callable[[bytes], None]:
+    def answer_started(self, answer: Answer, flow: FlowControl) -> Callable[[bytes], None]:
         """Begin to pass a large answer on; return what takes the rest of it."""
         return self.owner.answer_begun(self, answer, flow)
 
-    def ended(self, result: Result) -> None:
+    def exchange_ended(self, result: ExchangeResult) -> None:
         """Take the outcome that the pool gives."""
         if result.outcome == _ABANDONED and self.state is not _ENDED:
             self.owner.withdrawn(self)
--- a/brassfall/sidecar/core/clock.py
+++ b/brassfall/sidecar/core/clock.py
@@ -6,7 +6,7 @@
 import time
 
 # The longest time that this process may be held up between reading its clock and writing.
-HOLD_UP_MS = 150.0
+MAX_PROCESS_PAUSE_MS = 150.0
 
 
 class Clock:
@@ -26,10 +26,10 @@
         """Return the time in milliseconds; it never steps back."""
         return self._loop.time() * 1000.0 + self.offset_ms
 
-    def to_loop(self, at_ms: float) -> float:
+    def to_loop_time_s(self, at_ms: float) -> float:
         """Return the loop's own time, in seconds, for a time of this clock."""
         return (at_ms - self.offset_ms) / 1000.0
 
-    def from_loop(self, at_s: float) -> float:
+    def from_loop_time_s(self, at_s: float) -> float:
         """Return this clock's time for a time of the loop in seconds."""
         return at_s * 1000.0 + self.offset_ms
--- a/brassfall/sidecar/core/driver.py
+++ b/brassfall/sidecar/core/driver.py
@@ -21,7 +21,7 @@
 from brassfall.sidecar.core.balancer_timers import BalancerTimers
 from brassfall.sidecar.core.clock import Clock
 from brassfall.sidecar.core.health_checks import HealthChecks
-from brassfall.sidecar.core.interfaces import Call, Gossip, Registry, Upstreams
+from brassfall.sidecar.core.interfaces import Call, DiscoveryClient, Gossip, Upstreams
 from brassfall.sidecar.core.request_lifecycle import RequestLifecycle
 from brassfall.sidecar.core.request_table import RequestTable
 from brassfall.sidecar.discovery.endpoint_list import ServerList
@@ -52,11 +52,11 @@
 class Driver:
     """Runs one balancer: passes each event to it and carries out the actions that it returns.
 
-    `balancer` is the real one, made from the configuration, if none is given. `revision_stamp`, if set, gives
-    the header line of the configuration revision under which the balancer decides.
+    `balancer` is the real one, made from the configuration, if none is given. `revision_header`, if set,
+    gives the header line of the configuration revision under which the balancer decides.
     """
 
-    revision_stamp: Callable[[], bytes] | None = None
+    revision_header: Callable[[], bytes] | None = None
 
     def __init__(
         self,
@@ -67,7 +67,7 @@
     ) -> None:
         self._clock = clock
         self._settings = config.settings
-        self._max_open = config.max_open
+        self._max_open_requests = config.max_open_requests
         self._rejected_full = 0  # requests rejected because `max_open` were open
         self._start_times = StartTimes()
         if balancer is None:
@@ -75,18 +75,18 @@
         self._balancer = balancer
         self._timers = BalancerTimers(loop, self)
         self._health_checks = HealthChecks(loop, clock, self)
-        self.lifecycle = RequestLifecycle(loop, clock, self, self._timers, first_number=config.seed)
-        self._requests = self.lifecycle.table
+        self.request_lifecycle = RequestLifecycle(loop, clock, self, self._timers, first_number=config.seed)
+        self._requests = self.request_lifecycle.table
         self._upstreams: Upstreams
         self._actions: ActionDispatcher
 
-    def connect(self, upstreams: Upstreams, registry: Registry, gossip: Gossip) -> None:
+    def connect(self, upstreams: Upstreams, registry: DiscoveryClient, gossip: Gossip) -> None:
         """Hand in the parts that carry out actions; required before the first event."""
         self._upstreams = upstreams
-        self.lifecycle.attempts.connect(upstreams)
+        self.request_lifecycle.attempts.connect(upstreams)
         self._health_checks.connect(upstreams)
         self._actions = ActionDispatcher(
-            requests=self.lifecycle,
+            requests=self.request_lifecycle,
             timers=self._timers,
             health_checks=self._health_checks,
             upstreams=upstreams,
@@ -150,42 +150,42 @@
 
         `unchanged` are the slots of classes that are the same as before.
         """
-        self._settings, self._max_open = config.settings, config.max_open
+        self._settings, self._max_open_requests = config.settings, config.max_open_requests
         self.notify(events.SettingsReloaded(config.settings, unchanged))
 
     def steer(self, steer: model.Steer) -> None:
         """Use another steering plan and other overrides from now on."""
         self.notify(events.SteeringChanged(steer))
 
-    def stopping(self, until: float) -> None:
+    def answer_all_by(self, until: float) -> None:
         """Answer all requests that arrive from now on by `until`: the process shuts down."""
-        self.lifecycle.answer_all_by(until)
+        self.request_lifecycle.answer_all_by(until)
 
     # --- events of clients --------------------------------------------------------------------
 
-    def arrive(self, call: Call, now: float) -> Request | None:
+    def accept_request(self, call: Call, now: float) -> Request | None:
         """Accept a request, whose `call` gets one final answer.
 
         Its budget runs from its last byte, which was read at `now`, or of which `body_read` tells. Return its
         record, or None if it was rejected because too many requests are open.
         """
-        if self._requests.awaiting >= self._max_open:
+        if self._requests.awaiting >= self._max_open_requests:
             self._rejected_full += 1
-            call.refused(0.0)
+            call.send_rejection(0.0)
             return None
-        return self.lifecycle.arrive(call, now, self._settings.max_attempts)
+        return self.request_lifecycle.accept(call, now, self._settings.max_attempts)
 
-    def body_gone(self, request: Request) -> None:
+    def body_discarded(self, request: Request) -> None:
         """Take note that more of a body has been forwarded than is buffered: it can't be sent again."""
-        self.lifecycle.body_discarded(request)
+        self.request_lifecycle.body_discarded(request)
 
     def body_read(self, request: Request, now: float) -> None:
         """Take note that the last byte of a large request was read at `now`."""
-        self.lifecycle.body_read(request, now)
+        self.request_lifecycle.body_read(request, now)
 
-    def client_gone(self, request: Request) -> None:
+    def client_disconnected(self, request: Request) -> None:
         """Take note that the client closed its connection before it had the complete answer."""
-        self.lifecycle.client_gone(request)
+        self.request_lifecycle.client_disconnected(request)
 
     # --- events of discovery and of other sidecars -----------------------------------------------
 
@@ -196,8 +196,8 @@
     def endpoints_listed(self, form: model.ListForm, update: ServerList) -> None:
         """Take an endpoint list: complete, or the entries that changed."""
         now = self._clock.now()
-        update = self._start_times.bounded(now, self._clock.from_loop(update.fresh_at), update)
-        self._upstreams.update(now, update, complete=form is not model.ListForm.CHANGES)
+        update = self._start_times.bounded(now, self._clock.from_loop_time_s(update.fresh_at), update)
+        self._upstreams.update_servers(now, update, complete=form is not model.ListForm.CHANGES)
         self.notify(events.EndpointsListed(form, update.entries))
 
     def peer_message(self, peer: int, data: bytes) -> None:
@@ -211,17 +211,17 @@
 
         An exception of the balancer is logged and fails that request, never the process.
         """
-        stamp = b"" if self.revision_stamp is None else self.revision_stamp()
+        revision_header = b"" if self.revision_header is None else self.revision_header()
         try:
             for action in self._balancer.step(self._clock.now(), event):
-                self._actions.perform(action, stamp)
+                self._actions.perform(action, revision_header)
         except Exception:  # noqa: BLE001 - any defect of it: the other requests go on
             log.error("decision failed", action="report it", traceback=traceback.format_exc())
             if request is not None:
-                self.lifecycle.fail(request, late=False)
+                self.request_lifecycle.fail(request, late=False)
         if request is not None:
             self._requests.release_if_over(request)
 
     def perform(self, action: model.Action) -> None:
         """Carry out one action as if the balancer had decided on it now."""
-        self._actions.perform(action, b"" if self.revision_stamp is None else self.revision_stamp())
+        self._actions.perform(action, b"" if self.revision_header is None else self.revision_header())
--- a/brassfall/sidecar/core/health_checks.py
+++ b/brassfall/sidecar/core/health_checks.py
@@ -8,7 +8,7 @@
 from brassfall.balancer.model import Outcome
 from brassfall.sidecar.core.clock import Clock
 from brassfall.sidecar.core.event_sink import EventSink
-from brassfall.sidecar.core.interfaces import Result, Upstreams
+from brassfall.sidecar.core.interfaces import ExchangeResult, Upstreams
 
 TIMEOUT_MS = 1000.0
 
@@ -30,7 +30,7 @@
         """Check the health of a server; the outcome is reported once, later."""
         started_at = self._clock.now()
 
-        def done(result: Result) -> None:
+        def done(result: ExchangeResult) -> None:
             limit.cancel()
             elapsed = self._clock.now() - started_at
             self._events.notify(
@@ -39,7 +39,7 @@
 
         def expire() -> None:
             exchange.abandon()
-            done(Result(Outcome.TIMEOUT))
+            done(ExchangeResult(Outcome.TIMEOUT))
 
         exchange = self._upstreams.check_health(server, done)
         limit = self._loop.call_later(TIMEOUT_MS / 1000.0, expire)
--- a/brassfall/sidecar/core/interfaces.py
+++ b/brassfall/sidecar/core/interfaces.py
@@ -1,7 +1,7 @@
 """What passes between the driver and what carries requests, lists and messages: typed values and interfaces.
 
 The driver knows no sockets: client connections stand behind `Call`, connections to servers behind
-`Upstreams`, discovery behind `Registry` and other sidecars behind `Gossip`. All is called on the one event
+`Upstreams`, discovery behind `DiscoveryClient` and other sidecars behind `Gossip`. All is called on one event
 loop; nothing here blocks or awaits. Times and spans are in milliseconds.
 """
 
@@ -26,7 +26,7 @@
 
 
 @dataclass(slots=True)
-class Result:
+class ExchangeResult:
     """How an attempt or a health check ended."""
 
     outcome: Outcome
@@ -37,8 +37,8 @@
 class Call(Protocol):
     """A request as the application sent it, and the way of its answer.
 
-    Exactly one of `served`, `refused`, `failed` and `begun` is called; after `begun` come any number of
-    `more` and then one of `finished` and `broken`.
+    Exactly one of `send_answer`, `send_rejection`, `send_failure` and `start_answer` is called; after
+    `start_answer` come any number of `continue_answer` and then one of `finish_answer` and `abort_answer`.
     """
 
     request_class: int  # its slot in the settings' profiles
@@ -57,35 +57,35 @@
     def client_left(self) -> bool:
         """Return whether its client has closed its connection, by a check of the socket.
 
-        The driver's `client_gone` follows soon if it has.
+        The driver's `client_disconnected` follows soon if it has.
         """
 
-    def wire(self, left: float) -> bytes:
+    def request_bytes(self, left: float) -> bytes:
         """Return the request's bytes for a server that has `left` to answer."""
 
-    def served(self, answer: Answer) -> None:
+    def send_answer(self, answer: Answer) -> None:
         """Give the final answer: a server's."""
 
-    def refused(self, retry_after: float) -> None:
+    def send_rejection(self, retry_after: float) -> None:
         """Give the final answer: rejected; a retry after `retry_after` does no harm."""
 
-    def failed(self, *, late: bool) -> None:
+    def send_failure(self, *, late: bool) -> None:
         """Give the final answer: failed, `late` if its budget is used up."""
 
-    def begun(self, answer: Answer, flow: Flow) -> None:
+    def start_answer(self, answer: Answer, flow: FlowControl) -> None:
         """Begin the final answer: the first part of a server's."""
 
-    def more(self, data: bytes) -> None:
+    def continue_answer(self, data: bytes) -> None:
         """Pass on the next part of the answer."""
 
-    def finished(self) -> None:
+    def finish_answer(self) -> None:
         """End the answer: it is complete."""
 
-    def broken(self) -> None:
+    def abort_answer(self) -> None:
         """Break the answer off: it can't be completed."""
 
 
-class Flow(Protocol):
+class FlowControl(Protocol):
     """The server's side of an answer that is passed on while it arrives."""
 
     def pause(self) -> None:
@@ -95,10 +95,10 @@
         """Continue reading: the client has taken all that was read."""
 
 
-class Watcher(Protocol):
+class ExchangeObserver(Protocol):
     """Follows an exchange."""
 
-    stamp: bytes  # header line of the revision under which the server was selected; empty: none
+    revision_header: bytes  # header line of the revision under which the server was selected; empty: none
 
     def may_write(self) -> bool:
         """Return whether the request, which can be written now, is still wanted.
@@ -106,25 +106,25 @@
         If not, the exchange has ended and nothing more of it is reported.
         """
 
-    def written(self) -> None:
+    def request_written(self) -> None:
         """Take note that the request has been written completely."""
 
-    def begun(self, answer: Answer, flow: Flow) -> Callable[[bytes], None]:
+    def answer_started(self, answer: Answer, flow: FlowControl) -> Callable[[bytes], None]:
         """Begin to pass a large answer on; return what takes the rest of it."""
 
-    def ended(self, result: Result) -> None:
+    def exchange_ended(self, result: ExchangeResult) -> None:
         """Take the outcome: called once, unless the exchange was abandoned first."""
 
 
 class Exchange(Protocol):
     """One attempt or health check under way."""
 
-    failed_here: bool  # True if this machine can't open a connection: nothing was sent
+    failed_locally: bool  # True if this machine can't open a connection: nothing was sent
 
     def abandon(self) -> None:
         """Stop at any point: its connection is closed, and no outcome is reported."""
 
-    def drop(self) -> bool:
+    def abandon_unless_written(self) -> bool:
         """Abandon the exchange unless its request has been written completely.
 
         Return True if it was abandoned: then no server has the request.
@@ -134,20 +134,20 @@
 class Upstreams(Protocol):
     """The connections to servers."""
 
-    def send(self, server: str, call: Call, expires: float, watcher: Watcher) -> Exchange:
+    def send(self, server: str, call: Call, expires: float, observer: ExchangeObserver) -> Exchange:
         """Begin an attempt that may take until `expires`; its outcome is reported in a later turn."""
 
-    def check_health(self, server: str, done: Callable[[Result], None]) -> Exchange:
+    def check_health(self, server: str, done: Callable[[ExchangeResult], None]) -> Exchange:
         """Begin a health check; `done` is called once, later, unless it is abandoned first."""
 
-    def update(self, now: float, servers: ServerList, *, complete: bool) -> None:
+    def update_servers(self, now: float, servers: ServerList, *, complete: bool) -> None:
         """Take in an endpoint list; a `complete` one names all servers that there are."""
 
     def close_idle(self, server: str) -> None:
         """Close the idle connections to a server."""
 
 
-class Registry(Protocol):
+class DiscoveryClient(Protocol):
     """Discovery."""
 
     def watch(self, *, on: bool) -> None:
@@ -160,5 +160,5 @@
 class Gossip(Protocol):
     """The way to other sidecars."""
 
-    def tell(self, peer: int | None, data: bytes) -> None:
+    def send(self, peer: int | None, data: bytes) -> None:
         """Send a message to one peer, or to all if `peer` is None."""
--- a/brassfall/sidecar/core/request_lifecycle.py
+++ b/brassfall/sidecar/core/request_lifecycle.py
@@ -16,7 +16,7 @@
 from brassfall.sidecar.core.balancer_timers import BalancerTimers
 from brassfall.sidecar.core.clock import Clock
 from brassfall.sidecar.core.event_sink import EventSink
-from brassfall.sidecar.core.interfaces import Answer, Call, Flow, Result
+from brassfall.sidecar.core.interfaces import Answer, Call, ExchangeResult, FlowControl
 from brassfall.sidecar.core.request_table import RequestTable
 
 # Covers the transit of the answer and the lag of the loop: the client counts its budget from its send.
@@ -47,7 +47,7 @@
 
     # --- what clients do -------------------------------------------------------------
 
-    def arrive(self, call: Call, now: float, max_attempts: int) -> Request:
+    def accept(self, call: Call, now: float, max_attempts: int) -> Request:
         """Accept a request whose last byte, or head if its body is still being read, was read at `now`."""
         reading = call.reading
         give_up_at = self._give_up_at(call, now)
@@ -83,7 +83,7 @@
         if now >= request.give_up_at:  # so late only during a shutdown
             self.fail(request, late=True)
 
-    def client_gone(self, request: Request) -> None:
+    def client_disconnected(self, request: Request) -> None:
         """Take note that the client closed its connection before it had the complete answer."""
         streaming = request.state is RequestState.STREAMING_ANSWER
         if not request.answered:
@@ -108,7 +108,7 @@
         request = self.table.by_number.get(number)
         if request is not None and not request.answered:
             self._end(request)
-            request.call.refused(retry_after)
+            request.call.send_rejection(retry_after)
             self._release_soon(request)
 
     def fail_by_number(self, number: int) -> None:
@@ -116,7 +116,7 @@
         request = self.table.by_number.get(number)
         if request is not None and not request.answered:
             self._end(request)
-            request.call.failed(late=self._clock.now() >= request.give_up_at)
+            request.call.send_failure(late=self._clock.now() >= request.give_up_at)
             self._release_soon(request)
 
     def cancel_attempt(self, number: int, attempt: int) -> None:
@@ -131,7 +131,7 @@
         """Fail a request in the balancer's place; without effect if it is answered."""
         if not request.answered:
             self._end(request)
-            request.call.failed(late=late)
+            request.call.send_failure(late=late)
             self._events.notify(events.ClientLeft(request.id), request)
 
     def fail_overdue(self, request: Request) -> None:
@@ -142,7 +142,7 @@
 
     # --- what attempts bring (`AttemptObserver`) -------------------------------------------
 
-    def answer_begun(self, attempt: Attempt, answer: Answer, flow: Flow) -> bool:
+    def answer_begun(self, attempt: Attempt, answer: Answer, flow: FlowControl) -> bool:
         """Give the client the beginning of a large answer; return False if it has another answer."""
         request = attempt.request
         if request.answered:
@@ -150,7 +150,7 @@
         self.table.start_answer(request)
         self.attempts.stream(attempt)
         self._stop_waiting(request)
-        request.call.begun(answer, flow)
+        request.call.start_answer(answer, flow)
         self._events.notify(events.AnswerStarted(request.id, attempt.number), request)
         return True
 
@@ -158,18 +158,18 @@
         """Report an attempt that was abandoned before it was sent; its end follows."""
         self._events.notify(events.AttemptWithdrawn(attempt.request.id, attempt.number))
 
-    def attempt_ended(self, attempt: Attempt, result: Result, elapsed: float) -> None:
+    def attempt_ended(self, attempt: Attempt, result: ExchangeResult, elapsed: float) -> None:
         """Report an attempt's outcome; the first that is OK answers the request."""
         request = attempt.request
         if attempt.answer_began_at is not None:
             self.table.end(request)
             if result.outcome == OK:
-                request.call.finished()
+                request.call.finish_answer()
             else:
-                request.call.broken()
+                request.call.abort_answer()
         elif result.outcome == OK and result.answer is not None and not request.answered:
             self._end(request)
-            request.call.served(result.answer)
+            request.call.send_answer(result.answer)
         ended = events.AttemptEnded(
             request.id, attempt.number, result.outcome, elapsed, request.answered, result.report
         )
@@ -197,5 +197,5 @@
 
     def _guard_deadline(self, request: Request) -> None:
         """Fail the request after its deadline if the balancer forgets it: a safety net, not a decision."""
-        at = self._clock.to_loop(request.give_up_at + DEADLINE_GUARD_MS)
+        at = self._clock.to_loop_time_s(request.give_up_at + DEADLINE_GUARD_MS)
         request.deadline_guard = self._loop.call_at(at, self.fail_overdue, request)
--- a/brassfall/sidecar/discovery/current_list.py
+++ b/brassfall/sidecar/discovery/current_list.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, NamedTuple
 
-from brassfall.sidecar.config_values import Names
+from brassfall.sidecar.config_values import WireNames
 from brassfall.sidecar.discovery.channel import AgeBound
 from brassfall.sidecar.discovery.endpoint_list import ServerList, parse_list
 
@@ -27,7 +27,7 @@
 class CurrentList:
     """The version of the current list, and from which one changes are requested."""
 
-    def __init__(self, known: ServerList, names: Names) -> None:
+    def __init__(self, known: ServerList, names: WireNames) -> None:
         self._names = names
         self.version = known.version
         self.requested_from = known.version
@@ -65,12 +65,12 @@
     def read_event(self, raw: object) -> WatchEvent:
         """Return what an object of a watch contains.
 
-        Raise one of `MALFORMED` if it is no list.
+        Raise one of `MALFORMED_ERRORS` if it is no list.
         """
         return WatchEvent(parse_list(raw, self._names))
 
     def read_complete(self, raw: object) -> ServerList:
-        """Return a complete list that was requested; raise one of `MALFORMED` if it is none, or too old."""
+        """Return a complete list that was requested; raise one of `MALFORMED_ERRORS` if invalid or too old."""
         update = parse_list(raw, self._names)
         if update.version < self.requested_from:
             message = "the list is older than the current one"
--- a/brassfall/sidecar/discovery/discovery.py
+++ b/brassfall/sidecar/discovery/discovery.py
@@ -35,7 +35,7 @@
 
     def __init__(self, loop: asyncio.AbstractEventLoop, config: Config, listener: ListListener) -> None:
         self._loop = loop
-        self._known = config.known
+        self._known = config.known_servers
         self._route, self._current = _fleet_parts(loop, config) if config.registry else _parts(config)
         self._notifier = Notifier(loop, self._current, self._route, listener)
         self._list_calls = ListCalls(loop, self._route, self._current, self._notifier)
@@ -120,7 +120,7 @@
 
 def _parts(config: Config) -> tuple[Route, CurrentList]:
     route = SingleAddress(config.discovery, random.Random(config.seed))
-    return route, CurrentList(config.known, config.names)
+    return route, CurrentList(config.known_servers, config.names)
 
 
 def _fleet_parts(loop: asyncio.AbstractEventLoop, config: Config) -> tuple[Route, CurrentList]:
@@ -128,4 +128,4 @@
     from brassfall.sidecar.discovery.sources import FleetRoute
 
     route = FleetRoute(config.registry, random.Random(config.seed))
-    return route, FleetList(config.known, config.names, loop)
+    return route, FleetList(config.known_servers, config.names, loop)
--- a/brassfall/sidecar/discovery/endpoint_list.py
+++ b/brassfall/sidecar/discovery/endpoint_list.py
@@ -9,15 +9,15 @@
 
 from brassfall.balancer import model
 from brassfall.sidecar.config_values import (
-    MALFORMED,
+    MALFORMED_ERRORS,
     Address,
-    Names,
-    amount,
+    WireNames,
     as_object,
-    integer,
+    malformed_reason,
+    non_negative_number,
     parse_address,
-    reason,
     stable_number,
+    to_integer,
 )
 
 STATES = frozenset(("active", "leaving", "left"))
@@ -38,14 +38,14 @@
     fresh_at: float = -math.inf
 
 
-def parse_list(raw: object, names: Names, invalid: dict[str, str] | None = None) -> ServerList:
-    """Read discovery's form of a list; raise one of `MALFORMED` if it is none.
+def parse_list(raw: object, names: WireNames, invalid: dict[str, str] | None = None) -> ServerList:
+    """Read discovery's form of a list; raise one of `MALFORMED_ERRORS` if it is none.
 
     If `invalid` is given, invalid entries are left out and named there, by server, each with its reason, and
     each server that has not left needs an address. Otherwise one invalid entry makes the list invalid.
     """
     message = as_object(raw)
-    rows, complete, version = message["endpoints"], message.get("snapshot"), integer(message["index"])
+    rows, complete, version = message["endpoints"], message.get("snapshot"), to_integer(message["index"])
     # Guards against a complete list without servers where there is only something of another type.
     if not isinstance(rows, list) or not isinstance(complete, bool | None) or version < 0:
         why = "index, snapshot and endpoints have to be a number, true or false, and a list"
@@ -54,16 +54,16 @@
     for number, row in enumerate(rows):
         try:
             _add(update, row, names, address_needed=invalid is not None)
-        except MALFORMED as error:
+        except MALFORMED_ERRORS as error:
             if invalid is None:
-                why = f"endpoints[{number}]: {reason(error)}"
+                why = f"endpoints[{number}]: {malformed_reason(error)}"
                 raise ValueError(why) from error
             invalid[_name_of(row)] = repr(error)
     return update
 
 
-def _add(update: ServerList, raw: object, names: Names, *, address_needed: bool) -> None:
-    """Add an entry to a list; nothing is added if one of `MALFORMED` is raised."""
+def _add(update: ServerList, raw: object, names: WireNames, *, address_needed: bool) -> None:
+    """Add an entry to a list; nothing is added if one of `MALFORMED_ERRORS` is raised."""
     row = as_object(raw)
     entry = _listing(row, names)
     if row.get("address"):
@@ -78,7 +78,7 @@
     return str(row.get("name", "")) if isinstance(row, Mapping) else ""
 
 
-def _listing(row: Mapping[str, Any], names: Names) -> model.Listing:
+def _listing(row: Mapping[str, Any], names: WireNames) -> model.Listing:
     state = row.get("status", ACTIVE)
     if state not in STATES:
         why = f"status {state!r} is not known"
@@ -91,15 +91,15 @@
         server=name,
         zone=_zone(row.get("zone") or "", names),
         kind=names.kinds.get(row.get("type", ""), 0),
-        cell=integer(row.get("group") or 0),
+        cell=to_integer(row.get("group") or 0),
         state=state,
-        weight=amount(row.get("weight") or 1.0),
+        weight=non_negative_number(row.get("weight") or 1.0),
         # Unix time in ms, which the driver bounds by what it has observed; 0 stays 0, which is long ago.
-        started=amount(row.get("since_ms") or 0.0),
+        started=non_negative_number(row.get("since_ms") or 0.0),
     )
 
 
-def _zone(name: str, names: Names) -> int:
+def _zone(name: str, names: WireNames) -> int:
     """Return a zone's number; an entry that names none is in the first one.
 
     A zone that the settings don't name, as a new one that waits for a restart, is one of its own: a retry
--- a/brassfall/sidecar/discovery/fleet_list.py
+++ b/brassfall/sidecar/discovery/fleet_list.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Mapping
 
 from brassfall.sidecar import log
-from brassfall.sidecar.config_values import Names
+from brassfall.sidecar.config_values import WireNames
 from brassfall.sidecar.discovery.channel import AgeBound, ImplausibleListError, age_in_seconds
 from brassfall.sidecar.discovery.current_list import CurrentList, WatchEvent
 from brassfall.sidecar.discovery.endpoint_index import EndpointList
@@ -49,7 +49,7 @@
 class FleetList(CurrentList):
     """The entries of the current list, and an upper bound on its age."""
 
-    def __init__(self, known: ServerList, names: Names, loop: asyncio.AbstractEventLoop) -> None:
+    def __init__(self, known: ServerList, names: WireNames, loop: asyncio.AbstractEventLoop) -> None:
         super().__init__(known, names)
         if not known.entries:
             # Without a cached list there is nothing to go stale, so any version is accepted.
--- a/brassfall/sidecar/discovery/list_call.py
+++ b/brassfall/sidecar/discovery/list_call.py
@@ -6,7 +6,7 @@
 import json
 
 from brassfall.balancer.model import MAX_POLL_BACKOFF_MS, ListForm
-from brassfall.sidecar.config_values import MALFORMED
+from brassfall.sidecar.config_values import MALFORMED_ERRORS
 from brassfall.sidecar.discovery.channel import (
     CALL_S,
     NOTIFIED_S,
@@ -59,7 +59,7 @@
         channel, objects = await self._receive()
         try:
             update = self._read(channel, objects)
-        except MALFORMED as error:
+        except MALFORMED_ERRORS as error:
             if channel is None or channel.end is not End.REJECTED:
                 log_failure(error)
             self._route.failed(channel.retry_after if channel is not None else 0.0)
@@ -92,7 +92,7 @@
         return channel, objects
 
     def _read(self, channel: Channel | None, objects: list[bytes]) -> ServerList:
-        """Return the list; raise one of `MALFORMED` if the call failed or the list is invalid."""
+        """Return the list; raise one of `MALFORMED_ERRORS` if the call failed or the list is invalid."""
         if channel is None or channel.end is not End.COMPLETE:
             message = "the call failed"
             raise ValueError(message)
--- a/brassfall/sidecar/discovery/watch_call.py
+++ b/brassfall/sidecar/discovery/watch_call.py
@@ -5,7 +5,7 @@
 import json
 
 from brassfall.balancer.model import ListForm
-from brassfall.sidecar.config_values import MALFORMED
+from brassfall.sidecar.config_values import MALFORMED_ERRORS
 from brassfall.sidecar.discovery.channel import End, ImplausibleListError, open_channel
 from brassfall.sidecar.discovery.current_list import CurrentList
 from brassfall.sidecar.discovery.interfaces import Route, WatchEnd
@@ -56,7 +56,7 @@
             update, stated_age = self._current.read_event(json.loads(line))
         except ImplausibleListError:
             raise
-        except MALFORMED as error:
+        except MALFORMED_ERRORS as error:
             self._current.request_complete()
             message = f"not a list: {error}"
             raise ValueError(message) from error
--- a/brassfall/sidecar/framing.py
+++ b/brassfall/sidecar/framing.py
@@ -16,10 +16,10 @@
 
 import httptools
 
-from brassfall.sidecar.body import MAX_BUFFERED
+from brassfall.sidecar.body import MAX_BUFFERED_BYTES
 
-MAX_BODY = 32 * 1024 * 1024  # of a request
-MAX_HEAD = 16 * 1024  # of any message: its head, or its trailers
+MAX_BODY_BYTES = 32 * 1024 * 1024  # of a request
+MAX_HEAD_BYTES = 16 * 1024  # of any message: its head, or its trailers
 OK_STATUS = HTTPStatus.OK.value
 FIRST_FINAL_STATUS = 200  # below are interim answers
 REASONS = {status.value: status.phrase for status in HTTPStatus}
@@ -73,7 +73,7 @@
     return b"".join(b"%b: %b\r\n" % header for header in headers)
 
 
-def answer(status: int, headers: Headers, body: bytes, *, close: bool) -> bytes:
+def serialize_answer(status: int, headers: Headers, body: bytes, *, close: bool) -> bytes:
     """Return a complete answer; with `close` it announces the end of its connection."""
     return b"HTTP/1.1 %d %b\r\n%bContent-Length: %d\r\n%b\r\n%b" % (
         status,
@@ -85,7 +85,7 @@
     )
 
 
-def readable(transport: asyncio.BaseTransport) -> bool:
+def has_unread_input(transport: asyncio.BaseTransport) -> bool:
     """Return whether a connection has bytes, or its end, that the loop has not read yet.
 
     Return True also if the connection is closed, or if the system can't tell: it must not be used then.
@@ -117,7 +117,7 @@
         return False
 
 
-def unacknowledged(transport: asyncio.WriteTransport) -> int:
+def unacknowledged_bytes(transport: asyncio.WriteTransport) -> int:
     """Return how many bytes the peer has not acknowledged, those still buffered included.
 
     If the system can't tell, only the buffered ones count.
@@ -130,12 +130,12 @@
 
 
 class SharedBufferProtocol(asyncio.BufferedProtocol):
-    """A protocol whose connections all read through one shared buffer of `MAX_BUFFERED` bytes.
+    """A protocol whose connections all read through one shared buffer of `MAX_BUFFERED_BYTES` bytes.
 
     It bounds memory: asyncio would read up to 256 KiB for each connection.
     """
 
-    _buffer = memoryview(bytearray(MAX_BUFFERED))
+    _buffer = memoryview(bytearray(MAX_BUFFERED_BYTES))
 
     def get_buffer(self, _sizehint: int) -> memoryview:
         """Return the buffer, into which the loop reads at once, before it calls `buffer_updated`."""
@@ -188,7 +188,7 @@
     def feed(self, data: bytes) -> None:
         """Parse the next bytes.
 
-        Raise `BadAnswerError` if they are not HTTP, or if a head or trailers grow past `MAX_HEAD`.
+        Raise `BadAnswerError` if they are not HTTP, or if a head or trailers grow past `MAX_HEAD_BYTES`.
         """
         self._overhead += len(data)
         try:
@@ -197,7 +197,7 @@
             if not self.complete:
                 raise BadAnswerError(str(error)) from error
             self.extra = True
-        if self._overhead > MAX_HEAD and not self.complete:
+        if self._overhead > MAX_HEAD_BYTES and not self.complete:
             message = "the head is too large"
             raise BadAnswerError(message)
 
@@ -240,7 +240,7 @@
         self._overhead = 0
         if self.sink is not None:
             self.sink(data)
-        elif self.status == OK_STATUS or len(self.body) < MAX_BUFFERED:
+        elif self.status == OK_STATUS or len(self.body) < MAX_BUFFERED_BYTES:
             self.body += data
 
     def on_message_complete(self) -> None:
--- a/brassfall/sidecar/lifecycle/admin.py
+++ b/brassfall/sidecar/lifecycle/admin.py
@@ -10,7 +10,7 @@
 from brassfall.sidecar.clients.listener import Listener, listening_socket
 from brassfall.sidecar.config import MAX_ADMIN_CONNECTIONS
 from brassfall.sidecar.config_values import Address
-from brassfall.sidecar.core.process_state import InvalidTransitionError, Lifecycle
+from brassfall.sidecar.core.process_state import InvalidTransitionError, ProcessLifecycle
 
 MAX_LINE = 256  # bytes
 COMMAND_S = 5.0  # for a complete command
@@ -20,7 +20,7 @@
 class AdminEndpoint:
     """The address for operators, and the commands that it accepts."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, lifecycle: Lifecycle) -> None:
+    def __init__(self, loop: asyncio.AbstractEventLoop, lifecycle: ProcessLifecycle) -> None:
         """Serve the commands that change `lifecycle`, once `listen` was called."""
         self.loop = loop
         self._lifecycle = lifecycle
--- a/brassfall/sidecar/lifecycle/shutdown.py
+++ b/brassfall/sidecar/lifecycle/shutdown.py
@@ -30,7 +30,7 @@
     that takes over. Cancelling stops the shutdown: connections that are open stay open.
     """
     loop = asyncio.get_running_loop()
-    driver.stopping(clock.now() + min(longest_deadline_ms, MAX_DEADLINE_MS) + ANSWERED_MS)
+    driver.answer_all_by(clock.now() + min(longest_deadline_ms, MAX_DEADLINE_MS) + ANSWERED_MS)
     if inherited:
         inbound.stop_listening()
     await asyncio.sleep(LISTEN_S - LAST_ANSWERS_S)
--- a/brassfall/sidecar/lifecycle/sidecar.py
+++ b/brassfall/sidecar/lifecycle/sidecar.py
@@ -15,14 +15,14 @@
 from brassfall.sidecar.config_values import Address
 from brassfall.sidecar.core.clock import Clock
 from brassfall.sidecar.core.driver import DecisionMaker, Driver
-from brassfall.sidecar.core.process_state import Lifecycle, State
+from brassfall.sidecar.core.process_state import ProcessLifecycle, ProcessState
 from brassfall.sidecar.discovery.discovery import Discovery
 from brassfall.sidecar.discovery.endpoint_list import ServerList
 from brassfall.sidecar.lifecycle import shutdown
 from brassfall.sidecar.lifecycle.admin import AdminEndpoint
 from brassfall.sidecar.lifecycle.handover import Handover
 from brassfall.sidecar.peers import Peers
-from brassfall.sidecar.servers.pool import Pool
+from brassfall.sidecar.servers.pool import ConnectionPool
 
 if TYPE_CHECKING:
     from brassfall.sidecar.agent.member import FleetMember
@@ -45,16 +45,16 @@
         self._loop = loop
         self._running = configuration
         self._clock = Clock(loop)
-        self.lifecycle = Lifecycle()
+        self.lifecycle = ProcessLifecycle()
         self._shares_machine = False  # with another process of this sidecar
         self._reload_due = False  # SIGHUP came during startup
         self._handover_timer: asyncio.TimerHandle | None = None
-        inherits = configuration.inherited is not None
+        inherits = configuration.inherited_descriptor is not None
         self.handover = Handover(os.environ.get("TMPDIR"), configuration.name) if inherits else None
         self.admin = AdminEndpoint(loop, self.lifecycle)
         self.driver = Driver(loop, self._clock, configuration, balancer)
         self.admin.add_command("REFUSALS", lambda: self.driver.refusals)
-        self.pool = Pool(loop, self._clock, configuration)
+        self.pool = ConnectionPool(loop, self._clock, configuration)
         self.discovery = Discovery(loop, configuration, self)
         if configuration.registry:
             self.admin.add_command("LIST", lambda: self.discovery.state)
@@ -70,7 +70,7 @@
         member.agent.report_extensions.append(self.discovery.report)
         if self._running.agreement is not None and self._running.agreement.group:
             self.pool.delays = member.delays
-        self.driver.revision_stamp = self.pool.stamp = member.stamp_at(self._loop)
+        self.driver.revision_header = self.pool.revision_header = member.stamp_at(self._loop)
         self.admin.add_command("RULES", lambda: member.agent.state, json=True)
         return member
 
@@ -94,7 +94,7 @@
         """Select servers by this steering plan from now on."""
         self.driver.steer(steer)
 
-    def listings(self) -> EndpointList:
+    def endpoint_list(self) -> EndpointList:
         """Return the endpoint list; there is one wherever this process is a member of a fleet."""
         endpoints = self.discovery.endpoints()
         assert endpoints is not None
@@ -105,29 +105,29 @@
         """The version of the endpoint list."""
         return self.discovery.version
 
-    def ask_for_list(self) -> None:
+    def reopen_list_watch(self) -> None:
         """Ask for the endpoint list anew: what tells of changes has fallen behind."""
         self.discovery.reopen()
 
     @property
-    def running(self) -> Config:
+    def configuration(self) -> Config:
         """The configuration in use."""
         return self._running
 
     @property
-    def busy(self) -> set[int]:
+    def classes_in_use(self) -> set[int]:
         """The slots of classes that requests in flight or clients may still name."""
         return self.driver.request_classes | self.inbound.request_classes
 
-    def adopt(self, configuration: Config) -> None:
+    def apply_configuration(self, configuration: Config) -> None:
         """Use another configuration from now on; raises `ConfigError` if it can't replace the present one."""
-        successor = reload.successor(self._running, configuration, self.busy)
-        for name in successor.pending_restart:
+        plan = reload.plan_reload(self._running, configuration, self.classes_in_use)
+        for name in plan.pending_restart:
             log.warning(
                 "reload: a setting keeps its value", key=name, action="restart the process to change it"
             )
-        longest_ms, self._running = self._longest_deadline_ms(), successor.config
-        self.driver.reload(self._running, successor.same_classes)
+        longest_ms, self._running = self._longest_deadline_ms(), plan.config
+        self.driver.reload(self._running, plan.same_classes)
         self.pool.reload(self._running)
         self.inbound.reload(self._running.names, longest_ms)
         self.discovery.move(self._running.discovery, self._running.registry)
@@ -163,7 +163,7 @@
             self.admin.listen(self._running.operator)
 
     async def _listen_to_clients(self) -> Address:
-        return self.inbound.listen(self._running.listen, self._running.inherited)
+        return self.inbound.listen(self._running.listen, self._running.inherited_descriptor)
 
     def _share_machine(self) -> bool:
         """Use half of the machine while another process of this sidecar runs; return whether one does."""
@@ -173,7 +173,7 @@
         if shares != self._shares_machine:
             self._shares_machine = shares
             part = 0.5 if shares else 1.0
-            self.pool.share(part)
+            self.pool.set_descriptor_share(part)
             self.inbound.share(part)
         self._handover_timer = self._loop.call_later(HANDOVER_POLL_S, self._share_machine)
         return shares
@@ -184,12 +184,12 @@
         The address of discovery comes from the file alone: the environment is still that of the start. During
         startup the reload is deferred until its end.
         """
-        if self.lifecycle.state is State.STARTING:
+        if self.lifecycle.state is ProcessState.STARTING:
             self._reload_due = True
             return
         try:
             file = config.load({**environment, "NODE_DISCOVERY": ""})
-            self.adopt(file if self.member is None else self.member.over(file))
+            self.apply_configuration(file if self.member is None else self.member.over(file))
         except ConfigError as error:
             log.warning(
                 "reload: nothing is changed", reason=error, action="fix the file and send SIGHUP again"
@@ -219,7 +219,7 @@
             self.inbound,
             self.driver,
             longest_deadline_ms=self._longest_deadline_ms(),
-            inherited=self._running.inherited is not None,
+            inherited=self._running.inherited_descriptor is not None,
         )
 
     def close(self) -> None:
--- a/brassfall/sidecar/peers.py
+++ b/brassfall/sidecar/peers.py
@@ -21,7 +21,7 @@
 
     def __init__(self, config: Config, receive: Callable[[int, bytes], None]) -> None:
         self._bind = config.peer_listen if config.settings.peer_messages else None
-        self._shared = config.inherited is not None  # with the process that this one replaces
+        self._shared = config.inherited_descriptor is not None  # with the process that this one replaces
         self._me = config.settings.me
         self._addresses = config.peers
         self._all = config.peers_all
@@ -36,7 +36,7 @@
                 lambda: self, local_addr=self._bind, reuse_port=self._shared or None
             )
 
-    def tell(self, peer: int | None, data: bytes) -> None:
+    def send(self, peer: int | None, data: bytes) -> None:
         """Send a message to one peer, or to all if `peer` is None."""
         if self._transport is None or len(data) > MAX_MESSAGE:
             log.error("peers: message not sent", peer=peer, bytes=len(data), action="report it")
--- a/brassfall/sidecar/reload.py
+++ b/brassfall/sidecar/reload.py
@@ -8,7 +8,7 @@
 
 from brassfall.balancer.settings import Profile
 from brassfall.sidecar.config import KEYED_CLASS_KEYS, Config, ConfigError
-from brassfall.sidecar.config_values import Names, RequestClass
+from brassfall.sidecar.config_values import RequestClass, WireNames
 
 OPTIONAL_KEYS = frozenset(("AimStretch", "PassesDeadline", "WarmKeys"))  # a reload may add or remove them
 # What a running process can't change, since it is tied to sockets, to known servers or to its place.
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Reload:
+class ReloadPlan:
     """A configuration that replaces the running one."""
 
     config: Config
@@ -45,7 +45,7 @@
     unchanged: frozenset[int]  # the slots of classes that are the same as before
 
 
-def successor(running: Config, found: Config, busy: Collection[int]) -> Reload:
+def plan_reload(running: Config, found: Config, busy: Collection[int]) -> ReloadPlan:
     """Return the running configuration with all that may change taken from `found`, the file's.
 
     Requests or clients still name the slots in `busy`. Raise `ConfigError` if the file lacks a key that the
@@ -64,19 +64,21 @@
         registry=found.registry,
         settings=replace(found.settings, profiles=_profiles(running, found, slots.classes), **fixed),
         names=names,
-        max_open=found.max_open,
+        max_open_requests=found.max_open_requests,
         drain_grace=found.drain_grace,
-        shape=found.shape,
+        present_keys=found.present_keys,
         agreement=found.agreement if running.agreement is not None else None,
     )
-    return Reload(config=config, same_classes=slots.unchanged, pending_restart=differences)
+    return ReloadPlan(config=config, same_classes=slots.unchanged, pending_restart=differences)
 
 
 def _check_keys(running: Config, found: Config) -> None:
     """Raise `ConfigError` if the file lacks a key that the running configuration has."""
     keyed = any(request_class.keyed for request_class in found.names.classes.values())
     optional = OPTIONAL_KEYS if keyed else OPTIONAL_KEYS | KEYED_CLASS_KEYS
-    missing = sorted(key for key in running.shape - found.shape if key.rpartition(".")[2] not in optional)
+    missing = sorted(
+        key for key in running.present_keys - found.present_keys if key.rpartition(".")[2] not in optional
+    )
     if missing:
         message = f"configuration: {missing[0]} is missing"
         raise ConfigError(message)
@@ -87,7 +89,7 @@
     return bool(config.registry), bool(config.agreement)
 
 
-def _fixed_differences(running: Config, found: Config, names: Names) -> tuple[str, ...]:
+def _fixed_differences(running: Config, found: Config, names: WireNames) -> tuple[str, ...]:
     """Return what differs in the file although a running process can't change it."""
     before, after = running.settings, found.settings
     differences = [name for name in FIXED_SETTINGS if getattr(after, name) != getattr(before, name)]
--- a/brassfall/sidecar/servers/connecting.py
+++ b/brassfall/sidecar/servers/connecting.py
@@ -7,9 +7,9 @@
 from typing import Protocol
 
 from brassfall.balancer.model import Outcome
-from brassfall.sidecar.core.interfaces import Result
+from brassfall.sidecar.core.interfaces import ExchangeResult
 from brassfall.sidecar.servers.exchange import Exchange
-from brassfall.sidecar.servers.server_connection import Connection, Server
+from brassfall.sidecar.servers.server_connection import ServerConnection, ServerIncarnation
 
 # The loop reports an established connection some turns later; all of them are due after a hold-up.
 TURNS_TO_REPORT = 4
@@ -39,10 +39,10 @@
 
     loop: asyncio.AbstractEventLoop
 
-    def make_connection(self, server: Server) -> Connection:
+    def make_connection(self, server: ServerIncarnation) -> ServerConnection:
         """Return a connection to a server that is not established yet."""
 
-    def opened(self, connection: Connection, exchange: Exchange, took_s: float) -> None:
+    def opened(self, connection: ServerConnection, exchange: Exchange, took_s: float) -> None:
         """Take an established connection, for an exchange that may have ended meanwhile."""
 
     def close_oldest_idle(self) -> bool:
@@ -60,16 +60,16 @@
         self._local_pause_s = LOCAL_PAUSE_S  # after the next failure of this machine
 
     @property
-    def opening(self) -> int:
+    def opening_count(self) -> int:
         """The number of connections that are being opened."""
         return len(self._opening)
 
-    def open(self, server: Server, exchange: Exchange) -> None:
+    def open(self, server: ServerIncarnation, exchange: Exchange) -> None:
         """Begin to open a connection; abandoning the exchange stops that."""
         task = self._loop.create_task(self._connect(server, exchange))
         self._opening[task] = exchange
         task.add_done_callback(self._done)
-        exchange.failed_here = self._local_pause_s > LOCAL_PAUSE_S  # as the last one did, until it is up
+        exchange.failed_locally = self._local_pause_s > LOCAL_PAUSE_S  # as the last one did, until it is up
         exchange.await_connection(task)
 
     def _done(self, task: asyncio.Task[None]) -> None:
@@ -84,7 +84,7 @@
                 return True
         return False
 
-    async def _connect(self, server: Server, exchange: Exchange) -> None:
+    async def _connect(self, server: ServerIncarnation, exchange: Exchange) -> None:
         """Open a connection and hand it to the pool; cancelling closes its socket."""
         started = self._loop.time()
         limit = _TimeLimit(self._loop, self.timeout_s)
@@ -104,12 +104,12 @@
     def _failed(self, error: OSError | ValueError, exchange: Exchange) -> None:
         """End the exchange: at once for a failure of the server, after a pause for one of this machine."""
         if not isinstance(error, OSError) or error.errno not in LOCAL_FAILURES:
-            exchange.end(Result(Outcome.CONNECT_FAILED))
+            exchange.end(ExchangeResult(Outcome.CONNECT_FAILED))
             return
         if error.errno in OUT_OF_DESCRIPTORS:
             self._pool.close_oldest_idle()  # the next attempt finds a descriptor
-        exchange.failed_here = True
-        self._loop.call_later(self._local_pause_s, exchange.end, Result(Outcome.ABANDONED))
+        exchange.failed_locally = True
+        self._loop.call_later(self._local_pause_s, exchange.end, ExchangeResult(Outcome.ABANDONED))
         self._local_pause_s = min(2.0 * self._local_pause_s, LOCAL_PAUSE_MOST_S)
 
 
--- a/brassfall/sidecar/servers/exchange.py
+++ b/brassfall/sidecar/servers/exchange.py
@@ -8,9 +8,9 @@
 from typing import Protocol
 
 from brassfall.sidecar.body import Body
-from brassfall.sidecar.core.interfaces import Result, Watcher
+from brassfall.sidecar.core.interfaces import ExchangeObserver, ExchangeResult
 
-Done = Callable[[Result], None]
+Done = Callable[[ExchangeResult], None]
 
 
 class Carrier(Protocol):
@@ -18,7 +18,7 @@
 
     written: bool  # True if the system has taken the last byte of the request
 
-    def give_up(self) -> None:
+    def reset(self) -> None:
         """Close at once; bytes that are not sent yet are dropped."""
 
 
@@ -38,7 +38,7 @@
     """One attempt or health check: it waits for a connection, then is on one, then has ended.
 
     `message` makes the request, given the milliseconds that are left until `expires` (milliseconds, by the
-    sidecar's clock). `done` is called with the outcome. An attempt has a `watcher`, a health check none.
+    sidecar's clock). `done` is called with the outcome. An attempt has a `observer`, a health check none.
     """
 
     __slots__ = (
@@ -47,11 +47,11 @@
         "_opening",
         "body",
         "expires",
-        "failed_here",
+        "failed_locally",
         "message",
-        "stamp",
+        "observer",
+        "revision_header",
         "state",
-        "watcher",
     )
 
     def __init__(
@@ -59,16 +59,16 @@
         message: Callable[[float], bytes],
         expires: float,
         done: Done,
-        watcher: Watcher | None = None,
+        observer: ExchangeObserver | None = None,
         body: Body | None = None,
     ) -> None:
         self.message = message
         self.expires = expires
-        self.watcher = watcher
+        self.observer = observer
         self.body = body  # of a large request
-        self.stamp = b"" if watcher is None else watcher.stamp
+        self.revision_header = b"" if observer is None else observer.revision_header
         self.state = AWAITING_CONNECTION
-        self.failed_here = False  # True if this machine could not open its connection
+        self.failed_locally = False  # True if this machine could not open its connection
         self._done = done
         self._connection: Carrier | None = None
         self._opening: asyncio.Task[None] | None = None
@@ -82,13 +82,13 @@
         """Wait for the connection that `task` opens; `abandon` cancels the task."""
         self._opening = task
 
-    def carried_by(self, connection: Carrier) -> None:
+    def use_connection(self, connection: Carrier) -> None:
         """Take note of the connection that the request is written to."""
         self.state = ON_CONNECTION
         self._connection, self._opening = connection, None
-        self.failed_here = False
+        self.failed_locally = False
 
-    def end(self, result: Result) -> None:
+    def end(self, result: ExchangeResult) -> None:
         """Report the outcome; without effect if the exchange has ended."""
         if self.state is not ENDED:
             self.state = ENDED
@@ -109,9 +109,9 @@
         if opening is not None:
             opening.cancel()
         if connection is not None:
-            connection.give_up()
+            connection.reset()
 
-    def drop(self) -> bool:
+    def abandon_unless_written(self) -> bool:
         """Abandon the exchange unless its request has been written completely; return whether it was.
 
         A connection that is being opened comes up all the same: the next exchange may use it.
@@ -121,5 +121,5 @@
             return False
         self.withdraw()
         if connection is not None:
-            connection.give_up()
+            connection.reset()
         return True
--- a/brassfall/sidecar/servers/idle_connections.py
+++ b/brassfall/sidecar/servers/idle_connections.py
@@ -8,7 +8,7 @@
 import asyncio
 
 from brassfall.sidecar.core.clock import Clock
-from brassfall.sidecar.servers.server_connection import Connection, Server
+from brassfall.sidecar.servers.server_connection import ServerConnection, ServerIncarnation
 
 # A server closes a connection that was idle for the time in the settings, by its own clock: what is written
 # must be there before. The other tenth covers transit, lag and the sweep.
@@ -22,7 +22,7 @@
 class IdleConnections:
     """Keeps idle connections by server and closes each before its server would.
 
-    The connections themselves are in `Server.idle`, in the order in which they became idle.
+    The connections themselves are in `ServerIncarnation.idle`, in the order in which they became idle.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, clock: Clock) -> None:
@@ -30,10 +30,10 @@
         self.sweeping = False  # True while the next sweep is scheduled
         self._loop = loop
         self._clock = clock
-        self._servers: dict[Server, None] = {}  # those with idle connections, and some that had them
+        self._servers: dict[ServerIncarnation, None] = {}  # servers that have, or had, idle connections
 
     @property
-    def servers(self) -> list[Server]:
+    def servers(self) -> list[ServerIncarnation]:
         """The servers that have idle connections, and some that had them at the last sweep."""
         return list(self._servers)
 
@@ -41,7 +41,7 @@
         """Close connections in time for servers that close them after `server_limit_ms`."""
         self.max_idle_ms = server_limit_ms * IDLE_SHARE
 
-    def add(self, connection: Connection) -> None:
+    def add(self, connection: ServerConnection) -> None:
         """Keep a connection that has just become idle."""
         connection.idle_since = self._clock.now()
         connection.server.idle.append(connection)
@@ -50,7 +50,7 @@
             self.sweeping = True
             self._loop.call_later(SWEEP_MS / 1000.0, self.sweep)
 
-    def take(self, server: Server) -> Connection | None:
+    def take(self, server: ServerIncarnation) -> ServerConnection | None:
         """Return a connection to a server that can be written to, which is idle no more; None without one.
 
         Connections that are found closing, or idle for too long, are closed on the way.
@@ -63,19 +63,19 @@
             connection.abort()
         return None
 
-    def discard(self, connection: Connection) -> None:
+    def discard(self, connection: ServerConnection) -> None:
         """Forget a connection that was closed, if it was idle."""
         idle = connection.server.idle
         if connection in idle:
             idle.remove(connection)
 
-    def close_all(self, server: Server) -> None:
+    def close_all(self, server: ServerIncarnation) -> None:
         """Close the idle connections to a server."""
         for connection in server.idle:
             connection.abort()
         server.idle.clear()
 
-    def close_oldest(self) -> Connection | None:
+    def close_oldest(self) -> ServerConnection | None:
         """Close and return the connection that has been idle for longest; None if none is idle."""
         idle = [server.idle[0] for server in self._servers if server.idle]
         if not idle:
@@ -100,7 +100,7 @@
             self._loop.call_later(SWEEP_MS / 1000.0, self.sweep)
 
     @staticmethod
-    def _newest_settled(server: Server, now: float) -> Connection:
+    def _newest_settled(server: ServerIncarnation, now: float) -> ServerConnection:
         """Remove and return the newest of the connections that have settled, or else the newest."""
         idle, until = server.idle, now - SETTLE_MS
         for place in range(len(idle) - 1, -1, -1):
--- a/brassfall/sidecar/servers/pool.py
+++ b/brassfall/sidecar/servers/pool.py
@@ -14,45 +14,45 @@
 from brassfall.balancer.model import Listing, Outcome
 from brassfall.sidecar.config import Config
 from brassfall.sidecar.config_values import Address
-from brassfall.sidecar.core.clock import HOLD_UP_MS, Clock
-from brassfall.sidecar.core.interfaces import Call, Result, Watcher
+from brassfall.sidecar.core.clock import MAX_PROCESS_PAUSE_MS, Clock
+from brassfall.sidecar.core.interfaces import Call, ExchangeObserver, ExchangeResult
 from brassfall.sidecar.discovery.endpoint_list import ServerList
 from brassfall.sidecar.servers import health_checks
 from brassfall.sidecar.servers.connecting import Connector
 from brassfall.sidecar.servers.exchange import Done, Exchange
 from brassfall.sidecar.servers.idle_connections import IdleConnections
 from brassfall.sidecar.servers.server_answers import AnswerReader
-from brassfall.sidecar.servers.server_connection import Connection, DelayObserver, Server
+from brassfall.sidecar.servers.server_connection import DelayObserver, ServerConnection, ServerIncarnation
 
 # A request that is begun so close to the end of a draining server's grace might be written past it.
-GRACE_MARGIN_MS = HOLD_UP_MS
+GRACE_MARGIN_MS = MAX_PROCESS_PAUSE_MS
 POOL_SHARE = 0.5  # of the descriptors that this process may hold
 
 
-class Pool:
+class ConnectionPool:
     """All servers in the endpoint list, and the connections to them.
 
-    `delays`, if set, is given the delays that traffic shows. `stamp`, if set, gives the header line of the
-    configuration revision in force: an attempt that was decided under another one is not sent.
+    `delays`, if set, is given the delays that traffic shows. `revision_header`, if set, gives the header line of
+    the configuration revision in force: an attempt that was decided under another one is not sent.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, clock: Clock, config: Config) -> None:
         self.loop = loop
         self.max_connections = 1  # established ones and those that are being opened
         self.delays: DelayObserver | None = None
-        self.stamp: Callable[[], bytes] | None = None
+        self.revision_header: Callable[[], bytes] | None = None
         answers = AnswerReader(config.settings)
         self.result = answers.result
         self.idle = IdleConnections(loop, clock)
         self._reports = answers.reports
         self._clock = clock
-        self._servers: dict[str, Server] = {}
-        self._connections: set[Connection] = set()
+        self._servers: dict[str, ServerIncarnation] = {}
+        self._connections: set[ServerConnection] = set()
         self._connector = Connector(self)
         self._grace = 0.0  # from the notice that a server drains, until no request is begun there
         self._limits = config.limits
         self.reload(config)
-        self.share(1.0)
+        self.set_descriptor_share(1.0)
 
     def reload(self, config: Config) -> None:
         """Use other settings for the attempts that begin from now on."""
@@ -62,41 +62,43 @@
         self._regions = {number: name for name, number in config.names.zones.items()}
         before, self._grace = self._grace, max(0.0, config.drain_grace - GRACE_MARGIN_MS)
         for server in self._servers.values():  # those that drain already may have less, but no more
-            server.closed_from -= max(0.0, before - self._grace)
+            server.no_requests_from -= max(0.0, before - self._grace)
 
-    def share(self, part: float) -> None:
+    def set_descriptor_share(self, share: float) -> None:
         """Hold no more connections than a process with this part of all descriptors may."""
-        self.max_connections = max(1, int(self._limits.connections(part) * POOL_SHARE))
+        self.max_connections = max(1, int(self._limits.connections(share) * POOL_SHARE))
         while len(self._connections) > self.max_connections and self.close_oldest_idle():
             pass
 
     # --- views -----------------------------------------------------------------------
 
     @property
-    def servers(self) -> Mapping[str, Server]:
+    def servers(self) -> Mapping[str, ServerIncarnation]:
         """The servers in the endpoint list, by name."""
         return MappingProxyType(self._servers)
 
     @property
-    def connections(self) -> Set[Connection]:
+    def connections(self) -> Set[ServerConnection]:
         """All established connections."""
         return self._connections
 
     @property
-    def idle_connections(self) -> list[Connection]:
+    def idle_connections(self) -> list[ServerConnection]:
         """The idle connections to the servers in the endpoint list."""
         return [connection for server in self._servers.values() for connection in server.idle]
 
     @property
-    def opening(self) -> int:
+    def opening_count(self) -> int:
         """The number of connections that are being opened."""
-        return self._connector.opening
+        return self._connector.opening_count
 
     # --- what the driver asks for (`interfaces.Upstreams`) ------------------------------
 
-    def send(self, server: str, call: Call, expires: float, watcher: Watcher) -> Exchange:
+    def send(self, server: str, call: Call, expires: float, observer: ExchangeObserver) -> Exchange:
         """Begin an attempt, on an idle connection or a new one; its outcome is reported in a later turn."""
-        return self._begin(server, Exchange(call.wire, expires, watcher.ended, watcher, call.body))
+        return self._begin(
+            server, Exchange(call.request_bytes, expires, observer.exchange_ended, observer, call.body)
+        )
 
     def check_health(self, server: str, done: Done) -> Exchange:
         """Begin a health check; `done` is called with its outcome in a later turn."""
@@ -104,7 +106,7 @@
         message = health_checks.message(name, with_report=self._reports)
         return self._begin(server, Exchange(lambda _left: message, math.inf, done))
 
-    def update(self, now: float, servers: ServerList, *, complete: bool) -> None:
+    def update_servers(self, now: float, servers: ServerList, *, complete: bool) -> None:
         """Take in an endpoint list; a `complete` one names all servers that there are.
 
         The grace of a draining server runs from `now`.
@@ -127,18 +129,18 @@
             # Nothing is written to connections from before a restart: at best they would be reset.
             self.close_idle(entry.server)
             if known is not None:
-                known.closed_from = now  # also once the one that has its name now has left
-            known = self._servers[entry.server] = Server(entry.server, address, entry.started)
+                known.no_requests_from = now  # also once the one that has its name now has left
+            known = self._servers[entry.server] = ServerIncarnation(entry.server, address, entry.started)
         known.region = self._regions.get(entry.zone, "")
         if entry.state == "active":
-            known.closed_from = math.inf
+            known.no_requests_from = math.inf
         else:
             self._leave(now, known.name, entry.state)
 
     def _leave(self, now: float, name: str, state: str) -> None:
         """Let a server drain, or remove it; a repeated notice does not prolong the grace."""
         server = self._servers[name]
-        server.closed_from = min(server.closed_from, now + self._grace)
+        server.no_requests_from = min(server.no_requests_from, now + self._grace)
         if state == "left":
             self.close_idle(name)
             del self._servers[name]
@@ -156,26 +158,26 @@
 
     # --- what connections report (`ConnectionOwner`) --------------------------------------
 
-    def free(self, connection: Connection) -> None:
+    def free(self, connection: ServerConnection) -> None:
         """Keep a connection that carries nothing now, unless its server drains or has left."""
         server = connection.server
-        if self._servers.get(server.name) is not server or server.closed_from < math.inf:
+        if self._servers.get(server.name) is not server or server.no_requests_from < math.inf:
             connection.abort()
         else:
             self.idle.add(connection)
 
-    def connection_closed(self, connection: Connection) -> None:
+    def connection_closed(self, connection: ServerConnection) -> None:
         """Forget a connection that is closed."""
         self._connections.discard(connection)
         self.idle.discard(connection)
 
     # --- what the connector asks for and reports (`ConnectionUser`) --------------------------
 
-    def make_connection(self, server: Server) -> Connection:
+    def make_connection(self, server: ServerIncarnation) -> ServerConnection:
         """Return a connection to a server that is not established yet."""
-        return Connection(self, server)
+        return ServerConnection(self, server)
 
-    def opened(self, connection: Connection, exchange: Exchange, took_s: float) -> None:
+    def opened(self, connection: ServerConnection, exchange: Exchange, took_s: float) -> None:
         """Take an established connection, for an exchange that may have ended meanwhile."""
         self._connections.add(connection)
         server = connection.server
@@ -185,7 +187,7 @@
         if not connection.usable():
             # A full server may accept a connection and close it at once: nothing is written there.
             connection.abort()
-            exchange.end(Result(Outcome.CONNECT_FAILED))
+            exchange.end(ExchangeResult(Outcome.CONNECT_FAILED))
         elif exchange.ended:
             self.free(connection)
         else:
@@ -212,39 +214,39 @@
             self._open(server, exchange)
         return exchange
 
-    def _write(self, connection: Connection, exchange: Exchange) -> None:
+    def _write(self, connection: ServerConnection, exchange: Exchange) -> None:
         """Write an exchange's request, unless it must not be sent any more."""
         now = self._clock.now()
         server = connection.server
         if self._servers.get(server.name, server) is not server:
             # Another server has its name now, which may be in slow start or elsewhere: decided anew.
-            never_sent = Outcome.CONNECT_FAILED if exchange.watcher is None else Outcome.ABANDONED
+            never_sent = Outcome.CONNECT_FAILED if exchange.observer is None else Outcome.ABANDONED
             self._end_soon(exchange, never_sent)
             connection.abort()
             return
-        if now >= server.closed_from:
+        if now >= server.no_requests_from:
             connection.abort()
             self._end_soon(exchange, Outcome.CONNECT_FAILED)
             return
-        if exchange.watcher is not None and not exchange.watcher.may_write():
+        if exchange.observer is not None and not exchange.observer.may_write():
             exchange.withdraw()
             self.free(connection)
             return
         message = exchange.message(exchange.expires - now)
-        if self.stamp is not None and exchange.watcher is not None:
-            if exchange.stamp is not self.stamp():
+        if self.revision_header is not None and exchange.observer is not None:
+            if exchange.revision_header is not self.revision_header():
                 # Decided under a revision that is no longer in force: decided anew.
                 self._end_soon(exchange, Outcome.ABANDONED)
                 self.free(connection)
                 return
-            message = message.replace(b"\r\n", b"\r\n" + exchange.stamp, 1)
+            message = message.replace(b"\r\n", b"\r\n" + exchange.revision_header, 1)
         if self.delays is not None and exchange.body is None:
             connection.sent_at = self.loop.time()
         connection.begin(exchange, message)
 
-    def _open(self, server: Server, exchange: Exchange) -> None:
+    def _open(self, server: ServerIncarnation, exchange: Exchange) -> None:
         """Open a connection for an exchange, if there is room for one more."""
-        full = len(self._connections) + self._connector.opening >= self.max_connections
+        full = len(self._connections) + self._connector.opening_count >= self.max_connections
         if full and not self.close_oldest_idle() and not self._connector.cancel_unwanted():
             self._end_soon(exchange, Outcome.CONNECT_FAILED)
             return
@@ -252,4 +254,4 @@
 
     def _end_soon(self, exchange: Exchange, outcome: Outcome) -> None:
         """End an exchange in the next turn: the driver may be starting it in this one."""
-        self.loop.call_soon(exchange.end, Result(outcome))
+        self.loop.call_soon(exchange.end, ExchangeResult(outcome))
--- a/brassfall/sidecar/servers/server_answers.py
+++ b/brassfall/sidecar/servers/server_answers.py
@@ -5,7 +5,7 @@
 from brassfall.balancer.model import Outcome
 from brassfall.balancer.settings import Settings
 from brassfall.sidecar import framing
-from brassfall.sidecar.core.interfaces import Answer, Result
+from brassfall.sidecar.core.interfaces import Answer, ExchangeResult
 
 LOAD_REPORT = b"x-load-report"
 REJECTED = b"x-rejected"
@@ -30,15 +30,15 @@
         """True if servers report their load."""
         return bool(self._fields)
 
-    def result(self, parser: framing.AnswerParser, *, health_check: bool) -> Result:
+    def result(self, parser: framing.AnswerParser, *, health_check: bool) -> ExchangeResult:
         """Return the outcome of a complete answer, with the answer for the client if it is OK."""
         report = self._report(parser, health_check=health_check)
         status = parser.status
         if status == OK:
-            return Result(Outcome.OK, Answer(client_headers(parser), bytes(parser.body)), report)
+            return ExchangeResult(Outcome.OK, Answer(client_headers(parser), bytes(parser.body)), report)
         if status in REJECTIONS and (health_check or parser.header(REJECTED) == b"1"):
-            return Result(Outcome.FULL, None, report)
-        return Result(Outcome.ERROR, None, report)
+            return ExchangeResult(Outcome.FULL, None, report)
+        return ExchangeResult(Outcome.ERROR, None, report)
 
     def _report(self, parser: framing.AnswerParser, *, health_check: bool) -> dict[str, float] | None:
         """Return the known fields of a load report that are numbers; None if there are none."""
--- a/brassfall/sidecar/servers/server_connection.py
+++ b/brassfall/sidecar/servers/server_connection.py
@@ -17,9 +17,9 @@
 
 from brassfall.balancer.model import Outcome
 from brassfall.sidecar import framing
-from brassfall.sidecar.body import MAX_BUFFERED, Body
+from brassfall.sidecar.body import MAX_BUFFERED_BYTES, Body
 from brassfall.sidecar.config_values import Address
-from brassfall.sidecar.core.interfaces import Answer, Result
+from brassfall.sidecar.core.interfaces import Answer, ExchangeResult
 from brassfall.sidecar.servers.exchange import Exchange
 from brassfall.sidecar.servers.server_answers import OK, client_headers
 
@@ -32,7 +32,7 @@
 
 
 class ConnectionState(Enum):
-    """What a connection does; whether the request is written is `Connection.written`."""
+    """What a connection does; whether the request is written is `ServerConnection.written`."""
 
     IDLE = auto()  # no exchange: not established yet, or between two
     AWAITING_ANSWER = auto()  # a request is being written, or its answer awaited or buffered
@@ -62,18 +62,18 @@
     loop: asyncio.AbstractEventLoop
     delays: DelayObserver | None
 
-    def free(self, connection: Connection) -> None:
+    def free(self, connection: ServerConnection) -> None:
         """Take back a connection that is idle and may be used again."""
 
-    def connection_closed(self, connection: Connection) -> None:
+    def connection_closed(self, connection: ServerConnection) -> None:
         """Forget a connection that is closed."""
 
-    def result(self, parser: framing.AnswerParser, *, health_check: bool) -> Result:
+    def result(self, parser: framing.AnswerParser, *, health_check: bool) -> ExchangeResult:
         """Return the outcome of a complete answer."""
 
 
 @dataclass(slots=True, eq=False)
-class Server:
+class ServerIncarnation:
     """A server in the endpoint list, from one start of it to the next.
 
     A server of the same name at another address, or with another start, is another one, with connections and
@@ -84,19 +84,20 @@
     address: Address
     started: float = 0.0  # Unix time in milliseconds; 0: long ago
     region: str = ""  # the name of its zone
-    closed_from: float = math.inf  # no request is begun on its connections from then on (ms, sidecar's clock)
-    idle: list[Connection] = field(default_factory=list)  # in the order in which they became idle
+    # From then on no request is begun on its connections, in milliseconds of the sidecar's clock.
+    no_requests_from: float = math.inf
+    idle: list[ServerConnection] = field(default_factory=list)  # in the order in which they became idle
 
     @property
     def draining(self) -> bool:
         """True if no request may be begun, now or after a grace: it drains, has left or was replaced."""
-        return self.closed_from < math.inf
+        return self.no_requests_from < math.inf
 
 
-class Connection(framing.SharedBufferProtocol):
+class ServerConnection(framing.SharedBufferProtocol):
     """A connection to a server; it carries one exchange at a time."""
 
-    def __init__(self, pool: ConnectionOwner, server: Server) -> None:
+    def __init__(self, pool: ConnectionOwner, server: ServerIncarnation) -> None:
         self._pool = pool
         self.server = server
         self.state = IDLE
@@ -138,7 +139,7 @@
     def usable(self) -> bool:
         """Return whether a request can be written: the connection is open, with nothing unread."""
         closed = self.state is CLOSING or self.state is CLOSED
-        return not (closed or self._transport.is_closing() or framing.readable(self._transport))
+        return not (closed or self._transport.is_closing() or framing.has_unread_input(self._transport))
 
     # --- a request ------------------------------------------------------------------
 
@@ -146,7 +147,7 @@
         """Write a request. It counts as written once the system has its last byte."""
         self.state = AWAITING_ANSWER
         self._exchange = exchange
-        exchange.carried_by(self)
+        exchange.use_connection(self)
         self._reused = self._parser.complete
         self._parser.reset()
         self._transport.write(message)
@@ -162,15 +163,15 @@
         """
         unsent = self._transport.is_closing() or self._transport.get_write_buffer_size()
         self.written = not (unsent or self._body)
-        if self.written and self._exchange is not None and self._exchange.watcher is not None:
-            self._exchange.watcher.written()
+        if self.written and self._exchange is not None and self._exchange.observer is not None:
+            self._exchange.observer.request_written()
 
-    # Called by a large body (`body.Writer`).
+    # Called by a large body (`body.BodyWriter`).
 
     def write_part(self, data: bytes) -> None:
         """Write a part of the body; close if the request is no longer wanted."""
         exchange = self._exchange
-        if exchange is not None and exchange.watcher is not None and not exchange.watcher.may_write():
+        if exchange is not None and exchange.observer is not None and not exchange.observer.may_write():
             exchange.withdraw()
             self.abort()
         else:
@@ -255,12 +256,14 @@
         sent to another server.
         """
         assert self._exchange is not None
-        if self._exchange.watcher is None:
-            if len(self._parser.body) > MAX_BUFFERED:
+        if self._exchange.observer is None:
+            if len(self._parser.body) > MAX_BUFFERED_BYTES:
                 self._break()
             return
         length = self._parser.length
-        if len(self._parser.body) > MAX_BUFFERED or (length is not None and length > MAX_BUFFERED):
+        if len(self._parser.body) > MAX_BUFFERED_BYTES or (
+            length is not None and length > MAX_BUFFERED_BYTES
+        ):
             self._stream()
         elif length is None and self._hold_timer is None:
             self._hold_timer = self._pool.loop.call_later(HOLD_S, self._stream)
@@ -270,13 +273,13 @@
         if self._hold_timer is not None:
             self._hold_timer.cancel()
             self._hold_timer = None
-        if self._exchange is None or self._exchange.watcher is None:
+        if self._exchange is None or self._exchange.observer is None:
             return
         self.state = STREAMING_ANSWER
         answer = Answer(client_headers(self._parser), bytes(self._parser.body), self._parser.length)
         self._parser.body.clear()
         self._silence_timer = self._pool.loop.call_later(STALLED_S, self._check_silence)
-        self._parser.sink = self._exchange.watcher.begun(answer, self)
+        self._parser.sink = self._exchange.observer.answer_started(answer, self)
 
     def _check_silence(self) -> None:
         """Break off an answer whose server has stalled; time in which the client was slow doesn't count."""
@@ -286,7 +289,7 @@
         else:
             self._silence_timer = self._pool.loop.call_later(STALLED_S - silent, self._check_silence)
 
-    # Called by the client's side of an answer that is passed on (`interfaces.Flow`).
+    # Called by the client's side of an answer that is passed on (`interfaces.FlowControl`).
 
     def pause(self) -> None:
         """Stop reading: the client is slower than the server."""
@@ -308,7 +311,7 @@
         exchange = self._release()
         if exchange is None:
             return
-        result = self._pool.result(self._parser, health_check=exchange.watcher is None)
+        result = self._pool.result(self._parser, health_check=exchange.observer is None)
         if reusable:
             self.state = IDLE
             self._pool.free(self)
@@ -321,9 +324,9 @@
         exchange = self._release()
         self._transport.abort()
         if exchange is not None:
-            exchange.end(Result(Outcome.RESET if self.written else Outcome.CONNECT_FAILED))
+            exchange.end(ExchangeResult(Outcome.RESET if self.written else Outcome.CONNECT_FAILED))
 
-    def give_up(self) -> None:
+    def reset(self) -> None:
         """Close at once by a reset, so that the system drops the bytes of a request that it still holds.
 
         Otherwise they would reach the server long after it was given up, when a partition ends or a hung
--- a/tests/sidecar/test_admin.py
+++ b/tests/sidecar/test_admin.py
@@ -10,7 +10,7 @@
 from brassfall.balancer.model import RefusalReason
 from brassfall.sidecar.clients import inbound
 from brassfall.sidecar.config import MAX_ADMIN_CONNECTIONS
-from brassfall.sidecar.core.process_state import InvalidTransitionError, Lifecycle, State
+from brassfall.sidecar.core.process_state import InvalidTransitionError, ProcessLifecycle, ProcessState
 from brassfall.sidecar.lifecycle import admin
 from tests.support.loopback import OK, PATIENCE_S, App, Upstream, loopback, running, until
 from tests.support.system_calls import ACCEPT_ERRORS, Faults
@@ -38,7 +38,7 @@
 
 
 def test_the_lifecycle_rejects_transitions_before_startup_and_after_a_stop():
-    life, seen = Lifecycle(), []
+    life, seen = ProcessLifecycle(), []
     life.on_change(lambda: seen.append(life.state))
     for change in (life.drain, life.rejoin):
         with pytest.raises(InvalidTransitionError, match="starting"):
@@ -53,7 +53,7 @@
         with pytest.raises(InvalidTransitionError, match="stopping"):
             change()
     life.serve()  # the end of a start that was stopped meanwhile
-    assert seen == [State.SERVING, State.LAME_DUCK, State.SERVING, State.STOPPING]
+    assert seen == [ProcessState.SERVING, ProcessState.LAME_DUCK, ProcessState.SERVING, ProcessState.STOPPING]
     assert not life.ready and not life.accepting
 
 
@@ -183,7 +183,7 @@
     async with running(raw=ADMIN) as sidecar:
         await command(sidecar, b"LAMEDUCK\n")
         stopping = asyncio.create_task(sidecar.drain())
-        await until(lambda: sidecar.lifecycle.state is State.STOPPING)
+        await until(lambda: sidecar.lifecycle.state is ProcessState.STOPPING)
         for line in (b"REJOIN\n", b"LAMEDUCK\n", b"PING\n"):
             assert await command(sidecar, line) == b"error the process is stopping\n"
         assert await health(sidecar) == "503"
--- a/tests/sidecar/test_agent.py
+++ b/tests/sidecar/test_agent.py
@@ -208,8 +208,8 @@
     """The process of a member, which records each `Steer`; its clock is the test's."""
 
     def __init__(self):
-        self.now, self.busy, self.list_version, self.steers = 0.0, (), 0, []
-        self.running = sidecar_config(
+        self.now, self.classes_in_use, self.list_version, self.steers = 0.0, (), 0, []
+        self.configuration = sidecar_config(
             raw={"fleet": {"registry": ["127.0.0.1:9"], "agreement": {"agree_ms": 3000}}}
         )
         self.listed = EndpointList()
@@ -217,11 +217,11 @@
     def time(self):
         return self.now
 
-    def listings(self):
+    def endpoint_list(self):
         return self.listed
 
-    def adopt(self, config):
-        self.running = config
+    def apply_configuration(self, config):
+        self.configuration = config
 
     def steer(self, steer):
         self.steers.append(steer)
@@ -279,7 +279,7 @@
 @pytest.mark.parametrize("seed", range(20))
 def test_a_cached_decision_is_the_one_that_would_be_made_anew(seed):
     rng, processes = random.Random(seed), [StandInProcess(), StandInProcess()]
-    file = processes[0].running
+    file = processes[0].configuration
     cached, anew = members = [FleetMember(process, process, {}) for process in processes]
     decided = 0
     for number in range(2, 300):
@@ -290,24 +290,24 @@
         anew.file_read(file)  # a file that was read again is decided on anew
         decided += cached.agent.valid_until == anew.agent.valid_until
         assert processes[0].steers == processes[1].steers and cached.agent.overrides == anew.agent.overrides
-        assert processes[0].running.settings == processes[1].running.settings
+        assert processes[0].configuration.settings == processes[1].configuration.settings
     assert decided == 298 and len(processes[0].steers) > 5
 
 
 def test_settings_that_did_not_fit_the_file_are_tried_again():
     process = StandInProcess()
     member = FleetMember(process, process, {})
-    adopt, process.adopt = process.adopt, _refuse
+    apply, process.apply_configuration = process.apply_configuration, _refuse
     client = member.agent.lease_client
     client.receive_update(
         {"edition": 5, "life": 1, "state": "committed", "settings": {"PolicyLimits": {"MaxAttempts": 1}}}
     )
     client.receive_answer(0.0, client.report(0.0)["seq"], {"edition": 5, "permission_ms": 2700.0, "life": 1})
     member.agent.refresh(0.1)
-    process.adopt = adopt
-    assert process.running.settings.max_attempts != 1
+    process.apply_configuration = apply
+    assert process.configuration.settings.max_attempts != 1
     member.agent.refresh(0.2)
-    assert process.running.settings.max_attempts == 1
+    assert process.configuration.settings.max_attempts == 1
 
 
 def _refuse(config):
--- a/tests/sidecar/test_agent_overrides.py
+++ b/tests/sidecar/test_agent_overrides.py
@@ -339,7 +339,7 @@
     def revision(number, names):
         return lease_client.Revision(number, {"regions": {"held": list(names)}}, None, ())
 
-    names = config_values.Names({}, {}, {"a": 0, "b": 1, "c": 2, "empty": 3}, {})
+    names = config_values.WireNames({}, {}, {"a": 0, "b": 1, "c": 2, "empty": 3}, {})
     listing = EndpointList(
         endpoint_list.ServerList(1, True, [model.Listing(f"s{zone}", zone) for zone in range(3)], {})
     )
--- a/tests/sidecar/test_agent_rules.py
+++ b/tests/sidecar/test_agent_rules.py
@@ -214,7 +214,7 @@
             return sum(len(server.seen) for server in servers) - before
 
         def objectives():
-            return [profile.objective for profile in side.sidecar.running.settings.profiles]
+            return [profile.objective for profile in side.sidecar.configuration.settings.profiles]
 
         await side.acting(0)
         assert (await attempts(), objectives()) == (3, [2000.0, 2000.0, 2000.0])
@@ -222,7 +222,7 @@
         side.service.publish(5, settings={"Profiles": [row], "PolicyLimits": {"MaxAttempts": 1}})
         await side.acting(5)
         assert (await attempts(), objectives()) == (1, [700.0, 2000.0, 2000.0])
-        raw = copy.deepcopy(dict(side.sidecar.running.agreement.raw))
+        raw = copy.deepcopy(dict(side.sidecar.configuration.agreement.raw))
         for profile in raw["settings"]["Profiles"]:
             profile["Objective"] = 900.0
         file = tmp_path / "sidecar.json"
@@ -239,7 +239,7 @@
     async with fleet(await Upstream().start()) as side:
         side.service.publish(5, settings={"caps": {"gaze": 7.0}})
         await side.acting(5)
-        raw = copy.deepcopy(dict(side.sidecar.running.agreement.raw))
+        raw = copy.deepcopy(dict(side.sidecar.configuration.agreement.raw))
         raw["settings"]["Profiles"].append(raw["settings"]["Profiles"][0] | {"Name": "gaze"})
         file = tmp_path / "sidecar.json"
         file.write_text(json.dumps(raw))
--- a/tests/sidecar/test_answer_order.py
+++ b/tests/sidecar/test_answer_order.py
@@ -270,7 +270,7 @@
         await asyncio.sleep(0)
         # The reset is here, and the loop has not reported it.
         assert connection.readable and connection.state is ConnectionState.LAST_REQUEST_READ
-        request.finished()
+        request.finish_answer()
         assert connection.state is ConnectionState.LINGERING
         release.set()
         await released(sidecar)
--- a/tests/sidecar/test_attempts.py
+++ b/tests/sidecar/test_attempts.py
@@ -160,7 +160,7 @@
         sidecar.driver.perform(Cancel(request.id, 0))
         sidecar.driver.perform(Cancel(request.id, 0))
         # Its time runs out, too, before the outcome is reported.
-        sidecar.driver.lifecycle.attempts.expire(request.attempts[0])
+        sidecar.driver.request_lifecycle.attempts.expire(request.attempts[0])
         assert (await app.answer()).body == b"done"
         assert balancer.outcomes() == [(0, Outcome.TIMEOUT, False), (1, Outcome.OK, True)]
         assert [seen.connection for seen in upstream.seen] == [0, 1]
--- a/tests/sidecar/test_configuration.py
+++ b/tests/sidecar/test_configuration.py
@@ -67,7 +67,7 @@
     for value in VALUES:
         try:
             news = load(tmp_path, json.dumps(put(at, value)))
-            reload.successor(running, news, ())
+            reload.plan_reload(running, news, ())
         except config.ConfigError as error:
             assert len(str(error).splitlines()) == 1  # noqa: PT017 - most files are taken
 
@@ -169,7 +169,7 @@
 async def test_a_bad_file_at_a_reload_changes_nothing_and_is_named(tmp_path, capsys):
     made = Sidecar(asyncio.get_running_loop(), config.parse(WHOLE, {}))
     made.lifecycle.serve()
-    before = made.running
+    before = made.configuration
     path = tmp_path / "config.json"
     for at, value in (
         (("known", "endpoints", 0, "weight"), math.nan),
@@ -179,5 +179,5 @@
         path.write_text(json.dumps(put(at, value)))
         made.reload({"NODE_CONFIG": str(path)})
         said = capsys.readouterr().err
-        assert made.running is before
+        assert made.configuration is before
         assert len(said.splitlines()) == 1 and str(path) in said and "nothing is changed" in said
--- a/tests/sidecar/test_connection_state.py
+++ b/tests/sidecar/test_connection_state.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from brassfall.sidecar.body import Budget
+from brassfall.sidecar.body import MemoryBudget
 from brassfall.sidecar.clients import client_connection, connection_timeouts
 from brassfall.sidecar.clients.connection_state import (
     ConnectionState,
@@ -184,7 +184,7 @@
             checked_transition(S.CLOSED, S.READING_REQUEST)
 
     with pytest.raises(ConnectionStateError):
-        RequestParser(Receiver(), Budget(0)).feed(request())
+        RequestParser(Receiver(), MemoryBudget(0)).feed(request())
 
 
 @loopback
--- a/tests/sidecar/test_driver.py
+++ b/tests/sidecar/test_driver.py
@@ -18,7 +18,7 @@
 )
 from brassfall.sidecar.core.clock import Clock
 from brassfall.sidecar.core.driver import Driver, DriverCounts
-from brassfall.sidecar.core.interfaces import Answer, Result
+from brassfall.sidecar.core.interfaces import Answer, ExchangeResult
 from tests.support.driver_stubs import RecordedCall, UpstreamsStub
 from tests.support.loopback import ScriptedBalancer, loopback, sidecar_config, until
 
@@ -95,18 +95,18 @@
     driver, upstreams = driver_of(send_and_wait)
     assert driver.counts == NOTHING and driver.idle
     call = RecordedCall()
-    request = driver.arrive(call, driver.clock.now())
+    request = driver.accept_request(call, driver.clock.now())
     assert driver.counts == DriverCounts(
         awaiting_answer=1, streaming_answer=0, requests=1, attempts_in_flight=1, armed_timers=1
     )
     assert list(driver.requests) == [request] and driver.in_flight == 1 and not driver.idle
     (exchange,) = upstreams.sent
-    exchange.watcher.begun(Answer([], b"", None), None)
+    exchange.observer.answer_started(Answer([], b"", None), None)
     assert driver.counts == DriverCounts(
         awaiting_answer=0, streaming_answer=1, requests=1, attempts_in_flight=1, armed_timers=1
     )
     assert driver.in_flight == 1 and not driver.idle
-    exchange.end(Result(Outcome.OK))
+    exchange.end(ExchangeResult(Outcome.OK))
     assert driver.counts == NOTHING and driver.idle
     assert call.given == ["begun", "finished"]
 
@@ -116,7 +116,7 @@
     driver, _ = driver_of(ScriptedBalancer(request=lambda now, arrival: []))
     calls = [RecordedCall() for _ in range(3)]
     driver.reload(sidecar_config(PolicyLimits={"MaxOpen": 2}), frozenset())
-    requests = [driver.arrive(call, driver.clock.now()) for call in calls]
+    requests = [driver.accept_request(call, driver.clock.now()) for call in calls]
     assert [call.given for call in calls] == [[], [], ["refused"]]
     assert requests[2] is None and driver.counts.awaiting_answer == 2
     assert driver.refusals == "full=1"
@@ -140,7 +140,7 @@
     driver, _ = driver_of(balancer)
     call = RecordedCall()
     call.budget = 30.0
-    request = driver.arrive(call, driver.clock.now())
+    request = driver.accept_request(call, driver.clock.now())
     await until(lambda: not driver.requests)
     assert call.given == ["failed"] and driver.counts == NOTHING
     line = f"ERROR no decision by the deadline, request failed, request={request.id}; report it\n"
@@ -156,7 +156,7 @@
     balancer = ScriptedBalancer(request=faulty)
     driver, _ = driver_of(balancer)
     call = RecordedCall()
-    request = driver.arrive(call, driver.clock.now())
+    request = driver.accept_request(call, driver.clock.now())
     assert call.given == ["failed"] and driver.counts == NOTHING
     assert balancer.named("client_gone") == [[request.id]]
     log = capsys.readouterr().err
--- a/tests/sidecar/test_graceful_shutdown.py
+++ b/tests/sidecar/test_graceful_shutdown.py
@@ -97,7 +97,7 @@
     upstream = await Upstream([hang]).start()
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
-        sidecar.driver.stopping(sidecar.inbound.clock.now() + 100.0)
+        sidecar.driver.answer_all_by(sidecar.inbound.clock.now() + 100.0)
         assert (await app.ask(X_Budget="9000m")).status in (502, 503, 504)
 
 
@@ -197,7 +197,7 @@
         return sidecar_config(Profiles=[row])
 
     async with running() as sidecar:
-        sidecar.adopt(with_deadline("view", 400.0))
+        sidecar.apply_configuration(with_deadline("view", 400.0))
         until_ms = []
         sidecar.driver.stopping = until_ms.append
         now = sidecar.inbound.clock.now()
--- a/tests/sidecar/test_hold_up.py
+++ b/tests/sidecar/test_hold_up.py
@@ -158,7 +158,7 @@
         app.send()
         await until(lambda: balancer.named("request"))
         row = entry("s0", upstream.address, status="leaving")
-        changes = parse_list(listed(42, row, snapshot=False), sidecar.running.names)
+        changes = parse_list(listed(42, row, snapshot=False), sidecar.configuration.names)
         ends = hold_up.clock.now() + grace_ms
         sidecar.driver.endpoints_listed(ListForm.CHANGES, changes)
         hold_up.advance(ends - before_ms - hold_up.clock.now())
--- a/tests/sidecar/test_invalid_requests.py
+++ b/tests/sidecar/test_invalid_requests.py
@@ -243,7 +243,7 @@
 
 @loopback
 async def test_a_body_in_chunks_that_grows_too_large_is_answered_413(monkeypatch):
-    monkeypatch.setattr(framing, "MAX_BODY", 64 * 1024)
+    monkeypatch.setattr(framing, "MAX_BODY_BYTES", 64 * 1024)
     async with running() as sidecar:
         app = await App.connect(sidecar.address)
         app.send("POST", "/pay", Content_Length=None, Transfer_Encoding="chunked")
--- a/tests/sidecar/test_large_answers.py
+++ b/tests/sidecar/test_large_answers.py
@@ -163,7 +163,7 @@
         )
         (connection,) = sidecar.inbound.connections
         buffered = connection.transport.get_write_buffer_size()
-        assert buffered <= connection_timeouts.MAX_UNSENT + 2 * body.MAX_BUFFERED
+        assert buffered <= connection_timeouts.MAX_UNSENT + 2 * body.MAX_BUFFERED_BYTES
         await until(lambda: upstream.writers[0].transport.get_write_buffer_size() > 0)
         before = given
         await asyncio.sleep(0.1)
--- a/tests/sidecar/test_large_requests.py
+++ b/tests/sidecar/test_large_requests.py
@@ -255,10 +255,10 @@
     upstream = await StreamingServer([LENGTH % len(LARGE) + LARGE]).start()
     async with running(upstream) as sidecar:
         seen = []
-        attempts = sidecar.driver.lifecycle.attempts
+        attempts = sidecar.driver.request_lifecycle.attempts
         took = attempts.answer_begun
         attempts.answer_begun = lambda *args: (took(*args), seen.append(sidecar.inbound.budget.used))[0]
         app = await App.connect(sidecar.address)
         app.send("POST", "/pay", LARGE)
         assert await read_answer(app) == (200, LARGE)
-        assert seen == [2 * body.MAX_FLOWING] and sidecar.inbound.budget.used == 0
+        assert seen == [2 * body.MAX_STREAMING_BYTES] and sidecar.inbound.budget.used == 0
--- a/tests/sidecar/test_pool.py
+++ b/tests/sidecar/test_pool.py
@@ -102,7 +102,7 @@
         begun = loop.time()
         await until(lambda: done)
         assert done[0].outcome == Outcome.CONNECT_FAILED and loop.time() - begun >= 0.03
-        await until(lambda: not pool.opening)
+        await until(lambda: not pool.opening_count)
         for sock in filling:
             sock.close()
 
@@ -153,7 +153,7 @@
         for app in apps:
             await app.answer()
         before = len(sidecar.pool.connections)
-        sidecar.pool.share(0.5)
+        sidecar.pool.set_descriptor_share(0.5)
         assert len(sidecar.pool.connections) == min(before, sidecar.pool.max_connections) < before
 
 
@@ -207,7 +207,7 @@
     ) as sidecar:
         app = await App.connect(sidecar.address)
         leaving = servers_of(entry("s0", upstream.address, status="leaving"))
-        sidecar.pool.update(sidecar.driver.clock.now(), leaving, complete=False)
+        sidecar.pool.update_servers(sidecar.driver.clock.now(), leaving, complete=False)
         assert (await app.ask()).body == b"done"
 
 
@@ -216,9 +216,9 @@
     upstream = await Upstream([OK]).start()
     pool = pool_of(upstream.address)
     leaving = servers_of(entry("s0", upstream.address, status="leaving"))
-    pool.update(1000.0, leaving, complete=False)
-    pool.update(1400.0, leaving, complete=False)
-    assert 1000.0 < pool.servers["s0"].closed_from <= 1500.0
+    pool.update_servers(1000.0, leaving, complete=False)
+    pool.update_servers(1400.0, leaving, complete=False)
+    assert 1000.0 < pool.servers["s0"].no_requests_from <= 1500.0
     upstream.stop()
 
 
@@ -229,7 +229,7 @@
         app = await App.connect(sidecar.address)
         await app.ask()
         # A machine that vanished resets nothing: its connections look open until they are used.
-        sidecar.pool.update(
+        sidecar.pool.update_servers(
             0.0, servers_of(entry("s0", upstream.address, since_ms=1_790_000_000_000)), complete=False
         )
         await app.ask()
@@ -239,21 +239,21 @@
 class AwaitedCall:
     """A small request that watches its own exchange; `result` has the outcome."""
 
-    body, stamp = None, b""
+    body, revision_header = None, b""
 
     def __init__(self):
         self.result = asyncio.get_running_loop().create_future()
 
-    def wire(self, left):
+    def request_bytes(self, left):
         return b"GET / HTTP/1.1\r\n\r\n"
 
     def may_write(self):
         return True
 
-    def written(self):
+    def request_written(self):
         pass
 
-    def ended(self, result):
+    def exchange_ended(self, result):
         self.result.set_result(result)
 
 
@@ -269,7 +269,7 @@
         return made
 
     def notify(**changes):
-        pool.update(0.0, servers_of(entry("s0", upstream.address, **changes)), complete=False)
+        pool.update_servers(0.0, servers_of(entry("s0", upstream.address, **changes)), complete=False)
 
     monkeypatch.setattr(loop, "create_connection", late)
     pool = pool_of(upstream.address, Rules={"StopSendingWithin": 500.0})
--- a/tests/sidecar/test_process_signals.py
+++ b/tests/sidecar/test_process_signals.py
@@ -105,7 +105,7 @@
     monkeypatch.setattr(sidecar.peers, "listen", listen)
     await sidecar.start()
     await until(lambda: new.watches)
-    assert sidecar.running.discovery == parse_address(new.address)
+    assert sidecar.configuration.discovery == parse_address(new.address)
     assert len(new.watches) == 1
     sidecar.close()
     old.stop()
--- a/tests/sidecar/test_races_reload.py
+++ b/tests/sidecar/test_races_reload.py
@@ -31,7 +31,7 @@
 from brassfall.sidecar import config, reload
 from brassfall.sidecar.clients import inbound
 from brassfall.sidecar.core.clock import Clock
-from brassfall.sidecar.core.process_state import Lifecycle
+from brassfall.sidecar.core.process_state import ProcessLifecycle
 from brassfall.sidecar.discovery.endpoint_list import parse_list
 from brassfall.sidecar.servers import pool as outbound
 from tests.sidecar.test_reload import raw, row, take
@@ -98,7 +98,7 @@
         report_fields=("queue",),
         allowances=(1.0,),
     )
-    after = reload.successor(before, replace(before, settings=other), ())
+    after = reload.plan_reload(before, replace(before, settings=other), ())
     waits = {name for name in after.pending_restart if name in reload.FIXED_SETTINGS}
     for field in fields(Settings):
         kept = before.settings if field.name in waits else other
@@ -267,7 +267,7 @@
 
 def test_no_class_takes_a_position_while_clients_may_still_name_its_former_class():
     running, rng = config.parse(raw(), {}), random.Random(5)
-    made = inbound.Inbound(StoppedClock(), StoppedClock(), running, None, Lifecycle())
+    made = inbound.Inbound(StoppedClock(), StoppedClock(), running, None, ProcessLifecycle())
     for _ in range(300):
         profiles = [row(name, rng.choice(EFFECTS)) for name in rng.sample("abcdef", 3)]
         running = take(running, raw(Profiles=profiles), made.request_classes).config
@@ -298,7 +298,9 @@
         app = await App.connect(made.address)
         app.send("POST", "/pay", b"x")
         await held.wait()
-        made.adopt(config.parse({**raw(Profiles=[row("pay"), row("look")]), "discovery": NOWHERE}, {}))
+        made.apply_configuration(
+            config.parse({**raw(Profiles=[row("pay"), row("look")]), "discovery": NOWHERE}, {})
+        )
         answer.set()
         assert (await app.answer()).start.split(" ")[1] == "502"
         assert sum(len(upstream.seen) for upstream in upstreams) == 1
@@ -315,15 +317,15 @@
 # --- the pool -----------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize(("grace", "closed_from"), [(200.0, 1050.0), (5000.0, 1350.0)])
+@pytest.mark.parametrize(("grace", "no_requests_from"), [(200.0, 1050.0), (5000.0, 1350.0)])
 @loopback
-async def test_a_shorter_grace_period_applies_to_servers_that_drain_already(grace, closed_from):
+async def test_a_shorter_grace_period_applies_to_servers_that_drain_already(grace, no_requests_from):
     loop = asyncio.get_running_loop()
     before, after = (sidecar_config(Rules={"StopSendingWithin": ms}) for ms in (500.0, grace))
-    pool = outbound.Pool(loop, Clock(loop), before)
-    pool.update(0.0, parse_list(listed(1, entry("s0"), entry("s1")), before.names), complete=True)
+    pool = outbound.ConnectionPool(loop, Clock(loop), before)
+    pool.update_servers(0.0, parse_list(listed(1, entry("s0"), entry("s1")), before.names), complete=True)
     leaving = listed(2, entry("s0", status="leaving"), snapshot=False)
-    pool.update(1000.0, parse_list(leaving, before.names), complete=False)
+    pool.update_servers(1000.0, parse_list(leaving, before.names), complete=False)
     pool.reload(copy.copy(after))
-    assert pool.servers["s0"].closed_from == closed_from
-    assert pool.servers["s1"].closed_from == math.inf
+    assert pool.servers["s0"].no_requests_from == no_requests_from
+    assert pool.servers["s1"].no_requests_from == math.inf
--- a/tests/sidecar/test_races_servers.py
+++ b/tests/sidecar/test_races_servers.py
@@ -144,7 +144,7 @@
     async with client_of(upstream, balancer=balancer, **never_cancels()) as (sidecar, app, faults):
         faults.script("socket", errno.ENOMEM)
         app.send()
-        await until(lambda: faults.injected and not sidecar.pool.opening)
+        await until(lambda: faults.injected and not sidecar.pool.opening_count)
         assert balancer.outcomes() == []
         app.close()
         await until(lambda: balancer.outcomes())
@@ -418,7 +418,7 @@
     )
     async with running_until_idle(first, second, balancer=balancer, **PARALLEL | never_cancels()) as sidecar:
         writes = []
-        begin = server_connection.Connection.begin
+        begin = server_connection.ServerConnection.begin
         clock = StoppedClock(sidecar)
         arrived = clock.time
 
@@ -428,7 +428,7 @@
                 writes.append((message, clock.time))
             begin(connection, exchange, message)
 
-        monkeypatch.setattr(server_connection.Connection, "begin", delayed)
+        monkeypatch.setattr(server_connection.ServerConnection, "begin", delayed)
         app = await start_request(sidecar, X_Budget="4000m")
         await until(lambda: gate.waiting)
         clock.time += late_ms
--- a/tests/sidecar/test_random_days.py
+++ b/tests/sidecar/test_random_days.py
@@ -16,7 +16,7 @@
 from brassfall.sidecar.core.driver import Driver
 from brassfall.sidecar.core.request_lifecycle import RequestLifecycle
 from brassfall.sidecar.core.request_table import RequestTable
-from brassfall.sidecar.servers.pool import Pool
+from brassfall.sidecar.servers.pool import ConnectionPool
 from tests.support.loopback import ScriptedBalancer
 from tests.support.random_day import Day, play
 from tests.support.random_day.clients import BodySource, ClientCall
@@ -70,7 +70,7 @@
 
 
 def test_a_client_whose_leaving_is_not_reported_is_found(monkeypatch):
-    monkeypatch.setattr(Driver, "client_gone", lambda self, request: None)
+    monkeypatch.setattr(Driver, "client_disconnected", lambda self, request: None)
     assert found("written after its client had left")
 
 
@@ -88,7 +88,7 @@
 
     monkeypatch.setattr(RequestTable, "end", keep_guard)
     monkeypatch.setattr(
-        RequestLifecycle, "fail_overdue", lambda self, request: request.call.failed(late=True)
+        RequestLifecycle, "fail_overdue", lambda self, request: request.call.send_failure(late=True)
     )
     assert found("a second final answer")
 
@@ -107,13 +107,13 @@
 
 
 def test_a_pool_that_knows_servers_by_name_alone_is_found(monkeypatch):
-    update = Pool.update
+    update = ConnectionPool.update_servers
 
     def by_name(self, now, servers, *, complete):
         fresh = [entry for entry in servers.entries if entry.server not in self.servers]
         update(self, now, replace(servers, entries=fresh), complete=False)
 
-    monkeypatch.setattr(Pool, "update", by_name)
+    monkeypatch.setattr(ConnectionPool, "update_servers", by_name)
     assert found("sent to a process that was known to have left")
 
 
@@ -163,8 +163,8 @@
     day = day_of(ScriptedBalancer(request=lambda now, arrival: []))
     source = BodySource()
     call = call_in(day, Body(source, b"x", 1), source)
-    call.request = day.driver.arrive(call, day.oracle.now)
-    day.driver.stopping(day.oracle.now - 1.0)
+    call.request = day.driver.accept_request(call, day.oracle.now)
+    day.driver.answer_all_by(day.oracle.now - 1.0)
     call.body.end()
     day.driver.body_read(call.request, day.oracle.now)
     assert call.final == "failed" and day.driver.counts.awaiting_answer == 0
@@ -178,6 +178,6 @@
     )
     day = day_of(scripted)
     call = call_in(day)
-    day.driver.arrive(call, day.oracle.now)
+    day.driver.accept_request(call, day.oracle.now)
     day.loop.run_until_complete(asyncio.sleep(1.0))
     assert call.final and not any(day.driver.counts) and not day.driver.request_classes
--- a/tests/sidecar/test_reload.py
+++ b/tests/sidecar/test_reload.py
@@ -50,7 +50,7 @@
 
 
 def take(running_config, new, busy=()):
-    return reload.successor(running_config, config.parse(new, {}), busy)
+    return reload.plan_reload(running_config, config.parse(new, {}), busy)
 
 
 def test_classes_keep_their_slots_and_slots_are_used_again():
@@ -115,7 +115,7 @@
     path.write_text(text)
     before = config.parse(raw(), {})
     with pytest.raises(config.ConfigError) as caught:
-        reload.successor(before, config.load({"NODE_CONFIG": str(path)}), ())
+        reload.plan_reload(before, config.load({"NODE_CONFIG": str(path)}), ())
     assert len(str(caught.value).splitlines()) == 1 and str(caught.value)
 
 
--- a/tests/sidecar/test_simultaneous_events.py
+++ b/tests/sidecar/test_simultaneous_events.py
@@ -12,7 +12,7 @@
 from brassfall.balancer.model import Cancel, ListForm, Outcome
 from brassfall.sidecar.core.clock import Clock
 from brassfall.sidecar.core.driver import Driver
-from brassfall.sidecar.core.interfaces import Answer, Result
+from brassfall.sidecar.core.interfaces import Answer, ExchangeResult
 from tests.support.balancer_records import left_over
 from tests.support.driver_stubs import RecordedCall, UpstreamsStub
 from tests.support.loopback import (
@@ -74,12 +74,12 @@
         self.clock = Clock(self.loop)
         self.balancer = OutcomeRecorder(Balancer(self.clock.now(), config.settings, config.seed))
         self.driver = Driver(self.loop, self.clock, config, self.balancer)
-        self.attempts = self.driver.lifecycle.attempts
+        self.attempts = self.driver.request_lifecycle.attempts
         self.upstreams = UpstreamsStub(self.loop, state)
         self.driver.connect(self.upstreams, None, None)
-        self.driver.endpoints_listed(ListForm.REMEMBERED, config.known)
+        self.driver.endpoints_listed(ListForm.REMEMBERED, config.known_servers)
         self.call = RecordedCall(large)
-        self.request = self.driver.arrive(self.call, self.clock.now())
+        self.request = self.driver.accept_request(self.call, self.clock.now())
         self.attempt = self.request.attempts[0]
         self.exchange = self.upstreams.sent[0]
         self.left = False
@@ -88,35 +88,35 @@
         getattr(self, event)()
 
     def answer(self):
-        self.exchange.end(Result(Outcome.OK, Answer([], b"")))
+        self.exchange.end(ExchangeResult(Outcome.OK, Answer([], b"")))
 
     def spoilt(self):
-        self.exchange.end(Result(Outcome.ERROR))
+        self.exchange.end(ExchangeResult(Outcome.ERROR))
 
     def reset(self):
-        self.exchange.end(Result(Outcome.RESET))
+        self.exchange.end(ExchangeResult(Outcome.RESET))
 
     def rules_changed(self):
-        self.loop.call_soon(self.exchange.end, Result(Outcome.ABANDONED))
+        self.loop.call_soon(self.exchange.end, ExchangeResult(Outcome.ABANDONED))
 
     def starts(self):
         """Begin a large answer, which is complete a turn later."""
-        if not self.exchange.ended and self.exchange.watcher is not None:
-            self.exchange.watcher.begun(Answer([], b"", None), None)
-            self.loop.call_soon(self.exchange.end, Result(Outcome.OK))
+        if not self.exchange.ended and self.exchange.observer is not None:
+            self.exchange.observer.answer_started(Answer([], b"", None), None)
+            self.loop.call_soon(self.exchange.end, ExchangeResult(Outcome.OK))
 
     def expire(self):
         self.attempts.expire(self.attempt)
 
     def overdue(self):
-        self.driver.lifecycle.fail_overdue(self.request)
+        self.driver.request_lifecycle.fail_overdue(self.request)
 
     def cancel(self):
         self.driver.perform(Cancel(self.request.id, 0))
 
     def gone(self):
         self.left, self.sent_then = True, len(self.upstreams.sent)
-        self.driver.client_gone(self.request)
+        self.driver.client_disconnected(self.request)
 
     def window(self):
         self.attempts.drop_unwritten(self.attempt)
@@ -181,7 +181,7 @@
     async with running_until_idle(
         upstream, balancer=ScriptedBalancer(outcome=failing), **never_cancels()
     ) as sidecar:
-        driver, attempts = sidecar.driver, sidecar.driver.lifecycle.attempts
+        driver, attempts = sidecar.driver, sidecar.driver.request_lifecycle.attempts
         await (await App.connect(sidecar.address)).ask()
         before = descriptors()
         sent = asyncio.Event()
@@ -203,13 +203,13 @@
             await turns(after)
             match event:
                 case "gone":
-                    driver.client_gone(request)
+                    driver.client_disconnected(request)
                 case "cancel":
                     driver.perform(Cancel(request.id, len(request.attempts) - 1))
                 case "expire":
                     attempts.expire(request.attempts[-1])
                 case "overdue":
-                    driver.lifecycle.fail_overdue(request)
+                    driver.request_lifecycle.fail_overdue(request)
                 case "window":
                     attempts.drop_unwritten(request.attempts[-1])
                 case "restart":
--- a/tests/sidecar/test_standing_brink.py
+++ b/tests/sidecar/test_standing_brink.py
@@ -326,7 +326,7 @@
         await until(lambda: len(sidecar.driver.requests) == 1)  # before any connection is up
         gate.open.set()
         assert (await apps[-1].answer()).body == b"done"
-        await until(lambda: not sidecar.pool.opening)
+        await until(lambda: not sidecar.pool.opening_count)
         assert len(upstream.seen) == 1
         apps[-1].close()
 
--- a/tests/sidecar/test_start_times.py
+++ b/tests/sidecar/test_start_times.py
@@ -12,7 +12,7 @@
 import pytest
 
 from brassfall.balancer.model import Listing, Outcome
-from brassfall.sidecar.core.interfaces import Answer, Result
+from brassfall.sidecar.core.interfaces import Answer, ExchangeResult
 from brassfall.sidecar.discovery.endpoint_list import ServerList
 from brassfall.sidecar.discovery.start_times import FORGET_MS, StartTimes
 from tests.support.discovery import (
@@ -183,16 +183,16 @@
     def __init__(self):
         self.sent = collections.Counter()
 
-    def update(self, *args, **named):
+    def update_servers(self, *args, **named):
         pass
 
     def close_idle(self, server):
         pass
 
-    def send(self, server, call, expires, watcher):
+    def send(self, server, call, expires, observer):
         self.sent[server] += 1
-        result = Result(Outcome.OK, Answer([], b""))
-        asyncio.get_running_loop().call_later(0.01, watcher.ended, result)
+        result = ExchangeResult(Outcome.OK, Answer([], b""))
+        asyncio.get_running_loop().call_later(0.01, observer.exchange_ended, result)
         return mock.Mock()
 
 
@@ -208,7 +208,7 @@
         return False
 
     def __init__(self):
-        self.served = self.refused = self.failed = lambda *_: None
+        self.send_answer = self.send_rejection = self.send_failure = lambda *_: None
 
 
 async def share_of_a_new_server(wall_clock, error_s):
@@ -226,7 +226,7 @@
             joins_at = None
             registry.put("s5", now())
             upstreams.sent.clear()
-        driver.arrive(SmallCall(), started.clock.now())
+        driver.accept_request(SmallCall(), started.clock.now())
         await asyncio.sleep(0.005)
     started.close()
     return upstreams.sent["s5"] / upstreams.sent.total()
--- a/tests/sidecar/test_unwanted_attempts.py
+++ b/tests/sidecar/test_unwanted_attempts.py
@@ -60,7 +60,7 @@
         sidecar = waiting.sidecar
         (request,) = sidecar.driver.requests
         if answer == "guard":
-            sidecar.driver.lifecycle.fail_overdue(request)
+            sidecar.driver.request_lifecycle.fail_overdue(request)
         else:
             sidecar.driver.perform(Refuse(request.id, 0.0) if answer is Refuse else Fail(request.id))
         waiting.gate.open.set()
@@ -96,7 +96,7 @@
         await until(lambda: not sidecar.driver.requests)
         list_changes(sidecar, entry("s0", waiting.upstream.address, status="leaving"))
         waiting.gate.open.set()
-        await until(lambda: waiting.upstream.writers and not sidecar.pool.opening)
+        await until(lambda: waiting.upstream.writers and not sidecar.pool.opening_count)
         assert not sidecar.pool.servers["s0"].idle
 
 
--- a/tests/sidecar/test_wall_clock.py
+++ b/tests/sidecar/test_wall_clock.py
@@ -117,7 +117,7 @@
             app = await App.connect(sidecar.address)
             row = entry("s0", upstream.address, status="leaving")
             sidecar.driver.endpoints_listed(
-                ListForm.CHANGES, parse_list(listed(42, row, snapshot=False), sidecar.running.names)
+                ListForm.CHANGES, parse_list(listed(42, row, snapshot=False), sidecar.configuration.names)
             )
             faults.step(step_s)
             within = await app.ask()
--- a/tests/support/driver_stubs.py
+++ b/tests/support/driver_stubs.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from brassfall.balancer.model import Outcome
-from brassfall.sidecar.core.interfaces import Answer, Result
+from brassfall.sidecar.core.interfaces import Answer, ExchangeResult
 from brassfall.sidecar.servers.exchange import Exchange
 
 
@@ -17,31 +17,31 @@
     def __init__(self, large=False):
         self.reading, self.body, self.given = large, None, []
 
-    def wire(self, left):
+    def request_bytes(self, left):
         return b""
 
     def client_left(self):
         return False
 
-    def served(self, answer):
+    def send_answer(self, answer):
         self.given.append("served")
 
-    def refused(self, retry_after):
+    def send_rejection(self, retry_after):
         self.given.append("refused")
 
-    def failed(self, late):
+    def send_failure(self, late):
         self.given.append("failed")
 
-    def begun(self, answer, flow):
+    def start_answer(self, answer, flow):
         self.given.append("begun")
 
-    def more(self, data):
+    def continue_answer(self, data):
         assert self.given[-1] == "begun"
 
-    def finished(self):
+    def finish_answer(self):
         self.given.append("finished")
 
-    def broken(self):
+    def abort_answer(self):
         self.given.append("broken")
 
     @property
@@ -56,7 +56,7 @@
     def __init__(self, written):
         self.written, self.aborted = written, False
 
-    def give_up(self):
+    def reset(self):
         self.aborted = True
 
 
@@ -66,21 +66,21 @@
     def __init__(self, loop, state):
         self.loop, self.state, self.sent = loop, state, []
 
-    def send(self, server, call, expires, watcher):
-        exchange = Exchange(call.wire, expires, watcher.ended, watcher)
+    def send(self, server, call, expires, observer):
+        exchange = Exchange(call.request_bytes, expires, observer.exchange_ended, observer)
         if self.sent:
-            self.loop.call_soon(exchange.end, Result(Outcome.OK, Answer([], b"")))
+            self.loop.call_soon(exchange.end, ExchangeResult(Outcome.OK, Answer([], b"")))
         elif self.state == "waits":
             exchange.await_connection(self.loop.create_task(asyncio.sleep(60.0)))
         else:
-            exchange.carried_by(ConnectionStub(self.state == "written"))
+            exchange.use_connection(ConnectionStub(self.state == "written"))
         self.sent.append(exchange)
         return exchange
 
     def check_health(self, server, done):
         raise AssertionError("no health check is asked for")
 
-    def update(self, now, servers, *, complete):
+    def update_servers(self, now, servers, *, complete):
         pass
 
     def close_idle(self, server):
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -366,7 +366,7 @@
 def nothing_left(sidecar):
     """Return whether the driver and the balancer hold nothing, and each open connection is an idle one."""
     driver, pool = sidecar.driver, sidecar.pool
-    if any(driver.counts) or not driver.idle or pool.opening:
+    if any(driver.counts) or not driver.idle or pool.opening_count:
         return False
     if not isinstance(driver.balancer, ScriptedBalancer) and any(left_over(driver.balancer).values()):
         return False
--- a/tests/support/pools.py
+++ b/tests/support/pools.py
@@ -8,8 +8,8 @@
 
 from brassfall.sidecar.core.clock import Clock
 from brassfall.sidecar.discovery.endpoint_list import parse_list
-from brassfall.sidecar.servers.pool import Pool
-from brassfall.sidecar.servers.server_connection import Connection
+from brassfall.sidecar.servers.pool import ConnectionPool
+from brassfall.sidecar.servers.server_connection import ServerConnection
 from tests.support.loopback import entry, listed, sidecar_config
 
 SMALL_BUFFER = 4096  # bytes that the kernel holds of what is written
@@ -23,8 +23,8 @@
 def pool_of(address, **settings):
     """A pool with one server, s0, at this address."""
     loop = asyncio.get_running_loop()
-    pool = Pool(loop, Clock(loop), sidecar_config(**settings))
-    pool.update(0.0, servers_of(entry("s0", address)), complete=True)
+    pool = ConnectionPool(loop, Clock(loop), sidecar_config(**settings))
+    pool.update_servers(0.0, servers_of(entry("s0", address)), complete=True)
     return pool
 
 
@@ -36,7 +36,9 @@
         end.setblocking(False)
         end.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL_BUFFER)
     loop = asyncio.get_running_loop()
-    _, connection = await loop.create_connection(lambda: Connection(pool, pool.servers["s0"]), sock=near)
+    _, connection = await loop.create_connection(
+        lambda: ServerConnection(pool, pool.servers["s0"]), sock=near
+    )
     try:
         yield connection, far
     finally:
--- a/tests/support/random_day/clients.py
+++ b/tests/support/random_day/clients.py
@@ -62,7 +62,7 @@
     def client_left(self):
         return self.closed_at is not None
 
-    def wire(self, left):
+    def request_bytes(self, left):
         framing = b"" if self.body is None else self.body.header
         return b"POST /x HTTP/1.1\r\nX-Id: %d\r\nX-Left: %.3f\r\n%b\r\n" % (self.number, left, framing)
 
@@ -87,30 +87,30 @@
     def _answered(self, how):
         self.clients.oracle.answered(self, how, hold_ups=bool(self.clients.chance.hold_up_rate))
 
-    def served(self, answer):
+    def send_answer(self, answer):
         if answer.body != b"ok %d" % self.number:
             self._breach("served with what is no answer to it")
         self._answered("served")
 
-    def refused(self, retry_after):
+    def send_rejection(self, retry_after):
         self._answered("refused")
         self.clients.oracle.refused(self)
 
-    def failed(self, late):
+    def send_failure(self, late):
         self._answered("failed")
 
-    def begun(self, answer, flow):
+    def start_answer(self, answer, flow):
         self.flow = flow
         self._answered("begun")
 
-    def more(self, data):
+    def continue_answer(self, data):
         if self.flow_over:
             self._breach("more of an answer that was over")
 
-    def finished(self):
+    def finish_answer(self):
         self._over()
 
-    def broken(self):
+    def abort_answer(self):
         self._over()
 
     def _over(self):
@@ -152,8 +152,10 @@
         large = "" if body is None else " large"
         self.oracle.note(f"arrive {number} {row['Name']} {row['Semantics']} {row['Group']} {budget}{large}")
         if body is not None:
-            body.on_gone = lambda: call.request is not None and self.driver.body_gone(call.request)
-        call.request = self.driver.arrive(call, self.oracle.now)
+            body.on_beginning_discarded = lambda: (
+                call.request is not None and self.driver.body_discarded(call.request)
+            )
+        call.request = self.driver.accept_request(call, self.oracle.now)
         if body is not None:
             self.chance.later((0.0, 0.02, 0.1), self._feed, call, 1, parts)
             self.loop.call_later(1.0, self._cut_off, call)
@@ -202,7 +204,7 @@
             return
         self.oracle.note(f"gone {call.number}")
         call.gone = True
-        self.driver.client_gone(call.request)
+        self.driver.client_disconnected(call.request)
 
     def read_slowly(self, call):
         """Let the client of a large answer stop reading for a while."""
--- a/tests/support/random_day/day.py
+++ b/tests/support/random_day/day.py
@@ -15,7 +15,7 @@
 from brassfall.sidecar import framing
 from brassfall.sidecar.core.clock import Clock
 from brassfall.sidecar.core.driver import Driver
-from brassfall.sidecar.servers.pool import Pool
+from brassfall.sidecar.servers.pool import ConnectionPool
 from tests.support.balancer_records import left_over
 from tests.support.random_day.chance import Chance
 from tests.support.random_day.clients import GRID_S, Clients
@@ -56,7 +56,7 @@
 
 
 class Discovery:
-    """Discovery and the peers, as the driver sees them (`interfaces.Registry` and `Gossip`)."""
+    """Discovery and the peers, as the driver sees them (`interfaces.DiscoveryClient` and `Gossip`)."""
 
     def __init__(self, chance, servers):
         self._chance, self._servers = chance, servers
@@ -68,7 +68,7 @@
     def fetch(self):
         pass
 
-    def tell(self, peer, data):
+    def send(self, peer, data):
         pass
 
     def _answer(self):
@@ -100,29 +100,29 @@
         self.servers = Servers(self.loop, self.chance, self.oracle, self.settings, self.clients)
         self.loop.connect = self.servers.connect
         self.driver = Driver(self.loop, self.clock, self.settings.config, balancer)
-        self.pool = Pool(self.loop, self.clock, self.settings.config)
+        self.pool = ConnectionPool(self.loop, self.clock, self.settings.config)
         discovery = Discovery(self.chance, self.servers)
         self.driver.connect(DecisionRecorder(self.pool, self.oracle), discovery, discovery)
         self.clients.driver = self.servers.driver = discovery.driver = self.driver
         self.stamp = b""
         if self.chance.rng.random() < 0.25:
-            self.driver.revision_stamp = self.pool.stamp = lambda: self.stamp
+            self.driver.revision_header = self.pool.revision_header = lambda: self.stamp
 
     # --- what happens beside clients and servers --------------------------------------------
 
     def _reload(self):
-        successor = self.settings.reload(self.driver.request_classes)
+        plan = self.settings.reload(self.driver.request_classes)
         rows = self.settings.raw["Profiles"]
         self.oracle.note(f"reload {[(row['Name'], row['Semantics']) for row in rows]}")
-        self.driver.reload(successor.config, successor.same_classes)
-        self.pool.reload(successor.config)
+        self.driver.reload(plan.config, plan.same_classes)
+        self.pool.reload(plan.config)
 
     def _change_stamp(self):
         self.stamp = b"X-Edition: %d\r\n" % self.chance.rng.randrange(1000)
 
     def _share(self):
         """Let another process of this sidecar come or go."""
-        self.pool.share(self.chance.rng.choice([0.5, 1.0]))
+        self.pool.set_descriptor_share(self.chance.rng.choice([0.5, 1.0]))
 
     def _steer(self):
         draw, zones = self.chance.rng.choice, range(2)
@@ -140,7 +140,7 @@
     def _stop(self):
         if self.chance.rng.random() < 0.2:
             self.clients.answer_by = self.oracle.now + STOP_WITHIN_MS
-            self.driver.stopping(self.clients.answer_by)
+            self.driver.answer_all_by(self.clients.answer_by)
 
     # --- the day ------------------------------------------------------------------------------
 
@@ -170,7 +170,7 @@
         with contextlib.ExitStack() as patches:
             patches.enter_context(contextlib.redirect_stderr(LogLines(self.oracle.log_written)))
             patches.enter_context(
-                mock.patch.object(framing, "readable", lambda connection: bool(connection.inbox))
+                mock.patch.object(framing, "has_unread_input", lambda connection: bool(connection.inbox))
             )
             try:
                 self.loop.run_until_complete(self._pass())
@@ -186,7 +186,7 @@
             **{f"driver's {name}": count for name, count in self.driver.counts._asdict().items()},
             **left_over(self.driver.balancer),
             "connections": len(self.pool.connections),
-            "connections being opened": self.pool.opening,
+            "connections being opened": self.pool.opening_count,
         }
 
 
--- a/tests/support/random_day/settings.py
+++ b/tests/support/random_day/settings.py
@@ -79,10 +79,10 @@
         """Draw other settings; return the parsed configuration and the classes that are the same."""
         raw = draw(self._chance.rng)
         slots = {kind.slot for names, _ in self._known for kind in names.classes.values()}
-        successor = reload.successor(self.config, self._parse(raw), classes_in_use | slots)
-        self.raw, self.config = raw, successor.config
-        self._known.insert(0, (successor.config.names, raw))
-        return successor
+        plan = reload.plan_reload(self.config, self._parse(raw), classes_in_use | slots)
+        self.raw, self.config = raw, plan.config
+        self._known.insert(0, (plan.config.names, raw))
+        return plan
 
     def draw_class(self):
         """Return the class of a request and its row in the settings.
