--- a/brassfall/sidecar/core/actions.py
+++ b/brassfall/sidecar/core/actions.py
@@ -1,4 +1,4 @@
-"""The dispatch of the balancer's actions to the parts that carry them out."""
+"""The dispatcher that passes each action of the balancer to the component that carries it out."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ActionDispatcher:
-    """Carries out actions, each at once."""
+    """Carries out the balancer's actions by calling the components of the sidecar, without delay."""
 
     requests: RequestLifecycle
     timers: BalancerTimers
@@ -24,7 +24,10 @@
     gossip: Gossip
 
     def perform(self, action: model.Action, revision_header: bytes) -> None:
-        """Carry out one action, decided under the configuration revision of `revision_header`."""
+        """Carry out one action of the balancer.
+
+        `revision_header` is the header line of the configuration revision that the decision was based on.
+        """
         match action:
             case model.Send():
                 self._send(action, revision_header)
@@ -41,10 +44,10 @@
             case model.Probe(server):
                 self.health_checks.start(server)
             case _:
-                self._perform_outward(action)
+                self._perform_external(action)
 
-    def _perform_outward(self, action: model.Action) -> None:
-        """Carry out an action towards discovery, other sidecars or the log."""
+    def _perform_external(self, action: model.Action) -> None:
+        """Carry out an action that concerns discovery, other sidecars or the log."""
         match action:
             case model.Watch(on):
                 self.registry.watch(on=on)
@@ -58,6 +61,10 @@
     def _send(self, send: model.Send, revision_header: bytes) -> None:
         request = self.requests.table.by_number.get(send.request)
         if request is None:
-            log.error("attempt for an unknown request, not sent", request=send.request, action="report it")
+            log.error(
+                "balancer asked for an attempt of an unknown request, not sent",
+                request=send.request,
+                action="report it as a defect",
+            )
         else:
             self.requests.attempts.start(request, send, revision_header)
--- a/brassfall/sidecar/core/attempt_runner.py
+++ b/brassfall/sidecar/core/attempt_runner.py
@@ -1,4 +1,4 @@
-"""Attempts: each is started, limited in time, perhaps cancelled or dropped, and has one outcome.
+"""The runner of attempts: it starts them, limits their time, cancels them and reports their outcomes.
 
 Times are in milliseconds of the sidecar's clock.
 """
@@ -16,32 +16,36 @@
 from brassfall.sidecar.core.clock import MAX_PROCESS_PAUSE_MS, Clock
 from brassfall.sidecar.core.interfaces import Answer, ExchangeResult, FlowControl, Upstreams
 
-# A retry under an idempotency key has to have reached its server within the key's window, also where this
-# process is held up. Its transit is covered by the 50 ms that the protocol adds to each limit.
+# Margin before the end of an idempotency key's window, in milliseconds. A retry must reach its server within
+# the window even if this process pauses; the 50 ms that the protocol adds to each limit cover the transit.
 KEY_MARGIN_MS = MAX_PROCESS_PAUSE_MS
-# From this age of a request on, its client's socket is checked before a write: the process may have been
-# held up meanwhile, with the end of the client's connection not read yet.
+# Age of a request, in milliseconds, from which on its client's socket is checked before the request is
+# written to a server: if this process paused, the client may have disconnected without the event loop having
+# read it.
 CHECK_CLIENT_AFTER_MS = 10.0
 
-# The members as names of this module: a look-up on the enumeration costs more than a comparison.
+# Enum members as module names: looking a member up on the enum class costs more than a comparison.
 _, UPLOADING, AWAITING_ANSWER, STREAMING_ANSWER, STOPPED, ENDED = AttemptState
 
 
 class AttemptObserver(Protocol):
-    """The part of the driver that acts on what attempts bring."""
+    """The component of the driver that handles the answers and outcomes of attempts."""
 
     def answer_begun(self, attempt: Attempt, answer: Answer, flow: FlowControl) -> bool:
-        """Take the beginning of a large answer; return False if the request was answered before."""
+        """Handle the beginning of a large answer; return False if the request was answered before."""
 
     def attempt_withdrawn(self, attempt: Attempt) -> None:
-        """Take note that the pool abandoned an attempt before it was sent."""
+        """Handle that the connection pool abandoned an attempt before its request was sent."""
 
     def attempt_ended(self, attempt: Attempt, result: ExchangeResult, elapsed: float) -> None:
-        """Take the one outcome of an attempt; `elapsed` runs from the request's last byte to the answer."""
+        """Handle the result of an attempt, of which there is exactly one.
+
+        `elapsed` is the time from the request's last byte to the answer, in milliseconds.
+        """
 
 
 class AttemptRunner:
-    """Starts attempts on the servers' connections and follows each until its outcome."""
+    """Starts attempts on connections to servers and tracks each one until its outcome."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, clock: Clock, observer: AttemptObserver) -> None:
         self._loop = loop
@@ -50,15 +54,17 @@
         self._upstreams: Upstreams
 
     def connect(self, upstreams: Upstreams) -> None:
-        """Send attempts through these connections from now on."""
+        """Set the server connections that attempts are sent on; required before the first attempt."""
         self._upstreams = upstreams
 
-    # --- what the balancer decides ------------------------------------------------
+    # --- decisions of the balancer ------------------------------------------------
 
     def start(self, request: Request, send: model.Send, revision_header: bytes) -> None:
-        """Start an attempt, decided under the revision of `revision_header`.
+        """Start an attempt of a request.
 
-        It ends as abandoned, in a later turn, if the request is answered or out of time or attempts.
+        `revision_header` is the header line of the configuration revision that the decision was based on. The
+        attempt ends as abandoned, in a later turn of the event loop, if the request is already answered or
+        has no time or attempts left.
         """
         now = self._clock.now()
         uploading = request.call.reading
@@ -77,9 +83,9 @@
             attempt.enter(UPLOADING)
         else:
             attempt.enter(AWAITING_ANSWER)
-            self._limit(attempt, expires)
+            self._set_time_limit(attempt, expires)
         if write_by < math.inf:
-            attempt.window = self._loop.call_at(
+            attempt.key_window_timer = self._loop.call_at(
                 self._clock.to_loop_time_s(write_by), self.drop_unwritten, attempt
             )
         attempt.exchange = self._upstreams.send(send.server, request.call, expires, attempt)
@@ -98,16 +104,16 @@
         )
 
     def cancel(self, attempt: Attempt) -> None:
-        """Stop an attempt at any point before its outcome: its connection is closed."""
+        """Cancel an attempt that has no outcome yet, and close its connection."""
         if attempt.state in IN_EXCHANGE and attempt.exchange is not None:
             attempt.exchange.abandon()
-            # Later: the balancer takes no event while it handles one.
+            # The outcome is reported in a later turn: the balancer accepts no event while it handles one.
             self._stop(attempt, Outcome.CANCELLED)
 
     def drop_unwritten(self, attempt: Attempt) -> None:
         """Stop an attempt unless its request has been written completely.
 
-        This needs no `MayCancel` in the settings: no server has begun to work on the request.
+        The setting `MayCancel` does not matter here, since no server has begun to work on the request.
         """
         if (
             attempt.state in UNANSWERED
@@ -117,39 +123,43 @@
             self._stop(attempt, Outcome.ABANDONED)
 
     def limit_uploads(self, request: Request) -> None:
-        """Bound the attempts of a request whose body is complete by the time that its client has left.
+        """End the attempts of a request at its deadline at the latest, once its body has arrived completely.
 
-        One that is not written has no other limit: its connection may still be coming up.
+        An attempt whose request is not written completely has no other time limit, because its connection may
+        still be opening.
         """
         for attempt in request.attempts:
             if attempt.state in UNANSWERED:
-                self._limit(attempt, request.give_up_at)
+                self._set_time_limit(attempt, request.give_up_at)
 
     def expire(self, attempt: Attempt) -> None:
-        """End an attempt whose time is over; as abandoned if this machine could not open its connection."""
+        """End an attempt whose time limit has passed.
+
+        The outcome is `TIMEOUT`, or `ABANDONED` if this machine could not open a connection.
+        """
         exchange, outcome = attempt.exchange, Outcome.TIMEOUT
         if exchange is not None:
             exchange.abandon()
             outcome = Outcome.ABANDONED if exchange.failed_locally else outcome
         attempt.exchange_ended(ExchangeResult(outcome))
 
-    # --- what its exchange tells (`AttemptOwner`) ------------------------------------
+    # --- events of the attempts' exchanges (`AttemptOwner`) ---------------------------
 
     def may_write(self, attempt: Attempt) -> bool:
-        """Return whether an attempt whose bytes are due is still wanted; stop it if not.
+        """Return whether an attempt's request should still be sent; stop the attempt if not.
 
-        A connection that came up late, or a body that came slowly, may find that the request is answered or
-        its time over before the timer for that has run.
+        This is checked just before each write. When a connection was slow to open or a body slow to arrive,
+        the request may already be answered or out of time although the timer for that has not fired yet.
         """
         if attempt.state is STREAMING_ANSWER:
             return True
         if attempt.state in UNANSWERED:
-            if self._wanted(attempt):
+            if self._still_needed(attempt):
                 return True
             self._stop(attempt, Outcome.ABANDONED)
         return False
 
-    def _wanted(self, attempt: Attempt) -> bool:
+    def _still_needed(self, attempt: Attempt) -> bool:
         request, timeout, now = attempt.request, attempt.timeout, self._clock.now()
         if (
             request.answered
@@ -162,43 +172,47 @@
         return not (check_client and request.call.client_left())
 
     def uploaded(self, attempt: Attempt) -> None:
-        """Start the time limit of a large request's attempt, now that all is written."""
+        """Start the time limit of an attempt whose large request has just been written completely."""
         limit = min(self._clock.now() + attempt.time_limit, attempt.request.give_up_at)
-        self._limit(attempt, limit)
+        self._set_time_limit(attempt, limit)
         attempt.enter(AWAITING_ANSWER)
 
     def answer_begun(self, attempt: Attempt, answer: Answer, flow: FlowControl) -> Callable[[bytes], None]:
-        """Begin to pass a large answer on; the attempt has no time limit from here on."""
+        """Start to stream a large answer to the client; the attempt has no time limit from now on.
+
+        Return the function that takes the remaining parts of the answer's body.
+        """
         request = attempt.request
         if self._observer.answer_begun(attempt, answer, flow):
             return request.call.continue_answer
-        # Later: its connection is in the middle of a read.
+        # The attempt is cancelled in a later turn, because its connection is now in the middle of a read.
         self._loop.call_soon(self.cancel, attempt)
         return _discard
 
     def stream(self, attempt: Attempt) -> None:
-        """Take note that an attempt gives its request the final answer, which is passed on."""
+        """Record that an attempt's answer is the final one and is being streamed to the client."""
         attempt.enter(STREAMING_ANSWER)
         attempt.answer_began_at = self._clock.now()
         if attempt.timeout is not None:
             attempt.timeout.cancel()
 
     def withdrawn(self, attempt: Attempt) -> None:
-        """Give the request another attempt for one that the pool abandoned before it was sent.
+        """Allow a request one more attempt in place of one that the connection pool abandoned unsent.
 
-        The pool does so where the revision or the server changed since the decision.
+        The pool abandons an attempt if the configuration revision or the server has changed since the
+        decision.
         """
         attempt.request.max_attempts += 1
         self._observer.attempt_withdrawn(attempt)
 
     def ended(self, attempt: Attempt, result: ExchangeResult) -> None:
-        """Take the outcome of an attempt; without effect if it has one."""
+        """Handle the result of an attempt; do nothing if the attempt has ended before."""
         if attempt.state is ENDED:
             return
         request = attempt.request
         answered_at = attempt.answer_began_at or self._clock.now()
         attempt.enter(ENDED)
-        for timer in (attempt.timeout, attempt.window):
+        for timer in (attempt.timeout, attempt.key_window_timer):
             if timer is not None:
                 timer.cancel()
         attempt.exchange = None
@@ -211,8 +225,8 @@
         attempt.enter(STOPPED)
         self._loop.call_soon(self.ended, attempt, ExchangeResult(outcome))
 
-    def _limit(self, attempt: Attempt, until: float) -> None:
-        """Set the time limit of an attempt; never later than one that is running."""
+    def _set_time_limit(self, attempt: Attempt, until: float) -> None:
+        """Set the end of an attempt's time limit; a time limit that already runs is never extended."""
         at, timeout = self._clock.to_loop_time_s(until), attempt.timeout
         if timeout is not None:
             timeout.cancel()
@@ -222,4 +236,4 @@
 
 
 def _discard(data: bytes) -> None:
-    """Take a part of an answer that is not passed on."""
+    """Ignore a part of an answer that is not streamed to the client."""
--- a/brassfall/sidecar/core/attempts.py
+++ b/brassfall/sidecar/core/attempts.py
@@ -1,4 +1,4 @@
-"""The records of requests and their attempts, with the states of each.
+"""Records of requests and of their attempts, with their states and state transitions.
 
 Times are in milliseconds of the sidecar's clock.
 """
@@ -17,34 +17,37 @@
 
 
 class _State(Enum):
-    """A state, hashed by identity: `Enum.__hash__` would cost a call of Python code for each transition."""
+    """Base class of states; hashes by identity, since `Enum.__hash__` costs a Python call per transition."""
 
     __hash__ = object.__hash__
 
 
 class RequestState(_State):
-    """How far the final answer of a request is."""
+    """The state of a request's final answer."""
 
     AWAITING_ANSWER = auto()
-    STREAMING_ANSWER = auto()  # a server's answer is passed to the client while it arrives
-    ENDED = auto()  # answered completely, or its client has left
+    STREAMING_ANSWER = auto()  # A server's answer is streamed to the client while it arrives
+    ENDED = auto()  # The request is answered completely, or its client has disconnected
 
 
 class AttemptState(_State):
-    """How far an attempt is."""
+    """The state of an attempt."""
 
-    STARTING = auto()  # not yet handed to the pool
-    UPLOADING = auto()  # of a large request, which is not written completely: its time limit is not running
+    STARTING = auto()  # The attempt has not been passed to the connection pool yet
+    # The attempt's large request is not written completely yet, so that the attempt's time limit does not
+    # run.
+    UPLOADING = auto()
     AWAITING_ANSWER = auto()
     STREAMING_ANSWER = auto()
-    STOPPED = auto()  # by this process; the outcome follows in a later turn of the loop
-    ENDED = auto()  # the outcome is known
+    # This process stopped the attempt; the outcome follows in a later turn of the event loop.
+    STOPPED = auto()
+    ENDED = auto()  # The outcome of the attempt is known
 
 
 class StateTransitionError(Exception):
-    """A change of state that a request or an attempt can't make: a defect of the driver."""
+    """A state change that is not allowed for a request or an attempt, which is a defect of the driver."""
 
-    action = "report it with the traceback"
+    action = "report it as a defect, with the traceback"
 
     def __init__(self, before: Enum, after: Enum) -> None:
         super().__init__(f"{before.name} can't become {after.name}")
@@ -56,13 +59,14 @@
     RequestState.ENDED: (),
 }
 
-# Members as names of this module: a look-up on the enumeration costs more than a comparison.
+# Enum members as module names: looking a member up on the enum class costs more than a comparison.
 _AWAITING_ANSWER = RequestState.AWAITING_ANSWER
 _UPLOADING, _ENDED = AttemptState.UPLOADING, AttemptState.ENDED
 _ABANDONED = Outcome.ABANDONED
 
-# States in which the attempt has an exchange, but no answer yet.
+# States of an attempt that has an exchange but no answer yet.
 UNANSWERED = (AttemptState.UPLOADING, AttemptState.AWAITING_ANSWER)
+# States of an attempt that has an exchange.
 IN_EXCHANGE = (*UNANSWERED, AttemptState.STREAMING_ANSWER)
 
 ATTEMPT_TRANSITIONS = {
@@ -81,62 +85,66 @@
 
 
 class AttemptOwner(Protocol):
-    """The part of the driver that follows attempts; see `ExchangeObserver` for the events."""
+    """The component that handles the events of attempts (`ExchangeObserver` describes the events)."""
 
     def may_write(self, attempt: Attempt) -> bool:
-        """Return whether an attempt whose bytes are due is still wanted."""
+        """Return whether an attempt's request should still be sent, just before it is written."""
 
     def uploaded(self, attempt: Attempt) -> None:
-        """Take note that a request has been written completely."""
+        """Handle that an attempt's large request has been written completely."""
 
     def answer_begun(self, attempt: Attempt, answer: Answer, flow: FlowControl) -> Callable[[bytes], None]:
-        """Begin to pass a large answer on; return what takes the rest of it."""
+        """Start to stream a large answer; return the function that takes the remaining parts of its body."""
 
     def withdrawn(self, attempt: Attempt) -> None:
-        """Take note that the pool abandoned an attempt before it was sent."""
+        """Handle that the connection pool abandoned an attempt before its request was sent."""
 
     def ended(self, attempt: Attempt, result: ExchangeResult) -> None:
-        """Take the outcome of an attempt; later ones are ignored."""
+        """Handle the result of an attempt; ignore a second result of the same attempt."""
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt of a request, from the balancer's `Send` to its outcome; it watches its exchange."""
+    """One attempt of a request, from the balancer's `Send` action to its outcome.
+
+    The attempt is the observer of its own exchange.
+    """
 
     owner: AttemptOwner
     request: Request
-    number: int  # among the request's attempts, from 0
+    number: int  # Index of the attempt among the attempts of its request
     started_at: float
-    time_limit: float  # for an answer, from when the request is written completely
-    revision_header: bytes = b""  # of the revision under which the server was selected; empty: none
-    write_by: float = math.inf  # end of the idempotency key's window, less a margin
+    time_limit: float  # Milliseconds for an answer, counted from when the request is written completely
+    # Header line of the configuration revision under which the server was selected; empty without one.
+    revision_header: bytes = b""
+    write_by: float = math.inf  # End of the idempotency key's window minus a margin; no write begins later
     state: AttemptState = AttemptState.STARTING
     exchange: Exchange | None = None
     timeout: asyncio.TimerHandle | None = None
-    window: asyncio.TimerHandle | None = None  # for `write_by`
-    answer_began_at: float | None = None  # when its answer began to be passed on
+    key_window_timer: asyncio.TimerHandle | None = None  # Timer that drops an unwritten attempt at `write_by`
+    answer_began_at: float | None = None  # Time at which the streaming of the answer to the client began
 
     def enter(self, state: AttemptState) -> None:
-        """Change the state; raise `StateTransitionError` if the present one doesn't allow it."""
+        """Change to `state`; raise `StateTransitionError` if the current state does not allow it."""
         if state not in ATTEMPT_TRANSITIONS[self.state]:
             raise StateTransitionError(self.state, state)
         self.state = state
 
     def may_write(self) -> bool:
-        """Return whether the attempt is still wanted, now that its bytes can be written."""
+        """Return whether the request should still be sent, just before it is written."""
         return self.owner.may_write(self)
 
     def request_written(self) -> None:
-        """Take note that the request has been written completely."""
+        """Handle that the request has been written completely."""
         if self.state is _UPLOADING:
             self.owner.uploaded(self)
 
     def answer_started(self, answer: Answer, flow: FlowControl) -> Callable[[bytes], None]:
-        """Begin to pass a large answer on; return what takes the rest of it."""
+        """Start to stream a large answer; return the function that takes the remaining parts of its body."""
         return self.owner.answer_begun(self, answer, flow)
 
     def exchange_ended(self, result: ExchangeResult) -> None:
-        """Take the outcome that the pool gives."""
+        """Handle the result that the connection pool reports for this attempt."""
         if result.outcome == _ABANDONED and self.state is not _ENDED:
             self.owner.withdrawn(self)
         self.owner.ended(self, result)
@@ -144,31 +152,31 @@
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """One request, from its arrival until it has its final answer and every attempt its outcome."""
+    """One request, from its arrival until it has its final answer and all its attempts have outcomes."""
 
     id: int
     call: Call
-    give_up_at: float  # infinite while its body is being read
-    max_attempts: int  # by the settings at its arrival, and one more for each withdrawn attempt
-    read_at: float  # when its last byte was read; before that, when it arrived
+    give_up_at: float  # Deadline of the request; infinite while its body is being read
+    max_attempts: int  # Limit from the settings at the request's arrival, plus one for each withdrawn attempt
+    read_at: float  # Time at which the request's last byte was read; until then, time of its arrival
     state: RequestState = RequestState.AWAITING_ANSWER
     attempts: list[Attempt] = field(default_factory=list)
-    attempts_in_flight: int = 0  # without an outcome
-    deadline_guard: asyncio.TimerHandle | None = None
+    attempts_in_flight: int = 0  # Number of attempts without an outcome
+    deadline_guard: asyncio.TimerHandle | None = None  # Timer that fails an overdue request
 
     @property
     def answered(self) -> bool:
-        """True if the final answer is complete or has begun, or none is owed any more."""
+        """True if the final answer has begun or is complete, or if the request needs no answer any more."""
         return self.state is not _AWAITING_ANSWER
 
     def enter(self, state: RequestState) -> None:
-        """Change the state; raise `StateTransitionError` if the present one doesn't allow it."""
+        """Change to `state`; raise `StateTransitionError` if the current state does not allow it."""
         if state not in REQUEST_TRANSITIONS[self.state]:
             raise StateTransitionError(self.state, state)
         self.state = state
 
 
-# Takes the place of a released request in the attempts that named it, which breaks the reference cycle.
+# Placeholder that replaces a released request in its attempts, which breaks the reference cycle.
 RELEASED = Request(
     id=-1,
     call=cast(Call, None),
--- a/brassfall/sidecar/core/balancer_timers.py
+++ b/brassfall/sidecar/core/balancer_timers.py
@@ -9,32 +9,34 @@
 
 
 class BalancerTimers:
-    """Arms the balancer's timers; those about a request are cancelled when it is released."""
+    """Arms the balancer's timers, and cancels the timers of a request when the request is released."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, events_to: EventSink) -> None:
+    def __init__(self, loop: asyncio.AbstractEventLoop, event_sink: EventSink) -> None:
         self._loop = loop
-        self._events = events_to
-        self._of_requests: dict[int, list[asyncio.TimerHandle]] = {}  # some may have run
+        self._event_sink = event_sink
+        # Timer handles by request number; handles of timers that have already fired stay in the lists.
+        self._handles_by_request: dict[int, list[asyncio.TimerHandle]] = {}
 
     @property
     def armed(self) -> int:
-        """The number of timers about requests that have not come due."""
+        """The number of request timers that have not come due yet."""
         now = self._loop.time()
-        return sum(timer.when() > now for timers in self._of_requests.values() for timer in timers)
+        return sum(handle.when() > now for handles in self._handles_by_request.values() for handle in handles)
 
     def arm(self, timer: model.Timer, *, is_tracked: bool) -> None:
-        """Give the balancer a `TimerDue` after the delay of `timer`.
+        """Arm a timer: the balancer gets a `TimerDue` event after the delay of `timer`.
 
-        `is_tracked` tells whether the request that it is about is still in the table, and will cancel it.
+        `is_tracked` is True if the timer's request is in the request table; the timer is then cancelled when
+        that request is released.
         """
-        handle = self._loop.call_later(max(0.0, timer.delay) / 1000.0, self._due, timer)
+        handle = self._loop.call_later(max(0.0, timer.delay) / 1000.0, self._report_due, timer)
         if timer.request is not None and is_tracked:
-            self._of_requests.setdefault(timer.request, []).append(handle)
+            self._handles_by_request.setdefault(timer.request, []).append(handle)
 
     def cancel(self, request: int) -> None:
-        """Cancel the timers about a request: each would wake the process for nothing."""
-        for handle in self._of_requests.pop(request, ()):
+        """Cancel the timers of a request, which would wake the process without effect."""
+        for handle in self._handles_by_request.pop(request, ()):
             handle.cancel()
 
-    def _due(self, timer: model.Timer) -> None:
-        self._events.notify(events.TimerDue(timer.token))
+    def _report_due(self, timer: model.Timer) -> None:
+        self._event_sink.notify(events.TimerDue(timer.token))
--- a/brassfall/sidecar/core/driver.py
+++ b/brassfall/sidecar/core/driver.py
@@ -1,9 +1,10 @@
-"""The only caller of the balancer: events in, actions out.
+"""The driver of the balancer, and its only caller: it passes events in and carries out the actions returned.
 
-The driver knows no sockets: what carries requests, lists and messages is handed in, behind the protocols of
-`interfaces`. Modules of their own run requests, attempts, health checks and timers, and report events here;
-`actions` dispatches what the balancer decides. All runs on one event loop, without awaiting. Times and spans
-are in milliseconds of the sidecar's clock where no other unit is named.
+The driver uses no sockets: client connections, server connections, discovery and gossip are passed in through
+the protocols of the module `interfaces`. Separate modules run requests, attempts, health checks and timers,
+and report their events to the driver; the module `actions` dispatches the balancer's actions. All code runs
+on one event loop and never awaits. Times and time spans are in milliseconds of the sidecar's clock unless
+stated.
 """
 
 from __future__ import annotations
@@ -29,31 +30,31 @@
 
 
 class DecisionMaker(Protocol):
-    """What decides; `Balancer` is the real one."""
+    """The interface of the balancer, which `Balancer` implements; tests may use another implementation."""
 
     @property
     def refusals(self) -> Mapping[model.RefusalReason, int]:
-        """The number of requests that got an answer of no server, by reason, since the start."""
+        """The number of requests that were refused locally since the start, by reason."""
 
     def step(self, now: float, event: events.Event) -> Iterable[model.Action]:
-        """Take in what happened at `now`; return the actions to carry out, in their order."""
+        """Process an event that happened at `now`; return the actions to carry out, in order."""
 
 
 class DriverCounts(NamedTuple):
-    """What a driver holds at one moment; all are 0 when nothing is under way."""
+    """Counts of the requests, attempts and timers in a driver; all are 0 if no request is in progress."""
 
-    awaiting_answer: int  # requests without a final answer
-    streaming_answer: int  # requests whose answer is being passed on
-    requests: int  # of any state, until no attempt of them is in flight
+    awaiting_answer: int  # Number of requests whose final answer has not begun
+    streaming_answer: int  # Number of requests whose answer is being streamed to the client
+    requests: int  # Number of requests in any state that are not released
     attempts_in_flight: int
-    armed_timers: int  # of the balancer, about requests
+    armed_timers: int  # Number of timers that the balancer has armed for requests
 
 
 class Driver:
     """Runs one balancer: passes each event to it and carries out the actions that it returns.
 
-    `balancer` is the real one, made from the configuration, if none is given. `revision_header`, if set,
-    gives the header line of the configuration revision under which the balancer decides.
+    `balancer` defaults to a `Balancer` with the settings of the configuration. `revision_header`, if set,
+    returns the header line of the configuration revision that the balancer's decisions are based on now.
     """
 
     revision_header: Callable[[], bytes] | None = None
@@ -68,7 +69,7 @@
         self._clock = clock
         self._settings = config.settings
         self._max_open_requests = config.max_open_requests
-        self._rejected_full = 0  # requests rejected because `max_open` were open
+        self._rejected_full = 0  # Number of requests rejected because `max_open_requests` were open
         self._start_times = StartTimes()
         if balancer is None:
             balancer = Balancer(clock.now(), config.settings, config.seed)
@@ -81,7 +82,7 @@
         self._actions: ActionDispatcher
 
     def connect(self, upstreams: Upstreams, registry: DiscoveryClient, gossip: Gossip) -> None:
-        """Hand in the parts that carry out actions; required before the first event."""
+        """Set the components that carry out the balancer's actions; required before the first event."""
         self._upstreams = upstreams
         self.request_lifecycle.attempts.connect(upstreams)
         self._health_checks.connect(upstreams)
@@ -94,7 +95,7 @@
             gossip=gossip,
         )
 
-    # --- views --------------------------------------------------------------------------
+    # --- state --------------------------------------------------------------------------
 
     @property
     def clock(self) -> Clock:
@@ -103,12 +104,12 @@
 
     @property
     def balancer(self) -> DecisionMaker:
-        """The balancer that decides."""
+        """The balancer that this driver runs."""
         return self._balancer
 
     @property
     def requests(self) -> RequestTable:
-        """The requests that are not answered or have attempts in flight."""
+        """The requests that lack a complete answer or have an attempt in flight."""
         return self._requests
 
     @property
@@ -123,7 +124,7 @@
 
     @property
     def counts(self) -> DriverCounts:
-        """What the driver holds now; it walks all requests."""
+        """The current counts; computing them takes time in proportion to the number of requests."""
         return DriverCounts(
             awaiting_answer=self._requests.awaiting,
             streaming_answer=self._requests.streaming,
@@ -134,40 +135,41 @@
 
     @property
     def refusals(self) -> str:
-        """The number of requests that got an answer of no server, by reason, since the start."""
+        """The number of local refusals since the start, by reason, as `reason=count` text."""
         counts = {**self._balancer.refusals, model.RefusalReason.TOO_MANY_OPEN: self._rejected_full}
-        return " ".join(f"{why}={count}" for why, count in counts.items())
+        return " ".join(f"{reason}={count}" for reason, count in counts.items())
 
     @property
     def request_classes(self) -> set[int]:
-        """The slots of the classes that `requests` name."""
+        """The profile slots of the request classes that occur in `requests`."""
         return {request.call.request_class for request in self._requests}
 
     # --- events of the configuration -------------------------------------------------------
 
     def reload(self, config: Config, unchanged: frozenset[int]) -> None:
-        """Use other settings for the requests that arrive from now on.
+        """Apply a new configuration to the requests that arrive from now on.
 
-        `unchanged` are the slots of classes that are the same as before.
+        `unchanged` has the profile slots of the request classes that the new configuration keeps.
         """
         self._settings, self._max_open_requests = config.settings, config.max_open_requests
         self.notify(events.SettingsReloaded(config.settings, unchanged))
 
     def steer(self, steer: model.Steer) -> None:
-        """Use another steering plan and other overrides from now on."""
+        """Apply a new steering plan and new overrides from now on."""
         self.notify(events.SteeringChanged(steer))
 
     def answer_all_by(self, until: float) -> None:
-        """Answer all requests that arrive from now on by `until`: the process shuts down."""
+        """Limit the deadlines of requests that arrive from now on to `until`; used during the shutdown."""
         self.request_lifecycle.answer_all_by(until)
 
     # --- events of clients --------------------------------------------------------------------
 
     def accept_request(self, call: Call, now: float) -> Request | None:
-        """Accept a request, whose `call` gets one final answer.
+        """Accept a request, and give `call` exactly one final answer.
 
-        Its budget runs from its last byte, which was read at `now`, or of which `body_read` tells. Return its
-        record, or None if it was rejected because too many requests are open.
+        The request's budget starts when its last byte is read: at `now`, or when `body_read` is called if the
+        body is still being read. Return the record of the request, or None if it was rejected at once because
+        too many requests are open.
         """
         if self._requests.awaiting >= self._max_open_requests:
             self._rejected_full += 1
@@ -176,52 +178,57 @@
         return self.request_lifecycle.accept(call, now, self._settings.max_attempts)
 
     def body_discarded(self, request: Request) -> None:
-        """Take note that more of a body has been forwarded than is buffered: it can't be sent again."""
+        """Handle that a request's body can't be sent again, since its beginning is no longer buffered."""
         self.request_lifecycle.body_discarded(request)
 
     def body_read(self, request: Request, now: float) -> None:
-        """Take note that the last byte of a large request was read at `now`."""
+        """Handle that the last byte of a large request was read at `now`."""
         self.request_lifecycle.body_read(request, now)
 
     def client_disconnected(self, request: Request) -> None:
-        """Take note that the client closed its connection before it had the complete answer."""
+        """Handle that the client closed its connection before it had the complete answer."""
         self.request_lifecycle.client_disconnected(request)
 
     # --- events of discovery and of other sidecars -----------------------------------------------
 
     def discovery_failed(self) -> None:
-        """Take note that a call to discovery failed or was rejected, or that its watch ended."""
+        """Handle that a call to discovery failed or was rejected, or that the watch on it ended."""
         self.notify(events.DiscoveryFailed())
 
     def endpoints_listed(self, form: model.ListForm, update: ServerList) -> None:
-        """Take an endpoint list: complete, or the entries that changed."""
+        """Apply an endpoint list, which is complete or has only the entries that changed."""
         now = self._clock.now()
         update = self._start_times.bounded(now, self._clock.from_loop_time_s(update.fresh_at), update)
         self._upstreams.update_servers(now, update, complete=form is not model.ListForm.CHANGES)
         self.notify(events.EndpointsListed(form, update.entries))
 
     def peer_message(self, peer: int, data: bytes) -> None:
-        """Take a message of another sidecar."""
+        """Handle a gossip message from another sidecar."""
         self.notify(events.PeerMessageReceived(peer, data))
 
     # --- the balancer ---------------------------------------------------------------------------
 
     def notify(self, event: events.Event, request: Request | None = None) -> None:
-        """Give the balancer an event, about `request` if one is named, and carry out its actions.
+        """Pass an event to the balancer and carry out the actions that the balancer returns.
 
-        An exception of the balancer is logged and fails that request, never the process.
+        `request` is the request that the event concerns, if any. An exception that the balancer raises is
+        logged and fails only that request, not the process.
         """
         revision_header = b"" if self.revision_header is None else self.revision_header()
         try:
             for action in self._balancer.step(self._clock.now(), event):
                 self._actions.perform(action, revision_header)
-        except Exception:  # noqa: BLE001 - any defect of it: the other requests go on
-            log.error("decision failed", action="report it", traceback=traceback.format_exc())
+        except Exception:  # noqa: BLE001 - a defect of the balancer must not affect the other requests
+            log.error(
+                "balancer raised an exception, event not handled",
+                action="report it as a defect",
+                traceback=traceback.format_exc(),
+            )
             if request is not None:
                 self.request_lifecycle.fail(request, late=False)
         if request is not None:
             self._requests.release_if_over(request)
 
     def perform(self, action: model.Action) -> None:
-        """Carry out one action as if the balancer had decided on it now."""
+        """Carry out one action as if the balancer had returned it now."""
         self._actions.perform(action, b"" if self.revision_header is None else self.revision_header())
--- a/brassfall/sidecar/core/event_sink.py
+++ b/brassfall/sidecar/core/event_sink.py
@@ -1,4 +1,4 @@
-"""Where the driver's modules report events for the balancer."""
+"""The interface through which the driver's components report events to the balancer."""
 
 from __future__ import annotations
 
@@ -9,7 +9,10 @@
 
 
 class EventSink(Protocol):
-    """The driver, as the modules that report events see it."""
+    """The driver, as its components that report events to the balancer use it."""
 
     def notify(self, event: Event, request: Request | None = None) -> None:
-        """Give the balancer an event, about `request` if one is named, and carry out its actions."""
+        """Pass an event to the balancer and carry out the actions that the balancer returns.
+
+        `request` is the request that the event concerns, if any.
+        """
--- a/brassfall/sidecar/core/health_checks.py
+++ b/brassfall/sidecar/core/health_checks.py
@@ -14,32 +14,36 @@
 
 
 class HealthChecks:
-    """Runs health checks and reports the outcome of each to the balancer."""
+    """Runs health checks of servers and reports the outcome of each to the balancer."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, clock: Clock, events_to: EventSink) -> None:
+    def __init__(self, loop: asyncio.AbstractEventLoop, clock: Clock, event_sink: EventSink) -> None:
         self._loop = loop
         self._clock = clock
-        self._events = events_to
+        self._event_sink = event_sink
         self._upstreams: Upstreams
 
     def connect(self, upstreams: Upstreams) -> None:
-        """Send health checks through these connections from now on."""
+        """Set the server connections that health checks are sent on; required before the first check."""
         self._upstreams = upstreams
 
     def start(self, server: str) -> None:
-        """Check the health of a server; the outcome is reported once, later."""
+        """Start a health check of a server.
+
+        The balancer gets exactly one `HealthCheckEnded` event, in a later turn of the event loop. A check
+        that takes longer than `TIMEOUT_MS` ends with the outcome `TIMEOUT`.
+        """
         started_at = self._clock.now()
 
-        def done(result: ExchangeResult) -> None:
-            limit.cancel()
+        def report_outcome(result: ExchangeResult) -> None:
+            timeout_timer.cancel()
             elapsed = self._clock.now() - started_at
-            self._events.notify(
+            self._event_sink.notify(
                 events.HealthCheckEnded(server, result.outcome, elapsed=elapsed, report=result.report)
             )
 
         def expire() -> None:
             exchange.abandon()
-            done(ExchangeResult(Outcome.TIMEOUT))
+            report_outcome(ExchangeResult(Outcome.TIMEOUT))
 
-        exchange = self._upstreams.check_health(server, done)
-        limit = self._loop.call_later(TIMEOUT_MS / 1000.0, expire)
+        exchange = self._upstreams.check_health(server, report_outcome)
+        timeout_timer = self._loop.call_later(TIMEOUT_MS / 1000.0, expire)
--- a/brassfall/sidecar/core/interfaces.py
+++ b/brassfall/sidecar/core/interfaces.py
@@ -1,8 +1,9 @@
-"""What passes between the driver and what carries requests, lists and messages: typed values and interfaces.
+"""The values and interfaces between the driver and the components that use sockets.
 
-The driver knows no sockets: client connections stand behind `Call`, connections to servers behind
-`Upstreams`, discovery behind `DiscoveryClient` and other sidecars behind `Gossip`. All is called on one event
-loop; nothing here blocks or awaits. Times and spans are in milliseconds.
+The driver uses no sockets itself. It reaches client connections through `Call`, connections to servers
+through `Upstreams`, discovery through `DiscoveryClient` and other sidecars through `Gossip`. All methods are
+called on the one event loop of the sidecar, and none of them blocks or awaits. Times and time spans are in
+milliseconds.
 """
 
 from __future__ import annotations
@@ -18,116 +19,119 @@
 
 @dataclass(slots=True)
 class Answer:
-    """A server's answer for the client: complete, or the beginning of a large one."""
+    """A server's answer for the client: the complete answer, or the first part of a streamed one."""
 
     headers: list[tuple[bytes, bytes]]
     body: bytes
-    length: int | None = None  # of a large body, where the server stated it
+    length: int | None = None  # Size of a streamed body in bytes; None if the server did not state it
 
 
 @dataclass(slots=True)
 class ExchangeResult:
-    """How an attempt or a health check ended."""
+    """The result of an attempt or a health check."""
 
     outcome: Outcome
     answer: Answer | None = None
-    report: dict[str, float] | None = None  # the load report in the answer
+    report: dict[str, float] | None = None  # Load report that the answer carried, by field name
 
 
 class Call(Protocol):
-    """A request as the application sent it, and the way of its answer.
+    """A client's request, and the methods by which the driver answers it.
 
-    Exactly one of `send_answer`, `send_rejection`, `send_failure` and `start_answer` is called; after
-    `start_answer` come any number of `continue_answer` and then one of `finish_answer` and `abort_answer`.
+    The driver calls exactly one of `send_answer`, `send_rejection`, `send_failure` and `start_answer`. After
+    `start_answer` it calls `continue_answer` any number of times, and then one of `finish_answer` and
+    `abort_answer`.
     """
 
-    request_class: int  # its slot in the settings' profiles
+    request_class: int  # Slot of the request's class in the settings' profiles
     tenant: int
-    key: int | None  # its idempotency key, as a number
+    key: int | None  # Idempotency key of the request as a number; None if it has none
     work: float | None
-    client_retry: bool  # True if the client marked it as a retry
+    client_retry: bool  # True if the client marked the request as a retry
     mutates: bool
-    budget: float  # how long its client waits for an answer, from its last byte
-    body: Body | None  # of a large request
+    budget: float  # Milliseconds that the client waits for an answer, counted from the request's last byte
+    body: Body | None  # Body of a large request, which is streamed; None for a small request
 
     @property
     def reading(self) -> bool:
-        """True if its body is still arriving."""
+        """True if the body of the request is still arriving."""
 
     def client_left(self) -> bool:
-        """Return whether its client has closed its connection, by a check of the socket.
+        """Return whether the client has closed its connection, by a check of the socket.
 
-        The driver's `client_disconnected` follows soon if it has.
+        If it has, the driver's `client_disconnected` is called soon afterwards.
         """
 
     def request_bytes(self, left: float) -> bytes:
-        """Return the request's bytes for a server that has `left` to answer."""
+        """Return the bytes of the request for a server that has `left` milliseconds to answer."""
 
     def send_answer(self, answer: Answer) -> None:
-        """Give the final answer: a server's."""
+        """Give the client a server's complete answer as the final answer."""
 
     def send_rejection(self, retry_after: float) -> None:
-        """Give the final answer: rejected; a retry after `retry_after` does no harm."""
+        """Give the client a rejection as the final answer; it may retry after `retry_after` milliseconds."""
 
     def send_failure(self, *, late: bool) -> None:
-        """Give the final answer: failed, `late` if its budget is used up."""
+        """Give the client a failure as the final answer; `late` if the request's budget is used up."""
 
     def start_answer(self, answer: Answer, flow: FlowControl) -> None:
-        """Begin the final answer: the first part of a server's."""
+        """Start to stream a server's answer to the client, beginning with its first part."""
 
     def continue_answer(self, data: bytes) -> None:
-        """Pass on the next part of the answer."""
+        """Stream the next part of the answer to the client."""
 
     def finish_answer(self) -> None:
-        """End the answer: it is complete."""
+        """End the streamed answer, which is complete."""
 
     def abort_answer(self) -> None:
-        """Break the answer off: it can't be completed."""
+        """Break off the streamed answer, which can't be completed."""
 
 
 class FlowControl(Protocol):
-    """The server's side of an answer that is passed on while it arrives."""
+    """Control over reading from a server whose answer is streamed to a client."""
 
     def pause(self) -> None:
-        """Stop reading: the client is slower than the server."""
+        """Stop reading from the server, because the client reads more slowly than the server sends."""
 
     def resume(self) -> None:
-        """Continue reading: the client has taken all that was read."""
+        """Read from the server again, because the client has taken all data so far."""
 
 
 class ExchangeObserver(Protocol):
-    """Follows an exchange."""
+    """The receiver of the events of one exchange."""
 
-    revision_header: bytes  # header line of the revision under which the server was selected; empty: none
+    # Header line that names the configuration revision under which the server was selected; empty without
+    # one.
+    revision_header: bytes
 
     def may_write(self) -> bool:
-        """Return whether the request, which can be written now, is still wanted.
+        """Return whether the request should still be sent, just before it is written.
 
-        If not, the exchange has ended and nothing more of it is reported.
+        If this returns False, the exchange has ended and reports nothing more.
         """
 
     def request_written(self) -> None:
-        """Take note that the request has been written completely."""
+        """Handle that the request has been written completely."""
 
     def answer_started(self, answer: Answer, flow: FlowControl) -> Callable[[bytes], None]:
-        """Begin to pass a large answer on; return what takes the rest of it."""
+        """Start to stream a large answer; return the function that takes the remaining parts of its body."""
 
     def exchange_ended(self, result: ExchangeResult) -> None:
-        """Take the outcome: called once, unless the exchange was abandoned first."""
+        """Handle the result of the exchange; called once, or never if the exchange is abandoned before."""
 
 
 class Exchange(Protocol):
-    """One attempt or health check under way."""
+    """An attempt or a health check that is in progress."""
 
-    failed_locally: bool  # True if this machine can't open a connection: nothing was sent
+    failed_locally: bool  # True if this machine can't open a connection, so that nothing was sent
 
     def abandon(self) -> None:
-        """Stop at any point: its connection is closed, and no outcome is reported."""
+        """Stop the exchange in any state: its connection is closed and no result is reported."""
 
     def abandon_unless_written(self) -> bool:
         """Abandon the exchange unless its request has been written completely.
 
-        Return True if it was abandoned: then no server has the request.
+        Return True if the exchange was abandoned, which means that no server has the complete request.
         """
 
 
@@ -135,30 +139,34 @@
     """The connections to servers."""
 
     def send(self, server: str, call: Call, expires: float, observer: ExchangeObserver) -> Exchange:
-        """Begin an attempt that may take until `expires`; its outcome is reported in a later turn."""
+        """Start an attempt that expires at `expires`; its result comes in a later turn of the event loop."""
 
     def check_health(self, server: str, done: Callable[[ExchangeResult], None]) -> Exchange:
-        """Begin a health check; `done` is called once, later, unless it is abandoned first."""
+        """Start a health check.
+
+        `done` is called once with the result, in a later turn of the event loop, unless the health check is
+        abandoned before.
+        """
 
     def update_servers(self, now: float, servers: ServerList, *, complete: bool) -> None:
-        """Take in an endpoint list; a `complete` one names all servers that there are."""
+        """Apply an endpoint list, which names all servers if `complete`, and otherwise the changed ones."""
 
     def close_idle(self, server: str) -> None:
         """Close the idle connections to a server."""
 
 
 class DiscoveryClient(Protocol):
-    """Discovery."""
+    """The client of the discovery service."""
 
     def watch(self, *, on: bool) -> None:
-        """Ask for changes from now on, or stop."""
+        """Start to watch the endpoint list for changes, or stop the watch."""
 
     def fetch(self) -> None:
-        """Ask for the complete list once."""
+        """Request the complete endpoint list once."""
 
 
 class Gossip(Protocol):
-    """The way to other sidecars."""
+    """The sender of messages to other sidecars."""
 
     def send(self, peer: int | None, data: bytes) -> None:
-        """Send a message to one peer, or to all if `peer` is None."""
+        """Send a message to one peer, or to all peers if `peer` is None."""
--- a/brassfall/sidecar/core/request_lifecycle.py
+++ b/brassfall/sidecar/core/request_lifecycle.py
@@ -1,4 +1,4 @@
-"""Requests: each arrives, has attempts, gets one final answer and is released.
+"""The lifecycle of requests: arrival, attempts, one final answer and release.
 
 Times are in milliseconds of the sidecar's clock.
 """
@@ -19,22 +19,23 @@
 from brassfall.sidecar.core.interfaces import Answer, Call, ExchangeResult, FlowControl
 from brassfall.sidecar.core.request_table import RequestTable
 
-# Covers the transit of the answer and the lag of the loop: the client counts its budget from its send.
+# Margin, in milliseconds, by which a request's deadline is earlier than the end of its budget. The client
+# counts its budget from when it sends the request; the margin covers the answer's transit and event loop lag.
 DEADLINE_MARGIN_MS = 8.0
-# The balancer answers at the deadline; a request without an answer so long after it is failed.
+# Milliseconds after its deadline at which a request is failed that the balancer should have answered by then.
 DEADLINE_GUARD_MS = 25.0
 
-OK = Outcome.OK  # a look-up on the enumeration costs more than a comparison
+OK = Outcome.OK  # Module name of an enum member: a look-up on the enum class costs more than a comparison
 
 
 class RequestLifecycle:
-    """Accepts requests, gives each its final answer and reports to the balancer what happens to it."""
+    """Accepts requests, gives each its final answer and reports the events of requests to the balancer."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         clock: Clock,
-        events_to: EventSink,
+        event_sink: EventSink,
         timers: BalancerTimers,
         first_number: int,
     ) -> None:
@@ -42,13 +43,16 @@
         self.attempts = AttemptRunner(loop, clock, self)
         self._loop = loop
         self._clock = clock
-        self._events = events_to
-        self._answer_by = math.inf  # set while the process shuts down
+        self._event_sink = event_sink
+        self._answer_by = math.inf  # Latest deadline of new requests; finite once the process shuts down
 
-    # --- what clients do -------------------------------------------------------------
+    # --- events of clients -----------------------------------------------------------
 
     def accept(self, call: Call, now: float, max_attempts: int) -> Request:
-        """Accept a request whose last byte, or head if its body is still being read, was read at `now`."""
+        """Accept a request and report it to the balancer.
+
+        `now` is when the last byte of the request was read, or its head if the body is still being read.
+        """
         reading = call.reading
         give_up_at = self._give_up_at(call, now)
         request = self.table.add(call, now, give_up_at, max_attempts)
@@ -65,46 +69,46 @@
             call.mutates,
             reading,
         )
-        self._events.notify(arrival, request)
+        self._event_sink.notify(arrival, request)
         return request
 
     def body_discarded(self, request: Request) -> None:
-        """Take note that more of a body has been forwarded than is buffered: it can't be sent again."""
-        self._events.notify(events.BodyDiscarded(request.id), request)
+        """Report that a request's body can't be sent again, since its beginning is discarded."""
+        self._event_sink.notify(events.BodyDiscarded(request.id), request)
 
     def body_read(self, request: Request, now: float) -> None:
-        """Take note that the last byte of a large request was read at `now`."""
+        """Handle that the last byte of a large request was read at `now`."""
         if request.answered:
             return
         request.read_at = now
         request.give_up_at = self._give_up_at(request.call, now)
         self._guard_deadline(request)
         self.attempts.limit_uploads(request)
-        if now >= request.give_up_at:  # so late only during a shutdown
+        if now >= request.give_up_at:  # The deadline can have passed already only during a shutdown
             self.fail(request, late=True)
 
     def client_disconnected(self, request: Request) -> None:
-        """Take note that the client closed its connection before it had the complete answer."""
+        """Handle that the client closed its connection before it had the complete answer."""
         streaming = request.state is RequestState.STREAMING_ANSWER
         if not request.answered:
             self._end(request)
-            self._events.notify(events.ClientLeft(request.id), request)
+            self._event_sink.notify(events.ClientLeft(request.id), request)
         elif streaming:
-            self._events.notify(events.ClientLeft(request.id), request)
+            self._event_sink.notify(events.ClientLeft(request.id), request)
         if streaming or request.call.reading:
-            # Also without `MayCancel`: no server can answer an incomplete request, and the rest of an answer
-            # has no reader.
+            # The attempts are cancelled even without `MayCancel`: no server can answer an incomplete request,
+            # and no client reads the rest of a streamed answer.
             for attempt in request.attempts:
                 self.attempts.cancel(attempt)
 
     def answer_all_by(self, until: float) -> None:
-        """Answer all requests that arrive from now on by `until` at the latest."""
+        """Limit the deadlines of the requests that arrive from now on to `until`."""
         self._answer_by = until
 
-    # --- what the balancer decides -----------------------------------------------------
+    # --- decisions of the balancer -----------------------------------------------------
 
     def refuse(self, number: int, retry_after: float) -> None:
-        """Reject a request; without effect if it is answered or released."""
+        """Reject a request; do nothing if it is already answered or released."""
         request = self.table.by_number.get(number)
         if request is not None and not request.answered:
             self._end(request)
@@ -112,7 +116,7 @@
             self._release_soon(request)
 
     def fail_by_number(self, number: int) -> None:
-        """Fail a request; without effect if it is answered or released."""
+        """Fail a request; do nothing if it is already answered or released."""
         request = self.table.by_number.get(number)
         if request is not None and not request.answered:
             self._end(request)
@@ -120,46 +124,53 @@
             self._release_soon(request)
 
     def cancel_attempt(self, number: int, attempt: int) -> None:
-        """Stop one attempt; without effect if it is over."""
+        """Cancel one attempt of a request; do nothing if the attempt has ended."""
         request = self.table.by_number.get(number)
         if request is not None and 0 <= attempt < len(request.attempts):
             self.attempts.cancel(request.attempts[attempt])
 
-    # --- what the balancer didn't decide -----------------------------------------------
+    # --- failures without a decision of the balancer -----------------------------------
 
     def fail(self, request: Request, *, late: bool) -> None:
-        """Fail a request in the balancer's place; without effect if it is answered."""
+        """Fail a request without a decision of the balancer; do nothing if it is already answered."""
         if not request.answered:
             self._end(request)
             request.call.send_failure(late=late)
-            self._events.notify(events.ClientLeft(request.id), request)
+            self._event_sink.notify(events.ClientLeft(request.id), request)
 
     def fail_overdue(self, request: Request) -> None:
-        """Fail a request that the balancer left without an answer past its deadline."""
+        """Fail a request that the balancer has not answered by its deadline."""
         if not request.answered:
-            log.error("no decision by the deadline, request failed", request=request.id, action="report it")
+            log.error(
+                "balancer did not answer a request by its deadline, request failed",
+                request=request.id,
+                action="report it as a defect",
+            )
             self.fail(request, late=True)
 
-    # --- what attempts bring (`AttemptObserver`) -------------------------------------------
+    # --- events of attempts (`AttemptObserver`) --------------------------------------------
 
     def answer_begun(self, attempt: Attempt, answer: Answer, flow: FlowControl) -> bool:
-        """Give the client the beginning of a large answer; return False if it has another answer."""
+        """Start to stream a large answer to the client.
+
+        Return False, without an effect, if the request is already answered.
+        """
         request = attempt.request
         if request.answered:
             return False
         self.table.start_answer(request)
         self.attempts.stream(attempt)
-        self._stop_waiting(request)
+        self._drop_unwritten_attempts(request)
         request.call.start_answer(answer, flow)
-        self._events.notify(events.AnswerStarted(request.id, attempt.number), request)
+        self._event_sink.notify(events.AnswerStarted(request.id, attempt.number), request)
         return True
 
     def attempt_withdrawn(self, attempt: Attempt) -> None:
-        """Report an attempt that was abandoned before it was sent; its end follows."""
-        self._events.notify(events.AttemptWithdrawn(attempt.request.id, attempt.number))
+        """Report to the balancer that an attempt was abandoned unsent; `attempt_ended` follows."""
+        self._event_sink.notify(events.AttemptWithdrawn(attempt.request.id, attempt.number))
 
     def attempt_ended(self, attempt: Attempt, result: ExchangeResult, elapsed: float) -> None:
-        """Report an attempt's outcome; the first that is OK answers the request."""
+        """Report an attempt's outcome to the balancer; the first `OK` outcome answers the request."""
         request = attempt.request
         if attempt.answer_began_at is not None:
             self.table.end(request)
@@ -173,29 +184,29 @@
         ended = events.AttemptEnded(
             request.id, attempt.number, result.outcome, elapsed, request.answered, result.report
         )
-        self._events.notify(ended, request)
+        self._event_sink.notify(ended, request)
 
-    # --- the end ----------------------------------------------------------------------------
+    # --- end and release of requests --------------------------------------------------------
 
     def _end(self, request: Request) -> None:
-        """Owe no more answer: nothing that is not yet written to a server is written."""
+        """Record that a request needs no further answer, and drop its attempts that are not yet written."""
         self.table.end(request)
-        self._stop_waiting(request)
+        self._drop_unwritten_attempts(request)
 
-    def _stop_waiting(self, request: Request) -> None:
+    def _drop_unwritten_attempts(self, request: Request) -> None:
         for attempt in request.attempts:
             self.attempts.drop_unwritten(attempt)
         if request.deadline_guard is not None:
             request.deadline_guard.cancel()
 
     def _release_soon(self, request: Request) -> None:
-        """Release a request in the next turn: further actions for it may follow in this one."""
+        """Release a request in the next turn of the event loop; more actions may follow in this one."""
         self._loop.call_soon(self.table.release_if_over, request)
 
     def _give_up_at(self, call: Call, now: float) -> float:
         return min(now + call.budget - DEADLINE_MARGIN_MS, self._answer_by)
 
     def _guard_deadline(self, request: Request) -> None:
-        """Fail the request after its deadline if the balancer forgets it: a safety net, not a decision."""
-        at = self._clock.to_loop_time_s(request.give_up_at + DEADLINE_GUARD_MS)
-        request.deadline_guard = self._loop.call_at(at, self.fail_overdue, request)
+        """Arm a timer that fails the request if the balancer does not answer it by its deadline."""
+        overdue_at = self._clock.to_loop_time_s(request.give_up_at + DEADLINE_GUARD_MS)
+        request.deadline_guard = self._loop.call_at(overdue_at, self.fail_overdue, request)
--- a/brassfall/sidecar/core/request_table.py
+++ b/brassfall/sidecar/core/request_table.py
@@ -1,4 +1,4 @@
-"""The requests that this process has accepted: their numbers, states and counts."""
+"""The table of the requests in this process: their numbers, states and counts."""
 
 from __future__ import annotations
 
@@ -8,21 +8,22 @@
 from brassfall.sidecar.core.attempts import RELEASED, Request, RequestState
 from brassfall.sidecar.core.interfaces import Call
 
-REQUEST_NUMBERS = 2**32  # numbers wrap around here
+REQUEST_NUMBERS = 2**32  # Number of different request numbers, after which they wrap around to 0
 
-# The members as names of this module: a look-up on the enumeration costs more than a comparison.
+# Enum members as module names: looking a member up on the enum class costs more than a comparison.
 _, STREAMING_ANSWER, ENDED = RequestState
 
 
 class RequestTable:
-    """All requests that are not answered, or of which an attempt is in flight; `by_number` has them.
+    """All requests that lack a complete answer or still have an attempt in flight.
 
-    `on_release` is called with the number of each request that is released.
+    `by_number` maps request numbers to requests. `on_release` is called with the number of each request that
+    is released.
     """
 
     def __init__(self, first_number: int, on_release: Callable[[int], None]) -> None:
-        self.awaiting = 0  # requests without a final answer
-        self.streaming = 0  # requests whose answer is being passed on
+        self.awaiting = 0  # Number of requests whose final answer has not begun
+        self.streaming = 0  # Number of requests whose answer is being streamed to the client
         self.by_number: dict[int, Request] = {}
         self._next_number = first_number % REQUEST_NUMBERS
         self._on_release = on_release
@@ -39,7 +40,10 @@
         return self.awaiting + self.streaming
 
     def add(self, call: Call, now: float, give_up_at: float, max_attempts: int) -> Request:
-        """Add a request that arrived at `now`; it has no deadline before its last byte is read."""
+        """Add a request that arrived at `now`, and return its record.
+
+        `give_up_at` is the deadline of the request; it is not applied yet while the body is being read.
+        """
         number = self._new_number()
         request = Request(number, call, math.inf if call.reading else give_up_at, max_attempts, now)
         self.by_number[number] = request
@@ -47,13 +51,13 @@
         return request
 
     def start_answer(self, request: Request) -> None:
-        """Take note that the final answer has begun and is passed on."""
+        """Record that the request's final answer has begun and is being streamed to the client."""
         request.enter(STREAMING_ANSWER)
         self.awaiting -= 1
         self.streaming += 1
 
     def end(self, request: Request) -> None:
-        """Take note that no more answer is owed."""
+        """Record that the request needs no further answer."""
         streaming = request.state is STREAMING_ANSWER
         request.enter(ENDED)
         if streaming:
@@ -62,7 +66,7 @@
             self.awaiting -= 1
 
     def release_if_over(self, request: Request) -> None:
-        """Release a request that has ended and has no attempt in flight; without effect otherwise."""
+        """Release a request that has ended and has no attempt in flight; do nothing otherwise."""
         if request.state is not ENDED or request.attempts_in_flight:
             return
         if self.by_number.pop(request.id, None) is not None:
--- a/tests/sidecar/test_driver.py
+++ b/tests/sidecar/test_driver.py
@@ -129,7 +129,8 @@
 async def test_an_attempt_for_an_unknown_request_is_logged_and_not_sent(capsys):
     driver, upstreams = driver_of(ScriptedBalancer())
     driver.perform(Send(99, "s0", 0.0))
-    line = "ERROR attempt for an unknown request, not sent, request=99; report it\n"
+    event = "balancer asked for an attempt of an unknown request, not sent"
+    line = f"ERROR {event}, request=99; report it as a defect\n"
     assert capsys.readouterr().err == line
     assert not upstreams.sent
 
@@ -143,7 +144,8 @@
     request = driver.accept_request(call, driver.clock.now())
     await until(lambda: not driver.requests)
     assert call.given == ["failed"] and driver.counts == NOTHING
-    line = f"ERROR no decision by the deadline, request failed, request={request.id}; report it\n"
+    event = "balancer did not answer a request by its deadline, request failed"
+    line = f"ERROR {event}, request={request.id}; report it as a defect\n"
     assert capsys.readouterr().err == line
     assert balancer.named("client_gone") == [[request.id]]
 
@@ -160,5 +162,6 @@
     assert call.given == ["failed"] and driver.counts == NOTHING
     assert balancer.named("client_gone") == [[request.id]]
     log = capsys.readouterr().err
-    assert log.startswith("ERROR decision failed; report it\nTraceback")
+    event = "balancer raised an exception, event not handled"
+    assert log.startswith(f"ERROR {event}; report it as a defect\nTraceback")
     assert log.endswith("ValueError: a defect\n")
--- a/tests/sidecar/test_simultaneous_events.py
+++ b/tests/sidecar/test_simultaneous_events.py
@@ -132,7 +132,7 @@
         assert not any(self.driver.counts), self.driver.counts
         held = left_over(self.balancer.real)
         assert not any(held.values()), held
-        timers = (self.attempt.timeout, self.attempt.window, self.request.deadline_guard)
+        timers = (self.attempt.timeout, self.attempt.key_window_timer, self.request.deadline_guard)
         assert all(timer is None or timer.cancelled() for timer in timers)
         if self.left:  # nothing begins once the client has left
             assert len(self.upstreams.sent) <= self.sent_then
