--- a/brassfall/sidecar/servers/__init__.py
+++ b/brassfall/sidecar/servers/__init__.py
@@ -1,1 +1,1 @@
-"""Connections to servers: the pool, how they are opened, attempts written and answers read."""
+"""Connections to servers: the connection pool, opening connections, sending requests, reading answers."""
--- a/brassfall/sidecar/servers/connecting.py
+++ b/brassfall/sidecar/servers/connecting.py
@@ -1,4 +1,4 @@
-"""Opening connections to servers, and telling this machine's failures from the servers'."""
+"""Opening of connections to servers, with a distinction between local failures and failures of servers."""
 
 from __future__ import annotations
 
@@ -11,53 +11,61 @@
 from brassfall.sidecar.servers.exchange import Exchange
 from brassfall.sidecar.servers.server_connection import ServerConnection, ServerIncarnation
 
-# The loop reports an established connection some turns later; all of them are due after a hold-up.
+# Number of event loop turns that pass until the loop reports an established connection. After a pause of the
+# process they are due at the same time as the time limit, which therefore waits for them before it expires.
 TURNS_TO_REPORT = 4
 
-# Failures to connect that lie in this machine: no descriptor, memory, port or route is free. They say
-# nothing of a server. All else (refused, unreachable, timed out, reset) is the server's or the network's.
-OUT_OF_DESCRIPTORS = frozenset((errno.EMFILE, errno.ENFILE))  # of this process, of the system
+# Errors that mean that the process (EMFILE) or the system (ENFILE) has no free descriptor.
+OUT_OF_DESCRIPTORS = frozenset((errno.EMFILE, errno.ENFILE))
+# Errors of a connect that have their cause on this machine (no free descriptor, memory, port or route) and
+# say nothing about the server. Any other error (refused, unreachable, timed out, reset) is due to the server
+# or the network.
 LOCAL_FAILURES = OUT_OF_DESCRIPTORS | frozenset(
     (
-        errno.ENOBUFS,  # no memory for the socket
+        errno.ENOBUFS,  # The system has no memory for the socket
         errno.ENOMEM,
-        errno.EADDRNOTAVAIL,  # no local port is free
-        errno.ENETUNREACH,  # no route, or the interface is down
+        errno.EADDRNOTAVAIL,  # No local port is free
+        errno.ENETUNREACH,  # There is no route, or the network interface is down
         errno.ENETDOWN,
-        errno.ENOSPC,  # too many descriptors are watched (epoll_ctl)
+        errno.ENOSPC,  # The limit of descriptors watched by epoll (epoll_ctl) is reached
     )
 )
-# Backoff between such a failure and the end of its attempt, after which the balancer decides anew: without
-# it, a machine that can open nothing would decide without a pause. Decisions count as this process's rate,
-# of which a server in slow start gets its share: few should be made that send nothing.
-LOCAL_PAUSE_S = 0.005
-LOCAL_PAUSE_MOST_S = 0.16
+# Backoff between a local failure and the end of its attempt, in seconds; it doubles with each failure up to
+# the maximum. After the end of an attempt the balancer decides again: without the backoff, a machine that
+# can't open connections would make decisions without a pause. All decisions count towards this process's
+# request rate, and a server in slow start gets a share of that rate, so that decisions without a sent request
+# must be few.
+LOCAL_BACKOFF_S = 0.005
+MAX_LOCAL_BACKOFF_S = 0.16
 
 
 class ConnectionUser(Protocol):
-    """The pool, as the connector sees it."""
+    """The part of the connection pool that the connector uses."""
 
     loop: asyncio.AbstractEventLoop
 
     def make_connection(self, server: ServerIncarnation) -> ServerConnection:
-        """Return a connection to a server that is not established yet."""
+        """Return a new connection object for a server, which is not connected yet."""
 
     def opened(self, connection: ServerConnection, exchange: Exchange, took_s: float) -> None:
-        """Take an established connection, for an exchange that may have ended meanwhile."""
+        """Handle an established connection; the exchange that it was opened for may have ended meanwhile.
+
+        `took_s` is the duration of the handshake in seconds.
+        """
 
     def close_oldest_idle(self) -> bool:
-        """Free a descriptor; return False if no connection is idle."""
+        """Close the longest idle connection to free a descriptor; return False if there is none."""
 
 
 class Connector:
-    """Opens connections, each for an exchange, and ends the exchange if that fails."""
+    """Opens a connection for an exchange, and ends the exchange if the connection can't be opened."""
 
     def __init__(self, pool: ConnectionUser) -> None:
-        self.timeout_s = 0.0  # for a connection to be established
+        self.timeout_s = 0.0  # Time limit for establishing a connection, in seconds
         self._pool = pool
         self._loop = pool.loop
         self._opening: dict[asyncio.Task[None], Exchange] = {}
-        self._local_pause_s = LOCAL_PAUSE_S  # after the next failure of this machine
+        self._local_backoff_s = LOCAL_BACKOFF_S  # Backoff after the next local failure, in seconds
 
     @property
     def opening_count(self) -> int:
@@ -65,18 +73,20 @@
         return len(self._opening)
 
     def open(self, server: ServerIncarnation, exchange: Exchange) -> None:
-        """Begin to open a connection; abandoning the exchange stops that."""
+        """Start to open a connection for an exchange; if the exchange is abandoned, opening is cancelled."""
         task = self._loop.create_task(self._connect(server, exchange))
         self._opening[task] = exchange
         task.add_done_callback(self._done)
-        exchange.failed_locally = self._local_pause_s > LOCAL_PAUSE_S  # as the last one did, until it is up
+        # Until the connection is established, the exchange counts as failed locally if the last one failed
+        # so.
+        exchange.failed_locally = self._local_backoff_s > LOCAL_BACKOFF_S
         exchange.await_connection(task)
 
     def _done(self, task: asyncio.Task[None]) -> None:
         self._opening.pop(task, None)
 
     def cancel_unwanted(self) -> bool:
-        """Stop opening a connection whose exchange has ended; return False if there is none."""
+        """Cancel the opening of one connection whose exchange has ended; return False if there is none."""
         for task, exchange in self._opening.items():
             if exchange.ended:
                 task.cancel()
@@ -85,7 +95,7 @@
         return False
 
     async def _connect(self, server: ServerIncarnation, exchange: Exchange) -> None:
-        """Open a connection and hand it to the pool; cancelling closes its socket."""
+        """Open a connection and pass it to the pool; if this task is cancelled, the socket is closed."""
         started = self._loop.time()
         limit = _TimeLimit(self._loop, self.timeout_s)
         try:
@@ -93,30 +103,31 @@
                 _, connection = await self._loop.create_connection(
                     lambda: self._pool.make_connection(server), server.address.host, server.address.port
                 )
-        except (OSError, ValueError) as error:  # a time-out is an OSError, an impossible name a ValueError
+        except (OSError, ValueError) as error:  # A time-out is an OSError, an invalid host name a ValueError
             self._failed(error, exchange)
             return
         finally:
             limit.cancel()
-        self._local_pause_s = LOCAL_PAUSE_S
+        self._local_backoff_s = LOCAL_BACKOFF_S
         self._pool.opened(connection, exchange, self._loop.time() - started)
 
     def _failed(self, error: OSError | ValueError, exchange: Exchange) -> None:
-        """End the exchange: at once for a failure of the server, after a pause for one of this machine."""
+        """End the exchange: at once after a failure of the server, after a backoff for a local failure."""
         if not isinstance(error, OSError) or error.errno not in LOCAL_FAILURES:
             exchange.end(ExchangeResult(Outcome.CONNECT_FAILED))
             return
         if error.errno in OUT_OF_DESCRIPTORS:
-            self._pool.close_oldest_idle()  # the next attempt finds a descriptor
+            self._pool.close_oldest_idle()  # This frees a descriptor for the next attempt
         exchange.failed_locally = True
-        self._loop.call_later(self._local_pause_s, exchange.end, ExchangeResult(Outcome.ABANDONED))
-        self._local_pause_s = min(2.0 * self._local_pause_s, LOCAL_PAUSE_MOST_S)
+        self._loop.call_later(self._local_backoff_s, exchange.end, ExchangeResult(Outcome.ABANDONED))
+        self._local_backoff_s = min(2.0 * self._local_backoff_s, MAX_LOCAL_BACKOFF_S)
 
 
 class _TimeLimit:
-    """A time limit that doesn't take a hold-up of this process for the server's.
+    """A time limit for connecting that a pause of this process does not exceed by mistake.
 
-    A connection that is established when the time is over has some turns of the loop to be reported.
+    When the time is over, the event loop gets `TURNS_TO_REPORT` more turns to report a connection that is
+    already established.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, seconds: float) -> None:
@@ -131,5 +142,5 @@
             self.timeout.reschedule(self._loop.time())
 
     def cancel(self) -> None:
-        """Lift the limit."""
+        """Cancel the time limit."""
         self._timer.cancel()
--- a/brassfall/sidecar/servers/exchange.py
+++ b/brassfall/sidecar/servers/exchange.py
@@ -1,4 +1,4 @@
-"""One attempt or health check at a server, from the wait for a connection to its outcome."""
+"""The exchange of a request and its answer with a server, for an attempt or a health check."""
 
 from __future__ import annotations
 
@@ -10,35 +10,36 @@
 from brassfall.sidecar.body import Body
 from brassfall.sidecar.core.interfaces import ExchangeObserver, ExchangeResult
 
-Done = Callable[[ExchangeResult], None]
+ResultHandler = Callable[[ExchangeResult], None]
 
 
-class Carrier(Protocol):
-    """The connection that an exchange is on."""
+class ExchangeConnection(Protocol):
+    """The part of a server connection that its exchange uses."""
 
-    written: bool  # True if the system has taken the last byte of the request
+    written: bool  # True if the operating system has taken the last byte of the request
 
     def reset(self) -> None:
-        """Close at once; bytes that are not sent yet are dropped."""
+        """Close the connection at once by a TCP reset, and drop bytes that are not sent yet."""
 
 
 class ExchangeState(Enum):
-    """How far an exchange is."""
+    """The state of an exchange."""
 
     AWAITING_CONNECTION = auto()
     ON_CONNECTION = auto()
-    ENDED = auto()  # its outcome was reported, or it was abandoned and none will be
+    ENDED = auto()  # The result was reported, or the exchange was abandoned and has no result
 
 
-# The members as names of this module: a look-up on the enumeration costs more than a comparison.
+# Enum members as module names: looking a member up on the enum class costs more than a comparison.
 AWAITING_CONNECTION, ON_CONNECTION, ENDED = ExchangeState
 
 
 class Exchange:
-    """One attempt or health check: it waits for a connection, then is on one, then has ended.
+    """One request to a server and its answer, for an attempt or a health check.
 
-    `message` makes the request, given the milliseconds that are left until `expires` (milliseconds, by the
-    sidecar's clock). `done` is called with the outcome. An attempt has a `observer`, a health check none.
+    The exchange first waits for a connection, then uses it, and then has ended. `message` returns the bytes
+    of the request, given the milliseconds until `expires` (a time of the sidecar's clock, in milliseconds).
+    `done` is called with the result. An attempt has an `observer`, a health check has none.
     """
 
     __slots__ = (
@@ -58,50 +59,50 @@
         self,
         message: Callable[[float], bytes],
         expires: float,
-        done: Done,
+        done: ResultHandler,
         observer: ExchangeObserver | None = None,
         body: Body | None = None,
     ) -> None:
         self.message = message
         self.expires = expires
         self.observer = observer
-        self.body = body  # of a large request
+        self.body = body  # Body of a large request, which is streamed; None otherwise
         self.revision_header = b"" if observer is None else observer.revision_header
         self.state = AWAITING_CONNECTION
-        self.failed_locally = False  # True if this machine could not open its connection
+        self.failed_locally = False  # True if this machine could not open the connection
         self._done = done
-        self._connection: Carrier | None = None
+        self._connection: ExchangeConnection | None = None
         self._opening: asyncio.Task[None] | None = None
 
     @property
     def ended(self) -> bool:
-        """True if its outcome was reported, or it was abandoned."""
+        """True if the result was reported or the exchange was abandoned."""
         return self.state is ENDED
 
     def await_connection(self, task: asyncio.Task[None]) -> None:
-        """Wait for the connection that `task` opens; `abandon` cancels the task."""
+        """Record the task that opens the connection for this exchange; `abandon` cancels that task."""
         self._opening = task
 
-    def use_connection(self, connection: Carrier) -> None:
-        """Take note of the connection that the request is written to."""
+    def use_connection(self, connection: ExchangeConnection) -> None:
+        """Record the connection that the request is written to."""
         self.state = ON_CONNECTION
         self._connection, self._opening = connection, None
         self.failed_locally = False
 
     def end(self, result: ExchangeResult) -> None:
-        """Report the outcome; without effect if the exchange has ended."""
+        """End the exchange and report its result; do nothing if the exchange has ended before."""
         if self.state is not ENDED:
             self.state = ENDED
             self._connection = self._opening = None
             self._done(result)
 
     def withdraw(self) -> None:
-        """End without an outcome, and leave the connection as it is."""
+        """End the exchange without a result; its connection is not touched."""
         self.state = ENDED
         self._connection = self._opening = None
 
     def abandon(self) -> None:
-        """End without an outcome: its connection, or the opening of one, is stopped at once."""
+        """End the exchange without a result, and close its connection or cancel the opening of one."""
         if self.state is ENDED:
             return
         connection, opening = self._connection, self._opening
@@ -112,9 +113,11 @@
             connection.reset()
 
     def abandon_unless_written(self) -> bool:
-        """Abandon the exchange unless its request has been written completely; return whether it was.
+        """Abandon the exchange unless its request has been written completely.
 
-        A connection that is being opened comes up all the same: the next exchange may use it.
+        Return whether the exchange was abandoned.
+
+        A connection that is being opened for the exchange is not cancelled: the next exchange may use it.
         """
         connection = self._connection
         if self.state is ENDED or (connection is not None and connection.written):
--- a/brassfall/sidecar/servers/pool.py
+++ b/brassfall/sidecar/servers/pool.py
@@ -1,7 +1,7 @@
-"""The pool of connections to servers, and the attempts and health checks that go out on them.
+"""The pool of connections to servers, which sends attempts and health checks on them.
 
-Nothing here retries or selects a server: an attempt that meets a broken connection ends, and the balancer
-takes its outcome. Times are milliseconds by the sidecar's clock unless a name ends in `_s`.
+The pool neither retries nor selects servers: an attempt on a broken connection ends, and the balancer gets
+its outcome. Times are in milliseconds of the sidecar's clock unless a name ends in `_s`.
 """
 
 from __future__ import annotations
@@ -19,26 +19,28 @@
 from brassfall.sidecar.discovery.endpoint_list import ServerList
 from brassfall.sidecar.servers import health_checks
 from brassfall.sidecar.servers.connecting import Connector
-from brassfall.sidecar.servers.exchange import Done, Exchange
+from brassfall.sidecar.servers.exchange import Exchange, ResultHandler
 from brassfall.sidecar.servers.idle_connections import IdleConnections
 from brassfall.sidecar.servers.server_answers import AnswerReader
 from brassfall.sidecar.servers.server_connection import DelayObserver, ServerConnection, ServerIncarnation
 
-# A request that is begun so close to the end of a draining server's grace might be written past it.
+# Margin, in milliseconds, before the end of a draining server's grace period. A request that is started later
+# could be written only after that end if this process pauses.
 GRACE_MARGIN_MS = MAX_PROCESS_PAUSE_MS
-POOL_SHARE = 0.5  # of the descriptors that this process may hold
+POOL_SHARE = 0.5  # Share of the descriptors available to this process that server connections may use
 
 
 class ConnectionPool:
-    """All servers in the endpoint list, and the connections to them.
+    """The servers in the endpoint list, and the connections to them.
 
-    `delays`, if set, is given the delays that traffic shows. `revision_header`, if set, gives the header line of
-    the configuration revision in force: an attempt that was decided under another one is not sent.
+    `delays`, if set, observes the network delays of ordinary traffic. `revision_header`, if set, returns the
+    header line of the configuration revision in force; an attempt that was decided under another revision is
+    not sent.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, clock: Clock, config: Config) -> None:
         self.loop = loop
-        self.max_connections = 1  # established ones and those that are being opened
+        self.max_connections = 1  # Limit of established connections and those that are being opened
         self.delays: DelayObserver | None = None
         self.revision_header: Callable[[], bytes] | None = None
         answers = AnswerReader(config.settings)
@@ -49,28 +51,30 @@
         self._servers: dict[str, ServerIncarnation] = {}
         self._connections: set[ServerConnection] = set()
         self._connector = Connector(self)
-        self._grace = 0.0  # from the notice that a server drains, until no request is begun there
+        # Milliseconds after the notice that a server drains in which requests to it may still be started.
+        self._grace = 0.0
         self._limits = config.limits
         self.reload(config)
         self.set_descriptor_share(1.0)
 
     def reload(self, config: Config) -> None:
-        """Use other settings for the attempts that begin from now on."""
+        """Apply a new configuration to the attempts that start from now on."""
         self._connector.timeout_s = config.settings.connect_timeout / 1000.0
         self.idle.expire_after(config.settings.idle_close)
         self._warm_up = config.settings.warm_up
         self._regions = {number: name for name, number in config.names.zones.items()}
-        before, self._grace = self._grace, max(0.0, config.drain_grace - GRACE_MARGIN_MS)
-        for server in self._servers.values():  # those that drain already may have less, but no more
-            server.no_requests_from -= max(0.0, before - self._grace)
+        old_grace, self._grace = self._grace, max(0.0, config.drain_grace - GRACE_MARGIN_MS)
+        # The grace period of servers that already drain may become shorter, but not longer.
+        for server in self._servers.values():
+            server.no_requests_from -= max(0.0, old_grace - self._grace)
 
     def set_descriptor_share(self, share: float) -> None:
-        """Hold no more connections than a process with this part of all descriptors may."""
+        """Limit the connections to what a process with this share of all descriptors may have."""
         self.max_connections = max(1, int(self._limits.connections(share) * POOL_SHARE))
         while len(self._connections) > self.max_connections and self.close_oldest_idle():
             pass
 
-    # --- views -----------------------------------------------------------------------
+    # --- state -----------------------------------------------------------------------
 
     @property
     def servers(self) -> Mapping[str, ServerIncarnation]:
@@ -79,7 +83,7 @@
 
     @property
     def connections(self) -> Set[ServerConnection]:
-        """All established connections."""
+        """All established connections to servers."""
         return self._connections
 
     @property
@@ -89,56 +93,63 @@
 
     @property
     def opening_count(self) -> int:
-        """The number of connections that are being opened."""
+        """The number of connections to servers that are being opened."""
         return self._connector.opening_count
 
-    # --- what the driver asks for (`interfaces.Upstreams`) ------------------------------
+    # --- called by the driver (`interfaces.Upstreams`) ----------------------------------
 
     def send(self, server: str, call: Call, expires: float, observer: ExchangeObserver) -> Exchange:
-        """Begin an attempt, on an idle connection or a new one; its outcome is reported in a later turn."""
+        """Start an attempt on an idle connection or a new one.
+
+        `observer` gets the result in a later turn of the event loop.
+        """
         return self._begin(
             server, Exchange(call.request_bytes, expires, observer.exchange_ended, observer, call.body)
         )
 
-    def check_health(self, server: str, done: Done) -> Exchange:
-        """Begin a health check; `done` is called with its outcome in a later turn."""
+    def check_health(self, server: str, done: ResultHandler) -> Exchange:
+        """Start a health check; `done` is called with its result in a later turn of the event loop."""
         name = self._servers[server].name if server in self._servers else ""
         message = health_checks.message(name, with_report=self._reports)
         return self._begin(server, Exchange(lambda _left: message, math.inf, done))
 
     def update_servers(self, now: float, servers: ServerList, *, complete: bool) -> None:
-        """Take in an endpoint list; a `complete` one names all servers that there are.
+        """Apply an endpoint list, which names all servers if `complete`, and otherwise the changed ones.
 
-        The grace of a draining server runs from `now`.
+        The grace period of a server that the list newly reports as draining starts at `now`.
         """
-        named = set()
+        listed_names = set()
         for entry in servers.entries:
-            named.add(entry.server)
-            self._note(now, entry, servers.addresses.get(entry.server))
+            listed_names.add(entry.server)
+            self._apply_entry(now, entry, servers.addresses.get(entry.server))
         if complete:
-            for name in [name for name in self._servers if name not in named]:
-                self._leave(now, name, "left")
+            for name in [name for name in self._servers if name not in listed_names]:
+                self._drain_or_remove(now, name, "left")
 
-    def _note(self, now: float, entry: Listing, address: Address | None) -> None:
-        """Take in one entry of a list."""
+    def _apply_entry(self, now: float, entry: Listing, address: Address | None) -> None:
+        """Apply one entry of an endpoint list."""
         known = self._servers.get(entry.server)
         address = address or (known.address if known is not None else None)
         if address is None:
             return
         if known is None or (address, entry.started) != (known.address, known.started):
-            # Nothing is written to connections from before a restart: at best they would be reset.
+            # Connections from before a restart of the server are not used: at best they would be reset.
             self.close_idle(entry.server)
             if known is not None:
-                known.no_requests_from = now  # also once the one that has its name now has left
+                # The old incarnation gets no requests even after the next one with its name has left.
+                known.no_requests_from = now
             known = self._servers[entry.server] = ServerIncarnation(entry.server, address, entry.started)
         known.region = self._regions.get(entry.zone, "")
         if entry.state == "active":
             known.no_requests_from = math.inf
         else:
-            self._leave(now, known.name, entry.state)
+            self._drain_or_remove(now, known.name, entry.state)
+
+    def _drain_or_remove(self, now: float, name: str, state: str) -> None:
+        """Start to drain a server, or remove it if its state is `left`.
 
-    def _leave(self, now: float, name: str, state: str) -> None:
-        """Let a server drain, or remove it; a repeated notice does not prolong the grace."""
+        A repeated notice does not extend the grace period.
+        """
         server = self._servers[name]
         server.no_requests_from = min(server.no_requests_from, now + self._grace)
         if state == "left":
@@ -146,20 +157,20 @@
             del self._servers[name]
 
     def close_idle(self, server: str) -> None:
-        """Close a server's idle connections, and only those."""
+        """Close the idle connections to a server; connections with an exchange stay open."""
         known = self._servers.get(server)
         if known is not None:
             self.idle.close_all(known)
 
     def close(self) -> None:
-        """Close all connections when the process ends; no outcome of their exchanges is reported."""
+        """Close all connections at the end of the process; their exchanges report no results."""
         for connection in list(self._connections):
             connection.abort()
 
-    # --- what connections report (`ConnectionOwner`) --------------------------------------
+    # --- called by connections (`ConnectionOwner`) ----------------------------------------
 
     def free(self, connection: ServerConnection) -> None:
-        """Keep a connection that carries nothing now, unless its server drains or has left."""
+        """Keep a connection that has become idle, or close it if its server drains or has left."""
         server = connection.server
         if self._servers.get(server.name) is not server or server.no_requests_from < math.inf:
             connection.abort()
@@ -167,25 +178,28 @@
             self.idle.add(connection)
 
     def connection_closed(self, connection: ServerConnection) -> None:
-        """Forget a connection that is closed."""
+        """Remove a closed connection from the pool."""
         self._connections.discard(connection)
         self.idle.discard(connection)
 
-    # --- what the connector asks for and reports (`ConnectionUser`) --------------------------
+    # --- called by the connector (`ConnectionUser`) ------------------------------------------
 
     def make_connection(self, server: ServerIncarnation) -> ServerConnection:
-        """Return a connection to a server that is not established yet."""
+        """Return a new connection object for a server, which is not connected yet."""
         return ServerConnection(self, server)
 
     def opened(self, connection: ServerConnection, exchange: Exchange, took_s: float) -> None:
-        """Take an established connection, for an exchange that may have ended meanwhile."""
+        """Handle an established connection; the exchange that it was opened for may have ended meanwhile.
+
+        `took_s` is the duration of the handshake in seconds.
+        """
         self._connections.add(connection)
         server = connection.server
         if self.delays is not None:
-            cold = self._clock.now() - server.started < self._warm_up
-            self.delays.handshake(server.region, took_s * 1000.0, cold=cold)
+            warming_up = self._clock.now() - server.started < self._warm_up
+            self.delays.handshake(server.region, took_s * 1000.0, cold=warming_up)
         if not connection.usable():
-            # A full server may accept a connection and close it at once: nothing is written there.
+            # An overloaded server may accept a connection and close it at once: no request is sent on it.
             connection.abort()
             exchange.end(ExchangeResult(Outcome.CONNECT_FAILED))
         elif exchange.ended:
@@ -194,17 +208,17 @@
             self._write(connection, exchange)
 
     def close_oldest_idle(self) -> bool:
-        """Close the connection that has been idle for longest, to make room; False if none is idle."""
+        """Close the connection that has been idle the longest; return False if no connection is idle."""
         oldest = self.idle.close_oldest()
         if oldest is None:
             return False
         self._connections.discard(oldest)
         return True
 
-    # --- connections ------------------------------------------------------------------------
+    # --- sending requests ------------------------------------------------------------------------
 
     def _begin(self, name: str, exchange: Exchange) -> Exchange:
-        """Write an exchange's request to an idle connection, or open one for it."""
+        """Send an exchange's request on an idle connection, or open a connection for it."""
         server = self._servers.get(name)
         if server is None:
             self._end_soon(exchange, Outcome.CONNECT_FAILED)
@@ -215,13 +229,14 @@
         return exchange
 
     def _write(self, connection: ServerConnection, exchange: Exchange) -> None:
-        """Write an exchange's request, unless it must not be sent any more."""
+        """Send an exchange's request on a connection, or end the exchange if it must not be sent any more."""
         now = self._clock.now()
         server = connection.server
         if self._servers.get(server.name, server) is not server:
-            # Another server has its name now, which may be in slow start or elsewhere: decided anew.
-            never_sent = Outcome.CONNECT_FAILED if exchange.observer is None else Outcome.ABANDONED
-            self._end_soon(exchange, never_sent)
+            # Another incarnation has the name of this server now, which may be in slow start or at another
+            # address. The attempt ends unsent, so that the balancer decides again.
+            unsent_outcome = Outcome.CONNECT_FAILED if exchange.observer is None else Outcome.ABANDONED
+            self._end_soon(exchange, unsent_outcome)
             connection.abort()
             return
         if now >= server.no_requests_from:
@@ -235,7 +250,8 @@
         message = exchange.message(exchange.expires - now)
         if self.revision_header is not None and exchange.observer is not None:
             if exchange.revision_header is not self.revision_header():
-                # Decided under a revision that is no longer in force: decided anew.
+                # The attempt was decided under a configuration revision that is no longer in force. It ends
+                # unsent, so that the balancer decides again.
                 self._end_soon(exchange, Outcome.ABANDONED)
                 self.free(connection)
                 return
@@ -245,7 +261,7 @@
         connection.begin(exchange, message)
 
     def _open(self, server: ServerIncarnation, exchange: Exchange) -> None:
-        """Open a connection for an exchange, if there is room for one more."""
+        """Open a connection for an exchange, or end the exchange if the connection limit is reached."""
         full = len(self._connections) + self._connector.opening_count >= self.max_connections
         if full and not self.close_oldest_idle() and not self._connector.cancel_unwanted():
             self._end_soon(exchange, Outcome.CONNECT_FAILED)
@@ -253,5 +269,5 @@
         self._connector.open(server, exchange)
 
     def _end_soon(self, exchange: Exchange, outcome: Outcome) -> None:
-        """End an exchange in the next turn: the driver may be starting it in this one."""
+        """End an exchange in the next turn of the event loop; the driver may still be starting it now."""
         self.loop.call_soon(exchange.end, ExchangeResult(outcome))
--- a/brassfall/sidecar/servers/server_answers.py
+++ b/brassfall/sidecar/servers/server_answers.py
@@ -1,4 +1,4 @@
-"""What a server's answer means: the outcome of its attempt or health check, and a load report."""
+"""Interpretation of a server's answer: the outcome of the attempt or health check, and the load report."""
 
 from __future__ import annotations
 
@@ -11,16 +11,17 @@
 REJECTED = b"x-rejected"
 NOT_FOR_CLIENTS = frozenset((LOAD_REPORT, REJECTED))
 OK = 200
-REJECTIONS = (503, 504)  # of an attempt with the header `REJECTED`; of a health check in any case
+# Status codes of a rejection: always for a health check, and for an attempt if the header `REJECTED` is 1.
+REJECTIONS = (503, 504)
 
 
 def client_headers(parser: framing.AnswerParser) -> framing.Headers:
-    """Return the headers of an answer that its client gets."""
+    """Return the headers of a server's answer that are passed on to the client."""
     return framing.end_to_end(parser.headers, NOT_FOR_CLIENTS)
 
 
 class AnswerReader:
-    """Reads complete answers; the settings say which fields a load report has."""
+    """Turns complete answers into exchange results; the settings name the fields of load reports."""
 
     def __init__(self, settings: Settings) -> None:
         self._fields = settings.report_fields if settings.report_how != "off" else ()
@@ -31,7 +32,10 @@
         return bool(self._fields)
 
     def result(self, parser: framing.AnswerParser, *, health_check: bool) -> ExchangeResult:
-        """Return the outcome of a complete answer, with the answer for the client if it is OK."""
+        """Return the result of an exchange from a complete answer.
+
+        The result includes the answer for the client only if the outcome is `OK`.
+        """
         report = self._report(parser, health_check=health_check)
         status = parser.status
         if status == OK:
@@ -41,7 +45,7 @@
         return ExchangeResult(Outcome.ERROR, None, report)
 
     def _report(self, parser: framing.AnswerParser, *, health_check: bool) -> dict[str, float] | None:
-        """Return the known fields of a load report that are numbers; None if there are none."""
+        """Return the known, numeric fields of an answer's load report; None if there are none."""
         if not self._fields:
             return None
         text = parser.header(LOAD_REPORT) or (bytes(parser.body) if health_check else b"")
--- a/brassfall/sidecar/servers/server_connection.py
+++ b/brassfall/sidecar/servers/server_connection.py
@@ -1,7 +1,8 @@
-"""A server, and a connection to it, which carries one exchange at a time.
+"""A server and a connection to it, which carries one exchange at a time.
 
-A break before the last byte of a request is written proves that the server never ran it (`CONNECT_FAILED`); a
-later one doesn't (`RESET`).
+If a connection breaks before the last byte of a request is written, the server has certainly not run the
+request, and the outcome is `CONNECT_FAILED`. If it breaks later, the server may have run it, and the outcome
+is `RESET`.
 """
 
 from __future__ import annotations
@@ -23,128 +24,140 @@
 from brassfall.sidecar.servers.exchange import Exchange
 from brassfall.sidecar.servers.server_answers import OK, client_headers
 
-# An answer of unknown length is buffered for so long at the most, and then passed on as it arrives.
+# Longest time, in seconds, that an answer of unknown length is buffered before it is streamed to the client.
 HOLD_S = 0.1
-# A server that takes or gives nothing for so long, where more is due, has stalled.
+# Time, in seconds, without progress of a large request body or a streamed answer after which the server
+# counts as stalled.
 STALLED_S = 30.0
 
-RESET_AT_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, for no time
+RESET_AT_CLOSE = struct.pack("ii", 1, 0)  # Value of the socket option SO_LINGER: on, with a time of 0 s
 
 
 class ConnectionState(Enum):
-    """What a connection does; whether the request is written is `ServerConnection.written`."""
+    """The state of a connection; `ServerConnection.written` has whether the request is written."""
 
-    IDLE = auto()  # no exchange: not established yet, or between two
-    AWAITING_ANSWER = auto()  # a request is being written, or its answer awaited or buffered
-    STREAMING_ANSWER = auto()  # the answer is passed to the client as it arrives
-    CLOSING = auto()  # nothing more is read or written
+    IDLE = auto()  # The connection has no exchange: it is not established yet, or between two exchanges
+    AWAITING_ANSWER = auto()  # A request is being written, or its answer is awaited or being buffered
+    STREAMING_ANSWER = auto()  # The answer is streamed to the client as it arrives
+    CLOSING = auto()  # Nothing more is read from or written to the connection
     CLOSED = auto()
 
 
-# The members as names of this module: a look-up on the enumeration costs more than a comparison.
+# Enum members as module names: looking a member up on the enum class costs more than a comparison.
 IDLE, AWAITING_ANSWER, STREAMING_ANSWER, CLOSING, CLOSED = ConnectionState
+# States of a connection that carries an exchange.
 CARRYING = (AWAITING_ANSWER, STREAMING_ANSWER)
 
 
 class DelayObserver(Protocol):
-    """Takes the delays to regions that ordinary traffic shows, in milliseconds."""
+    """The receiver of network delays to regions, in milliseconds, as ordinary traffic shows them."""
 
     def handshake(self, region: str, ms: float, *, cold: bool) -> None:
-        """Take the time to open a connection; `cold` if the server is in slow start."""
+        """Record how long opening a connection took; `cold` if the server is warming up."""
 
     def first_byte(self, region: str, ms: float, spent_ms: float = 0.0) -> None:
-        """Take the time from a written request to the first byte of its answer."""
+        """Record the time from a written request to the first byte of its answer.
+
+        `spent_ms` is the part of that time that the server spent on the request; 0 if it did not state that.
+        """
 
 
 class ConnectionOwner(Protocol):
-    """The pool, as its connections see it."""
+    """The part of the connection pool that connections use."""
 
     loop: asyncio.AbstractEventLoop
     delays: DelayObserver | None
 
     def free(self, connection: ServerConnection) -> None:
-        """Take back a connection that is idle and may be used again."""
+        """Handle that a connection has become idle and can be used again."""
 
     def connection_closed(self, connection: ServerConnection) -> None:
-        """Forget a connection that is closed."""
+        """Handle that a connection is closed."""
 
     def result(self, parser: framing.AnswerParser, *, health_check: bool) -> ExchangeResult:
-        """Return the outcome of a complete answer."""
+        """Return the result of an exchange from its complete answer."""
 
 
 @dataclass(slots=True, eq=False)
 class ServerIncarnation:
-    """A server in the endpoint list, from one start of it to the next.
+    """A server in the endpoint list, from one start of the server to the next.
 
-    A server of the same name at another address, or with another start, is another one, with connections and
-    a draining time of its own.
+    A server with the same name but another address or start time is another incarnation, with its own
+    connections and its own end of the grace period.
     """
 
     name: str
     address: Address
-    started: float = 0.0  # Unix time in milliseconds; 0: long ago
-    region: str = ""  # the name of its zone
-    # From then on no request is begun on its connections, in milliseconds of the sidecar's clock.
+    started: float = 0.0  # Start time of the server, in milliseconds of Unix time; 0 means long ago
+    region: str = ""  # Name of the zone of the server
+    # Time, in milliseconds of the sidecar's clock, from which on no request to the server is started.
     no_requests_from: float = math.inf
-    idle: list[ServerConnection] = field(default_factory=list)  # in the order in which they became idle
+    # Idle connections, in the order in which they became idle.
+    idle: list[ServerConnection] = field(default_factory=list)
 
     @property
     def draining(self) -> bool:
-        """True if no request may be begun, now or after a grace: it drains, has left or was replaced."""
+        """True if the server drains, has left or was replaced, so that requests to it end soon."""
         return self.no_requests_from < math.inf
 
 
 class ServerConnection(framing.SharedBufferProtocol):
-    """A connection to a server; it carries one exchange at a time."""
+    """A connection to a server, which carries one exchange at a time."""
 
     def __init__(self, pool: ConnectionOwner, server: ServerIncarnation) -> None:
         self._pool = pool
         self.server = server
         self.state = IDLE
-        self.written = True  # True if the system has taken the last byte of the request
-        self.idle_since = 0.0  # milliseconds, by the sidecar's clock
-        # When a small request was written, by the loop's clock; 0: not measured, or its answer has begun.
+        self.written = True  # True if the operating system has taken the last byte of the request
+        # Time at which the connection became idle, in milliseconds of the sidecar's clock.
+        self.idle_since = 0.0
+        # Event loop time, in seconds, at which a small request was written; 0 if the delay is not measured or
+        # its answer has begun.
         self.sent_at = 0.0
         self._transport: asyncio.Transport
         self._parser = framing.AnswerParser()
-        self._exchange: Exchange | None = None  # in the states `CARRYING`
-        self._body: Body | None = None  # a large one, until it is written completely
-        self._hold_timer: asyncio.TimerHandle | None = None  # while an answer of unknown length is buffered
-        self._silence_timer: asyncio.TimerHandle | None = None  # while an answer is passed on
-        self._write_timer: asyncio.TimerHandle | None = None  # while the server takes no more of a body
-        self._last_read = 0.0  # by the loop's clock
-        self._reused = False  # True if it has carried an exchange before this one
+        self._exchange: Exchange | None = None  # Exchange on the connection in the states `CARRYING`
+        self._body: Body | None = None  # Large request body that is not written completely
+        # Timer that ends the buffering of an answer of unknown length.
+        self._hold_timer: asyncio.TimerHandle | None = None
+        self._silence_timer: asyncio.TimerHandle | None = None  # Timer that checks a streamed answer for progress
+        self._write_timer: asyncio.TimerHandle | None = None  # Timer that ends a stalled write of a body
+        self._last_read = 0.0  # Event loop time of the last read from the server, in seconds
+        self._reused = False  # True if the connection has carried an exchange before the current one
         self._reading_paused = False
 
     @property
     def closed(self) -> bool:
-        """True if the connection is closed on this side and its transport released."""
+        """True if the connection is closed and the event loop has released its transport."""
         return self.state is CLOSED
 
     @property
     def busy(self) -> bool:
-        """True if it carries an exchange."""
+        """True if the connection carries an exchange."""
         return self.state in CARRYING
 
     @property
     def answer_begun(self) -> bool:
-        """True if the head of the present or the last answer has been read."""
+        """True if the head of the current or the last answer has been read."""
         return self._parser.status != 0
 
     @property
     def transport(self) -> asyncio.Transport:
-        """The transport under the connection, once it is established."""
+        """The transport of the connection, which exists once the connection is established."""
         return self._transport
 
     def usable(self) -> bool:
-        """Return whether a request can be written: the connection is open, with nothing unread."""
+        """Return whether a request can be sent: the connection is open and has no unread input."""
         closed = self.state is CLOSING or self.state is CLOSED
         return not (closed or self._transport.is_closing() or framing.has_unread_input(self._transport))
 
-    # --- a request ------------------------------------------------------------------
+    # --- sending a request ------------------------------------------------------------------
 
     def begin(self, exchange: Exchange, message: bytes) -> None:
-        """Write a request. It counts as written once the system has its last byte."""
+        """Start an exchange by writing its request.
+
+        The request counts as written once the operating system has taken its last byte.
+        """
         self.state = AWAITING_ANSWER
         self._exchange = exchange
         exchange.use_connection(self)
@@ -157,19 +170,20 @@
         self._check_written()
 
     def _check_written(self) -> None:
-        """Set `written` unless bytes are buffered in this process: a break now proves that nothing ran.
+        """Update `written`, which is False while bytes of the request are buffered in this process.
 
-        A write that fails empties the buffer, too, and closes the transport.
+        As long as it is False, the server can't have run the request. A failed write empties the buffer as
+        well, but it also closes the transport, which is checked here.
         """
         unsent = self._transport.is_closing() or self._transport.get_write_buffer_size()
         self.written = not (unsent or self._body)
         if self.written and self._exchange is not None and self._exchange.observer is not None:
             self._exchange.observer.request_written()
 
-    # Called by a large body (`body.BodyWriter`).
+    # The following two methods are called by a large request body (`body.BodyWriter`).
 
     def write_part(self, data: bytes) -> None:
-        """Write a part of the body; close if the request is no longer wanted."""
+        """Write a part of the request body; close the connection if the request should no longer be sent."""
         exchange = self._exchange
         if exchange is not None and exchange.observer is not None and not exchange.observer.may_write():
             exchange.withdraw()
@@ -178,26 +192,26 @@
             self._transport.write(data)
 
     def body_complete(self) -> None:
-        """Take note that the last part of the body has been handed to the transport."""
+        """Handle that the last part of the request body has been passed to the transport."""
         self._body = None
         self._check_written()
 
-    # Called by the loop.
+    # The following three methods are called by the event loop.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport of the established connection."""
+        """Store the transport of the established connection; called by the event loop."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        transport.set_write_buffer_limits(0)  # so that `resume_writing` tells when all is written
+        transport.set_write_buffer_limits(0)  # `resume_writing` is then called once all bytes are written
 
     def pause_writing(self) -> None:
-        """Stop a large body: the server takes no more for now."""
+        """Pause a large request body, because the server takes no more for now; called by the event loop."""
         if self._exchange is not None and self._exchange.body is not None:
             self._exchange.body.pause()
             self._write_timer = self._pool.loop.call_later(STALLED_S, self._break)
 
     def resume_writing(self) -> None:
-        """Go on with a large body: the write buffer is empty."""
+        """Resume a large request body, because the write buffer is empty; called by the event loop."""
         if self._write_timer is not None:
             self._write_timer.cancel()
             self._write_timer = None
@@ -206,12 +220,13 @@
         if not self.written:
             self._check_written()
 
-    # --- its answer -----------------------------------------------------------------
+    # --- reading the answer -----------------------------------------------------------------
 
     def data_received(self, data: bytes) -> None:
-        """Take a part of an answer; called by the loop."""
+        """Process a part of an answer; called by the event loop."""
         if self._exchange is None:
-            # Bytes that answer no request: neither can an answer after them be trusted.
+            # The server sent bytes although no request is open, so that later answers can't be trusted
+            # either.
             self.abort()
             return
         try:
@@ -220,15 +235,16 @@
             self._break()
             return
         if self._exchange is None:
-            return  # the client left while this part was passed on
+            return  # The client disconnected while this part was streamed to it
         if self._parser.status == OK and self._reused and not self.written:
-            # A server begins on a request when it has all of it: this is a second answer to the earlier one.
+            # A server answers a request only after reading all of it, so that this must be a second answer to
+            # the previous request.
             self._break()
             return
         self._last_read = self._pool.loop.time()
         if self.sent_at and self._pool.delays is not None:
-            spent = (self._last_read - self.sent_at) * 1000.0
-            self._pool.delays.first_byte(self.server.region, spent)
+            delay_ms = (self._last_read - self.sent_at) * 1000.0
+            self._pool.delays.first_byte(self.server.region, delay_ms)
             self.sent_at = 0.0
         if self._parser.complete:
             self._finish(reusable=self._parser.keep_alive and not self._parser.extra and self.written)
@@ -236,24 +252,24 @@
             self._buffer_or_stream()
 
     def eof_received(self) -> bool:
-        """Take the end of the server's sending, which may complete an answer; called by the loop."""
+        """Handle that the server closed its side, which may complete an answer; called by the event loop."""
         if self._exchange is not None and self._parser.end():
             self._finish(reusable=False)
-        # The loop would first write out what is buffered: a request that counts as never written.
+        # The event loop would first send the buffered bytes of a request, which counts as never written.
         self._break()
         return False
 
     def connection_lost(self, _error: Exception | None) -> None:
-        """Take the end of the connection, whichever side closed it; called by the loop."""
+        """Handle that the connection is closed, by whichever side; called by the event loop."""
         self.state = CLOSED
         self._pool.connection_closed(self)
         self._break()
 
     def _buffer_or_stream(self) -> None:
-        """Buffer an incomplete answer, or begin to pass it on if it is large.
+        """Keep an incomplete answer in the buffer, or start to stream it to the client if it is large.
 
-        One of unknown length is buffered for a moment: if it is small and breaks, the request can still be
-        sent to another server.
+        An answer of unknown length is buffered for `HOLD_S`: if it is small and breaks off, the request can
+        still be sent to another server.
         """
         assert self._exchange is not None
         if self._exchange.observer is None:
@@ -269,7 +285,7 @@
             self._hold_timer = self._pool.loop.call_later(HOLD_S, self._stream)
 
     def _stream(self) -> None:
-        """Give the client the beginning of the answer, and then each part as it arrives."""
+        """Start to stream the answer to the client: its first part now, and each later part as it arrives."""
         if self._hold_timer is not None:
             self._hold_timer.cancel()
             self._hold_timer = None
@@ -282,30 +298,30 @@
         self._parser.sink = self._exchange.observer.answer_started(answer, self)
 
     def _check_silence(self) -> None:
-        """Break off an answer whose server has stalled; time in which the client was slow doesn't count."""
+        """Break off a streamed answer if its server has stalled; paused reading doesn't count as stalled."""
         silent = 0.0 if self._reading_paused else self._pool.loop.time() - self._last_read
         if silent >= STALLED_S:
             self._break()
         else:
             self._silence_timer = self._pool.loop.call_later(STALLED_S - silent, self._check_silence)
 
-    # Called by the client's side of an answer that is passed on (`interfaces.FlowControl`).
+    # The following two methods are called while an answer is streamed (`interfaces.FlowControl`).
 
     def pause(self) -> None:
-        """Stop reading: the client is slower than the server."""
+        """Stop reading from the server, because the client reads more slowly than the server sends."""
         self._reading_paused = True
         self._transport.pause_reading()
 
     def resume(self) -> None:
-        """Continue reading: the client has taken all that was read."""
+        """Read from the server again, because the client has taken all data so far."""
         self._reading_paused = False
         self._last_read = self._pool.loop.time()
         self._transport.resume_reading()
 
-    # --- the end of an exchange, and of the connection ----------------------------------
+    # --- ending an exchange, closing the connection -------------------------------------
 
     def _finish(self, *, reusable: bool) -> None:
-        """Report a complete answer, and become idle if the connection is `reusable`."""
+        """End the exchange with its complete answer; keep the connection as idle if it is `reusable`."""
         if self._reading_paused:
             self.resume()
         exchange = self._release()
@@ -320,17 +336,18 @@
         exchange.end(result)
 
     def _break(self) -> None:
-        """Close: the exchange, if any, can't be completed here."""
+        """Close the connection, and end its exchange, if any, with the outcome of a broken connection."""
         exchange = self._release()
         self._transport.abort()
         if exchange is not None:
             exchange.end(ExchangeResult(Outcome.RESET if self.written else Outcome.CONNECT_FAILED))
 
     def reset(self) -> None:
-        """Close at once by a reset, so that the system drops the bytes of a request that it still holds.
+        """Close the connection at once by a TCP reset; no result is reported.
 
-        Otherwise they would reach the server long after it was given up, when a partition ends or a hung
-        server reads on.
+        A reset makes the operating system drop the bytes of the request that it still holds. Otherwise they
+        would reach the server long after the attempt has ended, when a partition ends or a hung server reads
+        again.
         """
         sock = self._transport.get_extra_info("socket")
         if sock is not None:
@@ -339,12 +356,12 @@
         self.abort()
 
     def abort(self) -> None:
-        """Close at once and drop what is buffered here; no outcome is reported to its exchange."""
+        """Close the connection at once and drop the bytes buffered in this process; no result is reported."""
         self._release()
         self._transport.abort()
 
     def _release(self) -> Exchange | None:
-        """Carry nothing from here on; return the exchange that was carried."""
+        """Detach the exchange and the request body from the connection; return the exchange, if any."""
         if self.state is not CLOSED:
             self.state = CLOSING
         exchange, self._exchange = self._exchange, None
--- a/tests/sidecar/test_races_servers.py
+++ b/tests/sidecar/test_races_servers.py
@@ -138,8 +138,8 @@
 @loopback
 async def test_an_attempt_that_waits_out_a_failure_of_this_machine_ends_with_its_client(monkeypatch):
     upstream = await Upstream([OK]).start()
-    monkeypatch.setattr(connecting, "LOCAL_PAUSE_S", 60.0)
-    monkeypatch.setattr(connecting, "LOCAL_PAUSE_MOST_S", 60.0)
+    monkeypatch.setattr(connecting, "LOCAL_BACKOFF_S", 60.0)
+    monkeypatch.setattr(connecting, "MAX_LOCAL_BACKOFF_S", 60.0)
     balancer = ScriptedBalancer()
     async with client_of(upstream, balancer=balancer, **never_cancels()) as (sidecar, app, faults):
         faults.script("socket", errno.ENOMEM)
--- a/tests/support/driver_stubs.py
+++ b/tests/support/driver_stubs.py
@@ -51,7 +51,7 @@
 
 
 class ConnectionStub:
-    """Stands in for a connection to a server (`exchange.Carrier`)."""
+    """Stands in for a connection to a server (`exchange.ExchangeConnection`)."""
 
     def __init__(self, written):
         self.written, self.aborted = written, False
