--- a/brassfall/sidecar/__init__.py
+++ b/brassfall/sidecar/__init__.py
@@ -1,1 +1,1 @@
-"""The real sidecar: sockets, timers and books around the decision module."""
+"""The sidecar: the sockets, timers and records of requests around the balancer that makes the decisions."""
--- a/brassfall/sidecar/lifecycle/__init__.py
+++ b/brassfall/sidecar/lifecycle/__init__.py
@@ -1,1 +1,1 @@
-"""The process: startup, admin endpoint, handover between processes, graceful shutdown."""
+"""The process of a sidecar: startup, admin endpoint, hand-over between processes and graceful shutdown."""
--- a/brassfall/sidecar/lifecycle/admin.py
+++ b/brassfall/sidecar/lifecycle/admin.py
@@ -1,4 +1,4 @@
-"""The admin endpoint: one command on a connection, one line in reply."""
+"""The admin endpoint, where operators send one command on each connection and get a reply of one line."""
 
 from __future__ import annotations
 
@@ -12,19 +12,21 @@
 from brassfall.sidecar.config_values import Address
 from brassfall.sidecar.core.process_state import InvalidTransitionError, ProcessLifecycle
 
-MAX_LINE = 256  # bytes
-COMMAND_S = 5.0  # for a complete command
-LINGER_S = 0.5  # for a client to read its reply while it is still sending
+MAX_LINE = 256  # Longest line of a command, in bytes
+COMMAND_S = 5.0  # Time limit for receiving a complete command, in seconds
+# Seconds after the reply until the connection is closed, so that a client that is still sending can read the
+# reply.
+LINGER_S = 0.5
 
 
 class AdminEndpoint:
-    """The address for operators, and the commands that it accepts."""
+    """The listener for operators, with the commands that it executes."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, lifecycle: ProcessLifecycle) -> None:
-        """Serve the commands that change `lifecycle`, once `listen` was called."""
+        """Create an endpoint whose commands read and change `lifecycle`; `listen` opens it."""
         self.loop = loop
         self._lifecycle = lifecycle
-        self._connections: dict[AdminConnection, None] = {}  # oldest first
+        self._connections: dict[AdminConnection, None] = {}  # Open connections, oldest first
         self._listener: Listener | None = None
         self._commands: dict[str, Callable[[], str]] = {
             "PING": self._ping,
@@ -33,23 +35,24 @@
         }
 
     def add_command(self, name: str, command: Callable[[], str], *, json: bool = False) -> None:
-        """Add a command that returns the text behind `done`, or with `json` the whole reply."""
+        """Add a command; its reply is `done` and the text that it returns, or with `json` that text alone."""
         self._commands[name] = command if json else lambda: f"done {command()}"
 
     def listen(self, address: Address) -> None:
-        """Accept commands from now on; raises `OSError` if the address can't be had."""
+        """Listen for commands on an address; raise `OSError` if that fails."""
         sock = listening_socket(address, MAX_ADMIN_CONNECTIONS * 4)
-        # One connection at a time: it may have to evict another one, to have its descriptor.
+        # One connection is accepted at a time, because each may first have to evict another one for its
+        # descriptor.
         self._listener = Listener(self.loop, sock, lambda: AdminConnection(self), capacity=lambda: 1)
 
     @property
     def address(self) -> Address | None:
-        """The address that it listens on; None if there is none."""
+        """The address that the endpoint listens on; None if it does not listen."""
         return None if self._listener is None else self._listener.address
 
     @property
     def connections(self) -> int:
-        """The number of open connections."""
+        """The number of open connections to the admin endpoint."""
         return len(self._connections)
 
     def close(self) -> None:
@@ -85,7 +88,7 @@
         return f"done {self._lifecycle.state.value}"
 
     def opened(self, connection: AdminConnection) -> None:
-        """Take in a new connection; at the limit, the oldest one is evicted."""
+        """Register a new connection; if the limit of connections is reached, evict the oldest one."""
         if len(self._connections) >= MAX_ADMIN_CONNECTIONS:
             oldest = next(iter(self._connections))
             del self._connections[oldest]
@@ -93,7 +96,7 @@
         self._connections[connection] = None
 
     def closed(self, connection: AdminConnection) -> None:
-        """Take out a connection that is gone."""
+        """Remove a closed connection."""
         self._connections.pop(connection, None)
 
 
@@ -101,22 +104,22 @@
     """One connection to the admin endpoint."""
 
     def __init__(self, endpoint: AdminEndpoint) -> None:
-        """Create a connection that is not up yet."""
+        """Create a connection object before the event loop establishes the connection."""
         self._endpoint = endpoint
         self._transport: asyncio.Transport
         self._line = bytearray()
         self._answered = False
-        self._limit: asyncio.TimerHandle | None = None
+        self._close_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Start the time limit for a command. Called by the loop."""
+        """Start the time limit for receiving a command. Called by the event loop."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        self._limit = self._endpoint.loop.call_later(COMMAND_S, self.reply, "error no call in time")
+        self._close_timer = self._endpoint.loop.call_later(COMMAND_S, self.reply, "error no call in time")
         self._endpoint.opened(self)
 
     def data_received(self, data: bytes) -> None:
-        """Read a part of the command's line; later lines are ignored. Called by the loop."""
+        """Read a part of the command's line, and ignore later lines. Called by the event loop."""
         if self._answered:
             return
         self._line += data
@@ -127,29 +130,29 @@
             self.reply("error the line is too long")
 
     def eof_received(self) -> bool:
-        """Reject a command without the end of its line. Called by the loop."""
+        """Reject a command whose line is not terminated. Called by the event loop."""
         if not self._answered and self._line:
             self.reply("error the line has no end")
-        return False  # the transport closes once the reply is written
+        return False  # This makes the transport close once the reply is written
 
     def connection_lost(self, _error: Exception | None) -> None:
-        """Release the connection. Called by the loop."""
+        """Handle that the connection is closed. Called by the event loop."""
         self._answered = True
-        if self._limit is not None:
-            self._limit.cancel()
+        if self._close_timer is not None:
+            self._close_timer.cancel()
         self._endpoint.closed(self)
 
     def reply(self, text: str) -> None:
-        """Write the reply, and end the connection after a time to read it; only the first call counts."""
+        """Send the reply, and close the connection after `LINGER_S`; only the first call has an effect."""
         if self._answered:
             return
         self._answered = True
         self._transport.write(text.encode() + b"\n")
-        with contextlib.suppress(OSError):  # the client has reset the connection
+        with contextlib.suppress(OSError):  # Raised if the client has reset the connection
             self._transport.write_eof()
-        if self._limit is not None:
-            self._limit.cancel()
-        self._limit = self._endpoint.loop.call_later(LINGER_S, self.abort)
+        if self._close_timer is not None:
+            self._close_timer.cancel()
+        self._close_timer = self._endpoint.loop.call_later(LINGER_S, self.abort)
 
     def evict(self) -> None:
         """Close the connection to make room for another one."""
--- a/brassfall/sidecar/lifecycle/handover.py
+++ b/brassfall/sidecar/lifecycle/handover.py
@@ -9,13 +9,14 @@
 from brassfall.sidecar.config_values import stable_number
 
 SERVING_SUFFIX, NEXT_SUFFIX = "lock", "next"
-# Earlier versions use this name too: during an upgrade, processes of both look at the same files.
+# Prefix of the lock files' names. It must not change: earlier versions use the same name, and during an
+# upgrade processes of both versions look at the same files.
 LOCK_PREFIX = "fordtrestle-"
 DEFAULT_FOLDER = "/tmp"
 
 
 class FileLock:
-    """An exclusive lock on a file, which the system releases when the process ends."""
+    """An exclusive lock on a file, which the operating system releases when the process ends."""
 
     def __init__(self, path: str) -> None:
         """Create a lock on the file at `path` without acquiring it."""
@@ -26,7 +27,7 @@
     def acquire(self) -> bool:
         """Acquire the lock without waiting; return whether this process owns it.
 
-        Returns True if the file can't be opened or locked: the process then acts as if it were alone.
+        If the file can't be opened or locked, return True: the process then acts as if it were the only one.
         """
         try:
             if self._file is None:
@@ -37,7 +38,7 @@
         except OSError as error:
             if not self.owned:
                 log.warning(
-                    "handover: can't lock the file of this sidecar",
+                    "handover: can't lock the lock file, no other process is detected",
                     file=self._path,
                     reason=error.strerror,
                     action="set TMPDIR to a writable folder",
@@ -54,16 +55,19 @@
 
 
 class Handover:
-    """The lock of the process that serves, and that of the process that is to replace it."""
+    """The two locks by which the processes of one sidecar detect each other.
+
+    The process that serves owns one lock, the process that is to replace it owns the other.
+    """
 
     def __init__(self, folder: str | None, name: str) -> None:
-        """Use lock files in `folder` for the sidecar of this name; other sidecars may use the same folder."""
+        """Use lock files in `folder` for the sidecar `name`; other sidecars may use the same folder."""
         path = os.path.join(folder or DEFAULT_FOLDER, f"{LOCK_PREFIX}{stable_number(name):x}.")
         self._serving = FileLock(path + SERVING_SUFFIX)
         self._next = FileLock(path + NEXT_SUFFIX)
 
     def other_process_runs(self) -> bool:
-        """Return whether another process of this sidecar is running, by the locks as they are now."""
+        """Return whether another process of this sidecar is running; this checks the locks."""
         if not self._serving.owned:
             if not self._serving.acquire():
                 self._next.acquire()
--- a/brassfall/sidecar/lifecycle/sidecar.py
+++ b/brassfall/sidecar/lifecycle/sidecar.py
@@ -1,4 +1,4 @@
-"""One sidecar: its parts, wired together, and its startup, reload and shutdown."""
+"""One sidecar: the wiring of its components, and its startup, reload and shutdown."""
 
 from __future__ import annotations
 
@@ -28,29 +28,32 @@
     from brassfall.sidecar.agent.member import FleetMember
     from brassfall.sidecar.discovery.endpoint_index import EndpointList
 
-HANDOVER_POLL_S = 0.25  # between checks for another process of this sidecar; a start takes longer
-# For the first list of a process that replaces another one and has to be ready within 6 s; the balancer polls
-# discovery within 2.5 s.
-FIRST_LIST_S = 4.0
-FIRST_CALL_S = 1.0  # for the first call of a process that is alone, where discovery does not answer
+# Seconds between two checks for another process of this sidecar; starting a process takes longer than this.
+HANDOVER_POLL_S = 0.25
+# Seconds that a process which replaces another one waits for its first endpoint list. It has to be ready
+# within 6 s, and the balancer polls discovery within 2.5 s.
+FIRST_LIST_TIMEOUT_S = 4.0
+# Seconds that a process which is the only one of its sidecar waits for its first call to discovery to end.
+FIRST_CALL_TIMEOUT_S = 1.0
 
 
 class Sidecar:
-    """One sidecar in this process, on one event loop."""
+    """One sidecar, which runs in this process on one event loop."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, configuration: Config, *, balancer: DecisionMaker | None = None
     ) -> None:
-        """Wire the parts, without listening or calling before `start`."""
+        """Create and wire the components; they open no sockets before `start`."""
         self._loop = loop
-        self._running = configuration
+        self._current_config = configuration
         self._clock = Clock(loop)
         self.lifecycle = ProcessLifecycle()
-        self._shares_machine = False  # with another process of this sidecar
-        self._reload_due = False  # SIGHUP came during startup
+        # True while another process of this sidecar runs, which uses half of the descriptors.
+        self._shares_descriptors = False
+        self._reload_due = False  # True if a reload was requested during startup, which has deferred it
         self._handover_timer: asyncio.TimerHandle | None = None
-        inherits = configuration.inherited_descriptor is not None
-        self.handover = Handover(os.environ.get("TMPDIR"), configuration.name) if inherits else None
+        inherits_socket = configuration.inherited_descriptor is not None
+        self.handover = Handover(os.environ.get("TMPDIR"), configuration.name) if inherits_socket else None
         self.admin = AdminEndpoint(loop, self.lifecycle)
         self.driver = Driver(loop, self._clock, configuration, balancer)
         self.admin.add_command("REFUSALS", lambda: self.driver.refusals)
@@ -60,85 +63,87 @@
             self.admin.add_command("LIST", lambda: self.discovery.state)
         self.inbound = Inbound(loop, self._clock, configuration, self.driver, self.lifecycle)
         self.peers = Peers(configuration, self.driver.peer_message)
-        self.member = self._member() if configuration.agreement is not None else None
+        self.member = self._create_member() if configuration.agreement is not None else None
 
-    def _member(self) -> FleetMember:
-        """Return the membership in a fleet; only a process that has one loads the agent's code."""
+    def _create_member(self) -> FleetMember:
+        """Create the fleet membership; only processes that are fleet members import the agent's code."""
         from brassfall.sidecar.agent.member import FleetMember
 
         member = FleetMember(self._loop, self, os.environ)
         member.agent.report_extensions.append(self.discovery.report)
-        if self._running.agreement is not None and self._running.agreement.group:
+        if self._current_config.agreement is not None and self._current_config.agreement.group:
             self.pool.delays = member.delays
         self.driver.revision_header = self.pool.revision_header = member.stamp_at(self._loop)
         self.admin.add_command("RULES", lambda: member.agent.state, json=True)
         return member
 
-    # --- what discovery notifies of (discovery.interfaces.ListListener) ------------
+    # --- called by discovery (discovery.interfaces.ListListener) -------------------
 
     def endpoints_listed(self, form: ListForm, update: ServerList) -> None:
-        """Take in an endpoint list, or the changes of one."""
+        """Apply an endpoint list, which is complete or has only the entries that changed."""
         self.driver.endpoints_listed(form, update)
         if self.member is not None:
             self.member.listed(self._loop.time())
 
     def discovery_failed(self) -> None:
-        """Take note that a poll failed or was rejected, or that its watch has ended."""
+        """Handle that a call to discovery failed or was rejected, or that the watch on it ended."""
         self.driver.discovery_failed()
         if self.member is not None:
             self.member.listed(self._loop.time())
 
-    # --- called by the membership (agent.member.Process) --------------------------
+    # --- called by the fleet membership (agent.member.Process) --------------------
 
     def steer(self, steer: Steer) -> None:
-        """Select servers by this steering plan from now on."""
+        """Apply a new steering plan to the selection of servers."""
         self.driver.steer(steer)
 
     def endpoint_list(self) -> EndpointList:
-        """Return the endpoint list; there is one wherever this process is a member of a fleet."""
-        endpoints = self.discovery.endpoints()
-        assert endpoints is not None
-        return endpoints
+        """Return the current endpoint list; every process that is a member of a fleet has one."""
+        current_list = self.discovery.endpoints()
+        assert current_list is not None
+        return current_list
 
     @property
     def list_version(self) -> int:
-        """The version of the endpoint list."""
+        """The version of the current endpoint list."""
         return self.discovery.version
 
     def reopen_list_watch(self) -> None:
-        """Ask for the endpoint list anew: what tells of changes has fallen behind."""
+        """Open the watch on the endpoint list again, because its changes have fallen behind."""
         self.discovery.reopen()
 
     @property
     def configuration(self) -> Config:
         """The configuration in use."""
-        return self._running
+        return self._current_config
 
     @property
     def classes_in_use(self) -> set[int]:
-        """The slots of classes that requests in flight or clients may still name."""
+        """The profile slots of request classes that requests in flight or clients may still use."""
         return self.driver.request_classes | self.inbound.request_classes
 
     def apply_configuration(self, configuration: Config) -> None:
-        """Use another configuration from now on; raises `ConfigError` if it can't replace the present one."""
-        plan = reload.plan_reload(self._running, configuration, self.classes_in_use)
+        """Apply another configuration; raise `ConfigError` if it can't replace the current one."""
+        plan = reload.plan_reload(self._current_config, configuration, self.classes_in_use)
         for name in plan.pending_restart:
             log.warning(
-                "reload: a setting keeps its value", key=name, action="restart the process to change it"
+                "reload: a changed setting needs a restart, the old value stays in use",
+                key=name,
+                action="restart the process to apply the new value",
             )
-        longest_ms, self._running = self._longest_deadline_ms(), plan.config
-        self.driver.reload(self._running, plan.same_classes)
-        self.pool.reload(self._running)
-        self.inbound.reload(self._running.names, longest_ms)
-        self.discovery.move(self._running.discovery, self._running.registry)
+        longest_deadline_ms, self._current_config = self._longest_deadline_ms(), plan.config
+        self.driver.reload(self._current_config, plan.same_classes)
+        self.pool.reload(self._current_config)
+        self.inbound.reload(self._current_config.names, longest_deadline_ms)
+        self.discovery.move(self._current_config.discovery, self._current_config.registry)
 
     # --- startup, reload and shutdown -----------------------------------------------
 
     async def start(self) -> Address:
-        """Start to serve clients; return the address that they connect to.
+        """Start to serve clients; return the address that clients connect to.
 
-        The endpoint list of the configuration is in use before the first request. Raises `OSError` if an
-        address can't be had. After cancelling, `close` is to be called.
+        The endpoint list of the configuration is in use before the first request. Raise `OSError` if the
+        sidecar can't listen on an address. If this method is cancelled, the caller has to call `close`.
         """
         await retry_while_exhausted(self._listen_to_operators)
         await retry_while_exhausted(lambda: self.peers.listen(self._loop))
@@ -146,12 +151,14 @@
         self.discovery.start()
         if self.member is not None:
             self.member.agent.start()
-        if self._share_machine():
+        if self._update_descriptor_share():
             log.info("another process of this sidecar is running, waiting for the endpoint list")
-            # The other process detects this one at its next check, and reduces its limits then.
-            await asyncio.gather(self.discovery.first_answer(FIRST_LIST_S), asyncio.sleep(HANDOVER_POLL_S))
+            # The other process detects this one at its next check, and reduces its limits at that time.
+            await asyncio.gather(
+                self.discovery.first_answer(FIRST_LIST_TIMEOUT_S), asyncio.sleep(HANDOVER_POLL_S)
+            )
         else:
-            await self.discovery.first_call(FIRST_CALL_S)
+            await self.discovery.first_call(FIRST_CALL_TIMEOUT_S)
         address = await retry_while_exhausted(self._listen_to_clients)
         self.lifecycle.serve()
         if self._reload_due:
@@ -159,58 +166,63 @@
         return address
 
     async def _listen_to_operators(self) -> None:
-        if self._running.operator is not None:
-            self.admin.listen(self._running.operator)
+        if self._current_config.operator is not None:
+            self.admin.listen(self._current_config.operator)
 
     async def _listen_to_clients(self) -> Address:
-        return self.inbound.listen(self._running.listen, self._running.inherited_descriptor)
+        return self.inbound.listen(self._current_config.listen, self._current_config.inherited_descriptor)
+
+    def _update_descriptor_share(self) -> bool:
+        """Limit this process to half of the descriptors while another process of this sidecar runs.
 
-    def _share_machine(self) -> bool:
-        """Use half of the machine while another process of this sidecar runs; return whether one does."""
+        Return whether another process runs. The check is repeated every `HANDOVER_POLL_S`.
+        """
         if self.handover is None:
             return False
-        shares = self.handover.other_process_runs()
-        if shares != self._shares_machine:
-            self._shares_machine = shares
-            part = 0.5 if shares else 1.0
-            self.pool.set_descriptor_share(part)
-            self.inbound.share(part)
-        self._handover_timer = self._loop.call_later(HANDOVER_POLL_S, self._share_machine)
-        return shares
+        other_runs = self.handover.other_process_runs()
+        if other_runs != self._shares_descriptors:
+            self._shares_descriptors = other_runs
+            share = 0.5 if other_runs else 1.0
+            self.pool.set_descriptor_share(share)
+            self.inbound.share(share)
+        self._handover_timer = self._loop.call_later(HANDOVER_POLL_S, self._update_descriptor_share)
+        return other_runs
 
     def reload(self, environment: Mapping[str, str]) -> None:
-        """Read the configuration file again, and use it completely or not at all.
+        """Read the configuration file again and apply it, completely or not at all.
 
-        The address of discovery comes from the file alone: the environment is still that of the start. During
-        startup the reload is deferred until its end.
+        The address of discovery is read only from the file, because the environment is still the one of the
+        process's start. During startup, the reload is deferred until startup has ended.
         """
         if self.lifecycle.state is ProcessState.STARTING:
             self._reload_due = True
             return
         try:
-            file = config.load({**environment, "NODE_DISCOVERY": ""})
-            self.apply_configuration(file if self.member is None else self.member.over(file))
+            file_config = config.load({**environment, "NODE_DISCOVERY": ""})
+            self.apply_configuration(file_config if self.member is None else self.member.over(file_config))
         except ConfigError as error:
             log.warning(
-                "reload: nothing is changed", reason=error, action="fix the file and send SIGHUP again"
+                "reload: configuration rejected, nothing is changed",
+                reason=error,
+                action="fix the file and send SIGHUP again",
             )
             return
         if self.member is not None:
-            self.member.file_read(file)
-        log.info("reload: done", classes=", ".join(self._running.names.classes))
+            self.member.file_read(file_config)
+        log.info("reload: new configuration in use", classes=", ".join(self._current_config.names.classes))
 
     def _longest_deadline_ms(self) -> float:
-        """Return the longest deadline of the present classes.
+        """Return the longest deadline of the current request classes, in milliseconds.
 
-        Classes that a reload removed don't count: the time until SIGKILL does not depend on them.
+        Classes that a reload has removed don't count, since the time until SIGKILL does not depend on them.
         """
-        slots = {found.slot for found in self._running.names.classes.values()}
-        return max(self._running.settings.profiles[slot].deadline for slot in slots)
+        slots = {request_class.slot for request_class in self._current_config.names.classes.values()}
+        return max(self._current_config.settings.profiles[slot].deadline for slot in slots)
 
     async def drain(self) -> None:
-        """Shut down gracefully: answer the requests of all clients, and close their connections.
+        """Shut down gracefully: answer the requests of all clients and close the clients' connections.
 
-        After cancelling, `close` closes what is still open.
+        If this method is cancelled, connections stay open until `close` is called.
         """
         self.lifecycle.stop()
         log.info("graceful shutdown: finishing the requests in flight", requests=self.driver.in_flight)
@@ -219,11 +231,11 @@
             self.inbound,
             self.driver,
             longest_deadline_ms=self._longest_deadline_ms(),
-            inherited=self._running.inherited_descriptor is not None,
+            inherited=self._current_config.inherited_descriptor is not None,
         )
 
     def close(self) -> None:
-        """Close all sockets, even with requests in flight, and release the locks."""
+        """Close all sockets, even if requests are in flight, and release the locks."""
         log.info("exiting", requests_in_flight=self.driver.in_flight)
         self.admin.close()
         self.inbound.close()
--- a/brassfall/sidecar/servers/server_connection.py
+++ b/brassfall/sidecar/servers/server_connection.py
@@ -120,7 +120,7 @@
         self._body: Body | None = None  # Large request body that is not written completely
         # Timer that ends the buffering of an answer of unknown length.
         self._hold_timer: asyncio.TimerHandle | None = None
-        self._silence_timer: asyncio.TimerHandle | None = None  # Timer that checks a streamed answer for progress
+        self._silence_timer: asyncio.TimerHandle | None = None  # Timer that detects a stalled answer
         self._write_timer: asyncio.TimerHandle | None = None  # Timer that ends a stalled write of a body
         self._last_read = 0.0  # Event loop time of the last read from the server, in seconds
         self._reused = False  # True if the connection has carried an exchange before the current one
--- a/tests/sidecar/test_configuration.py
+++ b/tests/sidecar/test_configuration.py
@@ -180,4 +180,4 @@
         made.reload({"NODE_CONFIG": str(path)})
         said = capsys.readouterr().err
         assert made.configuration is before
-        assert len(said.splitlines()) == 1 and str(path) in said and "nothing is changed" in said
+        assert len(said.splitlines()) == 1 and str(path) in said and "configuration rejected, nothing is changed" in said
--- a/tests/sidecar/test_upgrade.py
+++ b/tests/sidecar/test_upgrade.py
@@ -117,7 +117,7 @@
     await old.start()
     whole = old.inbound.limits.open, old.inbound.budget.limit
     assert whole[1] == 10 * 2**20
-    monkeypatch.setattr("brassfall.sidecar.lifecycle.sidecar.FIRST_LIST_S", 0.0)
+    monkeypatch.setattr("brassfall.sidecar.lifecycle.sidecar.FIRST_LIST_TIMEOUT_S", 0.0)
     await new.start()
     await until(lambda: old.inbound.limits.open < whole[0])
     held = 2 * 24
