--- a/brassfall/sidecar/body.py
+++ b/brassfall/sidecar/body.py
@@ -1,7 +1,7 @@
-"""A request body that is too large to be buffered completely: it flows from the client to one server.
+"""A request body that is too large to be buffered completely and is streamed from the client to a server.
 
-Its beginning, up to `MAX_BUFFERED_BYTES` bytes, is buffered until a server has been chosen, and can be sent
-again to another server. Once more than that has been sent, it can't be.
+The beginning of the body, up to `MAX_BUFFERED_BYTES` bytes, is buffered until a server is selected, and can
+be sent again to another server. Once more than the beginning has been sent, the body can't be sent again.
 """
 
 from __future__ import annotations
@@ -9,61 +9,63 @@
 from collections.abc import Callable
 from typing import Protocol
 
-MAX_BUFFERED_BYTES = 64 * 1024  # bytes of a message that are buffered, and can be sent again
-# Bytes of a large message in memory at a time: the buffer and one read.
+MAX_BUFFERED_BYTES = 64 * 1024  # Largest part of a message that is buffered and can be sent again
+# Largest part of a large message in memory at a time: the buffered part and one read from the socket.
 MAX_STREAMING_BYTES = 2 * MAX_BUFFERED_BYTES
 LAST_CHUNK = b"0\r\n\r\n"
 
 
 class MemoryBudget:
-    """The bytes of messages that this process may hold in memory at a time."""
+    """The limit of memory for messages in this process, in bytes, and how much of it is used."""
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
         self.used = 0
 
     def reserve(self, size: int) -> bool:
-        """Reserve `size` bytes; False, and nothing reserved, if that many are not free."""
+        """Reserve `size` bytes; return False, and reserve nothing, if fewer bytes are free."""
         if self.used + size > self.limit:
             return False
         self.used += size
         return True
 
     def release(self, size: int) -> None:
-        """Free `size` bytes that were reserved."""
+        """Release `size` bytes that were reserved before."""
         self.used -= size
 
 
 class BodySource(Protocol):
-    """The sender of a body: a client's connection."""
+    """The source of a request body: the client's connection."""
 
     def pause(self) -> None:
-        """Stop reading the body, until `resume`."""
+        """Stop reading the body from the client until `resume` is called."""
 
     def resume(self) -> None:
-        """Resume reading the body."""
+        """Resume reading the body from the client."""
 
 
 class BodyWriter(Protocol):
-    """The receiver of a body: a server's connection."""
+    """The destination of a request body: a connection to a server."""
 
     def write_part(self, data: bytes) -> None:
-        """Write a part of the body, with its framing."""
+        """Write a part of the body, including its framing."""
 
     def body_complete(self) -> None:
-        """Take note that the last part has been written."""
+        """Handle that the last part of the body has been written."""
 
 
 class Body:
-    """A large body on its way from a client to a server.
+    """A large request body that is streamed from a client to a server.
 
-    It buffers what no server has received yet, and reads from the client as fast as the server takes it.
+    The body buffers the beginning until a server receives it. After that, it is read from the client as fast
+    as the server takes it.
     """
 
     def __init__(self, source: BodySource, beginning: bytes, length: int | None) -> None:
-        self.length = length  # in bytes; None if it is not known, and sent in chunks
-        self.complete = False  # its last part has come from the client
-        self.beginning_discarded = False  # more has been sent than is buffered: it can't be sent again
+        self.length = length  # Length in bytes; None if it is unknown, and the body is sent in chunks
+        self.complete = False  # True if the last part of the body has arrived from the client
+        # True once more of the body was sent than is buffered, so that the body can't be sent again.
+        self.beginning_discarded = False
         self.on_beginning_discarded: Callable[[], None] = lambda: None
         self._source = source
         self._buffer = bytearray(beginning)
@@ -71,7 +73,7 @@
 
     @property
     def header(self) -> bytes:
-        """The header line of its framing."""
+        """The header line that describes the framing of the body."""
         if self.length is None:
             return b"Transfer-Encoding: chunked\r\n"
         return b"Content-Length: %d\r\n" % self.length
@@ -79,10 +81,13 @@
     # --- from the client -------------------------------------------------------
 
     def feed(self, data: bytes) -> None:
-        """Take a part from the client; call `on_beginning_discarded` at the first one sent unbuffered."""
+        """Process a part of the body from the client: buffer it, or send it if a server receives the body.
+
+        The first part that is sent without being buffered calls `on_beginning_discarded`.
+        """
         writer = self._writer
         if writer is None:
-            if not self.beginning_discarded:  # once it is, no server gets the rest
+            if not self.beginning_discarded:  # Once it is discarded, no server receives the rest of the body
                 self._buffer += data
                 self._source.pause()
             return
@@ -93,7 +98,7 @@
         writer.write_part(self._framed(data))
 
     def end(self) -> None:
-        """Take note that the last part has come from the client, which may send its next request."""
+        """Handle that the last part of the body has arrived; the client may then send its next request."""
         self.complete = True
         self._source.resume()
         if self._writer is not None:
@@ -102,7 +107,7 @@
     # --- to the server ----------------------------------------------------------
 
     def attach(self, writer: BodyWriter) -> None:
-        """Send the body to a server, from its beginning."""
+        """Send the body to a server, starting at its beginning."""
         self._writer = writer
         writer.write_part(self._framed(bytes(self._buffer)))
         if self.complete:
@@ -111,19 +116,19 @@
             self._source.resume()
 
     def detach(self, writer: BodyWriter) -> None:
-        """Send no more to this server; do nothing if another one receives the body by now."""
+        """Stop sending the body to a server; do nothing if another server receives it now."""
         if self._writer is writer:
             self._writer = None
             if not self.complete:
                 self._source.pause()
 
     def pause(self) -> None:
-        """Stop reading from the client: the server takes no more for now."""
+        """Stop reading from the client, because the server takes no more for now."""
         if not self.complete:
             self._source.pause()
 
     def resume(self) -> None:
-        """Resume reading from the client: the server has taken all that was written."""
+        """Resume reading from the client, because the server has taken all bytes written so far."""
         if not self.complete:
             self._source.resume()
 
--- a/brassfall/sidecar/config.py
+++ b/brassfall/sidecar/config.py
@@ -1,4 +1,4 @@
-"""The configuration of a sidecar: read from the environment and a JSON file into typed values."""
+"""The configuration of a sidecar, which is read from the environment and a JSON file into typed values."""
 
 from __future__ import annotations
 
@@ -26,43 +26,48 @@
 )
 from brassfall.sidecar.discovery.endpoint_list import ServerList, parse_list
 
-RESERVED_DESCRIPTORS = 24  # for the log, the loop, discovery, peers and files that are open briefly
-MAX_ADMIN_CONNECTIONS = 8  # at once; with an admin endpoint their descriptors are reserved
+# Number of descriptors reserved for the log, the event loop, discovery, peers and files that are open
+# briefly.
+RESERVED_DESCRIPTORS = 24
+# Limit of open connections to the admin endpoint; descriptors for them are reserved if there is an admin
+# endpoint.
+MAX_ADMIN_CONNECTIONS = 8
 MIB = 2**20
 MAX_FILE_BYTES = 4 * MIB
 DEFAULT_SOCKETS, DEFAULT_MEMORY_MB = 1024, 64.0
-NO_MAX_OPEN = 2**31
+NO_MAX_OPEN = 2**31  # Value of `max_open_requests` that stands for no limit
 DEFAULT_AGREE_MS, MIN_AGREE_MS, MAX_AGREE_MS = 3000.0, 100.0, 600_000.0
-KEYED_CLASS_KEYS = frozenset(("KeyTtl", "Group"))  # keys of a class that bind only keyed classes
+# Keys of a request class that matter only if its requests carry idempotency keys.
+KEYED_CLASS_KEYS = frozenset(("KeyTtl", "Group"))
 
 
 class ConfigError(Exception):
-    """An invalid configuration; its text is one line."""
+    """The configuration is invalid; the text of the error is one line."""
 
-    action = "mend the file or the variable, and start it again, or send SIGHUP to one that runs"
+    action = "correct the file or the variable, and start the sidecar again, or send SIGHUP if it is running"
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """The resources of this sidecar, in one process or, while one replaces another, in two."""
+    """The resources of this sidecar, which two processes share while one replaces the other."""
 
     descriptors: int
-    reserved: int  # descriptors in each process for other uses than connections of clients and servers
-    memory: int  # bytes
+    reserved: int  # Number of descriptors in each process that connections to clients and servers can't use
+    memory: int  # Memory for messages, in bytes
 
-    def connections(self, part: float) -> int:
-        """Return how many connections a process may have that has this part of all descriptors."""
-        return max(4, int(self.descriptors * part) - self.reserved)
+    def connections(self, share: float) -> int:
+        """Return how many connections a process may have that gets a share of all descriptors."""
+        return max(4, int(self.descriptors * share) - self.reserved)
 
 
 @dataclass(frozen=True, slots=True)
 class Agreement:
-    """The part of this sidecar in the configuration revisions, by the key `fleet.agreement`."""
+    """How this sidecar takes part in configuration revisions, from the key `fleet.agreement`."""
 
     agree_ms: float
-    group: str  # the group of its clients
-    region: str  # the region near it
-    raw: Mapping[str, Any]  # the file, which revisions are merged into
+    group: str  # Group that the clients of this sidecar belong to
+    region: str  # Region that this sidecar is in or near
+    raw: Mapping[str, Any]  # Parsed JSON of the configuration file, into which revisions are merged
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,10 +76,11 @@
 
     name: str
     listen: Address
-    inherited_descriptor: int | None  # the descriptor of the listening socket, where the platform holds it
-    operator: Address | None  # of the admin endpoint
+    # Descriptor of a listening socket that the platform opened; None if none.
+    inherited_descriptor: int | None
+    operator: Address | None  # Address of the admin endpoint; None if there is no admin endpoint
     discovery: Address
-    registry: tuple[Address, ...]  # the addresses of the list service; none without the key `fleet`
+    registry: tuple[Address, ...]  # Addresses of the list service; empty without the key `fleet`
     seed: int
     limits: Limits
     peer_listen: Address | None
@@ -84,13 +90,13 @@
     settings: Settings
     names: WireNames
     max_open_requests: int
-    drain_grace: float
-    present_keys: frozenset[str]  # the keys of the file
+    drain_grace: float  # Milliseconds in which requests to a draining server may still be started
+    present_keys: frozenset[str]  # Keys that the configuration file has
     agreement: Agreement | None = None
 
 
 def load(environment: Mapping[str, str]) -> Config:
-    """Return the configuration from the file that the environment names; raise `ConfigError` if invalid."""
+    """Read the configuration from the file that the environment names; raise `ConfigError` if invalid."""
     path = environment.get("NODE_CONFIG")
     if not path:
         message = "NODE_CONFIG is not set"
@@ -106,9 +112,9 @@
 
 
 def _text(path: str) -> str:
-    """Return the text of the file.
+    """Return the text of the configuration file; raise `ValueError` if it is too large or no regular file.
 
-    Guards against a pipe or a device, which would block a process that serves, or fill its memory.
+    A pipe or a device could block a process that serves clients, or fill its memory.
     """
     with open(path, "rb", opener=lambda name, flags: os.open(name, flags | os.O_NONBLOCK)) as file:
         if not stat.S_ISREG(os.fstat(file.fileno()).st_mode):
@@ -122,9 +128,9 @@
 
 
 def parse(raw: object, environment: Mapping[str, str]) -> Config:
-    """Return the configuration from its JSON; for addresses the environment takes precedence.
+    """Return the configuration from its parsed JSON; addresses in the environment take precedence.
 
-    Raise one of `MALFORMED_ERRORS` if it is invalid.
+    Raise one of `MALFORMED_ERRORS` if the configuration is invalid.
     """
     root = as_object(raw)
     settings = _object(root, "settings", needed=True)
@@ -158,15 +164,15 @@
 
 
 def _object(raw: Mapping[str, Any], key: str, *, needed: bool = False) -> Mapping[str, Any]:
-    """Return a member that is an object; an optional one that is missing counts as empty."""
-    part = raw[key] if needed else raw.get(key)
-    return {} if part is None and not needed else as_object(part, key)
+    """Return the object under a key; an object that is missing and not `needed` counts as empty."""
+    value = raw[key] if needed else raw.get(key)
+    return {} if value is None and not needed else as_object(value, key)
 
 
-def _address(raw: Mapping[str, Any], key: str, instead: str | None = None) -> Address | None:
-    """Return the address in `instead`, from the environment, or else in a member; None if in neither."""
-    text = instead or raw.get(key)
-    with error_prefix(_variable(key) if instead else key):
+def _address(raw: Mapping[str, Any], key: str, from_environment: str | None = None) -> Address | None:
+    """Return the address from the environment, or else the one under a key; None if there is neither."""
+    text = from_environment or raw.get(key)
+    with error_prefix(_variable(key) if from_environment else key):
         return resolvable_address(text) if text else None
 
 
@@ -179,7 +185,7 @@
 
 
 def _variable(key: str) -> str:
-    """Return the environment variable that takes precedence over a key."""
+    """Return the name of the environment variable that takes precedence over a key of the file."""
     return f"NODE_{key.upper()}"
 
 
@@ -213,30 +219,36 @@
 
 
 def _present_keys(raw: Mapping[str, Any]) -> frozenset[str]:
-    """Return the keys that a configuration has: those of its objects, and those that all classes have.
+    """Return the keys that a configuration has, as dotted paths.
 
-    Keys that bind only keyed classes count if all keyed classes have them.
+    These are the keys of its objects, and the keys that all request classes have. A key in `KEYED_CLASS_KEYS`
+    counts if all keyed classes have it.
     """
     settings = raw["settings"]
-    parts = {"": raw, "settings.": settings}
-    parts |= {f"{name}.": part for name, part in settings.items() if isinstance(part, Mapping)}
-    found = {f"{at}{key}" for at, part in parts.items() for key, value in part.items() if value is not None}
+    objects = {"": raw, "settings.": settings}
+    objects |= {f"{name}.": value for name, value in settings.items() if isinstance(value, Mapping)}
+    keys_of_objects = {
+        f"{prefix}{key}"
+        for prefix, members in objects.items()
+        for key, value in members.items()
+        if value is not None
+    }
     rows = settings["Profiles"]
-    keyed = [row for row in rows if row["Semantics"] == "token"]
-    keys = (_keys_of_all(rows) - KEYED_CLASS_KEYS) | (_keys_of_all(keyed) & KEYED_CLASS_KEYS)
-    return frozenset(found | {f"Profiles.{key}" for key in keys})
+    keyed_rows = [row for row in rows if row["Semantics"] == "token"]
+    class_keys = (_common_keys(rows) - KEYED_CLASS_KEYS) | (_common_keys(keyed_rows) & KEYED_CLASS_KEYS)
+    return frozenset(keys_of_objects | {f"Profiles.{key}" for key in class_keys})
 
 
-def _keys_of_all(rows: list[Mapping[str, Any]]) -> set[str]:
-    keys = [{key for key, value in row.items() if value is not None} for row in rows]
-    return set.intersection(*keys) if keys else set()
+def _common_keys(rows: list[Mapping[str, Any]]) -> set[str]:
+    keys_by_row = [{key for key, value in row.items() if value is not None} for row in rows]
+    return set.intersection(*keys_by_row) if keys_by_row else set()
 
 
 def _registry(raw: Mapping[str, Any]) -> tuple[Address, ...]:
-    """Return the addresses of the list service, from the object `fleet`; none without that."""
+    """Return the addresses of the list service from the object `fleet`; return none if it is missing."""
     if raw.get("fleet") is None:
         return ()
-    fleet = _known_keys("fleet", raw["fleet"], {"registry", "sharing", "place", "agreement"})
+    fleet = _object_with_keys("fleet", raw["fleet"], {"registry", "sharing", "place", "agreement"})
     addresses = fleet["registry"]
     if not isinstance(addresses, list) or not addresses:
         message = "fleet.registry: expected a list of addresses"
@@ -246,15 +258,15 @@
 
 
 def _agreement(raw: Mapping[str, Any]) -> Agreement | None:
-    """Return the part in the configuration revisions, from the object `fleet`; None if it has none."""
+    """Return the object `fleet.agreement`; None if this sidecar takes no part in configuration revisions."""
     fleet = raw.get("fleet") or {}
-    place = _known_keys("fleet.place", fleet.get("place") or {}, {"group", "region"})
+    place = _object_with_keys("fleet.place", fleet.get("place") or {}, {"group", "region"})
     if fleet.get("agreement") is None:
         return None
-    agreement = _known_keys("fleet.agreement", fleet["agreement"], {"agree_ms"})
+    agreement = _object_with_keys("fleet.agreement", fleet["agreement"], {"agree_ms"})
     agree_ms = non_negative_number(agreement.get("agree_ms", DEFAULT_AGREE_MS))
     if not MIN_AGREE_MS <= agree_ms <= MAX_AGREE_MS:
-        message = f"fleet.agreement.agree_ms: expected {MIN_AGREE_MS:g} to {MAX_AGREE_MS:g}"
+        message = f"fleet.agreement.agree_ms: expected {MIN_AGREE_MS:g} to {MAX_AGREE_MS:g} milliseconds"
         raise ValueError(message)
     return Agreement(
         agree_ms=agree_ms,
@@ -264,13 +276,13 @@
     )
 
 
-def _known_keys(name: str, part: object, known: set[str]) -> Mapping[str, Any]:
-    """Return an object; raise `ValueError` if it is none, or has keys that are not known."""
-    found = as_object(part, name)
-    if unknown := sorted(found.keys() - known):
-        message = f"{name}.{unknown[0]}: not known"
+def _object_with_keys(name: str, value: object, allowed: set[str]) -> Mapping[str, Any]:
+    """Return the object `name`; raise `ValueError` if it is no object or has a key that is not allowed."""
+    members = as_object(value, name)
+    if unknown := sorted(members.keys() - allowed):
+        message = f"{name}.{unknown[0]}: unknown key"
         raise ValueError(message)
-    return found
+    return members
 
 
 def _descriptor(environment: Mapping[str, str], variable: str) -> int | None:
@@ -278,16 +290,20 @@
     if not text:
         return None
     if not (text.isascii() and text.isdigit()):
-        message = f"{variable}: {text!r} is not a descriptor"
+        message = f"{variable}: {text!r} is not the number of a descriptor"
         raise ValueError(message)
     return int(text)
 
 
 def _limits(raw: Mapping[str, Any], *, admin_endpoint: bool) -> Limits:
-    """Return what the configuration and the system allow."""
+    """Return the limits of resources that the configuration and the operating system allow."""
     limits = _object(raw, "limits")
     reserved = RESERVED_DESCRIPTORS + (MAX_ADMIN_CONNECTIONS + 1 if admin_endpoint else 0)
-    allowed = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-    given = int(bounded_number(limits.get("sockets", DEFAULT_SOCKETS), "limits.sockets"))
+    system_limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+    configured = int(bounded_number(limits.get("sockets", DEFAULT_SOCKETS), "limits.sockets"))
     memory = int(bounded_number(limits.get("memory_mb", DEFAULT_MEMORY_MB), "limits.memory_mb") * MIB)
-    return Limits(descriptors=given if allowed < 0 else min(given, allowed), reserved=reserved, memory=memory)
+    return Limits(
+        descriptors=configured if system_limit < 0 else min(configured, system_limit),
+        reserved=reserved,
+        memory=memory,
+    )
--- a/brassfall/sidecar/config_values.py
+++ b/brassfall/sidecar/config_values.py
@@ -1,6 +1,6 @@
-"""The values of configuration files and endpoint lists: addresses, names, and checks of single values.
+"""Values in configuration files and endpoint lists: addresses, names, and checks of single values.
 
-The checks raise `ValueError`, or another of `MALFORMED_ERRORS`, whose text names the invalid value.
+The checks raise `ValueError` or another of `MALFORMED_ERRORS`, with a text that names the invalid value.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 from hashlib import blake2b
 from typing import Any, NamedTuple
 
-NUMBERS_BELOW = 2**53  # integers up to here are exact in JSON
-PORTS_BELOW = 2**16
+NUMBERS_BELOW = 2**53  # Upper limit of numbers: integers below it are exact in JSON
+PORTS_BELOW = 2**16  # Upper limit of port numbers
 
 
 class Address(NamedTuple):
-    """Where to listen or connect."""
+    """The address of a listening socket, as a host and a port."""
 
     host: str
     port: int
@@ -25,16 +25,16 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A class as requests name it: its slot in the settings and the method that it requires."""
+    """A request class: its slot in the settings and the HTTP method that its requests must have."""
 
-    slot: int  # its index in the settings' profiles; a reload keeps it
+    slot: int  # Index of the class in the settings' profiles, which a reload keeps
     method: str
-    keyed: bool  # whether its requests carry an idempotency key
+    keyed: bool  # True if requests of the class carry an idempotency key
 
 
 @dataclass(frozen=True, slots=True)
 class WireNames:
-    """The names on the wire, each with its index in the settings."""
+    """The names that requests and endpoint lists use, each with its index in the settings."""
 
     classes: Mapping[str, RequestClass]
     tenants: Mapping[str, int]
@@ -43,29 +43,29 @@
 
 
 def stable_number(text: str) -> int:
-    """Return a number below 2^53 for a text, the same in every process.
+    """Return a number below 2^53 for a text, which is the same in every process.
 
-    Guards against `hash()`, which differs between processes: sidecars would disagree on a key.
+    The built-in `hash()` differs between processes, so that sidecars would disagree on the number of a key.
     """
     return int.from_bytes(blake2b(text.encode(), digest_size=8).digest()) % NUMBERS_BELOW
 
 
-# Raised for invalid values; each is logged as one line.
+# Exceptions that the checks of values raise; each is logged as one line.
 MALFORMED_ERRORS = (ValueError, TypeError, KeyError, AttributeError, OverflowError, RecursionError)
 
 
 def malformed_reason(error: Exception) -> str:
-    """Return why a value is invalid, by one of `MALFORMED_ERRORS`."""
+    """Return the reason why a value is invalid, from one of `MALFORMED_ERRORS`."""
     if isinstance(error, KeyError):
         return f"{error.args[0]} is missing"
     if isinstance(error, AttributeError | TypeError):
-        return f"of the wrong type: {error}"
+        return f"value of the wrong type: {error}"
     return str(error)
 
 
 @contextlib.contextmanager
 def error_prefix(key: str) -> Iterator[None]:
-    """Put the key in front of the text of any of `MALFORMED_ERRORS`, and raise it as `ValueError`."""
+    """Re-raise any of `MALFORMED_ERRORS` as a `ValueError` whose text starts with the key."""
     try:
         yield
     except MALFORMED_ERRORS as error:
@@ -74,13 +74,13 @@
 
 
 def read_names(settings: Mapping[str, Any]) -> WireNames:
-    """Return the names in the settings; raise one of `MALFORMED_ERRORS` if they are invalid."""
+    """Return the names in the settings; raise one of `MALFORMED_ERRORS` if a name is invalid."""
     rows = settings["Profiles"]
     with error_prefix("Profiles"):
         class_names = [row["Name"] for row in rows]
     valid = all(isinstance(name, str) and name for name in class_names)
     if len(set(class_names)) < len(class_names) or not valid:
-        message = "Profiles: each class needs a name of its own"
+        message = "Profiles: each request class needs a non-empty name that no other class has"
         raise ValueError(message)
     with error_prefix("Tenants"):
         tenants = _indices(row["Name"] for row in settings.get("Tenants") or ())
@@ -104,19 +104,19 @@
 
 
 def parse_address(text: object) -> Address:
-    """Return the address in `host:port`; raise `ValueError` if it is none."""
-    host, found, port = str(text).rpartition(":")
-    numbered = port.isascii() and port.isdigit() and int(port) < PORTS_BELOW
-    if not (found and host and numbered):
+    """Return the address from a text `host:port`; raise `ValueError` if it is invalid."""
+    host, separator, port = str(text).rpartition(":")
+    port_is_valid = port.isascii() and port.isdigit() and int(port) < PORTS_BELOW
+    if not (separator and host and port_is_valid):
         raise _not_an_address(text)
     return Address(host.strip("[]"), int(port))
 
 
 def resolvable_address(text: object) -> Address:
-    """Return an address to listen at or to call; raise `ValueError` if it is none.
+    """Return an address to listen on or to call; raise `ValueError` if it is invalid.
 
-    Guards against names whose look-up fails by other errors than those of the network. A server with such a
-    name is merely one that can't be connected to.
+    Also reject host names whose look-up would fail with other errors than network errors. Addresses of
+    servers are not checked for this: a server with such a name merely can't be connected to.
     """
     address = parse_address(text)
     try:
@@ -129,11 +129,11 @@
 
 
 def _not_an_address(text: object) -> ValueError:
-    return ValueError(f"{text!r} is not an address")
+    return ValueError(f"{text!r} is not an address in the form host:port")
 
 
 def as_object(value: object, key: str = "") -> Mapping[str, Any]:
-    """Return a JSON object; raise `ValueError` if it is of another type."""
+    """Return a value that is a JSON object; raise `ValueError` if it has another type."""
     if not isinstance(value, Mapping):
         message = f"{key}: expected an object" if key else "expected an object"
         raise ValueError(message)
@@ -141,29 +141,29 @@
 
 
 def bounded_number(value: object, key: str, low: int = 1) -> float:
-    """Return a number from `low` on; raise `ValueError` if it is none."""
+    """Return a number that is at least `low`; raise `ValueError` if it is smaller, too large or no number."""
     if isinstance(value, bool) or not isinstance(value, int | float) or not low <= value < NUMBERS_BELOW:
-        message = f"{key}: {value!r} is not a number from {low} on"
+        message = f"{key}: {value!r} is not a number of at least {low} and below 2^53"
         raise ValueError(message)
     return value
 
 
 def non_negative_number(value: object) -> float:
-    """Return a finite number from 0 on, which may be written as text.
+    """Return a finite number that is at least 0 and may be written as text.
 
-    Raise one of `MALFORMED_ERRORS` if it is none.
+    Raise one of `MALFORMED_ERRORS` if the value is not such a number.
     """
     number = float(_numeric(value))
     if not math.isfinite(number) or number < 0.0:
-        message = f"{value!r} is not a number from 0 on"
+        message = f"{value!r} is not a finite number of at least 0"
         raise ValueError(message)
     return number
 
 
 def to_integer(value: object) -> int:
-    """Return a number, which may be written as text, without its fraction.
+    """Return the integer part of a number, which may be written as text.
 
-    Raise one of `MALFORMED_ERRORS` if it is none.
+    Raise one of `MALFORMED_ERRORS` if the value is not a number.
     """
     return int(_numeric(value))
 
--- a/brassfall/sidecar/framing.py
+++ b/brassfall/sidecar/framing.py
@@ -1,6 +1,6 @@
-"""HTTP/1.1 framing that the client's and the server's side share: headers, answers, and their parser.
+"""HTTP/1.1 framing for connections to clients and to servers: headers, answers and the parser of answers.
 
-Also the state of a connection, as the system knows it. Sizes are in bytes.
+The module also reads the state of a connection from the operating system. Sizes are in bytes.
 """
 
 from __future__ import annotations
@@ -18,15 +18,15 @@
 
 from brassfall.sidecar.body import MAX_BUFFERED_BYTES
 
-MAX_BODY_BYTES = 32 * 1024 * 1024  # of a request
-MAX_HEAD_BYTES = 16 * 1024  # of any message: its head, or its trailers
+MAX_BODY_BYTES = 32 * 1024 * 1024  # Largest request body
+MAX_HEAD_BYTES = 16 * 1024  # Largest head, and largest trailer section, of any message
 OK_STATUS = HTTPStatus.OK.value
-FIRST_FINAL_STATUS = 200  # below are interim answers
+FIRST_FINAL_STATUS = 200  # Lowest status code of a final answer; lower codes are interim answers
 REASONS = {status.value: status.phrase for status in HTTPStatus}
 
-Headers = list[tuple[bytes, bytes]]  # name and value, in the order of the wire
+Headers = list[tuple[bytes, bytes]]  # Names and values of headers, in the order of the message
 
-# Hop-by-hop headers (RFC 9110, 7.6.1), and those of the framing, which each side writes anew.
+# Hop-by-hop headers (RFC 9110, 7.6.1) and headers of the framing, which are not forwarded but written anew.
 HOP_BY_HOP = frozenset(
     (
         b"connection",
@@ -45,36 +45,37 @@
 
 
 def end_to_end(headers: Headers, leave_out: frozenset[bytes] = frozenset()) -> Headers:
-    """Return the end-to-end headers.
+    """Return the end-to-end headers of a message.
 
-    These are all but hop-by-hop ones, those that `Connection` names, and `leave_out`, in lower case.
+    These are all headers except the hop-by-hop headers, the headers that `Connection` names, and the headers
+    in `leave_out`, which are names in lower case.
     """
-    named = {
+    connection_options = {
         part.strip().lower()
         for name, value in headers
         if name.lower() == b"connection"
         for part in value.split(b",")
     }
-    dropped = HOP_BY_HOP | leave_out | named if named else HOP_BY_HOP | leave_out
+    dropped = HOP_BY_HOP | leave_out | connection_options if connection_options else HOP_BY_HOP | leave_out
     return [(name, value) for name, value in headers if name.lower() not in dropped]
 
 
 def origin_form(target: bytes) -> bytes:
-    """Return a request's target in origin form: without the scheme and host of an absolute one."""
+    """Return a request's target in origin form, that is, without the scheme and host of an absolute URL."""
     scheme, found, rest = target.partition(b"://")
     if not found or scheme.lower() not in (b"http", b"https"):
         return target
-    end = min((at for at in (rest.find(b"/"), rest.find(b"?")) if at >= 0), default=len(rest))
-    return rest[end:] if rest[end : end + 1] == b"/" else b"/" + rest[end:]
+    host_end = min((at for at in (rest.find(b"/"), rest.find(b"?")) if at >= 0), default=len(rest))
+    return rest[host_end:] if rest[host_end : host_end + 1] == b"/" else b"/" + rest[host_end:]
 
 
 def header_lines(headers: Iterable[tuple[bytes, bytes]]) -> bytes:
-    """Return headers as lines on the wire, each with its CRLF."""
+    """Return the bytes of header lines, each of which ends with CRLF."""
     return b"".join(b"%b: %b\r\n" % header for header in headers)
 
 
 def serialize_answer(status: int, headers: Headers, body: bytes, *, close: bool) -> bytes:
-    """Return a complete answer; with `close` it announces the end of its connection."""
+    """Return the bytes of a complete answer; `close` adds the header `Connection: close`."""
     return b"HTTP/1.1 %d %b\r\n%bContent-Length: %d\r\n%b\r\n%b" % (
         status,
         REASONS.get(status, "").encode(),
@@ -86,9 +87,10 @@
 
 
 def has_unread_input(transport: asyncio.BaseTransport) -> bool:
-    """Return whether a connection has bytes, or its end, that the loop has not read yet.
+    """Return whether a connection has bytes, or the end of its input, that the event loop has not read yet.
 
-    Return True also if the connection is closed, or if the system can't tell: it must not be used then.
+    Return True also if the connection is closed or its state can't be read: the connection must not be used
+    then.
     """
     sock = transport.get_extra_info("socket")
     if sock is None or sock.fileno() < 0:
@@ -97,65 +99,67 @@
     poll.register(sock.fileno(), select.POLLIN)
     try:
         return bool(poll.poll(0))
-    except OSError:  # no memory for the call
+    except OSError:  # The operating system has no memory for the call
         return True
 
 
 def peer_closed(transport: asyncio.BaseTransport) -> bool:
-    """Return whether the peer has closed or reset a connection, even if bytes before that are unread.
+    """Return whether the peer has closed or reset a connection, even if it has unread bytes.
 
-    Return False if the system can't tell: the loop notices as it reads.
+    Return False if the state can't be read: the event loop detects the end later when it reads.
     """
     sock = transport.get_extra_info("socket")
     if sock is None or sock.fileno() < 0:
         return True
     poll = select.poll()
-    poll.register(sock.fileno(), select.POLLRDHUP)  # a reset is reported in any case
+    poll.register(sock.fileno(), select.POLLRDHUP)  # `poll` reports a reset even if it is not registered
     try:
         return bool(poll.poll(0))
-    except OSError:  # no memory for the call
+    except OSError:  # The operating system has no memory for the call
         return False
 
 
 def unacknowledged_bytes(transport: asyncio.WriteTransport) -> int:
-    """Return how many bytes the peer has not acknowledged, those still buffered included.
+    """Return the number of bytes that the peer has not acknowledged, including the transport's write buffer.
 
-    If the system can't tell, only the buffered ones count.
+    If the operating system's count can't be read, only the bytes in the write buffer count.
     """
-    size = transport.get_write_buffer_size()
+    unacknowledged = transport.get_write_buffer_size()
     sock = transport.get_extra_info("socket")
     with contextlib.suppress(OSError, ValueError):
-        size += int.from_bytes(fcntl.ioctl(sock.fileno(), termios.TIOCOUTQ, bytes(4)), sys.byteorder)
-    return size
+        unacknowledged += int.from_bytes(
+            fcntl.ioctl(sock.fileno(), termios.TIOCOUTQ, bytes(4)), sys.byteorder
+        )
+    return unacknowledged
 
 
 class SharedBufferProtocol(asyncio.BufferedProtocol):
-    """A protocol whose connections all read through one shared buffer of `MAX_BUFFERED_BYTES` bytes.
+    """A protocol whose connections all read into one shared buffer of `MAX_BUFFERED_BYTES` bytes.
 
-    It bounds memory: asyncio would read up to 256 KiB for each connection.
+    The shared buffer bounds the memory: asyncio would read up to 256 KiB for each connection.
     """
 
     _buffer = memoryview(bytearray(MAX_BUFFERED_BYTES))
 
     def get_buffer(self, _sizehint: int) -> memoryview:
-        """Return the buffer, into which the loop reads at once, before it calls `buffer_updated`."""
+        """Return the shared buffer; the event loop reads into it just before it calls `buffer_updated`."""
         return self._buffer
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Take the bytes that the loop has read into the buffer."""
+        """Process the bytes that the event loop has read into the buffer."""
         self.data_received(bytes(self._buffer[:nbytes]))
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes of the peer."""
+        """Process bytes from the peer."""
 
 
 class BadAnswerError(Exception):
-    """A server's answer is not HTTP, or has a head or trailers larger than allowed.
+    """A server's answer is not valid HTTP, or its head or trailers are larger than allowed.
 
-    `reason` tells what is wrong with it.
+    `reason` says what is wrong with the answer.
     """
 
-    action = "look at the server: the attempt counts as broken, and others serve the request"
+    action = "check the server; the attempt counts as failed, and the request may go to another server"
 
     def __init__(self, reason: str) -> None:
         super().__init__(reason)
@@ -163,32 +167,35 @@
 
 
 class AnswerParser:
-    """Parses the answers that come on one connection, one at a time.
+    """Parses the answers on one connection, one at a time.
 
-    `status` is 0 until the head is complete. The body goes to `body`, or to `sink` once that is set.
-    Once `complete` is set, `keep_alive` and `extra` tell whether the connection may be used again.
+    `status` is 0 until the head of the answer is complete. The body is added to `body`, or passed to `sink`
+    once that is set. Once `complete` is True, the connection may be used again if `keep_alive` is True and
+    `extra` is False.
     """
 
     def __init__(self) -> None:
         self._parser = httptools.HttpResponseParser(self)
-        self.extra = False  # bytes came past the answer: the connection must not be used again
+        # True if bytes followed the end of an answer, so that the connection must not be used again.
+        self.extra = False
         self.reset()
 
     def reset(self) -> None:
-        """Discard this answer, and expect the next one."""
+        """Discard the current answer and expect the next one."""
         self.status = 0
         self.headers: Headers = []
         self.body = bytearray()
-        self.sink: Callable[[bytes], None] | None = None  # receives the body in place of `body`
+        self.sink: Callable[[bytes], None] | None = None  # Function that receives the body in place of `body`
         self.complete = False
         self.keep_alive = False
-        self._framed = False  # the head tells where the body ends
-        self._overhead = 0  # bytes since the body last grew: of heads, framing and trailers
+        self._framed = False  # True if the head states where the body ends
+        self._overhead = 0  # Number of bytes of heads, framing and trailers since the body last grew
 
     def feed(self, data: bytes) -> None:
-        """Parse the next bytes.
+        """Parse the next bytes of the answer.
 
-        Raise `BadAnswerError` if they are not HTTP, or if a head or trailers grow past `MAX_HEAD_BYTES`.
+        Raise `BadAnswerError` if the bytes are not valid HTTP, or if a head or trailers exceed
+        `MAX_HEAD_BYTES`.
         """
         self._overhead += len(data)
         try:
@@ -198,43 +205,46 @@
                 raise BadAnswerError(str(error)) from error
             self.extra = True
         if self._overhead > MAX_HEAD_BYTES and not self.complete:
-            message = "the head is too large"
+            message = "the head or the trailers are too large"
             raise BadAnswerError(message)
 
     def end(self) -> bool:
-        """Return whether the answer is complete once the server has closed, as one of unknown length is."""
+        """Return whether the answer is complete now that the server has closed the connection.
+
+        The close ends an answer whose head does not state where its body ends.
+        """
         return self.complete or (self.status >= FIRST_FINAL_STATUS and not self._framed)
 
     def header(self, name: bytes) -> bytes | None:
-        """Return a header's first value, by its name in lower case; None if the header is missing."""
+        """Return the first value of a header, whose name is given in lower case; None if it is missing."""
         return next((value for key, value in self.headers if key.lower() == name), None)
 
     @property
     def length(self) -> int | None:
-        """The length of the body in bytes; None if the head does not tell it."""
+        """The length of the body in bytes; None if the head does not state it."""
         value = self.header(b"content-length")
         return int(value) if value is not None and value.isdigit() else None
 
-    # --- called by the parser -----------------------------------------------
+    # --- called by the HTTP parser -----------------------------------------------
 
     def on_message_begin(self) -> None:
-        """Take note of a second message, which belongs to no request."""
+        """Set `extra` if a second message begins, which answers no request."""
         self.extra = self.extra or self.complete
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header; ignore a trailer."""
+        """Store a header; ignore a trailer."""
         if self.complete or self.status:
             return
-        self.headers.append((name, value.rstrip(b" \t")))  # the parser leaves trailing blanks
+        self.headers.append((name, value.rstrip(b" \t")))  # The parser keeps trailing blanks
         self._framed = self._framed or name.lower() in (b"content-length", b"transfer-encoding")
 
     def on_headers_complete(self) -> None:
-        """Take the status: the head is complete."""
+        """Store the status code, because the head is complete."""
         if not self.complete:
             self.status = self._parser.get_status_code()
 
     def on_body(self, data: bytes) -> None:
-        """Take a part of the body; of an answer that no client gets, only the beginning is buffered."""
+        """Process a part of the body; of an answer not meant for the client, buffer only the beginning."""
         if self.complete:
             return
         self._overhead = 0
@@ -244,13 +254,13 @@
             self.body += data
 
     def on_message_complete(self) -> None:
-        """Complete the answer; skip an interim one (1xx)."""
+        """Mark the answer as complete; discard an interim answer (1xx)."""
         if self.complete:
             return
         if self.status < FIRST_FINAL_STATUS:
             overhead = self._overhead
             self.reset()
-            self._overhead = overhead  # or a server could send interim answers for ever
+            self._overhead = overhead  # Without this, a server could send interim answers without limit
             return
         self.complete = True
         self.keep_alive = self._parser.should_keep_alive()
--- a/tests/sidecar/test_configuration.py
+++ b/tests/sidecar/test_configuration.py
@@ -162,7 +162,7 @@
     env = environment(tmp_path, limits={"sockets": "many"})
     code, said = start_fails(env)
     assert code == 2
-    assert all(part in said for part in (env["NODE_CONFIG"], "limits.sockets", "'many'", "mend the file"))
+    assert all(part in said for part in (env["NODE_CONFIG"], "limits.sockets", "'many'", "correct the file"))
 
 
 @loopback
@@ -180,4 +180,5 @@
         made.reload({"NODE_CONFIG": str(path)})
         said = capsys.readouterr().err
         assert made.configuration is before
-        assert len(said.splitlines()) == 1 and str(path) in said and "configuration rejected, nothing is changed" in said
+        assert len(said.splitlines()) == 1 and str(path) in said
+        assert "configuration rejected, nothing is changed" in said
