--- a/tests/sidecar/conftest.py
+++ b/tests/sidecar/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the sidecar's tests."""
+"""Fixtures for the tests of the sidecar."""
 
 from __future__ import annotations
 
@@ -9,6 +9,6 @@
 
 @pytest.fixture
 def immediate_shutdown(monkeypatch):
-    """A graceful shutdown stops listening at once."""
+    """Make a graceful shutdown stop listening at once."""
     monkeypatch.setattr(shutdown, "LISTEN_S", 0.0)
     monkeypatch.setattr(shutdown, "LAST_ANSWERS_S", 0.0)
--- a/tests/sidecar/test_admin.py
+++ b/tests/sidecar/test_admin.py
@@ -1,4 +1,4 @@
-"""The admin endpoint, and the drain that it controls, of a sidecar in this process."""
+"""The admin endpoint of a sidecar in this process, and the drain that its commands control."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 async def command(sidecar, line):
-    """What the endpoint answers to these bytes, until it closes."""
+    """Send bytes to the admin endpoint; return its reply until it closes the connection."""
     reader, writer = await asyncio.open_connection(*sidecar.admin.address)
     try:
         writer.write(line)
@@ -29,8 +29,8 @@
         writer.transport.abort()
 
 
-async def health(sidecar):
-    """The status of the readiness check, on a connection of its own."""
+async def readiness_status(sidecar):
+    """Return the status code of the readiness check, which is sent on a new connection."""
     app = await App.connect(sidecar.address)
     answer = await app.ask("GET", "/health/ready", X_Call_Class=None)
     app.close()
@@ -38,23 +38,28 @@
 
 
 def test_the_lifecycle_rejects_transitions_before_startup_and_after_a_stop():
-    life, seen = ProcessLifecycle(), []
-    life.on_change(lambda: seen.append(life.state))
-    for change in (life.drain, life.rejoin):
+    lifecycle, states = ProcessLifecycle(), []
+    lifecycle.on_change(lambda: states.append(lifecycle.state))
+    for change in (lifecycle.drain, lifecycle.rejoin):
         with pytest.raises(InvalidTransitionError, match="starting"):
             change()
-    life.serve()
-    life.drain()
-    life.drain()
-    life.rejoin()
-    life.rejoin()
-    life.stop()
-    for change in (life.drain, life.rejoin):
+    lifecycle.serve()
+    lifecycle.drain()
+    lifecycle.drain()
+    lifecycle.rejoin()
+    lifecycle.rejoin()
+    lifecycle.stop()
+    for change in (lifecycle.drain, lifecycle.rejoin):
         with pytest.raises(InvalidTransitionError, match="stopping"):
             change()
-    life.serve()  # the end of a start that was stopped meanwhile
-    assert seen == [ProcessState.SERVING, ProcessState.LAME_DUCK, ProcessState.SERVING, ProcessState.STOPPING]
-    assert not life.ready and not life.accepting
+    lifecycle.serve()  # Has no effect: startup ends after the process was stopped
+    assert states == [
+        ProcessState.SERVING,
+        ProcessState.LAME_DUCK,
+        ProcessState.SERVING,
+        ProcessState.STOPPING,
+    ]
+    assert not lifecycle.ready and not lifecycle.accepting
 
 
 @loopback
@@ -69,17 +74,17 @@
 
 
 @loopback
-async def test_rejections_are_counted_by_reason():
+async def test_local_refusals_are_counted_by_reason():
     async with running(raw=ADMIN) as sidecar:
         app = await App.connect(sidecar.address)
-        assert (await app.ask()).start.split(" ")[1] in ("429", "503")  # no server is known
-        told = (await command(sidecar, b"REFUSALS\n")).decode().split()
-        assert told[0] == "done" and "room=1" in told
-        assert [field.partition("=")[0] for field in told[1:]] == [*RefusalReason]
+        assert (await app.ask()).start.split(" ")[1] in ("429", "503")  # The endpoint list has no server
+        reply = (await command(sidecar, b"REFUSALS\n")).decode().split()
+        assert reply[0] == "done" and "room=1" in reply
+        assert [field.partition("=")[0] for field in reply[1:]] == [*RefusalReason]
 
 
 @loopback
-async def test_an_incomplete_line_is_no_command():
+async def test_a_line_without_its_end_is_not_executed():
     async with running(raw=ADMIN) as sidecar:
         reader, writer = await asyncio.open_connection(*sidecar.admin.address)
         writer.write(b"LAMEDUCK")
@@ -90,7 +95,7 @@
 
 
 @loopback
-async def test_connections_without_a_command_do_not_delay_others():
+async def test_connections_without_a_command_do_not_delay_commands_on_others():
     async with running(raw=ADMIN) as sidecar:
         silent = [
             await asyncio.open_connection(*sidecar.admin.address) for _ in range(3 * MAX_ADMIN_CONNECTIONS)
@@ -98,7 +103,7 @@
         for _, writer in silent[::2]:
             writer.write(b"PI")
         assert await command(sidecar, b"PING\n") == b"done serving\n"
-        assert (await silent[0][0].read()).startswith(b"error")  # the oldest made room
+        assert (await silent[0][0].read()).startswith(b"error")  # The oldest connection was evicted
         assert sidecar.admin.connections <= MAX_ADMIN_CONNECTIONS
         for _, writer in silent:
             writer.transport.abort()
@@ -113,7 +118,7 @@
 
 
 @loopback
-async def test_a_failed_accept_loses_no_command():
+async def test_a_command_is_executed_although_accept_fails_first():
     async with running(raw=ADMIN) as sidecar:
         with Faults() as faults:
             faults.script(
@@ -130,7 +135,7 @@
 
 
 @loopback
-async def test_a_drain_closes_connections_and_serves_clients_that_still_come(monkeypatch):
+async def test_a_drain_closes_idle_connections_and_serves_clients_that_still_connect(monkeypatch):
     monkeypatch.setattr(inbound, "LAME_DUCK_DELAY_S", 0.3)
     release = asyncio.Event()
 
@@ -143,30 +148,30 @@
         busy, idle, used = [await App.connect(sidecar.address) for _ in range(3)]
         busy.send()
         await until(lambda: upstream.seen)
-        assert await health(sidecar) == "200"
+        assert await readiness_status(sidecar) == "200"
         assert await command(sidecar, b"LAMEDUCK\n") == b"done lame duck\n"
-        assert await health(sidecar) == "503"
+        assert await readiness_status(sidecar) == "503"
         assert await command(sidecar, b"LAMEDUCK\n") == b"done lame duck\n"
         assert await command(sidecar, b"PING\n") == b"done lame duck\n"
         for app in (used, await App.connect(sidecar.address)):
             answer = await app.ask()
             assert (answer.body, answer.headers["connection"]) == (b"done", "close")
             assert await app.answer() is None
-        assert await idle.answer() is None  # nothing was asked on it, and it is closed
+        assert await idle.answer() is None  # The connection without a request is closed
         release.set()
         answer = await busy.answer()
         assert (answer.body, answer.headers["connection"]) == (b"done", "close")
         await until(lambda: sidecar.inbound.empty)
 
         assert await command(sidecar, b"REJOIN\n") == b"done serving\n"
-        assert await health(sidecar) == "200"
+        assert await readiness_status(sidecar) == "200"
         app = await App.connect(sidecar.address)
         assert "connection" not in (await app.ask()).headers
         assert (await app.ask()).body == b"done"
 
 
 @loopback
-async def test_a_rejoin_during_a_drain_keeps_connections(monkeypatch):
+async def test_a_rejoin_during_a_drain_keeps_idle_connections_open(monkeypatch):
     monkeypatch.setattr(inbound, "LAME_DUCK_DELAY_S", 0.1)
     async with running(raw=ADMIN) as sidecar:
         idle = await App.connect(sidecar.address)
@@ -179,12 +184,12 @@
 
 
 @loopback
-async def test_a_shutdown_can_not_be_reversed():
+async def test_a_shutdown_rejects_all_admin_commands():
     async with running(raw=ADMIN) as sidecar:
         await command(sidecar, b"LAMEDUCK\n")
-        stopping = asyncio.create_task(sidecar.drain())
+        shutdown = asyncio.create_task(sidecar.drain())
         await until(lambda: sidecar.lifecycle.state is ProcessState.STOPPING)
         for line in (b"REJOIN\n", b"LAMEDUCK\n", b"PING\n"):
             assert await command(sidecar, line) == b"error the process is stopping\n"
-        assert await health(sidecar) == "503"
-        await stopping
+        assert await readiness_status(sidecar) == "503"
+        await shutdown
--- a/tests/sidecar/test_attempts.py
+++ b/tests/sidecar/test_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts on real sockets: what is written where, which outcome each one has, and what it leaves behind."""
+"""Attempts on real sockets: the requests that servers get, the outcomes, and the release of resources."""
 
 from __future__ import annotations
 
@@ -28,18 +28,18 @@
 
 ERROR = b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
 FULL = b"HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
-OVER = b"HTTP/1.1 504 Gateway Timeout\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
-UNMARKED = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
-ENDED = b"HTTP/1.1 200 OK\r\n\r\nuntil the end"
+OVERDUE = b"HTTP/1.1 504 Gateway Timeout\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
+UNMARKED_503 = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
+ENDED_BY_CLOSE = b"HTTP/1.1 200 OK\r\n\r\nuntil the end"
 INTERIM = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
-async def end_early(reader, writer):
+async def close_within_body(reader, writer):
     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\nhalf")
 
 
-async def end_after(reader, writer):
-    writer.write(ENDED)
+async def close_after_body(reader, writer):
+    writer.write(ENDED_BY_CLOSE)
 
 
 @pytest.mark.parametrize(
@@ -47,22 +47,22 @@
     [
         (OK, Outcome.OK, "200"),
         (INTERIM + OK, Outcome.OK, "200"),
-        (end_after, Outcome.OK, "200"),
+        (close_after_body, Outcome.OK, "200"),
         (ERROR, Outcome.ERROR, "502"),
-        (UNMARKED, Outcome.ERROR, "502"),
+        (UNMARKED_503, Outcome.ERROR, "502"),
         (FULL, Outcome.FULL, "502"),
-        (OVER, Outcome.FULL, "502"),
+        (OVERDUE, Outcome.FULL, "502"),
         (break_off, Outcome.RESET, "502"),
-        (end_early, Outcome.RESET, "502"),
+        (close_within_body, Outcome.RESET, "502"),
         (b"no HTTP at all\r\n\r\n", Outcome.RESET, "502"),
     ],
 )
 @loopback
-async def test_each_kind_of_answer_has_its_outcome(reply, outcome, status):
-    async def then_end(reader, writer):
+async def test_each_kind_of_answer_gives_its_outcome_and_status(reply, outcome, status):
+    async def reply_then_close(reader, writer):
         await reply(reader, writer)
 
-    upstream = await Upstream([then_end if callable(reply) else reply]).start()
+    upstream = await Upstream([reply_then_close if callable(reply) else reply]).start()
     balancer = ScriptedBalancer(outcome=failing)
     async with running(upstream, balancer=balancer) as sidecar:
         app = await App.connect(sidecar.address)
@@ -72,7 +72,7 @@
 
 
 @pytest.mark.parametrize(
-    "more",
+    "extra_bytes",
     [
         OK.replace(b"done", b"evil"),
         ERROR,
@@ -81,8 +81,8 @@
     ],
 )
 @loopback
-async def test_bytes_after_an_answer_are_no_part_of_it_and_end_the_connection(more):
-    upstream = await Upstream([OK + more, OK]).start()
+async def test_bytes_after_an_answer_are_ignored_and_the_connection_is_not_reused(extra_bytes):
+    upstream = await Upstream([OK + extra_bytes, OK]).start()
     balancer = ScriptedBalancer(outcome=failing)
     async with running(upstream, balancer=balancer) as sidecar:
         app = await App.connect(sidecar.address)
@@ -94,7 +94,7 @@
 
 
 @loopback
-async def test_a_request_goes_on_unchanged_with_the_time_left_and_its_answer_comes_back_unchanged():
+async def test_request_and_answer_are_forwarded_unchanged_apart_from_the_remaining_budget():
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
@@ -107,7 +107,7 @@
 
 
 @loopback
-async def test_a_refused_connection_is_a_failure_to_connect():
+async def test_a_refused_connection_gives_the_outcome_connect_failed():
     upstream = await Upstream().start()
     balancer = ScriptedBalancer(outcome=failing)
     async with running(upstream, balancer=balancer) as sidecar:
@@ -117,7 +117,7 @@
 
 
 @loopback
-async def test_an_attempt_cancelled_while_it_connects_writes_nothing():
+async def test_an_attempt_cancelled_while_its_connection_opens_is_not_written():
     upstream = await Upstream().start()
     balancer = ScriptedBalancer(
         request=lambda now, arrival: [Send(arrival.request, "s0", 0.0), Cancel(arrival.request, 0)],
@@ -132,7 +132,7 @@
 
 
 @loopback
-async def test_a_timeout_closes_the_connection_and_has_one_outcome():
+async def test_a_timeout_closes_the_connection_and_gives_one_outcome():
     upstream = await Upstream([hang]).start()
     balancer = ScriptedBalancer(
         request=lambda now, arrival: [Send(arrival.request, "s0", 500.0)], outcome=failing
@@ -145,13 +145,13 @@
 
 
 @loopback
-async def test_a_cancelled_attempt_has_one_outcome_and_frees_no_connection_for_others():
+async def test_a_cancelled_attempt_has_one_outcome_and_its_connection_is_not_reused():
     upstream = await Upstream([hang, OK]).start()
 
-    def later(now, number, hop, status, spent, last, report):
+    def retry_unless_ended(now, number, hop, status, spent, last, report):
         return [] if last else [Send(number, "s0", 0.0)]
 
-    balancer = ScriptedBalancer(outcome=later)
+    balancer = ScriptedBalancer(outcome=retry_unless_ended)
     async with running(upstream, balancer=balancer) as sidecar:
         app = await App.connect(sidecar.address)
         app.send()
@@ -159,7 +159,7 @@
         (request,) = sidecar.driver.requests
         sidecar.driver.perform(Cancel(request.id, 0))
         sidecar.driver.perform(Cancel(request.id, 0))
-        # Its time runs out, too, before the outcome is reported.
+        # The attempt also times out before its outcome is reported.
         sidecar.driver.request_lifecycle.attempts.expire(request.attempts[0])
         assert (await app.answer()).body == b"done"
         assert balancer.outcomes() == [(0, Outcome.TIMEOUT, False), (1, Outcome.OK, True)]
@@ -168,7 +168,7 @@
 
 
 @loopback
-async def test_an_attempt_beyond_max_attempts_or_after_the_answer_is_abandoned():
+async def test_an_attempt_beyond_max_attempts_or_after_the_final_answer_is_abandoned():
     upstream = await Upstream([FULL, FULL, FULL, OK]).start()
 
     def retry(now, number, hop, status, spent, last, report):
@@ -187,10 +187,10 @@
 
 @loopback
 async def test_of_two_hedged_attempts_only_the_first_answer_counts():
-    slow = asyncio.Event()
+    release = asyncio.Event()
 
     async def wait(reader, writer):
-        await slow.wait()
+        await release.wait()
         return OK.replace(b"done", b"late")
 
     first, second = await Upstream([wait]).start(), await Upstream([OK]).start()
@@ -200,14 +200,14 @@
     async with running(first, second, balancer=balancer) as sidecar:
         app = await App.connect(sidecar.address)
         assert (await app.ask()).body == b"done"
-        slow.set()
+        release.set()
         await until(lambda: len(balancer.outcomes()) == 2)
         assert balancer.outcomes() == [(1, Outcome.OK, True), (0, Outcome.OK, True)]
         assert (await app.ask()).body in (b"done", b"late")
 
 
 @loopback
-async def test_a_request_on_a_dropped_connection_is_reset_and_not_sent_again_by_the_pool():
+async def test_a_request_on_a_connection_that_breaks_has_the_outcome_reset_and_is_not_resent_by_the_pool():
     upstream = await Upstream([OK, break_off]).start()
     balancer = ScriptedBalancer(outcome=failing)
     async with running(upstream, balancer=balancer) as sidecar:
@@ -218,27 +218,27 @@
         assert len(upstream.seen) == 2
 
 
-# --- what is left after a request -----------------------------------------------------------
+# --- release of resources after a request -----------------------------------------------------------
 
 
 @loopback
-async def test_no_timer_about_a_request_outlasts_it(monkeypatch):
-    """Each would wake the process once more, at the objective, when the request is long answered."""
+async def test_no_timer_of_a_request_is_armed_after_its_release(monkeypatch):
+    """Guards against timers that would wake the process at the objective of a request long answered."""
     upstream = await Upstream([OK, OK, ERROR, OK]).start()
     async with running(upstream, upstream) as sidecar:
         driver, balancer = sidecar.driver, sidecar.driver.balancer
-        loop, step, wanted, armed = asyncio.get_running_loop(), balancer.step, [], []
+        loop, step, requested_timers, armed = asyncio.get_running_loop(), balancer.step, [], []
         call_later = loop.call_later
 
         def recorded_step(now, event):
             actions = step(now, event)
             timers = [action for action in actions if isinstance(action, Timer)]
-            wanted.extend(timer for timer in timers if timer.request is not None)
+            requested_timers.extend(timer for timer in timers if timer.request is not None)
             return actions
 
         def recorded_call(delay, callback, *args):
             handle = call_later(delay, callback, *args)
-            if args and args[0] in wanted:
+            if args and args[0] in requested_timers:
                 armed.append(handle)
             return handle
 
@@ -249,20 +249,21 @@
         for _ in range(5):
             assert (await app.ask()).status == 200
         await until(lambda: not driver.requests)
-        assert len(wanted) >= 5  # the retry after an error has one only where it follows within 1 ms
-        assert len(armed) == len(wanted)
+        # The retry after an error has a timer only if it follows within 1 ms.
+        assert len(requested_timers) >= 5
+        assert len(armed) == len(requested_timers)
         assert all(handle.cancelled() or handle.when() <= loop.time() for handle in armed)
         assert driver.counts.armed_timers == 0
         now = driver.clock.now()
         before = shed_probability(balancer, now)
-        assert not any(step(now, TimerDue(timer.token)) for timer in wanted)
-        assert shed_probability(balancer, now) == before, "a timer that was cancelled would have mattered"
+        assert not any(step(now, TimerDue(timer.token)) for timer in requested_timers)
+        assert shed_probability(balancer, now) == before, "a cancelled timer would have had an effect"
 
 
 @pytest.mark.parametrize("replies", [[OK], [ERROR, OK], [FULL], [*[OK] * 5, hang]])
 @loopback
-async def test_a_request_that_is_over_leaves_nothing_to_the_garbage_collector(replies):
-    """Records that name each other would keep a request's bodies until the collector runs."""
+async def test_a_released_request_is_freed_without_the_garbage_collector(replies):
+    """Guards against reference cycles, which would keep a request's bodies until the collector runs."""
     upstream = await Upstream(list(replies)).start()
     async with running(upstream, upstream) as sidecar:
         app = await App.connect(sidecar.address)
@@ -277,7 +278,7 @@
             app.close()
             await until(lambda: not sidecar.driver.requests and sidecar.driver.idle)
             gc.collect()
-            left = [type(found) for found in gc.garbage]
+            collected_types = [type(item) for item in gc.garbage]
         finally:
             gc.set_debug(0)
             gc.garbage.clear()
@@ -289,11 +290,11 @@
             request_message.RequestMessage,
             Exchange,
         )
-        assert not [kind for kind in left if kind in records]
+        assert not [kind for kind in collected_types if kind in records]
 
 
 @loopback
-async def test_a_timer_about_an_open_request_comes_due_and_a_later_one_is_cancelled_at_its_end():
+async def test_a_timer_of_an_open_request_comes_due_and_a_later_one_is_cancelled_at_its_release():
     upstream = await Upstream([hang]).start()
     balancer = ScriptedBalancer(
         request=lambda now, arrival: [
@@ -318,7 +319,7 @@
 
 
 @loopback
-async def test_load_reports_come_with_outcomes_and_health_checks():
+async def test_load_reports_are_read_from_answers_and_health_checks():
     upstream = await Upstream([OK, b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\ninflight=3"]).start()
     balancer = ScriptedBalancer()
     async with running(upstream, balancer=balancer) as sidecar:
--- a/tests/sidecar/test_configuration.py
+++ b/tests/sidecar/test_configuration.py
@@ -1,4 +1,4 @@
-"""Bad configurations: one line with file, key and reason, and nothing else changes."""
+"""Invalid configurations: the error is one line with file, key and reason, and nothing else changes."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from tests.support.loopback import SETTINGS, entry, listed, loopback
 from tests.support.processes import environment, start_fails
 
-WHOLE = {
+COMPLETE = {
     "name": "n0",
     "listen": "127.0.0.1:0",
     "operator": "127.0.0.1:0",
@@ -28,31 +28,31 @@
     "known": listed(1, entry("s0")),
     "settings": SETTINGS | {"Goal": {"Whole": 0.5, "WorstClass": 0.5}, "Prices": {"cancel": 1.0}},
 }
-VALUES = [
+ODD_VALUES = [
     *("soon", "", "5", "127.0.0.1:x", "a..b:1", "a\x00b:1", "\ud800", "a\nb"),
     *(None, True, False, [], {}, [None], [[]], {"x": 1}, ["x"]),
     *(math.nan, math.inf, -math.inf, 0, -1, -0.5, 1e308, 10**30),
 ]
 
 
-def places(value, at=()):
-    """Where there is something in a configuration."""
-    yield at
+def key_paths(value, path=()):
+    """Yield the path of keys to each value in a configuration."""
+    yield path
     items = value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ()
-    for key, part in items:
-        yield from places(part, (*at, key))
+    for key, item in items:
+        yield from key_paths(item, (*path, key))
 
 
-def put(at, value):
-    """The whole configuration with another value somewhere."""
-    made = copy.deepcopy(WHOLE)
-    if not at:
+def replaced(path, value):
+    """Return the complete configuration with another value at a path of keys."""
+    raw = copy.deepcopy(COMPLETE)
+    if not path:
         return value
-    part = made
-    for key in at[:-1]:
-        part = part[key]
-    part[at[-1]] = value
-    return made
+    parent = raw
+    for key in path[:-1]:
+        parent = parent[key]
+    parent[path[-1]] = value
+    return raw
 
 
 def load(tmp_path, text):
@@ -61,19 +61,21 @@
     return config.load({"NODE_CONFIG": str(path)})
 
 
-@pytest.mark.parametrize("at", list(places(WHOLE)), ids=lambda at: ".".join(map(str, at)) or "all")
-def test_any_value_of_any_key_is_accepted_or_rejected_in_one_line(tmp_path, at):
-    running = config.parse(WHOLE, {})
-    for value in VALUES:
+@pytest.mark.parametrize(
+    "key_path", list(key_paths(COMPLETE)), ids=lambda path: ".".join(map(str, path)) or "all"
+)
+def test_any_value_of_any_key_is_accepted_or_rejected_in_one_line(tmp_path, key_path):
+    running = config.parse(COMPLETE, {})
+    for value in ODD_VALUES:
         try:
-            news = load(tmp_path, json.dumps(put(at, value)))
-            reload.plan_reload(running, news, ())
+            loaded = load(tmp_path, json.dumps(replaced(key_path, value)))
+            reload.plan_reload(running, loaded, ())
         except config.ConfigError as error:
-            assert len(str(error).splitlines()) == 1  # noqa: PT017 - most files are taken
+            assert len(str(error).splitlines()) == 1  # noqa: PT017 - most of the files are valid
 
 
 @pytest.mark.parametrize(
-    ("at", "value", "key"),
+    ("key_path", "value", "key"),
     [
         (("limits", "sockets"), -1, "limits.sockets"),
         (("limits", "sockets"), "many", "limits.sockets"),
@@ -104,12 +106,12 @@
         (("seed",), "\ud800", "seed"),
     ],
 )
-def test_the_error_names_file_and_key(tmp_path, at, value, key):
+def test_the_error_names_file_and_key(tmp_path, key_path, value, key):
     with pytest.raises(config.ConfigError) as caught:
-        load(tmp_path, json.dumps(put(at, value)))
-    said = str(caught.value)
-    assert str(tmp_path / "config.json") in said and key in said
-    assert len(said.splitlines()) == 1
+        load(tmp_path, json.dumps(replaced(key_path, value)))
+    message = str(caught.value)
+    assert str(tmp_path / "config.json") in message and key in message
+    assert len(message.splitlines()) == 1
 
 
 @pytest.mark.parametrize(
@@ -123,24 +125,24 @@
         b'{"a":' * 100_000,
         b"1" * 10_000,
         b" " * (config.MAX_FILE_BYTES + 1),
-        json.dumps(WHOLE).encode() + b"}",
+        json.dumps(COMPLETE).encode() + b"}",
     ],
     ids=range(9),
 )
-def test_a_file_that_is_no_configuration_is_rejected_in_one_line(tmp_path, text):
+def test_a_file_without_a_valid_json_configuration_is_rejected_in_one_line(tmp_path, text):
     with pytest.raises(config.ConfigError) as caught:
         load(tmp_path, text)
-    said = str(caught.value)
-    assert str(tmp_path / "config.json") in said and len(said.splitlines()) == 1 and len(said) < 500
+    message = str(caught.value)
+    assert str(tmp_path / "config.json") in message and len(message.splitlines()) == 1 and len(message) < 500
 
 
 @pytest.mark.parametrize("kind", ["missing", "folder", "pipe", "device", "loop"])
-def test_a_path_that_is_no_regular_file_is_rejected_without_waiting(tmp_path, kind):
+def test_a_path_to_no_regular_file_is_rejected_without_blocking(tmp_path, kind):
     path = tmp_path / kind
     if kind == "folder":
         path.mkdir()
     elif kind == "pipe":
-        os.mkfifo(path)  # nobody writes there: a plain reader would wait for ever
+        os.mkfifo(path)  # The pipe has no writer, so that a blocking open would never return
     elif kind == "device":
         path.symlink_to("/dev/zero")
     elif kind == "loop":
@@ -151,34 +153,35 @@
 
 
 @pytest.mark.parametrize("name", ["NODE_LISTEN", "NODE_DISCOVERY", "NODE_OPERATOR"])
-def test_the_error_names_the_variable_that_replaces_a_key(tmp_path, name):
+def test_the_error_names_the_environment_variable_with_an_invalid_address(tmp_path, name):
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(WHOLE))
+    path.write_text(json.dumps(COMPLETE))
     with pytest.raises(config.ConfigError, match=f"{name}: 'nowhere' is not an address"):
         config.load({"NODE_CONFIG": str(path), name: "nowhere"})
 
 
-def test_a_bad_file_at_startup_exits_with_2_and_names_file_key_and_reason(tmp_path):
+def test_an_invalid_file_at_startup_exits_with_2_and_names_file_key_and_reason(tmp_path):
     env = environment(tmp_path, limits={"sockets": "many"})
-    code, said = start_fails(env)
+    code, output = start_fails(env)
     assert code == 2
-    assert all(part in said for part in (env["NODE_CONFIG"], "limits.sockets", "'many'", "correct the file"))
+    assert all(
+        part in output for part in (env["NODE_CONFIG"], "limits.sockets", "'many'", "correct the file")
+    )
 
 
 @loopback
-async def test_a_bad_file_at_a_reload_changes_nothing_and_is_named(tmp_path, capsys):
-    made = Sidecar(asyncio.get_running_loop(), config.parse(WHOLE, {}))
-    made.lifecycle.serve()
-    before = made.configuration
+async def test_an_invalid_file_at_a_reload_changes_nothing_and_is_named(tmp_path, capsys):
+    sidecar = Sidecar(asyncio.get_running_loop(), config.parse(COMPLETE, {}))
+    sidecar.lifecycle.serve()
+    before = sidecar.configuration
     path = tmp_path / "config.json"
-    for at, value in (
+    for key_path, value in (
         (("known", "endpoints", 0, "weight"), math.nan),
         (("limits", "sockets"), []),
         ((), None),
     ):
-        path.write_text(json.dumps(put(at, value)))
-        made.reload({"NODE_CONFIG": str(path)})
-        said = capsys.readouterr().err
-        assert made.configuration is before
-        assert len(said.splitlines()) == 1 and str(path) in said
-        assert "configuration rejected, nothing is changed" in said
+        path.write_text(json.dumps(replaced(key_path, value)))
+        sidecar.reload({"NODE_CONFIG": str(path)})
+        log = capsys.readouterr().err
+        assert sidecar.configuration is before
+        assert len(log.splitlines()) == 1 and str(path) in log and "nothing is changed" in log
--- a/tests/sidecar/test_pool.py
+++ b/tests/sidecar/test_pool.py
@@ -1,4 +1,4 @@
-"""The pool: which connection carries what, when connections are closed, and draining servers."""
+"""The connection pool: reuse and closing of connections, the connection limit, and draining servers."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 @loopback
-async def test_connections_are_reused_newest_first_and_closed_ones_are_noticed():
+async def test_idle_connections_are_reused_newest_first_and_closed_ones_are_dropped():
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
         one, two = await App.connect(sidecar.address), await App.connect(sidecar.address)
@@ -45,19 +45,19 @@
 
 
 @loopback
-async def test_an_end_that_the_loop_has_not_read_yet_is_seen_before_a_write():
+async def test_a_connection_closed_by_the_server_is_not_usable_before_the_loop_reads_the_end():
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
         await (await App.connect(sidecar.address)).ask()
         (connection,) = sidecar.pool.servers["s0"].idle
         assert connection.usable()
-        # No await from here on: the loop gets no turn to report the end.
+        # No await follows, so that the event loop gets no turn to report the end of the connection.
         upstream.writers[0].get_extra_info("socket").shutdown(socket.SHUT_WR)
         assert not connection.usable()
 
 
 @loopback
-async def test_idle_connections_are_retired_before_the_server_closes_them():
+async def test_idle_connections_are_closed_before_the_server_closes_them():
     upstream = await Upstream([OK]).start()
     limits = {"MaxAttempts": 3, "IdleClose": 400.0}
     async with running(upstream, PolicyLimits=limits) as sidecar:
@@ -73,37 +73,40 @@
 
 @pytest.mark.parametrize("turns", range(6))
 @loopback
-async def test_a_connection_established_during_a_hold_up_counts_as_established(turns):
-    """Otherwise it would count as failed: the server would be blamed, and requests to idle ones refused."""
-    upstream, done = await Upstream([OK]).start(), []
+async def test_a_connection_established_during_a_pause_of_the_process_counts_as_established(turns):
+    """Guards against connects that count as timed out because the process paused.
+
+    The server would be blamed for that, and requests would be refused although servers are idle.
+    """
+    upstream, results = await Upstream([OK]).start(), []
     limits = {"MaxAttempts": 3, "ConnectTimeout": 30.0, "IdleClose": 5000.0}
     pool = pool_of(upstream.address, PolicyLimits=limits)
-    pool.check_health("s0", done.append)
+    pool.check_health("s0", results.append)
     for _ in range(turns):
         await asyncio.sleep(0)
     time.sleep(0.06)
-    await until(lambda: done)
-    assert done[0].outcome == Outcome.OK
+    await until(lambda: results)
+    assert results[0].outcome == Outcome.OK
     pool.close()
     upstream.stop()
 
 
 @loopback
-async def test_a_connection_that_is_never_established_fails_in_time():
-    with socket.create_server(("127.0.0.1", 0), backlog=0) as full:
-        filling = [socket.socket() for _ in range(3)]
-        for sock in filling:
+async def test_a_connection_that_is_never_established_fails_after_the_connect_timeout():
+    with socket.create_server(("127.0.0.1", 0), backlog=0) as listener:
+        queued_sockets = [socket.socket() for _ in range(3)]
+        for sock in queued_sockets:
             sock.setblocking(False)
-            sock.connect_ex(full.getsockname())
-        loop, done = asyncio.get_running_loop(), []
-        address = "{}:{}".format(*full.getsockname())
+            sock.connect_ex(listener.getsockname())
+        loop, results = asyncio.get_running_loop(), []
+        address = "{}:{}".format(*listener.getsockname())
         pool = pool_of(address, PolicyLimits={"ConnectTimeout": 30.0})
-        pool.check_health("s0", done.append)
-        begun = loop.time()
-        await until(lambda: done)
-        assert done[0].outcome == Outcome.CONNECT_FAILED and loop.time() - begun >= 0.03
+        pool.check_health("s0", results.append)
+        started_at = loop.time()
+        await until(lambda: results)
+        assert results[0].outcome == Outcome.CONNECT_FAILED and loop.time() - started_at >= 0.03
         await until(lambda: not pool.opening_count)
-        for sock in filling:
+        for sock in queued_sockets:
             sock.close()
 
 
@@ -126,7 +129,7 @@
 
 
 @loopback
-async def test_a_full_pool_closes_idle_connections_first_and_then_fails_to_connect():
+async def test_at_its_limit_the_pool_closes_an_idle_connection_or_else_fails_to_connect():
     first, second = await Upstream([OK]).start(), await Upstream([OK, hang]).start()
     balancer = ScriptedBalancer(outcome=failing)
     servers = iter(["s0", "s1", "s1", "s1"])
@@ -144,7 +147,7 @@
 
 
 @loopback
-async def test_a_pool_whose_limit_falls_closes_idle_connections():
+async def test_a_lower_connection_limit_closes_idle_connections():
     upstream = await Upstream([OK]).start()
     async with running(upstream, raw={"limits": {"sockets": 64}}) as sidecar:
         apps = [await App.connect(sidecar.address) for _ in range(12)]
@@ -158,8 +161,8 @@
 
 
 @loopback
-async def test_a_sweep_visits_no_more_servers_than_have_idle_connections():
-    """With a list of thousands it would hold up the loop five times a second."""
+async def test_a_sweep_visits_only_servers_with_idle_connections():
+    """Guards against a sweep of thousands of servers, which would block the loop five times a second."""
     upstream = await Upstream([OK]).start()
     async with running(*[upstream] * 50) as sidecar:
         app = await App.connect(sidecar.address)
@@ -180,19 +183,19 @@
 
 @pytest.mark.parametrize("state", ["leaving", "left"])
 @loopback
-async def test_no_request_is_begun_past_the_grace_even_on_a_connection_that_is_being_opened(state):
+async def test_no_request_is_started_after_the_grace_period_even_if_its_connection_was_opening(state):
     upstream = await Upstream([OK]).start()
     balancer = ScriptedBalancer(outcome=failing)
     leaving = servers_of(entry("s0", upstream.address, status=state))
     async with running(upstream, balancer=balancer, Rules={"StopSendingWithin": 0.0}) as sidecar:
 
-        def send_then_hear(now, arrival):
-            # The watch event comes while the attempt waits for its connection.
-            hear = functools.partial(sidecar.pool.update, now, leaving, complete=False)
-            asyncio.get_running_loop().call_soon(hear)
+        def send_then_update(now, arrival):
+            # The watch event arrives while the attempt waits for its connection.
+            update_servers = functools.partial(sidecar.pool.update_servers, now, leaving, complete=False)
+            asyncio.get_running_loop().call_soon(update_servers)
             return [Send(arrival.request, "s0", 0.0)]
 
-        balancer.scripts["request"] = send_then_hear
+        balancer.scripts["request"] = send_then_update
         app = await App.connect(sidecar.address)
         await app.ask()
         assert balancer.outcomes() == [(0, Outcome.CONNECT_FAILED, False)]
@@ -200,7 +203,7 @@
 
 
 @loopback
-async def test_within_the_grace_an_attempt_may_still_be_written():
+async def test_a_request_is_sent_to_a_draining_server_within_the_grace_period():
     upstream = await Upstream([OK]).start()
     async with running(
         upstream, balancer=ScriptedBalancer(), Rules={"StopSendingWithin": 60_000.0}
@@ -212,7 +215,7 @@
 
 
 @loopback
-async def test_a_repeated_watch_event_does_not_prolong_the_grace():
+async def test_a_repeated_watch_event_does_not_extend_the_grace_period():
     upstream = await Upstream([OK]).start()
     pool = pool_of(upstream.address)
     leaving = servers_of(entry("s0", upstream.address, status="leaving"))
@@ -228,7 +231,7 @@
     async with running(upstream, balancer=ScriptedBalancer()) as sidecar:
         app = await App.connect(sidecar.address)
         await app.ask()
-        # A machine that vanished resets nothing: its connections look open until they are used.
+        # A machine that fails sends no resets, so that its connections look open until they are used.
         sidecar.pool.update_servers(
             0.0, servers_of(entry("s0", upstream.address, since_ms=1_790_000_000_000)), complete=False
         )
@@ -237,7 +240,7 @@
 
 
 class AwaitedCall:
-    """A small request that watches its own exchange; `result` has the outcome."""
+    """A small request that observes its own exchange; `result` is a future of the exchange's result."""
 
     body, revision_header = None, b""
 
@@ -258,20 +261,20 @@
 
 
 @loopback
-async def test_nothing_is_written_to_an_incarnation_when_the_next_of_its_name_has_left(monkeypatch):
+async def test_nothing_is_written_to_an_old_incarnation_after_the_next_one_has_left(monkeypatch):
     loop, gate = asyncio.get_running_loop(), asyncio.Event()
     upstream = await Upstream().start()
     connect = loop.create_connection
 
-    async def late(*args):
-        made = await connect(*args)
+    async def connect_and_wait(*args):
+        connected = await connect(*args)
         await gate.wait()
-        return made
+        return connected
 
     def notify(**changes):
         pool.update_servers(0.0, servers_of(entry("s0", upstream.address, **changes)), complete=False)
 
-    monkeypatch.setattr(loop, "create_connection", late)
+    monkeypatch.setattr(loop, "create_connection", connect_and_wait)
     pool = pool_of(upstream.address, Rules={"StopSendingWithin": 500.0})
     call = AwaitedCall()
     pool.send("s0", call, math.inf, call)
--- a/tests/sidecar/test_process.py
+++ b/tests/sidecar/test_process.py
@@ -1,4 +1,4 @@
-"""The program as it is deployed: bad configurations, startup, reload and shutdown."""
+"""The program as it is deployed: invalid configurations, reload, shutdown and lack of descriptors."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
         ({"known": []}, "configuration"),
     ],
 )
-def test_a_bad_configuration_gives_one_line_and_an_exit_status(tmp_path, changes, message):
+def test_an_invalid_configuration_gives_one_line_and_an_exit_status(tmp_path, changes, message):
     assert message in start_fails(environment(tmp_path, **changes))[1]
 
 
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.parametrize("value", ["four", "-1", "0x4", "987", "0", "bound"])
-def test_a_descriptor_that_is_no_listening_socket_gives_one_line(tmp_path, value):
+def test_an_inherited_descriptor_that_is_no_listening_socket_gives_one_line(tmp_path, value):
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         number = str(sock.fileno()) if value == "bound" else value
@@ -45,7 +45,7 @@
 
 
 @loopback
-async def test_sigterm_finishes_requests_and_new_connections_before_the_exit(tmp_path):
+async def test_after_sigterm_open_requests_and_new_connections_are_served_before_the_exit(tmp_path):
     release = asyncio.Event()
 
     async def wait(reader, writer):
@@ -56,9 +56,9 @@
     sidecar = await Process.start(tmp_path, upstream)
     sidecar.app.send()
     await until(lambda: upstream.seen)
-    asked = asyncio.get_running_loop().time()
+    terminated_at = asyncio.get_running_loop().time()
     sidecar.process.send_signal(signal.SIGTERM)
-    late = await App.connect(sidecar.address)  # as new connections go on coming
+    late = await App.connect(sidecar.address)  # Clients still open new connections after SIGTERM
     late.send()
     await until(lambda: len(upstream.seen) == 2)
 
@@ -68,7 +68,7 @@
         except ConnectionError:
             break
         await asyncio.sleep(0.01)
-    assert asyncio.get_running_loop().time() - asked > 0.4
+    assert asyncio.get_running_loop().time() - terminated_at > 0.4
     release.set()
     for app in (sidecar.app, late):
         answer = await app.answer()
@@ -78,13 +78,15 @@
 
 
 @loopback
-async def test_sighup_moves_to_the_discovery_of_the_file_and_ignores_a_bad_file(tmp_path, monkeypatch):
+async def test_sighup_applies_the_discovery_address_of_the_file_and_ignores_an_invalid_file(
+    tmp_path, monkeypatch
+):
     old, new = await Registry().start(), await Registry().start()
     sidecar = await Process.start(tmp_path, variables={"NODE_DISCOVERY": old.address}, discovery=old.address)
     await until(lambda: old.watches)
     path = tmp_path / "config.json"
-    right = json.loads(path.read_text()) | {"discovery": new.address}
-    for text in ("{", json.dumps(right)):
+    valid = json.loads(path.read_text()) | {"discovery": new.address}
+    for text in ("{", json.dumps(valid)):
         path.write_text(text)
         sidecar.process.send_signal(signal.SIGHUP)
         answer = await sidecar.app.ask("GET", "/health/ready", X_Call_Class=None)
@@ -99,14 +101,14 @@
 @loopback
 async def test_a_process_serves_again_after_running_out_of_descriptors(tmp_path):
     upstream = await Upstream([hang]).start()
-    # Told of more descriptors than the system grants: the smaller figure must count.
+    # The configuration allows more descriptors than the system, so that the system's limit must count.
     sidecar = await Process.start(tmp_path, upstream, limit="ulimit -n 64;")
     apps = [await App.connect(sidecar.address) for _ in range(80)]
     for app in apps:
         app.send(X_Budget="400m")
     answers = await asyncio.gather(*(app.answer() for app in apps))
     statuses = [answer.start.split(" ")[1] for answer in answers if answer is not None]
-    assert "503" in statuses  # told so, not cut off
+    assert "503" in statuses  # Clients get an answer instead of a closed connection
     for app in apps:
         app.close()
     upstream.replies = [b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"]
--- a/tests/sidecar/test_upgrade.py
+++ b/tests/sidecar/test_upgrade.py
@@ -150,7 +150,7 @@
     made = []
     for _ in range(2):
         one = sidecar_config(registry=registry.address)
-        one = replace(one, inherited=os.dup(listening.fileno()))
+        one = replace(one, inherited_descriptor=os.dup(listening.fileno()))
         made.append(Sidecar(asyncio.get_running_loop(), one))
     old, new = made
     await old.start()
--- a/tests/support/driver_stubs.py
+++ b/tests/support/driver_stubs.py
@@ -1,4 +1,4 @@
-"""Stand-ins for what the driver knows of clients and servers, for tests without sockets."""
+"""Stubs of a client's request and of the server connections, for tests of the driver without sockets."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 class RecordedCall:
-    """A request (`interfaces.Call`) that keeps every final answer that it is given."""
+    """A request (`interfaces.Call`) that records the answers that the driver gives it."""
 
     request_class, tenant, key, work, client_retry, mutates, budget = 0, 0, None, None, False, False, 4000.0
 
     def __init__(self, large=False):
-        self.reading, self.body, self.given = large, None, []
+        self.reading, self.body, self.answers = large, None, []
 
     def request_bytes(self, left):
         return b""
@@ -24,34 +24,34 @@
         return False
 
     def send_answer(self, answer):
-        self.given.append("served")
+        self.answers.append("served")
 
     def send_rejection(self, retry_after):
-        self.given.append("refused")
+        self.answers.append("refused")
 
     def send_failure(self, late):
-        self.given.append("failed")
+        self.answers.append("failed")
 
     def start_answer(self, answer, flow):
-        self.given.append("begun")
+        self.answers.append("begun")
 
     def continue_answer(self, data):
-        assert self.given[-1] == "begun"
+        assert self.answers[-1] == "begun"
 
     def finish_answer(self):
-        self.given.append("finished")
+        self.answers.append("finished")
 
     def abort_answer(self):
-        self.given.append("broken")
+        self.answers.append("broken")
 
     @property
     def finals(self):
-        """The final answers, without the ends of those that were passed on."""
-        return [given for given in self.given if given not in ("finished", "broken")]
+        """The recorded final answers, without the ends of streamed ones."""
+        return [answer for answer in self.answers if answer not in ("finished", "broken")]
 
 
 class ConnectionStub:
-    """Stands in for a connection to a server (`exchange.ExchangeConnection`)."""
+    """Stub of a connection to a server (`exchange.ExchangeConnection`)."""
 
     def __init__(self, written):
         self.written, self.aborted = written, False
@@ -61,7 +61,10 @@
 
 
 class UpstreamsStub:
-    """Stands in for the pool: the first exchange is the test's, later ones are answered."""
+    """Stub of the connection pool.
+
+    The test controls the first exchange, which begins in `state`; each later exchange gets an OK answer.
+    """
 
     def __init__(self, loop, state):
         self.loop, self.state, self.sent = loop, state, []
@@ -78,7 +81,7 @@
         return exchange
 
     def check_health(self, server, done):
-        raise AssertionError("no health check is asked for")
+        raise AssertionError("the driver must not start a health check here")
 
     def update_servers(self, now, servers, *, complete):
         pass
--- a/tests/support/pools.py
+++ b/tests/support/pools.py
@@ -1,4 +1,4 @@
-"""Pools, and connections of theirs, for tests without a sidecar around them."""
+"""Connection pools and server connections for tests without a sidecar."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from brassfall.sidecar.servers.server_connection import ServerConnection
 from tests.support.loopback import entry, listed, sidecar_config
 
-SMALL_BUFFER = 4096  # bytes that the kernel holds of what is written
+SMALL_BUFFER = 4096  # Size of the kernel's send buffer of a socket, in bytes
 
 
 def servers_of(*entries):
-    """Changes of the endpoint list."""
+    """Return changes of the endpoint list with these entries."""
     return parse_list(listed(42, *entries, snapshot=False), sidecar_config().names)
 
 
 def pool_of(address, **settings):
-    """A pool with one server, s0, at this address."""
+    """Return a connection pool with one server, s0, at an address."""
     loop = asyncio.get_running_loop()
     pool = ConnectionPool(loop, Clock(loop), sidecar_config(**settings))
     pool.update_servers(0.0, servers_of(entry("s0", address)), complete=True)
@@ -30,16 +30,16 @@
 
 @contextlib.asynccontextmanager
 async def slow_connection(pool):
-    """A connection to s0 over a pair of sockets with small buffers, and the far end."""
-    near, far = socket.socketpair()
-    for end in (near, far):
-        end.setblocking(False)
-        end.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL_BUFFER)
+    """Give a connection to s0 over a socket pair with small buffers, and the server's end of the pair."""
+    client_end, server_end = socket.socketpair()
+    for sock in (client_end, server_end):
+        sock.setblocking(False)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL_BUFFER)
     loop = asyncio.get_running_loop()
     _, connection = await loop.create_connection(
-        lambda: ServerConnection(pool, pool.servers["s0"]), sock=near
+        lambda: ServerConnection(pool, pool.servers["s0"]), sock=client_end
     )
     try:
-        yield connection, far
+        yield connection, server_end
     finally:
-        far.close()
+        server_end.close()
