--- a/tests/sidecar/test_answer_boundaries.py
+++ b/tests/sidecar/test_answer_boundaries.py
@@ -1,4 +1,4 @@
-"""Where a server's answer begins and ends: second, stale, endless and truncated answers."""
+"""The boundaries of a server's answers: second, stale, endless and truncated answers."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 @loopback
-async def test_a_second_answer_that_comes_before_the_next_request_is_complete_is_not_taken_for_its_answer():
+async def test_a_second_answer_before_the_next_request_is_complete_is_not_used_as_its_answer():
     upstream = await Upstream([OK]).start()
     balancer = ScriptedBalancer(outcome=failing)
     async with running_until_idle(upstream, balancer=balancer, **never_cancels()) as sidecar:
@@ -51,7 +51,7 @@
 
 
 @loopback
-async def test_an_answer_that_rejects_may_come_before_the_request_is_complete():
+async def test_a_rejection_may_arrive_before_the_request_is_complete():
     upstream = await Upstream([OK]).start()
     balancer = ScriptedBalancer(outcome=failing)
     async with running_until_idle(upstream, balancer=balancer, **never_cancels()) as sidecar:
@@ -66,8 +66,8 @@
 
 
 @loopback
-async def test_a_second_answer_that_comes_to_an_idle_connection_is_seen_before_the_next_request():
-    """Also where the loop has not read it yet, as the next request is written in the same turn."""
+async def test_a_second_answer_on_an_idle_connection_is_detected_before_the_next_request():
+    """The event loop has not read the second answer yet when the next request is due in the same turn."""
     upstream = await Upstream([OK]).start()
     async with running_until_idle(upstream, balancer=ScriptedBalancer(), **never_cancels()) as sidecar:
         app = await App.connect(sidecar.address)
@@ -75,15 +75,15 @@
         server = sidecar.pool.servers["s0"]
         (connection,) = server.idle
         upstream.writers[0].write(STALE)
-        assert not connection.usable()  # no turn of the loop since: it is only in the kernel
+        assert not connection.usable()  # The event loop had no turn, so that the bytes are only in the kernel
         app.send()
         assert (await app.answer()).body == b"done"
         assert [seen.connection for seen in upstream.seen] == [0, 1]
 
 
 @loopback
-async def test_a_connection_that_has_just_given_an_answer_is_not_used_while_another_has_settled():
-    """A second answer that arrives some milliseconds later is recognised on the idle connection."""
+async def test_a_connection_that_has_just_become_idle_is_used_only_if_no_other_has_been_idle_for_longer():
+    """A second answer some milliseconds later is then recognised, because the connection is still idle."""
     upstream = await Upstream([OK]).start()
     async with running_until_idle(upstream, balancer=ScriptedBalancer(), **never_cancels()) as sidecar:
         one, two = await App.connect(sidecar.address), await App.connect(sidecar.address)
@@ -92,14 +92,16 @@
         await one.answer()
         await two.answer()
         idle = sidecar.pool.servers["s0"].idle
-        rested, newest = idle
-        rested.idle_since -= SETTLE_MS
-        newest.idle_since += 60_000.0  # newer for the pool, however slow this test is
-        far = newest.transport.get_extra_info("sockname")
+        settled, newest = idle
+        settled.idle_since -= SETTLE_MS
+        newest.idle_since += 60_000.0  # It stays the newer one for the pool, however slow this test is
+        newest_address = newest.transport.get_extra_info("sockname")
 
         async def second_answer(reader, writer):
-            (spoilt,) = [it for it in upstream.writers if it.get_extra_info("peername") == far]
-            spoilt.write(STALE)
+            (writer_of_newest,) = [
+                each for each in upstream.writers if each.get_extra_info("peername") == newest_address
+            ]
+            writer_of_newest.write(STALE)
             await until(lambda: newest.closed or newest not in sidecar.pool.connections)
             return OK
 
@@ -119,13 +121,13 @@
 
 @pytest.mark.parametrize("kind", NEVER_ENDS)
 @loopback
-async def test_endless_bytes_around_the_body_break_an_answer_off(kind):
-    begin, more = NEVER_ENDS[kind]
+async def test_an_answer_with_endless_bytes_outside_its_body_is_broken_off(kind):
+    beginning, repeated = NEVER_ENDS[kind]
 
     async def endless(reader, writer):
-        writer.write(begin)
+        writer.write(beginning)
         while not writer.is_closing():
-            writer.write(more * 500)
+            writer.write(repeated * 500)
             await writer.drain()
             await asyncio.sleep(0)
 
@@ -142,7 +144,7 @@
 
 
 @loopback
-async def test_trailers_are_no_headers_of_an_answer():
+async def test_trailers_of_an_answer_are_not_used_as_headers():
     chunked = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n"
     upstream = await Upstream([chunked + b"X-Load-Report: inflight=9\r\nX-Other: 1\r\n\r\n"]).start()
     balancer = ScriptedBalancer()
@@ -153,16 +155,16 @@
         assert balancer.named("outcome")[0][-1] is None
 
 
-@pytest.mark.parametrize("passed_on", [False, True])
+@pytest.mark.parametrize("streamed", [False, True])
 @loopback
-async def test_an_answer_without_length_that_is_reset_has_not_ended(monkeypatch, passed_on):
-    """Whether it is still buffered or already being passed on."""
-    monkeypatch.setattr(server_connection, "HOLD_S", 0.0 if passed_on else 60.0)
+async def test_an_answer_without_length_that_ends_by_a_reset_is_incomplete(monkeypatch, streamed):
+    """This holds while the answer is still buffered and while it is streamed."""
+    monkeypatch.setattr(server_connection, "HOLD_S", 0.0 if streamed else 60.0)
 
     async def reset(reader, writer):
         writer.write(b"HTTP/1.1 200 OK\r\n\r\nnot all of it")
-        await until(lambda: any(it.answer_begun for it in sidecar.pool.connections))
-        if passed_on:
+        await until(lambda: any(link.answer_begun for link in sidecar.pool.connections))
+        if streamed:
             await until(lambda: sidecar.driver.counts.streaming_answer)
         writer.transport.get_extra_info("socket").setsockopt(
             socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
@@ -174,19 +176,20 @@
     async with running_until_idle(upstream, balancer=balancer, **never_cancels()) as sidecar:
         app = await App.connect(sidecar.address)
         app.send()
-        got = b""
+        received = b""
         with contextlib.suppress(ConnectionError):
             async with asyncio.timeout(PATIENCE_S):
-                got = await app.reader.read() if passed_on else await app.reader.readuntil(b"\r\n\r\n")
-        assert not (passed_on and got.endswith(b"0\r\n\r\n"))  # the client can tell
-        assert got.startswith(b"HTTP/1.1 200" if passed_on else b"HTTP/1.1 502")
+                received = await app.reader.read() if streamed else await app.reader.readuntil(b"\r\n\r\n")
+        # The client can detect that the streamed answer is incomplete.
+        assert not (streamed and received.endswith(b"0\r\n\r\n"))
+        assert received.startswith(b"HTTP/1.1 200" if streamed else b"HTTP/1.1 502")
         await until(lambda: balancer.outcomes())
         assert [status for _, status, _ in balancer.outcomes()] == [Outcome.RESET]
 
 
 @pytest.mark.parametrize("address", ["a..b:7070", "x" * 64 + ".test:7070"])
 @loopback
-async def test_a_server_with_an_impossible_address_fails_to_connect_at_once(address):
+async def test_a_server_with_an_invalid_host_name_fails_to_connect_at_once(address):
     upstream = await Upstream([OK]).start()
     balancer = ScriptedBalancer(outcome=failing)
     async with running_until_idle(upstream, balancer=balancer, **never_cancels()) as sidecar:
--- a/tests/sidecar/test_hold_up.py
+++ b/tests/sidecar/test_process_pause.py
@@ -1,7 +1,8 @@
-"""A process that is held up for 0.15 s between reading its clock and writing.
+"""A process that pauses for 0.15 s between reading its clock and writing to a socket.
 
-The time left that it passes on to servers, the windows of idempotency keys and the grace of draining servers
-allow for that."""
+The remaining time that it passes on to servers, the windows of idempotency keys and the grace periods of
+draining servers allow for such a pause.
+"""
 
 from __future__ import annotations
 
@@ -32,34 +33,35 @@
 )
 from tests.support.sidecar_views import carry_out
 
-HOLD_UP_MS = 150.0
-SLACK_MS = 150.0  # of the time left that an attempt passes on
-TIME_LEFT = re.compile(rb"X-Budget: (\d+)u\r\n")  # as the sidecar writes it, in us; clients write ms
+PAUSE_MS = 150.0
+SLACK_MS = 150.0  # Time by which the remaining time that is passed on may be too long, in milliseconds
+# Header with the remaining time as the sidecar writes it, in microseconds; clients write milliseconds.
+TIME_LEFT = re.compile(rb"X-Budget: (\d+)u\r\n")
 
 
 @dataclass(frozen=True)
 class Write:
-    """The first bytes of an attempt: when they were really written, and the time left that they state."""
+    """A write of an attempt's first bytes: its time and the remaining time that the bytes state."""
 
     at: float
     left_ms: float
 
 
-class HoldUp(ManualClock):
-    """Holds the process up before each attempt is written: its clock moves on, and no timer runs."""
+class PauseBeforeWrites(ManualClock):
+    """Simulates a process pause before each write of an attempt: the clock advances, no timer fires."""
 
     def __init__(self, monkeypatch, sidecar, app):
-        """All connections of the process have the transport type of `app`'s."""
+        """Patch the transport type of `app`, which all connections of the process use."""
         super().__init__(sidecar)
         self.writes: list[Write] = []
         transport_type = type(app.writer.transport)
-        write_at_once = transport_type.write
+        original_write = transport_type.write
 
         def write(transport, data):
             if found := TIME_LEFT.search(bytes(data)):
-                self.advance(HOLD_UP_MS)
+                self.advance(PAUSE_MS)
                 self.writes.append(Write(self.clock.now(), int(found[1]) / 1000.0))
-            write_at_once(transport, data)
+            original_write(transport, data)
 
         monkeypatch.setattr(transport_type, "write", write)
 
@@ -90,60 +92,62 @@
 @pytest.mark.parametrize("budget_ms", [400, 4000])
 @pytest.mark.parametrize("attempt", ATTEMPTS)
 @loopback
-async def test_an_attempt_passes_on_no_more_time_than_is_left(monkeypatch, attempt, budget_ms):
+async def test_an_attempt_passes_on_at_most_the_remaining_time(monkeypatch, attempt, budget_ms):
     first = await Upstream([break_off if attempt == "a retry" else hang]).start()
     second = await Upstream([OK]).start()
     balancer = ScriptedBalancer(**ATTEMPTS[attempt])
     async with running(first, second, balancer=balancer) as sidecar:
         app = await App.connect(sidecar.address)
-        hold_up = HoldUp(monkeypatch, sidecar, app)
+        pause = PauseBeforeWrites(monkeypatch, sidecar, app)
         app.send(X_Budget=f"{budget_ms}m")
-        await until(lambda: len(hold_up.writes) == (1 if attempt == "the first attempt" else 2))
+        await until(lambda: len(pause.writes) == (1 if attempt == "the first attempt" else 2))
         ((arrival,),) = balancer.named("request")
         deadline = arrival.give_up_at + DEADLINE_MARGIN_MS
-        for write in hold_up.writes:
+        for write in pause.writes:
             assert 0.0 < write.left_ms <= max(0.0, deadline - write.at) + SLACK_MS
         app.close()
 
 
 @pytest.mark.parametrize("before_ms", [400.0, 160.0, 140.0, 60.0, 25.0])
 @loopback
-async def test_a_retry_under_a_key_is_written_within_its_window_or_not_at_all(monkeypatch, before_ms):
-    """It is decided on `before_ms` before the end of the window."""
+async def test_a_retry_is_written_within_its_key_window_or_not_at_all(monkeypatch, before_ms):
+    """The retry is decided `before_ms` before the end of the window."""
     window_ms = 3000.0
-    ends = []
+    window_ends = []
 
     def retry_late(now, number, hop, status, spent, last, report):
         if last or hop:
             return [] if last else [Fail(number)]
-        hold_up.advance(ends[0] - before_ms - now)
-        return [Send(number, "s1", 0.0, ends[0])]
+        pause.advance(window_ends[0] - before_ms - now)
+        return [Send(number, "s1", 0.0, window_ends[0])]
 
-    def first(now, arrival):
-        ends.append(now + window_ms)
+    def send_first(now, arrival):
+        window_ends.append(now + window_ms)
         return [Send(arrival.request, "s0", 0.0)]
 
     upstreams = await Upstream([break_off]).start(), await Upstream([OK]).start()
-    async with running(*upstreams, balancer=ScriptedBalancer(request=first, outcome=retry_late)) as sidecar:
+    async with running(
+        *upstreams, balancer=ScriptedBalancer(request=send_first, outcome=retry_late)
+    ) as sidecar:
         app = await App.connect(sidecar.address)
-        hold_up = HoldUp(monkeypatch, sidecar, app)
+        pause = PauseBeforeWrites(monkeypatch, sidecar, app)
         app.send("POST", "/book")
         answer = await app.answer()
         app.close()
-    assert all(write.at < ends[0] for write in hold_up.writes)
-    written = before_ms > HOLD_UP_MS
-    assert len(hold_up.writes) == 1 + written
+    assert all(write.at < window_ends[0] for write in pause.writes)
+    written = before_ms > PAUSE_MS
+    assert len(pause.writes) == 1 + written
     assert answer.start.split(" ")[1] == ("200" if written else "502")
 
 
 @pytest.mark.parametrize("before_ms", [400.0, 160.0, 140.0, 60.0])
 @loopback
-async def test_no_attempt_begins_past_the_grace_of_a_draining_server(monkeypatch, before_ms):
-    """Its connection comes up `before_ms` before the end of the grace."""
+async def test_no_attempt_is_written_after_the_grace_period_of_a_draining_server(monkeypatch, before_ms):
+    """The connection of the attempt opens `before_ms` before the end of the grace period."""
     grace_ms, gate, loop = 3000.0, asyncio.Event(), asyncio.get_running_loop()
     connect = loop.create_connection
 
-    async def late(*args, **kwargs):
+    async def connect_late(*args, **kwargs):
         await gate.wait()
         return await connect(*args, **kwargs)
 
@@ -153,41 +157,43 @@
     )
     async with running(upstream, balancer=balancer, Rules={"StopSendingWithin": grace_ms}) as sidecar:
         app = await App.connect(sidecar.address)
-        hold_up = HoldUp(monkeypatch, sidecar, app)
-        monkeypatch.setattr(loop, "create_connection", late)
+        pause = PauseBeforeWrites(monkeypatch, sidecar, app)
+        monkeypatch.setattr(loop, "create_connection", connect_late)
         app.send()
         await until(lambda: balancer.named("request"))
         row = entry("s0", upstream.address, status="leaving")
         changes = parse_list(listed(42, row, snapshot=False), sidecar.configuration.names)
-        ends = hold_up.clock.now() + grace_ms
+        grace_end = pause.clock.now() + grace_ms
         sidecar.driver.endpoints_listed(ListForm.CHANGES, changes)
-        hold_up.advance(ends - before_ms - hold_up.clock.now())
+        pause.advance(grace_end - before_ms - pause.clock.now())
         gate.set()
         answer = await app.answer()
         app.close()
-    assert all(write.at <= ends for write in hold_up.writes)
-    assert answer.start.split(" ")[1] == ("200" if before_ms > HOLD_UP_MS else "502")
+    assert all(write.at <= grace_end for write in pause.writes)
+    assert answer.start.split(" ")[1] == ("200" if before_ms > PAUSE_MS else "502")
 
 
-@pytest.mark.parametrize("late", ["a retry", "a hedged request"])
+@pytest.mark.parametrize("kind", ["a retry", "a hedged request"])
 @loopback
-async def test_no_attempt_begins_for_a_client_that_closed_while_the_process_stood_still(late):
-    """The end of its connection is unread when the next attempt is due on a ready connection.
+async def test_no_attempt_is_written_for_a_client_that_disconnected_during_a_pause_of_the_process(kind):
+    """The event loop has not read the end of the client's connection when the next attempt is due.
 
-    The loop runs what is due before it reads."""
+    It runs due callbacks before it reads from sockets, and a server connection is idle.
+    """
     first, second = await Upstream([hang]).start(), await Upstream([OK]).start()
     targets = iter(["s1", "s0"])
     balancer = ScriptedBalancer(request=lambda now, arrival: [Send(arrival.request, next(targets), 0.0)])
     async with running(first, second, balancer=balancer) as sidecar:
-        await (await App.connect(sidecar.address)).ask()  # a connection to s1 is idle from now on
+        await (await App.connect(sidecar.address)).ask()  # From now on a connection to s1 is idle
         app = await App.connect(sidecar.address)
         app.send()
         await until(lambda: first.seen)
         await asyncio.sleep(0.03)
         number = balancer.named("request")[1][0].request
-        app.writer.get_extra_info("socket").shutdown(socket.SHUT_RDWR)  # at once, not in the next turn
+        # `shutdown` closes the connection at once, not in the next turn of the event loop.
+        app.writer.get_extra_info("socket").shutdown(socket.SHUT_RDWR)
         time.sleep(0.15)
-        if late == "a retry":
+        if kind == "a retry":
             first.writers[0].transport.abort()
         carry_out(sidecar, balancer, Send(number, "s1", 0.0))
         await until(lambda: balancer.named("client_gone"))
--- a/tests/sidecar/test_reload.py
+++ b/tests/sidecar/test_reload.py
@@ -1,4 +1,4 @@
-"""A reload takes the whole file or nothing, and requests keep the rules with which they came."""
+"""A reload applies the complete file or nothing, and open requests keep the settings of their arrival."""
 
 from __future__ import annotations
 
@@ -16,7 +16,8 @@
 from brassfall.balancer.model import Fail, Outcome, Refuse, Send
 from brassfall.sidecar import config, reload
 from brassfall.sidecar.clients import known_classes
-from tests.support.helpers import balancer, of_type, raw_settings
+from tests.support.helpers import balancer as new_balancer
+from tests.support.helpers import of_type, raw_settings
 from tests.support.loopback import (
     OK,
     SETTINGS,
@@ -33,7 +34,7 @@
 
 
 def raw(**settings):
-    """A configuration with nothing left out."""
+    """Return a complete configuration, with some settings replaced."""
     return {
         "name": "n0",
         "listen": "127.0.0.1:0",
@@ -50,21 +51,22 @@
 
 
 def take(running_config, new, busy=()):
+    """Return the plan of a reload from a new configuration."""
     return reload.plan_reload(running_config, config.parse(new, {}), busy)
 
 
-def test_classes_keep_their_slots_and_slots_are_used_again():
+def test_classes_keep_their_slots_and_freed_slots_are_reused():
     first = config.parse(raw(Profiles=[row("a"), row("b"), row("c")]), {})
     second = take(first, raw(Profiles=[row("c"), row("d"), row("b", "side_effect")]))
     assert {name: kind.slot for name, kind in second.config.names.classes.items()} == {"c": 2, "d": 3, "b": 4}
     assert second.same_classes == {2}
     assert [p.semantics for p in second.config.settings.profiles] == ["pure"] * 4 + ["side_effect"]
-    # Clients name "a" and the old "b" no more, but a request of "a" is still open.
+    # Clients no longer use "a" and the old "b", but a request of class "a" is still open.
     third = take(second.config, raw(Profiles=[row("c"), row("e")]), busy={0})
     assert {name: kind.slot for name, kind in third.config.names.classes.items()} == {"c": 2, "e": 1}
 
 
-def test_tables_do_not_grow_with_the_number_of_reloads():
+def test_the_number_of_slots_does_not_grow_with_the_number_of_reloads():
     running_config = config.parse(raw(), {})
     rng = random.Random(3)
     for _ in range(200):
@@ -73,44 +75,45 @@
     assert len(running_config.settings.profiles) <= 8
 
 
-def broken(path, value):
-    made = raw()
-    at = made
+def changed_text(path, value):
+    """Return the JSON of a configuration with another value at a path, or with none if it is None."""
+    configuration = raw()
+    parent = configuration
     for key in path[:-1]:
-        at = at[key]
+        parent = parent[key]
     if value is None:
-        del at[path[-1]]
+        del parent[path[-1]]
     else:
-        at[path[-1]] = value
-    return json.dumps(made)
+        parent[path[-1]] = value
+    return json.dumps(configuration)
 
 
 DEADLINE = ("settings", "Profiles", 1, "Deadline")
 ATTEMPTS = ("settings", "PolicyLimits", "MaxAttempts")
-BROKEN = [
+INVALID_TEXTS = [
     "",
     "{",
     json.dumps(raw())[:-40],
     "[]",
     "null",
     "[" * 100000,
-    *(broken((key,), None) for key in ("name", "listen", "discovery", "known", "limits", "settings")),
-    *(broken(("settings", key), None) for key in ("Profiles", "PolicyLimits", "Rules", "Me", "Report")),
+    *(changed_text((key,), None) for key in ("name", "listen", "discovery", "known", "limits", "settings")),
+    *(changed_text(("settings", key), None) for key in ("Profiles", "PolicyLimits", "Rules", "Me", "Report")),
     *(
-        broken(("settings", "Profiles", 1, key), None)
+        changed_text(("settings", "Profiles", 1, key), None)
         for key in ("Name", "Semantics", "Deadline", "Objective")
     ),
-    broken(ATTEMPTS, None),
-    *(broken(DEADLINE, value) for value in ("soon", "5000", True, math.nan, math.inf, 0, -1, [], {})),
-    *(broken(ATTEMPTS, value) for value in ("4", True, math.nan, 0, -1, [])),
-    broken(("settings", "Profiles", 1, "Name"), "look"),
-    broken(("discovery",), "nowhere"),
-    broken(("known", "index"), math.inf),
+    changed_text(ATTEMPTS, None),
+    *(changed_text(DEADLINE, value) for value in ("soon", "5000", True, math.nan, math.inf, 0, -1, [], {})),
+    *(changed_text(ATTEMPTS, value) for value in ("4", True, math.nan, 0, -1, [])),
+    changed_text(("settings", "Profiles", 1, "Name"), "look"),
+    changed_text(("discovery",), "nowhere"),
+    changed_text(("known", "index"), math.inf),
 ]
 
 
-@pytest.mark.parametrize("text", BROKEN)
-def test_nothing_is_taken_from_a_broken_file(tmp_path, text):
+@pytest.mark.parametrize("text", INVALID_TEXTS)
+def test_an_invalid_file_is_rejected_with_one_line(tmp_path, text):
     path = tmp_path / "config.json"
     path.write_text(text)
     before = config.parse(raw(), {})
@@ -119,12 +122,12 @@
     assert len(str(caught.value).splitlines()) == 1 and str(caught.value)
 
 
-def test_a_whole_file_is_no_broken_one():
+def test_a_reload_of_an_unchanged_file_gives_the_same_configuration():
     before = config.parse(raw(), {})
     assert take(before, raw()).config == before
 
 
-def test_what_needs_a_restart_is_named_and_left():
+def test_values_that_need_a_restart_are_reported_and_not_changed():
     before = config.parse(raw(), {})
     new = raw(Me=5, Kinds=["other"])
     new["listen"] = "127.0.0.1:4242"
@@ -138,65 +141,71 @@
     return Settings.parse(raw_settings(*names, PolicyLimits={"MaxAttempts": attempts}))
 
 
-def test_an_open_request_keeps_its_limit_of_attempts_and_a_later_one_has_the_new():
-    made = balancer("safe")
-    made.step(0.0, RequestArrived(1, 0, 1000.0))
-    made.step(1.0, SettingsReloaded(settings("safe", attempts=1), {0}))
-    made.step(2.0, RequestArrived(2, 0, 1000.0))
-    assert of_type(made.step(3.0, AttemptEnded(1, 0, Outcome.ERROR, 3.0)), Send)
-    assert not of_type(made.step(4.0, AttemptEnded(2, 0, Outcome.ERROR, 2.0)), Send)
+def test_an_open_request_keeps_its_limit_of_attempts_and_a_later_one_gets_the_new_limit():
+    balancer = new_balancer("safe")
+    balancer.step(0.0, RequestArrived(1, 0, 1000.0))
+    balancer.step(1.0, SettingsReloaded(settings("safe", attempts=1), {0}))
+    balancer.step(2.0, RequestArrived(2, 0, 1000.0))
+    assert of_type(balancer.step(3.0, AttemptEnded(1, 0, Outcome.ERROR, 3.0)), Send)
+    assert not of_type(balancer.step(4.0, AttemptEnded(2, 0, Outcome.ERROR, 2.0)), Send)
 
 
 def test_an_open_request_keeps_its_semantics():
-    made = balancer("unsafe")
-    made.step(0.0, RequestArrived(1, 0, 1000.0))
-    made.step(1.0, SettingsReloaded(settings("safe"), set()))
-    actions = made.step(2.0, AttemptEnded(1, 0, Outcome.TIMEOUT, 2.0))
+    balancer = new_balancer("unsafe")
+    balancer.step(0.0, RequestArrived(1, 0, 1000.0))
+    balancer.step(1.0, SettingsReloaded(settings("safe"), set()))
+    actions = balancer.step(2.0, AttemptEnded(1, 0, Outcome.TIMEOUT, 2.0))
     assert not of_type(actions, Send) and not of_type(actions, Refuse) and of_type(actions, Fail)
 
 
-def test_what_was_learned_of_servers_and_of_retained_classes_is_kept():
-    made = balancer("safe", "unsafe")
+def test_ejections_throttle_and_shedding_state_survive_a_reload():
+    balancer = new_balancer("safe", "unsafe")
     for number in range(40):
-        made.step(float(number), RequestArrived(number, number % 2, 1e6))
-        made.step(number + 0.5, AttemptEnded(number, 0, Outcome.FULL, 0.5))
-    strikes = {name: server.ejected_until for name, server in made.components.endpoints.servers.items()}
-    throttle, level = made.components.throttle.requests, made.components.shedder.probability(50.0)
-    made.step(50.0, SettingsReloaded(settings("safe", "keyed", "safe"), {0}))
+        balancer.step(float(number), RequestArrived(number, number % 2, 1e6))
+        balancer.step(number + 0.5, AttemptEnded(number, 0, Outcome.FULL, 0.5))
+    ejections = {name: server.ejected_until for name, server in balancer.components.endpoints.servers.items()}
+    throttle, level = balancer.components.throttle.requests, balancer.components.shedder.probability(50.0)
+    balancer.step(50.0, SettingsReloaded(settings("safe", "keyed", "safe"), {0}))
     assert {
-        name: server.ejected_until for name, server in made.components.endpoints.servers.items()
-    } == strikes
-    assert (made.components.throttle.requests, made.components.shedder.probability(50.0)) == (throttle, level)
-    assert made.components.shedder.request_classes == {0}
-    assert len(made.components.zones.spill) == len(made.components.zones.margins) == 3
+        name: server.ejected_until for name, server in balancer.components.endpoints.servers.items()
+    } == ejections
+    assert (balancer.components.throttle.requests, balancer.components.shedder.probability(50.0)) == (
+        throttle,
+        level,
+    )
+    assert balancer.components.shedder.request_classes == {0}
+    assert len(balancer.components.zones.spill) == len(balancer.components.zones.margins) == 3
 
 
 @loopback
-async def test_new_classes_are_served_and_old_ones_for_a_while(monkeypatch):
+async def test_new_classes_are_served_at_once_and_removed_ones_for_a_while(monkeypatch):
     monkeypatch.setattr(known_classes, "KEEP_S", 0.2)
     upstream = await Upstream([OK]).start()
     new = [row("view"), row("book", "side_effect")]
-    async with running(upstream) as made:
-        app = await App.connect(made.address)
-        news = take(
+    async with running(upstream) as sidecar:
+        app = await App.connect(sidecar.address)
+        plan = take(
             sidecar_config([upstream]),
             raw(Profiles=new),
-            made.driver.request_classes | made.inbound.request_classes,
+            sidecar.driver.request_classes | sidecar.inbound.request_classes,
         )
-        made.driver.reload(news.config, news.same_classes)
-        made.inbound.reload(news.config.names)
+        sidecar.driver.reload(plan.config, plan.same_classes)
+        sidecar.inbound.reload(plan.config.names)
         for target, method in (("/view", "GET"), ("/look", "GET"), ("/book", "POST")):
             assert (await app.ask(method, target)).body == b"done"
         assert (await app.ask("POST", "/book", Idempotency_Key=None)).body == b"done"
         await until(
-            lambda: made.inbound.request_classes == {kind.slot for kind in news.config.names.classes.values()}
+            lambda: (
+                sidecar.inbound.request_classes
+                == {kind.slot for kind in plan.config.names.classes.values()}
+            )
         )
         assert (await app.ask("GET", "/look")).start.split(" ")[1] == "400"
         assert (await app.ask("GET", "/view")).body == b"done"
 
 
 @loopback
-async def test_a_process_reloads_under_an_open_request(tmp_path):
+async def test_a_process_applies_a_valid_file_only_while_a_request_is_open(tmp_path):
     old, new = await Registry().start(), await Registry().start()
     release = asyncio.Event()
 
@@ -205,29 +214,29 @@
         return OK
 
     upstream = await Upstream([wait, OK]).start()
-    made = await Process.start(tmp_path, upstream, discovery=old.address)
+    sidecar = await Process.start(tmp_path, upstream, discovery=old.address)
     await until(lambda: old.watches)
-    made.app.send("POST", "/pay")
+    sidecar.app.send("POST", "/pay")
     await until(lambda: upstream.seen)
     path = tmp_path / "config.json"
-    good = json.loads(path.read_text())
-    changed = {**good, "discovery": new.address}
-    changed["settings"] = {**good["settings"], "Profiles": [row("look"), row("view")]}
-    bad = {**changed, "settings": {**changed["settings"], "PolicyLimits": {}}}
-    for text in ("", json.dumps(bad), json.dumps(changed)):
+    valid = json.loads(path.read_text())
+    changed = {**valid, "discovery": new.address}
+    changed["settings"] = {**valid["settings"], "Profiles": [row("look"), row("view")]}
+    invalid = {**changed, "settings": {**changed["settings"], "PolicyLimits": {}}}
+    for text in ("", json.dumps(invalid), json.dumps(changed)):
         path.write_text(text)
-        made.process.send_signal(signal.SIGHUP)
+        sidecar.process.send_signal(signal.SIGHUP)
         if text != json.dumps(changed):
-            app = await App.connect(made.address)
+            app = await App.connect(sidecar.address)
             assert (await app.ask("GET", "/health/ready", X_Call_Class=None)).start.split(" ")[1] == "200"
             assert (await app.ask("GET", "/view")).start.split(" ")[1] == "400"
             assert not new.watches
     await until(lambda: new.watches)
-    app = await App.connect(made.address)
+    app = await App.connect(sidecar.address)
     assert (await app.ask("GET", "/view")).body == b"done"
     release.set()
-    assert (await made.app.answer()).body == b"done"
-    made.process.terminate()
-    assert await made.process.wait() == 0
+    assert (await sidecar.app.answer()).body == b"done"
+    sidecar.process.terminate()
+    assert await sidecar.process.wait() == 0
     for partner in (old, new, upstream):
         partner.stop()
--- a/tests/sidecar/test_server_incarnations.py
+++ b/tests/sidecar/test_server_incarnations.py
@@ -1,4 +1,4 @@
-"""A server that restarts or moves is another server: connections and draining times stay with the old one."""
+"""A server that restarts or moves is a new incarnation, without the connections and drain of the old one."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 
 @pytest.mark.parametrize("drained", [False, True])
 @loopback
-async def test_a_connection_to_the_incarnation_before_carries_nothing_once_it_is_established(
+async def test_a_connection_to_the_previous_incarnation_is_not_used_once_it_is_established(
     monkeypatch, drained
 ):
-    """The server came back at another address while it was opening; a drain, if any, was the old one's."""
+    """The server restarts at another address while the connection opens, with or without a drain before."""
     new = await Upstream([OK]).start()
     async with request_that_waits(monkeypatch, Rules={"StopSendingWithin": 0.0}) as waiting:
         sidecar, old = waiting.sidecar, waiting.upstream
@@ -43,11 +43,11 @@
 
 @pytest.mark.parametrize("changes", [{"address": True}, {"since_ms": 1_790_000_000_000}])
 @loopback
-async def test_a_busy_connection_to_the_incarnation_before_is_not_reused_for_the_next(changes):
-    go_on = asyncio.Event()
+async def test_a_busy_connection_to_the_previous_incarnation_is_not_reused_for_the_next(changes):
+    release = asyncio.Event()
 
     async def wait(reader, writer):
-        await go_on.wait()
+        await release.wait()
         return OK
 
     old, new = await Upstream([wait]).start(), await Upstream([OK]).start()
@@ -57,21 +57,21 @@
         await until(lambda: old.seen)
         list_changes(sidecar, entry("s0", old.address, status="leaving"))
         list_changes(sidecar, entry("s0", address, **changes))
-        go_on.set()
-        assert (await app.answer()).body == b"done"  # what it had taken it may end
+        release.set()
+        assert (await app.answer()).body == b"done"  # The old incarnation may finish the request that it has
         assert (await app.ask()).body == b"done"
-        carried = [seen.connection for seen in old.seen]
-        assert (carried, len(new.seen)) in (([0, 1], 0), ([0], 1))
+        old_connections = [seen.connection for seen in old.seen]
+        assert (old_connections, len(new.seen)) in (([0, 1], 0), ([0], 1))
     new.stop()
 
 
 @loopback
-async def test_draining_stays_with_the_incarnation_that_drains():
+async def test_a_drain_applies_only_to_the_incarnation_that_drains():
     old, new = await Upstream([OK]).start(), await Upstream([OK]).start()
     async with running_until_idle(old, balancer=ScriptedBalancer(), **never_cancels()) as sidecar:
-        before = sidecar.pool.servers["s0"]
+        old_incarnation = sidecar.pool.servers["s0"]
         list_changes(sidecar, entry("s0", old.address, status="leaving"))
         list_changes(sidecar, entry("s0", new.address, since_ms=1))
-        assert before.draining
+        assert old_incarnation.draining
         assert not sidecar.pool.servers["s0"].draining
     new.stop()
--- a/tests/sidecar/test_simultaneous_events.py
+++ b/tests/sidecar/test_simultaneous_events.py
@@ -1,4 +1,7 @@
-"""Events that meet in one turn of the loop or in the turns after a send: one answer, one outcome each."""
+"""Events in the same turn of the event loop or in the turns after a send.
+
+Each request gets one answer and each attempt one outcome.
+"""
 
 from __future__ import annotations
 
@@ -33,23 +36,23 @@
 
 
 class OutcomeRecorder:
-    """The real balancer, with a note of each attempt that has ended."""
+    """The real balancer, with a record of the attempts that have ended."""
 
     def __init__(self, balancer):
-        self.real, self.ended = balancer, []
+        self.balancer, self.ended = balancer, []
 
     @property
     def refusals(self):
-        return self.real.refusals
+        return self.balancer.refusals
 
     def step(self, now, event):
         if isinstance(event, AttemptEnded):
             self.ended.append(event.attempt)
-        return self.real.step(now, event)
+        return self.balancer.step(now, event)
 
 
 class AttemptRace:
-    """A driver with the real balancer and one attempt in flight, and all that may happen to it."""
+    """A driver with the real balancer and one attempt in flight, and the events that may happen to it."""
 
     EVENTS = (
         "answer",
@@ -82,9 +85,9 @@
         self.request = self.driver.accept_request(self.call, self.clock.now())
         self.attempt = self.request.attempts[0]
         self.exchange = self.upstreams.sent[0]
-        self.left = False
+        self.client_left = False
 
-    def happen(self, event):
+    def trigger(self, event):
         getattr(self, event)()
 
     def answer(self):
@@ -100,7 +103,7 @@
         self.loop.call_soon(self.exchange.end, ExchangeResult(Outcome.ABANDONED))
 
     def starts(self):
-        """Begin a large answer, which is complete a turn later."""
+        """Start a large answer, which is complete one turn of the event loop later."""
         if not self.exchange.ended and self.exchange.observer is not None:
             self.exchange.observer.answer_started(Answer([], b"", None), None)
             self.loop.call_soon(self.exchange.end, ExchangeResult(Outcome.OK))
@@ -115,7 +118,7 @@
         self.driver.perform(Cancel(self.request.id, 0))
 
     def gone(self):
-        self.left, self.sent_then = True, len(self.upstreams.sent)
+        self.client_left, self.sent_before_leaving = True, len(self.upstreams.sent)
         self.driver.client_disconnected(self.request)
 
     def window(self):
@@ -125,23 +128,23 @@
         self.driver.body_read(self.request, self.clock.now())
 
     def check(self):
-        """Check that there was one answer and one outcome for each attempt, and that nothing is left."""
+        """Check that there was one answer, one outcome for each attempt, and that everything is released."""
         finals = self.call.finals
-        assert len(finals) == (0 if self.left and not finals else 1)
+        assert len(finals) == (0 if self.client_left and not finals else 1)
         assert sorted(self.balancer.ended) == list(range(len(self.request.attempts)))
         assert not any(self.driver.counts), self.driver.counts
-        held = left_over(self.balancer.real)
-        assert not any(held.values()), held
+        counts = left_over(self.balancer.balancer)
+        assert not any(counts.values()), counts
         timers = (self.attempt.timeout, self.attempt.key_window_timer, self.request.deadline_guard)
         assert all(timer is None or timer.cancelled() for timer in timers)
-        if self.left:  # nothing begins once the client has left
-            assert len(self.upstreams.sent) <= self.sent_then
+        if self.client_left:  # No attempt may start once the client has left
+            assert len(self.upstreams.sent) <= self.sent_before_leaving
 
 
 PAIRS = [(first, second) for first in AttemptRace.EVENTS for second in AttemptRace.EVENTS]
 
 
-async def turns(count=40):
+async def loop_turns(count=40):
     for _ in range(count):
         await asyncio.sleep(0)
 
@@ -149,50 +152,50 @@
 @pytest.mark.parametrize("state", ["waits", "half", "written"])
 @pytest.mark.parametrize("cancels", [True, False])
 @loopback
-async def test_two_events_in_one_turn_make_one_answer_and_one_outcome(state, cancels):
-    """Each pair, in either order, in the same turn and with a turn between."""
+async def test_two_events_in_one_turn_give_one_answer_and_one_outcome_per_attempt(state, cancels):
+    """All pairs of events are tried in both orders, in the same turn and with one turn between them."""
     for first, second in PAIRS:
-        for between in (0, 1):
+        for turns_between in (0, 1):
             race = AttemptRace(state, cancels)
-            race.happen(first)
-            await turns(between)
-            race.happen(second)
-            await turns()
+            race.trigger(first)
+            await loop_turns(turns_between)
+            race.trigger(second)
+            await loop_turns()
             if not race.request.answered or race.request.attempts_in_flight:
-                race.answer()  # an attempt that nothing has ended goes on, and ends in the usual way
-                await turns()
+                race.answer()  # An attempt that is still in flight gets an answer
+                await loop_turns()
             try:
                 race.check()
             except AssertionError as error:
-                error.add_note(f"{first}, {second}, {between} turns between")
+                error.add_note(f"{first}, {second}, {turns_between} turns between")
                 raise
 
 
-def descriptors():
+def open_descriptors():
     return len(os.listdir("/proc/self/fd"))
 
 
 @pytest.mark.parametrize("event", ["gone", "cancel", "expire", "overdue", "window", "restart", "close_idle"])
 @pytest.mark.parametrize("fresh", [True, False])
 @loopback
-async def test_an_event_in_each_turn_between_a_send_and_its_end_leaves_nothing_open(event, fresh):
-    """On real sockets, where opening, writing and reading each take turns of the loop."""
+async def test_an_event_in_any_turn_between_a_send_and_its_end_leaves_nothing_open(event, fresh):
+    """This runs on real sockets, where opening, writing and reading each take turns of the event loop."""
     upstream = await Upstream([OK]).start()
     async with running_until_idle(
         upstream, balancer=ScriptedBalancer(outcome=failing), **never_cancels()
     ) as sidecar:
         driver, attempts = sidecar.driver, sidecar.driver.request_lifecycle.attempts
         await (await App.connect(sidecar.address)).ask()
-        before = descriptors()
+        descriptors_before = open_descriptors()
         sent = asyncio.Event()
         send = sidecar.pool.send
 
-        def seen(*args):
+        def recorded_send(*args):
             sent.set()
             return send(*args)
 
-        sidecar.pool.send = seen
-        for after in range(24):
+        sidecar.pool.send = recorded_send
+        for turns_after in range(24):
             if fresh:
                 sidecar.pool.close_idle("s0")
             sent.clear()
@@ -200,7 +203,7 @@
             app.send()
             await sent.wait()
             (request,) = driver.requests
-            await turns(after)
+            await loop_turns(turns_after)
             match event:
                 case "gone":
                     driver.client_disconnected(request)
@@ -213,7 +216,7 @@
                 case "window":
                     attempts.drop_unwritten(request.attempts[-1])
                 case "restart":
-                    list_changes(sidecar, entry("s0", upstream.address, since_ms=1 + after))
+                    list_changes(sidecar, entry("s0", upstream.address, since_ms=1 + turns_after))
                 case "close_idle":
                     sidecar.pool.close_idle("s0")
             await until(lambda: nothing_left(sidecar))
@@ -221,4 +224,4 @@
                 assert (await app.answer()).status in (200, 502, 503, 504)
             app.close()
         sidecar.pool.close_idle("s0")
-        await until(lambda: descriptors() <= before)
+        await until(lambda: open_descriptors() <= descriptors_before)
--- a/tests/sidecar/test_unwanted_attempts.py
+++ b/tests/sidecar/test_unwanted_attempts.py
@@ -1,4 +1,4 @@
-"""An attempt whose request has ended meanwhile: nothing of it is written that is not written yet."""
+"""Attempts whose request ends before they are written, which are then not written any more."""
 
 from __future__ import annotations
 
@@ -28,19 +28,20 @@
 )
 
 
-@pytest.mark.parametrize("real", [True, False])
+@pytest.mark.parametrize("real_balancer", [True, False])
 @loopback
-async def test_an_attempt_that_waits_for_its_connection_is_not_written_once_its_client_has_left(
-    monkeypatch, real
+async def test_an_attempt_without_a_connection_is_not_written_once_its_client_has_disconnected(
+    monkeypatch, real_balancer
 ):
-    balancer = None if real else ScriptedBalancer()
+    balancer = None if real_balancer else ScriptedBalancer()
     async with request_that_waits(monkeypatch, balancer) as waiting:
         sidecar, upstream = waiting.sidecar, waiting.upstream
         waiting.app.close()
-        await until(lambda: not sidecar.driver.requests)  # at once, not when the connection is up
+        # The request is released at once, not when the connection opens.
+        await until(lambda: not sidecar.driver.requests)
         assert not waiting.gate.open.is_set()
         waiting.gate.open.set()
-        await until(lambda: sidecar.pool.servers["s0"].idle)  # the next attempt may use it
+        await until(lambda: sidecar.pool.servers["s0"].idle)  # The next attempt may use the connection
         if balancer is not None:
             assert balancer.outcomes() == [(0, Outcome.ABANDONED, True)]
             assert len(balancer.named("client_gone")) == 1 and not balancer.named("unsent")
@@ -52,7 +53,7 @@
 
 @pytest.mark.parametrize("answer", [Refuse, Fail, "guard"])
 @loopback
-async def test_an_attempt_that_waits_for_its_connection_is_not_written_after_the_final_answer(
+async def test_an_attempt_without_a_connection_is_not_written_after_the_final_answer(
     monkeypatch, answer
 ):
     balancer = ScriptedBalancer()
@@ -71,21 +72,21 @@
 
 
 @loopback
-async def test_a_hedged_request_that_waits_for_its_connection_is_not_written_once_the_other_was_answered(
+async def test_a_hedged_request_without_a_connection_is_not_written_once_the_other_is_answered(
     monkeypatch,
 ):
-    late, quick = await Upstream([OK]).start(), await Upstream([OK]).start()
-    gate = Gate(monkeypatch, [late])
+    slow, quick = await Upstream([OK]).start(), await Upstream([OK]).start()
+    gate = Gate(monkeypatch, [slow])
     balancer = ScriptedBalancer(
         request=lambda now, arrival: [Send(arrival.request, "s0", 0.0), Send(arrival.request, "s1", 0.0)]
     )
-    async with running_until_idle(late, quick, balancer=balancer, **never_cancels()) as sidecar:
+    async with running_until_idle(slow, quick, balancer=balancer, **never_cancels()) as sidecar:
         app = await App.connect(sidecar.address)
         assert (await app.ask()).body == b"done"
         gate.open.set()
         await until(lambda: sidecar.pool.servers["s0"].idle)
         assert balancer.outcomes() == [(1, Outcome.OK, True), (0, Outcome.ABANDONED, True)]
-        assert late.seen == []
+        assert slow.seen == []
 
 
 @loopback
@@ -101,12 +102,12 @@
 
 
 @loopback
-async def test_a_connection_opened_for_an_ended_attempt_makes_room_if_the_pool_is_full(monkeypatch):
-    late, quick = await Upstream([OK]).start(), await Upstream([OK]).start()
-    gate = Gate(monkeypatch, [late])
+async def test_opening_a_connection_for_an_ended_attempt_is_cancelled_if_the_pool_is_full(monkeypatch):
+    slow, quick = await Upstream([OK]).start(), await Upstream([OK]).start()
+    gate = Gate(monkeypatch, [slow])
     servers = iter(["s0", "s1"])
     balancer = ScriptedBalancer(request=lambda now, arrival: [Send(arrival.request, next(servers), 0.0)])
-    async with running_until_idle(late, quick, balancer=balancer, **never_cancels()) as sidecar:
+    async with running_until_idle(slow, quick, balancer=balancer, **never_cancels()) as sidecar:
         sidecar.pool.max_connections = 1
         app = await start_request(sidecar)
         await until(lambda: gate.waiting)
@@ -117,7 +118,7 @@
 
 
 @loopback
-async def test_a_request_that_the_kernel_has_not_taken_completely_is_dropped_when_its_client_leaves(
+async def test_a_request_not_written_completely_is_dropped_when_its_client_disconnects(
     monkeypatch,
 ):
     upstream = await Upstream([hang]).start()
@@ -126,18 +127,18 @@
         app = await start_request(sidecar)
         await until(lambda: upstream.seen)
         (connection,) = sidecar.pool.connections
-        connection.written = False  # as if its last byte were still buffered in this process
+        connection.written = False  # The last byte counts as still buffered in this process
         app.close()
         await until(lambda: balancer.outcomes())
         assert balancer.outcomes() == [(0, Outcome.ABANDONED, True)]
 
 
 @loopback
-async def test_a_request_that_is_written_completely_goes_on_if_cancelling_is_not_allowed():
-    go_on = asyncio.Event()
+async def test_a_request_written_completely_is_not_cancelled_if_the_settings_forbid_it():
+    release = asyncio.Event()
 
     async def wait(reader, writer):
-        await go_on.wait()
+        await release.wait()
         return OK
 
     upstream = await Upstream([wait]).start()
@@ -148,14 +149,14 @@
         app.close()
         await until(lambda: balancer.named("client_gone"))
         assert balancer.outcomes() == []
-        go_on.set()
+        release.set()
         await until(lambda: balancer.outcomes())
         assert balancer.outcomes() == [(0, Outcome.OK, True)]
 
 
 @loopback
-async def test_a_cancelled_request_does_not_reach_its_server_later_from_the_kernel():
-    """The kernel holds its last bytes, while its server reads no more."""
+async def test_a_cancelled_request_in_the_kernels_buffer_does_not_reach_its_server_later():
+    """The last bytes of the request are in the kernel's buffers, because the server has stopped reading."""
     loop = asyncio.get_running_loop()
     balancer = ScriptedBalancer(outcome=lambda now, number, hop, status, *rest: [Fail(number)])
     with socket.socket() as listener:
@@ -171,12 +172,12 @@
             app.send("POST", "/book", body)
             server, _ = await loop.sock_accept(listener)
             with server:
-                await until(lambda: any(it.written and it.busy for it in sidecar.pool.connections))
+                await until(lambda: any(link.written and link.busy for link in sidecar.pool.connections))
                 (request,) = sidecar.driver.requests
                 sidecar.driver.perform(Cancel(request.id, 0))
                 await app.answer()
-                got = b""
+                received = b""
                 with contextlib.suppress(ConnectionResetError):
                     while part := await loop.sock_recv(server, 65_536):
-                        got += part
-                assert 0 < len(got) < len(body)
+                        received += part
+                assert 0 < len(received) < len(body)
--- a/tests/sidecar/test_upgrade.py
+++ b/tests/sidecar/test_upgrade.py
@@ -1,4 +1,4 @@
-"""One process takes over from another on a socket that both inherit."""
+"""The hand-over from one process to another, which both inherit the listening socket."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 @loopback
-async def test_a_second_process_takes_over_under_load_and_no_request_is_lost(tmp_path):
+async def test_a_second_process_takes_over_under_load_without_a_lost_request(tmp_path):
     upstream = await Upstream([OK]).start()
     platform = Platform(tmp_path, known=listed(1, entry("s0", upstream.address)))
     old, admin = await platform.start()
@@ -40,21 +40,21 @@
     platform.change(discovery=registry.address)
     new, admin = await platform.start()
     await until(lambda: registry.watches)
-    # The new process detects the other one: it accepts no client before it has a list.
+    # The new process detects the old one and accepts no client before it has an endpoint list.
     assert (await ping(admin)).startswith(b"error")
     registry.tell(2, entry("s0", upstream.address), snapshot=True)
     await yes(admin)
     old.send_signal(signal.SIGTERM)
-    _, said = await old.communicate()
+    _, log = await old.communicate()
     assert old.returncode == 0
-    assert b"Traceback" not in said and b"exiting, requests_in_flight=0" in said
+    assert b"Traceback" not in log and b"exiting, requests_in_flight=0" in log
     answered = load.answered
     await until(lambda: load.answered > answered + 100)
     load.going = False
     await asyncio.gather(*clients)
     assert load.wrong == []
     assert load.crossed <= 2
-    # The backlog was handed over, and the socket is still listening.
+    # The new process serves the backlog, and the socket is still listening.
     assert new.returncode is None
     new.terminate()
     assert await new.wait() == 0
@@ -65,8 +65,8 @@
 
 
 @loopback
-async def test_a_process_that_follows_a_killed_one_does_not_wait(tmp_path):
-    # The old one's lock file stays, discovery can't be reached.
+async def test_a_process_started_after_a_killed_one_does_not_wait_for_it(tmp_path):
+    # The lock file of the old process stays, and discovery can't be reached.
     platform = Platform(tmp_path)
     old, admin = await platform.start()
     await yes(admin)
@@ -75,8 +75,8 @@
     new, admin = await platform.start()
     await yes(admin)
     new.terminate()
-    _, said = await new.communicate()
-    assert b"another process" not in said
+    _, log = await new.communicate()
+    assert b"another process" not in log
     platform.end()
 
 
@@ -89,7 +89,7 @@
     assert not new.other_process_runs()
     third = Handover(str(tmp_path), "n0")
     assert third.other_process_runs() and new.other_process_runs()
-    third.release()  # it ended before it served
+    third.release()  # The third process ends before it serves
     assert not new.other_process_runs()
     other = Handover(str(tmp_path), "n1")
     assert not other.other_process_runs() and not new.other_process_runs()
@@ -97,36 +97,36 @@
     new.release()
 
 
-def test_a_folder_that_can_not_be_written_does_not_prevent_a_start(tmp_path, capsys):
+def test_a_folder_for_locks_that_can_not_be_written_does_not_prevent_a_start(tmp_path, capsys):
     assert not Handover(str(tmp_path / "missing"), "n0").other_process_runs()
     assert "handover" in capsys.readouterr().err
 
 
 @loopback
-async def test_two_processes_share_the_limits_of_one(tmp_path, monkeypatch):
+async def test_two_processes_share_the_resource_limits_of_one(tmp_path, monkeypatch):
     monkeypatch.setenv("TMPDIR", str(tmp_path))
     loop = asyncio.get_running_loop()
     listening = socket.create_server(("127.0.0.1", 0))
-    made = []
+    sidecars = []
     for _ in range(2):
         environment = {"NODE_INHERITED_FD": str(os.dup(listening.fileno()))}
         raw = {"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "known": listed(1)}
         raw |= {"limits": {"sockets": 192, "memory_mb": 40}, "settings": SETTINGS}
-        made.append(Sidecar(loop, config.parse(raw, environment)))
-    old, new = made
+        sidecars.append(Sidecar(loop, config.parse(raw, environment)))
+    old, new = sidecars
     await old.start()
-    whole = old.inbound.limits.open, old.inbound.budget.limit
-    assert whole[1] == 10 * 2**20
+    full_limits = old.inbound.limits.open, old.inbound.budget.limit
+    assert full_limits[1] == 10 * 2**20
     monkeypatch.setattr("brassfall.sidecar.lifecycle.sidecar.FIRST_LIST_TIMEOUT_S", 0.0)
     await new.start()
-    await until(lambda: old.inbound.limits.open < whole[0])
-    held = 2 * 24
-    for one in made:
-        held += one.inbound.limits.open + one.pool.max_connections
-        assert one.inbound.budget.limit == 5 * 2**20
-    assert held <= 192
+    await until(lambda: old.inbound.limits.open < full_limits[0])
+    descriptors = 2 * 24
+    for sidecar in sidecars:
+        descriptors += sidecar.inbound.limits.open + sidecar.pool.max_connections
+        assert sidecar.inbound.budget.limit == 5 * 2**20
+    assert descriptors <= 192
     old.close()
-    await until(lambda: (new.inbound.limits.open, new.inbound.budget.limit) == whole)
+    await until(lambda: (new.inbound.limits.open, new.inbound.budget.limit) == full_limits)
     new.close()
     listening.close()
 
@@ -143,21 +143,23 @@
 
 
 @loopback
-async def test_a_replacement_accepts_no_client_before_the_old_process_holds_half(tmp_path, monkeypatch):
+async def test_a_replacement_accepts_no_client_before_the_old_process_halves_its_limits(
+    tmp_path, monkeypatch
+):
     monkeypatch.setenv("TMPDIR", str(tmp_path))
     registry = await Registry(current=True).start()
     listening = socket.create_server(("127.0.0.1", 0))
-    made = []
+    sidecars = []
     for _ in range(2):
-        one = sidecar_config(registry=registry.address)
-        one = replace(one, inherited_descriptor=os.dup(listening.fileno()))
-        made.append(Sidecar(asyncio.get_running_loop(), one))
-    old, new = made
+        configuration = sidecar_config(registry=registry.address)
+        configuration = replace(configuration, inherited_descriptor=os.dup(listening.fileno()))
+        sidecars.append(Sidecar(asyncio.get_running_loop(), configuration))
+    old, new = sidecars
     await old.start()
-    whole = old.inbound.limits.open
-    await new.start()  # its list comes at once
-    assert old.inbound.limits.open < whole and old.inbound.limits.open == new.inbound.limits.open
-    for one in made:
-        one.close()
+    full_limit = old.inbound.limits.open
+    await new.start()  # The endpoint list arrives at once
+    assert old.inbound.limits.open < full_limit and old.inbound.limits.open == new.inbound.limits.open
+    for sidecar in sidecars:
+        sidecar.close()
     listening.close()
     registry.stop()
--- a/tests/sidecar/test_wall_clock.py
+++ b/tests/sidecar/test_wall_clock.py
@@ -1,6 +1,7 @@
-"""A wall clock that is stepped while the sidecar runs: each deadline, window, wait and grace is real time.
+"""Steps of the wall clock while the sidecar runs, which change no deadline, key window, wait or grace period.
 
-What a clock that is wrong at the start means for the ages of servers is in `test_start_times`."""
+`test_start_times` tests the effect of a wrong wall clock at the start on the ages of servers.
+"""
 
 from __future__ import annotations
 
@@ -32,7 +33,7 @@
 from tests.support.system_calls import Faults
 
 SIDECAR = Path(__file__).resolve().parents[2] / "brassfall" / "sidecar"
-WALL_CLOCK = {
+WALL_CLOCK_FUNCTIONS = {
     "time",
     "time_ns",
     "clock_gettime",
@@ -43,8 +44,9 @@
     "localtime",
     "gmtime",
 }
+# Steps of the wall clock, in seconds.
 STEPS_S = [5.0, -5.0, 3600.0, -3600.0]
-LATE_S = 0.5  # that a busy machine may add
+MACHINE_DELAY_S = 0.5  # Delay that a busy machine may add, in seconds
 
 
 def test_the_wall_clock_is_read_once_at_the_start_and_nowhere_else():
@@ -53,7 +55,7 @@
         for node in ast.walk(ast.parse(path.read_text())):
             if isinstance(node, ast.ImportFrom) and node.module in ("time", "datetime"):
                 uses += [(path.name, alias.name) for alias in node.names]
-            elif isinstance(node, ast.Attribute) and node.attr in WALL_CLOCK:
+            elif isinstance(node, ast.Attribute) and node.attr in WALL_CLOCK_FUNCTIONS:
                 owner = node.value
                 if isinstance(owner, ast.Name) and owner.id in ("time", "datetime", "date"):
                     uses.append((path.name, node.attr))
@@ -62,7 +64,7 @@
 
 @pytest.mark.parametrize("step_s", STEPS_S)
 @loopback
-async def test_a_deadline_is_a_span_of_real_time(step_s):
+async def test_a_step_of_the_wall_clock_does_not_move_a_deadline(step_s):
     loop, upstream = asyncio.get_running_loop(), await Upstream([hang]).start()
     with Faults() as faults:
         async with running(upstream) as sidecar:
@@ -73,32 +75,34 @@
             faults.step(step_s)
             answer = await app.answer()
             assert answer.start.split(" ")[1] == "504"
-            assert 0.5 <= loop.time() - sent <= 0.6 + LATE_S
+            assert 0.5 <= loop.time() - sent <= 0.6 + MACHINE_DELAY_S
             app.close()
 
 
 @pytest.mark.parametrize("step_s", STEPS_S)
 @loopback
-async def test_the_window_of_a_key_is_a_span_of_real_time(step_s):
-    """A retry within it is written, though by the wall clock it is over or has not begun."""
+async def test_a_step_of_the_wall_clock_does_not_move_a_key_window(step_s):
+    """A retry in the key window is written, even if by the wall clock the window is over or in the future."""
     loop, sent_at = asyncio.get_running_loop(), []
-    ends = []
+    window_ends = []
 
-    def first(now, arrival):
-        ends.append(now + 1000.0)
+    def send_first(now, arrival):
+        window_ends.append(now + 1000.0)
         return [Send(arrival.request, "s0", 0.0)]
 
     def retry(now, number, hop, status, spent, last, report):
         faults.step(step_s)
-        return [] if last else [Fail(number)] if hop else [Send(number, "s1", 0.0, ends[0])]
+        return [] if last else [Fail(number)] if hop else [Send(number, "s1", 0.0, window_ends[0])]
 
-    async def note(reader, writer):
+    async def record_time(reader, writer):
         sent_at.append(loop.time())
         return OK
 
-    upstreams = await Upstream([break_off]).start(), await Upstream([note]).start()
+    upstreams = await Upstream([break_off]).start(), await Upstream([record_time]).start()
     with Faults() as faults:
-        async with running(*upstreams, balancer=ScriptedBalancer(request=first, outcome=retry)) as sidecar:
+        async with running(
+            *upstreams, balancer=ScriptedBalancer(request=send_first, outcome=retry)
+        ) as sidecar:
             app = await App.connect(sidecar.address)
             answer = await app.ask("POST", "/book")
             app.close()
@@ -107,7 +111,7 @@
 
 @pytest.mark.parametrize("step_s", STEPS_S)
 @loopback
-async def test_the_grace_of_a_draining_server_is_a_span_of_real_time(step_s):
+async def test_a_step_of_the_wall_clock_does_not_move_the_grace_period_of_a_draining_server(step_s):
     upstream = await Upstream([OK]).start()
     balancer = ScriptedBalancer(
         outcome=lambda now, number, hop, status, spent, last, report: [] if last else [Fail(number)]
@@ -129,8 +133,8 @@
 
 @pytest.mark.parametrize("step_s", STEPS_S)
 @loopback
-async def test_a_watch_is_opened_anew_after_a_span_of_real_time(step_s):
-    """Heartbeats keep it open, whatever the wall clock does; discovery is called once."""
+async def test_a_step_of_the_wall_clock_does_not_end_a_watch(step_s):
+    """Heartbeats keep the watch open, so that discovery is called only once."""
     registry = await Registry(current=True).start()
     with Faults() as faults:
         async with running(registry=registry) as sidecar:
@@ -145,16 +149,16 @@
 
 @pytest.mark.parametrize("step_s", STEPS_S)
 @loopback
-async def test_a_lease_runs_for_a_span_of_real_time(step_s):
-    loop, acted = asyncio.get_running_loop(), []
+async def test_a_step_of_the_wall_clock_does_not_move_the_end_of_a_lease(step_s):
+    loop, applied = asyncio.get_running_loop(), []
 
-    def act(active, now):
-        acted.append(active)
+    def apply(active, now):
+        applied.append(active)
         return float("inf")
 
     with Faults() as faults:
         agreement = Agreement(600.0, "", "", {})
-        agent = Agent(loop, "e1", agreement, (Address("127.0.0.1", 9),), lambda revision: "", act, 1)
+        agent = Agent(loop, "e1", agreement, (Address("127.0.0.1", 9),), lambda revision: "", apply, 1)
         asked = loop.time()
         seq = int(agent.lease_client.report(asked)["seq"])
         granted = {"edition": 0, "permission_ms": 600.0, "life": 1, "pending": 0, "news": False}
@@ -166,4 +170,4 @@
         await asyncio.sleep(0.65)
         agent.at(loop.time())
         assert agent.lease_client.left_ms(loop.time()) == 0.0
-        assert acted[-1].fallback
+        assert applied[-1].fallback
