--- a/brassfall/sidecar/body.py
+++ b/brassfall/sidecar/body.py
@@ -62,7 +62,7 @@
     """
 
     def __init__(self, source: BodySource, beginning: bytes, length: int | None) -> None:
-        self.length = length  # Length in bytes; None if it is unknown, and the body is sent in chunks
+        self.length = length  # Length of the body in bytes; None if it is unknown and sent in chunks
         self.complete = False  # True if the last part of the body has arrived from the client
         # True once more of the body was sent than is buffered, so that the body can't be sent again.
         self.beginning_discarded = False
--- a/brassfall/sidecar/config_values.py
+++ b/brassfall/sidecar/config_values.py
@@ -17,7 +17,7 @@
 
 
 class Address(NamedTuple):
-    """The address of a listening socket, as a host and a port."""
+    """A network address to listen on or to connect to."""
 
     host: str
     port: int
--- a/brassfall/sidecar/core/attempt_runner.py
+++ b/brassfall/sidecar/core/attempt_runner.py
@@ -40,7 +40,8 @@
     def attempt_ended(self, attempt: Attempt, result: ExchangeResult, elapsed: float) -> None:
         """Handle the result of an attempt, of which there is exactly one.
 
-        `elapsed` is the time from the request's last byte to the answer, in milliseconds.
+        `elapsed` is the time from the start of the attempt to the answer, in milliseconds. It starts at the
+        request's last byte if that was read later.
         """
 
 
--- a/brassfall/sidecar/core/attempts.py
+++ b/brassfall/sidecar/core/attempts.py
@@ -117,7 +117,7 @@
     time_limit: float  # Milliseconds for an answer, counted from when the request is written completely
     # Header line of the configuration revision under which the server was selected; empty without one.
     revision_header: bytes = b""
-    write_by: float = math.inf  # End of the idempotency key's window minus a margin; no write begins later
+    write_by: float = math.inf  # Latest time to write the request: end of the key's window minus a margin
     state: AttemptState = AttemptState.STARTING
     exchange: Exchange | None = None
     timeout: asyncio.TimerHandle | None = None
--- a/brassfall/sidecar/core/clock.py
+++ b/brassfall/sidecar/core/clock.py
@@ -11,7 +11,7 @@
 
 
 class Clock:
-    """A monotonic clock in milliseconds of Unix time, so that it compares with the `since_ms` of servers.
+    """A monotonic clock in milliseconds of Unix time, for comparisons with the `since_ms` of servers.
 
     The clock adds a fixed offset to the event loop's monotonic time. The wall clock is read only once, at the
     start: if it is stepped later, measured time spans don't change. `start_times` bounds the effect that a
--- a/brassfall/sidecar/lifecycle/admin.py
+++ b/brassfall/sidecar/lifecycle/admin.py
@@ -87,7 +87,7 @@
         log.info("operator: REJOIN", state=self._lifecycle.state.value)
         return f"done {self._lifecycle.state.value}"
 
-    def opened(self, connection: AdminConnection) -> None:
+    def connection_opened(self, connection: AdminConnection) -> None:
         """Register a new connection; if the limit of connections is reached, evict the oldest one."""
         if len(self._connections) >= MAX_ADMIN_CONNECTIONS:
             oldest = next(iter(self._connections))
@@ -95,7 +95,7 @@
             oldest.evict()
         self._connections[connection] = None
 
-    def closed(self, connection: AdminConnection) -> None:
+    def connection_closed(self, connection: AdminConnection) -> None:
         """Remove a closed connection."""
         self._connections.pop(connection, None)
 
@@ -116,7 +116,7 @@
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self._close_timer = self._endpoint.loop.call_later(COMMAND_S, self.reply, "error no call in time")
-        self._endpoint.opened(self)
+        self._endpoint.connection_opened(self)
 
     def data_received(self, data: bytes) -> None:
         """Read a part of the command's line, and ignore later lines. Called by the event loop."""
@@ -140,7 +140,7 @@
         self._answered = True
         if self._close_timer is not None:
             self._close_timer.cancel()
-        self._endpoint.closed(self)
+        self._endpoint.connection_closed(self)
 
     def reply(self, text: str) -> None:
         """Send the reply, and close the connection after `LINGER_S`; only the first call has an effect."""
--- a/brassfall/sidecar/reload.py
+++ b/brassfall/sidecar/reload.py
@@ -35,7 +35,7 @@
     """A configuration that replaces the running one, and how it differs."""
 
     config: Config
-    same_classes: frozenset[int]  # Slots of the request classes that keep their method and their kind of keys
+    same_classes: frozenset[int]  # Slots of the request classes that the reload keeps unchanged
     pending_restart: tuple[str, ...]  # Names of values that differ in the file but need a restart
 
 
@@ -44,7 +44,7 @@
     """The assignment of slots to request classes."""
 
     classes: Mapping[str, RequestClass]
-    unchanged: frozenset[int]  # Slots of the request classes that keep their method and their kind of keys
+    unchanged: frozenset[int]  # Slots of the request classes that the reload keeps unchanged
 
 
 def plan_reload(running: Config, loaded: Config, slots_in_use: Collection[int]) -> ReloadPlan:
--- a/brassfall/sidecar/servers/connecting.py
+++ b/brassfall/sidecar/servers/connecting.py
@@ -47,7 +47,7 @@
     def make_connection(self, server: ServerIncarnation) -> ServerConnection:
         """Return a new connection object for a server, which is not connected yet."""
 
-    def opened(self, connection: ServerConnection, exchange: Exchange, took_s: float) -> None:
+    def connection_opened(self, connection: ServerConnection, exchange: Exchange, took_s: float) -> None:
         """Handle an established connection; the exchange that it was opened for may have ended meanwhile.
 
         `took_s` is the duration of the handshake in seconds.
@@ -109,7 +109,7 @@
         finally:
             limit.cancel()
         self._local_backoff_s = LOCAL_BACKOFF_S
-        self._pool.opened(connection, exchange, self._loop.time() - started)
+        self._pool.connection_opened(connection, exchange, self._loop.time() - started)
 
     def _failed(self, error: OSError | ValueError, exchange: Exchange) -> None:
         """End the exchange: at once after a failure of the server, after a backoff for a local failure."""
--- a/brassfall/sidecar/servers/pool.py
+++ b/brassfall/sidecar/servers/pool.py
@@ -169,7 +169,7 @@
 
     # --- called by connections (`ConnectionOwner`) ----------------------------------------
 
-    def free(self, connection: ServerConnection) -> None:
+    def connection_idle(self, connection: ServerConnection) -> None:
         """Keep a connection that has become idle, or close it if its server drains or has left."""
         server = connection.server
         if self._servers.get(server.name) is not server or server.no_requests_from < math.inf:
@@ -188,7 +188,7 @@
         """Return a new connection object for a server, which is not connected yet."""
         return ServerConnection(self, server)
 
-    def opened(self, connection: ServerConnection, exchange: Exchange, took_s: float) -> None:
+    def connection_opened(self, connection: ServerConnection, exchange: Exchange, took_s: float) -> None:
         """Handle an established connection; the exchange that it was opened for may have ended meanwhile.
 
         `took_s` is the duration of the handshake in seconds.
@@ -203,7 +203,7 @@
             connection.abort()
             exchange.end(ExchangeResult(Outcome.CONNECT_FAILED))
         elif exchange.ended:
-            self.free(connection)
+            self.connection_idle(connection)
         else:
             self._write(connection, exchange)
 
@@ -245,7 +245,7 @@
             return
         if exchange.observer is not None and not exchange.observer.may_write():
             exchange.withdraw()
-            self.free(connection)
+            self.connection_idle(connection)
             return
         message = exchange.message(exchange.expires - now)
         if self.revision_header is not None and exchange.observer is not None:
@@ -253,7 +253,7 @@
                 # The attempt was decided under a configuration revision that is no longer in force. It ends
                 # unsent, so that the balancer decides again.
                 self._end_soon(exchange, Outcome.ABANDONED)
-                self.free(connection)
+                self.connection_idle(connection)
                 return
             message = message.replace(b"\r\n", b"\r\n" + exchange.revision_header, 1)
         if self.delays is not None and exchange.body is None:
--- a/brassfall/sidecar/servers/server_connection.py
+++ b/brassfall/sidecar/servers/server_connection.py
@@ -68,7 +68,7 @@
     loop: asyncio.AbstractEventLoop
     delays: DelayObserver | None
 
-    def free(self, connection: ServerConnection) -> None:
+    def connection_idle(self, connection: ServerConnection) -> None:
         """Handle that a connection has become idle and can be used again."""
 
     def connection_closed(self, connection: ServerConnection) -> None:
@@ -208,7 +208,7 @@
         """Pause a large request body, because the server takes no more for now; called by the event loop."""
         if self._exchange is not None and self._exchange.body is not None:
             self._exchange.body.pause()
-            self._write_timer = self._pool.loop.call_later(STALLED_S, self._break)
+            self._write_timer = self._pool.loop.call_later(STALLED_S, self._close_broken)
 
     def resume_writing(self) -> None:
         """Resume a large request body, because the write buffer is empty; called by the event loop."""
@@ -232,14 +232,14 @@
         try:
             self._parser.feed(data)
         except framing.BadAnswerError:
-            self._break()
+            self._close_broken()
             return
         if self._exchange is None:
             return  # The client disconnected while this part was streamed to it
         if self._parser.status == OK and self._reused and not self.written:
-            # A server answers a request only after reading all of it, so that this must be a second answer to
-            # the previous request.
-            self._break()
+            # A server runs a request only after reading all of it, so that an OK answer before that must be a
+            # second answer to the previous request.
+            self._close_broken()
             return
         self._last_read = self._pool.loop.time()
         if self.sent_at and self._pool.delays is not None:
@@ -247,23 +247,23 @@
             self._pool.delays.first_byte(self.server.region, delay_ms)
             self.sent_at = 0.0
         if self._parser.complete:
-            self._finish(reusable=self._parser.keep_alive and not self._parser.extra and self.written)
+            self._end_exchange(reusable=self._parser.keep_alive and not self._parser.extra and self.written)
         elif self._parser.status == OK and self.state is AWAITING_ANSWER:
             self._buffer_or_stream()
 
     def eof_received(self) -> bool:
         """Handle that the server closed its side, which may complete an answer; called by the event loop."""
         if self._exchange is not None and self._parser.end():
-            self._finish(reusable=False)
+            self._end_exchange(reusable=False)
         # The event loop would first send the buffered bytes of a request, which counts as never written.
-        self._break()
+        self._close_broken()
         return False
 
     def connection_lost(self, _error: Exception | None) -> None:
         """Handle that the connection is closed, by whichever side; called by the event loop."""
         self.state = CLOSED
         self._pool.connection_closed(self)
-        self._break()
+        self._close_broken()
 
     def _buffer_or_stream(self) -> None:
         """Keep an incomplete answer in the buffer, or start to stream it to the client if it is large.
@@ -274,17 +274,17 @@
         assert self._exchange is not None
         if self._exchange.observer is None:
             if len(self._parser.body) > MAX_BUFFERED_BYTES:
-                self._break()
+                self._close_broken()
             return
         length = self._parser.length
         if len(self._parser.body) > MAX_BUFFERED_BYTES or (
             length is not None and length > MAX_BUFFERED_BYTES
         ):
-            self._stream()
+            self._start_streaming()
         elif length is None and self._hold_timer is None:
-            self._hold_timer = self._pool.loop.call_later(HOLD_S, self._stream)
+            self._hold_timer = self._pool.loop.call_later(HOLD_S, self._start_streaming)
 
-    def _stream(self) -> None:
+    def _start_streaming(self) -> None:
         """Start to stream the answer to the client: its first part now, and each later part as it arrives."""
         if self._hold_timer is not None:
             self._hold_timer.cancel()
@@ -301,7 +301,7 @@
         """Break off a streamed answer if its server has stalled; paused reading doesn't count as stalled."""
         silent = 0.0 if self._reading_paused else self._pool.loop.time() - self._last_read
         if silent >= STALLED_S:
-            self._break()
+            self._close_broken()
         else:
             self._silence_timer = self._pool.loop.call_later(STALLED_S - silent, self._check_silence)
 
@@ -320,24 +320,24 @@
 
     # --- ending an exchange, closing the connection -------------------------------------
 
-    def _finish(self, *, reusable: bool) -> None:
+    def _end_exchange(self, *, reusable: bool) -> None:
         """End the exchange with its complete answer; keep the connection as idle if it is `reusable`."""
         if self._reading_paused:
             self.resume()
-        exchange = self._release()
+        exchange = self._detach_exchange()
         if exchange is None:
             return
         result = self._pool.result(self._parser, health_check=exchange.observer is None)
         if reusable:
             self.state = IDLE
-            self._pool.free(self)
+            self._pool.connection_idle(self)
         else:
             self._transport.abort()
         exchange.end(result)
 
-    def _break(self) -> None:
+    def _close_broken(self) -> None:
         """Close the connection, and end its exchange, if any, with the outcome of a broken connection."""
-        exchange = self._release()
+        exchange = self._detach_exchange()
         self._transport.abort()
         if exchange is not None:
             exchange.end(ExchangeResult(Outcome.RESET if self.written else Outcome.CONNECT_FAILED))
@@ -357,10 +357,10 @@
 
     def abort(self) -> None:
         """Close the connection at once and drop the bytes buffered in this process; no result is reported."""
-        self._release()
+        self._detach_exchange()
         self._transport.abort()
 
-    def _release(self) -> Exchange | None:
+    def _detach_exchange(self) -> Exchange | None:
         """Detach the exchange and the request body from the connection; return the exchange, if any."""
         if self.state is not CLOSED:
             self.state = CLOSING
