--- a/brassfall/sidecar/discovery/current_list.py
+++ b/brassfall/sidecar/discovery/current_list.py
@@ -70,7 +70,7 @@
         return WatchEvent(parse_list(raw, self._names))
 
     def read_complete(self, raw: object) -> ServerList:
-        """Return a complete list that was requested; raise one of `MALFORMED_ERRORS` if invalid or too old."""
+        """Return a complete list that was requested; raise one of `MALFORMED_ERRORS` if invalid or old."""
         update = parse_list(raw, self._names)
         if update.version < self.requested_from:
             message = "the list is older than the current one"
--- a/tests/sidecar/test_large_requests.py
+++ b/tests/sidecar/test_large_requests.py
@@ -195,7 +195,7 @@
         made.attach(writer)
         assert (writer.got, writer.done) == (b"b\r\nfirstsecond\r\n0\r\n\r\n", True)
         made.detach(writer)
-    assert not made.gone
+    assert not made.beginning_discarded
 
 
 def test_the_next_request_is_read_though_the_server_reads_this_one_slowly():
--- a/tests/sidecar/test_reload.py
+++ b/tests/sidecar/test_reload.py
@@ -196,8 +196,7 @@
         assert (await app.ask("POST", "/book", Idempotency_Key=None)).body == b"done"
         await until(
             lambda: (
-                sidecar.inbound.request_classes
-                == {kind.slot for kind in plan.config.names.classes.values()}
+                sidecar.inbound.request_classes == {kind.slot for kind in plan.config.names.classes.values()}
             )
         )
         assert (await app.ask("GET", "/look")).start.split(" ")[1] == "400"
--- a/tests/sidecar/test_unwanted_attempts.py
+++ b/tests/sidecar/test_unwanted_attempts.py
@@ -53,9 +53,7 @@
 
 @pytest.mark.parametrize("answer", [Refuse, Fail, "guard"])
 @loopback
-async def test_an_attempt_without_a_connection_is_not_written_after_the_final_answer(
-    monkeypatch, answer
-):
+async def test_an_attempt_without_a_connection_is_not_written_after_the_final_answer(monkeypatch, answer):
     balancer = ScriptedBalancer()
     async with request_that_waits(monkeypatch, balancer) as waiting:
         sidecar = waiting.sidecar
