--- a/tests/sidecar/test_graceful_shutdown.py
+++ b/tests/sidecar/test_graceful_shutdown.py
@@ -199,7 +199,7 @@
     async with running() as sidecar:
         sidecar.apply_configuration(with_deadline("view", 400.0))
         until_ms = []
-        sidecar.driver.stopping = until_ms.append
+        sidecar.driver.answer_all_by = until_ms.append
         now = sidecar.inbound.clock.now()
         await sidecar.drain()
         assert until_ms[0] - now == pytest.approx(400.0 + shutdown.ANSWERED_MS, abs=100.0)
--- a/tests/sidecar/test_standing_brink.py
+++ b/tests/sidecar/test_standing_brink.py
@@ -291,13 +291,13 @@
 @loopback
 async def test_an_answer_that_ends_its_connection_is_not_reset_by_what_came_meanwhile(monkeypatch, more):
     """It lies unread in the turn in which the answer is written: a plain close over it would be a reset."""
-    served = client_request.ClientRequest.served
+    served = client_request.ClientRequest.send_answer
 
     def crossed(exchange, answer):
         app.writer.write(more)
         served(exchange, answer)
 
-    monkeypatch.setattr(client_request.ClientRequest, "served", crossed)
+    monkeypatch.setattr(client_request.ClientRequest, "send_answer", crossed)
     upstream = await Upstream([OK]).start()
     async with running(upstream, balancer=ScriptedBalancer()) as sidecar:
         app = await App.connect(sidecar.address)
