--- a/brassfall/sidecar/core/actions.py
+++ b/brassfall/sidecar/core/actions.py
@@ -1,4 +1,4 @@
-"""The dispatch of the balancer's actions to the parts that carry them out."""
+"""The dispatcher that passes each action of the balancer to the component that carries it out."""
 
 from __future__ import annotations
 
@@ -8,26 +8,29 @@
 from brassfall.sidecar import log
 from brassfall.sidecar.core.balancer_timers import BalancerTimers
 from brassfall.sidecar.core.health_checks import HealthChecks
-from brassfall.sidecar.core.interfaces import Gossip, Registry, Upstreams
+from brassfall.sidecar.core.interfaces import DiscoveryClient, Gossip, Upstreams
 from brassfall.sidecar.core.request_lifecycle import RequestLifecycle
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ActionDispatcher:
-    """Carries out actions, each at once."""
+    """Carries out the balancer's actions by calling the components of the sidecar, without delay."""
 
     requests: RequestLifecycle
     timers: BalancerTimers
     health_checks: HealthChecks
     upstreams: Upstreams
-    registry: Registry
+    registry: DiscoveryClient
     gossip: Gossip
 
-    def perform(self, action: model.Action, stamp: bytes) -> None:
-        """Carry out one action, decided under the configuration revision of `stamp`."""
+    def perform(self, action: model.Action, revision_header: bytes) -> None:
+        """Carry out one action of the balancer.
+
+        `revision_header` is the header line of the configuration revision that the decision was based on.
+        """
         match action:
             case model.SendAttempt():
-                self._send(action, stamp)
+                self._send(action, revision_header)
             case model.StartTimer(request=number):
                 self.timers.arm(action, is_tracked=number in self.requests.table.by_number)
             case model.RefuseRequest(number, retry_after):
@@ -41,23 +44,27 @@
             case model.CheckServerHealth(server):
                 self.health_checks.start(server)
             case _:
-                self._perform_outward(action)
+                self._perform_external(action)
 
-    def _perform_outward(self, action: model.Action) -> None:
-        """Carry out an action towards discovery, other sidecars or the log."""
+    def _perform_external(self, action: model.Action) -> None:
+        """Carry out an action that concerns discovery, other sidecars or the log."""
         match action:
             case model.WatchEndpointList(on):
                 self.registry.watch(on=on)
             case model.FetchEndpointList():
                 self.registry.fetch()
             case model.SendPeerMessage(peer, data):
-                self.gossip.tell(peer, data)
+                self.gossip.send(peer, data)
             case model.WriteLog(text):
                 log.info("balancer", text=text)
 
-    def _send(self, send: model.SendAttempt, stamp: bytes) -> None:
+    def _send(self, send: model.SendAttempt, revision_header: bytes) -> None:
         request = self.requests.table.by_number.get(send.request)
         if request is None:
-            log.error("attempt for an unknown request, not sent", request=send.request, action="report it")
+            log.error(
+                "balancer asked for an attempt of an unknown request, not sent",
+                request=send.request,
+                action="report it as a defect",
+            )
         else:
-            self.requests.attempts.start(request, send, stamp)
+            self.requests.attempts.start(request, send, revision_header)
