--- a/brassfall/sidecar/clients/client_connection.py
+++ b/brassfall/sidecar/clients/client_connection.py
@@ -49,7 +49,7 @@
     budget: Budget
 
     @property
-    def closing(self) -> bool:
+    def closes_after_answers(self) -> bool:
         """True if each answer is to be the last on its connection."""
 
     def opened(self, connection: ClientConnection) -> None:
@@ -134,7 +134,7 @@
     @property
     def ends_with_pending(self) -> bool:
         """True if the connection is to end once all requests that were read are answered."""
-        return self._owner.closing and self._state is not READING_REQUEST
+        return self._owner.closes_after_answers and self._state is not READING_REQUEST
 
     def _enter(self, state: ConnectionState) -> None:
         """Change the state; raises `ConnectionStateError` if the present one does not allow it."""
--- a/brassfall/sidecar/clients/connection_limits.py
+++ b/brassfall/sidecar/clients/connection_limits.py
@@ -31,17 +31,21 @@
 class ConnectionLimits:
     """Limits on the number of client connections."""
 
-    requests: int  # past it, requests are rejected
+    busy_connections: int  # past it, requests are rejected
     high_water: int  # past it, answers end their connections, and quiet connections are evicted for new ones
-    open: int  # past it, any connection without a request is evicted, or else the new one
+    open_connections: int  # past it, any connection without a request is evicted, or else the new one
 
     @classmethod
     def of(cls, limits: Limits, part: float) -> ConnectionLimits:
         """Return the limits of a process with this part (0 to 1) of all descriptors."""
         connections = limits.connections(part)
-        requests = max(1, int(min(connections * REQUESTS_SHARE, limits.descriptors * part * REQUESTS_OF_ALL)))
-        high_water = max(1, int(requests * HIGH_WATER_SHARE))
-        return cls(requests=requests, high_water=high_water, open=max(2, int(connections * OPEN_SHARE)))
+        busy = max(1, int(min(connections * REQUESTS_SHARE, limits.descriptors * part * REQUESTS_OF_ALL)))
+        high_water = max(1, int(busy * HIGH_WATER_SHARE))
+        return cls(
+            busy_connections=busy,
+            high_water=high_water,
+            open_connections=max(2, int(connections * OPEN_SHARE)),
+        )
 
 
 def eviction_candidates(
--- a/brassfall/sidecar/clients/inbound.py
+++ b/brassfall/sidecar/clients/inbound.py
@@ -57,10 +57,10 @@
         self._connections: dict[ClientConnection, None] = {}  # up and not lost, in the order of accept
         self.open_connections = 0  # how many of them are not evicted
         self._search_from = 0.0  # for a connection to evict, below the limit
-        self._last_answers = False
+        self._close_after_answers = False
         self._machine_limits = config.limits
         self.limits: ConnectionLimits
-        self.share(1.0)
+        self.set_machine_share(1.0)
 
     def listen(self, address: Address, descriptor: int | None = None) -> Address:
         """Accept connections from now on; return the address.
@@ -79,10 +79,10 @@
         )
         return self.listener.address
 
-    def share(self, part: float) -> None:
+    def set_machine_share(self, share: float) -> None:
         """Set the limits for a process with this part (0 to 1) of all memory and descriptors."""
-        self.limits = ConnectionLimits.of(self._machine_limits, part)
-        self.budget.limit = int(self._machine_limits.memory * part * MEMORY_SHARE)
+        self.limits = ConnectionLimits.of(self._machine_limits, share)
+        self.budget.limit = int(self._machine_limits.memory * share * MEMORY_SHARE)
         self.make_room(max(0, self.open_connections - self.limits.high_water))
 
     def reload(self, names: Names, deadline_ms: float = 0.0) -> None:
@@ -99,9 +99,9 @@
 
     # --- shutdown and lame duck ---------------------------------------------------
 
-    def last_answers(self) -> None:
+    def close_after_answers(self) -> None:
         """Make each answer from now on the last on its connection."""
-        self._last_answers = True
+        self._close_after_answers = True
 
     def stop_listening(self) -> None:
         """Stop accepting, and make each answer from now on the last on its connection.
@@ -109,7 +109,7 @@
         Connections that the system has accepted are still taken, unless another process shares the listening
         socket and takes them.
         """
-        self.last_answers()
+        self.close_after_answers()
         if self.listener is None:
             return
         if self._listens_alone:
@@ -118,10 +118,12 @@
             self.listener.close()
 
     @property
-    def closing(self) -> bool:
+    def closes_after_answers(self) -> bool:
         """True if each answer is the last on its connection."""
         return (
-            self._last_answers or self._lifecycle.lame_duck or self.open_connections > self.limits.high_water
+            self._close_after_answers
+            or self._lifecycle.lame_duck
+            or self.open_connections > self.limits.high_water
         )
 
     def _state_changed(self) -> None:
@@ -148,7 +150,7 @@
         return self._finishing_accept or any(connection.transferring for connection in self.connections)
 
     @property
-    def empty(self) -> bool:
+    def all_connections_closed(self) -> bool:
         """True if no connection is open, being closed or being accepted."""
         return not (self._finishing_accept or self._connections or self._opening)
 
@@ -186,7 +188,7 @@
     def opened(self, connection: ClientConnection) -> None:
         """Take in a new connection; past the limits, one that makes no progress is evicted for it."""
         now = connection.quiet_since = self.clock.now()
-        if self.open_connections >= self.limits.open:
+        if self.open_connections >= self.limits.open_connections:
             # One search makes room for all that were accepted together: a search is expensive.
             self.make_room(max(1, self._opening))
         elif (
@@ -197,7 +199,7 @@
             self._search_from = now + LOOK_PAUSE_MS
         self._connections[connection] = None
         self.open_connections += 1
-        if self.open_connections > self.limits.open:
+        if self.open_connections > self.limits.open_connections:
             self._evict(connection)
 
     def closed(self, connection: ClientConnection, last_state: ConnectionState) -> None:
@@ -212,7 +214,7 @@
         Evicted connections count until the loop has closed them: `RESERVED` bounds how many descriptors a
         burst of connections can take of those that discovery needs.
         """
-        return self.limits.open + RESERVED - len(self._connections)
+        return self.limits.open_connections + RESERVED - len(self._connections)
 
     def _evict(self, connection: ClientConnection) -> None:
         connection.evict()
@@ -223,7 +225,7 @@
 
         Below the limit of open connections, only those are evicted that are idle or quiet for `QUIET_MS`.
         """
-        full = self.open_connections >= self.limits.open
+        full = self.open_connections >= self.limits.open_connections
         quiet_since = self.clock.now() - (0.0 if full else QUIET_MS)
         before = self.open_connections
         for connection in eviction_candidates(self._connections, quiet_since):
@@ -243,7 +245,10 @@
         message.target = framing.origin_form(message.target)
         if message.target.partition(b"?")[0] == READY_PATH:
             request.finish(200 if self._lifecycle.ready else 503, [], b"")
-        elif self.open_connections > self.limits.requests and self.busy_connections > self.limits.requests:
+        elif (
+            self.open_connections > self.limits.busy_connections
+            and self.busy_connections > self.limits.busy_connections
+        ):
             request.refused(0.0)
         elif not request.connection.leave_if_closed():
             self._admit(request, message, read_at)
--- a/brassfall/sidecar/clients/known_classes.py
+++ b/brassfall/sidecar/clients/known_classes.py
@@ -11,7 +11,7 @@
 from brassfall.sidecar.config_values import Names
 
 LEARNED_S = 1.2  # from a reload, until clients know the new classes
-KEEP_S = 4.0  # from a reload, in which earlier names are known at least: clients may retry
+EARLIER_CLASSES_KEPT_S = 4.0  # from a reload, in which earlier names are known at least: clients may retry
 
 
 class KnownClasses:
@@ -34,7 +34,7 @@
             return
         earlier, self._names = self._names, names
         self._earlier.appendleft(earlier)
-        keep_s = max(KEEP_S, LEARNED_S + deadline_ms / 1000.0)
+        keep_s = max(EARLIER_CLASSES_KEPT_S, LEARNED_S + deadline_ms / 1000.0)
         self._timers.append(self._loop.call_later(keep_s, self.forget, earlier))
 
     def forget(self, names: Names) -> None:
--- a/brassfall/sidecar/clients/listener.py
+++ b/brassfall/sidecar/clients/listener.py
@@ -35,7 +35,7 @@
     EXHAUSTED = auto()  # no descriptor for one more connection, at this moment
 
 
-async def retry_while_exhausted(listen: Callable[[], Awaitable[T]]) -> T:
+async def retry_until_descriptor_free(listen: Callable[[], Awaitable[T]]) -> T:
     """Call `listen` until the system has a descriptor for a socket, for up to `START_S`; return its result.
 
     Raises the last `OSError` after that time, and any other error at once. Cancelling ends the wait.
--- a/brassfall/sidecar/lifecycle/shutdown.py
+++ b/brassfall/sidecar/lifecycle/shutdown.py
@@ -34,13 +34,13 @@
     if inherited:
         inbound.stop_listening()
     await asyncio.sleep(LISTEN_S - LAST_ANSWERS_S)
-    inbound.last_answers()
+    inbound.close_after_answers()
     await asyncio.sleep(LAST_ANSWERS_S)
     inbound.stop_listening()
     inbound.close_idle(keep_just_opened=True)
     # A request that is read on a connection that is still open starts the wait anew.
     quiet_since = loop.time()
-    while not (inbound.empty and driver.idle):
+    while not (inbound.all_connections_closed and driver.idle):
         await asyncio.sleep(POLL_S)
         inbound.close_idle(keep_just_opened=True)
         if not driver.idle or inbound.transferring:
--- a/brassfall/sidecar/lifecycle/sidecar.py
+++ b/brassfall/sidecar/lifecycle/sidecar.py
@@ -10,7 +10,7 @@
 from brassfall.balancer.model import ListForm, Steer
 from brassfall.sidecar import config, log, reload
 from brassfall.sidecar.clients.inbound import Inbound
-from brassfall.sidecar.clients.listener import retry_while_exhausted
+from brassfall.sidecar.clients.listener import retry_until_descriptor_free
 from brassfall.sidecar.config import Config, ConfigError
 from brassfall.sidecar.config_values import Address
 from brassfall.sidecar.core.clock import Clock
@@ -140,8 +140,8 @@
         The endpoint list of the configuration is in use before the first request. Raises `OSError` if an
         address can't be had. After cancelling, `close` is to be called.
         """
-        await retry_while_exhausted(self._listen_to_operators)
-        await retry_while_exhausted(lambda: self.peers.listen(self._loop))
+        await retry_until_descriptor_free(self._listen_to_operators)
+        await retry_until_descriptor_free(lambda: self.peers.listen(self._loop))
         self.driver.connect(self.pool, self.discovery, self.peers)
         self.discovery.start()
         if self.member is not None:
@@ -152,7 +152,7 @@
             await asyncio.gather(self.discovery.first_answer(FIRST_LIST_S), asyncio.sleep(HANDOVER_POLL_S))
         else:
             await self.discovery.first_call(FIRST_CALL_S)
-        address = await retry_while_exhausted(self._listen_to_clients)
+        address = await retry_until_descriptor_free(self._listen_to_clients)
         self.lifecycle.serve()
         if self._reload_due:
             self.reload(os.environ)
@@ -174,7 +174,7 @@
             self._shares_machine = shares
             part = 0.5 if shares else 1.0
             self.pool.share(part)
-            self.inbound.share(part)
+            self.inbound.set_machine_share(part)
         self._handover_timer = self._loop.call_later(HANDOVER_POLL_S, self._share_machine)
         return shares
 
--- a/tests/sidecar/test_accept.py
+++ b/tests/sidecar/test_accept.py
@@ -105,7 +105,7 @@
     upstream = await Upstream([wait]).start()
     async with running(upstream) as sidecar:
         monkeypatch.setattr(inbound, "RESERVED", 0)
-        sidecar.inbound.limits.open = 3
+        sidecar.inbound.limits.open_connections = 3
         sidecar.inbound.listener.pause(PATIENCE_S)
         crossed = connect_sockets(sidecar.address, 5)
         for sock in crossed:
@@ -126,7 +126,7 @@
         with Faults() as faults:
             faults.share("accept", 1.0, (errno.ENFILE,), on=accepts_for(sidecar))
             await sidecar.drain()
-        assert faults.injected["accept", errno.ENFILE] > 1 and sidecar.inbound.empty
+        assert faults.injected["accept", errno.ENFILE] > 1 and sidecar.inbound.all_connections_closed
 
 
 @loopback
@@ -172,7 +172,7 @@
         sidecar.inbound.listener.pause(PATIENCE_S)
         (waits,) = connect_sockets(address, 1)
         sidecar.inbound.stop_listening()
-        assert sidecar.inbound.empty
+        assert sidecar.inbound.all_connections_closed
         listening.settimeout(PATIENCE_S)
         taken, _ = listening.accept()
         for sock in (taken, waits, listening):
--- a/tests/sidecar/test_admin.py
+++ b/tests/sidecar/test_admin.py
@@ -156,7 +156,7 @@
         release.set()
         answer = await busy.answer()
         assert (answer.body, answer.headers["connection"]) == (b"done", "close")
-        await until(lambda: sidecar.inbound.empty)
+        await until(lambda: sidecar.inbound.all_connections_closed)
 
         assert await command(sidecar, b"REJOIN\n") == b"done serving\n"
         assert await health(sidecar) == "200"
@@ -170,7 +170,7 @@
     monkeypatch.setattr(inbound, "LAME_DUCK_DELAY_S", 0.1)
     async with running(raw=ADMIN) as sidecar:
         idle = await App.connect(sidecar.address)
-        await until(lambda: not sidecar.inbound.empty)
+        await until(lambda: not sidecar.inbound.all_connections_closed)
         await command(sidecar, b"LAMEDUCK\n")
         await command(sidecar, b"REJOIN\n")
         with contextlib.suppress(TimeoutError):
--- a/tests/sidecar/test_answer_order.py
+++ b/tests/sidecar/test_answer_order.py
@@ -102,10 +102,10 @@
         app.send()
         await until(lambda: upstream.seen)
         (connection,) = sidecar.inbound.connections
-        soft, sidecar.inbound.limits.requests = sidecar.inbound.limits.requests, 0
+        soft, sidecar.inbound.limits.busy_connections = sidecar.inbound.limits.busy_connections, 0
         app.send("POST", "/pay", b"refused")
         await until(lambda: len(connection.pending_requests) == 2)
-        sidecar.inbound.limits.requests = soft
+        sidecar.inbound.limits.busy_connections = soft
         app.send()
         await until(lambda: len(connection.pending_requests) == 3)
         release.set()
@@ -125,7 +125,7 @@
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
-        sidecar.inbound.last_answers()
+        sidecar.inbound.close_after_answers()
         app.writer.write(count * partners.request(target=target, X_Budget=LONG_BUDGET))
         answers = [await app.answer() for _ in range(count)]
         assert len({answer.start for answer in answers}) == 1
@@ -181,7 +181,7 @@
     upstream = await Upstream([long]).start()
     balancer = ScriptedBalancer()
     async with one_client(upstream, balancer=balancer) as (sidecar, app, connection):
-        sidecar.inbound.last_answers()
+        sidecar.inbound.close_after_answers()
         app.send(X_Budget=LONG_BUDGET)
         async with asyncio.timeout(PATIENCE_S):
             head = await app.reader.readuntil(b"\r\n\r\n")
--- a/tests/sidecar/test_client_timeouts.py
+++ b/tests/sidecar/test_client_timeouts.py
@@ -48,7 +48,7 @@
     async with running() as sidecar:
         app = await App.connect(sidecar.address)
         assert await app.answer() is None
-        await until(lambda: sidecar.inbound.empty)
+        await until(lambda: sidecar.inbound.all_connections_closed)
 
 
 @loopback
--- a/tests/sidecar/test_connection_limits.py
+++ b/tests/sidecar/test_connection_limits.py
@@ -38,7 +38,7 @@
 async def test_idle_connections_are_evicted_before_a_request_is_rejected():
     upstream = await Upstream([OK, hang]).start()
     async with running(upstream) as sidecar:
-        sidecar.inbound.limits.requests = sidecar.inbound.limits.high_water = 2
+        sidecar.inbound.limits.busy_connections = sidecar.inbound.limits.high_water = 2
         apps = [await App.connect(sidecar.address) for _ in range(2)]
         assert (await apps[0].ask()).status == 200
         apps[1].send()
@@ -98,7 +98,7 @@
         apps = [await App.connect(sidecar.address) for _ in range(60)]
         for app in apps:
             assert "connection" not in (await app.ask("GET", "/health/ready", X_Call_Class=None)).headers
-        sidecar.inbound.share(0.5)
+        sidecar.inbound.set_machine_share(0.5)
         assert len(sidecar.inbound.connections) <= sidecar.inbound.limits.high_water < 60
         new = await App.connect(sidecar.address)
         assert (await new.ask()).body == b"done"
@@ -123,7 +123,7 @@
 @loopback
 async def test_client_requests_hold_no_more_than_a_third_of_all_descriptors(sockets, most):
     async with running(raw={"limits": {"sockets": sockets}}) as sidecar:
-        assert sidecar.inbound.limits.requests == most
+        assert sidecar.inbound.limits.busy_connections == most
 
 
 def descriptors():
@@ -147,9 +147,9 @@
     async with running(raw={"limits": {"sockets": 64}}) as sidecar:
         crowd = connect_sockets(sidecar.address, 150)
         before = descriptors()
-        limit = sidecar.inbound.limits.open
+        limit = sidecar.inbound.limits.open_connections
         most = await most_descriptors(lambda: sum(map(closed_by_peer, crowd)) >= 150 - limit)
-        assert most - before <= sidecar.inbound.limits.open + connection_limits.RESERVED
+        assert most - before <= sidecar.inbound.limits.open_connections + connection_limits.RESERVED
         for sock in crowd:
             sock.close()
 
@@ -162,7 +162,7 @@
         looks, look = [], sidecar.inbound.make_room
         sidecar.inbound.make_room = lambda most: looks.append(most) or look(most)
         crowd = connect_sockets(sidecar.address, 400)
-        await until(lambda: sum(map(closed_by_peer, crowd)) >= 400 - sidecar.inbound.limits.open)
+        await until(lambda: sum(map(closed_by_peer, crowd)) >= 400 - sidecar.inbound.limits.open_connections)
         assert len(looks) < 120
         for sock in crowd:
             sock.close()
@@ -210,7 +210,7 @@
         sidecar.inbound.make_room(1)
         # Before the next turn of the loop: a request on a connection that looks open would be lost.
         assert closed_by_peer(sock)
-        await until(lambda: sidecar.inbound.empty)
+        await until(lambda: sidecar.inbound.all_connections_closed)
         sock.close()
 
 
--- a/tests/sidecar/test_connection_state.py
+++ b/tests/sidecar/test_connection_state.py
@@ -90,7 +90,7 @@
         assert (await app.ask()).body == b"done"
         assert (await app.ask(Connection="close")).body == b"done"
         assert await app.answer() is None
-        await until(lambda: sidecar.inbound.empty)
+        await until(lambda: sidecar.inbound.all_connections_closed)
         assert entered == [
             S.AWAITING_FIRST_REQUEST,
             *(S.READING_REQUEST, S.AWAITING_NEXT_REQUEST) * 2,
@@ -108,7 +108,7 @@
         connection = await only_connection(sidecar)
         await until(lambda: connection.state is S.READING_REQUEST)
         app.close()
-        await until(lambda: sidecar.inbound.empty)
+        await until(lambda: sidecar.inbound.all_connections_closed)
         assert entered == [S.AWAITING_FIRST_REQUEST, S.READING_REQUEST, S.CLOSING, S.CLOSED]
 
 
@@ -121,7 +121,7 @@
         assert (await app.answer()).status == 400
         with contextlib.suppress(ConnectionError):
             await app.reader.read()
-        await until(lambda: sidecar.inbound.empty)
+        await until(lambda: sidecar.inbound.all_connections_closed)
         assert [state for state in entered if state is not S.READING_REQUEST] == [
             S.AWAITING_FIRST_REQUEST,
             S.REJECTED,
@@ -136,13 +136,13 @@
     async with running() as sidecar:
         app = await App.connect(sidecar.address)
         connection = await only_connection(sidecar)
-        sidecar.inbound.limits.open = 1  # full: one without a request is evicted at once
+        sidecar.inbound.limits.open_connections = 1  # full: one without a request is evicted at once
         assert sidecar.inbound.make_room(1)
         assert connection.state is S.EVICTED
         assert sidecar.inbound.open_connections == 0 and not sidecar.inbound.connections
-        assert not sidecar.inbound.empty
+        assert not sidecar.inbound.all_connections_closed
         assert not sidecar.inbound.make_room(1)
-        await until(lambda: sidecar.inbound.empty)
+        await until(lambda: sidecar.inbound.all_connections_closed)
         assert connection.state is S.CLOSED and sidecar.inbound.open_connections == 0
         assert entered == [S.AWAITING_FIRST_REQUEST, S.EVICTED, S.CLOSED]
         app.close()
@@ -273,8 +273,8 @@
             rng.choice([sidecar.inbound.close_idle, lambda: sidecar.inbound.make_room(1), lambda: None])()
             await asyncio.sleep(0.005)
         await asyncio.gather(*clients)
-        sidecar.inbound.last_answers()
-        await until(lambda: sidecar.inbound.empty)
+        sidecar.inbound.close_after_answers()
+        await until(lambda: sidecar.inbound.all_connections_closed)
         assert sidecar.inbound.open_connections == 0 and sidecar.inbound.budget.used == 0
     raised = [context for context in faults if "exception" in context]
     assert not [found for found in raised if not isinstance(found["exception"], ConnectionError | OSError)]
--- a/tests/sidecar/test_graceful_shutdown.py
+++ b/tests/sidecar/test_graceful_shutdown.py
@@ -52,7 +52,7 @@
         for i in range(50, len(whole) - 1):
             app.writer.write(whole[i : i + 1])
             await asyncio.sleep(0.005)
-            if sidecar.inbound.closing:
+            if sidecar.inbound.closes_after_answers:
                 break
         assert not stopping.done()
         app.writer.write(whole[i + 1 : -1])
@@ -82,7 +82,7 @@
         whole = partners.request()
         app.writer.write(whole[:50])
         stopping = asyncio.create_task(sidecar.drain())
-        await until(lambda: sidecar.inbound.closing)
+        await until(lambda: sidecar.inbound.closes_after_answers)
         app.writer.write(whole[50:])
         await until(lambda: upstream.seen)
         await asyncio.sleep(0.5)
@@ -122,7 +122,7 @@
         answer = await busy.answer()
         assert (answer.body, answer.headers["connection"]) == (b"done", "close")
         await drain
-        assert sidecar.inbound.empty
+        assert sidecar.inbound.all_connections_closed
 
 
 @loopback
@@ -134,7 +134,7 @@
         kept = await App.connect(sidecar.address)
         assert (await kept.ask()).headers.get("connection") is None
         end = asyncio.create_task(sidecar.drain())
-        await until(lambda: sidecar.inbound.closing)
+        await until(lambda: sidecar.inbound.closes_after_answers)
         for app in (kept, await App.connect(sidecar.address)):
             answer = await app.ask()
             assert (answer.body, answer.headers["connection"]) == (b"done", "close")
@@ -153,7 +153,7 @@
         sidecar.inbound.close_idle(keep_just_opened=True)
         sock.sendall(request())
         assert (await last_answer_on(sock)).body == b"done"
-        assert sidecar.inbound.empty
+        assert sidecar.inbound.all_connections_closed
 
 
 @loopback
@@ -172,7 +172,7 @@
             sock.sendall(b"\r\n")
         for _ in range(5):
             await asyncio.sleep(0)
-        assert sidecar.inbound.empty and sidecar.driver.idle and not upstream.seen
+        assert sidecar.inbound.all_connections_closed and sidecar.driver.idle and not upstream.seen
         sock.close()
 
 
@@ -184,7 +184,7 @@
 
         def gone():
             sidecar.inbound.close_idle(keep_just_opened=True)
-            return sidecar.inbound.empty
+            return sidecar.inbound.all_connections_closed
 
         await until(gone)
         silent.close()
--- a/tests/sidecar/test_known_classes.py
+++ b/tests/sidecar/test_known_classes.py
@@ -51,4 +51,4 @@
         assert 10.2 in [pytest.approx(wait) for wait in waits]
         waits.clear()
         sidecar.adopt(sidecar_config(Profiles=[{**rows[0], "Name": "see"}]))
-        assert known_classes.KEEP_S in waits  # and no less, where deadlines are short
+        assert known_classes.EARLIER_CLASSES_KEPT_S in waits  # and no less, where deadlines are short
--- a/tests/sidecar/test_large_answers.py
+++ b/tests/sidecar/test_large_answers.py
@@ -207,7 +207,7 @@
         for _ in range(count):
             answer = await app.answer()
             assert answer is not None and answer.body == LARGE[:size]
-        await until(lambda: sidecar.inbound.empty)
+        await until(lambda: sidecar.inbound.all_connections_closed)
 
 
 @loopback
--- a/tests/sidecar/test_reload.py
+++ b/tests/sidecar/test_reload.py
@@ -173,7 +173,7 @@
 
 @loopback
 async def test_new_classes_are_served_and_old_ones_for_a_while(monkeypatch):
-    monkeypatch.setattr(known_classes, "KEEP_S", 0.2)
+    monkeypatch.setattr(known_classes, "EARLIER_CLASSES_KEPT_S", 0.2)
     upstream = await Upstream([OK]).start()
     new = [row("view"), row("book", "side_effect")]
     async with running(upstream) as made:
--- a/tests/sidecar/test_standing_brink.py
+++ b/tests/sidecar/test_standing_brink.py
@@ -268,7 +268,7 @@
 @hurried
 async def test_half_a_line_from_a_server_holds_up_no_end():
     async def half(reader, writer):
-        await comes(lambda: sidecar.inbound.closing)
+        await comes(lambda: sidecar.inbound.closes_after_answers)
         writer.write(HALF)
         await reader.read()  # until the sidecar closes
 
@@ -301,7 +301,7 @@
     upstream = await Upstream([OK]).start()
     async with running(upstream, balancer=ScriptedBalancer()) as sidecar:
         app = await App.connect(sidecar.address)
-        sidecar.inbound.last_answers()
+        sidecar.inbound.close_after_answers()
         answer = await app.ask()
         assert (answer.body, answer.headers["connection"]) == (b"done", "close")
         assert await app.reader.read() == b""
--- a/tests/sidecar/test_upgrade.py
+++ b/tests/sidecar/test_upgrade.py
@@ -115,18 +115,18 @@
         made.append(Sidecar(loop, config.parse(raw, environment)))
     old, new = made
     await old.start()
-    whole = old.inbound.limits.open, old.inbound.budget.limit
+    whole = old.inbound.limits.open_connections, old.inbound.budget.limit
     assert whole[1] == 10 * 2**20
     monkeypatch.setattr("brassfall.sidecar.lifecycle.sidecar.FIRST_LIST_S", 0.0)
     await new.start()
-    await until(lambda: old.inbound.limits.open < whole[0])
+    await until(lambda: old.inbound.limits.open_connections < whole[0])
     held = 2 * 24
     for one in made:
-        held += one.inbound.limits.open + one.pool.max_connections
+        held += one.inbound.limits.open_connections + one.pool.max_connections
         assert one.inbound.budget.limit == 5 * 2**20
     assert held <= 192
     old.close()
-    await until(lambda: (new.inbound.limits.open, new.inbound.budget.limit) == whole)
+    await until(lambda: (new.inbound.limits.open_connections, new.inbound.budget.limit) == whole)
     new.close()
     listening.close()
 
@@ -154,9 +154,12 @@
         made.append(Sidecar(asyncio.get_running_loop(), one))
     old, new = made
     await old.start()
-    whole = old.inbound.limits.open
+    whole = old.inbound.limits.open_connections
     await new.start()  # its list comes at once
-    assert old.inbound.limits.open < whole and old.inbound.limits.open == new.inbound.limits.open
+    assert (
+        old.inbound.limits.open_connections < whole
+        and old.inbound.limits.open_connections == new.inbound.limits.open_connections
+    )
     for one in made:
         one.close()
     listening.close()
--- a/tests/support/clients.py
+++ b/tests/support/clients.py
@@ -20,7 +20,13 @@
 
 async def released(sidecar):
     """Wait until a sidecar holds no request, client connection or memory of a message."""
-    await until(lambda: sidecar.inbound.empty and sidecar.driver.idle and loopback.nothing_left(sidecar))
+    await until(
+        lambda: (
+            sidecar.inbound.all_connections_closed
+            and sidecar.driver.idle
+            and loopback.nothing_left(sidecar)
+        )
+    )
     assert sidecar.inbound.budget.used == 0
 
 
