--- a/brassfall/sidecar/clients/__init__.py
+++ b/brassfall/sidecar/clients/__init__.py
@@ -1,1 +1,1 @@
-"""Connections of the application: requests in, answers out."""
+"""Client side of the sidecar: connections of the application, their requests, and the answers to them."""
--- a/brassfall/sidecar/clients/answer_queue.py
+++ b/brassfall/sidecar/clients/answer_queue.py
@@ -1,4 +1,4 @@
-"""The answers of one client connection, written in the order of their requests."""
+"""Queue of the answers of one client connection, which are written in the order of their requests."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 from brassfall.sidecar import framing
 from brassfall.sidecar.body import Budget
 from brassfall.sidecar.clients.client_request import ClientRequest, RequestHandler
-from brassfall.sidecar.clients.read_control import Hold, ReadControl
+from brassfall.sidecar.clients.read_control import PauseReason, ReadControl
 from brassfall.sidecar.clients.streamed_answer import StreamedAnswer
 
 
 class AnsweringConnection(Protocol):
-    """The connection that the answers go to."""
+    """Client connection as `AnswerQueue` uses it."""
 
     transport: asyncio.Transport
     read_control: ReadControl
 
     @property
-    def ends_with_pending(self) -> bool:
-        """True if the connection is to end once all requests that were read are answered."""
+    def closes_after_pending_requests(self) -> bool:
+        """True if the connection is to be closed once all requests that were read are answered."""
 
 
 class AnswerQueue:
-    """The requests that have no complete answer yet, and the writing of their answers."""
+    """Requests of one connection that have no complete answer yet, and the writing of their answers."""
 
     __slots__ = ("_budget", "_connection", "_handler", "pending")
 
@@ -33,65 +33,69 @@
         self._connection = connection
         self._budget = budget
         self._handler = handler
-        self.pending: deque[ClientRequest] = deque()  # in the order of the requests; changed only here
+        self.pending: deque[ClientRequest] = deque()  # requests in their order; only this class changes it
 
     def append(self, request: ClientRequest) -> None:
-        """Add a request behind the others."""
+        """Add a request to the end of the queue."""
         self.pending.append(request)
 
-    def write_first(self) -> ClientRequest | None:
-        """Write what there is of the first request's answer.
+    def write_first_answer(self) -> ClientRequest | None:
+        """Write as much of the first request's answer as is available.
 
-        Returns the request, which is then no longer pending, if its answer is complete, and None if the
-        rest is to come.
+        If the answer is complete, removes the request from the queue and returns it. Returns None if the
+        rest of the answer is still to come.
         """
         request = self.pending[0]
-        if request.stream is not None:
-            if not self._write_stream(request, request.stream):
+        if request.streamed_answer is not None:
+            if not self._write_streamed_answer(request, request.streamed_answer):
                 return None
-        elif request.answer is not None:
-            request.last = self._is_last(request)
-            status, headers, body = request.answer
-            self._connection.transport.write(framing.answer(status, headers, body, close=request.last))
+        elif request.complete_answer is not None:
+            request.announces_close = self._closes_connection(request)
+            status, headers, body = request.complete_answer
+            self._connection.transport.write(
+                framing.answer(status, headers, body, close=request.announces_close)
+            )
         else:
             return None
         self.pending.popleft()
         request.reservation.release(self._budget)
-        if request.reading and request.request is not None:
-            # No attempt is to wait for the rest of a body that is no longer read.
-            self._handler.client_gone(request.request)
-        request.request = None  # it refers to this request: a cycle that only the collector would free
+        if request.reading and request.driver_request is not None:
+            # The rest of this request's body will not be read, so no attempt may go on waiting for it.
+            self._handler.client_gone(request.driver_request)
+        # The driver's record refers to this request. Without this reference there is no cycle, and both are
+        # freed without the garbage collector.
+        request.driver_request = None
         return request
 
-    def abandon(self) -> None:
-        """Drop all pending requests: their client can no longer be answered."""
+    def abandon_pending(self) -> None:
+        """Remove all pending requests and report that their client has left, as it can't be answered."""
         requests = list(self.pending)
         self.pending.clear()
         for request in requests:
             request.reservation.release(self._budget)
-            handled, request.request = request.request, None
-            if handled is not None:
-                self._handler.client_gone(handled)
+            driver_request, request.driver_request = request.driver_request, None
+            if driver_request is not None:
+                self._handler.client_gone(driver_request)
 
     def pause_stream(self) -> None:
-        """Pause the server's side of the answer that is being passed on, if there is one."""
-        if self.pending and self.pending[0].stream is not None:
-            self.pending[0].stream.flow.pause()
+        """Pause the server's connection of the streamed answer that is being written, if there is one."""
+        if self.pending and self.pending[0].streamed_answer is not None:
+            self.pending[0].streamed_answer.flow.pause()
 
     def resume_stream(self) -> None:
-        """Resume the server's side of the answer that is being passed on, if there is one."""
-        if self.pending and self.pending[0].stream is not None:
-            self.pending[0].stream.flow.resume()
+        """Resume the server's connection of the streamed answer that is being written, if there is one."""
+        if self.pending and self.pending[0].streamed_answer is not None:
+            self.pending[0].streamed_answer.flow.resume()
 
-    def _write_stream(self, request: ClientRequest, stream: StreamedAnswer) -> bool:
-        """Write what there is of an answer that is passed on; return whether it is complete."""
+    def _write_streamed_answer(self, request: ClientRequest, stream: StreamedAnswer) -> bool:
+        """Write as much of a streamed answer as has arrived; return whether it is complete."""
         control = self._connection.read_control
         if not stream.started:
-            request.last = self._is_last(request) or stream.until_close
-            stream.start(last=request.last)
-            if request.last and not request.reading:
-                control.hold(Hold.ENDED)
-            if control.holds(Hold.UNREAD_ANSWERS):
+            request.announces_close = self._closes_connection(request) or stream.delimited_by_close
+            stream.start(announce_close=request.announces_close)
+            if request.announces_close and not request.reading:
+                control.pause(PauseReason.CLOSE_ANNOUNCED)
+            if control.paused_for(PauseReason.UNREAD_ANSWERS):
                 stream.flow.pause()
             elif not stream.complete:
                 stream.flow.resume()
@@ -99,13 +103,14 @@
             stream.end()
         return stream.complete
 
-    def _is_last(self, request: ClientRequest) -> bool:
-        """Return whether the answer to the first request ends the connection.
+    def _closes_connection(self, request: ClientRequest) -> bool:
+        """Return whether the connection is to be closed after the answer to `request`, the first one.
 
-        Requests that were read are all answered before a close; what lies unread may be sent again on
-        another connection.
+        All requests that were read are answered before the connection is closed. The client may send requests
+        that are still unread again on another connection.
         """
-        # An answer before the body's end leaves the rest unread: nothing can follow it.
+        # An answer that is given before the end of the request's body leaves the rest of the body unread, so
+        # no other request can follow on the connection.
         if not request.keep_alive or request.reading:
             return True
-        return len(self.pending) == 1 and self._connection.ends_with_pending
+        return len(self.pending) == 1 and self._connection.closes_after_pending_requests
--- a/brassfall/sidecar/clients/client_connection.py
+++ b/brassfall/sidecar/clients/client_connection.py
@@ -1,11 +1,12 @@
-"""One connection of a client: requests in, answers out in the order of the requests.
+"""One client connection: reads requests, and writes their answers in the order of the requests.
 
-`connection_state` has the states of a connection and says which may follow on which. The state decides what
-a connection does with input, whether it is idle and whether it may be evicted. `RequestParser` reads the
-requests, `AnswerQueue` writes the answers, `ConnectionTimeouts` limits the time of the client, and
+`connection_state` defines the states of a connection and the transitions between them. The state decides what
+a connection does with input, whether it is idle, and whether it may be evicted. `RequestParser` reads the
+requests, `AnswerQueue` writes the answers, `ConnectionTimeouts` limits the time that a client may take, and
 `ReadControl` pauses reading.
 
-All of it runs on the event loop, without awaiting. Times of the sidecar's clock are in ms, the loop's in s.
+All code here runs on the event loop and never awaits. Times of the sidecar's clock are in ms, and times of
+the event loop in seconds.
 """
 
 from __future__ import annotations
@@ -25,23 +26,24 @@
     ConnectionState,
     checked_transition,
 )
-from brassfall.sidecar.clients.connection_timeouts import MAX_UNSENT, ConnectionTimeouts
-from brassfall.sidecar.clients.read_control import Hold, ReadControl
+from brassfall.sidecar.clients.connection_timeouts import MAX_UNSENT_BYTES, ConnectionTimeouts
+from brassfall.sidecar.clients.read_control import PauseReason, ReadControl
 from brassfall.sidecar.clients.request_message import BadRequestError, RequestMessage, Reservation
 from brassfall.sidecar.clients.request_parser import RequestParser
 from brassfall.sidecar.core.clock import Clock
 
-MAX_PENDING = 16  # requests without an answer, past which no more are read
-JUST_OPENED_MS = 100.0  # from accept, in which the first request of a client is expected
+MAX_PENDING_REQUESTS = 16  # number of requests without an answer at which reading is paused
+JUST_OPENED_MS = 100.0  # time after the accept in which a client's first request is expected, in ms
 
-# Looked up once: access to an enum member by its class is slow in CPython 3.11.
+# States that are used often are names of this module, because looking up an enum member by its class is slow
+# in CPython 3.11.
 READING_REQUEST = ConnectionState.READING_REQUEST
 AWAITING_NEXT_REQUEST = ConnectionState.AWAITING_NEXT_REQUEST
 CLOSED = ConnectionState.CLOSED
 
 
-class Owner(Protocol):
-    """The owner of the connections, which serves their requests."""
+class ConnectionOwner(Protocol):
+    """Owner of the client connections, which serves their requests."""
 
     loop: asyncio.AbstractEventLoop
     clock: Clock
@@ -50,44 +52,49 @@
 
     @property
     def closes_after_answers(self) -> bool:
-        """True if each answer is to be the last on its connection."""
+        """True if each connection is to be closed after its next answer."""
 
-    def opened(self, connection: ClientConnection) -> None:
-        """Take note that the connection is up."""
+    def connection_opened(self, connection: ClientConnection) -> None:
+        """Add a connection whose transport has been opened."""
 
-    def closed(self, connection: ClientConnection, last_state: ConnectionState) -> None:
-        """Take note that the connection is gone; `last_state` is the one before `CLOSED`."""
+    def connection_closed(self, connection: ClientConnection, last_state: ConnectionState) -> None:
+        """Remove a closed connection; `last_state` is its state before `CLOSED`."""
 
-    def serve(self, request: ClientRequest, message: RequestMessage, read_at: float) -> None:
-        """Serve a request that was read at `read_at`, complete or as far as a large one is buffered."""
+    def serve_request(self, request: ClientRequest, message: RequestMessage, read_at: float) -> None:
+        """Serve a request that was read at `read_at`, in ms of the sidecar's clock.
+
+        The request is complete, or it is a large one of which the beginning has been read.
+        """
 
 
 class ClientConnection(framing.SharedBufferProtocol):
-    """One connection of a client."""
+    """Connection of one client."""
 
-    def __init__(self, owner: Owner) -> None:
+    def __init__(self, owner: ConnectionOwner) -> None:
         self.transport: asyncio.Transport
-        self.read_control = ReadControl(owner.loop, self._client_gone)
+        self.read_control = ReadControl(owner.loop, self._abandon_client)
         self.timeouts = ConnectionTimeouts(self, owner.loop, owner.clock)
-        self.read_at = 0.0  # time of the last bytes read
-        self.quiet_since = 0.0  # time of the opening, the last bytes read or the last answer
+        self.last_read_at = 0.0  # time of the last bytes read, in ms of the sidecar's clock
+        # Time of the last of three events, in ms of the sidecar's clock: the opening of the connection, the
+        # last bytes read, and the last answer written.
+        self.quiet_since = 0.0
         self._owner = owner
         self._state = ConnectionState.CONNECTING
         self._parser = RequestParser(self, owner.budget)
         self._answers = AnswerQueue(self, owner.budget, owner.handler)
-        self._large_request: ClientRequest | None = None  # whose body is being read
-        self._parsing = False  # while the parser reads bytes, answers wait
+        self._large_request: ClientRequest | None = None  # large request whose body is being read
+        self._parsing = False  # the parser is reading bytes, and answers are written afterwards
 
     # --- state ------------------------------------------------------------------
 
     @property
     def state(self) -> ConnectionState:
-        """The state of the connection."""
+        """State of the connection."""
         return self._state
 
     @property
     def pending_requests(self) -> list[ClientRequest]:
-        """The requests that have no complete answer yet, in their order."""
+        """Requests that have no complete answer yet, in their order."""
         return list(self._answers.pending)
 
     @property
@@ -96,8 +103,8 @@
         return bool(self._answers.pending)
 
     @property
-    def incomplete_size(self) -> int:
-        """The size in bytes of what was read of the incomplete request; 0 without one."""
+    def incomplete_request_size(self) -> int:
+        """Number of bytes that were read of the incomplete request; 0 if there is no such request."""
         message = self._parser.message
         return 0 if message is None else message.size
 
@@ -108,12 +115,12 @@
 
     @property
     def readable(self) -> bool:
-        """True if the socket has unread bytes or the end of the stream; polls the socket."""
+        """True if the socket has unread bytes or the end of the stream; this polls the socket."""
         return framing.readable(self.transport)
 
     @property
     def busy(self) -> bool:
-        """True if a request is pending or a part of an answer is not sent."""
+        """True if a request is pending or a part of an answer has not been sent."""
         return bool(self._answers.pending) or self.transport.get_write_buffer_size() > 0
 
     @property
@@ -124,20 +131,20 @@
 
     @property
     def transferring(self) -> bool:
-        """True if a part of a request is still arriving, or a part of an answer not sent."""
+        """True if a request is still arriving, or a part of an answer has not been sent."""
         if self.transport.get_write_buffer_size() > 0:
             return True
-        if self._state is READING_REQUEST and not self.timeouts.client_stopped:
+        if self._state is READING_REQUEST and not self.timeouts.client_stopped_sending:
             return True
         return self._state in ACCEPTS_INPUT and self.readable
 
     @property
-    def ends_with_pending(self) -> bool:
-        """True if the connection is to end once all requests that were read are answered."""
+    def closes_after_pending_requests(self) -> bool:
+        """True if the connection is to be closed once all requests that were read are answered."""
         return self._owner.closes_after_answers and self._state is not READING_REQUEST
 
-    def _enter(self, state: ConnectionState) -> None:
-        """Change the state; raises `ConnectionStateError` if the present one does not allow it."""
+    def _change_state(self, state: ConnectionState) -> None:
+        """Change the state; raises `ConnectionStateError` if the current state does not allow it."""
         self._state = checked_transition(self._state, state)
         if state not in ACCEPTS_INPUT:
             self._parser.stop()
@@ -145,65 +152,65 @@
     # --- closing ------------------------------------------------------------------
 
     def close(self) -> None:
-        """Close the connection. What is buffered of its answers is still sent."""
+        """Close the connection; bytes of its answers that are buffered are still sent."""
         if self._state is not CLOSED:
             self._begin_closing()
-            self._end_sending()
+            self._shut_down_writing()
             self.transport.close()
 
     def evict(self) -> None:
-        """Close the connection to make room for another one; nothing may be pending on it."""
-        self._enter(ConnectionState.EVICTED)
-        self._end_sending()
+        """Close the connection to make room for another one; no request may be pending on it."""
+        self._change_state(ConnectionState.EVICTED)
+        self._shut_down_writing()
         self.transport.close()
 
     def abort(self) -> None:
-        """Close the connection at once, even with requests pending."""
+        """Close the connection at once, even if requests are pending."""
         if self._state is not CLOSED:
             self._begin_closing()
             self.transport.abort()
 
     def _begin_closing(self) -> None:
         if self._state not in TRANSPORT_CLOSING:
-            self._enter(ConnectionState.CLOSING)
+            self._change_state(ConnectionState.CLOSING)
 
-    def _end_sending(self) -> None:
-        """Send the end of the stream in this turn of the loop.
+    def _shut_down_writing(self) -> None:
+        """Send the end of the stream in this turn of the event loop.
 
-        `transport.close` does so a turn later. A client that looks at the socket before it sends a request
-        has to see the end by then, or the request would be lost.
+        `transport.close` would send it one turn later. A client may check the socket for a close just before
+        it sends a request. If the end of the stream has not been sent by then, the request is lost.
         """
-        with contextlib.suppress(OSError):  # the client has reset the connection
+        with contextlib.suppress(OSError):  # the client may have reset the connection
             self.transport.write_eof()
 
-    # --- called by the loop ---------------------------------------------------
+    # --- called by the event loop ---------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport: the client has connected. Called by the loop."""
+        """Take the transport of a client that has connected. Called by the event loop."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        transport.set_write_buffer_limits(MAX_UNSENT)
-        self._enter(ConnectionState.AWAITING_FIRST_REQUEST)
+        transport.set_write_buffer_limits(MAX_UNSENT_BYTES)
+        self._change_state(ConnectionState.AWAITING_FIRST_REQUEST)
         self.read_control.connected(transport)
-        self.timeouts.start_request()
-        self._owner.opened(self)
+        self.timeouts.start_request_timer()
+        self._owner.connection_opened(self)
 
     def data_received(self, data: bytes) -> None:
-        """Read requests from these bytes. Called by the loop."""
+        """Read requests from `data`. Called by the event loop."""
         if self._state not in ACCEPTS_INPUT:
             return
-        self.read_at = self.quiet_since = self._owner.clock.now()
-        error = self._parse(data)
+        self.last_read_at = self.quiet_since = self._owner.clock.now()
+        error = self._parse_requests(data)
         if error is not None:
-            self.reject(error.status)
-        self.flush()
+            self.reject_input(error.status)
+        self.write_ready_answers()
         if len(data) < MAX_BUFFERED:
-            self.read_control.may_be_stale = False  # nothing more was in the socket buffer
+            self.read_control.next_read_may_be_stale = False  # the socket buffer is empty now
 
-    def _parse(self, data: bytes) -> BadRequestError | None:
-        """Serve the requests in these bytes; return what is wrong with them, if anything.
+    def _parse_requests(self, data: bytes) -> BadRequestError | None:
+        """Serve the requests in `data`; return the error if `data` contains invalid input.
 
-        Answers are written afterwards: more requests may follow in the same bytes.
+        Answers are not written before all of `data` is parsed, because more requests may follow in it.
         """
         self._parsing = True
         try:
@@ -214,95 +221,99 @@
         finally:
             self._parsing = False
         if self._state is READING_REQUEST:
-            self.timeouts.ensure_request()
+            self.timeouts.ensure_request_timer()
         return None
 
     def pause_writing(self) -> None:
-        """Pause reading: the client does not read its answers. Called by the loop.
+        """Pause reading, because the client does not read its answers. Called by the event loop.
 
-        Guards the memory against a client that only sends requests.
+        This limits the memory used for a client that sends requests without reading the answers.
         """
-        self.timeouts.start_answer()
-        self.read_control.hold(Hold.UNREAD_ANSWERS)
+        self.timeouts.start_answer_timer()
+        self.read_control.pause(PauseReason.UNREAD_ANSWERS)
         self._answers.pause_stream()
 
     def resume_writing(self) -> None:
-        """Resume reading: the client has read its answers. Called by the loop."""
-        if not self.transport.is_closing():  # a closing connection keeps its limit
-            self.timeouts.stop_answer()
-        self.read_control.release(Hold.UNREAD_ANSWERS)
+        """Resume reading, because the client has read its answers. Called by the event loop."""
+        if not self.transport.is_closing():  # a closing connection keeps its time limit for the answer
+            self.timeouts.stop_answer_timer()
+        self.read_control.resume(PauseReason.UNREAD_ANSWERS)
         self._answers.resume_stream()
 
     def eof_received(self) -> bool:
-        """Close the connection: the client has ended its sending. Called by the loop."""
-        self._client_gone()
+        """Close the connection, because the client has ended its sending. Called by the event loop."""
+        self._abandon_client()
         return False
 
     def connection_lost(self, _error: Exception | None) -> None:
-        """Release what the connection holds. Called by the loop."""
+        """Release all resources of the closed connection. Called by the event loop."""
         last_state = self._state
-        self._enter(CLOSED)
-        self.timeouts.stop()
+        self._change_state(CLOSED)
+        self.timeouts.cancel_all()
         self.read_control.disconnected()
-        self._owner.closed(self, last_state)
-        self._abandon_pending()
+        self._owner.connection_closed(self, last_state)
+        self._abandon_pending_requests()
 
-    # --- a body that flows (body.Source) --------------------------------------
+    # --- streaming of a large body (body.Source) --------------------------------------
 
     def pause(self) -> None:
-        """Stop reading: the body arrives faster than the server takes it."""
-        self.read_control.hold(Hold.SLOW_SERVER)
+        """Pause reading, because the body arrives faster than the server takes it."""
+        self.read_control.pause(PauseReason.SLOW_SERVER)
 
     def resume(self) -> None:
-        """Read on: the server takes more of the body."""
-        self.read_control.release(Hold.SLOW_SERVER)
+        """Resume reading, because the server can take more of the body."""
+        self.read_control.resume(PauseReason.SLOW_SERVER)
 
-    # --- the client's end -----------------------------------------------------
+    # --- departure of the client -----------------------------------------------------
 
-    def leave_if_closed(self) -> bool:
+    def close_if_client_left(self) -> bool:
         """Close the connection if the client of a request just read has closed it; return whether it has.
 
-        Polls the socket only where the loop can't have reported the end yet: if the request may have waited
-        in the socket buffer, or came behind another one.
+        Polls the socket only if the event loop may not have reported the close yet: if the request may have
+        waited in the socket buffer, or was read together with an earlier request.
         """
-        stale = self.read_control.may_be_stale or len(self._answers.pending) > 1
-        if not stale or not framing.peer_closed(self.transport):
+        may_be_stale = self.read_control.next_read_may_be_stale or len(self._answers.pending) > 1
+        if not may_be_stale or not framing.peer_closed(self.transport):
             return False
-        self._client_gone()
+        self._abandon_client()
         return True
 
     def client_left(self) -> bool:
-        """Return whether the client has closed the connection; polls the socket.
+        """Return whether the client has closed the connection; this polls the socket.
 
-        If it has, the handler gets `client_gone` for each pending request in the next turn of the loop.
+        If the client has, `client_gone` of the handler is called for each pending request in the next turn of
+        the event loop.
         """
         if self._state is CLOSED:
             return True
-        gone = framing.peer_closed(self.transport)
-        if gone and self._state in ACCEPTS_INPUT:
-            self._owner.loop.call_soon(self._client_gone)
-        return gone
+        closed = framing.peer_closed(self.transport)
+        if closed and self._state in ACCEPTS_INPUT:
+            self._owner.loop.call_soon(self._abandon_client)
+        return closed
+
+    def _abandon_client(self) -> None:
+        """Abandon the pending requests and close, because the client has closed or ended its sending.
 
-    def _client_gone(self) -> None:
-        """Abandon the pending requests and close: the client has gone, or reads buffered answers at most."""
+        The client may still read answers that are already buffered.
+        """
         if self._state is CLOSED:
             return
         self._begin_closing()
-        self._abandon_pending()
-        self.read_control.stop_looking()
+        self._abandon_pending_requests()
+        self.read_control.stop_close_polling()
         self.transport.close()
-        # The client may have left a part of an answer unread without ever closing its end.
-        self.timeouts.ensure_answer()
+        # A client that has only ended its sending may never read the rest of an answer, and never close.
+        self.timeouts.ensure_answer_timer()
 
-    def _abandon_pending(self) -> None:
+    def _abandon_pending_requests(self) -> None:
         self._large_request = None
-        self._answers.abandon()
+        self._answers.abandon_pending()
 
-    # --- called by the parser (request_parser.Receiver) -----------------------
+    # --- called by the parser (request_parser.RequestReceiver) -----------------------
 
     def request_begun(self) -> None:
-        """Take note that the first byte of a request was read."""
-        self._enter(READING_REQUEST)
+        """Change the state after the first byte of a request was read."""
+        self._change_state(READING_REQUEST)
 
     def head_read(self, message: RequestMessage) -> None:
         """Answer `Expect: 100-continue` once all earlier requests are answered."""
@@ -313,128 +324,131 @@
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def large_body_begun(self, message: RequestMessage) -> Body:
-        """Serve a request that is too large to be buffered; return what takes the rest of its body."""
+        """Serve a request that is too large to be buffered; return the body that takes the rest of it."""
         length = message.header("content-length")
         body = Body(self, bytes(message.body), int(length) if length is not None else None)
         message.body.clear()
         request = self._large_request = self._append_request(message, keep_alive=True)
         request.body = body
-        body.on_gone = lambda: self._body_gone(request)
-        self._owner.serve(request, message, self.read_at)
+        body.on_gone = lambda: self._body_discarded(request)
+        self._owner.serve_request(request, message, self.last_read_at)
         return body
 
     def request_read(self, message: RequestMessage) -> None:
         """Serve a request whose last byte has been read."""
-        self._enter(AWAITING_NEXT_REQUEST)
-        self.timeouts.stop_request()
+        self._change_state(AWAITING_NEXT_REQUEST)
+        self.timeouts.stop_request_timer()
         if self._large_request is not None:
-            self._end_large_request(self._large_request)
+            self._complete_large_request(self._large_request)
             return
         request = self._append_request(message, keep_alive=self._parser.keep_alive)
-        self._owner.serve(request, message, self.read_at)
-        self._stop_after_last(request)
-        if len(self._answers.pending) >= MAX_PENDING:
-            self.read_control.hold(Hold.REQUESTS_WAIT)
+        self._owner.serve_request(request, message, self.last_read_at)
+        self._stop_reading_after_last_request(request)
+        if len(self._answers.pending) >= MAX_PENDING_REQUESTS:
+            self.read_control.pause(PauseReason.MANY_PENDING_REQUESTS)
 
     def _append_request(self, message: RequestMessage, *, keep_alive: bool) -> ClientRequest:
         request = ClientRequest(self, message.reservation, keep_alive=keep_alive)
-        request.can_chunk = self._parser.can_chunk
+        request.accepts_chunked = self._parser.accepts_chunked
         self._answers.append(request)
         return request
 
-    def _end_large_request(self, request: ClientRequest) -> None:
+    def _complete_large_request(self, request: ClientRequest) -> None:
         assert request.body is not None
         self._large_request = None
         request.keep_alive = request.keep_alive and self._parser.keep_alive
-        self._stop_after_last(request)
-        if request.last:
-            self.read_control.hold(Hold.ENDED)
+        self._stop_reading_after_last_request(request)
+        if request.announces_close:
+            self.read_control.pause(PauseReason.CLOSE_ANNOUNCED)
         request.body.end()
-        if request.request is not None:
-            self._owner.handler.body_read(request.request, self.read_at)
+        if request.driver_request is not None:
+            self._owner.handler.body_read(request.driver_request, self.last_read_at)
 
-    def _body_gone(self, request: ClientRequest) -> None:
-        if request.request is not None:
-            self._owner.handler.body_gone(request.request)
+    def _body_discarded(self, request: ClientRequest) -> None:
+        if request.driver_request is not None:
+            self._owner.handler.body_gone(request.driver_request)
 
-    def _stop_after_last(self, request: ClientRequest) -> None:
-        """Read no request behind one whose answer ends the connection."""
+    def _stop_reading_after_last_request(self, request: ClientRequest) -> None:
+        """Read no further request if the connection is to be closed after the answer to `request`."""
         if not request.keep_alive and self._state in ACCEPTS_INPUT:
-            self._enter(ConnectionState.LAST_REQUEST_READ)
+            self._change_state(ConnectionState.LAST_REQUEST_READ)
 
     # --- answers ----------------------------------------------------------------
 
-    def reserve_stream(self, request: ClientRequest) -> None:
-        """Reserve the memory of an answer that is passed on, even past the limit of the budget."""
+    def reserve_stream_memory(self, request: ClientRequest) -> None:
+        """Reserve memory for the streamed answer of `request`, even above the limit of the budget."""
         self._owner.budget.used += MAX_FLOWING
         request.reservation.size += MAX_FLOWING
 
     def write(self, data: bytes) -> None:
-        """Write a part of an answer, unless the transport is closing."""
+        """Write a part of an answer to the client, unless the transport is closing."""
         if not self.transport.is_closing():
             self.transport.write(data)
 
-    def flush(self) -> None:
-        """Write the answers that are there, in the order of the requests."""
+    def write_ready_answers(self) -> None:
+        """Write the available answers, in the order of their requests."""
         if self._parsing or self._state is CLOSED:
             return
         pending = self._answers.pending
         while pending:
-            request = self._answers.write_first()
+            request = self._answers.write_first_answer()
             if request is None:
                 return
-            if request.last:
-                self._end()
+            if request.announces_close:
+                self._close_after_last_answer()
                 return
             self.quiet_since = self._owner.clock.now()
-            if len(pending) == MAX_PENDING - 1:
-                self.read_control.release(Hold.REQUESTS_WAIT)
+            if len(pending) == MAX_PENDING_REQUESTS - 1:
+                self.read_control.resume(PauseReason.MANY_PENDING_REQUESTS)
         message = self._parser.message
         if message is not None and message.head_complete:
             self.head_read(message)
 
-    def reject(self, status: int) -> None:
-        """Answer input from which no request can be read; earlier requests are answered first."""
+    def reject_input(self, status: int) -> None:
+        """Answer input that is no valid request, or an incomplete one, with this HTTP status.
+
+        Earlier requests are answered first. The connection is closed after this answer.
+        """
         if self._state not in ACCEPTS_INPUT:
             return
-        self._enter(ConnectionState.REJECTED)
+        self._change_state(ConnectionState.REJECTED)
         large, self._large_request = self._large_request, None
         if large is not None:
             self._reject_large_request(large, status)
             return
         request = ClientRequest(self, Reservation(), keep_alive=False)
         self._answers.append(request)
-        request.finish(status, [], b"")
+        request.give_answer(status, [], b"")
 
     def _reject_large_request(self, request: ClientRequest, status: int) -> None:
-        """End a large request that will not be complete: no server is to wait for the rest."""
-        if request.request is not None:
-            self._owner.handler.client_gone(request.request)
-        if request.stream is not None:
-            self.abort()  # its answer had begun
+        """Answer a large request that will not be complete, and stop attempts that wait for the rest."""
+        if request.driver_request is not None:
+            self._owner.handler.client_gone(request.driver_request)
+        if request.streamed_answer is not None:
+            self.abort()  # a server's answer has begun, so no other answer can be given
             return
         request.keep_alive = False
-        request.finish(status, [], b"")
+        request.give_answer(status, [], b"")
 
-    def _end(self) -> None:
-        """Close after the last answer.
+    def _close_after_last_answer(self) -> None:
+        """Close the connection after its last answer.
 
-        A client that is still sending gets time to read the answer, which a reset would destroy. The rest of
-        an incomplete or invalid request is read and dropped, or its client might block in sending. A request
-        behind the last one stays unread, so that the client may send it again.
+        A client that is still sending gets time to read the answer, because a reset would destroy it. The
+        rest of an incomplete or invalid request is read and dropped, because its client might block in
+        sending otherwise. A request after the last one stays unread, so that the client may send it again.
         """
-        self.timeouts.stop_request()
+        self.timeouts.stop_request_timer()
         incomplete = self._state is READING_REQUEST
         if incomplete or self._state is ConnectionState.REJECTED:
-            self.read_control.release(Hold.SLOW_SERVER)
+            self.read_control.resume(PauseReason.SLOW_SERVER)
         else:
-            self.read_control.hold(Hold.ENDED)
-        # An answer that only the end of the connection delimits may have requests behind it.
-        self._abandon_pending()
+            self.read_control.pause(PauseReason.CLOSE_ANNOUNCED)
+        # Requests may have been read after this one if its answer is delimited by the close only.
+        self._abandon_pending_requests()
         if self._state in TRANSPORT_CLOSING or not (incomplete or self.readable):
             self._begin_closing()
             self.transport.close()
             return
-        self._enter(ConnectionState.LINGERING)
-        self._end_sending()
-        self.timeouts.start_linger()
+        self._change_state(ConnectionState.LINGERING)
+        self._shut_down_writing()
+        self.timeouts.start_linger_timer()
--- a/brassfall/sidecar/clients/client_request.py
+++ b/brassfall/sidecar/clients/client_request.py
@@ -1,4 +1,4 @@
-"""A client's request: its properties for the driver, its bytes for a server, and its answer."""
+"""Client's request: its properties for the driver, its bytes for a server, and its answer."""
 
 from __future__ import annotations
 
@@ -15,45 +15,48 @@
 
 
 class AnswerWriter(Protocol):
-    """The connection that a request came on and its answer goes to."""
+    """Connection on which a request arrived and on which its answer is written."""
 
-    def flush(self) -> None:
-        """Write the answers that are there, in the order of the requests."""
+    def write_ready_answers(self) -> None:
+        """Write the available answers, in the order of their requests."""
 
     def write(self, data: bytes) -> None:
-        """Write a part of an answer."""
+        """Write a part of an answer to the client."""
 
-    def reserve_stream(self, request: ClientRequest) -> None:
-        """Reserve the memory of an answer that is passed on."""
+    def reserve_stream_memory(self, request: ClientRequest) -> None:
+        """Reserve memory for the streamed answer of `request`."""
 
-    def leave_if_closed(self) -> bool:
-        """Close if the client of a request just read has closed the connection; return whether it has."""
+    def close_if_client_left(self) -> bool:
+        """Close the connection if the client of a request just read has closed it; return whether it has."""
 
     def client_left(self) -> bool:
-        """Return whether the client has closed the connection; polls the socket."""
+        """Return whether the client has closed the connection; this polls the socket."""
 
     def abort(self) -> None:
-        """Close the connection at once, even with requests pending."""
+        """Close the connection at once, even if requests are pending."""
 
 
 class RequestHandler(Protocol):
-    """The driver, which serves requests that have passed the checks."""
+    """Driver as the client connections use it: it serves the requests that have passed the checks."""
 
     def arrive(self, call: ClientRequest, now: float) -> Request | None:
-        """Serve a request that was read at `now`, in ms; exactly one final answer follows."""
+        """Serve a request that was read at `now`, in ms of the sidecar's clock; one final answer follows.
+
+        Returns the driver's record of the request, or None if the request was rejected at once.
+        """
 
     def client_gone(self, request: Request) -> None:
-        """Take note that the client has closed the connection, or that the body will not be complete."""
+        """Handle that the client has closed the connection, or that the body will not be complete."""
 
     def body_gone(self, request: Request) -> None:
-        """Take note that more of the body was forwarded than is buffered: it can't be sent again."""
+        """Handle that the body can't be sent again, since more of it was forwarded than is buffered."""
 
     def body_read(self, request: Request, now: float) -> None:
-        """Take note that the last byte of the body was read at `now`, in ms."""
+        """Handle that the last byte of the body was read at `now`, in ms of the sidecar's clock."""
 
 
 class CompleteAnswer(NamedTuple):
-    """A final answer in one piece."""
+    """Final answer with its complete body."""
 
     status: int
     headers: framing.Headers
@@ -61,46 +64,50 @@
 
 
 class ClientRequest:
-    """One request on a client's connection, and its answer once there is one.
+    """Request on a client's connection, and its answer once there is one.
 
-    Implements `core.interfaces.Call`. The first of the methods that answer gives the final answer.
+    Implements `core.interfaces.Call`. The final answer is given by the first of the methods that give one;
+    later calls of these methods have no effect.
     """
 
     def __init__(self, connection: AnswerWriter, reservation: Reservation, *, keep_alive: bool) -> None:
-        """Create a request on `connection`, which may carry more requests if `keep_alive`."""
+        """Create a request on `connection`, which may carry more requests if `keep_alive` is True."""
         self.connection = connection
         self.keep_alive = keep_alive
-        self.last = False  # whether the head of the answer announces the end of the connection
-        self.request: Request | None = None  # the driver's record of it, until it is answered
-        self.answer: CompleteAnswer | None = None
-        self.stream: StreamedAnswer | None = None  # in place of a complete answer
-        self.body: Body | None = None  # of a large request, in place of a buffered one
-        self.can_chunk = True  # whether its client understands chunked answers, as of HTTP/1.1
-        self.reservation = reservation
-        self.request_class = self.tenant = 0
-        self.key: int | None = None
-        self.work: float | None = None
+        self.announces_close = False  # the head of the answer tells the client that the connection closes
+        self.driver_request: Request | None = None  # driver's record of this request, until it is answered
+        self.complete_answer: CompleteAnswer | None = None
+        self.streamed_answer: StreamedAnswer | None = None  # large answer, in place of `complete_answer`
+        self.body: Body | None = None  # body of a large request, which is not buffered completely
+        self.accepts_chunked = True  # the client understands chunked answers, as of HTTP/1.1
+        self.reservation = reservation  # memory that is reserved for the request and its answer
+        self.request_class = self.tenant = 0  # indices in the settings
+        self.key: int | None = None  # number that stands for the user named in the cookie
+        self.work: float | None = None  # work that the client states for the request, in ms
         self.client_retry = self.mutates = False
-        self.budget = 0.0
+        self.budget = 0.0  # time that the client waits for the answer, in ms
         self._head = b""
         self._body = b""
 
     @property
     def reading(self) -> bool:
-        """True if the body is still arriving."""
+        """True if a part of the request body has not arrived yet."""
         return self.body is not None and not self.body.complete
 
     def client_left(self) -> bool:
         """Return whether the client has closed the connection; polls the socket.
 
-        The loop may not have reported the end yet. No attempt may begin for such a client.
+        The event loop may not have reported the close yet. No attempt may begin once the client has closed.
         """
         return self.connection.client_left()
 
-    def read(self, message: RequestMessage, names: Names, not_forwarded: frozenset[bytes]) -> None:
-        """Check a request for servers and read its properties.
+    def read_properties(
+        self, message: RequestMessage, names: Names, not_forwarded: frozenset[bytes]
+    ) -> None:
+        """Check `message` against `names` and set the properties and the head for servers from it.
 
-        Headers in `not_forwarded` are left out. Raises `BadRequestError` with the answer to a bad request.
+        Headers in `not_forwarded` are left out of the head. Raises a `BadRequestError` with the answer if the
+        request is invalid.
         """
         request_class = request_checks.request_class(message, names)
         self.request_class = request_class.slot
@@ -115,70 +122,76 @@
         self.mutates = "Mutates=1" in (message.header("x-call-info") or "").split(",")
         self._body = b"" if self.body is not None else bytes(message.body)
         headers = framing.end_to_end(message.headers, not_forwarded)
-        # A server would read a body without a length as the next request.
-        bare = message.method == "GET" and not self._body
-        length = b"" if bare else b"Content-Length: %d\r\n" % len(self._body)
+        # A request with a body needs a length: a server would take the body for the next request otherwise.
+        without_body = message.method == "GET" and not self._body
+        framing_header = b"" if without_body else b"Content-Length: %d\r\n" % len(self._body)
         if self.body is not None:
-            length = self.body.header
+            framing_header = self.body.header
         self._head = b"%b %b HTTP/1.1\r\n%b%b" % (
             message.method.encode(),
             message.target,
             framing.header_lines(headers),
-            length,
+            framing_header,
         )
 
     def wire(self, left: float) -> bytes:
-        """Return the request's bytes for a server that has `left` ms; of a large request the head."""
+        """Return the bytes of this request for a server that has `left` ms to answer.
+
+        For a large request these are the bytes of the head only.
+        """
         return b"%bX-Budget: %du\r\n\r\n%b" % (self._head, max(0.0, left) * 1000.0, self._body)
 
     # --- the final answer ---------------------------------------------------
 
     def served(self, answer: Answer) -> None:
-        """Give a server's answer."""
-        self.finish(200, answer.headers, answer.body)
+        """Answer the request with the complete answer of a server."""
+        self.give_answer(200, answer.headers, answer.body)
 
     def refused(self, retry_after: float) -> None:
-        """Reject the request, with a Retry-After of `retry_after` ms if that is positive."""
-        wait = [(b"Retry-After", b"%.3f" % (retry_after / 1000.0))] if retry_after > 0.0 else []
-        self.finish(503, wait, b"")
+        """Reject the request with status 503, and with `Retry-After` if `retry_after`, in ms, is positive."""
+        headers = [(b"Retry-After", b"%.3f" % (retry_after / 1000.0))] if retry_after > 0.0 else []
+        self.give_answer(503, headers, b"")
 
     def failed(self, *, late: bool) -> None:
-        """Fail the request, because its deadline is over if `late`."""
-        self.finish(504 if late else 502, [], b"")
+        """Fail the request: with status 504 if its deadline is over (`late`), and with 502 otherwise."""
+        self.give_answer(504 if late else 502, [], b"")
 
     def begun(self, answer: Answer, flow: Flow) -> None:
-        """Begin to pass on a server's answer of which more is to come."""
-        if self.answer is None and self.stream is None:
-            self.stream = StreamedAnswer(self.connection.write, answer, flow, can_chunk=self.can_chunk)
-            self.connection.reserve_stream(self)
-            self.connection.flush()
+        """Begin to pass on a large answer of a server, of which the first part has arrived."""
+        if self.complete_answer is None and self.streamed_answer is None:
+            self.streamed_answer = StreamedAnswer(
+                self.connection.write, answer, flow, accepts_chunked=self.accepts_chunked
+            )
+            self.connection.reserve_stream_memory(self)
+            self.connection.write_ready_answers()
 
     def more(self, data: bytes) -> None:
-        """Pass on a part of the answer that has begun."""
-        if self.stream is not None:
-            self.stream.add(data)
+        """Pass on the next part of a large answer."""
+        if self.streamed_answer is not None:
+            self.streamed_answer.add_part(data)
 
     def finished(self) -> None:
-        """End the answer that has begun: it is complete."""
-        if self.stream is not None:
-            self.stream.complete = True
-            self.connection.flush()
+        """End a large answer whose last part has been passed on."""
+        if self.streamed_answer is not None:
+            self.streamed_answer.complete = True
+            self.connection.write_ready_answers()
 
     def broken(self) -> None:
-        """End the answer that has begun and can't be completed.
+        """End a large answer that can't be completed.
 
-        Aborts the connection, by which the client can tell, or fails the request where nothing was written.
+        If a part of it was written, aborts the connection, so that the client notices that the rest is
+        missing. Otherwise fails the request.
         """
-        if self.stream is None:
+        if self.streamed_answer is None:
             return
-        if self.stream.started:
+        if self.streamed_answer.started:
             self.connection.abort()
         else:
-            self.stream = None
+            self.streamed_answer = None
             self.failed(late=False)
 
-    def finish(self, status: int, headers: framing.Headers, body: bytes) -> None:
-        """Give a complete final answer; without effect if there is one."""
-        if self.answer is None and self.stream is None:
-            self.answer = CompleteAnswer(status, headers, body)
-            self.connection.flush()
+    def give_answer(self, status: int, headers: framing.Headers, body: bytes) -> None:
+        """Give a complete final answer; no effect if the request already has an answer."""
+        if self.complete_answer is None and self.streamed_answer is None:
+            self.complete_answer = CompleteAnswer(status, headers, body)
+            self.connection.write_ready_answers()
--- a/brassfall/sidecar/clients/connection_limits.py
+++ b/brassfall/sidecar/clients/connection_limits.py
@@ -1,4 +1,4 @@
-"""The limits on the number of client connections, and the order in which connections are evicted."""
+"""Limits on the number of client connections, and the order in which connections are evicted."""
 
 from __future__ import annotations
 
@@ -9,15 +9,20 @@
 from brassfall.sidecar.clients.connection_state import ConnectionState
 from brassfall.sidecar.config import Limits
 
-REQUESTS_OF_ALL = 1.0 / 3.0  # of all descriptors, for connections with requests
-REQUESTS_SHARE = 0.4  # of the descriptors for connections; decides where there are few descriptors
-# Part of the limit on requests. A client that has as many connections as it may open can't open the one whose
-# arrival would make room, so answers end their connections before the limit is reached.
+# Largest share of all descriptors of the process that connections with requests may use.
+BUSY_SHARE_OF_ALL = 1.0 / 3.0
+# Largest share of the descriptors for connections that connections with requests may use. It is the lower of
+# the two limits in a process with few descriptors.
+BUSY_SHARE = 0.4
+# Share of the limit on connections with requests above which answers close their connections. The share is
+# below 1 because a client that already has as many connections as it may open can't open the new connection
+# whose arrival would make this process evict one.
 HIGH_WATER_SHARE = 0.75
-OPEN_SHARE = 0.47  # of the descriptors for connections
-RESERVED = 8  # descriptors for connections that are being evicted, or for which others are
+OPEN_SHARE = 0.47  # largest share of the descriptors for connections that open client connections may use
+RESERVED_DESCRIPTORS = 8  # descriptors for connections being evicted and for connections replacing them
 
-# Which connection is evicted first, by its state; others have something pending and are never evicted.
+# Rank of a connection in the order of eviction, by its state; connections of rank 0 are evicted first. A
+# connection in a state that is missing here has something pending, and is never evicted.
 EVICTION_RANK = {
     ConnectionState.AWAITING_NEXT_REQUEST: 0,
     ConnectionState.LINGERING: 0,
@@ -29,17 +34,22 @@
 
 @dataclass(slots=True)
 class ConnectionLimits:
-    """Limits on the number of client connections."""
+    """Limits of one process on the number of client connections."""
 
-    busy_connections: int  # past it, requests are rejected
-    high_water: int  # past it, answers end their connections, and quiet connections are evicted for new ones
-    open_connections: int  # past it, any connection without a request is evicted, or else the new one
+    # Number of connections with requests above which new requests are rejected.
+    busy_connections: int
+    # Number of open connections above which each answer closes its connection, and a new connection causes
+    # the eviction of one on which nothing has happened for `QUIET_BEFORE_EVICTION_MS`.
+    high_water: int
+    # Number of open connections above which a new connection causes the eviction of any connection without a
+    # request, or of the new connection itself if there is none.
+    open_connections: int
 
     @classmethod
-    def of(cls, limits: Limits, part: float) -> ConnectionLimits:
-        """Return the limits of a process with this part (0 to 1) of all descriptors."""
-        connections = limits.connections(part)
-        busy = max(1, int(min(connections * REQUESTS_SHARE, limits.descriptors * part * REQUESTS_OF_ALL)))
+    def for_machine_share(cls, limits: Limits, share: float) -> ConnectionLimits:
+        """Return the limits of a process that may use `share` (0 to 1) of all descriptors."""
+        connections = limits.connections(share)
+        busy = max(1, int(min(connections * BUSY_SHARE, limits.descriptors * share * BUSY_SHARE_OF_ALL)))
         high_water = max(1, int(busy * HIGH_WATER_SHARE))
         return cls(
             busy_connections=busy,
@@ -49,19 +59,22 @@
 
 
 def eviction_candidates(
-    connections: Iterable[ClientConnection], quiet_since: float
+    connections: Iterable[ClientConnection], quiet_before: float
 ) -> list[ClientConnection]:
-    """Return the connections that may be evicted, those with the least progress first.
+    """Return the connections that may be evicted, starting with those that have made the least progress.
 
-    Connections that have had their answer may be, and others that are quiet since `quiet_since`, a time of
-    the sidecar's clock. Those that have had their answer come first, then those that never sent a byte, then
-    those that stopped within a request; of each the ones that are quiet for longest.
+    A connection may be evicted if its requests have been answered, or if nothing has happened on it since
+    `quiet_before`, in ms of the sidecar's clock. Connections whose requests have been answered come first,
+    then those that never sent a byte, then those whose client stopped within a request. Within each of these
+    groups, the connections that have been quiet for longest come first.
     """
     candidates = [
         connection
         for connection in connections
         if not connection.busy
         and connection.state in EVICTION_RANK
-        and (EVICTION_RANK[connection.state] == 0 or connection.quiet_since <= quiet_since)
+        and (EVICTION_RANK[connection.state] == 0 or connection.quiet_since <= quiet_before)
     ]
-    return sorted(candidates, key=lambda c: (EVICTION_RANK[c.state], c.quiet_since))
+    return sorted(
+        candidates, key=lambda candidate: (EVICTION_RANK[candidate.state], candidate.quiet_since)
+    )
--- a/brassfall/sidecar/clients/connection_timeouts.py
+++ b/brassfall/sidecar/clients/connection_timeouts.py
@@ -1,6 +1,7 @@
-"""Time limits of one client connection: an incomplete request, an unread answer, and lingering.
+"""Time limits of one client connection: for an incomplete request, an unread answer, and lingering.
 
-Limits are in seconds of the loop's time unless their names say ms. All timers end with `stop`.
+Lingering is the wait after the last answer in which a client that is still sending can read that answer.
+Limits are in seconds of the loop's time unless their names say ms. `cancel_all` ends all timers.
 """
 
 from __future__ import annotations
@@ -14,28 +15,34 @@
 from brassfall.sidecar.clients.read_control import ReadControl
 from brassfall.sidecar.core.clock import Clock
 
-# Time limit for a complete request, from accept or from the first byte of a later one. The protocol requires
-# an error response or a close within 3 s; half a second is left for a loop that lags.
-INCOMPLETE_S = 2.5
-BODY_BYTES_PER_S = 32_000  # half the rate of the slowest client: each byte extends the limit
-STOPPED_MS = 700.0  # without a byte of an incomplete request, after which its client counts as stopped
-RESUME_S = 0.1  # for a client's next bytes, once a pause in reading is over
-RECHECK_S = 0.05  # after input came at the end of the limit, until it must have begun a request
-CLOCK_STEP_S = 0.001
-MAX_UNSENT = 32 * 1024  # bytes of answers that wait to be sent, past which nothing is read
-UNREAD_S = 20.0  # for a client to read `MAX_UNSENT` bytes of its answers
-LINGER_S = 1.0  # for a client to read its last answer while it is still sending
+# Time limit for receiving a complete request, in seconds. It runs from the accept for the first request, and
+# from the first byte for each later one. The protocol requires an error response or a close within 3 s; half
+# a second is left for a delayed event loop.
+REQUEST_TIMEOUT_S = 2.5
+# Lowest rate at which a request may arrive, in bytes per second: each byte read extends the request's time
+# limit by its share of a second. The value is half the rate of the slowest client that has to be served.
+MIN_REQUEST_BYTES_PER_S = 32_000
+# Time without a byte of an incomplete request after which its client counts as having stopped, in ms.
+CLIENT_STOPPED_MS = 700.0
+RESUME_GRACE_S = 0.1  # time that a client has to send its next bytes after a pause in reading, in seconds
+# Wait between two checks of a connection whose input arrived just as its time limit ended, in seconds: the
+# input is not parsed yet and may begin a request.
+INPUT_RECHECK_S = 0.05
+TIMER_TOLERANCE_S = 0.001  # a timer may fire this much before its time, in seconds
+MAX_UNSENT_BYTES = 32 * 1024  # size of unsent answers above which the client is no longer read, in bytes
+UNREAD_ANSWER_TIMEOUT_S = 20.0  # time limit for reading `MAX_UNSENT_BYTES` of the answers, in seconds
+LINGER_TIMEOUT_S = 1.0  # time that a client that is still sending has to read its last answer, in seconds
 
 
 class TimedConnection(Protocol):
-    """The connection whose time is limited."""
+    """Client connection as `ConnectionTimeouts` uses it."""
 
     transport: asyncio.Transport
     read_control: ReadControl
 
     @property
     def state(self) -> ConnectionState:
-        """The state of the connection."""
+        """State of the connection."""
 
     @property
     def idle(self) -> bool:
@@ -50,145 +57,157 @@
         """True if a request has no complete answer yet."""
 
     @property
-    def incomplete_size(self) -> int:
-        """The size in bytes of what was read of the incomplete request; 0 without one."""
+    def incomplete_request_size(self) -> int:
+        """Number of bytes that were read of the incomplete request; 0 if there is no such request."""
 
     @property
-    def read_at(self) -> float:
-        """The time of the last bytes read, in ms of the sidecar's clock."""
+    def last_read_at(self) -> float:
+        """Time at which the last bytes were read, in ms of the sidecar's clock."""
 
-    def reject(self, status: int) -> None:
-        """Answer an incomplete request with an error, and end the connection."""
+    def reject_input(self, status: int) -> None:
+        """Answer an incomplete request with this HTTP status, and close the connection after it."""
 
     def close(self) -> None:
-        """Close the connection."""
+        """Close the connection; answers that are already written are still sent."""
 
     def abort(self) -> None:
-        """Close the connection at once, even with requests pending."""
+        """Close the connection at once, even if requests are pending."""
 
 
 class ConnectionTimeouts:
-    """The timers of one client connection."""
+    """Timers of one client connection.
+
+    One timer limits an incomplete request and, after the last answer, lingering. The other limits an answer
+    that the client does not read.
+    """
 
     __slots__ = (
         "_answer_timer",
         "_clock",
         "_connection",
+        "_earlier_pauses_s",
         "_loop",
-        "_paused_before_s",
-        "_request_since",
         "_request_timer",
+        "_request_timer_started_at",
     )
 
     def __init__(self, connection: TimedConnection, loop: asyncio.AbstractEventLoop, clock: Clock) -> None:
         self._connection = connection
         self._loop = loop
         self._clock = clock
-        self._request_since = 0.0  # start of the limit, in the loop's time
-        self._paused_before_s = 0.0  # time in which reading was paused before that start
-        self._request_timer: asyncio.TimerHandle | None = None  # for an incomplete request, or lingering
-        self._answer_timer: asyncio.TimerHandle | None = None  # for an unread answer
-
-    def stop(self) -> None:
-        """Cancel all timers: the connection is gone."""
-        self.stop_request()
+        self._request_timer_started_at = 0.0  # start of the request's time limit, in the loop's time
+        self._earlier_pauses_s = 0.0  # total length of the pauses in reading before that start, in seconds
+        self._request_timer: asyncio.TimerHandle | None = None  # limits an incomplete request, or lingering
+        self._answer_timer: asyncio.TimerHandle | None = None  # limits an answer that is not read
+
+    def cancel_all(self) -> None:
+        """Cancel all timers of a connection that has been closed."""
+        self.stop_request_timer()
         if self._answer_timer is not None:
             self._answer_timer.cancel()
 
     # --- incomplete request -------------------------------------------------------
 
-    def start_request(self) -> None:
-        """Start the time limit for a complete request."""
-        self._request_since = self._loop.time()
-        self._paused_before_s = self._connection.read_control.paused_s
-        self._request_timer = self._loop.call_later(INCOMPLETE_S, self.check_request)
+    def start_request_timer(self) -> None:
+        """Start the time limit for receiving a complete request."""
+        self._request_timer_started_at = self._loop.time()
+        self._earlier_pauses_s = self._connection.read_control.total_paused_s
+        self._request_timer = self._loop.call_later(REQUEST_TIMEOUT_S, self.check_request_timeout)
 
-    def ensure_request(self) -> None:
-        """Start the time limit for a complete request unless it runs."""
+    def ensure_request_timer(self) -> None:
+        """Start the time limit for receiving a complete request unless it is already running."""
         if self._request_timer is None:
-            self.start_request()
+            self.start_request_timer()
 
-    def stop_request(self) -> None:
-        """End the time limit for a complete request, or the lingering."""
+    def stop_request_timer(self) -> None:
+        """Cancel the time limit for a complete request, or the one for lingering."""
         if self._request_timer is not None:
             self._request_timer.cancel()
             self._request_timer = None
 
-    def check_request(self) -> None:
-        """Reject an incomplete request, or close an idle connection, once the time limit is over."""
+    def check_request_timeout(self) -> None:
+        """Reject an incomplete request, or close an idle connection, if its time limit is over."""
         connection = self._connection
-        due = self._request_due()
-        if due > self._loop.time() + CLOCK_STEP_S:
-            self._request_timer = self._loop.call_at(due, self.check_request)
+        due_at = self._request_due_at()
+        if due_at > self._loop.time() + TIMER_TOLERANCE_S:
+            self._request_timer = self._loop.call_at(due_at, self.check_request_timeout)
             return
         self._request_timer = None
         if connection.state is ConnectionState.READING_REQUEST:
-            connection.reject(408)
+            connection.reject_input(408)
         elif connection.idle:
             connection.close()
         elif not connection.has_pending_requests and connection.state in ACCEPTS_INPUT:
-            # Input has just come: it may begin a request, or be empty lines.
-            self._request_timer = self._loop.call_later(RECHECK_S, self.check_request)
+            # Input has just arrived and is not parsed yet: it may begin a request, or be empty lines only.
+            self._request_timer = self._loop.call_later(INPUT_RECHECK_S, self.check_request_timeout)
 
     @property
-    def client_stopped(self) -> bool:
-        """True if the client has sent nothing for `STOPPED_MS`."""
-        return self._clock.now() - self._connection.read_at >= STOPPED_MS
+    def client_stopped_sending(self) -> bool:
+        """True if the client has sent nothing for `CLIENT_STOPPED_MS`."""
+        return self._clock.now() - self._connection.last_read_at >= CLIENT_STOPPED_MS
 
-    def _request_due(self) -> float:
-        """Return when the request has to be complete, in the loop's time.
+    def _request_due_at(self) -> float:
+        """Return the time by which the request has to be complete, in seconds of the loop's time.
 
-        Time in which reading was paused does not count. Each byte read extends the limit for a client that
-        goes on sending, but not for one that has stopped.
+        Pauses in reading do not count against the client. Each byte read extends the limit for a client that
+        goes on sending. A client that has stopped sending gets no extension.
         """
         connection = self._connection
         control = connection.read_control
-        due = self._request_since + control.paused_s - self._paused_before_s + INCOMPLETE_S
+        due_at = (
+            self._request_timer_started_at
+            + control.total_paused_s
+            - self._earlier_pauses_s
+            + REQUEST_TIMEOUT_S
+        )
         if connection.state is ConnectionState.READING_REQUEST:
-            extension = connection.incomplete_size / BODY_BYTES_PER_S
+            extension = connection.incomplete_request_size / MIN_REQUEST_BYTES_PER_S
             if not connection.readable:
-                active_at = max(self._clock.to_loop(connection.read_at), control.resumed_at)
-                extension = min(extension, max(0.0, active_at + STOPPED_MS / 1000.0 - due))
-            due += extension
-        return due + RESUME_S if control.paused else due
+                active_at = max(self._clock.to_loop(connection.last_read_at), control.resumed_at)
+                extension = min(extension, max(0.0, active_at + CLIENT_STOPPED_MS / 1000.0 - due_at))
+            due_at += extension
+        return due_at + RESUME_GRACE_S if control.paused else due_at
 
     # --- unread answer --------------------------------------------------------------
 
-    def start_answer(self) -> None:
-        """Start the time limit for a client to read what is unsent."""
-        self._check_answer(math.inf)
+    def start_answer_timer(self) -> None:
+        """Start the time limit for the client to read the answers that are not sent yet."""
+        self._check_answer_timeout(math.inf)
 
-    def ensure_answer(self) -> None:
-        """Start the time limit for a client to read what is unsent, unless it runs."""
+    def ensure_answer_timer(self) -> None:
+        """Start the time limit for reading the unsent answers unless it is already running."""
         if self._answer_timer is None:
-            self.start_answer()
+            self.start_answer_timer()
 
-    def stop_answer(self) -> None:
-        """End the time limit for an unread answer: the client has read enough."""
+    def stop_answer_timer(self) -> None:
+        """Cancel the time limit for an unread answer, because the client has read enough of it."""
         if self._answer_timer is not None:
             self._answer_timer.cancel()
             self._answer_timer = None
 
-    def _check_answer(self, unread_before: float) -> None:
-        """Abort the connection of a client that has read less than `MAX_UNSENT` bytes since the last check.
+    def _check_answer_timeout(self, unread_before: float) -> None:
+        """Abort the connection if the client has read less than `MAX_UNSENT_BYTES` since the last check.
 
-        Counts bytes that the peer has not acknowledged: the transport's buffer alone falls late, since the
-        kernel takes more only once a large part of what it holds is read.
+        `unread_before` is the number of unread bytes at the last check. Unread bytes are those that the peer
+        has not acknowledged. The size of the transport's buffer would show progress too late, because the
+        kernel takes more bytes only after a large part of its own buffer has been read.
         """
         unread = framing.unacknowledged(self._connection.transport)
-        if unread <= unread_before - MAX_UNSENT:
-            self._answer_timer = self._loop.call_later(UNREAD_S, self._check_answer, unread)
+        if unread <= unread_before - MAX_UNSENT_BYTES:
+            self._answer_timer = self._loop.call_later(
+                UNREAD_ANSWER_TIMEOUT_S, self._check_answer_timeout, unread
+            )
         else:
             self._connection.abort()
 
     # --- lingering --------------------------------------------------------------------
 
-    def start_linger(self) -> None:
-        """Abort the connection after `LINGER_S`, or once a long answer has been sent."""
-        self._request_timer = self._loop.call_later(LINGER_S, self._stop_lingering)
+    def start_linger_timer(self) -> None:
+        """Abort the connection after `LINGER_TIMEOUT_S`, or later if a long answer is still being sent."""
+        self._request_timer = self._loop.call_later(LINGER_TIMEOUT_S, self._check_linger_timeout)
 
-    def _stop_lingering(self) -> None:
+    def _check_linger_timeout(self) -> None:
         if self._connection.transport.get_write_buffer_size() > 0:
-            self.start_linger()
+            self.start_linger_timer()
         else:
             self._connection.abort()
--- a/brassfall/sidecar/clients/known_classes.py
+++ b/brassfall/sidecar/clients/known_classes.py
@@ -1,4 +1,4 @@
-"""The names of request classes that clients may use: the present ones, and for a while earlier ones."""
+"""Names of request classes that clients may use: the current names and, for some time, earlier names."""
 
 from __future__ import annotations
 
@@ -10,63 +10,70 @@
 from brassfall.sidecar.clients.request_message import BadRequestError, RequestMessage
 from brassfall.sidecar.config_values import Names
 
-LEARNED_S = 1.2  # from a reload, until clients know the new classes
-EARLIER_CLASSES_KEPT_S = 4.0  # from a reload, in which earlier names are known at least: clients may retry
+CLIENTS_LEARN_CLASSES_S = 1.2  # time after a reload until all clients know the new classes, in seconds
+# Shortest time after a reload for which the earlier names stay valid, in seconds: clients may retry requests
+# that use them.
+EARLIER_CLASSES_KEPT_S = 4.0
 
 
 class KnownClasses:
-    """The present and the recent names, against which requests are checked."""
+    """Current and earlier names of request classes, against which requests are checked."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, names: Names) -> None:
-        """Start with these names."""
+        """Start with `names` as the current names, and without earlier ones."""
         self._loop = loop
         self._names = names
-        self._earlier: deque[Names] = deque()  # newest first
-        self._timers: list[asyncio.TimerHandle] = []
+        self._earlier_names: deque[Names] = deque()  # names of before the last reloads, newest first
+        self._forget_timers: list[asyncio.TimerHandle] = []
 
     def replace(self, names: Names, deadline_ms: float) -> None:
-        """Replace the present names, and keep the earlier ones for a while.
+        """Replace the current names, and keep them as earlier names for some time.
 
-        Clients learn of a reload later, and may retry a request with earlier names until its deadline of at
-        most `deadline_ms` is over. Each replacement has a time of its own.
+        Clients learn of a reload later, and may retry a request with earlier names until its deadline, of at
+        most `deadline_ms`, is over. Each replacement has its own timer.
         """
         if names == self._names:
             return
         earlier, self._names = self._names, names
-        self._earlier.appendleft(earlier)
-        keep_s = max(EARLIER_CLASSES_KEPT_S, LEARNED_S + deadline_ms / 1000.0)
-        self._timers.append(self._loop.call_later(keep_s, self.forget, earlier))
+        self._earlier_names.appendleft(earlier)
+        keep_s = max(EARLIER_CLASSES_KEPT_S, CLIENTS_LEARN_CLASSES_S + deadline_ms / 1000.0)
+        self._forget_timers.append(self._loop.call_later(keep_s, self.forget, earlier))
 
     def forget(self, names: Names) -> None:
-        """Forget earlier names whose time is over."""
-        self._earlier.remove(names)
-        self._timers = [timer for timer in self._timers if timer.when() > self._loop.time()]
+        """Remove earlier names that no client uses any more."""
+        self._earlier_names.remove(names)
+        self._forget_timers = [timer for timer in self._forget_timers if timer.when() > self._loop.time()]
 
     @property
     def known(self) -> list[Names]:
-        """The names that clients may use, newest first."""
-        return [self._names, *self._earlier]
+        """Names that clients may use, newest first."""
+        return [self._names, *self._earlier_names]
 
     @property
     def slots(self) -> set[int]:
-        """The slots in the settings of the classes that clients may name."""
-        return {found.slot for names in self.known for found in names.classes.values()}
+        """Slots in the settings of all classes that clients may name."""
+        return {
+            request_class.slot for names in self.known for request_class in names.classes.values()
+        }
 
-    def read(self, request: ClientRequest, message: RequestMessage, not_forwarded: frozenset[bytes]) -> None:
-        """Check a request and read its properties.
+    def check_request(
+        self, request: ClientRequest, message: RequestMessage, not_forwarded: frozenset[bytes]
+    ) -> None:
+        """Check a request against the current names, then against earlier ones, and read its properties.
 
-        Raises the `BadRequestError` of the present names if no names that are known fit.
+        Headers in `not_forwarded` are not forwarded to servers. If the request fits none of the names, raises
+        the `BadRequestError` of the check against the current names.
         """
         try:
-            request.read(message, self._names, not_forwarded)
+            request.read_properties(message, self._names, not_forwarded)
         except BadRequestError:
-            for names in self._earlier:
+            for names in self._earlier_names:
                 with contextlib.suppress(BadRequestError):
-                    request.read(message, names, not_forwarded)
+                    request.read_properties(message, names, not_forwarded)
                     return
             raise
 
     def close(self) -> None:
-        """Cancel the timers."""
-        for timer in self._timers:
+        """Cancel the timers that remove earlier names."""
+        for timer in self._forget_timers:
             timer.cancel()
--- a/brassfall/sidecar/clients/read_control.py
+++ b/brassfall/sidecar/clients/read_control.py
@@ -1,4 +1,4 @@
-"""Pauses in the reading of a client connection, and the look for its close during a pause."""
+"""Pauses in reading a client connection, and detection of the client's close during a pause."""
 
 from __future__ import annotations
 
@@ -8,94 +8,96 @@
 
 from brassfall.sidecar import framing
 
-# No attempt may begin 0.1 s after its client has closed. While reading is paused, only a poll of the socket
-# shows the close.
-LOOK_S = 0.05
+# Interval between two polls of a paused socket for the client's close, in seconds. The protocol forbids
+# beginning an attempt later than 0.1 s after the client has closed, and the event loop does not report a
+# close while reading is paused.
+CLOSE_POLL_S = 0.05
 
 
-class Hold(Enum):
-    """The reason for a pause in reading."""
+class PauseReason(Enum):
+    """Reason for which a client connection is not read."""
 
-    UNREAD_ANSWERS = auto()  # the client does not read its answers
-    SLOW_SERVER = auto()  # the body arrives faster than a server takes it
-    REQUESTS_WAIT = auto()  # many requests of the client have no answer yet
-    ENDED = auto()  # the last answer has announced the end of the connection
+    UNREAD_ANSWERS = auto()  # the client does not read the answers that were written to it
+    SLOW_SERVER = auto()  # the request body arrives faster than the server takes it
+    MANY_PENDING_REQUESTS = auto()  # `MAX_PENDING_REQUESTS` requests of the client have no answer yet
+    CLOSE_ANNOUNCED = auto()  # an answer has announced that the connection closes after it
 
 
 class ReadControl:
-    """Control of the reading of one connection.
+    """Pauses and resumes the reading of one connection.
 
-    Reading is paused as long as there is a reason to; during a pause the socket is polled for a close.
+    Reading is paused as long as at least one `PauseReason` applies. During a pause the socket is polled for a
+    close by the client.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, on_closed: Callable[[], None]) -> None:
-        """Call `on_closed` once the client has closed the connection during a pause."""
-        self.may_be_stale = True  # whether the next bytes may have waited in the socket buffer
-        self.resumed_at = 0.0  # by the loop's time
+        """Create the control; `on_closed` is called if the client closes the connection during a pause."""
+        self.next_read_may_be_stale = True  # the next bytes read may have waited in the socket buffer
+        self.resumed_at = 0.0  # end of the last pause, in seconds of the loop's time
         self._loop = loop
         self._on_closed = on_closed
-        self._transport: asyncio.Transport | None = None  # while the connection is up
-        self._holds: set[Hold] = set()
-        self._paused_since = 0.0  # by the loop's time
-        self._paused_before_s = 0.0  # in earlier pauses
-        self._look: asyncio.TimerHandle | None = None
+        self._transport: asyncio.Transport | None = None  # transport of the connection while it is open
+        self._reasons: set[PauseReason] = set()  # reasons that apply now
+        self._paused_since = 0.0  # start of the current or last pause, in seconds of the loop's time
+        self._earlier_pauses_s = 0.0  # total length of the pauses that have ended, in seconds
+        self._close_poll_timer: asyncio.TimerHandle | None = None
 
     def connected(self, transport: asyncio.Transport) -> None:
-        """Take the transport of a connection that is up and being read."""
+        """Take the transport of a connection that has just been opened and is being read."""
         self._transport = transport
 
     @property
     def paused(self) -> bool:
         """True if reading is paused."""
-        return bool(self._holds)
+        return bool(self._reasons)
 
     @property
-    def paused_s(self) -> float:
-        """The sum of all pauses, in seconds."""
-        now = self._loop.time() - self._paused_since if self._holds else 0.0
-        return self._paused_before_s + now
-
-    def holds(self, reason: Hold) -> bool:
-        """Return whether reading is paused for this reason, perhaps among others."""
-        return reason in self._holds
-
-    def hold(self, reason: Hold) -> None:
-        """Pause reading until `release` is called with the same reason."""
-        if self._transport is None or reason in self._holds:
+    def total_paused_s(self) -> float:
+        """Total length of all pauses in seconds, including the current pause."""
+        current_pause_s = self._loop.time() - self._paused_since if self._reasons else 0.0
+        return self._earlier_pauses_s + current_pause_s
+
+    def paused_for(self, reason: PauseReason) -> bool:
+        """Return whether `reason` applies; other reasons may apply as well."""
+        return reason in self._reasons
+
+    def pause(self, reason: PauseReason) -> None:
+        """Pause reading until `resume` is called with the same reason; no effect without a transport."""
+        if self._transport is None or reason in self._reasons:
             return
-        if not self._holds:
+        if not self._reasons:
             self._paused_since = self._loop.time()
             self._transport.pause_reading()
-            self._look = self._loop.call_later(LOOK_S, self._look_for_close)
-        self._holds.add(reason)
+            self._close_poll_timer = self._loop.call_later(CLOSE_POLL_S, self._poll_for_close)
+        self._reasons.add(reason)
 
-    def release(self, reason: Hold) -> None:
-        """Resume reading if this was the last reason for the pause."""
-        if self._transport is None or reason not in self._holds:
+    def resume(self, reason: PauseReason) -> None:
+        """Remove a reason for the pause, and resume reading if no other reason applies."""
+        if self._transport is None or reason not in self._reasons:
             return
-        self._holds.remove(reason)
-        if not self._holds:
-            self.stop_looking()
-            self.may_be_stale = True
+        self._reasons.remove(reason)
+        if not self._reasons:
+            self.stop_close_polling()
+            self.next_read_may_be_stale = True
             self.resumed_at = self._loop.time()
-            self._paused_before_s += self.resumed_at - self._paused_since
+            self._earlier_pauses_s += self.resumed_at - self._paused_since
             self._transport.resume_reading()
 
     def disconnected(self) -> None:
-        """Drop the transport: the connection is gone."""
-        self.stop_looking()
+        """Drop the transport of a connection that has been closed."""
+        self.stop_close_polling()
         self._transport = None
 
-    def _look_for_close(self) -> None:
-        self._look = None
+    def _poll_for_close(self) -> None:
+        self._close_poll_timer = None
         assert self._transport is not None
         if framing.peer_closed(self._transport):
             self._on_closed()
         else:
-            self._look = self._loop.call_later(LOOK_S, self._look_for_close)
+            self._close_poll_timer = self._loop.call_later(CLOSE_POLL_S, self._poll_for_close)
 
-    def stop_looking(self) -> None:
-        """Stop polling for the client's close: it is known, or reading goes on."""
-        if self._look is not None:
-            self._look.cancel()
-            self._look = None
+    def stop_close_polling(self) -> None:
+        """Stop polling for the client's close, because it has been detected or reading goes on."""
+        if self._close_poll_timer is not None:
+            self._close_poll_timer.cancel()
+            self._close_poll_timer = None
--- a/brassfall/sidecar/clients/request_checks.py
+++ b/brassfall/sidecar/clients/request_checks.py
@@ -1,6 +1,6 @@
-"""Checks of the head of a client's request, before the request is admitted.
+"""Checks of the head of a client's request, made before the request is given to the driver.
 
-Each check returns the value that it has read, or raises `BadRequestError` with the answer to the request.
+Each check returns the value that it has read, or raises a `BadRequestError` with the answer for the client.
 """
 
 from __future__ import annotations
@@ -11,38 +11,43 @@
 from brassfall.sidecar.clients.request_message import BadRequestError, RequestMessage
 from brassfall.sidecar.config_values import Names, RequestClass
 
-BUDGET = re.compile(r"(\d{1,12}(?:\.\d{1,6})?)([mu])")  # in milliseconds or microseconds
-MAX_BUDGET_MS = 3_600_000.0
-CALL_ID = re.compile(r"[!-~]{1,128}")
+# Form of the header `X-Budget`: a number followed by `m` for milliseconds or `u` for microseconds.
+BUDGET_PATTERN = re.compile(r"(\d{1,12}(?:\.\d{1,6})?)([mu])")
+MAX_BUDGET_MS = 3_600_000.0  # longest accepted budget of a request, in ms: one hour
+CALL_ID_PATTERN = re.compile(r"[!-~]{1,128}")  # form of `X-Call-Id`: printable ASCII without blanks
 
 
 def request_class(message: RequestMessage, names: Names) -> RequestClass:
-    """Return the class, which the path and `X-Call-Class` have to name alike, and which fixes the method."""
+    """Return the class of a request.
+
+    The first part of the path and the header `X-Call-Class` have to name the same class. The class determines
+    the method, and whether an idempotency key is required.
+    """
     path = message.target.partition(b"?")[0].decode("latin-1")
-    first = path.split("/")[1] if path.startswith("/") else ""
-    if first not in names.classes:
-        # A request with the header is meant for servers, but its class does not exist.
+    class_name = path.split("/")[1] if path.startswith("/") else ""
+    if class_name not in names.classes:
+        # A request with `X-Call-Class` is meant for servers, but names a class that does not exist.
         status = 400 if message.header("x-call-class") is not None else 404
         raise BadRequestError(status, "no such path")
-    found = names.classes[first]
-    if message.required_header("x-call-class") != first:
+    found_class = names.classes[class_name]
+    if message.required_header("x-call-class") != class_name:
         raise BadRequestError(400, "X-Call-Class: not the first part of the path")
-    if message.method != found.method:
-        raise BadRequestError(400, f"the class asks for {found.method}")
-    if found.keyed and not message.required_header("idempotency-key"):
+    if message.method != found_class.method:
+        raise BadRequestError(400, f"the class asks for {found_class.method}")
+    if found_class.keyed and not message.required_header("idempotency-key"):
         raise BadRequestError(400, "Idempotency-Key: empty")
-    return found
+    return found_class
 
 
 def check_call_id(message: RequestMessage) -> None:
-    """Check that the id of the request has 1 to 128 printable characters and no blanks."""
-    if not CALL_ID.fullmatch(message.required_header("x-call-id")):
+    """Check that `X-Call-Id` has 1 to 128 printable characters and no blanks."""
+    if not CALL_ID_PATTERN.fullmatch(message.required_header("x-call-id")):
         raise BadRequestError(400, "X-Call-Id: not an id")
 
 
 def budget_ms(message: RequestMessage) -> float:
-    """Return the time that the client waits for its answer, in ms: more than 0, at most an hour."""
-    match = BUDGET.fullmatch(message.required_header("x-budget"))
+    """Return how long the client waits for its answer, in ms: more than 0 and at most one hour."""
+    match = BUDGET_PATTERN.fullmatch(message.required_header("x-budget"))
     if match is None:
         raise BadRequestError(400, "X-Budget: not a time")
     budget = float(match[1]) / (1.0 if match[2] == "m" else 1000.0)
@@ -52,15 +57,15 @@
 
 
 def tenant(message: RequestMessage, names: Names) -> int:
-    """Return the index of the client's tenant."""
-    found = names.tenants.get(message.required_header("x-caller"))
-    if found is None:
+    """Return the index in the settings of the tenant that `X-Caller` names."""
+    index = names.tenants.get(message.required_header("x-caller"))
+    if index is None:
         raise BadRequestError(400, "X-Caller: not known")
-    return found
+    return index
 
 
 def work_ms(message: RequestMessage) -> float | None:
-    """Return the work of the request in ms; None without `X-Call-Cost`, which has it in microseconds."""
+    """Return the work of the request in ms; None if it has no `X-Call-Cost`, which is in microseconds."""
     text = message.header("x-call-cost")
     if text is None:
         return None
@@ -74,7 +79,7 @@
 
 
 def cookie(text: str, name: str) -> str | None:
-    """Return the value of one cookie in a `Cookie` header; None if it is missing."""
+    """Return the value of the cookie `name` in the `Cookie` header `text`; None if it is missing."""
     for pair in text.split(";"):
         key, found, value = pair.strip().partition("=")
         if found and key == name:
@@ -83,16 +88,16 @@
 
 
 def check_framing(message: RequestMessage, version: str, *, upgrade: bool) -> None:
-    """Check that the body will be forwarded as the client meant it.
+    """Check that a server will find the same body in the forwarded request as the client sent.
 
-    `version` is the version of HTTP, and `upgrade` whether the request offers another protocol.
+    `version` is the HTTP version, and `upgrade` is whether the request offers to switch to another protocol.
     """
     if version not in ("1.0", "1.1"):
-        raise BadRequestError(505, "HTTP/1.1 is spoken here")
+        raise BadRequestError(505, "HTTP version: only 1.0 and 1.1")
     coding = message.header("transfer-encoding")
     if coding is not None and coding.lower() != "chunked":
         raise BadRequestError(501, "Transfer-Encoding: only chunked")
-    bare = coding is None and message.header("content-length") in (None, "0")
-    if upgrade and not bare:
-        # The parser would read such a body as the other protocol's.
+    without_body = coding is None and message.header("content-length") in (None, "0")
+    if upgrade and not without_body:
+        # The HTTP parser would take the body of an upgrade request for data of the other protocol.
         raise BadRequestError(400, "Upgrade: not with a body")
--- a/brassfall/sidecar/clients/request_message.py
+++ b/brassfall/sidecar/clients/request_message.py
@@ -1,4 +1,4 @@
-"""A client's request while it is parsed: its head, its buffered body, and the memory that it takes."""
+"""Client's request while it is parsed: its head, its buffered body, and the memory reserved for it."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 
 class BadRequestError(Exception):
-    """A request that is answered here, with this status.
+    """Error about a request that is not forwarded but answered by this sidecar.
 
-    `status` is the HTTP status of the answer; the reason is one line of text for the client.
+    `status` is the HTTP status of the answer, and `reason` is one line of text for the client.
     """
 
-    action = "the client has to mend its request as the answer says; 503 may be sent again"
+    action = "correct the client's request as the answer says; a request answered 503 may be sent again"
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -21,7 +21,7 @@
 
 
 class Reservation:
-    """The part of the memory budget that one message takes, in bytes."""
+    """Part of the memory budget that is reserved for one message, in bytes."""
 
     __slots__ = ("size",)
 
@@ -29,52 +29,52 @@
         self.size = 0
 
     def grow(self, budget: Budget, size: int) -> bool:
-        """Reserve `size` bytes more; return False, without reserving any, if they are not free."""
+        """Reserve `size` more bytes; if they are not available, return False and reserve nothing."""
         if not budget.reserve(size):
             return False
         self.size += size
         return True
 
     def release(self, budget: Budget) -> None:
-        """Free all bytes: the message is no longer in memory."""
+        """Return all bytes to the budget, because the message is no longer in memory."""
         budget.release(self.size)
         self.size = 0
 
 
 class RequestMessage:
-    """A request while it is read."""
+    """Request that is being read from a client connection."""
 
     def __init__(self) -> None:
         self.method = ""
         self.target = b""
         self.headers: Headers = []
-        self.body = bytearray()  # of a request that is buffered completely
-        self.flowing_body: Body | None = None  # of a large request, which is forwarded as it comes
-        self.size = 0  # bytes read, framing included
-        self.body_size = 0  # bytes of the body read
+        self.body = bytearray()  # body of a request that is buffered completely
+        self.streamed_body: Body | None = None  # body of a large request, which is forwarded as it arrives
+        self.size = 0  # number of bytes read, framing included
+        self.body_size = 0  # number of bytes of the body read
         self.reservation = Reservation()
         self.head_complete = False
-        self.continue_sent = False  # "100 Continue" was sent
-        self._values: dict[str, str] = {}
+        self.continue_sent = False  # an interim answer "100 Continue" was sent to the client
+        self._header_values: dict[str, str] = {}  # last value of each header, by its lower-case name
 
     def header(self, name: str) -> str | None:
-        """Return the value of a header, by its lower-case name; None if it is missing."""
-        if not self._values:
-            self._values = {
+        """Return the value of the header with this lower-case name; None if it is missing."""
+        if not self._header_values:
+            self._header_values = {
                 key.decode("latin-1").lower(): value.decode("latin-1") for key, value in self.headers
             }
-        return self._values.get(name)
+        return self._header_values.get(name)
 
     def required_header(self, name: str) -> str:
-        """Return the value of a header that has to be there exactly once.
+        """Return the value of a header that has to be present exactly once.
 
-        Raises `BadRequestError` if it is missing or repeated: a server might read another one of repeated
-        values than this sidecar.
+        Raises `BadRequestError` if the header is missing or repeated. A repeated header is not accepted
+        because a server might use another one of its values than this sidecar.
         """
         value = self.header(name)
         if value is None:
             raise BadRequestError(400, f"{name}: missing")
-        repeated = len(self._values) < len(self.headers)  # at least one header is
-        if repeated and sum(key.lower() == name.encode() for key, _ in self.headers) > 1:
+        some_repeated = len(self._header_values) < len(self.headers)
+        if some_repeated and sum(key.lower() == name.encode() for key, _ in self.headers) > 1:
             raise BadRequestError(400, f"{name}: more than once")
         return value
--- a/brassfall/sidecar/clients/request_parser.py
+++ b/brassfall/sidecar/clients/request_parser.py
@@ -1,4 +1,4 @@
-"""The parser of one client connection: bytes in, requests out, within bounds on their size."""
+"""Parser of one client connection, which turns bytes into requests and limits their size."""
 
 from __future__ import annotations
 
@@ -12,56 +12,59 @@
 from brassfall.sidecar.clients.request_checks import check_framing
 from brassfall.sidecar.clients.request_message import BadRequestError, RequestMessage
 
-BLANK = b"\r\n"
-# Bytes of a request that are not its body, beside eight for each byte of the body.
-BODY_OVERHEAD = 8
-MAX_FRAMING = 2 * framing.MAX_HEAD + MAX_BUFFERED
+LINE_BREAK_BYTES = b"\r\n"  # bytes of which empty lines consist
+# Number of bytes that a request may take for each byte of its body, framing included. A chunk with one byte
+# of the body takes six bytes.
+REQUEST_BYTES_PER_BODY_BYTE = 8
+# Number of bytes that a request may take in addition to `REQUEST_BYTES_PER_BODY_BYTE` for each body byte.
+MAX_FRAMING_BYTES = 2 * framing.MAX_HEAD + MAX_BUFFERED
 
 
-class Receiver(Protocol):
-    """The connection that gets the requests."""
+class RequestReceiver(Protocol):
+    """Client connection as `RequestParser` uses it: it is notified of each step in reading a request."""
 
     def request_begun(self) -> None:
-        """Take note that the first byte of a request has been read."""
+        """Record that the first byte of a request has been read."""
 
     def head_read(self, message: RequestMessage) -> None:
-        """Take note that the head of a request is complete."""
+        """Handle the complete head of a request, whose body is still to come."""
 
     def large_body_begun(self, message: RequestMessage) -> Body:
-        """Serve a request whose body is too large to be buffered; return what takes the rest of it."""
+        """Serve a request whose body is too large to be buffered; return the body that takes the rest."""
 
     def request_read(self, message: RequestMessage) -> None:
         """Serve a request whose last byte has been read."""
 
 
 class RequestParser:
-    """Parses the requests on one connection, one after the other."""
+    """Parser for the requests of one connection, which arrive one after the other."""
 
-    def __init__(self, receiver: Receiver, budget: Budget) -> None:
-        """Give requests to `receiver`, and reserve the memory for their bodies from `budget`."""
-        self.message: RequestMessage | None = None  # that is being read
+    def __init__(self, receiver: RequestReceiver, budget: Budget) -> None:
+        """Pass requests to `receiver`, and reserve memory for their bodies from `budget`."""
+        self.message: RequestMessage | None = None  # request that is being read
         self._stopped = False
         self._receiver = receiver
         self._budget = budget
         self._parser = httptools.HttpRequestParser(self)
-        self._head_bytes = 0  # of the message that is being read
-        self._blank_bytes = 0  # of empty lines, which may come before a request
+        self._head_bytes = 0  # number of bytes of the current request's head
+        self._empty_line_bytes = 0  # number of bytes of the empty lines before a request
 
     @property
     def keep_alive(self) -> bool:
-        """True if the connection may carry more requests after the one just read."""
+        """True if the connection may carry more requests after the request just read."""
         return self._parser.should_keep_alive()
 
     @property
-    def can_chunk(self) -> bool:
-        """True if the client of the request just read understands chunked answers."""
+    def accepts_chunked(self) -> bool:
+        """True if the client of the request just read understands chunked answers, as of HTTP/1.1."""
         return self._parser.get_http_version() != "1.0"
 
     def feed(self, data: bytes) -> None:
-        """Parse bytes.
+        """Parse `data` and pass the requests in it to the receiver.
 
-        Raises `BadRequestError` if they are not a request, or part of one that is too large. An offer to
-        upgrade to another protocol is ignored: that request and those behind it are read as HTTP/1.1.
+        Raises `BadRequestError` if the bytes are not a request, or belong to a request that is too large. An
+        offer to upgrade to another protocol is ignored: the request with the offer and all later ones are
+        read as HTTP/1.1.
         """
         while data and not self._stopped:
             try:
@@ -75,34 +78,34 @@
                     raise BadRequestError(cause.status, cause.reason) from error
                 if isinstance(cause, ConnectionStateError):
                     raise cause from error
-                raise BadRequestError(400, "not a request") from error
+                raise BadRequestError(400, "the input is not a valid request") from error
             except httptools.HttpParserError as error:
-                raise BadRequestError(400, "not HTTP") from error
+                raise BadRequestError(400, "the input is not valid HTTP") from error
             else:
                 return
 
     def check_size(self, data: bytes) -> None:
-        """Count bytes that were fed.
+        """Count the bytes of `data`, which was passed to `feed` before.
 
-        Raises `BadRequestError` if an incomplete request, or the empty lines before one, have too many.
+        Raises `BadRequestError` if an incomplete request, or the empty lines before a request, are too long.
         """
         message, count = self.message, len(data)
         if message is None:
-            if data[0] in BLANK and not data.strip(BLANK):
-                self._blank_bytes += count
-                if self._blank_bytes > framing.MAX_HEAD:
-                    raise BadRequestError(400, "too many empty lines")
+            if data[0] in LINE_BREAK_BYTES and not data.strip(LINE_BREAK_BYTES):
+                self._empty_line_bytes += count
+                if self._empty_line_bytes > framing.MAX_HEAD:
+                    raise BadRequestError(400, "there are too many empty lines before the request")
             return
         message.size += count
-        if message.size - BODY_OVERHEAD * message.body_size > MAX_FRAMING:
-            raise BadRequestError(413, "too much framing")
+        if message.size - REQUEST_BYTES_PER_BODY_BYTE * message.body_size > MAX_FRAMING_BYTES:
+            raise BadRequestError(413, "the request has too many bytes that are not part of its body")
         if not message.head_complete:
             self._head_bytes += count
             if self._head_bytes > 2 * framing.MAX_HEAD:
-                raise BadRequestError(431, "headers too large")
+                raise BadRequestError(431, "the head of the request is too large")
 
     def stop(self) -> None:
-        """Read no more requests, and drop an incomplete one."""
+        """Read no more requests, and drop an incomplete request."""
         self._stopped = True
         message, self.message = self.message, None
         if message is not None:
@@ -115,27 +118,30 @@
         if self._stopped:
             return
         self.message = RequestMessage()
-        self._head_bytes = self._blank_bytes = 0
+        self._head_bytes = self._empty_line_bytes = 0
         self._receiver.request_begun()
 
     def on_url(self, target: bytes) -> None:
-        """Take the target, or a part of it. Called by httptools."""
+        """Append `target`, which may be a part of the request's target. Called by httptools."""
         if self.message is not None:
             self.message.target += target
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header. Called by httptools, for trailers too, which are dropped: they are not checked."""
+        """Add a header to the request. Called by httptools.
+
+        httptools calls this for trailers too. Trailers are dropped, because no check covers them.
+        """
         message = self.message
         if message is None or message.head_complete:
             return
-        # httptools leaves blanks behind a value.
+        # httptools does not remove the blanks after a header value.
         message.headers.append((name, value.rstrip(b" \t")))
         self._head_bytes += len(name) + len(value)
         if self._head_bytes > framing.MAX_HEAD:
-            raise BadRequestError(431, "headers too large")
+            raise BadRequestError(431, "the head of the request is too large")
 
     def on_headers_complete(self) -> None:
-        """Check a complete head. Called by httptools."""
+        """Check the complete head of the request. Called by httptools."""
         message = self.message
         if message is None:
             return
@@ -144,30 +150,30 @@
         message.method = self._parser.get_method().decode("latin-1")
         length = message.header("content-length")
         if length is not None and length.isdigit() and int(length) > framing.MAX_BODY:
-            raise BadRequestError(413, "body too large")
+            raise BadRequestError(413, "the body of the request is too large")
         self._receiver.head_read(message)
 
     def on_body(self, data: bytes) -> None:
-        """Take a part of the body. Called by httptools."""
+        """Buffer or pass on a part of the body. Called by httptools."""
         message = self.message
         if message is None or self._stopped:
             return
         message.body_size += len(data)
         if message.body_size > framing.MAX_BODY:
-            raise BadRequestError(413, "body too large")
-        if message.flowing_body is not None:
-            message.flowing_body.feed(data)
+            raise BadRequestError(413, "the body of the request is too large")
+        if message.streamed_body is not None:
+            message.streamed_body.feed(data)
             return
         large = len(message.body) + len(data) > MAX_BUFFERED
         size = MAX_FLOWING - message.reservation.size if large else len(data)
         if not message.reservation.grow(self._budget, size):
-            raise BadRequestError(503, "no memory for the body")
+            raise BadRequestError(503, "there is no memory left for the body of the request")
         message.body += data
         if large:
-            message.flowing_body = self._receiver.large_body_begun(message)
+            message.streamed_body = self._receiver.large_body_begun(message)
 
     def on_message_complete(self) -> None:
-        """Give a complete request to the receiver. Called by httptools."""
+        """Pass the complete request to the receiver. Called by httptools."""
         message, self.message = self.message, None
         if message is not None and not self._stopped:
             self._receiver.request_read(message)
--- a/brassfall/sidecar/clients/streamed_answer.py
+++ b/brassfall/sidecar/clients/streamed_answer.py
@@ -1,4 +1,4 @@
-"""A large answer that is passed on to its client as it arrives from a server."""
+"""Large answer that is passed on to the client while it arrives from a server."""
 
 from __future__ import annotations
 
@@ -9,63 +9,64 @@
 
 
 class StreamedAnswer:
-    """An answer whose beginning has arrived, and the rest is to come."""
+    """Answer that is written to the client in parts, of which the first part has arrived."""
 
     def __init__(
-        self, write: Callable[[bytes], None], answer: Answer, flow: Flow, *, can_chunk: bool
+        self, write: Callable[[bytes], None], answer: Answer, flow: Flow, *, accepts_chunked: bool
     ) -> None:
-        """Pass on `answer` with `write`, and pause and resume its server with `flow`.
+        """Pass on `answer` by calls of `write`, and pause and resume the server's connection by `flow`.
 
-        `can_chunk` is whether the client understands chunked answers.
+        `accepts_chunked` is whether the client understands chunked answers.
         """
         self.flow = flow
-        self.started = False  # whether the head is written
-        self.complete = False  # whether the last part has arrived
+        self.started = False  # the head has been written
+        self.complete = False  # the last part has arrived from the server
         self._write = write
         self._answer = answer
-        self._can_chunk = can_chunk
-        self._parts = [answer.body]  # buffered until `start`
+        self._accepts_chunked = accepts_chunked
+        self._waiting_parts = [answer.body]  # parts of the body that arrived before `start`
 
-    def add(self, data: bytes) -> None:
-        """Write a part, or buffer it before `start` and pause the server."""
+    def add_part(self, data: bytes) -> None:
+        """Write a part of the body; before `start`, buffer it and pause the server's connection."""
         if self.started:
-            self._write(self._framed(data))
+            self._write(self._encode(data))
         else:
-            self._parts.append(data)
+            self._waiting_parts.append(data)
             self.flow.pause()
 
-    def start(self, *, last: bool) -> None:
-        """Write the head and the parts that have arrived.
+    def start(self, *, announce_close: bool) -> None:
+        """Write the head and the parts of the body that have arrived.
 
-        The head of the `last` answer announces the end of the connection.
+        With `announce_close` the head tells the client that the connection closes after this answer.
         """
         headers, length = list(self._answer.headers), self._answer.length
         if length is not None:
             headers.append((b"Content-Length", b"%d" % length))
-        elif self._can_chunk:
+        elif self._accepts_chunked:
             headers.append((b"Transfer-Encoding", b"chunked"))
-        if last:
+        if announce_close:
             headers.append((b"Connection", b"close"))
-        parts, self._parts = self._parts, []
+        parts, self._waiting_parts = self._waiting_parts, []
         self.started = True
-        body = b"".join(self._framed(part) for part in parts)
+        body = b"".join(self._encode(part) for part in parts)
         self._write(b"HTTP/1.1 200 OK\r\n%b\r\n%b" % (header_lines(headers), body))
 
     def end(self) -> None:
-        """Write the end of a chunked answer."""
+        """Write the last chunk of a chunked answer; other answers need no end."""
         if self._chunked:
             self._write(b"0\r\n\r\n")
 
     @property
-    def until_close(self) -> bool:
-        """True if only the end of the connection shows that the answer is complete."""
-        return self._answer.length is None and not self._can_chunk
+    def delimited_by_close(self) -> bool:
+        """True if the client can recognize the end of the answer only by the close of the connection."""
+        return self._answer.length is None and not self._accepts_chunked
 
     @property
     def _chunked(self) -> bool:
-        return self._answer.length is None and self._can_chunk
+        return self._answer.length is None and self._accepts_chunked
 
-    def _framed(self, data: bytes) -> bytes:
+    def _encode(self, data: bytes) -> bytes:
+        """Return a part of the body as it is written: as a chunk if the answer is chunked."""
         if not self._chunked or not data:
             return data
         return b"%x\r\n%b\r\n" % (len(data), data)
--- a/tests/sidecar/test_accept.py
+++ b/tests/sidecar/test_accept.py
@@ -104,7 +104,7 @@
 
     upstream = await Upstream([wait]).start()
     async with running(upstream) as sidecar:
-        monkeypatch.setattr(inbound, "RESERVED", 0)
+        monkeypatch.setattr(inbound, "RESERVED_DESCRIPTORS", 0)
         sidecar.inbound.limits.open_connections = 3
         sidecar.inbound.listener.pause(PATIENCE_S)
         crossed = connect_sockets(sidecar.address, 5)
@@ -121,7 +121,7 @@
 
 @loopback
 async def test_shutdown_ends_though_waiting_connections_can_not_be_accepted(immediate_shutdown, monkeypatch):
-    monkeypatch.setattr(listener, "FINISH_S", 0.05)
+    monkeypatch.setattr(listener, "BACKLOG_TIMEOUT_S", 0.05)
     async with running() as sidecar:
         with Faults() as faults:
             faults.share("accept", 1.0, (errno.ENFILE,), on=accepts_for(sidecar))
@@ -131,7 +131,7 @@
 
 @loopback
 async def test_a_single_lack_of_a_descriptor_evicts_no_connection(monkeypatch):
-    monkeypatch.setattr(inbound, "QUIET_MS", 0.0)
+    monkeypatch.setattr(inbound, "QUIET_BEFORE_EVICTION_MS", 0.0)
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
         resting = await App.connect(sidecar.address)
--- a/tests/sidecar/test_answer_order.py
+++ b/tests/sidecar/test_answer_order.py
@@ -153,15 +153,15 @@
     upstream = await Upstream([hang]).start()
     balancer = ScriptedBalancer()
     async with one_client(upstream, balancer=balancer) as (sidecar, app, connection):
-        for sent in range(1, client_connection.MAX_PENDING + 1):
+        for sent in range(1, client_connection.MAX_PENDING_REQUESTS + 1):
             app.send(X_Budget="400m")
             await until(lambda sent=sent: len(balancer.named("request")) == sent)
         app.send()
         await until(lambda: connection.readable)
-        assert len(balancer.named("request")) == client_connection.MAX_PENDING
-        answers = [await app.answer() for _ in range(client_connection.MAX_PENDING)]
+        assert len(balancer.named("request")) == client_connection.MAX_PENDING_REQUESTS
+        answers = [await app.answer() for _ in range(client_connection.MAX_PENDING_REQUESTS)]
         assert {answer.status for answer in answers} == {504}
-        await until(lambda: len(balancer.named("request")) == client_connection.MAX_PENDING + 1)
+        await until(lambda: len(balancer.named("request")) == client_connection.MAX_PENDING_REQUESTS + 1)
         app.close()
         for writer in upstream.writers:
             writer.transport.abort()
@@ -197,7 +197,7 @@
 
 @loopback
 async def test_requests_behind_an_answer_that_the_close_delimits_are_abandoned(monkeypatch):
-    monkeypatch.setattr(connection_timeouts, "LINGER_S", 60.0)
+    monkeypatch.setattr(connection_timeouts, "LINGER_TIMEOUT_S", 60.0)
     first = asyncio.Event()
 
     async def till_end(reader, writer):
@@ -227,7 +227,7 @@
 
 @loopback
 async def test_no_attempt_waits_for_the_rest_of_a_body_that_was_answered(monkeypatch):
-    monkeypatch.setattr(connection_timeouts, "LINGER_S", 0.05)
+    monkeypatch.setattr(connection_timeouts, "LINGER_TIMEOUT_S", 0.05)
 
     class ReadsOn(Upstream):
         async def _serve(self, reader, writer):
@@ -249,7 +249,7 @@
 
 @loopback
 async def test_an_answer_ends_its_connection_though_the_client_has_just_reset_it(monkeypatch):
-    monkeypatch.setattr(read_control, "LOOK_S", 60.0)
+    monkeypatch.setattr(read_control, "CLOSE_POLL_S", 60.0)
     release = asyncio.Event()
 
     async def without_length(reader, writer):
--- a/tests/sidecar/test_client_departures.py
+++ b/tests/sidecar/test_client_departures.py
@@ -11,7 +11,7 @@
     client_connection,
     read_control,
 )
-from brassfall.sidecar.clients.read_control import Hold
+from brassfall.sidecar.clients.read_control import PauseReason
 from tests.support import loopback as partners
 from tests.support import system_calls
 from tests.support.clients import (
@@ -55,7 +55,7 @@
         app.send(X_Budget=LONG_BUDGET)
         await until(lambda: len(balancer.named("request")) == 2)
         connection.write(LARGE)  # of an earlier answer; more than the sockets hold
-        assert connection.read_control.holds(Hold.UNREAD_ANSWERS) and not connection.transport.is_reading()
+        assert connection.read_control.paused_for(PauseReason.UNREAD_ANSWERS) and not connection.transport.is_reading()
         app.send("POST", "/pay", b"unread")
         leave(app)
         await until(lambda: len(balancer.named("client_gone")) == 2)
@@ -79,7 +79,7 @@
             nonlocal sent
             app.writer.write(whole[sent : sent + 16_384])
             sent += 16_384
-            return connection.read_control.holds(Hold.SLOW_SERVER)
+            return connection.read_control.paused_for(PauseReason.SLOW_SERVER)
 
         await until(waits)
         assert not connection.transport.is_reading()
@@ -126,7 +126,7 @@
 
 @loopback
 async def test_a_client_that_reads_a_long_answer_slowly_has_not_gone(monkeypatch):
-    monkeypatch.setattr(read_control, "LOOK_S", 0.001)
+    monkeypatch.setattr(read_control, "CLOSE_POLL_S", 0.001)
     looks = []
     monkeypatch.setattr(
         framing, "peer_closed", lambda transport, look=framing.peer_closed: looks.append(look(transport))
@@ -135,7 +135,7 @@
     async with one_client(upstream, little_buffering=True) as (_sidecar, app, connection):
         app.writer.transport.pause_reading()
         app.send(X_Budget=LONG_BUDGET)
-        await until(lambda: connection.read_control.holds(Hold.UNREAD_ANSWERS) and len(looks) > 20)
+        await until(lambda: connection.read_control.paused_for(PauseReason.UNREAD_ANSWERS) and len(looks) > 20)
         app.writer.transport.resume_reading()
         assert (await app.answer()).body == LARGE
         assert not any(looks)
@@ -166,7 +166,7 @@
 async def test_a_request_that_was_unread_during_a_long_answer_is_not_forwarded_once_its_client_left(
     monkeypatch,
 ):
-    monkeypatch.setattr(read_control, "LOOK_S", 60.0)
+    monkeypatch.setattr(read_control, "CLOSE_POLL_S", 60.0)
     upstream = await Upstream([OK]).start()
     async with one_client(upstream, little_buffering=True) as (sidecar, app, connection):
         assert (await app.ask()).body == b"done"
@@ -267,7 +267,7 @@
         await until(lambda: len(balancer.named("client_gone")) == len(balancer.named("request")))
         app.close()
         await released(sidecar)
-        assert len(balancer.named("request")) <= 1 + client_connection.MAX_PENDING
+        assert len(balancer.named("request")) <= 1 + client_connection.MAX_PENDING_REQUESTS
 
 
 @loopback
--- a/tests/sidecar/test_client_timeouts.py
+++ b/tests/sidecar/test_client_timeouts.py
@@ -10,7 +10,7 @@
     connection_timeouts,
 )
 from brassfall.sidecar.clients.connection_state import ConnectionState
-from brassfall.sidecar.clients.read_control import Hold
+from brassfall.sidecar.clients.read_control import PauseReason
 from tests.support import loopback as partners
 from tests.support.clients import end_sending, fill_socket_buffers, one_client, reading_requests, released
 from tests.support.loopback import (
@@ -31,7 +31,7 @@
 
 @loopback
 async def test_an_incomplete_request_is_rejected_after_its_time_limit(monkeypatch):
-    monkeypatch.setattr(connection_timeouts, "INCOMPLETE_S", 0.05)
+    monkeypatch.setattr(connection_timeouts, "REQUEST_TIMEOUT_S", 0.05)
     balancer = ScriptedBalancer()
     async with running(balancer=balancer) as sidecar:
         app = await App.connect(sidecar.address)
@@ -43,8 +43,8 @@
 
 @loopback
 async def test_a_client_that_sends_nothing_is_closed_in_time(monkeypatch):
-    assert connection_timeouts.INCOMPLETE_S < 3.0
-    monkeypatch.setattr(connection_timeouts, "INCOMPLETE_S", 0.05)
+    assert connection_timeouts.REQUEST_TIMEOUT_S < 3.0
+    monkeypatch.setattr(connection_timeouts, "REQUEST_TIMEOUT_S", 0.05)
     async with running() as sidecar:
         app = await App.connect(sidecar.address)
         assert await app.answer() is None
@@ -53,7 +53,7 @@
 
 @loopback
 async def test_a_client_that_trickles_its_first_request_gains_no_time_by_it(monkeypatch):
-    monkeypatch.setattr(connection_timeouts, "INCOMPLETE_S", 0.3)
+    monkeypatch.setattr(connection_timeouts, "REQUEST_TIMEOUT_S", 0.3)
     async with running() as sidecar:
         app = await App.connect(sidecar.address)
 
@@ -69,8 +69,8 @@
 
 @loopback
 async def test_a_body_that_goes_on_arriving_has_more_time(monkeypatch):
-    monkeypatch.setattr(connection_timeouts, "INCOMPLETE_S", 0.1)
-    monkeypatch.setattr(connection_timeouts, "BODY_BYTES_PER_S", 100)
+    monkeypatch.setattr(connection_timeouts, "REQUEST_TIMEOUT_S", 0.1)
+    monkeypatch.setattr(connection_timeouts, "MIN_REQUEST_BYTES_PER_S", 100)
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
@@ -99,8 +99,8 @@
 
 @loopback
 async def test_a_client_whose_body_was_not_read_for_long_has_time_to_continue(monkeypatch):
-    monkeypatch.setattr(connection_timeouts, "INCOMPLETE_S", 0.1)
-    monkeypatch.setattr(connection_timeouts, "STOPPED_MS", 200.0)
+    monkeypatch.setattr(connection_timeouts, "REQUEST_TIMEOUT_S", 0.1)
+    monkeypatch.setattr(connection_timeouts, "CLIENT_STOPPED_MS", 200.0)
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
@@ -120,18 +120,18 @@
 @loopback
 async def test_empty_lines_at_the_end_of_the_time_limit_do_not_keep_a_connection_open(monkeypatch):
     async with one_client() as (sidecar, app, connection):
-        connection.timeouts.stop_request()
-        monkeypatch.setattr(connection_timeouts, "INCOMPLETE_S", 0.0)
+        connection.timeouts.stop_request_timer()
+        monkeypatch.setattr(connection_timeouts, "REQUEST_TIMEOUT_S", 0.0)
         app.writer.write(b"\r\n")
         assert connection.readable
-        connection.timeouts.check_request()
+        connection.timeouts.check_request_timeout()
         assert await app.answer() is None
         await released(sidecar)
 
 
 @loopback
 async def test_time_in_which_reading_is_paused_does_not_count_against_the_client(monkeypatch):
-    monkeypatch.setattr(connection_timeouts, "INCOMPLETE_S", 0.3)
+    monkeypatch.setattr(connection_timeouts, "REQUEST_TIMEOUT_S", 0.3)
     upstream = await Upstream([OK]).start()
     async with one_client(upstream, little_buffering=True) as (_sidecar, app, connection):
         app.writer.write(WHOLE[:-1])
@@ -139,13 +139,13 @@
         app.writer.transport.pause_reading()
         connection.write(LARGE)  # of an earlier answer
         app.writer.write(WHOLE[-1:])
-        checks, check = [], connection.timeouts.check_request
+        checks, check = [], connection.timeouts.check_request_timeout
         monkeypatch.setattr(
             connection_timeouts.ConnectionTimeouts,
-            "check_request",
+            "check_request_timeout",
             lambda timeouts: checks.append(check()),
         )
-        connection.timeouts.stop_request()
+        connection.timeouts.stop_request_timer()
         connection.timeouts.start_request()
         await asyncio.sleep(0.4)
         assert checks and connection.read_control.paused
@@ -158,7 +158,7 @@
 
 @loopback
 async def test_a_client_that_ends_its_sending_and_reads_nothing_is_disconnected(monkeypatch):
-    monkeypatch.setattr(connection_timeouts, "UNREAD_S", 0.1)
+    monkeypatch.setattr(connection_timeouts, "UNREAD_ANSWER_TIMEOUT_S", 0.1)
     async with one_client(little_buffering=True) as (sidecar, app, connection):
         app.writer.transport.pause_reading()
         await fill_socket_buffers(connection)
@@ -168,7 +168,7 @@
 
 @loopback
 async def test_a_client_that_left_and_stops_reading_shortly_before_the_end_is_disconnected(monkeypatch):
-    monkeypatch.setattr(connection_timeouts, "UNREAD_S", 0.3)
+    monkeypatch.setattr(connection_timeouts, "UNREAD_ANSWER_TIMEOUT_S", 0.3)
     async with one_client(little_buffering=True) as (sidecar, app, connection):
         app.writer.transport.pause_reading()
         connection.write(LARGE)
@@ -180,14 +180,14 @@
 
 @loopback
 async def test_a_client_that_reads_slowly_gets_all_of_a_long_answer(monkeypatch):
-    monkeypatch.setattr(connection_timeouts, "UNREAD_S", 0.3)
+    monkeypatch.setattr(connection_timeouts, "UNREAD_ANSWER_TIMEOUT_S", 0.3)
     async with one_client(little_buffering=True) as (_sidecar, app, connection):
         connection.write(LARGE)
         begun = asyncio.get_running_loop().time()
         got = 0
         async with asyncio.timeout(PATIENCE_S):
             while asyncio.get_running_loop().time() < begun + 0.8:
-                assert connection.read_control.holds(Hold.UNREAD_ANSWERS)
+                assert connection.read_control.paused_for(PauseReason.UNREAD_ANSWERS)
                 got += len(await app.reader.read(32_768))
                 await asyncio.sleep(0.02)
             got += len(await app.reader.readexactly(len(LARGE) - got))
--- a/tests/sidecar/test_connection_limits.py
+++ b/tests/sidecar/test_connection_limits.py
@@ -66,7 +66,7 @@
 
 @loopback
 async def test_connections_are_evicted_by_least_progress(monkeypatch):
-    monkeypatch.setattr(inbound, "QUIET_MS", 0.0)
+    monkeypatch.setattr(inbound, "QUIET_BEFORE_EVICTION_MS", 0.0)
     balancer = ScriptedBalancer(request=lambda now, arrival: [])  # answers none
     async with running(balancer=balancer) as sidecar:
         apps = [await App.connect(sidecar.address) for _ in range(5)]
@@ -149,7 +149,7 @@
         before = descriptors()
         limit = sidecar.inbound.limits.open_connections
         most = await most_descriptors(lambda: sum(map(closed_by_peer, crowd)) >= 150 - limit)
-        assert most - before <= sidecar.inbound.limits.open_connections + connection_limits.RESERVED
+        assert most - before <= sidecar.inbound.limits.open_connections + connection_limits.RESERVED_DESCRIPTORS
         for sock in crowd:
             sock.close()
 
@@ -159,8 +159,8 @@
     # A search for each of many silent clients would close the last of them later than the 3 s that the
     # protocol allows, on a small share of a core.
     async with running(raw={"limits": {"sockets": 256}}) as sidecar:
-        looks, look = [], sidecar.inbound.make_room
-        sidecar.inbound.make_room = lambda most: looks.append(most) or look(most)
+        looks, look = [], sidecar.inbound.evict_connections
+        sidecar.inbound.evict_connections = lambda most: looks.append(most) or look(most)
         crowd = connect_sockets(sidecar.address, 400)
         await until(lambda: sum(map(closed_by_peer, crowd)) >= 400 - sidecar.inbound.limits.open_connections)
         assert len(looks) < 120
@@ -170,7 +170,7 @@
 
 @loopback
 async def test_without_a_free_descriptor_a_quiet_connection_is_evicted(monkeypatch):
-    monkeypatch.setattr(inbound, "QUIET_MS", 0.0)
+    monkeypatch.setattr(inbound, "QUIET_BEFORE_EVICTION_MS", 0.0)
     async with running() as sidecar:
         quiet = connect_sockets(sidecar.address, 3)
         await until(lambda: len(sidecar.inbound.connections) == 3)
@@ -207,7 +207,7 @@
             )
         )
         assert sock.recv(4096).endswith(b"done")
-        sidecar.inbound.make_room(1)
+        sidecar.inbound.evict_connections(1)
         # Before the next turn of the loop: a request on a connection that looks open would be lost.
         assert closed_by_peer(sock)
         await until(lambda: sidecar.inbound.all_connections_closed)
--- a/tests/sidecar/test_connection_state.py
+++ b/tests/sidecar/test_connection_state.py
@@ -114,7 +114,7 @@
 
 @loopback
 async def test_input_that_is_no_request_is_rejected_and_lingers_while_more_comes(entered, monkeypatch):
-    monkeypatch.setattr(connection_timeouts, "LINGER_S", 0.05)
+    monkeypatch.setattr(connection_timeouts, "LINGER_TIMEOUT_S", 0.05)
     async with running() as sidecar:
         app = await App.connect(sidecar.address)
         app.writer.write(b"x" * 200_000)
@@ -137,11 +137,11 @@
         app = await App.connect(sidecar.address)
         connection = await only_connection(sidecar)
         sidecar.inbound.limits.open_connections = 1  # full: one without a request is evicted at once
-        assert sidecar.inbound.make_room(1)
+        assert sidecar.inbound.evict_connections(1)
         assert connection.state is S.EVICTED
         assert sidecar.inbound.open_connections == 0 and not sidecar.inbound.connections
         assert not sidecar.inbound.all_connections_closed
-        assert not sidecar.inbound.make_room(1)
+        assert not sidecar.inbound.evict_connections(1)
         await until(lambda: sidecar.inbound.all_connections_closed)
         assert connection.state is S.CLOSED and sidecar.inbound.open_connections == 0
         assert entered == [S.AWAITING_FIRST_REQUEST, S.EVICTED, S.CLOSED]
@@ -156,7 +156,7 @@
         app.send(Connection="close")
         connection = await only_connection(sidecar)
         await until(lambda: connection.state is S.LAST_REQUEST_READ)
-        assert not sidecar.inbound.make_room(1)
+        assert not sidecar.inbound.evict_connections(1)
         with pytest.raises(ConnectionStateError, match="from LAST_REQUEST_READ to EVICTED"):
             connection.evict()
         assert connection.state is S.LAST_REQUEST_READ
@@ -258,7 +258,7 @@
 @pytest.mark.parametrize("seed", range(8))
 @loopback
 async def test_no_order_of_events_leads_to_a_forbidden_transition(seed, entered, monkeypatch):
-    for name, limit_s in (("INCOMPLETE_S", 0.1), ("LINGER_S", 0.02), ("UNREAD_S", 0.1)):
+    for name, limit_s in (("REQUEST_TIMEOUT_S", 0.1), ("LINGER_TIMEOUT_S", 0.02), ("UNREAD_ANSWER_TIMEOUT_S", 0.1)):
         monkeypatch.setattr(connection_timeouts, name, limit_s)
     rng, faults = random.Random(seed), []
     asyncio.get_running_loop().set_exception_handler(lambda loop, context: faults.append(context))
@@ -270,7 +270,7 @@
             for number in range(60)
         ]
         while not all(client.done() for client in clients):
-            rng.choice([sidecar.inbound.close_idle, lambda: sidecar.inbound.make_room(1), lambda: None])()
+            rng.choice([sidecar.inbound.close_idle, lambda: sidecar.inbound.evict_connections(1), lambda: None])()
             await asyncio.sleep(0.005)
         await asyncio.gather(*clients)
         sidecar.inbound.close_after_answers()
--- a/tests/sidecar/test_graceful_shutdown.py
+++ b/tests/sidecar/test_graceful_shutdown.py
@@ -69,7 +69,7 @@
 @loopback
 async def test_shutdown_closes_no_connection_with_a_request_that_was_read_late(monkeypatch):
     monkeypatch.setattr("brassfall.sidecar.lifecycle.shutdown.QUIET_S", 0.2)
-    monkeypatch.setattr(connection_timeouts, "STOPPED_MS", 0.0)
+    monkeypatch.setattr(connection_timeouts, "CLIENT_STOPPED_MS", 0.0)
     release = asyncio.Event()
 
     async def wait(reader, writer):
@@ -160,7 +160,7 @@
 async def test_nothing_is_read_after_the_last_check_of_the_shutdown(immediate_shutdown, monkeypatch):
     # A request that is read while the process deregisters would be cut off.
     monkeypatch.setattr(shutdown, "QUIET_S", 0.0)
-    monkeypatch.setattr(connection_timeouts, "STOPPED_MS", 0.0)
+    monkeypatch.setattr(connection_timeouts, "CLIENT_STOPPED_MS", 0.0)
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
         (sock,) = connect_sockets(sidecar.address, 1)
@@ -209,13 +209,13 @@
 async def test_an_answer_is_sent_before_sigkill_though_the_process_stalls_as_it_writes(monkeypatch):
     """SIGKILL may come 0.7 s and the longest deadline after SIGTERM; the process may stand still for 0.15 s
     between reading its clock and writing."""
-    finish = client_request.ClientRequest.finish
+    give_answer = client_request.ClientRequest.give_answer
 
     def held_up(exchange, *answer):
         time.sleep(0.15)
-        finish(exchange, *answer)
+        give_answer(exchange, *answer)
 
-    monkeypatch.setattr(client_request.ClientRequest, "finish", held_up)
+    monkeypatch.setattr(client_request.ClientRequest, "give_answer", held_up)
     row = {"Name": "look", "Semantics": "pure", "Objective": 50.0, "Deadline": 100.0}
     upstream = await Upstream([hang]).start()
     loop = asyncio.get_running_loop()
--- a/tests/sidecar/test_invalid_requests.py
+++ b/tests/sidecar/test_invalid_requests.py
@@ -100,8 +100,8 @@
 @pytest.mark.parametrize("what", BAD)
 @loopback
 async def test_bad_input_is_answered_or_closed_and_reaches_no_server(monkeypatch, caplog, what):
-    monkeypatch.setattr(connection_timeouts, "INCOMPLETE_S", 0.1)
-    monkeypatch.setattr(connection_timeouts, "LINGER_S", 0.1)
+    monkeypatch.setattr(connection_timeouts, "REQUEST_TIMEOUT_S", 0.1)
+    monkeypatch.setattr(connection_timeouts, "LINGER_TIMEOUT_S", 0.1)
     raw, status = BAD[what]
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
@@ -156,8 +156,8 @@
 
 @loopback
 async def test_a_body_in_endless_chunks_that_drip_is_cut_off_and_frees_the_server(monkeypatch):
-    monkeypatch.setattr(connection_timeouts, "INCOMPLETE_S", 0.2)
-    monkeypatch.setattr(connection_timeouts, "BODY_BYTES_PER_S", 10_000_000)
+    monkeypatch.setattr(connection_timeouts, "REQUEST_TIMEOUT_S", 0.2)
+    monkeypatch.setattr(connection_timeouts, "MIN_REQUEST_BYTES_PER_S", 10_000_000)
     balancer = ScriptedBalancer()
     reads, freed = asyncio.Event(), asyncio.Event()
 
@@ -301,5 +301,5 @@
     async with running() as sidecar:
         app = await App.connect(sidecar.address)
         app.send("POST", "/pay", Content_Length=None, Transfer_Encoding="chunked")
-        app.writer.write(b"0\r\nX-Trailer: " + b"x" * (2 * request_parser.MAX_FRAMING))
+        app.writer.write(b"0\r\nX-Trailer: " + b"x" * (2 * request_parser.MAX_FRAMING_BYTES))
         assert (await app.answer()).status == 413
--- a/tests/sidecar/test_large_answers.py
+++ b/tests/sidecar/test_large_answers.py
@@ -163,7 +163,7 @@
         )
         (connection,) = sidecar.inbound.connections
         buffered = connection.transport.get_write_buffer_size()
-        assert buffered <= connection_timeouts.MAX_UNSENT + 2 * body.MAX_BUFFERED
+        assert buffered <= connection_timeouts.MAX_UNSENT_BYTES + 2 * body.MAX_BUFFERED
         await until(lambda: upstream.writers[0].transport.get_write_buffer_size() > 0)
         before = given
         await asyncio.sleep(0.1)
@@ -175,7 +175,7 @@
 
 @loopback
 async def test_a_slow_reader_gets_all_answers_though_it_has_sent_more(monkeypatch):
-    monkeypatch.setattr(connection_timeouts, "LINGER_S", 0.1)
+    monkeypatch.setattr(connection_timeouts, "LINGER_TIMEOUT_S", 0.1)
     count, size = 12, 60_000  # more than the sockets hold
     release = asyncio.Event()
 
@@ -212,7 +212,7 @@
 
 @loopback
 async def test_a_client_that_reads_nothing_is_closed(monkeypatch):
-    monkeypatch.setattr(connection_timeouts, "UNREAD_S", 0.1)
+    monkeypatch.setattr(connection_timeouts, "UNREAD_ANSWER_TIMEOUT_S", 0.1)
 
     async def endless(reader, writer):
         writer.write(CHUNKED)
--- a/tests/sidecar/test_large_requests.py
+++ b/tests/sidecar/test_large_requests.py
@@ -9,7 +9,7 @@
 from brassfall.balancer.model import Fail, Outcome, Send
 from brassfall.sidecar import body
 from brassfall.sidecar.clients import connection_timeouts
-from brassfall.sidecar.clients.read_control import Hold
+from brassfall.sidecar.clients.read_control import PauseReason
 from tests.support import loopback as partners
 from tests.support.large_messages import (
     LARGE,
@@ -60,7 +60,7 @@
             """More, until the sidecar takes no more: how much the kernel holds is the machine's affair."""
             nonlocal sent
             (connection,) = sidecar.inbound.connections
-            if connection.read_control.holds(Hold.SLOW_SERVER):
+            if connection.read_control.paused_for(PauseReason.SLOW_SERVER):
                 return not connection.transport.is_reading()
             app.writer.write(PIECE)
             sent += 1
@@ -145,8 +145,8 @@
 
 @loopback
 async def test_a_client_that_stops_within_a_large_request_gets_an_error_and_frees_the_server(monkeypatch):
-    monkeypatch.setattr(connection_timeouts, "INCOMPLETE_S", 0.1)
-    monkeypatch.setattr(connection_timeouts, "BODY_BYTES_PER_S", 10_000_000)
+    monkeypatch.setattr(connection_timeouts, "REQUEST_TIMEOUT_S", 0.1)
+    monkeypatch.setattr(connection_timeouts, "MIN_REQUEST_BYTES_PER_S", 10_000_000)
     upstream = await StreamingServer([OK]).start()
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
--- a/tests/support/clients.py
+++ b/tests/support/clients.py
@@ -11,7 +11,7 @@
 
 from brassfall.balancer.model import Send
 from brassfall.sidecar.clients.connection_state import ConnectionState
-from brassfall.sidecar.clients.read_control import Hold
+from brassfall.sidecar.clients.read_control import PauseReason
 from tests.support import loopback
 from tests.support.loopback import PATIENCE_S, App, ScriptedBalancer, read_message, until
 
@@ -64,7 +64,7 @@
             connection.write(b"x" * 8192)
             filled = 0
         await asyncio.sleep(0.002)
-    assert not connection.read_control.holds(Hold.UNREAD_ANSWERS)
+    assert not connection.read_control.paused_for(PauseReason.UNREAD_ANSWERS)
 
 
 # --- the client's end of a connection -------------------------------------------------
