--- a/tests/sidecar/test_client_departures.py
+++ b/tests/sidecar/test_client_departures.py
@@ -1,4 +1,4 @@
-"""Clients that leave: how that is noticed, and that nothing is forwarded for them afterwards."""
+"""Clients that close their connections: how this is detected, and that none of their requests is sent on."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 from tests.support.clients import (
     EACH_WAY_TO_LEAVE,
     LONG_BUDGET,
-    HeldRequests,
+    HoldingBalancer,
     accept_paused,
-    end_sending,
+    close_with_reset,
+    connected_client,
     fill_socket_buffers,
-    one_client,
-    released,
-    reset,
+    half_close,
+    wait_until_released,
 )
 from tests.support.loopback import (
     OK,
@@ -38,114 +38,131 @@
 )
 from tests.support.system_calls import Faults
 
-LARGE = b"x" * 3_000_000
-LONG = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(LARGE) + LARGE
-READY = b"GET /health/ready HTTP/1.1\r\n\r\n"
-WHOLE = partners.request("POST", "/pay", b"hello")
+LARGE_BODY = b"x" * 3_000_000
+LARGE_ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(LARGE_BODY) + LARGE_BODY
+READINESS_CHECK = b"GET /health/ready HTTP/1.1\r\n\r\n"
+WHOLE_REQUEST = partners.request("POST", "/pay", b"hello")
 
 
 @EACH_WAY_TO_LEAVE
 @loopback
-async def test_a_client_that_leaves_is_noticed_while_its_answers_lie_unread(leave):
+async def test_a_departure_is_detected_while_answers_are_unread(leave):
     upstream = await Upstream([OK]).start()
-    balancer = HeldRequests()
-    async with one_client(upstream, balancer=balancer, little_buffering=True) as (sidecar, app, connection):
+    balancer = HoldingBalancer()
+    async with connected_client(upstream, balancer=balancer, little_buffering=True) as (
+        sidecar,
+        app,
+        connection,
+    ):
         app.writer.transport.pause_reading()
         app.send(X_Budget=LONG_BUDGET)
         app.send(X_Budget=LONG_BUDGET)
         await until(lambda: len(balancer.named("request")) == 2)
-        connection.write(LARGE)  # of an earlier answer; more than the sockets hold
-        assert connection.read_control.paused_for(PauseReason.UNREAD_ANSWERS) and not connection.transport.is_reading()
+        # These bytes stand for the answer to an earlier request. They are more than the socket buffers take.
+        connection.write(LARGE_BODY)
+        assert (
+            connection.read_control.paused_for(PauseReason.UNREAD_ANSWERS)
+            and not connection.transport.is_reading()
+        )
         app.send("POST", "/pay", b"unread")
         leave(app)
         await until(lambda: len(balancer.named("client_gone")) == 2)
-        balancer.send(sidecar)
+        balancer.send_held_requests(sidecar)
         app.close()
-        await released(sidecar)
+        await wait_until_released(sidecar)
         assert not upstream.seen and len(balancer.named("request")) == 2
 
 
 @EACH_WAY_TO_LEAVE
 @loopback
-async def test_a_client_that_leaves_is_noticed_while_its_body_waits_for_a_server(leave):
+async def test_a_departure_is_detected_while_a_body_waits_for_a_server(leave):
     upstream = await Upstream([OK]).start()
-    balancer = HeldRequests()
-    async with one_client(upstream, balancer=balancer) as (sidecar, app, connection):
-        # The rest of the body stays with the client: the socket buffers are full.
-        whole = partners.request("POST", "/pay", LARGE, X_Budget=LONG_BUDGET)
-        sent = 0
-
-        def waits():
-            nonlocal sent
-            app.writer.write(whole[sent : sent + 16_384])
-            sent += 16_384
+    balancer = HoldingBalancer()
+    async with connected_client(upstream, balancer=balancer) as (sidecar, app, connection):
+        # The client sends its body only until the sidecar pauses reading. The rest stays with the client, as
+        # it does when the socket buffers are full.
+        whole_request = partners.request("POST", "/pay", LARGE_BODY, X_Budget=LONG_BUDGET)
+        bytes_sent = 0
+
+        def body_waits_for_server():
+            nonlocal bytes_sent
+            app.writer.write(whole_request[bytes_sent : bytes_sent + 16_384])
+            bytes_sent += 16_384
             return connection.read_control.paused_for(PauseReason.SLOW_SERVER)
 
-        await until(waits)
+        await until(body_waits_for_server)
         assert not connection.transport.is_reading()
         leave(app)
         await until(lambda: balancer.named("client_gone"))
-        balancer.send(sidecar)
+        balancer.send_held_requests(sidecar)
         app.close()
-        await released(sidecar)
+        await wait_until_released(sidecar)
         assert not upstream.seen and not upstream.writers
 
 
 @EACH_WAY_TO_LEAVE
 @loopback
-async def test_a_client_that_leaves_is_noticed_though_a_part_of_an_answer_is_still_buffered(leave):
+async def test_a_departure_is_detected_while_a_part_of_an_answer_is_still_buffered(leave):
     upstream = await Upstream([OK]).start()
-    balancer = HeldRequests()
-    async with one_client(upstream, balancer=balancer, little_buffering=True) as (sidecar, app, connection):
+    balancer = HoldingBalancer()
+    async with connected_client(upstream, balancer=balancer, little_buffering=True) as (
+        sidecar,
+        app,
+        connection,
+    ):
         app.writer.transport.pause_reading()
         app.send(X_Budget=LONG_BUDGET)
         await until(lambda: balancer.named("request"))
         await fill_socket_buffers(connection)
         leave(app)
         await until(lambda: balancer.named("client_gone"))
-        balancer.send(sidecar)
+        balancer.send_held_requests(sidecar)
         app.close()
-        await released(sidecar)
+        await wait_until_released(sidecar)
         assert not upstream.seen
 
 
 @loopback
-async def test_a_client_that_ends_its_sending_is_given_the_answers_that_are_on_their_way(caplog):
+async def test_a_client_that_half_closes_gets_the_answers_that_are_already_written(caplog):
     upstream = await Upstream([OK]).start()
-    async with one_client(upstream, little_buffering=True) as (sidecar, app, connection):
-        connection.write(LARGE)
-        end_sending(app)
+    async with connected_client(upstream, little_buffering=True) as (sidecar, app, connection):
+        connection.write(LARGE_BODY)
+        half_close(app)
         await until(lambda: connection.transport.is_closing())
         for _ in range(10):
-            connection.write(b"more")  # a later part of an answer: dropped without a warning
+            connection.write(b"more")  # a later part of an answer is dropped without a warning
         async with asyncio.timeout(PATIENCE_S):
-            assert len(await app.reader.read()) == len(LARGE)
-        await released(sidecar)
+            assert len(await app.reader.read()) == len(LARGE_BODY)
+        await wait_until_released(sidecar)
         assert not caplog.records
 
 
 @loopback
-async def test_a_client_that_reads_a_long_answer_slowly_has_not_gone(monkeypatch):
+async def test_a_client_that_reads_a_large_answer_slowly_does_not_count_as_having_left(monkeypatch):
     monkeypatch.setattr(read_control, "CLOSE_POLL_S", 0.001)
-    looks = []
+    polls = []
     monkeypatch.setattr(
-        framing, "peer_closed", lambda transport, look=framing.peer_closed: looks.append(look(transport))
+        framing,
+        "peer_closed",
+        lambda transport, peer_closed=framing.peer_closed: polls.append(peer_closed(transport)),
     )
-    upstream = await Upstream([LONG, OK]).start()
-    async with one_client(upstream, little_buffering=True) as (_sidecar, app, connection):
+    upstream = await Upstream([LARGE_ANSWER, OK]).start()
+    async with connected_client(upstream, little_buffering=True) as (_sidecar, app, connection):
         app.writer.transport.pause_reading()
         app.send(X_Budget=LONG_BUDGET)
-        await until(lambda: connection.read_control.paused_for(PauseReason.UNREAD_ANSWERS) and len(looks) > 20)
+        await until(
+            lambda: connection.read_control.paused_for(PauseReason.UNREAD_ANSWERS) and len(polls) > 20
+        )
         app.writer.transport.resume_reading()
-        assert (await app.answer()).body == LARGE
-        assert not any(looks)
+        assert (await app.answer()).body == LARGE_BODY
+        assert not any(polls)
         assert (await app.ask()).body == b"done"
 
 
 @EACH_WAY_TO_LEAVE
 @pytest.mark.parametrize("body", [b"", b"x" * 100_000])
 @loopback
-async def test_a_request_from_the_backlog_is_not_forwarded_once_its_client_left(leave, body):
+async def test_a_request_from_the_backlog_is_not_forwarded_if_its_client_has_left(leave, body):
     upstream = await Upstream([OK]).start()
     balancer = ScriptedBalancer()
     async with running(upstream, balancer=balancer) as sidecar:
@@ -159,83 +176,83 @@
         assert len(balancer.named("request")) == len(upstream.seen) == 1
         app.close()
         staying.close()
-        await released(sidecar)
+        await wait_until_released(sidecar)
 
 
 @loopback
-async def test_a_request_that_was_unread_during_a_long_answer_is_not_forwarded_once_its_client_left(
+async def test_a_request_that_was_not_read_during_a_large_answer_is_not_forwarded_after_a_departure(
     monkeypatch,
 ):
     monkeypatch.setattr(read_control, "CLOSE_POLL_S", 60.0)
     upstream = await Upstream([OK]).start()
-    async with one_client(upstream, little_buffering=True) as (sidecar, app, connection):
+    async with connected_client(upstream, little_buffering=True) as (sidecar, app, connection):
         assert (await app.ask()).body == b"done"
-        connection.write(LARGE)
+        connection.write(LARGE_BODY)
         app.send("POST", "/pay", b"later")
-        end_sending(app)
+        half_close(app)
         async with asyncio.timeout(PATIENCE_S):
-            assert len(await app.reader.read()) == len(LARGE)
-        await released(sidecar)
+            assert len(await app.reader.read()) == len(LARGE_BODY)
+        await wait_until_released(sidecar)
         assert len(upstream.seen) == 1
 
 
 @loopback
-async def test_requests_that_arrived_together_with_the_close_are_not_forwarded():
+async def test_requests_that_arrive_together_with_the_close_are_not_forwarded():
     upstream = await Upstream([OK, hang]).start()
     balancer = ScriptedBalancer()
     async with running(upstream, balancer=balancer) as sidecar:
         app = await App.connect(sidecar.address)
         await app.ask()
-        # Written together: the loop reads the bytes in one turn and the close in the next.
+        # The event loop reads the bytes in one turn and the close in the next, although both arrive together.
         app.writer.write(3 * partners.request(X_Budget="300m"))
-        end_sending(app)
+        half_close(app)
         await until(lambda: balancer.named("client_gone"))
         assert len(balancer.named("request")) == 2
         app.close()
-        await released(sidecar)
+        await wait_until_released(sidecar)
 
 
 @loopback
-async def test_a_readiness_check_is_answered_though_its_client_has_ended_its_sending():
+async def test_a_readiness_check_is_answered_although_its_client_has_half_closed():
     async with running() as sidecar:
         async with accept_paused(sidecar):
             app = await App.connect(sidecar.address)
-            app.writer.write(READY)
-            end_sending(app)
+            app.writer.write(READINESS_CHECK)
+            half_close(app)
         assert (await app.answer()).status == 200
-        await released(sidecar)
+        await wait_until_released(sidecar)
 
 
 @EACH_WAY_TO_LEAVE
 @loopback
-async def test_a_request_reports_that_its_client_left_before_the_loop_does(leave):
-    balancer = HeldRequests()
-    async with one_client(balancer=balancer) as (_sidecar, app, connection):
+async def test_client_left_detects_a_departure_before_the_event_loop_reports_it(leave):
+    balancer = HoldingBalancer()
+    async with connected_client(balancer=balancer) as (_sidecar, app, connection):
         app.send("POST", "/pay", b"x")
         await until(lambda: balancer.named("request"))
-        (exchange,) = connection.pending_requests
-        assert not exchange.client_left()
+        (request,) = connection.pending_requests
+        assert not request.client_left()
         leave(app)
-        if leave is not end_sending:
-            await asyncio.sleep(0)  # the client's transport closes a turn later
-        assert exchange.client_left() and not balancer.named("client_gone")
+        if leave is not half_close:
+            await asyncio.sleep(0)  # the client's transport closes one turn of the event loop later
+        assert request.client_left() and not balancer.named("client_gone")
         await until(lambda: balancer.named("client_gone"))
         assert len(balancer.named("client_gone")) == 1
-        assert exchange.client_left()
+        assert request.client_left()
 
 
 @pytest.mark.parametrize("number", system_calls.BROKEN)
 @pytest.mark.parametrize("call", ["recv", "send"])
 @loopback
-async def test_a_broken_connection_is_a_client_that_left_whatever_the_error(number, call, caplog):
+async def test_any_socket_error_on_a_client_connection_counts_as_a_departure(number, call, caplog):
     release = asyncio.Event()
 
-    async def wait(reader, writer):
+    async def answer_after_release(reader, writer):
         await release.wait()
         return OK
 
-    upstream = await Upstream([wait]).start()
-    async with one_client(upstream) as (sidecar, app, connection):
+    upstream = await Upstream([answer_after_release]).start()
+    async with connected_client(upstream) as (sidecar, app, connection):
         app.send()
         await until(lambda: upstream.seen)
         with Faults() as faults:
@@ -245,7 +262,7 @@
             await until(lambda: faults.injected[call, number] == 1)
             await until(lambda: connection not in sidecar.inbound.connections)
         release.set()
-        await released(sidecar)
+        await wait_until_released(sidecar)
         other = await App.connect(sidecar.address)
         assert (await other.ask()).body == b"done"
         app.close()
@@ -255,7 +272,7 @@
 
 @EACH_WAY_TO_LEAVE
 @loopback
-async def test_the_requests_of_a_client_that_sends_many_and_leaves_are_abandoned(leave):
+async def test_all_requests_of_a_client_that_sends_many_and_leaves_are_abandoned(leave):
     upstream = await Upstream([hang]).start()
     balancer = ScriptedBalancer()
     async with running(upstream, balancer=balancer) as sidecar:
@@ -266,23 +283,23 @@
         leave(app)
         await until(lambda: len(balancer.named("client_gone")) == len(balancer.named("request")))
         app.close()
-        await released(sidecar)
+        await wait_until_released(sidecar)
         assert len(balancer.named("request")) <= 1 + client_connection.MAX_PENDING_REQUESTS
 
 
 @loopback
-async def test_a_client_that_leaves_within_a_head_leaves_nothing_behind(caplog):
+async def test_a_departure_within_a_head_leaves_nothing_in_the_sidecar(caplog):
     async with running() as sidecar:
-        for size in range(1, len(WHOLE), 7):
+        for size in range(1, len(WHOLE_REQUEST), 7):
             app = await App.connect(sidecar.address)
-            app.writer.write(WHOLE[:size])
-            (App.close if size % 2 else reset)(app)
-        await released(sidecar)
+            app.writer.write(WHOLE_REQUEST[:size])
+            (App.close if size % 2 else close_with_reset)(app)
+        await wait_until_released(sidecar)
         assert not caplog.records
 
 
 @loopback
-async def test_a_client_that_closes_is_gone_and_its_attempt_is_still_awaited():
+async def test_the_attempt_of_a_departed_client_is_still_awaited():
     upstream = await Upstream([hang]).start()
     balancer = ScriptedBalancer()
     async with running(upstream, balancer=balancer) as sidecar:
--- a/tests/sidecar/test_connection_limits.py
+++ b/tests/sidecar/test_connection_limits.py
@@ -16,7 +16,7 @@
 )
 from brassfall.sidecar.clients.connection_state import ConnectionState
 from tests.support import loopback as partners
-from tests.support.clients import closed_by_peer, connect_sockets, reading_requests
+from tests.support.clients import closed_by_peer, connect_sockets, count_reading_requests
 from tests.support.loopback import (
     OK,
     PATIENCE_S,
@@ -44,7 +44,7 @@
         apps[1].send()
         await until(lambda: len(upstream.seen) == 2)
         third = await App.connect(sidecar.address)
-        assert await apps[0].answer() is None  # closed between requests
+        assert await apps[0].answer() is None  # the connection was closed while it was idle
         third.send()
         await until(lambda: len(upstream.seen) == 3)
         fourth = await App.connect(sidecar.address)
@@ -53,7 +53,7 @@
 
 
 @loopback
-async def test_past_the_high_water_mark_each_answer_is_the_last_on_its_connection():
+async def test_above_the_high_water_mark_each_connection_closes_after_its_answer():
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
         sidecar.inbound.limits.high_water = 2
@@ -65,27 +65,27 @@
 
 
 @loopback
-async def test_connections_are_evicted_by_least_progress(monkeypatch):
+async def test_connections_with_the_least_progress_are_evicted_first(monkeypatch):
     monkeypatch.setattr(inbound, "QUIET_BEFORE_EVICTION_MS", 0.0)
-    balancer = ScriptedBalancer(request=lambda now, arrival: [])  # answers none
+    balancer = ScriptedBalancer(request=lambda now, arrival: [])  # answers no request
     async with running(balancer=balancer) as sidecar:
         apps = [await App.connect(sidecar.address) for _ in range(5)]
-        busy, begun, silent, later, idle = apps
+        busy, reading, silent, silent_later, idle = apps
         busy.send()
-        whole = partners.request("POST", "/pay", b"hello")
-        begun.writer.write(whole[:-1])
+        whole_request = partners.request("POST", "/pay", b"hello")
+        reading.writer.write(whole_request[:-1])
         await until(lambda: sidecar.inbound.busy_connections == 1)
-        await until(lambda: reading_requests(sidecar) == 1)
+        await until(lambda: count_reading_requests(sidecar) == 1)
         answer = await idle.ask("GET", "/health/ready", X_Call_Class=None)
         assert answer.headers.get("connection") is None
         sidecar.inbound.limits.high_water = 1
-        # Silent connections go by age, and before one with an incomplete request.
-        for held, gone in enumerate((idle, silent, later, begun), start=2):
+        # Silent connections are evicted in the order of their age, and before one with an incomplete request.
+        for busy_count, evicted in enumerate((idle, silent, silent_later, reading), start=2):
             new = await App.connect(sidecar.address)
-            assert await gone.answer() is None
+            assert await evicted.answer() is None
             new.send()
-            apps.append(new)  # a reference keeps it open
-            await until(lambda held=held: sidecar.inbound.busy_connections == held)
+            apps.append(new)  # this reference keeps the client's connection open
+            await until(lambda busy_count=busy_count: sidecar.inbound.busy_connections == busy_count)
         last = await App.connect(sidecar.address)
         assert (await last.ask("GET", "/health/ready", X_Call_Class=None)).status == 200
         busy.close()
@@ -106,94 +106,107 @@
 
 
 @loopback
-async def test_a_request_in_slow_pieces_is_not_evicted_below_the_limit():
+async def test_a_connection_with_a_slowly_sent_request_is_not_evicted_below_the_limit():
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
         sidecar.inbound.limits.high_water = 1
         slow = await App.connect(sidecar.address)
-        whole = partners.request("POST", "/pay", b"hello")
-        slow.writer.write(whole[:-1])
-        crowd = [await App.connect(sidecar.address) for _ in range(20)]
-        await until(lambda: len(sidecar.inbound.connections) == 1 + len(crowd))
-        slow.writer.write(whole[-1:])
+        whole_request = partners.request("POST", "/pay", b"hello")
+        slow.writer.write(whole_request[:-1])
+        idle_clients = [await App.connect(sidecar.address) for _ in range(20)]
+        await until(lambda: len(sidecar.inbound.connections) == 1 + len(idle_clients))
+        slow.writer.write(whole_request[-1:])
         assert (await slow.answer()).body == b"done"
 
 
-@pytest.mark.parametrize(("sockets", "most"), [(256, 85), (384, 128), (64, 16)])
+@pytest.mark.parametrize(("sockets", "limit"), [(256, 85), (384, 128), (64, 16)])
 @loopback
-async def test_client_requests_hold_no_more_than_a_third_of_all_descriptors(sockets, most):
+async def test_connections_with_requests_use_at_most_a_third_of_all_descriptors(sockets, limit):
     async with running(raw={"limits": {"sockets": sockets}}) as sidecar:
-        assert sidecar.inbound.limits.busy_connections == most
+        assert sidecar.inbound.limits.busy_connections == limit
 
 
-def descriptors():
+def open_descriptors():
+    """Return the number of descriptors that this process has open."""
     return len(os.listdir("/proc/self/fd"))
 
 
-async def most_descriptors(condition):
-    """The most descriptors that are open after any turn of the loop, until a condition holds."""
+async def most_open_descriptors(condition):
+    """Return the largest number of open descriptors, counted after each turn of the event loop.
+
+    Counting ends once `condition` holds.
+    """
     most = 0
     async with asyncio.timeout(PATIENCE_S):
         while not condition():
             await asyncio.sleep(0)
-            most = max(most, descriptors())
+            most = max(most, open_descriptors())
     return most
 
 
 @loopback
 async def test_a_burst_of_connections_leaves_the_reserved_descriptors_free():
-    # Up to 32 connections are accepted in a turn of the loop, and evicted ones are closed a turn or two
-    # later: meanwhile they must not use the descriptors of discovery and servers.
+    # Up to 32 connections are accepted in one turn of the event loop, and evicted ones are closed one or two
+    # turns later. Until then they must not use the descriptors of discovery and of servers.
     async with running(raw={"limits": {"sockets": 64}}) as sidecar:
-        crowd = connect_sockets(sidecar.address, 150)
-        before = descriptors()
+        client_sockets = connect_sockets(sidecar.address, 150)
+        before = open_descriptors()
         limit = sidecar.inbound.limits.open_connections
-        most = await most_descriptors(lambda: sum(map(closed_by_peer, crowd)) >= 150 - limit)
-        assert most - before <= sidecar.inbound.limits.open_connections + connection_limits.RESERVED_DESCRIPTORS
-        for sock in crowd:
+        most = await most_open_descriptors(lambda: sum(map(closed_by_peer, client_sockets)) >= 150 - limit)
+        assert (
+            most - before
+            <= sidecar.inbound.limits.open_connections + connection_limits.RESERVED_DESCRIPTORS
+        )
+        for sock in client_sockets:
             sock.close()
 
 
 @loopback
-async def test_not_every_connection_of_a_burst_causes_a_search_for_one_to_evict():
-    # A search for each of many silent clients would close the last of them later than the 3 s that the
-    # protocol allows, on a small share of a core.
+async def test_a_burst_of_connections_causes_few_searches_for_one_to_evict():
+    # If each of many silent clients caused a search, a process with a small share of a core would close the
+    # last of them later than the 3 s that the protocol allows.
     async with running(raw={"limits": {"sockets": 256}}) as sidecar:
-        looks, look = [], sidecar.inbound.evict_connections
-        sidecar.inbound.evict_connections = lambda most: looks.append(most) or look(most)
-        crowd = connect_sockets(sidecar.address, 400)
-        await until(lambda: sum(map(closed_by_peer, crowd)) >= 400 - sidecar.inbound.limits.open_connections)
-        assert len(looks) < 120
-        for sock in crowd:
+        searches, evict_connections = [], sidecar.inbound.evict_connections
+        sidecar.inbound.evict_connections = lambda count: searches.append(count) or evict_connections(count)
+        client_sockets = connect_sockets(sidecar.address, 400)
+        await until(
+            lambda: (
+                sum(map(closed_by_peer, client_sockets)) >= 400 - sidecar.inbound.limits.open_connections
+            )
+        )
+        assert len(searches) < 120
+        for sock in client_sockets:
             sock.close()
 
 
 @loopback
-async def test_without_a_free_descriptor_a_quiet_connection_is_evicted(monkeypatch):
+async def test_a_quiet_connection_is_evicted_if_no_descriptor_is_free(monkeypatch):
     monkeypatch.setattr(inbound, "QUIET_BEFORE_EVICTION_MS", 0.0)
     async with running() as sidecar:
         quiet = connect_sockets(sidecar.address, 3)
         await until(lambda: len(sidecar.inbound.connections) == 3)
-        soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
+        soft_limit, hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)
         new = connect_sockets(sidecar.address, 1)[0]
-        resource.setrlimit(resource.RLIMIT_NOFILE, (max(map(int, os.listdir("/proc/self/fd"))) + 1, hard))
-        spare = []
+        resource.setrlimit(
+            resource.RLIMIT_NOFILE, (max(map(int, os.listdir("/proc/self/fd"))) + 1, hard_limit)
+        )
+        unused_sockets = []  # sockets that take all descriptors that are still free
         try:
             with contextlib.suppress(OSError):
                 while True:
-                    spare.append(socket.socket())
+                    unused_sockets.append(socket.socket())
             new.sendall(request())
             await until(lambda: any(map(closed_by_peer, quiet)))
             await until(lambda: len(sidecar.inbound.connections) == 3)
             assert sum(map(closed_by_peer, quiet)) == 1
         finally:
-            resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
-            for sock in (*spare, *quiet, new):
+            resource.setrlimit(resource.RLIMIT_NOFILE, (soft_limit, hard_limit))
+            for sock in (*unused_sockets, *quiet, new):
                 sock.close()
 
 
 @loopback
-async def test_an_evicted_idle_connection_is_seen_closed_at_once():
+async def test_the_client_sees_the_eviction_of_its_idle_connection_at_once():
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
         sock = connect_sockets(sidecar.address, 1)[0]
@@ -208,14 +221,15 @@
         )
         assert sock.recv(4096).endswith(b"done")
         sidecar.inbound.evict_connections(1)
-        # Before the next turn of the loop: a request on a connection that looks open would be lost.
+        # The client checks in the same turn of the event loop: a request that it sends on a connection that
+        # still looks open would be lost.
         assert closed_by_peer(sock)
         await until(lambda: sidecar.inbound.all_connections_closed)
         sock.close()
 
 
-async def idler(address):
-    """A client that says nothing, and comes again when it is closed."""
+async def stay_connected_idle(address):
+    """Run a client that connects, sends nothing, and connects again whenever it is disconnected."""
     while True:
         with contextlib.suppress(OSError):
             reader, writer = await asyncio.open_connection(*address)
@@ -226,20 +240,21 @@
 
 
 @loopback
-async def test_the_return_of_discovery_is_noticed_though_idle_clients_fill_the_descriptors(tmp_path):
-    limit, held = 96, socket.socket()
-    held.bind(("127.0.0.1", 0))  # refuses calls until it listens; clients might take a free port
-    discovery = "{}:{}".format(*held.getsockname())
+async def test_discovery_reconnects_although_idle_clients_use_up_the_descriptors(tmp_path):
+    limit, discovery_socket = 96, socket.socket()
+    # The bound socket refuses connections until it listens, and keeps its port from being used by a client.
+    discovery_socket.bind(("127.0.0.1", 0))
+    discovery = "{}:{}".format(*discovery_socket.getsockname())
     sidecar = await Process.start(tmp_path, discovery=discovery, limits={"sockets": limit})
-    crowd = [asyncio.create_task(idler(sidecar.address)) for _ in range(150)]
-    path = f"/proc/{sidecar.process.pid}/fd"
+    client_tasks = [asyncio.create_task(stay_connected_idle(sidecar.address)) for _ in range(150)]
+    descriptors_path = f"/proc/{sidecar.process.pid}/fd"
     most = 0
     for _ in range(300):
-        most = max(most, len(os.listdir(path)))
+        most = max(most, len(os.listdir(descriptors_path)))
         await asyncio.sleep(0.001)
     assert 40 < most <= limit
     upstreams = [await Upstream([OK]).start() for _ in range(8)]
-    registry = await Registry().start(sock=held)
+    registry = await Registry().start(sock=discovery_socket)
     await until(lambda: registry.watches)
     registry.tell(
         2, *(entry(f"s{i}", upstream.address) for i, upstream in enumerate(upstreams)), snapshot=True
@@ -251,8 +266,8 @@
             app.close()
             if answer is not None and answer.body == b"done":
                 break
-    assert len(os.listdir(path)) <= limit
-    for task in crowd:
+    assert len(os.listdir(descriptors_path)) <= limit
+    for task in client_tasks:
         task.cancel()
     sidecar.process.terminate()
     assert await sidecar.process.wait() == 0
--- a/tests/sidecar/test_connection_state.py
+++ b/tests/sidecar/test_connection_state.py
@@ -1,4 +1,4 @@
-"""The states of a client connection: the table of transitions, and the ways that connections take."""
+"""States of a client connection: the allowed transitions, and the sequences of states that occur."""
 
 from __future__ import annotations
 
@@ -17,37 +17,40 @@
     checked_transition,
 )
 from brassfall.sidecar.clients.request_parser import RequestParser
-from tests.support.clients import end_sending, only_connection, reset
+from tests.support.clients import close_with_reset, half_close, only_connection
 from tests.support.loopback import OK, App, Upstream, break_off, hang, loopback, request, running, until
 
 S = ConnectionState
 LIVE_ENDS = {S.CLOSING, S.EVICTED, S.CLOSED}
 
-# Written out anew, not read from the module: a change of its table has to be made here too.
-ALLOWED = {
+# Allowed transitions by state. They are written out here and not read from the program, so that this test
+# fails if only the program's table is changed.
+ALLOWED_TRANSITIONS = {
     S.CONNECTING: {S.AWAITING_FIRST_REQUEST},
-    S.AWAITING_FIRST_REQUEST: {S.READING_REQUEST, S.REJECTED, *LIVE_ENDS},
-    S.READING_REQUEST: {S.AWAITING_NEXT_REQUEST, S.REJECTED, S.LINGERING, *LIVE_ENDS},
+    S.AWAITING_FIRST_REQUEST: {S.READING_REQUEST, S.REJECTED, *ENDING_STATES},
+    S.READING_REQUEST: {S.AWAITING_NEXT_REQUEST, S.REJECTED, S.LINGERING, *ENDING_STATES},
     S.AWAITING_NEXT_REQUEST: {
         S.READING_REQUEST,
         S.LAST_REQUEST_READ,
         S.REJECTED,
         S.LINGERING,
-        *LIVE_ENDS,
+        *ENDING_STATES,
     },
     S.LAST_REQUEST_READ: {S.LINGERING, S.CLOSING, S.CLOSED},
     S.REJECTED: {S.LINGERING, S.CLOSING, S.CLOSED},
-    S.LINGERING: LIVE_ENDS,
+    S.LINGERING: ENDING_STATES,
     S.CLOSING: {S.EVICTED, S.CLOSED},
     S.EVICTED: {S.CLOSED},
     S.CLOSED: set(),
 }
-PAIRS = list(itertools.product(S, S))
+STATE_PAIRS = list(itertools.product(S, S))
 
 
-@pytest.mark.parametrize(("state", "requested"), PAIRS, ids=[f"{a.name}-{b.name}" for a, b in PAIRS])
-def test_a_transition_is_made_if_it_is_in_the_table_and_raises_otherwise(state, requested):
-    if requested in ALLOWED[state]:
+@pytest.mark.parametrize(
+    ("state", "requested"), STATE_PAIRS, ids=[f"{a.name}-{b.name}" for a, b in STATE_PAIRS]
+)
+def test_only_allowed_transitions_are_made_and_all_others_raise(state, requested):
+    if requested in ALLOWED_TRANSITIONS[state]:
         assert checked_transition(state, requested) is requested
         return
     with pytest.raises(ConnectionStateError) as raised:
@@ -56,34 +59,34 @@
     assert state.name in str(raised.value) and requested.name in str(raised.value)
 
 
-def test_every_state_is_reached_from_accept_and_leads_to_closed():
+def test_every_state_is_reachable_from_connecting_and_leads_to_closed():
     def reachable(start):
-        found, todo = {start}, [start]
-        while todo:
-            new = ALLOWED[todo.pop()] - found
-            found |= new
-            todo.extend(new)
-        return found
+        reached, unvisited = {start}, [start]
+        while unvisited:
+            new = ALLOWED_TRANSITIONS[unvisited.pop()] - reached
+            reached |= new
+            unvisited.extend(new)
+        return reached
 
     assert reachable(S.CONNECTING) == set(S)
     assert all(S.CLOSED in reachable(state) for state in S)
 
 
 @pytest.fixture
-def entered(monkeypatch):
-    """The states that connections have entered, in order."""
+def entered_states(monkeypatch):
+    """States that all connections have entered, in their order."""
     states = []
 
-    def recorded(state, requested):
+    def record_transition(state, requested):
         states.append(checked_transition(state, requested))
         return requested
 
-    monkeypatch.setattr(client_connection, "checked_transition", recorded)
+    monkeypatch.setattr(client_connection, "checked_transition", record_transition)
     return states
 
 
 @loopback
-async def test_a_connection_is_read_between_requests_until_the_last_one(entered):
+async def test_a_connection_reads_requests_until_one_asks_for_a_close(entered_states):
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
@@ -91,7 +94,7 @@
         assert (await app.ask(Connection="close")).body == b"done"
         assert await app.answer() is None
         await until(lambda: sidecar.inbound.all_connections_closed)
-        assert entered == [
+        assert entered_states == [
             S.AWAITING_FIRST_REQUEST,
             *(S.READING_REQUEST, S.AWAITING_NEXT_REQUEST) * 2,
             S.LAST_REQUEST_READ,
@@ -101,7 +104,7 @@
 
 
 @loopback
-async def test_a_connection_that_is_closed_by_its_client_closes_from_where_it_is(entered):
+async def test_a_close_by_the_client_within_a_request_closes_the_connection(entered_states):
     async with running() as sidecar:
         app = await App.connect(sidecar.address)
         app.writer.write(request()[:-1])
@@ -109,11 +112,11 @@
         await until(lambda: connection.state is S.READING_REQUEST)
         app.close()
         await until(lambda: sidecar.inbound.all_connections_closed)
-        assert entered == [S.AWAITING_FIRST_REQUEST, S.READING_REQUEST, S.CLOSING, S.CLOSED]
+        assert entered_states == [S.AWAITING_FIRST_REQUEST, S.READING_REQUEST, S.CLOSING, S.CLOSED]
 
 
 @loopback
-async def test_input_that_is_no_request_is_rejected_and_lingers_while_more_comes(entered, monkeypatch):
+async def test_a_connection_with_invalid_input_lingers_while_more_arrives(entered_states, monkeypatch):
     monkeypatch.setattr(connection_timeouts, "LINGER_TIMEOUT_S", 0.05)
     async with running() as sidecar:
         app = await App.connect(sidecar.address)
@@ -122,7 +125,7 @@
         with contextlib.suppress(ConnectionError):
             await app.reader.read()
         await until(lambda: sidecar.inbound.all_connections_closed)
-        assert [state for state in entered if state is not S.READING_REQUEST] == [
+        assert [state for state in entered_states if state is not S.READING_REQUEST] == [
             S.AWAITING_FIRST_REQUEST,
             S.REJECTED,
             S.LINGERING,
@@ -132,11 +135,12 @@
 
 
 @loopback
-async def test_an_evicted_connection_is_not_open_and_is_counted_until_it_is_closed(entered):
+async def test_an_evicted_connection_is_not_counted_as_open_but_remains_until_closed(entered_states):
     async with running() as sidecar:
         app = await App.connect(sidecar.address)
         connection = await only_connection(sidecar)
-        sidecar.inbound.limits.open_connections = 1  # full: one without a request is evicted at once
+        # The limit is reached, so that a connection without a request may be evicted at once.
+        sidecar.inbound.limits.open_connections = 1
         assert sidecar.inbound.evict_connections(1)
         assert connection.state is S.EVICTED
         assert sidecar.inbound.open_connections == 0 and not sidecar.inbound.connections
@@ -144,7 +148,7 @@
         assert not sidecar.inbound.evict_connections(1)
         await until(lambda: sidecar.inbound.all_connections_closed)
         assert connection.state is S.CLOSED and sidecar.inbound.open_connections == 0
-        assert entered == [S.AWAITING_FIRST_REQUEST, S.EVICTED, S.CLOSED]
+        assert entered_states == [S.AWAITING_FIRST_REQUEST, S.EVICTED, S.CLOSED]
         app.close()
 
 
@@ -170,15 +174,15 @@
         connection = await only_connection(sidecar)
         app.close()
         await until(lambda: connection.state is S.CLOSED)
-        for event in (connection.request_begun, lambda: connection.connection_made(connection.transport)):
+        for call in (connection.request_begun, lambda: connection.connection_made(connection.transport)):
             with pytest.raises(ConnectionStateError):
-                event()
+                call()
         connection.abort()
         connection.close()
         assert connection.state is S.CLOSED
 
 
-def test_a_forbidden_transition_within_the_parser_is_no_bad_request():
+def test_a_forbidden_transition_during_parsing_is_not_reported_as_a_bad_request():
     class Receiver:
         def request_begun(self):
             checked_transition(S.CLOSED, S.READING_REQUEST)
@@ -195,12 +199,12 @@
         connection = await only_connection(sidecar)
         assert connection.just_opened and connection.idle
         assert not connection.busy and not connection.transferring
-        whole = request()
-        app.writer.write(whole[:-1])
+        whole_request = request()
+        app.writer.write(whole_request[:-1])
         await until(lambda: connection.state is S.READING_REQUEST)
         assert connection.transferring
         assert not connection.idle and not connection.just_opened and not connection.busy
-        app.writer.write(whole[-1:])
+        app.writer.write(whole_request[-1:])
         assert (await app.answer()).body == b"done"
         assert connection.state is S.AWAITING_NEXT_REQUEST
         assert connection.idle and not connection.transferring and not connection.just_opened
@@ -210,13 +214,13 @@
         await asyncio.sleep(0)
 
 
-# --- clients that do anything in any order -----------------------------------------------
+# --- clients that act at random -------------------------------------------------------
 
 
 def random_input(rng):
-    """Bytes that a client may send: requests, parts of them, and what is no request."""
+    """Return bytes that a client may send: valid requests, parts of them, or invalid input."""
     large = request("POST", "/pay", b"x" * rng.choice([70_000, 300_000]))
-    whole = rng.choice(
+    whole_requests = rng.choice(
         [
             request(),
             request() * rng.randrange(2, 20),
@@ -230,22 +234,29 @@
         ]
     )
     return rng.choice(
-        [whole, whole, whole[: rng.randrange(len(whole))], b"\r\n", b"GARBAGE\r\n\r\n", b"\0" * 9]
+        [
+            whole_requests,
+            whole_requests,
+            whole_requests[: rng.randrange(len(whole_requests))],
+            b"\r\n",
+            b"GARBAGE\r\n\r\n",
+            b"\0" * 9,
+        ]
     )
 
 
 async def random_client(rng, address):
-    """A client that sends, reads and leaves at random."""
-    with contextlib.suppress(OSError):  # its connection is gone
+    """Run a client that sends random input, stops reading, or closes its connection at random."""
+    with contextlib.suppress(OSError):  # raised if the sidecar has closed the connection
         app = await App.connect(address)
         for _ in range(rng.randrange(1, 6)):
             match rng.randrange(8):
                 case 0:
                     app.writer.transport.pause_reading()
                 case 1:
-                    end_sending(app)
+                    half_close(app)
                 case 2:
-                    reset(app)
+                    close_with_reset(app)
                 case 3:
                     app.close()
                 case _:
@@ -257,11 +268,15 @@
 
 @pytest.mark.parametrize("seed", range(8))
 @loopback
-async def test_no_order_of_events_leads_to_a_forbidden_transition(seed, entered, monkeypatch):
-    for name, limit_s in (("REQUEST_TIMEOUT_S", 0.1), ("LINGER_TIMEOUT_S", 0.02), ("UNREAD_ANSWER_TIMEOUT_S", 0.1)):
+async def test_random_clients_cause_no_forbidden_transition(seed, entered_states, monkeypatch):
+    for name, limit_s in (
+        ("REQUEST_TIMEOUT_S", 0.1),
+        ("LINGER_TIMEOUT_S", 0.02),
+        ("UNREAD_ANSWER_TIMEOUT_S", 0.1),
+    ):
         monkeypatch.setattr(connection_timeouts, name, limit_s)
-    rng, faults = random.Random(seed), []
-    asyncio.get_running_loop().set_exception_handler(lambda loop, context: faults.append(context))
+    rng, loop_errors = random.Random(seed), []
+    asyncio.get_running_loop().set_exception_handler(lambda loop, context: loop_errors.append(context))
     large = b"HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n" + b"x" * 400_000
     upstreams = [await Upstream([reply]).start() for reply in (OK, large, hang, break_off)]
     async with running(*upstreams, raw={"limits": {"sockets": 96}}) as sidecar:
@@ -270,12 +285,16 @@
             for number in range(60)
         ]
         while not all(client.done() for client in clients):
-            rng.choice([sidecar.inbound.close_idle, lambda: sidecar.inbound.evict_connections(1), lambda: None])()
+            rng.choice(
+                [sidecar.inbound.close_idle, lambda: sidecar.inbound.evict_connections(1), lambda: None]
+            )()
             await asyncio.sleep(0.005)
         await asyncio.gather(*clients)
         sidecar.inbound.close_after_answers()
         await until(lambda: sidecar.inbound.all_connections_closed)
         assert sidecar.inbound.open_connections == 0 and sidecar.inbound.budget.used == 0
-    raised = [context for context in faults if "exception" in context]
-    assert not [found for found in raised if not isinstance(found["exception"], ConnectionError | OSError)]
-    assert {S.READING_REQUEST, S.AWAITING_NEXT_REQUEST, S.EVICTED, S.CLOSED} <= set(entered)
+    raised = [context for context in loop_errors if "exception" in context]
+    assert not [
+        context for context in raised if not isinstance(context["exception"], ConnectionError | OSError)
+    ]
+    assert {S.READING_REQUEST, S.AWAITING_NEXT_REQUEST, S.EVICTED, S.CLOSED} <= set(entered_states)
--- a/tests/sidecar/test_graceful_shutdown.py
+++ b/tests/sidecar/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""The graceful shutdown: requests in flight are answered, and connections closed in time."""
+"""Graceful shutdown: requests in flight are answered, and connections are closed in time."""
 
 from __future__ import annotations
 
@@ -16,7 +16,12 @@
 )
 from brassfall.sidecar.lifecycle import shutdown
 from tests.support import loopback as partners
-from tests.support.clients import closed_by_peer, connect_sockets, last_answer_on, reading_requests
+from tests.support.clients import (
+    closed_by_peer,
+    connect_sockets,
+    count_reading_requests,
+    last_answer_on,
+)
 from tests.support.loopback import (
     OK,
     PATIENCE_S,
@@ -38,32 +43,32 @@
 async def test_shutdown_waits_for_a_request_that_is_still_arriving_and_answers_it(monkeypatch):
     monkeypatch.setattr("brassfall.sidecar.lifecycle.shutdown.QUIET_S", 0.0)
 
-    async def never(reader, writer):
+    async def read_without_answer(reader, writer):
         await reader.read()
 
-    upstream = await Upstream([OK, never]).start()
+    upstream = await Upstream([OK, read_without_answer]).start()
     profiles = [{"Name": "look", "Semantics": "pure", "Objective": 200.0, "Deadline": 800.0}]
     async with running(upstream, Profiles=profiles) as sidecar:
-        app, other, silent = [await App.connect(sidecar.address) for _ in range(3)]
-        whole = partners.request(X_Long="x" * 4000)
-        app.writer.write(whole[:50])
-        silent.writer.write(whole[:50])
-        stopping = asyncio.create_task(sidecar.drain())
-        for i in range(50, len(whole) - 1):
-            app.writer.write(whole[i : i + 1])
+        app, idle, stopped = [await App.connect(sidecar.address) for _ in range(3)]
+        whole_request = partners.request(X_Long="x" * 4000)
+        app.writer.write(whole_request[:50])
+        stopped.writer.write(whole_request[:50])
+        shutdown_task = asyncio.create_task(sidecar.drain())
+        for i in range(50, len(whole_request) - 1):
+            app.writer.write(whole_request[i : i + 1])
             await asyncio.sleep(0.005)
             if sidecar.inbound.closes_after_answers:
                 break
-        assert not stopping.done()
-        app.writer.write(whole[i + 1 : -1])
+        assert not shutdown_task.done()
+        app.writer.write(whole_request[i + 1 : -1])
         await asyncio.sleep(0.1)
-        assert not stopping.done()
-        app.writer.write(whole[-1:])
+        assert not shutdown_task.done()
+        app.writer.write(whole_request[-1:])
         answer = await app.answer()
         assert (answer.body, answer.headers["connection"]) == (b"done", "close")
-        other.writer.write(whole)  # this connection was idle, and is closed
-        assert await other.answer() is None
-        await stopping
+        idle.writer.write(whole_request)  # the shutdown has closed this connection
+        assert await idle.answer() is None
+        await shutdown_task
 
 
 @loopback
@@ -72,28 +77,28 @@
     monkeypatch.setattr(connection_timeouts, "CLIENT_STOPPED_MS", 0.0)
     release = asyncio.Event()
 
-    async def wait(reader, writer):
+    async def answer_after_release(reader, writer):
         await release.wait()
         return OK
 
-    upstream = await Upstream([wait]).start()
+    upstream = await Upstream([answer_after_release]).start()
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
-        whole = partners.request()
-        app.writer.write(whole[:50])
-        stopping = asyncio.create_task(sidecar.drain())
+        whole_request = partners.request()
+        app.writer.write(whole_request[:50])
+        shutdown_task = asyncio.create_task(sidecar.drain())
         await until(lambda: sidecar.inbound.closes_after_answers)
-        app.writer.write(whole[50:])
+        app.writer.write(whole_request[50:])
         await until(lambda: upstream.seen)
         await asyncio.sleep(0.5)
-        assert not stopping.done()
+        assert not shutdown_task.done()
         release.set()
         assert (await app.answer()).body == b"done"
-        await stopping
+        await shutdown_task
 
 
 @loopback
-async def test_a_late_request_is_answered_before_the_process_is_killed():
+async def test_a_request_during_the_shutdown_is_answered_by_its_time_limit():
     upstream = await Upstream([hang]).start()
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
@@ -105,42 +110,42 @@
 async def test_shutdown_finishes_requests_in_flight_and_closes_idle_connections():
     release = asyncio.Event()
 
-    async def wait(reader, writer):
+    async def answer_after_release(reader, writer):
         await release.wait()
         return OK
 
-    upstream = await Upstream([wait]).start()
+    upstream = await Upstream([answer_after_release]).start()
     async with running(upstream) as sidecar:
         busy, idle = await App.connect(sidecar.address), await App.connect(sidecar.address)
         busy.send()
         await until(lambda: upstream.seen)
-        drain = asyncio.create_task(sidecar.drain())
+        shutdown_task = asyncio.create_task(sidecar.drain())
         assert await idle.answer() is None
         with pytest.raises(ConnectionError):
             await App.connect(sidecar.address)
         release.set()
         answer = await busy.answer()
         assert (answer.body, answer.headers["connection"]) == (b"done", "close")
-        await drain
+        await shutdown_task
         assert sidecar.inbound.all_connections_closed
 
 
 @loopback
-async def test_answers_announce_the_end_while_connections_are_still_accepted(monkeypatch):
+async def test_answers_announce_the_close_while_connections_are_still_accepted(monkeypatch):
     for name in ("LISTEN_S", "LAST_ANSWERS_S"):
         monkeypatch.setattr(shutdown, name, PATIENCE_S)
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
-        kept = await App.connect(sidecar.address)
-        assert (await kept.ask()).headers.get("connection") is None
-        end = asyncio.create_task(sidecar.drain())
+        kept_open = await App.connect(sidecar.address)
+        assert (await kept_open.ask()).headers.get("connection") is None
+        shutdown_task = asyncio.create_task(sidecar.drain())
         await until(lambda: sidecar.inbound.closes_after_answers)
-        for app in (kept, await App.connect(sidecar.address)):
+        for app in (kept_open, await App.connect(sidecar.address)):
             answer = await app.ask()
             assert (answer.body, answer.headers["connection"]) == (b"done", "close")
             assert await app.reader.read() == b""
             app.close()
-        end.cancel()
+        shutdown_task.cancel()
 
 
 @loopback
@@ -158,14 +163,14 @@
 
 @loopback
 async def test_nothing_is_read_after_the_last_check_of_the_shutdown(immediate_shutdown, monkeypatch):
-    # A request that is read while the process deregisters would be cut off.
+    # A request that is read after the last check, while the process deregisters, would not be answered.
     monkeypatch.setattr(shutdown, "QUIET_S", 0.0)
     monkeypatch.setattr(connection_timeouts, "CLIENT_STOPPED_MS", 0.0)
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
         (sock,) = connect_sockets(sidecar.address, 1)
         sock.sendall(request()[:-2])
-        await until(lambda: reading_requests(sidecar) == 1)
+        await until(lambda: count_reading_requests(sidecar) == 1)
         await sidecar.drain()
         assert closed_by_peer(sock)
         with contextlib.suppress(OSError):
@@ -182,68 +187,73 @@
         (silent,) = connect_sockets(sidecar.address, 1)
         await until(lambda: sidecar.inbound.connections)
 
-        def gone():
+        def all_closed():
             sidecar.inbound.close_idle(keep_just_opened=True)
             return sidecar.inbound.all_connections_closed
 
-        await until(gone)
+        await until(all_closed)
         silent.close()
 
 
 @loopback
-async def test_the_time_limit_of_the_shutdown_follows_from_the_present_classes(immediate_shutdown):
-    def with_deadline(name, deadline):
+async def test_the_time_limit_of_the_shutdown_follows_from_the_current_classes(immediate_shutdown):
+    def config_with_deadline(name, deadline):
         row = {"Name": name, "Semantics": "pure", "Objective": 200.0, "Deadline": deadline}
         return sidecar_config(Profiles=[row])
 
     async with running() as sidecar:
-        sidecar.adopt(with_deadline("view", 400.0))
-        until_ms = []
-        sidecar.driver.stopping = until_ms.append
+        sidecar.adopt(config_with_deadline("view", 400.0))
+        answer_by_ms = []
+        sidecar.driver.stopping = answer_by_ms.append
         now = sidecar.inbound.clock.now()
         await sidecar.drain()
-        assert until_ms[0] - now == pytest.approx(400.0 + shutdown.ANSWERED_MS, abs=100.0)
+        assert answer_by_ms[0] - now == pytest.approx(400.0 + shutdown.ANSWERED_MS, abs=100.0)
 
 
 @loopback
-async def test_an_answer_is_sent_before_sigkill_though_the_process_stalls_as_it_writes(monkeypatch):
-    """SIGKILL may come 0.7 s and the longest deadline after SIGTERM; the process may stand still for 0.15 s
-    between reading its clock and writing."""
+async def test_an_answer_is_sent_before_sigkill_although_the_process_is_suspended_before_writing(monkeypatch):
+    """SIGKILL may follow SIGTERM after 0.7 s plus the longest deadline.
+
+    The process may be suspended for 0.15 s between reading its clock and writing the answer.
+    """
     give_answer = client_request.ClientRequest.give_answer
 
-    def held_up(exchange, *answer):
+    def delayed_give_answer(answered_request, *answer):
         time.sleep(0.15)
-        give_answer(exchange, *answer)
+        give_answer(answered_request, *answer)
 
-    monkeypatch.setattr(client_request.ClientRequest, "give_answer", held_up)
+    monkeypatch.setattr(client_request.ClientRequest, "give_answer", delayed_give_answer)
     row = {"Name": "look", "Semantics": "pure", "Objective": 50.0, "Deadline": 100.0}
     upstream = await Upstream([hang]).start()
     loop = asyncio.get_running_loop()
-    balancer = ScriptedBalancer(
-        outcome=lambda now, number, *rest: [Fail(number)]
-    )  # once the attempt has ended
+    # The balancer fails the request once its attempt has ended.
+    balancer = ScriptedBalancer(outcome=lambda now, number, *rest: [Fail(number)])
     async with running(upstream, balancer=balancer, Profiles=[row]) as sidecar:
         app = await App.connect(sidecar.address)
-        stopped = loop.time()
-        end = asyncio.create_task(sidecar.drain())
+        stopped_at = loop.time()
+        shutdown_task = asyncio.create_task(sidecar.drain())
         await asyncio.sleep(0.3)
-        app.send()  # its client would wait for longer
+        app.send()  # the budget of this request is longer than the time left
         assert (await app.answer()).start.split(" ")[1] == "504"
-        assert 0.5 < loop.time() - stopped < 0.1 + 0.7
-        await end
+        assert 0.5 < loop.time() - stopped_at < 0.1 + 0.7
+        await shutdown_task
         app.close()
 
 
-async def ask_until_the_end(address, stopped_at, found, pause):
-    """Asks on one connection after the other, new ones for 0.4 s after SIGTERM, until the sidecar ends them;
-    notes what came of each request, and whether its connection had carried an answer."""
-    loop, app, kept = asyncio.get_running_loop(), None, False
+async def ask_until_disconnected(address, stopped_at, outcomes, pause):
+    """Send requests on one connection after the other until the sidecar closes the last of them.
+
+    Opens new connections for up to 0.4 s after SIGTERM. `stopped_at` is empty before SIGTERM, and contains
+    the time of SIGTERM afterwards. For each request, adds to `outcomes` whether its connection had carried an
+    answer before, and the status of the answer, or None without an answer.
+    """
+    loop, app, answered_before = asyncio.get_running_loop(), None, False
     while app is not None or not stopped_at or loop.time() < stopped_at[0] + 0.4:
         if app is None:
-            app, kept = await App.connect(address), False
+            app, answered_before = await App.connect(address), False
         answer = await app.ask(X_Budget="100m")
-        found.append((kept, answer and answer.start.split(" ")[1]))
-        kept = True
+        outcomes.append((answered_before, answer and answer.start.split(" ")[1]))
+        answered_before = True
         if answer is None or answer.headers.get("connection") == "close":
             app.close()
             app = None
@@ -252,42 +262,46 @@
 
 @loopback
 async def test_with_short_deadlines_all_requests_are_answered_before_an_early_sigkill(tmp_path):
-    """SIGKILL comes 0.7 s and the longest deadline after SIGTERM, here 0.8 s; some answers never come."""
+    """SIGKILL follows SIGTERM after 0.7 s plus the longest deadline, which is 0.8 s here.
+
+    One of the servers never answers.
+    """
 
-    async def slow(reader, writer):
+    async def answer_late(reader, writer):
         await asyncio.sleep(0.03)
         return OK
 
     upstreams = [
-        await Upstream([slow]).start(),
-        await Upstream([slow]).start(),
+        await Upstream([answer_late]).start(),
+        await Upstream([answer_late]).start(),
         await Upstream([hang]).start(),
     ]
     rows = [{"Name": "look", "Semantics": "pure", "Objective": 50.0, "Deadline": 100.0}]
     sidecar = await Process.start(tmp_path, *upstreams, settings={**SETTINGS, "Profiles": rows})
-    loop, stopped_at, found = asyncio.get_running_loop(), [], []
+    loop, stopped_at, outcomes = asyncio.get_running_loop(), [], []
     clients = [
-        asyncio.create_task(ask_until_the_end(sidecar.address, stopped_at, found, pause))
+        asyncio.create_task(ask_until_disconnected(sidecar.address, stopped_at, outcomes, pause))
         for pause in (0.0, 0.0, 0.0, 0.005, 0.01, 0.02, 0.05, 0.2)
     ]
-    await until(lambda: len(found) > 50)
-    half = await App.connect(sidecar.address)
+    await until(lambda: len(outcomes) > 50)
+    late_client = await App.connect(sidecar.address)
     sidecar.process.send_signal(signal.SIGTERM)
     stopped_at.append(loop.time())
     await asyncio.sleep(0.4)
-    half.writer.write(request()[:-1])  # the last byte follows late
+    late_client.writer.write(request()[:-1])  # the last byte follows 0.3 s later
     await asyncio.sleep(0.3)
-    half.writer.write(request()[-1:])
-    late = await half.answer()
-    assert late is not None and late.headers["connection"] == "close"
+    late_client.writer.write(request()[-1:])
+    late_answer = await late_client.answer()
+    assert late_answer is not None and late_answer.headers["connection"] == "close"
     await asyncio.sleep(max(0.0, stopped_at[0] + 0.8 - loop.time()))
     with contextlib.suppress(ProcessLookupError):
         sidecar.process.kill()
     async with asyncio.timeout(PATIENCE_S):
         await asyncio.gather(*clients)
-    assert (False, None) not in found  # on a new connection: read and closed, or cut off by the kill
-    # A request that crosses the close of an idle connection may be sent again, and is rare.
-    assert found.count((True, None)) <= len(clients)
-    assert {status for _, status in found} <= {"200", "503", "504", None}
+    # Without an answer on a new connection, a request was read and dropped, or cut off by SIGKILL.
+    assert (False, None) not in outcomes
+    # A request may cross the close of an idle connection. It may be sent again, and this is rare.
+    assert outcomes.count((True, None)) <= len(clients)
+    assert {status for _, status in outcomes} <= {"200", "503", "504", None}
     for upstream in upstreams:
         upstream.stop()
--- a/tests/sidecar/test_http_forms.py
+++ b/tests/sidecar/test_http_forms.py
@@ -1,4 +1,4 @@
-"""Forms of HTTP/1.1 that clients and servers may use."""
+"""Variants of HTTP/1.1 messages that clients and servers may use."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 @loopback
-async def test_a_target_may_name_scheme_and_host():
+async def test_a_request_target_in_absolute_form_is_forwarded_in_origin_form():
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
@@ -31,7 +31,7 @@
 
 
 @loopback
-async def test_blanks_after_a_value_are_no_part_of_it():
+async def test_blanks_after_a_header_value_are_removed():
     upstream = await Upstream([OK.replace(b"queue=0", b"queue=0 \t")]).start()
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
@@ -51,19 +51,19 @@
         (b"ftp://x/a", b"ftp://x/a"),
     ],
 )
-def test_the_origin_form_of_a_target(target, origin):
+def test_origin_form_removes_the_scheme_and_host_of_a_target(target, origin):
     assert framing.origin_form(target) == origin
 
 
 @loopback
-async def test_an_expected_100_continue_follows_the_earlier_answers():
+async def test_an_expected_100_continue_is_written_after_the_answers_to_earlier_requests():
     release = asyncio.Event()
 
-    async def wait(reader, writer):
+    async def answer_after_release(reader, writer):
         await release.wait()
         return OK
 
-    upstream = await Upstream([wait, OK]).start()
+    upstream = await Upstream([answer_after_release, OK]).start()
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
         app.send()
--- a/tests/sidecar/test_known_classes.py
+++ b/tests/sidecar/test_known_classes.py
@@ -1,4 +1,4 @@
-"""The names of request classes that clients may use after a reload."""
+"""Names of request classes that clients may use after a reload."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 )
 
 
-@pytest.mark.parametrize("second", [("view",), ("view", "see")])
+@pytest.mark.parametrize("second_names", [("view",), ("view", "see")])
 @loopback
-async def test_earlier_classes_are_served_for_a_while_after_two_reloads_in_a_row(second):
-    def named(*names):
+async def test_earlier_classes_are_still_served_after_two_reloads_in_a_row(second_names):
+    def config_with_classes(*names):
         rows = [
             {"Name": name, "Semantics": "pure", "Objective": 2000.0, "Deadline": 5000.0} for name in names
         ]
@@ -31,24 +31,26 @@
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
-        sidecar.adopt(named("view"))
-        sidecar.adopt(named(*second))
-        for target in ("/look", *(f"/{name}" for name in second)):
+        sidecar.adopt(config_with_classes("view"))
+        sidecar.adopt(config_with_classes(*second_names))
+        for target in ("/look", *(f"/{name}" for name in second_names)):
             assert (await app.ask("GET", target)).body == b"done"
         app.close()
 
 
 @loopback
-async def test_earlier_classes_are_known_until_their_last_requests_may_have_been_retried(monkeypatch):
-    """A client names them until 1.2 s after the reload, and comes again until its deadline is over."""
+async def test_earlier_classes_are_kept_until_no_client_can_retry_their_requests(monkeypatch):
+    """A client may use earlier names until 1.2 s after the reload, and retry until its deadline is over."""
     rows = [{"Name": "look", "Semantics": "pure", "Objective": 200.0, "Deadline": 9000.0}]
     async with running(Profiles=rows) as sidecar:
-        waits = []
+        delays = []
         loop = asyncio.get_running_loop()
-        later = loop.call_later
-        monkeypatch.setattr(loop, "call_later", lambda wait, *rest: waits.append(wait) or later(wait, *rest))
+        call_later = loop.call_later
+        monkeypatch.setattr(
+            loop, "call_later", lambda delay, *args: delays.append(delay) or call_later(delay, *args)
+        )
         sidecar.adopt(sidecar_config(Profiles=[{**rows[0], "Name": "view", "Deadline": 100.0}]))
-        assert 10.2 in [pytest.approx(wait) for wait in waits]
-        waits.clear()
+        assert 10.2 in [pytest.approx(delay) for delay in delays]
+        delays.clear()
         sidecar.adopt(sidecar_config(Profiles=[{**rows[0], "Name": "see"}]))
-        assert known_classes.EARLIER_CLASSES_KEPT_S in waits  # and no less, where deadlines are short
+        assert known_classes.EARLIER_CLASSES_KEPT_S in delays  # the shortest time, for a short deadline
--- a/tests/sidecar/test_large_answers.py
+++ b/tests/sidecar/test_large_answers.py
@@ -1,4 +1,4 @@
-"""Large answers: they are passed on as they arrive, and paced by the client."""
+"""Large answers: they are passed on while they arrive, no faster than the client reads them."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from brassfall.sidecar.servers import server_connection
 from tests.support import loopback as partners
 from tests.support.clients import (
-    one_client,
-    released,
+    connected_client,
+    wait_until_released,
 )
 from tests.support.large_messages import (
     CHUNKED,
@@ -42,7 +42,7 @@
 
 @pytest.mark.parametrize("reply", [LENGTH % len(LARGE) + LARGE, CHUNKED + chunks(LARGE), until_closed])
 @loopback
-async def test_a_large_answer_comes_complete_in_any_framing(reply):
+async def test_a_large_answer_arrives_complete_in_any_framing(reply):
     upstream = await StreamingServer([reply]).start()
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
@@ -52,64 +52,67 @@
         await until(lambda: sidecar.driver.idle and partners.nothing_left(sidecar))
 
 
-@pytest.mark.parametrize("framed", ["length", "chunks"])
+@pytest.mark.parametrize("framing", ["length", "chunks"])
 @loopback
-async def test_the_beginning_is_passed_on_at_once_and_no_timeout_ends_the_rest(framed):
-    more = asyncio.Event()
+async def test_the_first_part_is_passed_on_at_once_and_no_time_limit_ends_the_rest(framing):
+    send_rest = asyncio.Event()
 
-    async def in_two(reader, writer):
-        first = LARGE[:1000]
-        if framed == "length":
-            writer.write(LENGTH % len(LARGE) + first)
+    async def answer_in_two_parts(reader, writer):
+        first_part = LARGE[:1000]
+        if framing == "length":
+            writer.write(LENGTH % len(LARGE) + first_part)
         else:
-            writer.write(CHUNKED + b"3e8\r\n%b\r\n" % first)
-        await more.wait()
-        return LARGE[1000:] if framed == "length" else chunks(LARGE[1000:])
+            writer.write(CHUNKED + b"3e8\r\n%b\r\n" % first_part)
+        await send_rest.wait()
+        return LARGE[1000:] if framing == "length" else chunks(LARGE[1000:])
 
-    upstream = await StreamingServer([in_two]).start()
+    upstream = await StreamingServer([answer_in_two_parts]).start()
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
         app.send(X_Budget="250m")
         head = await read_head(app)
         assert head.startswith(b"HTTP/1.1 200")
-        await asyncio.sleep(0.4)  # past the client's time
+        await asyncio.sleep(0.4)  # longer than the client's budget
         sidecar.lifecycle.drain()
-        more.set()
+        send_rest.set()
         assert await read_answer(app, head) == (200, LARGE)
 
 
 @loopback
 async def test_shutdown_waits_for_the_rest_of_an_answer():
-    more = asyncio.Event()
+    send_rest = asyncio.Event()
 
-    async def in_two(reader, writer):
+    async def answer_in_two_parts(reader, writer):
         writer.write(LENGTH % len(LARGE) + LARGE[:1000])
-        await more.wait()
+        await send_rest.wait()
         return LARGE[1000:]
 
-    upstream = await StreamingServer([in_two]).start()
+    upstream = await StreamingServer([answer_in_two_parts]).start()
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
         app.send(X_Budget="250m")
         head = await read_head(app)
-        stopping = asyncio.create_task(sidecar.drain())
+        shutdown = asyncio.create_task(sidecar.drain())
         await asyncio.sleep(0.8)
-        assert not stopping.done()
-        more.set()
+        assert not shutdown.done()
+        send_rest.set()
         assert await read_answer(app, head) == (200, LARGE)
         app.close()
-        await stopping
+        await shutdown
 
 
 @loopback
-async def test_a_small_answer_without_a_length_that_breaks_is_retried_on_another_server():
-    async def broken(reader, writer):
+async def test_a_small_chunked_answer_that_breaks_off_is_retried_on_another_server():
+    async def break_off_small_answer(reader, writer):
         writer.write(CHUNKED + b"5\r\nhe")
         await writer.drain()
         writer.close()
         return b""
 
-    first, second = await StreamingServer([broken]).start(), await StreamingServer([OK]).start()
+    first, second = (
+        await StreamingServer([break_off_small_answer]).start(),
+        await StreamingServer([OK]).start(),
+    )
     balancer = ScriptedBalancer(
         outcome=lambda now, number, hop, status, *rest: [Send(number, "s1", 0.0)] if hop < 1 else []
     )
@@ -118,17 +121,17 @@
         assert (await app.ask()).body == b"done"
 
 
-@pytest.mark.parametrize("framed", ["length", "chunks"])
+@pytest.mark.parametrize("framing", ["length", "chunks"])
 @loopback
-async def test_a_client_can_tell_that_a_large_answer_is_broken(framed):
-    async def half(reader, writer):
+async def test_the_client_notices_that_a_large_answer_breaks_off(framing):
+    async def break_off_large_answer(reader, writer):
         writer.write(
-            LENGTH % len(LARGE) + LARGE[:200_000] if framed == "length" else CHUNKED + chunks(LARGE)[:-9]
+            LENGTH % len(LARGE) + LARGE[:200_000] if framing == "length" else CHUNKED + chunks(LARGE)[:-9]
         )
         await writer.drain()
         return await break_off(reader, writer) or b""
 
-    upstream = await StreamingServer([half]).start()
+    upstream = await StreamingServer([break_off_large_answer]).start()
     balancer = ScriptedBalancer()
     async with running(upstream, balancer=balancer) as sidecar:
         app = await App.connect(sidecar.address)
@@ -142,19 +145,19 @@
 
 @loopback
 async def test_a_client_that_reads_slowly_pauses_the_server():
-    given = 0
-    enough = asyncio.Event()
+    pieces_written = 0
+    end_answer = asyncio.Event()
 
-    async def endless(reader, writer):
-        nonlocal given
+    async def send_until_told(reader, writer):
+        nonlocal pieces_written
         writer.write(CHUNKED)
-        while not enough.is_set():
+        while not end_answer.is_set():
             writer.write(PIECE)
-            given += 1
+            pieces_written += 1
             await writer.drain()
         return b"0\r\n\r\n"
 
-    upstream = await StreamingServer([endless]).start()
+    upstream = await StreamingServer([send_until_told]).start()
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
         app.send()
@@ -165,29 +168,32 @@
         buffered = connection.transport.get_write_buffer_size()
         assert buffered <= connection_timeouts.MAX_UNSENT_BYTES + 2 * body.MAX_BUFFERED
         await until(lambda: upstream.writers[0].transport.get_write_buffer_size() > 0)
-        before = given
+        written_before = pieces_written
         await asyncio.sleep(0.1)
-        assert given == before  # the server waits: the sidecar reads nothing of it
-        enough.set()
+        assert pieces_written == written_before  # the server is blocked, as the sidecar reads nothing
+        end_answer.set()
         _, data = await read_answer(app)
-        assert len(data) == given * len(LARGE)
+        assert len(data) == pieces_written * len(LARGE)
 
 
 @loopback
-async def test_a_slow_reader_gets_all_answers_though_it_has_sent_more(monkeypatch):
+async def test_a_slow_client_gets_all_answers_although_it_has_sent_another_request(monkeypatch):
     monkeypatch.setattr(connection_timeouts, "LINGER_TIMEOUT_S", 0.1)
-    count, size = 12, 60_000  # more than the sockets hold
+    count, size = 12, 60_000  # number and size of the answers; together more than the socket buffers take
     release = asyncio.Event()
 
-    async def last(reader, writer):
+    async def answer_after_release(reader, writer):
         await release.wait()
         return LENGTH % size + LARGE[:size]
 
-    upstream, slow = await Upstream([LENGTH % size + LARGE[:size]]).start(), await Upstream([last]).start()
+    upstream, slow_upstream = (
+        await Upstream([LENGTH % size + LARGE[:size]]).start(),
+        await Upstream([answer_after_release]).start(),
+    )
     balancer = ScriptedBalancer(
         request=lambda now, arrival: [Send(arrival.request, "s1" if arrival.request_class else "s0", 0.0)]
     )
-    async with one_client(upstream, slow, balancer=balancer, little_buffering=True) as (
+    async with connected_client(upstream, slow_upstream, balancer=balancer, little_buffering=True) as (
         sidecar,
         app,
         connection,
@@ -196,7 +202,7 @@
         for _ in range(count - 1):
             app.send(X_Budget="60000m")
         app.send("POST", "/pay", X_Budget="60000m", Connection="close")
-        await until(lambda: slow.seen and len(connection.pending_requests) == 1)
+        await until(lambda: slow_upstream.seen and len(connection.pending_requests) == 1)
         assert connection.read_control.paused
         app.send()
         await until(lambda: connection.readable)
@@ -211,35 +217,35 @@
 
 
 @loopback
-async def test_a_client_that_reads_nothing_is_closed(monkeypatch):
+async def test_a_client_that_reads_nothing_is_disconnected(monkeypatch):
     monkeypatch.setattr(connection_timeouts, "UNREAD_ANSWER_TIMEOUT_S", 0.1)
 
-    async def endless(reader, writer):
+    async def send_endlessly(reader, writer):
         writer.write(CHUNKED)
-        while True:  # until the sidecar closes
+        while True:  # ends with an error once the sidecar closes the connection
             writer.write(PIECE)
             await writer.drain()
 
-    upstream = await StreamingServer([endless]).start()
+    upstream = await StreamingServer([send_endlessly]).start()
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
         app.writer.transport.pause_reading()
         app.send()
         await until(lambda: sidecar.inbound.connections)
-        await released(sidecar)
+        await wait_until_released(sidecar)
         await upstream.disconnected()
 
 
 @loopback
-async def test_a_server_that_goes_silent_within_an_answer_is_given_up(monkeypatch):
+async def test_a_server_that_stops_within_an_answer_is_given_up(monkeypatch):
     monkeypatch.setattr(server_connection, "STALLED_S", 0.1)
 
-    async def stuck(reader, writer):
+    async def stop_within_answer(reader, writer):
         writer.write(LENGTH % len(LARGE) + LARGE[:1000])
         await reader.read()
         return b""
 
-    upstream = await StreamingServer([stuck]).start()
+    upstream = await StreamingServer([stop_within_answer]).start()
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
         app.send()
@@ -249,12 +255,12 @@
 
 @loopback
 async def test_a_client_that_leaves_within_an_answer_frees_the_server():
-    async def stuck(reader, writer):
+    async def stop_within_answer(reader, writer):
         writer.write(LENGTH % len(LARGE) + LARGE[:1000])
         await reader.read()
         return b""
 
-    upstream = await StreamingServer([stuck]).start()
+    upstream = await StreamingServer([stop_within_answer]).start()
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
         app.send()
@@ -270,16 +276,16 @@
     upstream = await StreamingServer([LENGTH % len(LARGE) + LARGE]).start()
     release = asyncio.Event()
 
-    async def wait(reader, writer):
+    async def answer_after_release(reader, writer):
         await release.wait()
         return OK
 
-    slow = await StreamingServer([wait]).start()
+    slow_upstream = await StreamingServer([answer_after_release]).start()
     balancer = ScriptedBalancer(
         request=lambda now, arrival: [Send(arrival.request, "s0" if arrival.request_class else "s1", 0.0)],
         answer_started=lambda now, *rest: release.set() or [],
     )
-    async with running(upstream, slow, balancer=balancer) as sidecar:
+    async with running(upstream, slow_upstream, balancer=balancer) as sidecar:
         app = await App.connect(sidecar.address)
         app.send()
         app.send("POST", "/pay")
@@ -290,7 +296,7 @@
 
 
 @loopback
-async def test_http_1_0_gets_no_chunks():
+async def test_an_http_1_0_client_gets_no_chunks():
     upstream = await StreamingServer([CHUNKED + chunks(LARGE)]).start()
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
--- a/tests/sidecar/test_large_requests.py
+++ b/tests/sidecar/test_large_requests.py
@@ -1,4 +1,4 @@
-"""Large requests: they are passed on as they arrive, and paced by the server."""
+"""Large requests: they are passed on while they arrive, no faster than the server reads them."""
 
 from __future__ import annotations
 
@@ -30,13 +30,13 @@
 )
 
 
-@pytest.mark.parametrize("framed", ["length", "chunks"])
+@pytest.mark.parametrize("framing", ["length", "chunks"])
 @loopback
-async def test_a_large_request_reaches_a_server_complete_and_its_connection_goes_on(framed):
+async def test_a_large_request_reaches_a_server_complete_and_its_connection_stays_usable(framing):
     upstream = await StreamingServer([OK]).start()
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
-        if framed == "length":
+        if framing == "length":
             app.send("POST", "/pay", LARGE)
         else:
             app.send("POST", "/pay", Content_Length=None, Transfer_Encoding="chunked")
@@ -54,24 +54,27 @@
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
         app.send("POST", "/pay", Content_Length=None, Transfer_Encoding="chunked")
-        sent = 0
+        pieces_sent = 0
 
-        def stopped():
-            """More, until the sidecar takes no more: how much the kernel holds is the machine's affair."""
-            nonlocal sent
+        def sidecar_stopped_reading():
+            """Send one more piece, or return whether the sidecar has stopped reading.
+
+            How many pieces the socket buffers take depends on the machine.
+            """
+            nonlocal pieces_sent
             (connection,) = sidecar.inbound.connections
             if connection.read_control.paused_for(PauseReason.SLOW_SERVER):
                 return not connection.transport.is_reading()
             app.writer.write(PIECE)
-            sent += 1
+            pieces_sent += 1
             return False
 
         await until(lambda: sidecar.inbound.connections)
-        await until(stopped)
+        await until(sidecar_stopped_reading)
         upstream.slow.set()
         app.writer.write(b"0\r\n\r\n")
         assert await read_answer(app) == (200, b"done")
-        assert len(upstream.seen[0]) == sent * len(LARGE)
+        assert len(upstream.seen[0]) == pieces_sent * len(LARGE)
 
 
 @loopback
@@ -87,12 +90,12 @@
 
 
 @loopback
-async def test_a_server_that_answers_nothing_to_a_large_request_times_out():
-    async def never(reader, writer):
+async def test_a_large_request_times_out_if_its_server_does_not_answer():
+    async def read_without_answer(reader, writer):
         await reader.read()
         return b""
 
-    upstream = await StreamingServer([never]).start()
+    upstream = await StreamingServer([read_without_answer]).start()
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
         app.send("POST", "/pay", LARGE, X_Budget="200m")
@@ -101,15 +104,15 @@
 
 
 @loopback
-async def test_a_buffered_body_can_be_retried_and_one_that_was_passed_on_can_not():
+async def test_a_body_can_be_sent_again_until_more_of_it_was_forwarded_than_is_buffered():
     upstream = await StreamingServer([OK]).start()
-    gone = await StreamingServer([OK]).start()
-    gone.stop()  # refuses connections
+    stopped_upstream = await StreamingServer([OK]).start()
+    stopped_upstream.stop()  # its address refuses connections from now on
     balancer = ScriptedBalancer(
         request=lambda now, arrival: [Send(arrival.request, "s1", 0.0)],
         outcome=lambda now, number, hop, status, *rest: [Send(number, "s0", 0.0)] if hop < 1 else [],
     )
-    async with running(upstream, gone, balancer=balancer) as sidecar:
+    async with running(upstream, stopped_upstream, balancer=balancer) as sidecar:
         app = await App.connect(sidecar.address)
         app.send("POST", "/pay", LARGE)
         assert await read_answer(app) == (200, b"done")
@@ -119,7 +122,7 @@
 
 
 @loopback
-async def test_a_large_request_that_was_passed_on_is_sent_to_no_second_server():
+async def test_a_large_request_whose_body_was_forwarded_is_sent_to_no_second_server():
     first = await StreamingServer().start()
     first.slow = asyncio.Event()
     balancer = ScriptedBalancer(
@@ -129,7 +132,7 @@
     )
     async with running(first, balancer=balancer) as sidecar:
         app = await App.connect(sidecar.address)
-        # Without its last byte the request can't be written completely.
+        # The last byte of the request is missing, so the sidecar can't write the request completely.
         app.writer.write(partners.request("POST", "/pay", LARGE)[:-1])
         await until(lambda: balancer.named("body_gone"))
         first.writers[0].transport.abort()
@@ -138,7 +141,7 @@
             0,
             Outcome.CONNECT_FAILED,
             False,
-        )  # not written completely: it did not run
+        )  # the outcome of a request that was not written completely, and so did not run
         assert balancer.outcomes()[1][1] == Outcome.ABANDONED
         first.slow.set()
 
@@ -158,18 +161,18 @@
 
 
 @loopback
-async def test_a_rejected_large_request_is_answered_before_its_end():
+async def test_a_rejected_large_request_is_answered_before_the_end_of_its_body():
     balancer = ScriptedBalancer(request=lambda now, arrival: [Fail(arrival.request)])
     async with running(balancer=balancer) as sidecar:
         app = await App.connect(sidecar.address)
         message = partners.request("POST", "/pay", LARGE)
         app.writer.write(message[:200_000])
         assert (await read_answer(app))[0] == 502
-        app.writer.write(message[200_000:])  # is read and dropped
+        app.writer.write(message[200_000:])  # the sidecar reads and drops these bytes
         assert await app.reader.read() == b""
 
 
-def test_a_body_that_ends_before_a_server_is_attached_is_written_completely():
+def test_a_body_that_is_complete_before_a_server_is_attached_is_written_completely():
     class Source:
         def pause(self):
             pass
@@ -179,26 +182,26 @@
 
     class Writer:
         def __init__(self):
-            self.got, self.done = b"", False
+            self.written, self.complete = b"", False
 
         def write_part(self, data):
-            self.got += data
+            self.written += data
 
         def body_complete(self):
-            self.done = True
+            self.complete = True
 
-    made = body.Body(Source(), b"first", None)
-    made.feed(b"second")
-    made.end()
-    for _ in range(2):  # all of it is buffered, and can be sent twice
+    request_body = body.Body(Source(), b"first", None)
+    request_body.feed(b"second")
+    request_body.end()
+    for _ in range(2):  # the body is buffered completely, so it can be sent twice
         writer = Writer()
-        made.attach(writer)
-        assert (writer.got, writer.done) == (b"b\r\nfirstsecond\r\n0\r\n\r\n", True)
-        made.detach(writer)
-    assert not made.gone
+        request_body.attach(writer)
+        assert (writer.written, writer.complete) == (b"b\r\nfirstsecond\r\n0\r\n\r\n", True)
+        request_body.detach(writer)
+    assert not request_body.gone
 
 
-def test_the_next_request_is_read_though_the_server_reads_this_one_slowly():
+def test_the_next_request_is_read_although_the_server_reads_this_one_slowly():
     class Source:
         reading = True
 
@@ -208,24 +211,24 @@
         def resume(self):
             self.reading = True
 
-    class Full:
+    class BlockedWriter:
         def write_part(self, data):
-            made.pause()
+            request_body.pause()
 
         def body_complete(self):
             pass
 
     source = Source()
-    made = body.Body(source, b"first", 11)
-    made.attach(Full())
-    made.feed(b"second")
+    request_body = body.Body(source, b"first", 11)
+    request_body.attach(BlockedWriter())
+    request_body.feed(b"second")
     assert not source.reading
-    made.end()
+    request_body.end()
     assert source.reading
 
 
 @loopback
-async def test_bodies_hold_no_more_than_the_budget():
+async def test_bodies_use_no_more_memory_than_the_budget():
     upstream = await Upstream([OK]).start()
     async with running(upstream, raw={"limits": {"sockets": 1024, "memory_mb": 1}}) as sidecar:
         budget = sidecar.inbound.budget
@@ -235,9 +238,9 @@
         for app in apps[:4]:
             app.writer.write(message[:-1])
         await until(lambda: budget.used > 4 * 50_000)
-        for refused in (message, partners.request("POST", "/pay", LARGE)):
+        for rejected_message in (message, partners.request("POST", "/pay", LARGE)):
             app = await App.connect(sidecar.address)
-            app.writer.write(refused)
+            app.writer.write(rejected_message)
             assert (await app.answer()).status == 503
         for app in apps[:4]:
             app.writer.write(message[-1:])
@@ -254,11 +257,14 @@
 async def test_a_large_message_reserves_memory_only_while_it_is_passed_on():
     upstream = await StreamingServer([LENGTH % len(LARGE) + LARGE]).start()
     async with running(upstream) as sidecar:
-        seen = []
+        reserved_bytes = []
         attempts = sidecar.driver.lifecycle.attempts
-        took = attempts.answer_begun
-        attempts.answer_begun = lambda *args: (took(*args), seen.append(sidecar.inbound.budget.used))[0]
+        answer_begun = attempts.answer_begun
+        attempts.answer_begun = lambda *args: (
+            answer_begun(*args),
+            reserved_bytes.append(sidecar.inbound.budget.used),
+        )[0]
         app = await App.connect(sidecar.address)
         app.send("POST", "/pay", LARGE)
         assert await read_answer(app) == (200, LARGE)
-        assert seen == [2 * body.MAX_FLOWING] and sidecar.inbound.budget.used == 0
+        assert reserved_bytes == [2 * body.MAX_FLOWING] and sidecar.inbound.budget.used == 0
--- a/tests/sidecar/test_partial_writes.py
+++ b/tests/sidecar/test_partial_writes.py
@@ -1,4 +1,4 @@
-"""Requests of which only a part is written when their server ends the connection."""
+"""Requests of which only a part has been written when the server closes the connection."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from tests.support.loopback import loopback, until
 from tests.support.pools import pool_of, slow_connection
 
-MESSAGE = b"x" * 500_000  # more than the kernel holds
+MESSAGE = b"x" * 500_000  # more than the socket buffers of the kernel take
 UNUSED_ADDRESS = "127.0.0.1:9"
 
 
-def begin(connection):
-    """Write a large message; return the list that its result comes to."""
+def begin_exchange(connection):
+    """Begin to write a large request; return the list to which its result will be added."""
     results = []
     connection.begin(Exchange(lambda left: MESSAGE, 0.0, results.append), MESSAGE)
     return results
@@ -26,36 +26,36 @@
 
 @pytest.mark.parametrize(("reads_all", "outcome"), [(False, Outcome.CONNECT_FAILED), (True, Outcome.RESET)])
 @loopback
-async def test_bytes_that_are_merely_buffered_are_not_written(reads_all, outcome):
+async def test_bytes_that_are_only_buffered_do_not_count_as_written(reads_all, outcome):
     loop = asyncio.get_running_loop()
-    async with slow_connection(pool_of(UNUSED_ADDRESS)) as (connection, far):
-        results = begin(connection)
-        read = 0
-        while read < (len(MESSAGE) if reads_all else 1000):
-            read += len(await loop.sock_recv(far, 1000))
-        far.close()
+    async with slow_connection(pool_of(UNUSED_ADDRESS)) as (connection, server_socket):
+        results = begin_exchange(connection)
+        bytes_read = 0
+        while bytes_read < (len(MESSAGE) if reads_all else 1000):
+            bytes_read += len(await loop.sock_recv(server_socket, 1000))
+        server_socket.close()
         await until(lambda: results)
         assert [result.outcome for result in results] == [outcome]
 
 
-@pytest.mark.parametrize("said", [b"", b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\nhalf"])
+@pytest.mark.parametrize("answer_part", [b"", b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\nhalf"])
 @loopback
-async def test_a_request_that_counts_as_never_written_is_never_written(said):
-    # The loop would go on to write the rest after the server has ended its sending: an attempt that was
-    # reported as never sent, and may be sent again, would run all the same.
+async def test_a_request_reported_as_never_written_is_not_written_later(answer_part):
+    # The event loop would go on writing the rest after the server has ended its sending. The attempt would
+    # then run although it was reported as never sent and may be sent again.
     loop = asyncio.get_running_loop()
-    faults, read = [], 0
-    loop.set_exception_handler(lambda loop, context: faults.append(context))
-    async with slow_connection(pool_of(UNUSED_ADDRESS)) as (connection, far):
-        results = begin(connection)
-        if said:
-            far.send(said)
-        far.shutdown(socket.SHUT_WR)
+    loop_errors, bytes_read = [], 0
+    loop.set_exception_handler(lambda loop, context: loop_errors.append(context))
+    async with slow_connection(pool_of(UNUSED_ADDRESS)) as (connection, server_socket):
+        results = begin_exchange(connection)
+        if answer_part:
+            server_socket.send(answer_part)
+        server_socket.shutdown(socket.SHUT_WR)
         await until(connection.transport.is_closing)
         with contextlib.suppress(ConnectionError):
-            while got := await loop.sock_recv(far, 65536):
-                read += len(got)
+            while data := await loop.sock_recv(server_socket, 65536):
+                bytes_read += len(data)
         await until(lambda: results)
         assert [result.outcome for result in results] == [Outcome.CONNECT_FAILED]
-        assert read < len(MESSAGE)
-        assert not faults
+        assert bytes_read < len(MESSAGE)
+        assert not loop_errors
--- a/tests/sidecar/test_standing_brink.py
+++ b/tests/sidecar/test_standing_brink.py
@@ -1,6 +1,8 @@
-"""What the standing test says of its narrow moments, each forced on the sidecar's own sockets.
+"""Operators' requirements in rare situations, each brought about on the sidecar's own sockets.
 
-Where time passes it is the loop's own, which runs ahead wherever nothing is left to do."""
+Tests that wait for time to pass run in an event loop with simulated time, which advances whenever nothing is
+left to do.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +17,7 @@
 
 from brassfall.balancer.model import Cancel, Fetch, Outcome, Send
 from brassfall.sidecar.clients import client_request
-from tests.sidecar.test_standing import KILLED_S, RULES, SENDS_ON_S, hurried, now
+from tests.sidecar.test_standing import KILLED_S, RULES, SENDS_ON_S, now, with_simulated_time
 from tests.support.loopback import (
     OK,
     SETTINGS,
@@ -35,127 +37,130 @@
 )
 from tests.support.processes import ROOT, Process
 
+# Answer of a server that rejects a request because it is full.
 FULL = b"HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
 ERROR = b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
-LOOK_S = 0.01
-TURNED_AWAY_MOST_S = 4.0  # on end, with no attempt in between
-CONNECT_S = 0.25
-PATIENT, HASTY = (
+POLL_S = 0.01  # interval between two checks of a condition, in seconds
+MAX_REJECTING_S = 4.0  # longest time in which the sidecar may make no attempt at all, in seconds
+CONNECT_TIMEOUT_S = 0.25  # connect time-out of the settings in `SHORT_CONNECT_TIMEOUT`, in seconds
+LONG_CONNECT_TIMEOUT, SHORT_CONNECT_TIMEOUT = (
     {"PolicyLimits": {**SETTINGS["PolicyLimits"], "ConnectTimeout": 1000.0 * seconds}}
-    for seconds in (9.0, CONNECT_S)
+    for seconds in (9.0, CONNECT_TIMEOUT_S)
 )
 
 
-async def comes(condition):
-    """Wait for a condition on the loop's own time; the test fails if it does not come."""
+async def wait_for(condition):
+    """Wait until `condition` holds; fail the test after 30 s of the event loop's time."""
     async with asyncio.timeout(30.0):
         while not condition():
             await asyncio.sleep(LOOK_S)
 
 
-# --- whole lists that leave out what drains -------------------------------------------------------
+# --- complete lists that omit a draining server ---------------------------------------------------
 
 
-class WholeLists(Registry):
-    """Discovery whose every line on a watch is the whole list that it has."""
+class CompleteLists(Registry):
+    """Discovery that sends its complete list with each event of a watch."""
 
     def tell(self, index, *entries, snapshot=False):
         super().tell(self.listed["index"], *self.listed["endpoints"], snapshot=True)
 
 
-async def tell_on_the_open_watch(agent, sidecar):
-    """The change comes as a whole list."""
-    agent.tell(51)
+async def send_on_open_watch(discovery, sidecar):
+    """Send the changed list, which is complete, on the open watch."""
+    discovery.tell(51)
 
 
-async def end_the_watch(agent, sidecar):
-    """The watch ends instead of telling; what answers the next call is the whole list."""
-    agent.watches[-1].close()
+async def end_watch(discovery, sidecar):
+    """End the watch without an event, so that the sidecar's next call is answered with the complete list."""
+    discovery.watches[-1].close()
 
 
-async def answer_a_call(agent, sidecar):
-    """The whole list is asked for."""
+async def answer_fetch(discovery, sidecar):
+    """Let the sidecar ask for the complete list."""
     sidecar.driver.perform(Fetch())
 
 
-@pytest.mark.parametrize("deed", [tell_on_the_open_watch, end_the_watch, answer_a_call])
-@hurried
-async def test_what_a_whole_list_leaves_out_is_sent_nothing_though_it_still_answers(deed):
+@pytest.mark.parametrize("deliver_list", [send_on_open_watch, end_watch, answer_fetch])
+@with_simulated_time
+async def test_a_server_that_a_complete_list_omits_gets_no_request_though_it_still_answers(deliver_list):
     release = asyncio.Event()
 
-    async def wait(reader, writer):
+    async def answer_after_release(reader, writer):
         await release.wait()
         return OK.replace(b"done", b"kept")
 
-    drains, stays = await Upstream([OK]).start(), await Upstream([OK]).start()
-    both = listed(50, entry("s0", drains.address), entry("s1", stays.address))
-    agent = await WholeLists(both, current=True).start()
-    settings = {"Discovery": "subscribe" if deed is answer_a_call else "automatic"}
-    async with running(drains, stays, registry=agent, **settings, **RULES) as sidecar:
+    draining, remaining = await Upstream([OK]).start(), await Upstream([OK]).start()
+    both = listed(50, entry("s0", draining.address), entry("s1", remaining.address))
+    discovery = await CompleteLists(both, current=True).start()
+    settings = {"Discovery": "subscribe" if deliver_list is answer_fetch else "automatic"}
+    async with running(draining, remaining, registry=discovery, **settings, **RULES) as sidecar:
         apps = [await App.connect(sidecar.address) for _ in range(8)]
-        while not (drains.seen and stays.seen):  # connections to both rest here afterwards
+        # After this loop the pool has idle connections to both servers.
+        while not (draining.seen and remaining.seen):
             for app in apps:
                 app.send()
             for app in apps:
                 assert (await app.answer()).body == b"done"
-        drains.replies, before = [wait], len(drains.seen)
-        while len(drains.seen) == before:
-            held = await App.connect(sidecar.address)
-            held.send()
+        draining.replies, seen_before = [answer_after_release], len(draining.seen)
+        while len(draining.seen) == seen_before:
+            waiting_client = await App.connect(sidecar.address)
+            waiting_client.send()
             await asyncio.sleep(0.05)
-        agent.listed = listed(51, entry("s1", stays.address))
-        changed = now()
-        await deed(agent, sidecar)
-        await comes(lambda: "s0" not in sidecar.pool.servers)
-        assert now() - changed < SENDS_ON_S  # by this and not by a later watch
-        drains.replies = [OK]
+        discovery.listed = listed(51, entry("s1", remaining.address))
+        changed_at = now()
+        await deliver_list(discovery, sidecar)
+        await wait_for(lambda: "s0" not in sidecar.pool.servers)
+        # The change was learned in the way under test, and not by a later watch.
+        assert now() - changed_at < SENDS_ON_S
+        draining.replies = [OK]
         await asyncio.sleep(SENDS_ON_S)
-        sent, served = len(drains.seen), len(stays.seen)
+        draining_seen, remaining_seen = len(draining.seen), len(remaining.seen)
         for _ in range(10):
             for app in apps:
                 app.send()
             assert [(await app.answer()).body for app in apps] == [b"done"] * len(apps)
-        assert (len(drains.seen), len(stays.seen)) == (sent, served + 10 * len(apps))
-        release.set()  # what it had is still answered by it, and taken from there
-        assert (await held.answer()).body == b"kept"
-    agent.stop()
+        assert (len(draining.seen), len(remaining.seen)) == (draining_seen, remaining_seen + 10 * len(apps))
+        release.set()  # the draining server still answers the request that it got before the change
+        assert (await waiting_client.answer()).body == b"kept"
+    discovery.stop()
 
 
-# --- the time that an attempt tells ---------------------------------------------------------------
+# --- time left that an attempt states to its server -----------------------------------------------
 
 
 @pytest.mark.parametrize("late_s", [0.0, 1.5])
-@hurried
-async def test_a_further_attempt_tells_its_server_no_more_time_than_the_client_has_left(monkeypatch, late_s):
-    """Also where the connection for it comes up late: it tells what is left as it is written."""
+@with_simulated_time
+async def test_a_further_attempt_states_no_more_time_than_the_client_has_left(monkeypatch, late_s):
+    """The attempt states the time left when it is written, even if its connection is established late."""
 
-    async def in_a_while(reader, writer):
+    async def fail_late(reader, writer):
         await asyncio.sleep(1.2)
         return ERROR
 
-    first, second = await Upstream([in_a_while]).start(), await Upstream([hang]).start()
+    first, second = await Upstream([fail_late]).start(), await Upstream([hang]).start()
     gate = Gate(monkeypatch, [second])
-    module = ScriptedBalancer(outcome=lambda now, number, *rest: [Send(number, "s1", 0.0)])
-    async with running(first, second, balancer=module, **PATIENT) as sidecar:
-        app, begun = await App.connect(sidecar.address), now()
+    balancer = ScriptedBalancer(outcome=lambda now, number, *rest: [Send(number, "s1", 0.0)])
+    async with running(first, second, balancer=balancer, **LONG_CONNECT_TIMEOUT) as sidecar:
+        app, started_at = await App.connect(sidecar.address), now()
         app.send(X_Budget="4000m")
-        await comes(lambda: gate.waiting)
-        assert now() - begun > 1.0
+        await wait_for(lambda: gate.waiting)
+        assert now() - started_at > 1.0
         await asyncio.sleep(late_s)
         gate.open.set()
-        await comes(lambda: second.seen)
-        left = 4.0 - (now() - begun)
-        told = int(second.seen[0].headers["x-budget"].removesuffix("u")) / 1e6
-        assert 0.0 < told <= left + LOOK_S
+        await wait_for(lambda: second.seen)
+        left = 4.0 - (now() - started_at)
+        stated = int(second.seen[0].headers["x-budget"].removesuffix("u")) / 1e6
+        assert 0.0 < stated <= left + POLL_S
         app.close()
 
 
-# --- a sidecar that turns all away ----------------------------------------------------------------
+# --- a sidecar that rejects all requests ----------------------------------------------------------
 
 
-@pytest.mark.parametrize("deed", [hang, FULL])
-@hurried
-async def test_a_sidecar_does_not_turn_all_away_for_long_while_a_quarter_of_the_servers_fail(deed):
+@pytest.mark.parametrize("failure", [hang, FULL])
+@with_simulated_time
+async def test_while_a_quarter_of_the_servers_fail_the_sidecar_rejects_all_requests_only_briefly(failure):
     rng = random.Random(5)
     upstreams = [await Upstream([OK]).start() for _ in range(16)]
     rows = [{"Name": "look", "Semantics": "pure", "Objective": 300.0, "Deadline": 900.0}]
@@ -170,70 +175,69 @@
             served.append(answer.body == b"done")
             app.close()
 
-        async def arrive(seconds):
-            until = now() + seconds
-            while now() < until:
+        async def start_clients_for(seconds):
+            end_at = now() + seconds
+            while now() < end_at:
                 clients.append(asyncio.create_task(client()))
                 await asyncio.sleep(rng.expovariate(12.0))
 
-        await arrive(5.0)
+        await start_clients_for(5.0)
         for upstream in rng.sample(upstreams, 4):
-            upstream.replies = [deed]
-        await arrive(20.0)
+            upstream.replies = [failure]
+        await start_clients_for(20.0)
         await asyncio.gather(*clients)
-        gaps = [later - one for one, later in zip(attempts, [*attempts[1:], now()], strict=True)]
-        assert max(gaps) < TURNED_AWAY_MOST_S
+        gaps = [later - earlier for earlier, later in zip(attempts, [*attempts[1:], now()], strict=True)]
+        assert max(gaps) < MAX_REJECTING_S
         assert sum(served) > 0.8 * len(served)
 
 
-# --- connections that never come up ---------------------------------------------------------------
+# --- connections that are never established -------------------------------------------------------
 
 
-@hurried
-async def test_a_request_is_served_elsewhere_where_a_connection_never_comes_up():
-    """The system drops what finds no room there, and says nothing."""
-    full = socket.create_server(("127.0.0.1", 0), backlog=0)
-    held = [socket.socket() for _ in range(3)]
-    for sock in held:
+@with_simulated_time
+async def test_a_request_is_served_elsewhere_if_a_connection_is_never_established():
+    """The system drops the packets of connections to a full backlog without reporting an error."""
+    full_listener = socket.create_server(("127.0.0.1", 0), backlog=0)
+    backlog_sockets = [socket.socket() for _ in range(3)]
+    for sock in backlog_sockets:
         sock.setblocking(False)
-        sock.connect_ex(full.getsockname())
-    never, here = await Upstream().start(), await Upstream([OK]).start()
-    never.stop()
-    never.address = "{}:{}".format(*full.getsockname())
-    async with running_until_idle(
-        never, here, **HASTY
-    ) as sidecar:  # nothing is left of those that did not come up
-        app, begun, slow = await App.connect(sidecar.address), now(), 0
+        sock.connect_ex(full_listener.getsockname())
+    unreachable, reachable = await Upstream().start(), await Upstream([OK]).start()
+    unreachable.stop()
+    unreachable.address = "{}:{}".format(*full_listener.getsockname())
+    # `running_until_idle` checks that none of the failed connections is left at the end.
+    async with running_until_idle(unreachable, reachable, **SHORT_CONNECT_TIMEOUT) as sidecar:
+        app, started_at, slow = await App.connect(sidecar.address), now(), 0
         for _ in range(20):
-            asked = now()
+            asked_at = now()
             assert (await app.ask()).body == b"done"
-            slow += now() - asked > CONNECT_S / 2.0
-            assert now() - asked < CONNECT_S + LOOK_S
-            sidecar.pool.close_idle("s1")  # so that each needs a new one
+            slow += now() - asked_at > CONNECT_TIMEOUT_S / 2.0
+            assert now() - asked_at < CONNECT_TIMEOUT_S + POLL_S
+            sidecar.pool.close_idle("s1")  # each request needs a new connection
         assert slow > 0
-        assert now() - begun < 20 * CONNECT_S
-    for sock in (full, *held):
+        assert now() - started_at < 20 * CONNECT_TIMEOUT_S
+    for sock in (full_listener, *backlog_sockets):
         sock.close()
 
 
-# --- half a line from a server --------------------------------------------------------------------
+# --- incomplete line from a server ----------------------------------------------------------------
 
-HALF = b"HTTP/1.1 200 O"
+HALF_LINE = b"HTTP/1.1 200 O"
 
 
 @loopback
-async def test_half_a_line_on_a_resting_connection_spoils_no_request():
-    """Whether it is read before the next request is written, or lies there unread."""
+async def test_half_a_line_on_an_idle_connection_harms_no_request():
+    """The half line is read before the next request is written, or is still unread then."""
     upstream = await Upstream([OK]).start()
     async with running_until_idle(upstream) as sidecar:
         app = await App.connect(sidecar.address)
         for read in (True, False):
             assert (await app.ask()).body == b"done"
-            (resting,) = sidecar.pool.servers["s0"].idle
-            upstream.writers[-1].write(HALF)
+            (idle,) = sidecar.pool.servers["s0"].idle
+            upstream.writers[-1].write(HALF_LINE)
             if read:
-                await until(lambda resting=resting: resting.closed)
-            # Or no turn of the loop in between: it lies there as the request comes.
+                await until(lambda idle=idle: idle.closed)
+            # If not `read`, no turn of the event loop follows before the request, so the half line is unread.
             connections = len(upstream.writers)
             assert (await app.ask()).body == b"done"
             assert len(upstream.writers) == connections + 1
@@ -241,63 +245,63 @@
 
 
 def read_part_of_a_head(connection):
-    """Return True if a part of an answer's head was read; nothing in the program asks for that."""
+    """Return whether a part of an answer's head was read, which only this test needs to know."""
     return connection._parser._overhead > 0  # noqa: SLF001
 
 
 @loopback
-async def test_half_a_line_that_comes_as_its_attempt_is_given_up_is_no_answer():
-    async def half(reader, writer):
-        writer.write(HALF)
-        await reader.read()  # until the sidecar closes
-
-    upstream = await Upstream([half, OK]).start()
-    module = ScriptedBalancer(client_gone=lambda now, number: [Cancel(number, 0)])
-    async with running_until_idle(upstream, balancer=module) as sidecar:
+async def test_half_a_line_of_an_abandoned_attempt_is_not_taken_for_an_answer():
+    async def send_half_line(reader, writer):
+        writer.write(HALF_LINE)
+        await reader.read()  # returns once the sidecar closes the connection
+
+    upstream = await Upstream([send_half_line, OK]).start()
+    balancer = ScriptedBalancer(client_gone=lambda now, number: [Cancel(number, 0)])
+    async with running_until_idle(upstream, balancer=balancer) as sidecar:
         app = await App.connect(sidecar.address)
         app.send()
-        await until(lambda: any(read_part_of_a_head(it) for it in sidecar.pool.connections))
+        await until(lambda: any(read_part_of_a_head(connection) for connection in sidecar.pool.connections))
         app.close()
-        await until(lambda: module.named("client_gone"))
+        await until(lambda: balancer.named("client_gone"))
         again = await App.connect(sidecar.address)
         assert (await again.ask()).body == b"done"
         assert [seen.connection for seen in upstream.seen] == [0, 1]
         again.close()
 
 
-@hurried
-async def test_half_a_line_from_a_server_holds_up_no_end():
-    async def half(reader, writer):
-        await comes(lambda: sidecar.inbound.closes_after_answers)
-        writer.write(HALF)
-        await reader.read()  # until the sidecar closes
+@with_simulated_time
+async def test_half_a_line_from_a_server_does_not_delay_the_shutdown():
+    async def send_half_line(reader, writer):
+        await wait_for(lambda: sidecar.inbound.closes_after_answers)
+        writer.write(HALF_LINE)
+        await reader.read()  # returns once the sidecar closes the connection
 
-    upstream = await Upstream([half]).start()
+    upstream = await Upstream([send_half_line]).start()
     async with running(upstream, balancer=ScriptedBalancer()) as sidecar:
         app = await App.connect(sidecar.address)
         app.send(X_Budget="900m")
-        await comes(lambda: upstream.seen)
-        begun = now()
+        await wait_for(lambda: upstream.seen)
+        stopped_at = now()
         await sidecar.drain()
-        assert now() - begun < KILLED_S and sidecar.driver.idle
+        assert now() - stopped_at < KILLED_S and sidecar.driver.idle
         assert (await app.answer()).start.startswith("HTTP/1.1 504")
         app.close()
 
 
-# --- a close over unread bytes --------------------------------------------------------------------
+# --- close of a connection with unread bytes ------------------------------------------------------
 
 
-@pytest.mark.parametrize("more", [request(), b"GET /lo", b"x" * 20_000])
+@pytest.mark.parametrize("late_input", [request(), b"GET /lo", b"x" * 20_000])
 @loopback
-async def test_an_answer_that_ends_its_connection_is_not_reset_by_what_came_meanwhile(monkeypatch, more):
-    """It lies unread in the turn in which the answer is written: a plain close over it would be a reset."""
+async def test_the_last_answer_is_not_lost_by_a_reset_when_input_arrives_meanwhile(monkeypatch, late_input):
+    """The late input is unread when the answer is written, and an ordinary close would cause a reset then."""
     served = client_request.ClientRequest.served
 
-    def crossed(exchange, answer):
-        app.writer.write(more)
-        served(exchange, answer)
+    def send_input_and_serve(answered_request, answer):
+        app.writer.write(late_input)
+        served(answered_request, answer)
 
-    monkeypatch.setattr(client_request.ClientRequest, "served", crossed)
+    monkeypatch.setattr(client_request.ClientRequest, "served", send_input_and_serve)
     upstream = await Upstream([OK]).start()
     async with running(upstream, balancer=ScriptedBalancer()) as sidecar:
         app = await App.connect(sidecar.address)
@@ -305,25 +309,26 @@
         answer = await app.ask()
         assert (answer.body, answer.headers["connection"]) == (b"done", "close")
         assert await app.reader.read() == b""
-        assert len(upstream.seen) == 1  # what came is not read as a request, nor sent on
+        assert len(upstream.seen) == 1  # the late input is neither read as a request nor forwarded
         app.close()
 
 
-# --- clients that leave in a burst ----------------------------------------------------------------
+# --- many clients that leave at the same time -----------------------------------------------------
 
 
 @loopback
-async def test_of_a_burst_of_clients_that_leave_while_they_wait_none_is_sent_on(monkeypatch):
+async def test_no_request_of_many_clients_that_leave_while_waiting_is_forwarded(monkeypatch):
     upstream = await Upstream([OK]).start()
     gate = Gate(monkeypatch, [upstream])
-    async with running_until_idle(upstream, balancer=ScriptedBalancer(), **PATIENT) as sidecar:
+    async with running_until_idle(upstream, balancer=ScriptedBalancer(), **LONG_CONNECT_TIMEOUT) as sidecar:
         apps = [await App.connect(sidecar.address) for _ in range(100)]
         for app in apps:
             app.send()
         await until(lambda: gate.waiting == len(apps))
         for app in apps[:-1]:
             app.close()
-        await until(lambda: len(sidecar.driver.requests) == 1)  # before any connection is up
+        # All but one request are released here, before any connection to the server is established.
+        await until(lambda: len(sidecar.driver.requests) == 1)
         gate.open.set()
         assert (await apps[-1].answer()).body == b"done"
         await until(lambda: not sidecar.pool.opening)
@@ -331,19 +336,19 @@
         apps[-1].close()
 
 
-# --- the forms of messages, in pieces -------------------------------------------------------------
+# --- messages in each variant of HTTP/1.1, byte by byte -------------------------------------------
 
 REQUESTS = {
     "plain": request("POST", "/pay", b"hello"),
-    "small letters": request("POST", "/pay", b"hello").replace(b"Content-Length: ", b"content-length:"),
+    "lower-case header": request("POST", "/pay", b"hello").replace(b"Content-Length: ", b"content-length:"),
     "blanks": b"\r\n" + request("POST", "/pay", b"hello").replace(b"X-Caller: ", b"X-Caller: \t "),
     "chunks": request("POST", "/pay", Content_Length=None, Transfer_Encoding="chunked")
     + b"3;a=b\r\nhel\r\n02\r\nlo\r\n0\r\nX-Trailer: 1\r\n\r\n",
-    "whole target": request("POST", "/pay", b"hello").replace(b" /pay", b" http://api.internal/pay"),
+    "absolute target": request("POST", "/pay", b"hello").replace(b" /pay", b" http://api.internal/pay"),
 }
 ANSWERS = {
     "plain": b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone",
-    "small letters": b"HTTP/1.1 200 fine\r\ncontent-length:4 \r\nx-load-report:inflight=1\r\n\r\ndone",
+    "lower-case headers": b"HTTP/1.1 200 fine\r\ncontent-length:4 \r\nx-load-report:inflight=1\r\n\r\ndone",
     "chunks": b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
     b"1;a=b\r\nd\r\n003\r\none\r\n0\r\nX-Trailer: 1\r\n\r\n",
     "interim": b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n"
@@ -354,22 +359,22 @@
 }
 
 
-async def byte_by_byte(writer, data):
-    """Each byte in a segment of its own, read before the next is written."""
+async def write_byte_by_byte(writer, data):
+    """Write each byte in a segment of its own, and let it be read before the next is written."""
     writer.get_extra_info("socket").setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    for at in range(len(data)):
-        writer.write(data[at : at + 1])
+    for position in range(len(data)):
+        writer.write(data[position : position + 1])
         await asyncio.sleep(0)
 
 
 @pytest.mark.parametrize("form", REQUESTS)
 @loopback
-async def test_a_request_in_each_form_goes_on_whole_though_it_comes_byte_by_byte(form):
+async def test_a_request_in_each_form_is_forwarded_intact_though_it_arrives_byte_by_byte(form):
     upstream = await Upstream([OK]).start()
     async with running_until_idle(upstream, balancer=ScriptedBalancer()) as sidecar:
         app = await App.connect(sidecar.address)
         for _ in range(2):
-            await byte_by_byte(app.writer, REQUESTS[form])
+            await write_byte_by_byte(app.writer, REQUESTS[form])
             assert (await app.answer()).body == b"done"
         assert [(seen.start, seen.body) for seen in upstream.seen] == [("POST /pay HTTP/1.1", b"hello")] * 2
         assert [seen.headers["x-caller"] for seen in upstream.seen] == ["globex"] * 2
@@ -378,48 +383,50 @@
 
 @pytest.mark.parametrize("form", ANSWERS)
 @loopback
-async def test_an_answer_in_each_form_comes_back_whole_though_it_comes_byte_by_byte(form):
+async def test_an_answer_in_each_form_is_passed_on_intact_though_it_arrives_byte_by_byte(form):
     async def answer(reader, writer):
-        await byte_by_byte(writer, ANSWERS[form])
+        await write_byte_by_byte(writer, ANSWERS[form])
         if form in ("closing", "no length"):
             return None
         return b""
 
     upstream = await Upstream([answer]).start()
-    module = ScriptedBalancer()
-    async with running_until_idle(upstream, balancer=module) as sidecar:
+    balancer = ScriptedBalancer()
+    async with running_until_idle(upstream, balancer=balancer) as sidecar:
         app = await App.connect(sidecar.address)
         for _ in range(2):
-            answered = await app.ask()
-            assert (answered.start, answered.body) == ("HTTP/1.1 200 OK", b"done")
-        assert module.outcomes() == [(0, Outcome.OK, True)] * 2
+            answer_read = await app.ask()
+            assert (answer_read.start, answer_read.body) == ("HTTP/1.1 200 OK", b"done")
+        assert balancer.outcomes() == [(0, Outcome.OK, True)] * 2
         app.close()
 
 
-# --- one process ----------------------------------------------------------------------------------
+# --- the process ----------------------------------------------------------------------------------
 
 
 @loopback
-async def test_it_is_one_process_on_ipv4_that_starts_no_other(tmp_path):
-    """Starting others is refused on these days, and nobody comes to a socket of another kind."""
+async def test_the_sidecar_is_one_process_that_uses_ipv4_and_starts_no_other(tmp_path):
+    """The platform refuses to start other processes, and no client uses sockets of another kind than IPv4."""
     command = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
     assert command.split() == ["exec", ".venv/bin/python", "-m", "brassfall.sidecar"]
     upstream = await Upstream([OK]).start()
-    made = await Process.start(tmp_path, upstream)
-    assert (await made.app.ask()).body == b"done"
-    own = Path(f"/proc/{made.process.pid}")
-    assert not "".join(path.read_text() for path in own.glob("task/*/children")).split()
-    links = [os.readlink(path) for path in (own / "fd").iterdir()]
+    sidecar = await Process.start(tmp_path, upstream)
+    assert (await sidecar.app.ask()).body == b"done"
+    process_path = Path(f"/proc/{sidecar.process.pid}")
+    assert not "".join(path.read_text() for path in process_path.glob("task/*/children")).split()
+    links = [os.readlink(path) for path in (process_path / "fd").iterdir()]
     inodes = {link.removeprefix("socket:[").removesuffix("]") for link in links if "socket" in link}
-    rows = [row.split() for row in (own / "net" / "unix").read_text().splitlines()[1:]]
-    named = [row for row in rows if row[6] in inodes and len(row) > 7]
-    six = [row.split()[9] for name in ("tcp6", "udp6") for row in lines_of(own / "net" / name)]
-    assert not named and not inodes & set(six)
-    made.process.terminate()
-    assert await made.process.wait() == 0
+    rows = [row.split() for row in (process_path / "net" / "unix").read_text().splitlines()[1:]]
+    named_unix_sockets = [row for row in rows if row[6] in inodes and len(row) > 7]
+    ipv6_inodes = [
+        row.split()[9] for name in ("tcp6", "udp6") for row in lines_of(process_path / "net" / name)
+    ]
+    assert not named_unix_sockets and not inodes & set(ipv6_inodes)
+    sidecar.process.terminate()
+    assert await sidecar.process.wait() == 0
     upstream.stop()
 
 
 def lines_of(path):
-    """The rows of one of the kernel's tables."""
+    """Return the rows of one of the kernel's socket tables, without its heading."""
     return path.read_text().splitlines()[1:] if path.exists() else []
--- a/tests/support/clients.py
+++ b/tests/support/clients.py
@@ -1,4 +1,4 @@
-"""Clients of a sidecar in the same process: how they connect and leave, and what the sidecar holds."""
+"""Helpers for tests with clients and a sidecar in one process: connecting, leaving, and waiting."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from tests.support import loopback
 from tests.support.loopback import PATIENCE_S, App, ScriptedBalancer, read_message, until
 
-LONG_BUDGET = "60000m"  # no deadline ends before the test
+LONG_BUDGET = "60000m"  # `X-Budget` of a request whose deadline is later than the end of the test
 
 
-async def released(sidecar):
-    """Wait until a sidecar holds no request, client connection or memory of a message."""
+async def wait_until_released(sidecar):
+    """Wait until the sidecar has no request, no client connection, and no memory reserved for messages."""
     await until(
         lambda: (
             sidecar.inbound.all_connections_closed
@@ -31,15 +31,19 @@
 
 
 async def only_connection(sidecar):
-    """The only connection of clients, once it is there."""
+    """Return the only client connection, as soon as the sidecar has accepted it."""
     await until(lambda: sidecar.inbound.connections)
     (connection,) = sidecar.inbound.connections
     return connection
 
 
 @contextlib.asynccontextmanager
-async def one_client(*upstreams, little_buffering=False, **settings):
-    """A sidecar, a client and its connection; at the end nothing of the client is left in the sidecar."""
+async def connected_client(*upstreams, little_buffering=False, **settings):
+    """Yield a sidecar, a client, and the sidecar's connection of that client.
+
+    At the end, closes the client and waits until the sidecar has released everything. With `little_buffering`
+    the sockets of the connection have small buffers.
+    """
     async with loopback.running(*upstreams, **settings) as sidecar:
         app = await App.connect(sidecar.address)
         connection = await only_connection(sidecar)
@@ -47,57 +51,64 @@
             loopback.small_buffers(connection.transport, app.writer.transport)
         yield sidecar, app, connection
         app.close()
-        await released(sidecar)
+        await wait_until_released(sidecar)
 
 
-def reading_requests(sidecar):
-    """The number of connections on which a request is being read."""
-    return sum(c.state is ConnectionState.READING_REQUEST for c in sidecar.inbound.connections)
+def count_reading_requests(sidecar):
+    """Return the number of connections on which a request is being read."""
+    return sum(
+        connection.state is ConnectionState.READING_REQUEST for connection in sidecar.inbound.connections
+    )
 
 
 async def fill_socket_buffers(connection):
-    """Write a little more than the sockets hold, but not so much that reading is paused."""
-    filled = 0
-    while filled < 10:  # the kernel moves bytes on for a while
-        filled += 1
+    """Write a little more than the socket buffers take, but not so much that reading is paused."""
+    checks_with_unsent_bytes = 0
+    # The buffers count as full after ten checks in a row with unsent bytes, because the kernel moves bytes
+    # from one socket to the other for some time.
+    while checks_with_unsent_bytes < 10:
+        checks_with_unsent_bytes += 1
         if not connection.transport.get_write_buffer_size():
             connection.write(b"x" * 8192)
-            filled = 0
+            checks_with_unsent_bytes = 0
         await asyncio.sleep(0.002)
     assert not connection.read_control.paused_for(PauseReason.UNREAD_ANSWERS)
 
 
-# --- the client's end of a connection -------------------------------------------------
+# --- ways in which a client closes its connection -------------------------------------------------
 
 
-def end_sending(app):
-    """End the sending, and go on reading."""
+def half_close(app):
+    """Shut down the sending side of the client's connection; the client can still read."""
     app.writer.get_extra_info("socket").shutdown(socket.SHUT_WR)
 
 
-def reset(app):
-    """Close with a reset, even with input unread."""
+def close_with_reset(app):
+    """Close the client's connection with a reset, even if the client has unread input."""
     linger = struct.pack("ii", 1, 0)
     app.writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
     app.writer.transport.abort()
 
 
-EACH_WAY_TO_LEAVE = pytest.mark.parametrize("leave", [end_sending, App.close, reset])
+EACH_WAY_TO_LEAVE = pytest.mark.parametrize("leave", [half_close, App.close, close_with_reset])
+
 
+class HoldingBalancer(ScriptedBalancer):
+    """Balancer that holds back each request until `send_held_requests` is called.
 
-class HeldRequests(ScriptedBalancer):
-    """A balancer that holds each request until `send`, and then sends those whose clients have not left."""
+    It then sends those requests whose clients have not left.
+    """
 
     def __init__(self):
-        super().__init__(request=lambda now, arrival: [], peer_message=self._on_message)
+        super().__init__(request=lambda now, arrival: [], peer_message=self._on_peer_message)
 
-    def send(self, sidecar):
-        """Send the requests that are held, in answer to an event."""
+    def send_held_requests(self, sidecar):
+        """Give the balancer an event, which it answers by sending the requests that it holds back."""
         sidecar.driver.peer_message(0, b"")
 
-    def _on_message(self, now, peer, data):
-        gone = {number for (number,) in self.named("client_gone")}
-        held = [arrival.request for (arrival,) in self.named("request") if arrival.request not in gone]
+    def _on_peer_message(self, now, peer, data):
+        left = {number for (number,) in self.named("client_gone")}
+        held = [arrival.request for (arrival,) in self.named("request") if arrival.request not in left]
         return [Send(number, "s0", 0.0) for number in held]
 
 
@@ -105,12 +116,12 @@
 
 
 def connect_sockets(address, count):
-    """Connections in the backlog of the listening socket: no loop has turned meanwhile."""
+    """Return `count` new client sockets, which wait in the backlog until the event loop runs again."""
     return [socket.create_connection(address) for _ in range(count)]
 
 
 def closed_by_peer(sock):
-    """Return whether the other end has closed, without waiting."""
+    """Return whether the other end has closed the connection of `sock`, without waiting."""
     sock.setblocking(False)
     try:
         return sock.recv(1) == b""
@@ -121,7 +132,7 @@
 
 
 async def last_answer_on(sock):
-    """The answer on a plain socket, which has to be the last one on its connection."""
+    """Return the answer that arrives on `sock`; fail unless the connection is closed after it."""
     reader, writer = await asyncio.open_connection(sock=sock)
     answer = await read_message(reader)
     assert answer is not None and await reader.read() == b""
@@ -129,14 +140,14 @@
     return answer
 
 
-def accepts_for(sidecar):
-    """A filter for system calls on the socket on which a sidecar accepts its clients."""
+def accept_calls_of(sidecar):
+    """Return a filter that selects the system calls on the listening socket of a sidecar."""
     return lambda sock: sock.getsockname() == sidecar.address
 
 
 @contextlib.asynccontextmanager
 async def accept_paused(sidecar):
-    """Connections stay in the backlog meanwhile."""
+    """Let new connections wait in the backlog during the `with` block."""
     sidecar.inbound.listener.pause(PATIENCE_S)
     yield
     sidecar.inbound.listener.resume()
--- a/tests/support/random_day/__init__.py
+++ b/tests/support/random_day/__init__.py
@@ -1,8 +1,8 @@
-"""A property test with a model: random days for the driver, the balancer and the pool on a controlled clock.
+"""Model-based test of the driver, the balancer and the pool, with random events and a controlled clock.
 
-`day` plays one day and is what tests use. `servers` and `clients` are the models around the program,
-`settings` draws what it is configured with, `oracle` judges by the protocol alone, `chance` has the random
-numbers and `event_loop` the time.
+One run of the test is called a day. `day` plays one day, and is the module that tests use. `servers` and
+`clients` model what surrounds the program, `settings` draws its settings, `oracle` judges its behaviour by
+the protocol alone, `chance` provides random numbers, and `event_loop` provides the time.
 """
 
 from tests.support.random_day.day import Day, play
--- a/tests/support/random_day/clients.py
+++ b/tests/support/random_day/clients.py
@@ -1,4 +1,4 @@
-"""The model of the clients: their requests, bodies that come slowly, answers, and clients that leave."""
+"""Model of the clients: their requests, bodies that arrive slowly, answers, and clients that leave."""
 
 from __future__ import annotations
 
@@ -7,13 +7,14 @@
 from brassfall.sidecar.body import Body
 from brassfall.sidecar.core.request_lifecycle import DEADLINE_MARGIN_MS
 
-GRID_S = 0.01  # times lie on it, so that events meet in one turn of the loop
-UNREAD_S = (0.05, 0.13, 0.2)  # how long the end of a client's connection may lie unread
-FIRST_PART = b"part0"
+# All times are multiples of this number of seconds, so that events often occur in the same turn of the loop.
+GRID_S = 0.01
+UNREAD_S = (0.05, 0.13, 0.2)  # times after which the close of a client's connection is read, in seconds
+FIRST_PART = b"part0"  # part of a large body that is sent together with the head
 
 
 class BodySource:
-    """The client's side of a body."""
+    """Client's side of a large body (`body.Source`)."""
 
     paused = False
 
@@ -25,7 +26,7 @@
 
 
 class ClientCall:
-    """A request, as the driver sees it (`interfaces.Call`), and what the oracle knows of it."""
+    """Request with the interface for the driver (`interfaces.Call`) and the records for the oracle."""
 
     client_retry = mutates = False
     work = None
@@ -35,16 +36,17 @@
         self.clients, self.number, self.request_class = clients, number, request_class
         self.row, self.limits, self.budget, self.body, self.source = row, limits, budget, body, source
         self.sent = bytearray(FIRST_PART if body is not None else b"")
-        self.ended = body is None  # its last byte has been read
-        self.read_at, self.until = now, clients.answer_by
+        self.fully_read = body is None  # the sidecar has read the last byte of the request
+        self.read_at, self.answer_by = now, clients.answer_by
         self.key, self.tenant = rng.choice([None, 1, 2]), rng.randrange(2)
         self.request = None
-        self.final: str | None = None
-        self.flow_over = self.gone = False
-        self.closed_at = None  # when its client closed, of which the program may be notified later
+        self.final: str | None = None  # name of the method that gave the final answer
+        self.stream_ended = False  # a large answer was finished or broken off
+        self.departure_reported = False  # the program knows that the client has left
+        self.closed_at = None  # time of the client's close, which the program may learn later
         self.flow = None
-        self.writes: list = []
-        self.decided: list[tuple[float, str]] = []
+        self.writes: list = []  # attempts whose first byte was written, in their order
+        self.decisions: list[tuple[float, str]] = []  # time and server of each attempt decided on
 
     @property
     def reading(self):
@@ -52,12 +54,12 @@
 
     @property
     def give_up_at(self):
-        return min(self.read_at + self.budget - DEADLINE_MARGIN_MS, self.until)
+        return min(self.read_at + self.budget - DEADLINE_MARGIN_MS, self.answer_by)
 
     @property
     def unanswered(self):
-        """True if a client that waits still gets something."""
-        return not self.flow_over and self.final in (None, "begun")
+        """True if the final answer is not complete yet."""
+        return not self.stream_ended and self.final in (None, "begun")
 
     def client_left(self):
         return self.closed_at is not None
@@ -67,29 +69,32 @@
         return b"POST /x HTTP/1.1\r\nX-Id: %d\r\nX-Left: %.3f\r\n%b\r\n" % (self.number, left, framing)
 
     def is_complete(self, body):
-        """Whether a server that has read so much has all; what it has must be what the client sent."""
+        """Return whether a server that has read `body` has the whole body.
+
+        Reports a breach if the body is not what the client sent.
+        """
         if self.body is None:
             return True
         if self.body.length is None:
-            plain = b"".join(re.findall(rb"[0-9a-f]+\r\n([^\r]+)\r\n", body))
-            done = body.endswith(b"0\r\n\r\n")
+            content = b"".join(re.findall(rb"[0-9a-f]+\r\n([^\r]+)\r\n", body))
+            complete = body.endswith(b"0\r\n\r\n")
         else:
-            plain, done = bytes(body), len(body) == self.body.length
-        if not self.sent.startswith(plain):
-            self._breach("not the body that its client sent")
-        return done and self.ended
+            content, complete = bytes(body), len(body) == self.body.length
+        if not self.sent.startswith(content):
+            self._breach("the body is not what its client sent")
+        return complete and self.fully_read
 
     def _breach(self, text):
         self.clients.oracle.breach(f"request {self.number}: {text}")
 
-    # --- the program's answers
+    # --- answers of the program
 
-    def _answered(self, how):
-        self.clients.oracle.answered(self, how, hold_ups=bool(self.clients.chance.hold_up_rate))
+    def _answered(self, method):
+        self.clients.oracle.answered(self, method, suspensions=bool(self.clients.chance.suspension_rate))
 
     def served(self, answer):
         if answer.body != b"ok %d" % self.number:
-            self._breach("served with what is no answer to it")
+            self._breach("answered with the answer to another request")
         self._answered("served")
 
     def refused(self, retry_after):
@@ -104,34 +109,34 @@
         self._answered("begun")
 
     def more(self, data):
-        if self.flow_over:
-            self._breach("more of an answer that was over")
+        if self.stream_ended:
+            self._breach("a part of an answer that had already ended")
 
     def finished(self):
-        self._over()
+        self._end_stream()
 
     def broken(self):
-        self._over()
+        self._end_stream()
 
-    def _over(self):
-        if self.final != "begun" or self.flow_over:
-            self._breach("the end of an answer that had not begun, or a second")
-        self.flow_over = True
+    def _end_stream(self):
+        if self.final != "begun" or self.stream_ended:
+            self._breach("the end of an answer that had not begun or had already ended")
+        self.stream_ended = True
 
 
 class Clients:
-    """All clients; the driver takes their requests once it is set."""
+    """All clients of the sidecar. Their requests go to `driver`, which has to be set first."""
 
     def __init__(self, loop, chance, oracle, settings):
         self.loop, self.chance, self.oracle, self.settings = loop, chance, oracle, settings
         self.driver = None
         self.calls: dict[int, ClientCall] = {}
-        self.answer_by = float("inf")  # once the program stops
+        self.answer_by = float("inf")  # time by which requests have to be answered; finite in a shutdown
 
-    def arrive(self):
-        """Send a request, perhaps a large one, perhaps of a client that leaves."""
+    def send_request(self):
+        """Send a random request; it may be a large one, and its client may leave later."""
         rng = self.chance.rng
-        kind, row = self.settings.draw_class()
+        request_class, row = self.settings.draw_class()
         limits = self.settings.limits
         budget = rng.choice([0.3, 1.0, 1.0]) * row["Deadline"]
         number, body, source, parts = len(self.calls) + 1, None, None, 0
@@ -142,10 +147,10 @@
         call = self.calls[number] = ClientCall(
             self,
             number,
-            request_class=kind.slot,
+            request_class=request_class.slot,
             row=row,
             limits=limits,
-            budget=budget + DEADLINE_MARGIN_MS,  # so that its end lies on the grid
+            budget=budget + DEADLINE_MARGIN_MS,  # the end of the budget is a multiple of `GRID_S`
             body=body,
             source=source,
         )
@@ -155,61 +160,61 @@
             body.on_gone = lambda: call.request is not None and self.driver.body_gone(call.request)
         call.request = self.driver.arrive(call, self.oracle.now)
         if body is not None:
-            self.chance.later((0.0, 0.02, 0.1), self._feed, call, 1, parts)
+            self.chance.call_later((0.0, 0.02, 0.1), self._feed, call, 1, parts)
             self.loop.call_later(1.0, self._cut_off, call)
         if rng.random() < 0.25:
-            self.chance.later((0.0, 0.01, 0.02, 0.05, 0.1, 0.2), self._close, call)
+            self.chance.call_later((0.0, 0.01, 0.02, 0.05, 0.1, 0.2), self._close, call)
 
     def _feed(self, call, number, parts):
-        """Send the next part of a body, or its end."""
-        if call.gone or not call.unanswered:
+        """Send the next part of a body, or its last byte after `parts` parts."""
+        if call.departure_reported or not call.unanswered:
             return
         if call.source.paused:
             self.loop.call_later(GRID_S, self._feed, call, number, parts)
         elif number <= parts:
             call.sent += b"part%d" % number
             call.body.feed(b"part%d" % number)
-            self.chance.later((0.0, 0.02, 0.1), self._feed, call, number + 1, parts)
+            self.chance.call_later((0.0, 0.02, 0.1), self._feed, call, number + 1, parts)
         else:
             self.oracle.note(f"body read {call.number}")
-            call.ended, call.read_at, call.until = True, self.oracle.now, self.answer_by
+            call.fully_read, call.read_at, call.answer_by = True, self.oracle.now, self.answer_by
             call.body.end()
             if call.request is not None:
                 self.driver.body_read(call.request, self.oracle.now)
 
     def _cut_off(self, call):
-        """Give up a body that has come too slowly."""
-        if not call.ended and call.unanswered:
+        """Close the connection of a client whose body arrives too slowly."""
+        if not call.fully_read and call.unanswered:
             self._close(call)
 
     def _close(self, call):
-        """Close a client's connection; the program may be notified later."""
-        if call.closed_at is not None or not self._awaits(call):
+        """Close a client's connection; the program may learn of it later."""
+        if call.closed_at is not None or not self._awaits_answer(call):
             return
         self.oracle.note(f"closed {call.number}")
         call.closed_at = self.oracle.now
-        if self.chance.hold_up_rate and self.chance.hold_ups.random() < 0.5:
-            # The end of its connection lies unread for as long as the process may be held up.
-            self.loop.call_later(self.chance.hold_ups.choice(UNREAD_S), self._notify_gone, call)
+        if self.chance.suspension_rate and self.chance.suspensions.random() < 0.5:
+            # The close stays unread for about as long as the process may be suspended.
+            self.loop.call_later(self.chance.suspensions.choice(UNREAD_S), self._report_departure, call)
         else:
-            self._notify_gone(call)
+            self._report_departure(call)
 
-    def _awaits(self, call):
+    def _awaits_answer(self, call):
         return call.request is not None and call.unanswered
 
-    def _notify_gone(self, call):
-        if call.gone or not self._awaits(call):
+    def _report_departure(self, call):
+        if call.departure_reported or not self._awaits_answer(call):
             return
         self.oracle.note(f"gone {call.number}")
-        call.gone = True
+        call.departure_reported = True
         self.driver.client_gone(call.request)
 
     def read_slowly(self, call):
-        """Let the client of a large answer stop reading for a while."""
-        if call.flow is not None and not call.flow_over and not call.gone:
+        """Let the client of a large answer stop reading for some time."""
+        if call.flow is not None and not call.stream_ended and not call.departure_reported:
             call.flow.pause()
-            self.chance.later((0.01, 0.1), self._read_on, call)
+            self.chance.call_later((0.01, 0.1), self._resume_reading, call)
 
-    def _read_on(self, call):
-        if not call.flow_over and not call.gone:
+    def _resume_reading(self, call):
+        if not call.stream_ended and not call.departure_reported:
             call.flow.resume()
--- a/tests/support/random_day/day.py
+++ b/tests/support/random_day/day.py
@@ -1,7 +1,7 @@
-"""One random day of the driver, the balancer and the pool, among models of clients, servers and discovery.
+"""One random day of the driver, the balancer and the pool, with models of clients, servers and discovery.
 
-The pool is the real one; its connections are stand-ins that hold bytes and answers until the day says so.
-Times lie on a coarse grid, so that events that may meet do meet, in the same turn of the loop.
+The pool is the real one. Its connections are models that delay bytes and answers as the day determines. Times
+are multiples of a coarse grid, so that events often occur in the same turn of the event loop.
 """
 
 from __future__ import annotations
@@ -24,12 +24,14 @@
 from tests.support.random_day.servers import Servers
 from tests.support.random_day.settings import SettingsHistory
 
-DAY_S, REST_S = 2.0, 45.0  # the rest outlasts each guard against what has stalled
-STOP_WITHIN_MS = 100.0
+# Length of the part of a day in which events begin, and length of the rest of the day, both in seconds. The
+# rest is longer than each time limit by which the program ends stalled work.
+DAY_S, REST_S = 2.0, 45.0
+STOP_WITHIN_MS = 100.0  # time in which all requests have to be answered in a shutdown, in ms
 
 
 class LogLines(io.StringIO):
-    """Takes the place of standard error and gives each line of the log to `take`."""
+    """Replacement for standard error that passes each line of the log to `take`."""
 
     def __init__(self, take):
         super().__init__()
@@ -41,7 +43,7 @@
 
 
 class DecisionRecorder:
-    """The pool, with a note of when each attempt was decided."""
+    """Wrapper of the pool that records when the balancer decided on each attempt."""
 
     def __init__(self, pool, oracle):
         self._pool, self._oracle = pool, oracle
@@ -51,19 +53,19 @@
 
     def send(self, server, call, *args, **kwargs):
         self._oracle.note(f"send {call.number} to {server}")
-        call.decided.append((self._oracle.now, server))
+        call.decisions.append((self._oracle.now, server))
         return self._pool.send(server, call, *args, **kwargs)
 
 
 class Discovery:
-    """Discovery and the peers, as the driver sees them (`interfaces.Registry` and `Gossip`)."""
+    """Model of discovery and of the peers (`interfaces.Registry` and `interfaces.Gossip`)."""
 
     def __init__(self, chance, servers):
         self._chance, self._servers = chance, servers
         self.driver = None
 
     def watch(self, on):
-        self._chance.later((0.0, 0.05), self._answer)
+        self._chance.call_later((0.0, 0.05), self._answer)
 
     def fetch(self):
         pass
@@ -79,14 +81,15 @@
 
 
 def undistorted(raw):
-    """The settings as they are."""
+    """Return the settings unchanged."""
     return raw
 
 
 class Day:
-    """One random day; `distort` changes the settings that the program gets, not those of the oracle.
+    """One random day, which follows from `seed`.
 
-    `balancer`, if given, takes the place of the real one.
+    `distort` changes the settings that the program gets, and not those by which the oracle judges it.
+    `balancer`, if given, is used instead of the real one.
     """
 
     def __init__(self, seed, distort=undistorted, balancer=None):
@@ -108,7 +111,7 @@
         if self.chance.rng.random() < 0.25:
             self.driver.revision_stamp = self.pool.stamp = lambda: self.stamp
 
-    # --- what happens beside clients and servers --------------------------------------------
+    # --- events other than those of clients and servers --------------------------------------------
 
     def _reload(self):
         successor = self.settings.reload(self.driver.request_classes)
@@ -120,11 +123,11 @@
     def _change_stamp(self):
         self.stamp = b"X-Edition: %d\r\n" % self.chance.rng.randrange(1000)
 
-    def _share(self):
-        """Let another process of this sidecar come or go."""
+    def _change_pool_share(self):
+        """Change the limits of the pool, as when another process of this sidecar starts or ends."""
         self.pool.share(self.chance.rng.choice([0.5, 1.0]))
 
-    def _steer(self):
+    def _change_steering(self):
         draw, zones = self.chance.rng.choice, range(2)
         self.driver.steer(
             Steer(
@@ -145,13 +148,13 @@
     # --- the day ------------------------------------------------------------------------------
 
     def _plan(self):
-        """Plan what happens when, on a grid; much of it in the same turn."""
+        """Schedule the events of the day on the grid; many of them are in the same turn of the event loop."""
         rng, servers = self.chance.rng, self.servers
         started = [servers.start(f"s{number}") for number in range(rng.choice([1, 2, 4, 6, 9]))]
         servers.list_to_program(ListForm.REMEMBERED, started)
-        steps = [self.clients.arrive] * rng.randrange(8, 26) + [servers.change] * rng.randrange(3, 12)
+        steps = [self.clients.send_request] * rng.randrange(8, 26) + [servers.change] * rng.randrange(3, 12)
         steps += [self._reload] * rng.randrange(4) + [servers.close_some] * 3 + [self._change_stamp] * 2
-        steps += [self._share] * rng.randrange(3) + [self._steer] * (rng.random() < 0.2)
+        steps += [self._change_pool_share] * rng.randrange(3) + [self._change_steering] * (rng.random() < 0.2)
         for slot in range(20, 30, 3) if self.chance.drains else ():
             self.loop.call_later(slot * GRID_S, servers.drain_one)
         for step in steps:
@@ -159,29 +162,29 @@
             self.loop.call_later(slot * GRID_S, step)
         self.loop.call_later(DAY_S, self._stop)
 
-    async def _pass(self):
+    async def _run(self):
         self._plan()
         await asyncio.sleep(DAY_S + REST_S)
         self.pool.close()
         await asyncio.sleep(GRID_S)
 
     def play(self):
-        """Play the day to its end; return the breaches found."""
+        """Play the day to its end; return the breaches of the protocol that the oracle has found."""
         with contextlib.ExitStack() as patches:
             patches.enter_context(contextlib.redirect_stderr(LogLines(self.oracle.log_written)))
             patches.enter_context(
                 mock.patch.object(framing, "readable", lambda connection: bool(connection.inbox))
             )
             try:
-                self.loop.run_until_complete(self._pass())
-                self.oracle.day_over(self.clients.calls.values(), self._left_over())
+                self.loop.run_until_complete(self._run())
+                self.oracle.day_over(self.clients.calls.values(), self._remaining_work())
             except RuntimeError as error:
                 self.oracle.breach(f"{error}")
             finally:
                 self.loop.close()
         return self.oracle.breaches
 
-    def _left_over(self):
+    def _remaining_work(self):
         return {
             **{f"driver's {name}": count for name, count in self.driver.counts._asdict().items()},
             **left_over(self.driver.balancer),
@@ -191,6 +194,6 @@
 
 
 def play(seed, distort=undistorted):
-    """Play one day; return its breaches and its trace."""
+    """Play the day of `seed`; return its breaches of the protocol and its trace."""
     day = Day(seed, distort)
     return day.play(), day.oracle.trace
--- a/tests/support/random_day/oracle.py
+++ b/tests/support/random_day/oracle.py
@@ -1,20 +1,20 @@
-"""The oracle: judges by the protocol alone what was written to which process, and what was answered."""
+"""Oracle that judges, by the protocol alone, what the program wrote to which server and what it answered."""
 
 from __future__ import annotations
 
 import re
 
 from brassfall.sidecar.core.request_lifecycle import DEADLINE_GUARD_MS
-from tests.support.random_day.chance import HOLD_UPS_S
+from tests.support.random_day.chance import SUSPENSIONS_S
 
 ROUNDING_MS = 1e-3
-BEGIN_MOST_MS = 100.0  # after its client has closed, until an attempt begins
+MAX_BEGIN_DELAY_MS = 100.0  # after its client has closed, until an attempt begins
 BUDGET_SLACK_MS = 150.0
 TIME_LEFT = re.compile(rb"X-Left: (-?[\d.]+)\r\n")
 
 
 class Oracle:
-    """Keeps the day's trace, and the breaches of the protocol that it has found."""
+    """Judge of one day, with the trace of the day and the breaches of the protocol that were found."""
 
     def __init__(self, clock):
         self._clock = clock
@@ -30,42 +30,43 @@
         self.trace.append(f"{self.now - 1e6:9.3f} {text}")
 
     def breach(self, text):
+        """Add a breach of the protocol, to the trace as well."""
         self.note(f"BREACH {text}")
         self.breaches.append(text)
 
     def log_written(self, text):
-        """Judge what the program wrote to its log."""
+        """Judge a text that the program wrote to its log."""
         if "Traceback" in text or "report it" in text:
-            self.breach(f"a line in the log: {text}")
+            self.breach(f"an error in the log: {text}")
 
     # --- attempts ------------------------------------------------------------------------
 
-    def attempt_written(self, call, write, *, hold_up_ms, grace_ms):
+    def attempt_written(self, call, write, *, suspended_ms, grace_ms):
         """Judge the first byte of an attempt.
 
-        The program last read its clock `hold_up_ms` ago: windows and graces have to cover that, as has the
-        slack of the time left that it passes on.
+        The process was suspended for `suspended_ms` between reading its clock and writing. Key windows, grace
+        periods and the slack of the stated time left have to allow for that.
         """
         earlier = call.writes[:-1]
         what = f"request {call.number}"
-        if call.gone:
+        if call.departure_reported:
             self.breach(f"{what}: written after its client had left")
         if (
             call.closed_at is not None
-            and self.now - hold_up_ms > call.closed_at + BEGIN_MOST_MS + ROUNDING_MS
+            and self.now - suspended_ms > call.closed_at + MAX_BEGIN_DELAY_MS + ROUNDING_MS
         ):
-            self.breach(f"{what}: begun long after its client had closed")
+            self.breach(f"{what}: begun too long after its client had closed")
         if call.final is not None:
             self.breach(f"{what}: written after its final answer")
-        if call.ended and self.now - hold_up_ms >= call.give_up_at + ROUNDING_MS:
-            self.breach(f"{what}: written after its time")
-        left = call.read_at + call.budget - self.now if call.ended else call.budget
+        if call.fully_read and self.now - suspended_ms >= call.give_up_at + ROUNDING_MS:
+            self.breach(f"{what}: written after its deadline")
+        left = call.read_at + call.budget - self.now if call.fully_read else call.budget
         if float(TIME_LEFT.search(write.head + b"\r\n")[1]) > left + BUDGET_SLACK_MS + ROUNDING_MS:
             self.breach(f"{what}: gives its server more time than the client has left")
         if len(call.writes) > call.limits["MaxAttempts"]:
             self.breach(f"{what}: more attempts than allowed")
         if not call.limits["ParallelTries"] and any(not other.over for other in earlier):
-            self.breach(f"{what}: two copies at once")
+            self.breach(f"{what}: two concurrent attempts")
         self._judge_retry(call, write, [other for other in earlier if not other.never_ran])
         self._judge_server(call, write, grace_ms)
 
@@ -77,62 +78,68 @@
             self.breach(f"request {call.number}: an unsafe request sent again")
             return
         if write.at - ran[0].at > call.row["KeyTtl"] + ROUNDING_MS:
-            self.breach(f"request {call.number}: sent again past its window")
-        place, first = write.connection.server, ran[0].connection.server
-        same = {"all": True, "zone": place.zone == first.zone, "cell": place.cell == first.cell}
-        if not same[call.row["Group"]]:
+            self.breach(f"request {call.number}: sent again after its key window")
+        server, first = write.connection.server, ran[0].connection.server
+        same_group = {"all": True, "zone": server.zone == first.zone, "cell": server.cell == first.cell}
+        if not same_group[call.row["Group"]]:
             self.breach(f"request {call.number}: sent again outside its group")
 
     def _judge_server(self, call, write, grace_ms):
         what = f"request {call.number}"
-        server, (decided_at, name) = write.connection.server, call.decided[-1]
+        server, (decided_at, name) = write.connection.server, call.decisions[-1]
         if name != server.name:
             self.breach(f"{what}: written to another server than decided")
-        if decided_at > server.out_at:
+        if decided_at > server.leaving_known_at:
             self.breach(f"{what}: sent to a process that was known to have left")
-        if self.now > server.out_at + max(server.grace, grace_ms) + ROUNDING_MS:
-            self.breach(f"{what}: written past the grace of a process that leaves")
+        if self.now > server.leaving_known_at + max(server.grace_ms, grace_ms) + ROUNDING_MS:
+            self.breach(f"{what}: written after the grace period of a leaving process")
 
     def attempt_complete(self, call, write):
         """Judge the last byte of an attempt."""
-        if call.gone:
-            self.breach(f"request {call.number}: complete after its client had left")
+        if call.departure_reported:
+            self.breach(f"request {call.number}: written completely after its client had left")
         if call.final not in (None, "begun"):
-            self.breach(f"request {call.number}: complete after its final answer")
+            self.breach(f"request {call.number}: written completely after its final answer")
         if call.row["Semantics"] == "token":
             earlier = call.writes[: call.writes.index(write)]
             ran = [other for other in earlier if other.complete and not other.never_ran]
             if ran and self.now - ran[0].at > call.row["KeyTtl"] + ROUNDING_MS:
-                self.breach(f"request {call.number}: complete past its window")
+                self.breach(f"request {call.number}: written completely after its key window")
 
     # --- answers --------------------------------------------------------------------------
 
-    def answered(self, call, how, *, hold_ups):
-        """Judge a final answer, or its beginning, and keep it in the call."""
-        self.note(f"answer {call.number} {how}")
-        if call.gone:
+    def answered(self, call, method, *, suspensions):
+        """Judge a final answer, or its beginning, and record it in the call."""
+        self.note(f"answer {call.number} {method}")
+        if call.departure_reported:
             self.breach(f"request {call.number}: answered after its client had left")
         if call.final is not None:
             self.breach(f"request {call.number}: a second final answer")
-        call.final = call.final or how
-        slack = DEADLINE_GUARD_MS + ROUNDING_MS + (HOLD_UPS_S[-1] * 1000.0 if hold_ups else 0.0)
-        if call.ended and self.now > max(call.give_up_at, call.read_at) + slack:
-            self.breach(f"request {call.number}: answered after its time")
+        call.final = call.final or method
+        slack = DEADLINE_GUARD_MS + ROUNDING_MS + (SUSPENSIONS_S[-1] * 1000.0 if suspensions else 0.0)
+        if call.fully_read and self.now > max(call.give_up_at, call.read_at) + slack:
+            self.breach(f"request {call.number}: answered after its deadline")
 
     def refused(self, call):
-        """Judge a rejection, which promises that a retry does no harm."""
-        effect, ran = call.row["Semantics"], any(w.complete and not w.never_ran for w in call.writes)
-        if ran and (effect == "side_effect" or (effect == "token" and call.row["Group"] != "all")):
+        """Judge a rejection, which tells the client that a retry does no harm."""
+        semantics, ran = (
+            call.row["Semantics"],
+            any(write.complete and not write.never_ran for write in call.writes),
+        )
+        if ran and (semantics == "side_effect" or (semantics == "token" and call.row["Group"] != "all")):
             self.breach(f"request {call.number}: refused though it may have run")
 
     # --- the end --------------------------------------------------------------------------
 
     def day_over(self, calls, left_over):
-        """Judge what is left when all should be over: calls, and counts of the program by their names."""
+        """Judge the end of the day: all calls are answered, and all counts in `left_over` are 0.
+
+        `left_over` has the program's counts of unfinished work, by their names.
+        """
         for call in calls:
-            if not call.gone and call.final is None:
+            if not call.departure_reported and call.final is None:
                 self.breach(f"request {call.number}: never answered")
-            if not call.gone and call.final == "begun" and not call.flow_over:
+            if not call.departure_reported and call.final == "begun" and not call.stream_ended:
                 self.breach(f"request {call.number}: an answer begun and never ended")
         for name, count in left_over.items():
             if count:
--- a/tests/support/random_day/settings.py
+++ b/tests/support/random_day/settings.py
@@ -1,23 +1,23 @@
-"""Random settings for the program, and their reloads."""
+"""Random settings of the program, and reloads that change them."""
 
 from __future__ import annotations
 
 from brassfall.sidecar import config, reload
 
-EFFECTS = ("pure", "token", "side_effect")
+SEMANTICS = ("pure", "token", "side_effect")
 
 
-def draw(rng):
-    """Return random settings in the form of the configuration file."""
+def draw_settings(rng):
+    """Return random settings in the format of the configuration file."""
     rows = []
     for name in rng.sample("abcdefgh", rng.randrange(2, 6)):
         deadline = rng.choice([120.0, 300.0, 600.0])
-        effect, group = rng.choice(EFFECTS), rng.choice(["all", "cell", "zone"])
+        semantics, group = rng.choice(SEMANTICS), rng.choice(["all", "cell", "zone"])
         objective, window = deadline / rng.choice([1.0, 2.0]), rng.choice([30.0, 60.0, 300.0])
         late_weight, weight = rng.choice([0.0, 0.5]), rng.choice([1.0, 10.0])
         rows.append(
             {
-                "Name": name, "Semantics": effect, "Group": group, "KeyTtl": window,
+                "Name": name, "Semantics": semantics, "Group": group, "KeyTtl": window,
                 "Objective": objective, "Deadline": deadline, "LateWorth": late_weight, "Worth": weight,
                 "InTurn": rng.random() < 0.15,
             }
@@ -44,17 +44,17 @@
 
 
 class SettingsHistory:
-    """The settings in force, and those before them, whose classes clients may still name.
+    """Current settings, and earlier settings whose request classes clients may still name.
 
-    `distort` changes the settings that the program gets, not those that the oracle holds it to.
+    `distort` changes the settings that the program gets, and not those by which the oracle judges it.
     """
 
     def __init__(self, chance, distort):
         self._chance = chance
         self._distort = distort
-        self.raw = draw(chance.rng)
+        self.raw = draw_settings(chance.rng)
         self.config = self._parse(self.raw)
-        self._known = [(self.config.names, self.raw)]  # newest first
+        self._history = [(self.config.names, self.raw)]  # names and settings, newest first
 
     @property
     def limits(self):
@@ -62,7 +62,7 @@
 
     @property
     def grace_ms(self):
-        """How long after the notice that a server drains requests may be begun there."""
+        """Time after the notice that a server drains in which attempts may still begin there, in ms."""
         return self.raw["Rules"]["StopSendingWithin"]
 
     def _parse(self, raw):
@@ -76,22 +76,24 @@
         )  # fmt: skip
 
     def reload(self, classes_in_use):
-        """Draw other settings; return the parsed configuration and the classes that are the same."""
-        raw = draw(self._chance.rng)
-        slots = {kind.slot for names, _ in self._known for kind in names.classes.values()}
+        """Draw new settings; return the new configuration and the classes that it leaves unchanged."""
+        raw = draw_settings(self._chance.rng)
+        slots = {
+            request_class.slot for names, _ in self._history for request_class in names.classes.values()
+        }
         successor = reload.successor(self.config, self._parse(raw), classes_in_use | slots)
         self.raw, self.config = raw, successor.config
-        self._known.insert(0, (successor.config.names, raw))
+        self._history.insert(0, (successor.config.names, raw))
         return successor
 
     def draw_class(self):
-        """Return the class of a request and its row in the settings.
+        """Return a random request class and its row in the settings.
 
-        A client may name a class of before, whose figures are the last that its slot had.
+        The class may be one of earlier settings. Its row is then the newest that its slot has had.
         """
         rng = self._chance.rng
-        names, raw = rng.choice(self._known) if rng.random() < 0.3 else self._known[0]
-        kind = names.classes[rng.choice(raw["Profiles"])["Name"]]
-        name = next(name for name, other in names.classes.items() if other is kind)
-        newest = next(raw for names, raw in self._known if names.classes.get(name) == kind)
-        return kind, next(row for row in newest["Profiles"] if row["Name"] == name)
+        names, raw = rng.choice(self._history) if rng.random() < 0.3 else self._history[0]
+        request_class = names.classes[rng.choice(raw["Profiles"])["Name"]]
+        name = next(name for name, other in names.classes.items() if other is request_class)
+        newest = next(raw for names, raw in self._history if names.classes.get(name) == request_class)
+        return request_class, next(row for row in newest["Profiles"] if row["Name"] == name)
