--- a/brassfall/sidecar/clients/answer_queue.py
+++ b/brassfall/sidecar/clients/answer_queue.py
@@ -33,7 +33,7 @@
         self._connection = connection
         self._budget = budget
         self._handler = handler
-        self.pending: deque[ClientRequest] = deque()  # requests in their order; only this class changes it
+        self.pending: deque[ClientRequest] = deque()  # unanswered requests in their order
 
     def append(self, request: ClientRequest) -> None:
         """Add a request to the end of the queue."""
@@ -62,8 +62,8 @@
         if request.reading and request.driver_request is not None:
             # The rest of this request's body will not be read, so no attempt may go on waiting for it.
             self._handler.client_gone(request.driver_request)
-        # The driver's record refers to this request. Without this reference there is no cycle, and both are
-        # freed without the garbage collector.
+        # The driver's record refers to this request. Dropping the reference to the record breaks the cycle,
+        # so that both objects are freed without the garbage collector.
         request.driver_request = None
         return request
 
--- a/brassfall/sidecar/clients/client_connection.py
+++ b/brassfall/sidecar/clients/client_connection.py
@@ -32,7 +32,7 @@
 from brassfall.sidecar.clients.request_parser import RequestParser
 from brassfall.sidecar.core.clock import Clock
 
-MAX_PENDING_REQUESTS = 16  # number of requests without an answer at which reading is paused
+MAX_PENDING_REQUESTS = 16  # number of unanswered requests at which a connection is no longer read
 JUST_OPENED_MS = 100.0  # time after the accept in which a client's first request is expected, in ms
 
 # States that are used often are names of this module, because looking up an enum member by its class is slow
@@ -83,7 +83,7 @@
         self._parser = RequestParser(self, owner.budget)
         self._answers = AnswerQueue(self, owner.budget, owner.handler)
         self._large_request: ClientRequest | None = None  # large request whose body is being read
-        self._parsing = False  # the parser is reading bytes, and answers are written afterwards
+        self._parsing = False  # True while the parser reads bytes; answers are written only afterwards
 
     # --- state ------------------------------------------------------------------
 
@@ -205,7 +205,7 @@
             self.reject_input(error.status)
         self.write_ready_answers()
         if len(data) < MAX_BUFFERED:
-            self.read_control.next_read_may_be_stale = False  # the socket buffer is empty now
+            self.read_control.next_read_may_be_stale = False  # a short read has emptied the socket buffer
 
     def _parse_requests(self, data: bytes) -> BadRequestError | None:
         """Serve the requests in `data`; return the error if `data` contains invalid input.
@@ -302,7 +302,8 @@
         self._abandon_pending_requests()
         self.read_control.stop_close_polling()
         self.transport.close()
-        # A client that has only ended its sending may never read the rest of an answer, and never close.
+        # A client that has only ended its sending may neither read the rest of an answer nor close. The time
+        # limit for unread answers closes the connection then.
         self.timeouts.ensure_answer_timer()
 
     def _abandon_pending_requests(self) -> None:
@@ -443,7 +444,8 @@
             self.read_control.resume(PauseReason.SLOW_SERVER)
         else:
             self.read_control.pause(PauseReason.CLOSE_ANNOUNCED)
-        # Requests may have been read after this one if its answer is delimited by the close only.
+        # If the last answer is delimited by the close, more requests may have been read after its request. No
+        # answer to them can follow.
         self._abandon_pending_requests()
         if self._state in TRANSPORT_CLOSING or not (incomplete or self.readable):
             self._begin_closing()
--- a/brassfall/sidecar/clients/client_request.py
+++ b/brassfall/sidecar/clients/client_request.py
@@ -46,13 +46,13 @@
         """
 
     def client_gone(self, request: Request) -> None:
-        """Handle that the client has closed the connection, or that the body will not be complete."""
+        """End a request whose client has closed the connection, or whose body will not be complete."""
 
     def body_gone(self, request: Request) -> None:
-        """Handle that the body can't be sent again, since more of it was forwarded than is buffered."""
+        """Record that the body can't be sent again, as more of it was forwarded than is buffered."""
 
     def body_read(self, request: Request, now: float) -> None:
-        """Handle that the last byte of the body was read at `now`, in ms of the sidecar's clock."""
+        """Record that the last byte of the body was read at `now`, in ms of the sidecar's clock."""
 
 
 class CompleteAnswer(NamedTuple):
@@ -74,14 +74,14 @@
         """Create a request on `connection`, which may carry more requests if `keep_alive` is True."""
         self.connection = connection
         self.keep_alive = keep_alive
-        self.announces_close = False  # the head of the answer tells the client that the connection closes
+        self.announces_close = False  # True if the head of the answer announces the close of the connection
         self.driver_request: Request | None = None  # driver's record of this request, until it is answered
         self.complete_answer: CompleteAnswer | None = None
         self.streamed_answer: StreamedAnswer | None = None  # large answer, in place of `complete_answer`
         self.body: Body | None = None  # body of a large request, which is not buffered completely
-        self.accepts_chunked = True  # the client understands chunked answers, as of HTTP/1.1
+        self.accepts_chunked = True  # True if the client understands chunked answers, as of HTTP/1.1
         self.reservation = reservation  # memory that is reserved for the request and its answer
-        self.request_class = self.tenant = 0  # indices in the settings
+        self.request_class = self.tenant = 0  # indices of the class and the tenant in the settings
         self.key: int | None = None  # number that stands for the user named in the cookie
         self.work: float | None = None  # work that the client states for the request, in ms
         self.client_retry = self.mutates = False
--- a/brassfall/sidecar/clients/connection_limits.py
+++ b/brassfall/sidecar/clients/connection_limits.py
@@ -14,9 +14,9 @@
 # Largest share of the descriptors for connections that connections with requests may use. It is the lower of
 # the two limits in a process with few descriptors.
 BUSY_SHARE = 0.4
-# Share of the limit on connections with requests above which answers close their connections. The share is
-# below 1 because a client that already has as many connections as it may open can't open the new connection
-# whose arrival would make this process evict one.
+# Above the high-water mark, each answer closes its connection. The mark is this share of the limit on
+# connections with requests. It is below that limit because a client that already has as many connections as
+# it may open can't open the new connection whose arrival would make this process evict one.
 HIGH_WATER_SHARE = 0.75
 OPEN_SHARE = 0.47  # largest share of the descriptors for connections that open client connections may use
 RESERVED_DESCRIPTORS = 8  # descriptors for connections being evicted and for connections replacing them
--- a/brassfall/sidecar/clients/inbound.py
+++ b/brassfall/sidecar/clients/inbound.py
@@ -56,14 +56,14 @@
         self.budget = Budget(0)
         self.classes = KnownClasses(loop, config.names)
         self.listener: Listener | None = None
-        self._owns_listening_socket = True  # no other process accepts connections on the listening socket
+        self._owns_listening_socket = True  # True if no other process accepts connections on the socket
         self._lifecycle = lifecycle
         lifecycle.on_change(self._lifecycle_changed)
         self._idle_sweep_timer: asyncio.TimerHandle | None = None
         self._not_forwarded = (
             NEVER_FORWARDED | REVISION_HEADERS if config.agreement is not None else NEVER_FORWARDED
         )
-        # Connections that are not closed yet, evicted ones included, in the order in which they were accepted.
+        # Connections that are not closed yet, evicted ones included, in the order of their accept.
         self._connections: dict[ClientConnection, None] = {}
         self.open_connections = 0  # number of connections in `_connections` that are not evicted
         # Earliest time for the next search for a connection to evict while fewer connections are open than
--- a/brassfall/sidecar/clients/listener.py
+++ b/brassfall/sidecar/clients/listener.py
@@ -111,11 +111,12 @@
         self._protocol_factory = protocol_factory
         self._capacity = capacity
         self._on_exhausted = on_exhausted
-        # Tasks that create the transports of accepted connections. The event loop keeps no reference to them.
+        # Tasks that create the transports of accepted connections. They are kept here because the event loop
+        # does not keep its tasks alive.
         self._opening_tasks: set[asyncio.Task[object]] = set()
         self._pause_timer: asyncio.TimerHandle | None = None
-        self._was_exhausted = False  # the last call of `accept` failed because no descriptor was free
-        self._backlog_deadline: float | None = None  # loop time set by `accept_backlog_and_close`
+        self._was_exhausted = False  # True if the last `accept` call failed because no descriptor was free
+        self._backlog_deadline: float | None = None  # end of `accept_backlog_and_close`, in the loop's time
         sock.setblocking(False)  # noqa: FBT003 - the standard library takes this argument by position
         loop.add_reader(sock.fileno(), self._accept_batch)
 
@@ -246,5 +247,6 @@
     def _connection_opened(self, task: asyncio.Task[object]) -> None:
         self._opening_tasks.discard(task)
         if not task.cancelled():
-            # A connection that broke at once raises here. Unless the exception is retrieved, asyncio logs it.
+            # The task of a connection that broke at once has an exception, which asyncio logs if nothing
+            # retrieves it.
             task.exception()
--- a/brassfall/sidecar/clients/read_control.py
+++ b/brassfall/sidecar/clients/read_control.py
@@ -32,7 +32,7 @@
 
     def __init__(self, loop: asyncio.AbstractEventLoop, on_closed: Callable[[], None]) -> None:
         """Create the control; `on_closed` is called if the client closes the connection during a pause."""
-        self.next_read_may_be_stale = True  # the next bytes read may have waited in the socket buffer
+        self.next_read_may_be_stale = True  # True if the next bytes may have waited in the socket buffer
         self.resumed_at = 0.0  # end of the last pause, in seconds of the loop's time
         self._loop = loop
         self._on_closed = on_closed
--- a/brassfall/sidecar/clients/request_message.py
+++ b/brassfall/sidecar/clients/request_message.py
@@ -54,7 +54,7 @@
         self.body_size = 0  # number of bytes of the body read
         self.reservation = Reservation()
         self.head_complete = False
-        self.continue_sent = False  # an interim answer "100 Continue" was sent to the client
+        self.continue_sent = False  # True if the interim answer "100 Continue" was sent
         self._header_values: dict[str, str] = {}  # last value of each header, by its lower-case name
 
     def header(self, name: str) -> str | None:
--- a/brassfall/sidecar/clients/request_parser.py
+++ b/brassfall/sidecar/clients/request_parser.py
@@ -16,7 +16,8 @@
 # Number of bytes that a request may take for each byte of its body, framing included. A chunk with one byte
 # of the body takes six bytes.
 REQUEST_BYTES_PER_BODY_BYTE = 8
-# Number of bytes that a request may take in addition to `REQUEST_BYTES_PER_BODY_BYTE` for each body byte.
+# Number of bytes that a request may take for its framing, in addition to `REQUEST_BYTES_PER_BODY_BYTE` for
+# each byte of its body.
 MAX_FRAMING_BYTES = 2 * framing.MAX_HEAD + MAX_BUFFERED
 
 
--- a/brassfall/sidecar/clients/streamed_answer.py
+++ b/brassfall/sidecar/clients/streamed_answer.py
@@ -19,8 +19,8 @@
         `accepts_chunked` is whether the client understands chunked answers.
         """
         self.flow = flow
-        self.started = False  # the head has been written
-        self.complete = False  # the last part has arrived from the server
+        self.started = False  # True if the head has been written
+        self.complete = False  # True if the last part has arrived from the server
         self._write = write
         self._answer = answer
         self._accepts_chunked = accepts_chunked
--- a/tests/sidecar/test_connection_state.py
+++ b/tests/sidecar/test_connection_state.py
@@ -21,7 +21,8 @@
 from tests.support.loopback import OK, App, Upstream, break_off, hang, loopback, request, running, until
 
 S = ConnectionState
-LIVE_ENDS = {S.CLOSING, S.EVICTED, S.CLOSED}
+# States that end a connection from most of its other states.
+ENDING_STATES = {S.CLOSING, S.EVICTED, S.CLOSED}
 
 # Allowed transitions by state. They are written out here and not read from the program, so that this test
 # fails if only the program's table is changed.
--- a/tests/support/random_day/clients.py
+++ b/tests/support/random_day/clients.py
@@ -36,13 +36,13 @@
         self.clients, self.number, self.request_class = clients, number, request_class
         self.row, self.limits, self.budget, self.body, self.source = row, limits, budget, body, source
         self.sent = bytearray(FIRST_PART if body is not None else b"")
-        self.fully_read = body is None  # the sidecar has read the last byte of the request
+        self.fully_read = body is None  # True if the sidecar has read the last byte of the request
         self.read_at, self.answer_by = now, clients.answer_by
         self.key, self.tenant = rng.choice([None, 1, 2]), rng.randrange(2)
         self.request = None
         self.final: str | None = None  # name of the method that gave the final answer
-        self.stream_ended = False  # a large answer was finished or broken off
-        self.departure_reported = False  # the program knows that the client has left
+        self.stream_ended = False  # True if a large answer was finished or broken off
+        self.departure_reported = False  # True if the program knows that the client has left
         self.closed_at = None  # time of the client's close, which the program may learn later
         self.flow = None
         self.writes: list = []  # attempts whose first byte was written, in their order
--- a/tests/support/random_day/oracle.py
+++ b/tests/support/random_day/oracle.py
@@ -7,9 +7,9 @@
 from brassfall.sidecar.core.request_lifecycle import DEADLINE_GUARD_MS
 from tests.support.random_day.chance import SUSPENSIONS_S
 
-ROUNDING_MS = 1e-3
-MAX_BEGIN_DELAY_MS = 100.0  # after its client has closed, until an attempt begins
-BUDGET_SLACK_MS = 150.0
+ROUNDING_MS = 1e-3  # tolerance for rounding errors, in ms
+MAX_BEGIN_DELAY_MS = 100.0  # time after the client's close in which an attempt may still begin, in ms
+BUDGET_SLACK_MS = 150.0  # excess that the time left stated to a server may have, in ms
 TIME_LEFT = re.compile(rb"X-Left: (-?[\d.]+)\r\n")
 
 
@@ -121,7 +121,7 @@
             self.breach(f"request {call.number}: answered after its deadline")
 
     def refused(self, call):
-        """Judge a rejection, which tells the client that a retry does no harm."""
+        """Judge a rejection, by which the program promises that a retry does no harm."""
         semantics, ran = (
             call.row["Semantics"],
             any(write.complete and not write.never_ran for write in call.writes),
--- a/tests/support/random_day/servers.py
+++ b/tests/support/random_day/servers.py
@@ -13,15 +13,15 @@
 
 # Reactions of a server that answer a request. "ok" is a complete answer. "halves" and "last" are complete
 # answers in two parts, and the connection is closed after "last". With "second" and "more", another answer
-# follows, later or at once. "error" is a status 500, "full" is a 503 whose mark proves that the request did not
-# run, and "unmarked" is a 503 without this mark. "spoilt" is input that is not HTTP.
+# follows, later or at once. "error" is a status 500, "full" is a 503 whose mark proves that the request did
+# not run, and "unmarked" is a 503 without this mark. "spoilt" is input that is not HTTP.
 ANSWERS = ("ok", "ok", "halves", "last", "second", "more", "error", "full", "full", "unmarked", "spoilt")
-# Reactions of a server to a request. In addition to `ANSWERS`, "reset" and "eof" end the connection, and "hang"
-# does nothing. "open" and "cut" are answers without a length, after which the connection is closed or reset.
-# "large" is a large answer, "torn" one that breaks off, and "endless" one whose rest never comes.
+# Reactions of a server to a request. In addition to `ANSWERS`, "reset" and "eof" end the connection, and
+# "hang" does nothing. "open" and "cut" are answers without a length, after which the connection is closed or
+# reset. "large" is a large answer, "torn" one that breaks off, and "endless" one whose rest never comes.
 REACTIONS = (*ANSWERS, "reset", "eof", "hang", "open", "cut", "large", "torn", "endless")
-# Ways in which opening a connection ends: after a delay, with an error, not within 10 s, or with a close at
-# once.
+# Results of opening a connection. "soon" and "late" are delays, "refused" and "full" are errors, "never"
+# takes 10 s, and "closed" is a connection that the server closes at once.
 CONNECT_RESULTS = ("at once", "at once", "soon", "late", "late", "refused", "full", "never", "closed")
 # On mostly healthy days, few faults prevent retries, so that the oracle has more retries to judge.
 HEALTHY_REACTIONS = (*("ok",) * 10, "error", "error", "spoilt", "reset", "eof", "hang")
@@ -59,8 +59,8 @@
     head: bytes
     body: bytearray = field(default_factory=bytearray)
     complete: bool = False
-    never_ran: bool = False  # the server has rejected the request in a way that proves that it did not run
-    over: bool = False  # the attempt is answered completely, or its connection is closed
+    never_ran: bool = False  # True if the server's rejection proves that the request did not run
+    over: bool = False  # True if the attempt is answered completely, or its connection is closed
 
 
 class ServerConnection(asyncio.Transport):
