--- a/tests/sidecar/test_answer_order.py
+++ b/tests/sidecar/test_answer_order.py
@@ -224,7 +224,7 @@
             assert (await app.reader.read()).endswith(LARGE_BODY)
         await until(lambda: balancer.named("client_gone"))
         app.close()
-        hanging_upstream.writers[0].transport.abort()  # ends the attempt, whose outcome the driver awaits
+        hanging_upstream.writers[0].transport.abort()  # this ends the attempt, whose outcome the driver awaits
         await wait_until_released(sidecar)
 
 
@@ -284,5 +284,5 @@
     async with connected_client() as (_sidecar, app, connection):
         transport = connection.transport
         small_buffers(transport, app.writer.transport)
-        transport.write(b"x" * 50_000_000)  # more than the socket buffers take
+        transport.write(b"x" * 50_000_000)  # these are more bytes than the socket buffers take
         assert not transport.is_reading()
--- a/tests/sidecar/test_client_timeouts.py
+++ b/tests/sidecar/test_client_timeouts.py
@@ -115,7 +115,7 @@
         await until(lambda: count_reading_requests(sidecar))
         (connection,) = sidecar.inbound.connections
         connection.pause()
-        await asyncio.sleep(0.5)  # reading stays paused, as for a server that takes nothing
+        await asyncio.sleep(0.5)  # reading stays paused, as it does for a server that takes nothing
         connection.resume()
         await asyncio.sleep(0.1)
         app.writer.write(whole_request[-1:])
@@ -143,7 +143,7 @@
         app.writer.write(WHOLE_REQUEST[:-1])
         await until(lambda: connection.state is ConnectionState.READING_REQUEST)
         app.writer.transport.pause_reading()
-        connection.write(LARGE_ANSWER)  # stands for the answer to an earlier request
+        connection.write(LARGE_ANSWER)  # these bytes stand for the answer to an earlier request
         app.writer.write(WHOLE_REQUEST[-1:])
         checks, check_request_timeout = [], connection.timeouts.check_request_timeout
         monkeypatch.setattr(
--- a/tests/sidecar/test_connection_limits.py
+++ b/tests/sidecar/test_connection_limits.py
@@ -67,7 +67,7 @@
 @loopback
 async def test_connections_with_the_least_progress_are_evicted_first(monkeypatch):
     monkeypatch.setattr(inbound, "QUIET_BEFORE_EVICTION_MS", 0.0)
-    balancer = ScriptedBalancer(request=lambda now, arrival: [])  # answers no request
+    balancer = ScriptedBalancer(request=lambda now, arrival: [])  # the balancer answers no request
     async with running(balancer=balancer) as sidecar:
         apps = [await App.connect(sidecar.address) for _ in range(5)]
         busy, reading, silent, silent_later, idle = apps
--- a/tests/sidecar/test_known_classes.py
+++ b/tests/sidecar/test_known_classes.py
@@ -53,4 +53,4 @@
         assert 10.2 in [pytest.approx(delay) for delay in delays]
         delays.clear()
         sidecar.adopt(sidecar_config(Profiles=[{**rows[0], "Name": "see"}]))
-        assert known_classes.EARLIER_CLASSES_KEPT_S in delays  # the shortest time, for a short deadline
+        assert known_classes.EARLIER_CLASSES_KEPT_S in delays  # this minimum applies to short deadlines
--- a/tests/sidecar/test_large_answers.py
+++ b/tests/sidecar/test_large_answers.py
@@ -72,7 +72,7 @@
         app.send(X_Budget="250m")
         head = await read_head(app)
         assert head.startswith(b"HTTP/1.1 200")
-        await asyncio.sleep(0.4)  # longer than the client's budget
+        await asyncio.sleep(0.4)  # this is longer than the client's budget
         sidecar.lifecycle.drain()
         send_rest.set()
         assert await read_answer(app, head) == (200, LARGE)
@@ -170,7 +170,7 @@
         await until(lambda: upstream.writers[0].transport.get_write_buffer_size() > 0)
         written_before = pieces_written
         await asyncio.sleep(0.1)
-        assert pieces_written == written_before  # the server is blocked, as the sidecar reads nothing
+        assert pieces_written == written_before  # the sidecar reads nothing from the server
         end_answer.set()
         _, data = await read_answer(app)
         assert len(data) == pieces_written * len(LARGE)
@@ -179,7 +179,7 @@
 @loopback
 async def test_a_slow_client_gets_all_answers_although_it_has_sent_another_request(monkeypatch):
     monkeypatch.setattr(connection_timeouts, "LINGER_TIMEOUT_S", 0.1)
-    count, size = 12, 60_000  # number and size of the answers; together more than the socket buffers take
+    count, size = 12, 60_000  # number and size of the answers, which together exceed the socket buffers
     release = asyncio.Event()
 
     async def answer_after_release(reader, writer):
@@ -222,7 +222,7 @@
 
     async def send_endlessly(reader, writer):
         writer.write(CHUNKED)
-        while True:  # ends with an error once the sidecar closes the connection
+        while True:  # the loop ends with an error once the sidecar closes the connection
             writer.write(PIECE)
             await writer.drain()
 
--- a/tests/sidecar/test_large_requests.py
+++ b/tests/sidecar/test_large_requests.py
@@ -141,7 +141,7 @@
             0,
             Outcome.CONNECT_FAILED,
             False,
-        )  # the outcome of a request that was not written completely, and so did not run
+        )  # a request that was not written completely did not run
         assert balancer.outcomes()[1][1] == Outcome.ABANDONED
         first.slow.set()
 
--- a/tests/sidecar/test_partial_writes.py
+++ b/tests/sidecar/test_partial_writes.py
@@ -13,7 +13,7 @@
 from tests.support.loopback import loopback, until
 from tests.support.pools import pool_of, slow_connection
 
-MESSAGE = b"x" * 500_000  # more than the socket buffers of the kernel take
+MESSAGE = b"x" * 500_000  # large request, of which the socket buffers take only a part
 UNUSED_ADDRESS = "127.0.0.1:9"
 
 
--- a/tests/sidecar/test_standing_brink.py
+++ b/tests/sidecar/test_standing_brink.py
@@ -213,7 +213,7 @@
             assert (await app.ask()).body == b"done"
             slow += now() - asked_at > CONNECT_TIMEOUT_S / 2.0
             assert now() - asked_at < CONNECT_TIMEOUT_S + POLL_S
-            sidecar.pool.close_idle("s1")  # each request needs a new connection
+            sidecar.pool.close_idle("s1")  # closes the idle connections, so that each request needs a new one
         assert slow > 0
         assert now() - started_at < 20 * CONNECT_TIMEOUT_S
     for sock in (full_listener, *backlog_sockets):
