--- a/tests/sidecar/test_answer_order.py
+++ b/tests/sidecar/test_answer_order.py
@@ -224,7 +224,8 @@
             assert (await app.reader.read()).endswith(LARGE_BODY)
         await until(lambda: balancer.named("client_gone"))
         app.close()
-        hanging_upstream.writers[0].transport.abort()  # this ends the attempt, whose outcome the driver awaits
+        # The attempt ends here; the driver awaits its outcome.
+        hanging_upstream.writers[0].transport.abort()
         await wait_until_released(sidecar)
 
 
--- a/tests/sidecar/test_standing.py
+++ b/tests/sidecar/test_standing.py
@@ -294,4 +294,5 @@
         assert (await apps[1].ask()).body == b"done"
         apps[2].close()  # a connection that its client has closed must cause no error
         sidecar.inbound.close_idle()
-        assert not any(is_open(app) for app in apps[:2])  # checked in the turn of the event loop in which they are closed
+        # The clients check in the same turn of the event loop in which the sidecar closes their connections.
+        assert not any(is_open(app) for app in apps[:2])
