--- a/brassfall/sidecar/clients/client_request.py
+++ b/brassfall/sidecar/clients/client_request.py
@@ -101,9 +101,7 @@
         """
         return self.connection.client_left()
 
-    def read_properties(
-        self, message: RequestMessage, names: Names, not_forwarded: frozenset[bytes]
-    ) -> None:
+    def read_properties(self, message: RequestMessage, names: Names, not_forwarded: frozenset[bytes]) -> None:
         """Check `message` against `names` and set the properties and the head for servers from it.
 
         Headers in `not_forwarded` are left out of the head. Raises a `BadRequestError` with the answer if the
--- a/brassfall/sidecar/clients/connection_limits.py
+++ b/brassfall/sidecar/clients/connection_limits.py
@@ -75,6 +75,4 @@
         and connection.state in EVICTION_RANK
         and (EVICTION_RANK[connection.state] == 0 or connection.quiet_since <= quiet_before)
     ]
-    return sorted(
-        candidates, key=lambda candidate: (EVICTION_RANK[candidate.state], candidate.quiet_since)
-    )
+    return sorted(candidates, key=lambda candidate: (EVICTION_RANK[candidate.state], candidate.quiet_since))
--- a/brassfall/sidecar/clients/inbound.py
+++ b/brassfall/sidecar/clients/inbound.py
@@ -191,9 +191,7 @@
     def connections(self) -> list[ClientConnection]:
         """Connections that are not evicted, in the order in which they were accepted."""
         return [
-            connection
-            for connection in self._connections
-            if connection.state is not ConnectionState.EVICTED
+            connection for connection in self._connections if connection.state is not ConnectionState.EVICTED
         ]
 
     @property
--- a/brassfall/sidecar/clients/known_classes.py
+++ b/brassfall/sidecar/clients/known_classes.py
@@ -52,9 +52,7 @@
     @property
     def slots(self) -> set[int]:
         """Slots in the settings of all classes that clients may name."""
-        return {
-            request_class.slot for names in self.known for request_class in names.classes.values()
-        }
+        return {request_class.slot for names in self.known for request_class in names.classes.values()}
 
     def check_request(
         self, request: ClientRequest, message: RequestMessage, not_forwarded: frozenset[bytes]
--- a/tests/sidecar/test_connection_limits.py
+++ b/tests/sidecar/test_connection_limits.py
@@ -154,8 +154,7 @@
         limit = sidecar.inbound.limits.open_connections
         most = await most_open_descriptors(lambda: sum(map(closed_by_peer, client_sockets)) >= 150 - limit)
         assert (
-            most - before
-            <= sidecar.inbound.limits.open_connections + connection_limits.RESERVED_DESCRIPTORS
+            most - before <= sidecar.inbound.limits.open_connections + connection_limits.RESERVED_DESCRIPTORS
         )
         for sock in client_sockets:
             sock.close()
@@ -170,9 +169,7 @@
         sidecar.inbound.evict_connections = lambda count: searches.append(count) or evict_connections(count)
         client_sockets = connect_sockets(sidecar.address, 400)
         await until(
-            lambda: (
-                sum(map(closed_by_peer, client_sockets)) >= 400 - sidecar.inbound.limits.open_connections
-            )
+            lambda: sum(map(closed_by_peer, client_sockets)) >= 400 - sidecar.inbound.limits.open_connections
         )
         assert len(searches) < 120
         for sock in client_sockets:
--- a/tests/sidecar/test_invalid_requests.py
+++ b/tests/sidecar/test_invalid_requests.py
@@ -43,18 +43,35 @@
         partners.request("POST", "/pay", **CHUNKED_HEADERS) + b"5;" + b"x" * 5_000_000,
         413,
     ),
-    "a chunk without a valid size": (partners.request("POST", "/pay", **CHUNKED_HEADERS) + b"zz\r\nhello\r\n0\r\n\r\n", 400),
-    "a negative chunk": (partners.request("POST", "/pay", **CHUNKED_HEADERS) + b"-5\r\nhello\r\n0\r\n\r\n", 400),
-    "a chunk size that is too large": (partners.request("POST", "/pay", **CHUNKED_HEADERS) + b"f" * 17 + b"\r\nhello", 400),
-    "a chunk without its end": (partners.request("POST", "/pay", **CHUNKED_HEADERS) + b"5\r\nhelloworld", 400),
-    "chunks without the last chunk": (partners.request("POST", "/pay", **CHUNKED_HEADERS) + b"5\r\nhello\r\n" * 9, 408),
+    "a chunk without a valid size": (
+        partners.request("POST", "/pay", **CHUNKED_HEADERS) + b"zz\r\nhello\r\n0\r\n\r\n",
+        400,
+    ),
+    "a negative chunk": (
+        partners.request("POST", "/pay", **CHUNKED_HEADERS) + b"-5\r\nhello\r\n0\r\n\r\n",
+        400,
+    ),
+    "a chunk size that is too large": (
+        partners.request("POST", "/pay", **CHUNKED_HEADERS) + b"f" * 17 + b"\r\nhello",
+        400,
+    ),
+    "a chunk without its end": (
+        partners.request("POST", "/pay", **CHUNKED_HEADERS) + b"5\r\nhelloworld",
+        400,
+    ),
+    "chunks without the last chunk": (
+        partners.request("POST", "/pay", **CHUNKED_HEADERS) + b"5\r\nhello\r\n" * 9,
+        408,
+    ),
     "length and chunks": (
         partners.request("POST", "/pay", Transfer_Encoding="chunked", Content_Length="5")
         + b"0\r\n\r\nGET /look HTTP/1.1\r\n\r\n",
         400,
     ),
     "chunks and length": (
-        partners.request("POST", "/pay", **CHUNKED_HEADERS).replace(b"chunked", b"chunked\r\nContent-Length: 5")
+        partners.request("POST", "/pay", **CHUNKED_HEADERS).replace(
+            b"chunked", b"chunked\r\nContent-Length: 5"
+        )
         + b"hello",
         400,
     ),
@@ -88,7 +105,10 @@
     "HTTP/2.0": (partners.request().replace(b"HTTP/1.1", b"HTTP/2.0"), 505),
     "the connection preface of HTTP/2": (b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\0\0\0\4\0\0\0\0\0", 400),
     "a TLS client hello": (TLS_CLIENT_HELLO, 400),
-    "a CONNECT request": (b"CONNECT api.internal:443 HTTP/1.1\r\nHost: api.internal\r\n\r\n" + TLS_CLIENT_HELLO, 404),
+    "a CONNECT request": (
+        b"CONNECT api.internal:443 HTTP/1.1\r\nHost: api.internal\r\n\r\n" + TLS_CLIENT_HELLO,
+        404,
+    ),
     "an upgrade with a body": (partners.request("POST", "/pay", b"hello", **UPGRADE_HEADERS), 400),
     "an expected body that never comes": (
         partners.request("POST", "/pay", b"hello", Expect="100-continue")[:-5],
@@ -100,7 +120,9 @@
 
 @pytest.mark.parametrize("case", INVALID_INPUT)
 @loopback
-async def test_invalid_input_is_answered_or_its_connection_closed_and_reaches_no_server(monkeypatch, caplog, case):
+async def test_invalid_input_is_answered_or_its_connection_closed_and_reaches_no_server(
+    monkeypatch, caplog, case
+):
     monkeypatch.setattr(connection_timeouts, "REQUEST_TIMEOUT_S", 0.1)
     monkeypatch.setattr(connection_timeouts, "LINGER_TIMEOUT_S", 0.1)
     raw, status = INVALID_INPUT[case]
--- a/tests/sidecar/test_standing_brink.py
+++ b/tests/sidecar/test_standing_brink.py
@@ -53,7 +53,7 @@
     """Wait until `condition` holds; fail the test after 30 s of the event loop's time."""
     async with asyncio.timeout(30.0):
         while not condition():
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_S)
 
 
 # --- complete lists that omit a draining server ---------------------------------------------------
--- a/tests/support/clients.py
+++ b/tests/support/clients.py
@@ -22,9 +22,7 @@
     """Wait until the sidecar has no request, no client connection, and no memory reserved for messages."""
     await until(
         lambda: (
-            sidecar.inbound.all_connections_closed
-            and sidecar.driver.idle
-            and loopback.nothing_left(sidecar)
+            sidecar.inbound.all_connections_closed and sidecar.driver.idle and loopback.nothing_left(sidecar)
         )
     )
     assert sidecar.inbound.budget.used == 0
--- a/tests/support/random_day/event_loop.py
+++ b/tests/support/random_day/event_loop.py
@@ -22,7 +22,7 @@
             raise RuntimeError("the event loop has no timer left, so the day can't go on")
         self.loop.turns += 1
         if self.loop.turns > MAX_TURNS:
-            raise RuntimeError(f"the day has not ended after {MAX_TURNS} turns of the event loop")
+            raise RuntimeError("the day has not ended after MAX_TURNS turns of the event loop")
         # A wait that is too short to change the time would never end. Time advances a little in this case, as
         # it does in a real process, whose work takes time.
         self.turns_without_time = 0 if timeout > 0.0 else self.turns_without_time + 1
--- a/tests/support/random_day/settings.py
+++ b/tests/support/random_day/settings.py
@@ -78,9 +78,7 @@
     def reload(self, classes_in_use):
         """Draw new settings; return the new configuration and the classes that it leaves unchanged."""
         raw = draw_settings(self._chance.rng)
-        slots = {
-            request_class.slot for names, _ in self._history for request_class in names.classes.values()
-        }
+        slots = {request_class.slot for names, _ in self._history for request_class in names.classes.values()}
         successor = reload.successor(self.config, self._parse(raw), classes_in_use | slots)
         self.raw, self.config = raw, successor.config
         self._history.insert(0, (successor.config.names, raw))
