--- a/tests/sidecar/test_client_timeouts.py
+++ b/tests/sidecar/test_client_timeouts.py
@@ -152,7 +152,7 @@
             lambda timeouts: checks.append(check_request_timeout()),
         )
         connection.timeouts.stop_request_timer()
-        connection.timeouts.start_request()
+        connection.timeouts.start_request_timer()
         await asyncio.sleep(0.4)
         assert checks and connection.read_control.paused
         assert connection.state is ConnectionState.READING_REQUEST
--- a/tests/support/random_day/clients.py
+++ b/tests/support/random_day/clients.py
@@ -41,8 +41,8 @@
         self.key, self.tenant = rng.choice([None, 1, 2]), rng.randrange(2)
         self.request = None
         self.final: str | None = None  # name of the method that gave the final answer
-        # `stream_ended` is True if a large answer was finished or broken off. `departure_reported` is True if the
-        # program knows that the client has left.
+        # `stream_ended` is True if a large answer was finished or broken off. `departure_reported` is True if
+        # the program knows that the client has left.
         self.stream_ended = self.departure_reported = False
         self.closed_at = None  # time of the client's close, which the program may learn later
         self.flow = None
