--- a/brassfall/sidecar/lifecycle/shutdown.py
+++ b/brassfall/sidecar/lifecycle/shutdown.py
@@ -36,13 +36,13 @@
     if inherited:
         inbound.stop_listening()
     await asyncio.sleep(LISTEN_S - LAST_ANSWERS_S)
-    inbound.last_answers()
+    inbound.close_after_answers()
     await asyncio.sleep(LAST_ANSWERS_S)
     inbound.stop_listening()
     inbound.close_idle(keep_just_opened=True)
     # Each request that is read on an open connection restarts the wait for a time without requests.
     quiet_since = loop.time()
-    while not (inbound.empty and driver.idle):
+    while not (inbound.all_connections_closed and driver.idle):
         await asyncio.sleep(POLL_S)
         inbound.close_idle(keep_just_opened=True)
         if not driver.idle or inbound.transferring:
--- a/brassfall/sidecar/lifecycle/sidecar.py
+++ b/brassfall/sidecar/lifecycle/sidecar.py
@@ -10,7 +10,7 @@
 from brassfall.balancer.model import ListForm, SteeringDirectives
 from brassfall.sidecar import config, log, reload
 from brassfall.sidecar.clients.inbound import Inbound
-from brassfall.sidecar.clients.listener import retry_while_exhausted
+from brassfall.sidecar.clients.listener import retry_until_descriptor_free
 from brassfall.sidecar.config import Config, ConfigError
 from brassfall.sidecar.config_values import Address
 from brassfall.sidecar.core.clock import Clock
@@ -145,8 +145,8 @@
         The endpoint list of the configuration is in use before the first request. Raise `OSError` if the
         sidecar can't listen on an address. If this method is cancelled, the caller has to call `close`.
         """
-        await retry_while_exhausted(self._listen_to_operators)
-        await retry_while_exhausted(lambda: self.peers.listen(self._loop))
+        await retry_until_descriptor_free(self._listen_to_operators)
+        await retry_until_descriptor_free(lambda: self.peers.listen(self._loop))
         self.driver.connect(self.pool, self.discovery, self.peers)
         self.discovery.start()
         if self.member is not None:
@@ -159,7 +159,7 @@
             )
         else:
             await self.discovery.first_call(FIRST_CALL_TIMEOUT_S)
-        address = await retry_while_exhausted(self._listen_to_clients)
+        address = await retry_until_descriptor_free(self._listen_to_clients)
         self.lifecycle.serve()
         if self._reload_due:
             self.reload(os.environ)
@@ -184,7 +184,7 @@
             self._shares_descriptors = other_runs
             share = 0.5 if other_runs else 1.0
             self.pool.set_descriptor_share(share)
-            self.inbound.share(share)
+            self.inbound.set_machine_share(share)
         self._handover_timer = self._loop.call_later(HANDOVER_POLL_S, self._update_descriptor_share)
         return other_runs
 
--- a/tests/sidecar/test_reload.py
+++ b/tests/sidecar/test_reload.py
@@ -186,7 +186,7 @@
 
 @loopback
 async def test_new_classes_are_served_at_once_and_removed_ones_for_a_while(monkeypatch):
-    monkeypatch.setattr(known_classes, "KEEP_S", 0.2)
+    monkeypatch.setattr(known_classes, "EARLIER_CLASSES_KEPT_S", 0.2)
     upstream = await Upstream([OK]).start()
     new = [row("view"), row("book", "side_effect")]
     async with running(upstream) as sidecar:
--- a/tests/sidecar/test_upgrade.py
+++ b/tests/sidecar/test_upgrade.py
@@ -115,18 +115,18 @@
         sidecars.append(Sidecar(loop, config.parse(raw, environment)))
     old, new = sidecars
     await old.start()
-    full_limits = old.inbound.limits.open, old.inbound.budget.limit
+    full_limits = old.inbound.limits.open_connections, old.inbound.budget.limit
     assert full_limits[1] == 10 * 2**20
     monkeypatch.setattr("brassfall.sidecar.lifecycle.sidecar.FIRST_LIST_TIMEOUT_S", 0.0)
     await new.start()
-    await until(lambda: old.inbound.limits.open < full_limits[0])
+    await until(lambda: old.inbound.limits.open_connections < full_limits[0])
     descriptors = 2 * 24
     for sidecar in sidecars:
-        descriptors += sidecar.inbound.limits.open + sidecar.pool.max_connections
+        descriptors += sidecar.inbound.limits.open_connections + sidecar.pool.max_connections
         assert sidecar.inbound.budget.limit == 5 * 2**20
     assert descriptors <= 192
     old.close()
-    await until(lambda: (new.inbound.limits.open, new.inbound.budget.limit) == full_limits)
+    await until(lambda: (new.inbound.limits.open_connections, new.inbound.budget.limit) == full_limits)
     new.close()
     listening.close()
 
@@ -156,9 +156,12 @@
         sidecars.append(Sidecar(asyncio.get_running_loop(), configuration))
     old, new = sidecars
     await old.start()
-    full_limit = old.inbound.limits.open
+    full_limit = old.inbound.limits.open_connections
     await new.start()  # The endpoint list arrives at once
-    assert old.inbound.limits.open < full_limit and old.inbound.limits.open == new.inbound.limits.open
+    assert (
+        old.inbound.limits.open_connections < full_limit
+        and old.inbound.limits.open_connections == new.inbound.limits.open_connections
+    )
     for sidecar in sidecars:
         sidecar.close()
     listening.close()
