--- a/brassfall/lab/agreement/defects.py
+++ b/brassfall/lab/agreement/defects.py
@@ -281,14 +281,14 @@
 
     _looked = -math.inf
 
-    def report(self, now: float) -> dict[str, Any]:
+    def report_fields(self, now: float) -> dict[str, Any]:
         """Make a report, and look at the clock."""
         self._looked = now
-        return dict(super().report(now))
+        return dict(super().report_fields(now))
 
-    def active(self, now: float) -> Any:
+    def active_configuration(self, now: float) -> Any:
         """What to act on, as of the last look."""
-        return super().active(self._looked)
+        return super().active_configuration(self._looked)
 
 
 class TakesUnsound(_LeaseClient):
@@ -303,17 +303,19 @@
 
 def without_meet(active: Any) -> dict[str, Any]:
     """An acknowledgement that changes nothing of what is done."""
-    return dict(sidecar_rules.effective(active if active.fallback else active._replace(concurrent=())))
+    return dict(
+        sidecar_rules.effective_settings(active if active.fallback else active._replace(concurrent=()))
+    )
 
 
 def keeps_pins_in_fallback(active: Any) -> dict[str, Any]:
     """A fallback configuration that goes on with everything."""
-    return dict(sidecar_rules.effective(active._replace(fallback=False, concurrent=())))
+    return dict(sidecar_rules.effective_settings(active._replace(fallback=False, concurrent=())))
 
 
 def opens_in_fallback(active: Any) -> dict[str, Any]:
     """A fallback configuration that forgets what a revision held."""
-    made = dict(sidecar_rules.effective(active))
+    made = dict(sidecar_rules.effective_settings(active))
     if active.fallback:
         made.pop("regions", None)
     return made
--- a/brassfall/lab/agreement/program.py
+++ b/brassfall/lab/agreement/program.py
@@ -47,8 +47,8 @@
     aggregator: type[Aggregator] = Aggregator
     aggregator_timing: AggregatorTiming = field(default_factory=AggregatorTiming)
     lease_client: Any = lease_client.LeaseClient
-    effective: Callable[[Any], dict[str, Any]] = sidecar_rules.effective
-    unknown: Callable[[Any], str] = sidecar_rules.unsupported
+    effective: Callable[[Any], dict[str, Any]] = sidecar_rules.effective_settings
+    unknown: Callable[[Any], str] = sidecar_rules.unsupported_reason
     answered: Callable[[Any, float, float, int, Mapping[str, Any]], bool] = answered
     epoch: Callable[[float, int, random.Random], int] = epoch
     wall_clock: bool = False  # the sidecar counts on its wall clock
--- a/brassfall/lab/agreement/reconcile.py
+++ b/brassfall/lab/agreement/reconcile.py
@@ -25,7 +25,7 @@
 deadlines: Any = importlib.import_module("brassfall.sidecar.agent.deadlines")
 override_layer: Any = importlib.import_module("brassfall.sidecar.agent.override_layer")
 overrides: Any = importlib.import_module("brassfall.sidecar.agent.overrides")
-NAMES = overrides.Names(frozenset(REGIONS), classes=frozenset(CLASSES), tenants=frozenset(TENANTS))
+NAMES = overrides.KnownNames(frozenset(REGIONS), classes=frozenset(CLASSES), tenants=frozenset(TENANTS))
 
 
 class Sidecar:
@@ -46,7 +46,7 @@
     def report(self, now_s: float) -> SidecarState:
         """As in a report."""
         acted = deadlines.digest(self.decide(now_s).acted)
-        return SidecarState(acted, self.deadlines.refresh_due(now_s), self.deadlines.newest)
+        return SidecarState(acted, self.deadlines.refresh_due(now_s), self.deadlines.newest_revision)
 
     def timer(self, now_s: float) -> None:
         """Nothing is done by time."""
@@ -54,7 +54,7 @@
     def decide(self, now_s: float) -> Any:
         """What is in force."""
         view = overrides.LocalView(self.place, NAMES)
-        return overrides.effective(now_s, overrides.Rules(), self.lines, self.deadlines, view)
+        return overrides.effective_rules(now_s, overrides.SteeringRules(), self.lines, self.deadlines, view)
 
 
 class Quiet(World):
--- a/brassfall/lab/agreement/sidecar.py
+++ b/brassfall/lab/agreement/sidecar.py
@@ -103,7 +103,7 @@
         """Have the judge see what a decision made now would act on; it decides nothing by that."""
         profile = None
         if not (self.dead or self.stopped or self.liar):
-            active = self.lease_client.active(self.seconds())
+            active = self.lease_client.active_configuration(self.seconds())
             known = self._knows(active) if active.fallback else frozenset[int]()
             profile = self.kernel.judge.profile(active, known, self.kernel.program.effective)
         until = self._until.get(profile.number, -math.inf) if profile is not None else 0.0
@@ -147,7 +147,7 @@
         self.judged()
         self._watch.close()
         if leave and not self.stopped and not self.kernel.lost("report", self.name, service.number):
-            raw = {**self.lease_client.report(self.seconds()), "leaving": True}
+            raw = {**self.lease_client.report_fields(self.seconds()), "leaving": True}
             body = json.dumps(raw).encode()
             self.kernel.after(self.kernel.delay(), service.report, self.name, body, lambda raw: None)
 
@@ -171,7 +171,7 @@
 
     def _soon(self) -> None:
         """A revision calls for a report: it takes the place of the one that waits, if that is later."""
-        if self._called or not self.lease_client.urgent:
+        if self._called or not self.lease_client.has_urgent_report:
             return
         if self._flight:
             self._called = True  # once that one is answered, if it is still called for
@@ -187,7 +187,7 @@
         self._called = False
         kernel, service = self.kernel, self.services[self._report_at]
         asked = self.seconds()
-        raw = self.lease_client.report(asked)
+        raw = self.lease_client.report_fields(asked)
         self._flight = seq = raw["seq"]
         if self.liar:
             raw = self._lied(raw, service)
@@ -229,7 +229,7 @@
         if self._flight != seq:
             return
         self._flight = 0
-        left = self.lease_client.left_ms(self.seconds())
+        left = self.lease_client.lease_left_ms(self.seconds())
         if left and retry_ms > left - TIMEOUT_MS:
             self.move()
             retry_ms = min(retry_ms, GAVE_UP_MS[1])
@@ -265,11 +265,11 @@
                 # Whoever follows another service acts on nothing that the one before granted.
                 self._until = {revision: self._until[revision]} if length else {}
             self._followed = max(self._followed, raw["life"])
-            if length and revision == self.lease_client.active(now).revision.number:
+            if length and revision == self.lease_client.active_configuration(now).revision.number:
                 self._granted_by = raw["life"]
         self.judged()
         if length:
-            left = self.lease_client.left_ms(now) / clock.rate
+            left = self.lease_client.lease_left_ms(now) / clock.rate
             self.kernel.after(left + 1e-6, self.judged)
             self.kernel.at(self._until.get(revision, 0.0) + 1.0, self.judged)
         if self._flight == seq:
@@ -280,7 +280,7 @@
                 self.move()
             elif self.follows and raw.get("elsewhere"):
                 self._sent_elsewhere()
-            elif self.lease_client.lacks(raw):
+            elif self.lease_client.lacks_revision(raw):
                 self._fetch(self.services[self._report_at])
             self._every, self._spread = raw["every_ms"], raw["spread_ms"]
             self._report_within(self._every * (1.0 - JITTER), self._every * (1.0 + JITTER))
--- a/brassfall/lab/capacity/geo.py
+++ b/brassfall/lab/capacity/geo.py
@@ -63,7 +63,7 @@
 def _evidence(size: int) -> tuple[float, evidence.State, float]:
     """Time in ms to add one report, the evidence of a fleet, and when it was heard."""
     rng = random.Random(size)
-    made = [delays.Delays(f"g{number % GROUPS}") for number in range(size)]
+    made = [delays.DelaySketches(f"g{number % GROUPS}") for number in range(size)]
     state, now, spent_ms, reports = evidence.State(), 0.0, 0.0, 0
     for _ in range(ROUNDS):
         now += PERIOD_S
@@ -71,8 +71,8 @@
         for number, sketch in enumerate(made):
             for _ in range(SAMPLES):
                 region = rng.randrange(REGIONS)
-                sketch.first_byte(f"r{region}", 1.0 + 4.0 * region + rng.expovariate(1.0))
-            took_ms, validated = _timed(partial(evidence.validate_rows, sketch.take(now)))
+                sketch.count_first_byte(f"r{region}", 1.0 + 4.0 * region + rng.expovariate(1.0))
+            took_ms, validated = _timed(partial(evidence.validate_rows, sketch.take_rows(now)))
             spent_ms += took_ms
             heard.append(
                 evidence.NodeReport(f"n{number}", "life", f"g{number % GROUPS}", validated.rows, now)
--- a/brassfall/lab/capacity/hollow.py
+++ b/brassfall/lab/capacity/hollow.py
@@ -134,14 +134,14 @@
     def __init__(self, loop: asyncio.AbstractEventLoop, config: Any) -> None:
         self._loop = loop
         self._config = config
-        self.busy: set[int] = set()  # no request names a class
+        self.classes_in_use: set[int] = set()  # no request names a class
         self.acted: dict[int, float] = {}  # revision to when it was first acted on
         self.listed: dict[int, float] = {}  # version of the list to when it was held
         self.reports = 0
         self.discovery = discovery_module.Discovery(loop, config, self)
         self.member = member_module.FleetMember(loop, self, {})
         agent = self.member.agent
-        agent.report_extensions.append(self.discovery.report)
+        agent.report_extensions.append(self.discovery.report_fields)
         agent.answer_listeners.append(self._answered)
         agent.refresh = self._observed(agent.refresh)
 
@@ -164,14 +164,14 @@
         """Note delays, as requests to each region would."""
         for region in REGIONS:
             for delay_ms in FED_MS:
-                self.member.delays.first_byte(region, delay_ms)
+                self.member.delays.count_first_byte(region, delay_ms)
 
     @property
     def acting(self) -> int | str:
         """The revision acted on now, or the word for the fallback configuration."""
         now = self._loop.time()
-        self.member.agent.at(now)
-        found: int | str = self.member.agent.lease_client.active(now).acting
+        self.member.agent.current_stamp(now)
+        found: int | str = self.member.agent.lease_client.active_configuration(now).acting
         return found
 
     @property
@@ -183,7 +183,7 @@
     def _observed(self, refresh: Callable[[float], None]) -> Callable[[float], None]:
         def observed(now: float) -> None:
             refresh(now)
-            acting = self.member.agent.lease_client.active(now).acting
+            acting = self.member.agent.lease_client.active_configuration(now).acting
             if isinstance(acting, int) and acting not in self.acted:
                 _keep(self.acted, acting, self._loop.time())
 
@@ -198,11 +198,11 @@
         """Take note of an endpoint list, or of changes."""
         now = self._loop.time()
         _keep(self.listed, update.version, now)
-        self.member.listed(now)
+        self.member.endpoints_changed(now)
 
     def discovery_failed(self) -> None:
         """Take note that a poll failed or has ended."""
-        self.member.listed(self._loop.time())
+        self.member.endpoints_changed(self._loop.time())
 
     # --- what a sidecar's control part asks of its process ------------------------------
 
@@ -211,15 +211,15 @@
         """The configuration in use."""
         return self._config
 
-    def adopt(self, config: Any) -> None:
+    def use_configuration(self, config: Any) -> None:
         """Take another configuration: checked as a sidecar checks it."""
-        self._config = reload_module.successor(self._config, config, self.busy).config
-        self.discovery.move(self._config.discovery, self._config.registry)
+        self._config = reload_module.successor(self._config, config, self.classes_in_use).config
+        self.discovery.change_address(self._config.discovery, self._config.registry)
 
     def steer(self, steer: Any) -> None:
         """Nothing is picked here."""
 
-    def listings(self) -> Iterable[Any]:
+    def endpoint_list(self) -> Iterable[Any]:
         """The servers on the list held."""
         listed: Iterable[Any] = self.discovery.endpoints()
         return listed
@@ -229,9 +229,9 @@
         """The version of the list held."""
         return int(self.discovery.version)
 
-    def ask_for_list(self) -> None:
+    def reopen_list_watch(self) -> None:
         """Open the watch on the list anew."""
-        self.discovery.reopen()
+        self.discovery.reopen_watch()
 
 
 def _keep(times: dict[int, float], number: int, now: float) -> None:
--- a/brassfall/lab/geo.py
+++ b/brassfall/lab/geo.py
@@ -78,7 +78,9 @@
 
 def _sketch() -> Callable[[str], delays.Sketch]:
     """The sidecar's own sketch. By name, as nothing of the lab is built on a sidecar's files."""
-    found: Callable[[str], delays.Sketch] = importlib.import_module("brassfall.sidecar.agent.delays").Delays
+    found: Callable[[str], delays.Sketch] = importlib.import_module(
+        "brassfall.sidecar.agent.delays"
+    ).DelaySketches
     return found
 
 
--- a/brassfall/lab/models/delays.py
+++ b/brassfall/lab/models/delays.py
@@ -29,13 +29,13 @@
 class Sketch(Protocol):
     """Where a sidecar collects what it measures."""
 
-    def handshake(self, region: str, ms: float, *, cold: bool) -> None:
+    def count_handshake(self, region: str, ms: float, *, cold: bool) -> None:
         """A connection was opened in `ms`; `cold` if the server has just started."""
 
-    def first_byte(self, region: str, ms: float, spent_ms: float, /) -> None:
+    def count_first_byte(self, region: str, ms: float, spent_ms: float, /) -> None:
         """An answer began after `ms`, of which the server says it spent `spent_ms`."""
 
-    def take(self, now_s: float) -> list[dict[str, object]]:
+    def take_rows(self, now_s: float) -> list[dict[str, object]]:
         """The rows of the next report."""
 
 
@@ -152,9 +152,9 @@
         }[kind]
     sketch = world.sketches[node]
     if rng.random() < terms.handshakes:
-        sketch.handshake(region, float(handshake_ms), cold=False)
+        sketch.count_handshake(region, float(handshake_ms), cold=False)
     reported_ms = float(spent_ms) if world.reports_work[region] else 0.0
-    sketch.first_byte(region, float(delay_ms + spent_ms), reported_ms)
+    sketch.count_first_byte(region, float(delay_ms + spent_ms), reported_ms)
 
 
 def reports(world: World, now_s: float) -> list[Report]:
@@ -162,7 +162,7 @@
     found = []
     for group, nodes in world.nodes.items():
         for node in nodes:
-            rows: list[Any] = list(world.sketches[node].take(now_s))
+            rows: list[Any] = list(world.sketches[node].take_rows(now_s))
             if rows:
                 found.append(Report(node, INCARNATION, group, rows))
     return found
--- a/brassfall/sidecar/agent/agent.py
+++ b/brassfall/sidecar/agent/agent.py
@@ -82,7 +82,7 @@
 
     # --- what to act on ---------------------------------------------------------------
 
-    def at(self, now: float) -> bytes:
+    def current_stamp(self, now: float) -> bytes:
         """Return the stamp of what is decided at this time, in seconds of the loop.
 
         It is called before each decision, and costs one comparison while the configuration holds.
@@ -93,8 +93,10 @@
 
     def refresh(self, now: float) -> None:
         """Act on what holds at this time, and determine until when it does."""
-        active = self.lease_client.active(now)
-        self.valid_until = math.inf if active.fallback else now + self.lease_client.left_ms(now) / 1000.0
+        active = self.lease_client.active_configuration(now)
+        self.valid_until = (
+            math.inf if active.fallback else now + self.lease_client.lease_left_ms(now) / 1000.0
+        )
         if self._acting != active.acting:
             if active.fallback:
                 log.info("configuration: acting on the fallback configuration")
@@ -121,11 +123,11 @@
     def state(self) -> str:
         """The state for operators, as one line of JSON."""
         now = self._loop.time()
-        self.at(now)
+        self.current_stamp(now)
         state: dict[str, Any] = {
             "held": self.lease_client.newest_revision,
-            "acting": self.lease_client.active(now).acting,
-            "permission_ms": round(self.lease_client.left_ms(now)),
+            "acting": self.lease_client.active_configuration(now).acting,
+            "permission_ms": round(self.lease_client.lease_left_ms(now)),
             "overrides": self.overrides,
             "at": "{}:{}".format(*self._sources.current),
             "failing": self._reporter.failure,
--- a/brassfall/sidecar/agent/deadlines.py
+++ b/brassfall/sidecar/agent/deadlines.py
@@ -91,7 +91,8 @@
         self._drift = drift
         self._bounds: dict[str, list[_Bounds]] = {}  # by id, the newest revision first
         self.changes = 0  # times received; while it stays, a phase changes at `next_end` alone
-        self.newest = 0  # the newest override revision received; the service sends the times of newer ones
+        # The newest override revision received; the service sends the times of newer ones.
+        self.newest_revision = 0
 
     def receive(
         self, asked_at_s: float, times: Mapping[str, Any], received_at_s: float | None = None
@@ -130,7 +131,7 @@
         known = self._bounds.get(key)
         if known is None and not self._has_room(now_s):
             return False
-        self.newest = max(self.newest, new.rev)
+        self.newest_revision = max(self.newest_revision, new.rev)
         if known is None or new.rev > known[0].rev:
             self._bounds[key] = [new, *(known or [])[: MAX_REVISIONS - 1]]
         elif new.rev == known[0].rev and not known[0].narrow(new):
--- a/brassfall/sidecar/agent/delays.py
+++ b/brassfall/sidecar/agent/delays.py
@@ -12,23 +12,23 @@
 from collections.abc import Iterator
 from math import inf, log
 
-WIDTH = 1.05  # ratio of a bucket's bounds: a time is known to 2.5% either way
-LEAST_MS, MOST_MS = 0.05, 60_000.0
-BUCKETS = 1 + int(log(MOST_MS / LEAST_MS) / log(WIDTH))
+BUCKET_RATIO = 1.05  # ratio of a bucket's bounds: a time is known to 2.5% either way
+MIN_DELAY_MS, MAX_DELAY_MS = 0.05, 60_000.0
+BUCKETS = 1 + int(log(MAX_DELAY_MS / MIN_DELAY_MS) / log(BUCKET_RATIO))
 MAX_REGIONS = 64
 FIRST_SPAN_S = 1.0  # of a window whose start is not known
 MAX_SPAN_MS = 3_600_000  # reported
 REPORT_BYTES = 400  # further rows wait for the next report, and go on counting
-EVERY_S = 2.5  # the least time between two rows of a region
+MIN_ROW_INTERVAL_S = 2.5  # the least time between two rows of a region
 # A sketch is reported as one point for each of these parts of its counts: fine where readers look.
 RANKS = (0.1, 0.25, 0.5, 1.0)
 
-_SCALE = 1.0 / log(WIDTH)
-_SHIFT = -log(LEAST_MS) * _SCALE
+_SCALE = 1.0 / log(BUCKET_RATIO)
+_SHIFT = -log(MIN_DELAY_MS) * _SCALE
 
 
 def bucket(ms: float) -> int:
-    """Return the bucket of a time between `LEAST_MS` and `MOST_MS`."""
+    """Return the bucket of a time between `MIN_DELAY_MS` and `MAX_DELAY_MS`."""
     return int(log(ms) * _SCALE + _SHIFT)
 
 
@@ -76,7 +76,7 @@
     return -inf if since is None else since
 
 
-class Delays:
+class DelaySketches:
     """One sidecar's sketches of its delays, by region. `group` is the client group that it belongs to."""
 
     def __init__(self, group: str) -> None:
@@ -85,27 +85,27 @@
         self._window = 0
         self._opened: float | None = None  # when the last report was made
 
-    def handshake(self, region: str, ms: float, *, cold: bool) -> None:
+    def count_handshake(self, region: str, ms: float, *, cold: bool) -> None:
         """Count the time in which a connection was opened.
 
         A `cold` server has just started: its time says nothing of the path, and is left out.
         """
-        if not cold and LEAST_MS <= ms < MOST_MS:
+        if not cold and MIN_DELAY_MS <= ms < MAX_DELAY_MS:
             sketches = self._regions.get(region) or self._begin(region)
             if sketches is not None:
                 k = int(log(ms) * _SCALE + _SHIFT)
                 sketches.handshakes[k] = sketches.handshakes.get(k, 0) + 1
 
-    def first_byte(self, region: str, ms: float, spent_ms: float = 0.0) -> None:
+    def count_first_byte(self, region: str, ms: float, spent_ms: float = 0.0) -> None:
         """Count the time to an answer's first byte, less the time that the server spent (0: not stated)."""
         ms -= spent_ms
-        if LEAST_MS <= ms < MOST_MS:  # False for NaN, and for a server that spent longer than it took
+        if MIN_DELAY_MS <= ms < MAX_DELAY_MS:  # False for NaN, and if the server spent longer than that
             sketches = self._regions.get(region) or self._begin(region)
             if sketches is not None:
                 k = int(log(ms) * _SCALE + _SHIFT)
                 sketches.first_bytes[k] = sketches.first_bytes.get(k, 0) + 1
 
-    def take(self, now_s: float) -> list[dict[str, object]]:
+    def take_rows(self, now_s: float) -> list[dict[str, object]]:
         """Return the rows of the next report, and start a new window for their regions.
 
         Regions that have waited longest come first, up to `REPORT_BYTES`; the others go on counting. No
@@ -125,7 +125,7 @@
         return rows
 
     def _rows(self, now_s: float) -> Iterator[tuple[str, dict[str, object]]]:
-        due = [item for item in self._regions.items() if now_s - _counting_since(item) >= EVERY_S]
+        due = [item for item in self._regions.items() if now_s - _counting_since(item) >= MIN_ROW_INTERVAL_S]
         for region, sketches in sorted(due, key=_counting_since):
             row: dict[str, object] = {"region": region, "window": self._window}
             span_s = FIRST_SPAN_S if sketches.since is None else now_s - sketches.since
--- a/brassfall/sidecar/agent/lease_client.py
+++ b/brassfall/sidecar/agent/lease_client.py
@@ -2,8 +2,8 @@
 
 A lease runs on this process's own monotonic clock, counted from when its report was *sent*: however long the
 answer took, the lease ends here before the service counts it as ended. Without a lease this sidecar acts on
-the fallback configuration. `LeaseClient.active` is called at each decision: a process that was stopped for
-ten seconds decides nothing on a lease that expired meanwhile.
+the fallback configuration. `LeaseClient.active_configuration` is called at each decision: a process that was
+stopped for ten seconds decides nothing on a lease that expired meanwhile.
 
 On the wire a revision is an `edition`, a lease a `permission`, and both the service's epoch and the id of
 this process a `life`. These names are mapped in this module.
@@ -237,7 +237,7 @@
     # --- reports -----------------------------------------------------------------------
 
     @property
-    def urgent(self) -> bool:
+    def has_urgent_report(self) -> bool:
         """True if the next report should not wait for its interval.
 
         It then has an acknowledgement or an objection that was not yet sent, or asks for a lease on a
@@ -247,7 +247,7 @@
         objects = self._prepared > self._granted and self._prepared in self._objections
         return unsent or objects or self._committed > self._granted
 
-    def report(self, now: float) -> dict[str, Any]:
+    def report_fields(self, now: float) -> dict[str, Any]:
         """Return the next report's part about revisions, in its form on the wire."""
         self._seq += 1
         part: dict[str, Any] = {
@@ -256,7 +256,7 @@
             "of": self._epoch,
             "held": max(self._revisions),
             "prepared": self._acknowledged,
-            "acting": self.active(now).acting,
+            "acting": self.active_configuration(now).acting,
         }
         if self._objections:
             number = self._prepared if self._prepared in self._objections else max(self._objections)
@@ -315,12 +315,12 @@
             if later > number and (later == answer.pending or row[1] > seq)
         }
 
-    def active(self, now: float) -> ActiveConfiguration:
+    def active_configuration(self, now: float) -> ActiveConfiguration:
         """Return what to act on at this time."""
         concurrent = tuple(revision for revision, _ in self._concurrent.values())
         return ActiveConfiguration(now >= self._lease_end, self._revisions[self._granted], concurrent)
 
-    def lacks(self, raw: Mapping[str, Any]) -> bool:
+    def lacks_revision(self, raw: Mapping[str, Any]) -> bool:
         """Return whether an answer names a revision that was not received."""
         return not {_number(raw, "edition"), _number(raw, "pending")} <= self._revisions.keys()
 
@@ -329,6 +329,6 @@
         """The number of the newest revision received."""
         return max(self._revisions)
 
-    def left_ms(self, now: float) -> float:
+    def lease_left_ms(self, now: float) -> float:
         """Return how long the lease still runs; 0 without one."""
         return max(0.0, (self._lease_end - now) * 1000.0)
--- a/brassfall/sidecar/agent/member.py
+++ b/brassfall/sidecar/agent/member.py
@@ -12,7 +12,7 @@
 from brassfall.sidecar import config, log, reload
 from brassfall.sidecar.agent import rules
 from brassfall.sidecar.agent.agent import Agent
-from brassfall.sidecar.agent.delays import Delays
+from brassfall.sidecar.agent.delays import DelaySketches
 from brassfall.sidecar.agent.lease_client import ActiveConfiguration, Revision
 from brassfall.sidecar.agent.lists import EndpointList
 from brassfall.sidecar.agent.steering import NEUTRAL, Inputs, Steering
@@ -25,27 +25,27 @@
     """The sidecar's process, as far as revisions change it."""
 
     @property
-    def busy(self) -> Collection[int]:
+    def classes_in_use(self) -> Collection[int]:
         """The slots of classes that requests or clients still use."""
 
     @property
     def running(self) -> Config:
         """The configuration in use."""
 
-    def adopt(self, found: Config) -> None:
+    def use_configuration(self, found: Config) -> None:
         """Use another configuration from now on; raise `ConfigError` if it can't replace the one in use."""
 
     def steer(self, steer: Steer) -> None:
         """Use another `Steer` from now on."""
 
-    def listings(self) -> EndpointList:
+    def endpoint_list(self) -> EndpointList:
         """Return the endpoint list."""
 
     @property
     def list_version(self) -> int:
         """The version of the endpoint list."""
 
-    def ask_for_list(self) -> None:
+    def reopen_list_watch(self) -> None:
         """Open the watch on the endpoint list anew: it has fallen behind."""
 
 
@@ -69,19 +69,19 @@
         self.agent = Agent(
             loop, file.name, file.agreement, file.registry, self._objection, self._act, file.seed
         )
-        self.steering = Steering(file.agreement, lambda: process.running.names, process.listings)
-        self.delays = Delays(file.agreement.group)
-        self.agent.report_extensions.append(self.steering.report)
+        self.steering = Steering(file.agreement, lambda: process.running.names, process.endpoint_list)
+        self.delays = DelaySketches(file.agreement.group)
+        self.agent.report_extensions.append(self.steering.report_fields)
         if file.agreement.group:
             self.agent.report_extensions.append(self._delay_report)
         self.agent.answer_listeners += [self.steering.receive_answer, self._receive_answer]
 
-    def stamp_at(self, loop: asyncio.AbstractEventLoop) -> Callable[[], bytes]:
+    def stamp_function(self, loop: asyncio.AbstractEventLoop) -> Callable[[], bytes]:
         """Return a function that returns the stamp of a decision or a send at the time of its call."""
         agent, clock = self.agent, loop.time
 
         def stamp() -> bytes:
-            # As `Agent.at`, with one call less: this runs some five times per request.
+            # As `Agent.current_stamp`, with one call less: this runs some five times per request.
             now = clock()
             if now >= agent.valid_until:
                 agent.refresh(now)
@@ -91,11 +91,11 @@
 
     # --- this process's own file ----------------------------------------------------------
 
-    def over(self, file: Config) -> Config:
+    def apply_overlay(self, file: Config) -> Config:
         """Return a file's configuration with the overlay in use; raise `ConfigError` if it doesn't fit."""
         return self._with_overlay(file, self._overlay)
 
-    def file_read(self, file: Config) -> None:
+    def use_file(self, file: Config) -> None:
         """Apply revisions to this file from now on.
 
         Classes may have other numbers by it, so the `Steer` is made anew.
@@ -104,7 +104,7 @@
         self._decided_for = None
         self.agent.refresh(self._now())
 
-    def listed(self, now: float) -> None:
+    def endpoints_changed(self, now: float) -> None:
         """Act on a change of the endpoint list: other servers may be excluded."""
         self.agent.refresh(now)
 
@@ -122,7 +122,7 @@
     # --- reports ----------------------------------------------------------------------------
 
     def _delay_report(self) -> dict[str, Any]:
-        rows = self.delays.take(self._now())
+        rows = self.delays.take_rows(self._now())
         return {"measures": {"delays": rows}} if rows else {}
 
     def _receive_answer(self, asked: float, received: float, answer: Mapping[str, Any]) -> None:
@@ -141,19 +141,19 @@
                 action="it is requested anew; if this repeats, look at the network to the list service",
             )
             self._ahead_since = math.inf
-            self._process.ask_for_list()
+            self._process.reopen_list_watch()
 
     # --- revisions --------------------------------------------------------------------------
 
     def _objection(self, revision: Revision) -> str:
         """Return why this program can't act on a revision, empty where it can."""
-        objection = rules.unsupported(revision) or self.steering.objection(revision)
+        objection = rules.unsupported_reason(revision) or self.steering.objection(revision)
         if objection:
             return objection
         try:
             overlay = rules.overlay_of(revision.settings)
             found = self._with_overlay(self._file, overlay)
-            reload.successor(self._process.running, found, self._process.busy)
+            reload.successor(self._process.running, found, self._process.classes_in_use)
         except ConfigError as error:
             return str(error)
         except Exception as error:  # noqa: BLE001 - any fault must be reported as an objection
@@ -167,7 +167,7 @@
         if inputs == self._decided_for and now < self._decided_until:
             return self._decided_until  # nothing has changed, as after most reports
         self._decided_for = None  # if anything below fails, it is tried again
-        applied = self._apply(rules.overlay_of(rules.effective(active)))
+        applied = self._apply(rules.overlay_of(rules.effective_settings(active)))
         found = self.steering.effective_rules(active, now)
         self.agent.overrides = [name for name, _ in found.acted]
         steer = self.steering.steer(active, found, now)
@@ -184,7 +184,7 @@
         if overlay == self._overlay:
             return True
         try:
-            self._process.adopt(self._with_overlay(self._file, overlay))
+            self._process.use_configuration(self._with_overlay(self._file, overlay))
         except ConfigError as error:
             log.warning(
                 "configuration: a revision does not fit this sidecar's file",
--- a/brassfall/sidecar/agent/overrides.py
+++ b/brassfall/sidecar/agent/overrides.py
@@ -33,7 +33,7 @@
 # --- what is known here -----------------------------------------------------------------------------
 
 
-class Names(NamedTuple):
+class KnownNames(NamedTuple):
     """The names that the endpoint list and the settings define."""
 
     regions: Set[str] = frozenset()
@@ -47,12 +47,12 @@
     """What decides, at one sidecar, how settings and overrides apply."""
 
     place: Place
-    names: Names
+    names: KnownNames
     sidecars: int = 1  # that share a cap
 
 
 @dataclass(frozen=True, slots=True)
-class Rules:
+class SteeringRules:
     """What settings, or settings and overrides, say of steering."""
 
     shares: Shares = field(default_factory=dict)
@@ -66,7 +66,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Effective(Rules):
+class Effective(SteeringRules):
     """The rules to act on now; caps are this sidecar's part."""
 
     frozen: bool = False
@@ -78,8 +78,8 @@
 # --- settings and overrides together ------------------------------------------------------------------
 
 
-def effective(
-    now_s: float, settings: Rules, layer: Sequence[Override], deadlines: Deadlines, view: LocalView
+def effective_rules(
+    now_s: float, settings: SteeringRules, layer: Sequence[Override], deadlines: Deadlines, view: LocalView
 ) -> Effective:
     """Return the rules to act on now.
 
@@ -143,7 +143,7 @@
 # --- names that are not known here ---------------------------------------------------------------------
 
 
-def _unknown_needs(override: Override, names: Names) -> list[str]:
+def _unknown_needs(override: Override, names: KnownNames) -> list[str]:
     """Return the unknown names without which an override has no meaning here."""
     unknown: list[str] = []
     if override.request_class is not None and override.request_class not in names.classes:
@@ -158,7 +158,7 @@
     return unknown
 
 
-def _unknown_regions(override: Override, names: Names) -> list[str]:
+def _unknown_regions(override: Override, names: KnownNames) -> list[str]:
     """Return the unknown regions of a shift, which still applies to the others."""
     if not isinstance(override.action, Shift):
         return []
@@ -166,7 +166,7 @@
     return [f"{override.id}: region {name}" for name in sorted(shares) if name not in names.regions]
 
 
-def _names_of(scope: HoldScope, names: Names) -> Set[str]:
+def _names_of(scope: HoldScope, names: KnownNames) -> Set[str]:
     if scope is HoldScope.REGION:
         return names.regions
     return names.groups if scope is HoldScope.GROUP else names.servers
@@ -176,7 +176,7 @@
 
 
 def _exclusions(
-    settings: Rules, overrides: Sequence[Override], names: Names
+    settings: SteeringRules, overrides: Sequence[Override], names: KnownNames
 ) -> tuple[dict[HoldScope, frozenset[str]], list[str]]:
     """Return what is excluded by scope, and a note for each hold that is not acted on."""
     excluded: dict[HoldScope, frozenset[str]] = {}
@@ -233,7 +233,7 @@
     return pins
 
 
-def _undisputed_pins(settings: Rules, selected: _Selection) -> dict[str, str]:
+def _undisputed_pins(settings: SteeringRules, selected: _Selection) -> dict[str, str]:
     """Return the pins to act on.
 
     Near its end a pin may still be acted on by another sidecar: a tenant that this one would then serve
@@ -287,7 +287,7 @@
     ]
 
 
-def _class_shares(settings: Rules, shifts: _Shifts, regions: _Regions) -> dict[str, Shares]:
+def _class_shares(settings: SteeringRules, shifts: _Shifts, regions: _Regions) -> dict[str, Shares]:
     """Return the shares of each class that has its own."""
     shifted = {selector.request_class for selector, _ in shifts if selector.request_class}
     found = {
@@ -297,7 +297,7 @@
     return {name: shares for name, shares in found.items() if shares}
 
 
-def _tenant_shares(settings: Rules, shifts: _Shifts, regions: _Regions) -> dict[str, Shares]:
+def _tenant_shares(settings: SteeringRules, shifts: _Shifts, regions: _Regions) -> dict[str, Shares]:
     """Return the shares of each tenant that has its own."""
     shifted = {selector.tenant for selector, _ in shifts if selector.tenant}
     found = {
--- a/brassfall/sidecar/agent/reporter.py
+++ b/brassfall/sidecar/agent/reporter.py
@@ -46,7 +46,7 @@
 
     lease_client: LeaseClient
 
-    def at(self, now: float) -> bytes:
+    def current_stamp(self, now: float) -> bytes:
         """Act on what holds at this time."""
 
     def refresh(self, now: float) -> None:
@@ -98,7 +98,7 @@
 
     async def deregister(self) -> None:
         """Send a last report: this process acts on nothing any more. Close the connection."""
-        body = self._configuration.lease_client.report(self._loop.time()) | {"leaving": True}
+        body = self._configuration.lease_client.report_fields(self._loop.time()) | {"leaving": True}
         try:
             await self._caller.call(self._sources.current, "POST", self._path, DEREGISTER_S, body)
         except CallError as error:
@@ -111,7 +111,7 @@
 
     def wake_if_urgent(self) -> None:
         """Send the next report early if it is urgent."""
-        if self._configuration.lease_client.urgent:
+        if self._configuration.lease_client.has_urgent_report:
             self._urgent.set()
 
     # --- waits --------------------------------------------------------------------------
@@ -123,7 +123,7 @@
         gives this sidecar its own place in time. Without a lease the waits grow while all addresses fail, as
         the whole fleet may be asking.
         """
-        left_s = self._configuration.lease_client.left_ms(self._loop.time()) / 1000.0
+        left_s = self._configuration.lease_client.lease_left_ms(self._loop.time()) / 1000.0
         longest_wait_s = (left_s - CALL_S) / (1.0 + RETRY_SPREAD) if left_s else math.inf
         before = self._sources.current
         wait = self._sources.failed(error.retry_after, longest_wait_s)
@@ -138,7 +138,7 @@
         sidecar acts on the decision with its report after that. They are spread over a time that the service
         names and that grows with the fleet.
         """
-        if not self._configuration.lease_client.urgent:
+        if not self._configuration.lease_client.has_urgent_report:
             self._urgent.clear()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(wait):
@@ -158,7 +158,7 @@
     async def _report(self) -> None:
         """Send one report and apply its answer; raise `CallError` if there is none that counts."""
         configuration = self._configuration
-        configuration.at(self._loop.time())
+        configuration.current_stamp(self._loop.time())
         body = self._body()
         whole = not self._caller.is_connected_to(self._sources.current)
         sent = body if whole else report_delta(body, self._last_report)
@@ -174,12 +174,12 @@
             listener(asked, self._loop.time(), answer)
         self._note_address(answer)
         self._note_pace(answer)
-        if answer.get("news") and configuration.lease_client.lacks(answer):
+        if answer.get("news") and configuration.lease_client.lacks_revision(answer):
             await self._fetch_revisions()
         configuration.refresh(self._loop.time())
 
     def _body(self) -> dict[str, Any]:
-        body = self._configuration.lease_client.report(self._loop.time())
+        body = self._configuration.lease_client.report_fields(self._loop.time())
         body |= {"group": self._agreement.group, "region": self._agreement.region}
         for extension in self.extensions:
             body |= extension()
--- a/brassfall/sidecar/agent/rules.py
+++ b/brassfall/sidecar/agent/rules.py
@@ -13,7 +13,7 @@
 from typing import Any, NamedTuple
 
 from brassfall.sidecar.agent.lease_client import ActiveConfiguration, Revision
-from brassfall.sidecar.agent.overrides import NO_REGION, Rules, common_pins
+from brassfall.sidecar.agent.overrides import NO_REGION, SteeringRules, common_pins
 
 EXCLUSIVE = frozenset(("regions", "tenants", "affinity"))
 ADDITIVE = frozenset(("caps",))
@@ -30,7 +30,7 @@
     tenant_pins: Mapping[str, str]
 
 
-def unsupported(revision: Revision) -> str:
+def unsupported_reason(revision: Revision) -> str:
     """Return why this version of the program can't act on a revision, empty where it can."""
     if revision.unreadable:
         return f"{revision.unreadable}: this version of the program does not support this form"
@@ -38,9 +38,9 @@
     return f"{unknown[0]}: this version of the program does not support this key" if unknown else ""
 
 
-def base_rules(settings: Mapping[str, Any], group: str) -> Rules:
+def base_rules(settings: Mapping[str, Any], group: str) -> SteeringRules:
     """Return what settings say of steering at a sidecar of this group, before any override."""
-    return Rules(
+    return SteeringRules(
         shares=settings.get("shares", {}).get(group, {}),
         tenant_pins=settings.get("tenants", {}),
         excluded_regions=_excluded_regions(settings),
@@ -54,7 +54,7 @@
     return FallbackRules(_excluded_regions(floor), floor.get("tenants", {}))
 
 
-def effective(active: ActiveConfiguration) -> dict[str, Any]:
+def effective_settings(active: ActiveConfiguration) -> dict[str, Any]:
     """Return the settings to act on, without overrides."""
     settings = dict(active.revision.settings)
     concurrent = [revision.settings for revision in active.concurrent]
--- a/brassfall/sidecar/agent/steering.py
+++ b/brassfall/sidecar/agent/steering.py
@@ -40,11 +40,11 @@
     """The overrides' deadlines, and the `Steer` that follows from them and the active configuration."""
 
     def __init__(
-        self, agreement: Agreement, names: Callable[[], Names], listings: Callable[[], EndpointList]
+        self, agreement: Agreement, names: Callable[[], Names], endpoint_list: Callable[[], EndpointList]
     ) -> None:
         self._place = Place(agreement.group, agreement.region)
         self._names = names
-        self._listings = listings
+        self._endpoint_list = endpoint_list
         self._deadlines = Deadlines()
         self._sidecars = 1
         self._details_wanted = False  # the service asks which overrides are acted on
@@ -57,12 +57,12 @@
 
     # --- reports ------------------------------------------------------------------------
 
-    def report(self) -> dict[str, Any]:
+    def report_fields(self) -> dict[str, Any]:
         """Return the part of a report that is about overrides."""
         part: dict[str, Any] = {
             "overrides": [name for name, _ in self._acted],
             "digest": digest(self._acted),
-            "told": self._deadlines.newest,
+            "told": self._deadlines.newest_revision,
         }
         if self._refresh_times:
             part["retell"] = True
@@ -88,7 +88,7 @@
         """Return what the rules and the `Steer` depend on; they change only with it, or at `next_end`."""
         return Inputs(
             names=self._names(),
-            list_changes=self._listings().changes,
+            list_changes=self._endpoint_list().changes,
             deadline_changes=self._deadlines.changes,
             sidecars=self._sidecars,
             plan_weight=self._plan_weight(revision, now),
@@ -123,7 +123,7 @@
     def _revision_rules(self, revision: Revision, now: float) -> Effective:
         settings = rules.base_rules(_with_planned_shares(revision), self._place.group)
         layer = self._layer(revision).overrides
-        return overrides.effective(now, settings, layer, self._deadlines, self._view())
+        return overrides.effective_rules(now, settings, layer, self._deadlines, self._view())
 
     def _layer(self, revision: Revision) -> Layer:
         layer = self._layers.get(revision.number)
@@ -134,8 +134,8 @@
         return layer
 
     def _view(self) -> LocalView:
-        names, listed = self._names(), self._listings()
-        known = overrides.Names(
+        names, listed = self._names(), self._endpoint_list()
+        known = overrides.KnownNames(
             regions=frozenset(names.zones),
             groups=listed.groups,
             servers=listed.servers,
@@ -145,7 +145,7 @@
         return LocalView(self._place, known, self._sidecars)
 
     def _regions_with_servers(self) -> frozenset[str]:
-        served = self._listings().served_zones
+        served = self._endpoint_list().served_zones
         return frozenset(name for name, zone in self._names().zones.items() if zone in served)
 
     # --- the balancer's form -------------------------------------------------------------------
@@ -188,7 +188,7 @@
             tenant_shares=tenant_shares | {tenant: {zone: 1.0} for tenant, zone in pins.items() if zone >= 0},
             excluded_zones=frozenset(zones[name] for name in found.excluded_regions if name in zones),
             excluded_servers=frozenset(
-                self._listings().in_groups(found.excluded_groups) | found.excluded_servers
+                self._endpoint_list().in_groups(found.excluded_groups) | found.excluded_servers
             ),
             caps={classes[name].slot: rate for name, rate in found.caps.items() if name in classes},
             pins=pins,
--- a/brassfall/sidecar/core/driver.py
+++ b/brassfall/sidecar/core/driver.py
@@ -196,7 +196,9 @@
     def endpoints_listed(self, form: model.ListForm, update: ServerList) -> None:
         """Take an endpoint list: complete, or the entries that changed."""
         now = self._clock.now()
-        update = self._start_times.bounded(now, self._clock.from_loop(update.fresh_at), update)
+        update = self._start_times.with_bounded_starts(
+            now, self._clock.from_loop(update.previous_list_fresh_at), update
+        )
         self._upstreams.update(now, update, complete=form is not model.ListForm.CHANGES)
         self.notify(events.EndpointsListed(form, update.entries))
 
--- a/brassfall/sidecar/discovery/discovery.py
+++ b/brassfall/sidecar/discovery/discovery.py
@@ -65,7 +65,7 @@
         host, port = self._route.current
         return f"version={self.version} age_ms={age_text} servers={self._current.size} at={host}:{port}"
 
-    def report(self) -> dict[str, float]:
+    def report_fields(self) -> dict[str, float]:
         """Return the version of the current list, and an upper bound on its age in ms if there is one."""
         age = self._current.age_at(self._loop.time())
         if age is None or not math.isfinite(age):
@@ -77,16 +77,16 @@
         """Return the entries of the current list; None outside of a fleet."""
         return self._current.endpoints
 
-    async def first_answer(self, limit: float) -> None:
+    async def wait_for_first_list(self, limit: float) -> None:
         """Wait until discovery has sent a list, at most `limit` seconds."""
         await self._notifier.wait_for_first_list(limit)
 
-    async def first_call(self, limit: float) -> None:
+    async def wait_for_first_call(self, limit: float) -> None:
         """Wait for the first call, where lists are pushed, at most `limit` seconds."""
         await self._strategy.wait_for_first_call(limit)
 
     def skip_first_call(self) -> None:
-        """Let `first_call` return at once."""
+        """Let `wait_for_first_call` return at once."""
         self._notifier.call_ended()
 
     def watch(self, *, on: bool) -> None:
@@ -97,19 +97,19 @@
         """Call for the complete list once."""
         self._list_calls.start()
 
-    def move(self, address: Address, addresses: tuple[Address, ...] = ()) -> None:
+    def change_address(self, address: Address, addresses: tuple[Address, ...] = ()) -> None:
         """Call elsewhere from now on: at `address`, or in a fleet at one of `addresses`.
 
         Changes are requested from the current version on.
         """
-        if self._route.move(address, addresses):
-            self._list_calls.move()
-            self._strategy.move()
+        if self._route.change_address(address, addresses):
+            self._list_calls.change_address()
+            self._strategy.change_address()
 
-    def reopen(self) -> None:
+    def reopen_watch(self) -> None:
         """Get what the watch, which has fallen behind, has missed; elsewhere if there is another address."""
         self._route.failed(0.0)
-        self._strategy.reopen()
+        self._strategy.reopen_watch()
 
     def close(self) -> None:
         """Cancel all calls."""
--- a/brassfall/sidecar/discovery/endpoint_list.py
+++ b/brassfall/sidecar/discovery/endpoint_list.py
@@ -35,7 +35,7 @@
     addresses: dict[str, Address]
     # When the list before this one was last known to be the newest, in seconds of the loop: what this one
     # adds was not there then. -inf where discovery has sent none before.
-    fresh_at: float = -math.inf
+    previous_list_fresh_at: float = -math.inf
 
 
 def parse_list(raw: object, names: Names, invalid: dict[str, str] | None = None) -> ServerList:
--- a/brassfall/sidecar/discovery/interfaces.py
+++ b/brassfall/sidecar/discovery/interfaces.py
@@ -42,7 +42,7 @@
     def current(self) -> Address:
         """The address of the next call."""
 
-    def move(self, address: Address, addresses: tuple[Address, ...]) -> bool:
+    def change_address(self, address: Address, addresses: tuple[Address, ...]) -> bool:
         """Call elsewhere from now on; return False if nothing differs."""
 
     def worked(self) -> None:
@@ -73,10 +73,10 @@
     def watch(self, *, on: bool) -> None:
         """Watch from now on, or stop, as the balancer decides."""
 
-    def move(self) -> None:
+    def change_address(self) -> None:
         """Give up the watch at the old address, and open one at the new address at once."""
 
-    def reopen(self) -> None:
+    def reopen_watch(self) -> None:
         """Get what the watch, which has fallen behind, has missed."""
 
     async def wait_for_first_call(self, limit: float) -> None:
--- a/brassfall/sidecar/discovery/list_call.py
+++ b/brassfall/sidecar/discovery/list_call.py
@@ -44,7 +44,7 @@
         self._calls.add(task)
         task.add_done_callback(self._calls.discard)
 
-    def move(self) -> None:
+    def change_address(self) -> None:
         """Make the calls under way again, as one at the new address; late answers of the old are not read."""
         if self._calls:
             self.close()
--- a/brassfall/sidecar/discovery/notifier.py
+++ b/brassfall/sidecar/discovery/notifier.py
@@ -61,7 +61,7 @@
         """
         watch, now = self._open_watch, self._loop.time()
         live = on_watch and watch is not None and watch.updated
-        update = replace(update, fresh_at=now if live else self._last_fresh())
+        update = replace(update, previous_list_fresh_at=now if live else self._last_fresh())
         self._fresh_at = now
         self._route.worked()
         self._current.take(update)
--- a/brassfall/sidecar/discovery/polled_watch.py
+++ b/brassfall/sidecar/discovery/polled_watch.py
@@ -47,7 +47,7 @@
         elif self._task is None:
             self._task = self._loop.create_task(self._poll())
 
-    def move(self) -> None:
+    def change_address(self) -> None:
         """Watch at the new address at once, also where no watch is open.
 
         The list counts as notified some seconds after the move, and the balancer may wait for longer before
@@ -56,7 +56,7 @@
         self.close()
         self._task = self._loop.create_task(self._poll(self._loop.time() + MOVED_S))
 
-    def reopen(self) -> None:
+    def reopen_watch(self) -> None:
         """Call for the complete list."""
         self._list_calls.start()
 
--- a/brassfall/sidecar/discovery/pushed_watch.py
+++ b/brassfall/sidecar/discovery/pushed_watch.py
@@ -29,11 +29,11 @@
     def watch(self, *, on: bool) -> None:
         """Ignore what the balancer asks for: the watch is kept up anyway."""
 
-    def move(self) -> None:
+    def change_address(self) -> None:
         """Watch at the new address from now on."""
         self._restart()
 
-    def reopen(self) -> None:
+    def reopen_watch(self) -> None:
         """Open the watch anew, which begins with what it has missed."""
         self._restart()
 
--- a/brassfall/sidecar/discovery/single_address.py
+++ b/brassfall/sidecar/discovery/single_address.py
@@ -24,7 +24,7 @@
         """The address of the next call."""
         return self._address
 
-    def move(self, address: Address, addresses: tuple[Address, ...]) -> bool:  # noqa: ARG002 - of the interface
+    def change_address(self, address: Address, addresses: tuple[Address, ...]) -> bool:  # noqa: ARG002 - of the interface
         """Call at `address` from now on; return False if it is the same."""
         moved = address != self._address
         self._address = address
--- a/brassfall/sidecar/discovery/sources.py
+++ b/brassfall/sidecar/discovery/sources.py
@@ -91,7 +91,7 @@
         """The address of the next call."""
         return self._sources.current
 
-    def move(self, address: Address, addresses: tuple[Address, ...]) -> bool:  # noqa: ARG002 - of the interface
+    def change_address(self, address: Address, addresses: tuple[Address, ...]) -> bool:  # noqa: ARG002 - of the interface
         """Call at one of `addresses` from now on; return False if they are the same."""
         if addresses == self._addresses:
             return False
--- a/brassfall/sidecar/discovery/start_times.py
+++ b/brassfall/sidecar/discovery/start_times.py
@@ -42,7 +42,7 @@
         """Return how many servers have a start that is remembered."""
         return len(self._starts)
 
-    def bounded(self, now: float, fresh_at: float, update: ServerList) -> ServerList:
+    def with_bounded_starts(self, now: float, fresh_at: float, update: ServerList) -> ServerList:
         """Return the update with bounded starts, in ms of the driver's clock like `now` and `fresh_at`.
 
         `fresh_at` is when the list before this one was last known to be the newest: `now` on an open watch,
--- a/brassfall/sidecar/lifecycle/sidecar.py
+++ b/brassfall/sidecar/lifecycle/sidecar.py
@@ -67,10 +67,10 @@
         from brassfall.sidecar.agent.member import FleetMember
 
         member = FleetMember(self._loop, self, os.environ)
-        member.agent.report_extensions.append(self.discovery.report)
+        member.agent.report_extensions.append(self.discovery.report_fields)
         if self._running.agreement is not None and self._running.agreement.group:
             self.pool.delays = member.delays
-        self.driver.revision_stamp = self.pool.stamp = member.stamp_at(self._loop)
+        self.driver.revision_stamp = self.pool.stamp = member.stamp_function(self._loop)
         self.admin.add_command("RULES", lambda: member.agent.state, json=True)
         return member
 
@@ -80,13 +80,13 @@
         """Take in an endpoint list, or the changes of one."""
         self.driver.endpoints_listed(form, update)
         if self.member is not None:
-            self.member.listed(self._loop.time())
+            self.member.endpoints_changed(self._loop.time())
 
     def discovery_failed(self) -> None:
         """Take note that a poll failed or was rejected, or that its watch has ended."""
         self.driver.discovery_failed()
         if self.member is not None:
-            self.member.listed(self._loop.time())
+            self.member.endpoints_changed(self._loop.time())
 
     # --- called by the membership (agent.member.Process) --------------------------
 
@@ -94,7 +94,7 @@
         """Select servers by this steering plan from now on."""
         self.driver.steer(steer)
 
-    def listings(self) -> EndpointList:
+    def endpoint_list(self) -> EndpointList:
         """Return the endpoint list; there is one wherever this process is a member of a fleet."""
         endpoints = self.discovery.endpoints()
         assert endpoints is not None
@@ -105,9 +105,9 @@
         """The version of the endpoint list."""
         return self.discovery.version
 
-    def ask_for_list(self) -> None:
+    def reopen_list_watch(self) -> None:
         """Ask for the endpoint list anew: what tells of changes has fallen behind."""
-        self.discovery.reopen()
+        self.discovery.reopen_watch()
 
     @property
     def running(self) -> Config:
@@ -115,13 +115,13 @@
         return self._running
 
     @property
-    def busy(self) -> set[int]:
+    def classes_in_use(self) -> set[int]:
         """The slots of classes that requests in flight or clients may still name."""
         return self.driver.request_classes | self.inbound.request_classes
 
-    def adopt(self, configuration: Config) -> None:
+    def use_configuration(self, configuration: Config) -> None:
         """Use another configuration from now on; raises `ConfigError` if it can't replace the present one."""
-        successor = reload.successor(self._running, configuration, self.busy)
+        successor = reload.successor(self._running, configuration, self.classes_in_use)
         for name in successor.pending_restart:
             log.warning(
                 "reload: a setting keeps its value", key=name, action="restart the process to change it"
@@ -130,7 +130,7 @@
         self.driver.reload(self._running, successor.same_classes)
         self.pool.reload(self._running)
         self.inbound.reload(self._running.names, longest_ms)
-        self.discovery.move(self._running.discovery, self._running.registry)
+        self.discovery.change_address(self._running.discovery, self._running.registry)
 
     # --- startup, reload and shutdown -----------------------------------------------
 
@@ -149,9 +149,11 @@
         if self._share_machine():
             log.info("another process of this sidecar is running, waiting for the endpoint list")
             # The other process detects this one at its next check, and reduces its limits then.
-            await asyncio.gather(self.discovery.first_answer(FIRST_LIST_S), asyncio.sleep(HANDOVER_POLL_S))
+            await asyncio.gather(
+                self.discovery.wait_for_first_list(FIRST_LIST_S), asyncio.sleep(HANDOVER_POLL_S)
+            )
         else:
-            await self.discovery.first_call(FIRST_CALL_S)
+            await self.discovery.wait_for_first_call(FIRST_CALL_S)
         address = await retry_while_exhausted(self._listen_to_clients)
         self.lifecycle.serve()
         if self._reload_due:
@@ -189,14 +191,14 @@
             return
         try:
             file = config.load({**environment, "NODE_DISCOVERY": ""})
-            self.adopt(file if self.member is None else self.member.over(file))
+            self.use_configuration(file if self.member is None else self.member.apply_overlay(file))
         except ConfigError as error:
             log.warning(
                 "reload: nothing is changed", reason=error, action="fix the file and send SIGHUP again"
             )
             return
         if self.member is not None:
-            self.member.file_read(file)
+            self.member.use_file(file)
         log.info("reload: done", classes=", ".join(self._running.names.classes))
 
     def _longest_deadline_ms(self) -> float:
--- a/brassfall/sidecar/servers/pool.py
+++ b/brassfall/sidecar/servers/pool.py
@@ -181,7 +181,7 @@
         server = connection.server
         if self.delays is not None:
             cold = self._clock.now() - server.started < self._warm_up
-            self.delays.handshake(server.region, took_s * 1000.0, cold=cold)
+            self.delays.count_handshake(server.region, took_s * 1000.0, cold=cold)
         if not connection.usable():
             # A full server may accept a connection and close it at once: nothing is written there.
             connection.abort()
--- a/brassfall/sidecar/servers/server_connection.py
+++ b/brassfall/sidecar/servers/server_connection.py
@@ -49,10 +49,10 @@
 class DelayObserver(Protocol):
     """Takes the delays to regions that ordinary traffic shows, in milliseconds."""
 
-    def handshake(self, region: str, ms: float, *, cold: bool) -> None:
+    def count_handshake(self, region: str, ms: float, *, cold: bool) -> None:
         """Take the time to open a connection; `cold` if the server is in slow start."""
 
-    def first_byte(self, region: str, ms: float, spent_ms: float = 0.0) -> None:
+    def count_first_byte(self, region: str, ms: float, spent_ms: float = 0.0) -> None:
         """Take the time from a written request to the first byte of its answer."""
 
 
@@ -227,7 +227,7 @@
         self._last_read = self._pool.loop.time()
         if self.sent_at and self._pool.delays is not None:
             spent = (self._last_read - self.sent_at) * 1000.0
-            self._pool.delays.first_byte(self.server.region, spent)
+            self._pool.delays.count_first_byte(self.server.region, spent)
             self.sent_at = 0.0
         if self._parser.complete:
             self._finish(reusable=self._parser.keep_alive and not self._parser.extra and self.written)
--- a/tests/controlplane/test_geo.py
+++ b/tests/controlplane/test_geo.py
@@ -24,7 +24,7 @@
 
 
 def test_buckets_are_the_same_on_both_sides():
-    assert (delays.WIDTH, delays.LEAST_MS, delays.BUCKETS) == (
+    assert (delays.BUCKET_RATIO, delays.MIN_DELAY_MS, delays.BUCKETS) == (
         evidence.BUCKET_WIDTH,
         evidence.MIN_DELAY_MS,
         evidence.BUCKETS,
@@ -34,35 +34,35 @@
 
 
 def test_a_sketch_leaves_out_what_says_nothing_of_the_network():
-    sketch = delays.Delays("west-1")
-    sketch.handshake("a", 300.0, cold=True)
+    sketch = delays.DelaySketches("west-1")
+    sketch.count_handshake("a", 300.0, cold=True)
     for ms, spent in ((math.nan, 0.0), (5.0, 9.0), (1e9, 0.0), (math.inf, 0.0), (5.0, math.nan)):
-        sketch.first_byte("a", ms, spent)
-    assert sketch.take(1.0) == []
-    sketch.first_byte("a", 30.0, 10.0)
-    (row,) = sketch.take(1.0 + delays.EVERY_S)
+        sketch.count_first_byte("a", ms, spent)
+    assert sketch.take_rows(1.0) == []
+    sketch.count_first_byte("a", 30.0, 10.0)
+    (row,) = sketch.take_rows(1.0 + delays.MIN_ROW_INTERVAL_S)
     assert not evidence.validate_rows([row]).rejected
     assert row == {
         "region": "a",
         "window": 2,
-        "span_ms": round(delays.EVERY_S * 1000.0),
+        "span_ms": round(delays.MIN_ROW_INTERVAL_S * 1000.0),
         "first": {str(delays.bucket(20.0)): 1},
     }
 
 
 def test_the_first_window_of_a_process_on_any_clock_is_good():
-    sketch = delays.Delays("west-1")
-    sketch.first_byte("a", 30.0, 10.0)
-    assert not evidence.validate_rows(sketch.take(9e9)).rejected
+    sketch = delays.DelaySketches("west-1")
+    sketch.count_first_byte("a", 30.0, 10.0)
+    assert not evidence.validate_rows(sketch.take_rows(9e9)).rejected
 
 
 def test_reports_are_small_and_what_waits_is_reported_later():
-    sketch = delays.Delays("west-1")
+    sketch = delays.DelaySketches("west-1")
     reported: set[str] = set()
     for turn in range(6):
         for region, k in itertools.product("abcdefghijkl", range(40)):
-            sketch.first_byte(region, 5.0 * 1.1**k, 0.0)
-        rows = sketch.take((turn + 1.0) * delays.EVERY_S)
+            sketch.count_first_byte(region, 5.0 * 1.1**k, 0.0)
+        rows = sketch.take_rows((turn + 1.0) * delays.MIN_ROW_INTERVAL_S)
         assert len(json.dumps(rows, separators=(",", ":"))) <= delays.REPORT_BYTES
         assert not evidence.validate_rows(rows).rejected
         reported |= {str(row["region"]) for row in rows}
@@ -185,7 +185,7 @@
 
 
 def sampled(seed, **terms):
-    return worlds.sample_world(seed, replace(SMALL, **terms), delays.Delays)
+    return worlds.sample_world(seed, replace(SMALL, **terms), delays.DelaySketches)
 
 
 def errors(world, pairs, measured):
@@ -197,7 +197,7 @@
 @pytest.mark.parametrize("seed", [3])
 def test_delays_are_found_though_a_third_of_the_nodes_report_nonsense(seed):
     world = worlds.sample_world(
-        seed, worlds.WorldTerms(), delays.Delays
+        seed, worlds.WorldTerms(), delays.DelaySketches
     )  # a third of the pairs and of the nodes
     pairs = model.estimate(
         observed(world, world.measured, 0, 12, evidence.State()), 12.0, world.groups, world.regions
@@ -255,10 +255,10 @@
     world.nodes[names[0]] = world.nodes[names[0]][:1]
     others = [pair for pair in world.measured if pair[0] != names[0]]
     state = observed(world, others, 0, 4, evidence.State())
-    sketch = delays.Delays(names[0])
+    sketch = delays.DelaySketches(names[0])
     for number in range(10):
-        sketch.first_byte(names[1], world.true_ms[names] * (1.0 + 0.02 * number), 0.0)
-        state = evidence.merge(state, "lone", "1", names[0], sketch.take(6.0 * number), 6.0 * number)
+        sketch.count_first_byte(names[1], world.true_ms[names] * (1.0 + 0.02 * number), 0.0)
+        state = evidence.merge(state, "lone", "1", names[0], sketch.take_rows(6.0 * number), 6.0 * number)
     pair = pair_of(model.estimate(state, 60.0), names)
     assert pair.nodes == 1
     assert pair.low_ms <= world.true_ms[names] <= pair.high_ms * 1.02
--- a/tests/controlplane/test_revisions_service.py
+++ b/tests/controlplane/test_revisions_service.py
@@ -13,7 +13,7 @@
 import pytest
 
 from brassfall.controlplane.registry import client
-from brassfall.sidecar.agent.delays import EVERY_S, Delays
+from brassfall.sidecar.agent.delays import MIN_ROW_INTERVAL_S, DelaySketches
 from tests.controlplane.test_registry_service import ENTRY, call
 from tests.support.loopback import bounded, until
 from tests.support.processes import Service
@@ -320,14 +320,14 @@
 async def test_pairs_are_listed_after_reports_with_sketches(service, ask):
     for name, zone in (("s1", "a"), ("s2", "b")):
         await ask("PUT", f"/registry/instances/{name}", {**ENTRY, "zone": zone, "ttl_ms": 0})
-    edge = Delays("west")
+    edge = DelaySketches("west")
     for _ in range(200):
-        edge.handshake("a", 20.0, cold=False)
-        edge.first_byte("a", 20.5)
+        edge.count_handshake("a", 20.0, cold=False)
+        edge.count_first_byte("a", 20.5)
     status, _, _ = await ask(
         "POST",
         "/edges/n0",
-        {"life": "p", "seq": 1, "group": "west", "measures": {"delays": edge.take(EVERY_S)}},
+        {"life": "p", "seq": 1, "group": "west", "measures": {"delays": edge.take_rows(MIN_ROW_INTERVAL_S)}},
     )
     _, answer, _ = await ask("GET", "/geo")
     pairs = {(row["group"], row["region"]): row for row in answer["pairs"]}
--- a/tests/controlplane/test_wire_forms.py
+++ b/tests/controlplane/test_wire_forms.py
@@ -131,12 +131,12 @@
 @each(*ANSWER_KINDS)
 def test_answers_are_heeded_by_a_sidecar(message):
     client = LeaseClient("p", lambda revision: "")
-    seq = client.report(0.0)["seq"]
+    seq = client.report_fields(0.0)["seq"]
     for number in (message["edition"], message.get("pending", 0)):
         client.receive_update({"edition": number, "state": "committed", "life": 1})
     assert client.receive_answer(0.0, seq, {"life": 1, **message})
-    assert client.left_ms(0.0) == pytest.approx(message["permission_ms"])
-    assert client.active(0.0).fallback == (message["permission_ms"] == 0.0)
+    assert client.lease_left_ms(0.0) == pytest.approx(message["permission_ms"])
+    assert client.active_configuration(0.0).fallback == (message["permission_ms"] == 0.0)
 
 
 @each(*RULES_KINDS)
@@ -144,7 +144,9 @@
     client = LeaseClient("p", lambda revision: "")
     client.receive_update(message)
     assert client.newest_revision == message["edition"]
-    assert client.report(0.0)["prepared"] == (message["edition"] if message["state"] == "prepared" else 0)
+    assert client.report_fields(0.0)["prepared"] == (
+        message["edition"] if message["state"] == "prepared" else 0
+    )
     line = json.dumps(message).encode()
     received = read_state(line)
     beside = message.get("committed", {"edition": 0})["edition"]
--- a/tests/lab/test_capacity.py
+++ b/tests/lab/test_capacity.py
@@ -121,7 +121,7 @@
         made = HollowSidecar(asyncio.get_running_loop(), sidecar_config(7, start))
         made.discovery.start()
         await until(lambda: len(registry.watches) == 1)
-        made.ask_for_list()
+        made.reopen_list_watch()
         await until(lambda: len(registry.watches) == 2)
         made.discovery.close()
         registry.stop()
--- a/tests/lab/test_overrides.py
+++ b/tests/lab/test_overrides.py
@@ -13,10 +13,10 @@
 from brassfall.lab.overrides.world import World
 from brassfall.sidecar.agent.deadlines import Deadlines, Phase, digest
 from brassfall.sidecar.agent.override_layer import Place, read_layer
-from brassfall.sidecar.agent.overrides import LocalView, Names, Rules, effective
+from brassfall.sidecar.agent.overrides import KnownNames, LocalView, SteeringRules, effective_rules
 
 SEEDS = int(os.environ.get("OVERRIDES_SEEDS", "100"))  # 2000 in the nightly run
-NAMES = Names(frozenset(REGIONS), classes=frozenset(CLASSES), tenants=frozenset(TENANTS))
+NAMES = KnownNames(frozenset(REGIONS), classes=frozenset(CLASSES), tenants=frozenset(TENANTS))
 
 
 class Sidecar:
@@ -34,13 +34,15 @@
 
     def report(self, now_s):
         acted = digest(self.decide(now_s).acted)
-        return SidecarState(acted, self.deadlines.refresh_due(now_s), self.deadlines.newest)
+        return SidecarState(acted, self.deadlines.refresh_due(now_s), self.deadlines.newest_revision)
 
     def timer(self, now_s):
         pass
 
     def decide(self, now_s):
-        return effective(now_s, Rules(), self.lines, self.deadlines, LocalView(self.place, NAMES))
+        return effective_rules(
+            now_s, SteeringRules(), self.lines, self.deadlines, LocalView(self.place, NAMES)
+        )
 
 
 @pytest.mark.parametrize("seed", range(SEEDS))
--- a/tests/lab/test_revisions.py
+++ b/tests/lab/test_revisions.py
@@ -89,7 +89,7 @@
 def lease_client():
     module = importlib.import_module("brassfall.sidecar.agent.lease_client")
     rules = importlib.import_module("brassfall.sidecar.agent.rules")
-    return module.LeaseClient("p1", lambda revision: ""), rules.effective
+    return module.LeaseClient("p1", lambda revision: ""), rules.effective_settings
 
 
 def line(number, state, tenants, committed=None, epoch=EPOCH):
@@ -105,53 +105,54 @@
     client, effective = lease_client()
     five, six = line(5, "committed", {"t": "a"}), line(6, "prepared", {"t": "b"})
     client.receive_update(five)
-    client.receive_answer(0.0, client.report(0.0)["seq"], answer(5))
+    client.receive_answer(0.0, client.report_fields(0.0)["seq"], answer(5))
     client.receive_update({**six, "committed": five})
-    assert client.report(0.1)["prepared"] == 6
+    assert client.report_fields(0.1)["prepared"] == 6
     # 6 is committed, and 7 goes back to what 5 said: others act on 6 by now, which serves t elsewhere.
     client.receive_update(line(7, "prepared", {"t": "a"}, committed=six))
-    assert effective(client.active(0.2))["tenants"] == {"t": ""}
-    client.receive_answer(0.2, client.report(0.2)["seq"], answer(7))
-    assert effective(client.active(0.3))["tenants"] == {"t": "a"}
+    assert effective(client.active_configuration(0.2))["tenants"] == {"t": ""}
+    client.receive_answer(0.2, client.report_fields(0.2)["seq"], answer(7))
+    assert effective(client.active_configuration(0.3))["tenants"] == {"t": "a"}
 
 
 def test_the_fallback_takes_account_of_what_was_received():
     client, effective = lease_client()
     client.receive_update(line(5, "committed", {"t": "a"}))
-    assert client.active(0.0).fallback
-    assert effective(client.active(0.0))["tenants"] == {"t": ""}
+    assert client.active_configuration(0.0).fallback
+    assert effective(client.active_configuration(0.0))["tenants"] == {"t": ""}
 
 
 def test_nobody_goes_back():
     client, _ = lease_client()
     client.receive_update(line(5, "committed", {}))
     client.receive_update(line(6, "committed", {}))
-    client.receive_answer(0.0, client.report(0.0)["seq"], answer(6))
-    client.receive_answer(0.1, client.report(0.1)["seq"], answer(5))
-    assert client.active(0.2).acting == 6
-    client.receive_answer(0.3, client.report(0.3)["seq"], answer(5, epoch=EPOCH + 1))
-    assert client.active(0.4).acting == "safe"
+    client.receive_answer(0.0, client.report_fields(0.0)["seq"], answer(6))
+    client.receive_answer(0.1, client.report_fields(0.1)["seq"], answer(5))
+    assert client.active_configuration(0.2).acting == 6
+    client.receive_answer(0.3, client.report_fields(0.3)["seq"], answer(5, epoch=EPOCH + 1))
+    assert client.active_configuration(0.4).acting == "safe"
 
 
 def test_a_service_that_is_gone_for_good_is_left_for_one_with_a_lower_epoch():
     client, effective = lease_client()
     client.receive_update(line(6, "committed", {"t": "a"}))
-    client.receive_answer(0.0, client.report(0.0)["seq"], answer(6))
+    client.receive_answer(0.0, client.report_fields(0.0)["seq"], answer(6))
     lower = answer(5, epoch=EPOCH - 1)
     for now in (3.0, 8.0, 14.9):
-        assert not client.receive_answer(now, client.report(now)["seq"], lower)
-    assert client.report(14.9)["of"] == EPOCH
-    client.receive_answer(15.0, client.report(15.0)["seq"], lower)
-    fresh = client.report(15.5)
+        assert not client.receive_answer(now, client.report_fields(now)["seq"], lower)
+    assert client.report_fields(14.9)["of"] == EPOCH
+    client.receive_answer(15.0, client.report_fields(15.0)["seq"], lower)
+    fresh = client.report_fields(15.5)
     assert (fresh["of"], fresh["seq"], fresh["life"]) == (
         0,
         1,
         client.process_id,
     ) and client.process_id != "p1"
-    assert effective(client.active(15.5))["tenants"] == {"t": ""}  # what it knew holds until it has a lease
+    # What it knew holds until it has a lease.
+    assert effective(client.active_configuration(15.5))["tenants"] == {"t": ""}
     client.receive_update(line(5, "committed", {"t": "b"}, epoch=EPOCH - 1))
     assert client.receive_answer(15.5, fresh["seq"], lower)
-    assert effective(client.active(15.6))["tenants"] == {"t": "b"}
+    assert effective(client.active_configuration(15.6))["tenants"] == {"t": "b"}
 
 
 def coordinator(names, state, now=1e6):
--- a/tests/sidecar/test_agent.py
+++ b/tests/sidecar/test_agent.py
@@ -76,7 +76,7 @@
         service.revision = 2
         service.lines.put_nowait({"edition": 2, "life": 1, "state": "committed"})
         seen.append(await service.next_report())
-        while agent.lease_client.active(0.0).revision.number != 2:
+        while agent.lease_client.active_configuration(0.0).revision.number != 2:
             await asyncio.sleep(0)
     finally:
         agent.close()
@@ -126,7 +126,7 @@
     agent.start()
     try:
         await asyncio.wait_for(other.wait(), SOON_S)
-        agent.at(agent.valid_until)
+        agent.current_stamp(agent.valid_until)
         return agent.state
     finally:
         agent.close()
@@ -190,17 +190,17 @@
 
 @pytest.mark.parametrize("unknown", UNKNOWN_FORMS, ids=json.dumps)
 def test_a_revision_of_an_unknown_form_is_objected_to_and_breaks_no_decision(unknown):
-    client = LeaseClient("l", rules.unsupported)
+    client = LeaseClient("l", rules.unsupported_reason)
     client.receive_update({"edition": 5, "state": "prepared", "committed": {"edition": 4}, **unknown})
-    assert "does not support this form" in client.report(0.0)["objection"]["reason"]
+    assert "does not support this form" in client.report_fields(0.0)["objection"]["reason"]
     steering = Steering(Agreement(3000.0, "g", "a", {}), lambda: NAMES, EndpointList)
-    (_, unreadable), now = client.active(0.0).concurrent, 1.0
+    (_, unreadable), now = client.active_configuration(0.0).concurrent, 1.0
     for fallback in (True, False):
         for active in (
             ActiveConfiguration(fallback, unreadable, ()),
-            ActiveConfiguration(fallback, client.active(0.0).revision, (unreadable,)),
+            ActiveConfiguration(fallback, client.active_configuration(0.0).revision, (unreadable,)),
         ):
-            rules.effective(active)
+            rules.effective_settings(active)
             steering.steer(active, steering.effective_rules(active, now), now)
 
 
@@ -208,7 +208,7 @@
     """The process of a member, which records each `Steer`; its clock is the test's."""
 
     def __init__(self):
-        self.now, self.busy, self.list_version, self.steers = 0.0, (), 0, []
+        self.now, self.classes_in_use, self.list_version, self.steers = 0.0, (), 0, []
         self.running = sidecar_config(
             raw={"fleet": {"registry": ["127.0.0.1:9"], "agreement": {"agree_ms": 3000}}}
         )
@@ -217,10 +217,10 @@
     def time(self):
         return self.now
 
-    def listings(self):
+    def endpoint_list(self):
         return self.listed
 
-    def adopt(self, config):
+    def use_configuration(self, config):
         self.running = config
 
     def steer(self, steer):
@@ -262,7 +262,7 @@
     def answered(member, process):
         asked, client = process.now, member.agent.lease_client
         answer["edition"] = client.newest_revision
-        client.receive_answer(asked, client.report(asked)["seq"], answer)
+        client.receive_answer(asked, client.report_fields(asked)["seq"], answer)
         member.steering.receive_answer(asked, asked, answer)
 
     return rng.choice(
@@ -287,7 +287,7 @@
         for member, process in zip(members, processes, strict=True):
             event(member, process)
         cached.agent.refresh(processes[0].now)
-        anew.file_read(file)  # a file that was read again is decided on anew
+        anew.use_file(file)  # a file that was read again is decided on anew
         decided += cached.agent.valid_until == anew.agent.valid_until
         assert processes[0].steers == processes[1].steers and cached.agent.overrides == anew.agent.overrides
         assert processes[0].running.settings == processes[1].running.settings
@@ -297,14 +297,16 @@
 def test_settings_that_did_not_fit_the_file_are_tried_again():
     process = StandInProcess()
     member = FleetMember(process, process, {})
-    adopt, process.adopt = process.adopt, _refuse
+    use_configuration, process.use_configuration = process.use_configuration, _refuse
     client = member.agent.lease_client
     client.receive_update(
         {"edition": 5, "life": 1, "state": "committed", "settings": {"PolicyLimits": {"MaxAttempts": 1}}}
     )
-    client.receive_answer(0.0, client.report(0.0)["seq"], {"edition": 5, "permission_ms": 2700.0, "life": 1})
+    client.receive_answer(
+        0.0, client.report_fields(0.0)["seq"], {"edition": 5, "permission_ms": 2700.0, "life": 1}
+    )
     member.agent.refresh(0.1)
-    process.adopt = adopt
+    process.use_configuration = use_configuration
     assert process.running.settings.max_attempts != 1
     member.agent.refresh(0.2)
     assert process.running.settings.max_attempts == 1
--- a/tests/sidecar/test_agent_overrides.py
+++ b/tests/sidecar/test_agent_overrides.py
@@ -27,11 +27,11 @@
     Shift,
     read_layer,
 )
-from brassfall.sidecar.agent.overrides import NO_REGION, LocalView, Rules
+from brassfall.sidecar.agent.overrides import NO_REGION, LocalView, SteeringRules
 from brassfall.sidecar.discovery import endpoint_list
 from tests.support.overrides_service import OverrideService
 
-NAMES = overrides.Names(
+NAMES = overrides.KnownNames(
     regions=frozenset("abc"),
     groups=frozenset({"g1", "g2"}),
     servers=frozenset({"s1", "s2"}),
@@ -172,7 +172,7 @@
     layer = read_layer([{"id": key, **r} for key, r in rows.items()])
     assert not layer.problems
     view = LocalView(Place("g1", "a"), NAMES, sidecars)
-    return overrides.effective(at, settings or Rules(), layer.overrides, known, view)
+    return overrides.effective_rules(at, settings or SteeringRules(), layer.overrides, known, view)
 
 
 def rounded(value):
@@ -204,11 +204,11 @@
 
 def test_an_extended_pin_never_overlaps_with_the_home_region_at_another_sidecar():
     """One receives the extension before the old end, the other does not; both act on the older document."""
-    home = Rules(tenant_pins={"t1": "a"})
+    home = SteeringRules(tenant_pins={"t1": "a"})
 
     def region(known, rev, at):
         layer = read_layer([{"id": "x", **pin("b", rev=rev)}])
-        return overrides.effective(at, home, layer.overrides, known, ANYWHERE).tenant_pins["t1"]
+        return overrides.effective_rules(at, home, layer.overrides, known, ANYWHERE).tenant_pins["t1"]
 
     extended, unextended = Deadlines(), Deadlines()
     for known in (extended, unextended):
@@ -223,7 +223,7 @@
     assert [region(extended, rev, 21.0) for rev in (1, 2)] == ["a", "a"]
 
 
-BASE = Rules(shares={"a": 0.5, "b": 0.5}, tenant_pins={"t2": "b"}, caps={"c1": 100.0})
+BASE = SteeringRules(shares={"a": 0.5, "b": 0.5}, tenant_pins={"t2": "b"}, caps={"c1": 100.0})
 FORCE = [
     ("nothing", {}, BASE, {"shares": {"a": 0.5, "b": 0.5}, "tenant_pins": {"t2": "b"}, "caps": {"c1": 25.0}}),
     ("a higher priority goes first", {"x": pin("a", priority=1), "y": pin("b", from_ms=9)}, None,
@@ -233,7 +233,7 @@
     ("a pin goes before a shift of the same tenant", {"x": pin("a"), "y": shift(T1, b=1.0, priority=9)}, None,
      {"tenant_pins": {"t1": "a"}, "tenant_shares": {}}),
     ("holds unite", {"x": hold("a"), "y": hold("g1", "group"), "z": hold("s1", "server")},
-     Rules(excluded_regions=frozenset("b")),
+     SteeringRules(excluded_regions=frozenset("b")),
      {"excluded_regions": frozenset("ab"), "excluded_groups": frozenset({"g1"}),
       "excluded_servers": frozenset({"s1"})}),
     ("caps take the least", {"x": cap(80.0), "y": cap(60.0)}, BASE, {"caps": {"c1": 15.0}}),
@@ -254,7 +254,7 @@
     ("all regions held: the last hold does not count",
      {"x": hold("a", priority=3), "y": hold("b", priority=1), "z": hold("c", priority=2)}, None,
      {"excluded_regions": frozenset("ac")}),
-    ("all regions held with the settings", {"x": hold("a")}, Rules(excluded_regions=frozenset("bc")),
+    ("all regions held with the settings", {"x": hold("a")}, SteeringRules(excluded_regions=frozenset("bc")),
      {"excluded_regions": frozenset("bc")}),
 ]  # fmt: skip
 
@@ -290,9 +290,9 @@
     known = Deadlines()
     known.receive(0.0, {"x": {"rev": 1, "left_ms": 10_000}}, 0.3)
     layer = read_layer([{"id": "x", **pin("a")}])
-    rules_now = Rules(tenant_pins=settings or {})
+    rules_now = SteeringRules(tenant_pins=settings or {})
     for at, region in zip((9.7, 10.0, 10.6), pins, strict=True):
-        found = overrides.effective(at, rules_now, layer.overrides, known, ANYWHERE)
+        found = overrides.effective_rules(at, rules_now, layer.overrides, known, ANYWHERE)
         assert found.tenant_pins.get("t1", "") == region
         assert bool(found.tenant_pins) is (at < 10.5 or settings is not None)
         assert found.acted == ((("x", 1),) if at < 9.8 else ())
@@ -319,10 +319,10 @@
         "regions": {"held": ["c"]},
         "caps": {"c1": 8},
     }
-    assert rules.base_rules(settings, "g1") == Rules(
+    assert rules.base_rules(settings, "g1") == SteeringRules(
         shares={"a": 1.0}, tenant_pins={"t2": "b"}, excluded_regions=frozenset("c"), caps={"c1": 8}
     )
-    assert rules.base_rules({}, "g2") == Rules()
+    assert rules.base_rules({}, "g2") == SteeringRules()
 
 
 @pytest.mark.parametrize(
@@ -429,7 +429,12 @@
     layer_read = read_layer(wire["layer"])
     known = Deadlines()
     assert not layer_read.problems and known.receive(0.0, wire["times_left"]) == ()
-    assert known.newest == active[0].rev and times_left(active, service.at, known.newest) == {}
-    found = overrides.effective(1.0, Rules(), layer_read.overrides, known, LocalView(Place("g1", "a"), NAMES))
+    assert (
+        known.newest_revision == active[0].rev
+        and times_left(active, service.at, known.newest_revision) == {}
+    )
+    found = overrides.effective_rules(
+        1.0, SteeringRules(), layer_read.overrides, known, LocalView(Place("g1", "a"), NAMES)
+    )
     assert found.class_shares == {"c1": {"a": 0.5, "b": 0.25, "c": 0.25}}
     assert deadlines.digest(found.acted) == digest((o.id, o.rev) for o in active)
--- a/tests/sidecar/test_agent_tier.py
+++ b/tests/sidecar/test_agent_tier.py
@@ -163,7 +163,7 @@
 
     @property
     def acting(self):
-        return self.agent.lease_client.active(now()).acting
+        return self.agent.lease_client.active_configuration(now()).acting
 
     @property
     def asked(self):
@@ -321,7 +321,7 @@
     *_, last_answered = tier.reports[seen - 1]
     *_, next_report = tier.reports[seen]
     assert next_report["after"] == last_answered["seq"]
-    assert tier.kept_its_lease() and client.report(now())["of"] == EPOCH
+    assert tier.kept_its_lease() and client.report_fields(now())["of"] == EPOCH
     assert set(tier.asked[1:]) == {1}
     tier.close()
 
@@ -337,7 +337,7 @@
     first.unanswered[0].protocol.connection_lost(None)
     second.unanswered[0].feed(response(GRANTS))
     await tier.run(0.1)
-    assert tier.agent.lease_client.report(now())["of"] == EPOCH and state(tier.agent)["failing"] == ""
+    assert tier.agent.lease_client.report_fields(now())["of"] == EPOCH and state(tier.agent)["failing"] == ""
     tier.close()
 
 
@@ -348,7 +348,7 @@
     assert not isinstance(reports_connection.protocol, Channel) and reports_connection.open
     reports_connection.feed(response({**GRANTS, "life": EPOCH + 1}))
     await tier.run(2.0)
-    assert tier.agent.lease_client.report(now())["of"] == EPOCH and tier.kept_its_lease()
+    assert tier.agent.lease_client.report_fields(now())["of"] == EPOCH and tier.kept_its_lease()
     assert "after" not in tier.reports[0][2]  # on a connection of its own
     tier.close()
 
@@ -367,7 +367,7 @@
         each.answer = {**GRANTS, "life": EPOCH - 1}
     await tier.run(4.0)
     assert tier.acting == "safe"  # a service of a lower epoch grants no lease
-    assert tier.agent.lease_client.report(now())["of"] == EPOCH and set(tier.asked[-2:]) == {0, 1}
+    assert tier.agent.lease_client.report_fields(now())["of"] == EPOCH and set(tier.asked[-2:]) == {0, 1}
     tier.aggregators[1].answer = GRANTS
     await tier.run(2.0)
     assert tier.acting == REVISION and tier.asked[-1] == 1
--- a/tests/sidecar/test_discovery.py
+++ b/tests/sidecar/test_discovery.py
@@ -118,7 +118,7 @@
         await until(lambda: old.watches)
         old.tell(44, entry("s1"))
         await until(lambda: len(notifications(balancer)) == 2)
-        sidecar.discovery.move(parse_address(new.address))
+        sidecar.discovery.change_address(parse_address(new.address))
         await until(lambda: new.watches)
         assert new.asked == ["/registry/instances?watch=1&from=44"]
         new.tell(45, entry("s2"))
@@ -135,6 +135,6 @@
     async with running(balancer=balancer, registry=gone, Discovery="subscribe") as sidecar:
         carry_out(sidecar, balancer, Watch(True))
         await until(lambda: ("refused", []) in notifications(balancer))
-        sidecar.discovery.move(parse_address(new.address))
+        sidecar.discovery.change_address(parse_address(new.address))
         await until(lambda: new.watches)
     new.stop()
--- a/tests/sidecar/test_discovery_bounds.py
+++ b/tests/sidecar/test_discovery_bounds.py
@@ -174,7 +174,7 @@
         registry.next_answers = [failure]
         begun = now()
         started = SidecarWithoutSockets(registry, strategy, seed)
-        await started.discovery.first_call(1.0)
+        await started.discovery.wait_for_first_call(1.0)
         assert now() - begun <= 1.0
         spread_s = 2.5 if strategy == "subscribe" else 0.0  # a fleet that starts together
         assert await started.has(50) - begun <= spread_s + NOTIFIED_S - SPARE_S
--- a/tests/sidecar/test_discovery_fleet.py
+++ b/tests/sidecar/test_discovery_fleet.py
@@ -38,7 +38,7 @@
 def move(sidecar, registry):
     """Have the list service at one address from now on, as after SIGHUP."""
     address = parse_address(registry.address)
-    sidecar.discovery.move(address, (address,))
+    sidecar.discovery.change_address(address, (address,))
 
 
 @pytest.mark.parametrize(
@@ -149,7 +149,10 @@
         behind.tell(45, entry("s1"))
         behind.tell(45, entry("s4"), snapshot=True)  # requested completely, and still older
         await until(lambda: len(behind.watches) == 4)
-        assert sorted(pool_servers(sidecar)) == ["s5"] and sidecar.discovery.report()["list_index"] == 50
+        assert (
+            sorted(pool_servers(sidecar)) == ["s5"]
+            and sidecar.discovery.report_fields()["list_index"] == 50
+        )
         behind.tell(51, entry("s6"))
         await until(lambda: sorted(pool_servers(sidecar)) == ["s5", "s6"])
 
@@ -161,7 +164,7 @@
         balancer=ScriptedBalancer(), registry=registries[0], raw=fleet(*registries)
     ) as sidecar:
         await until(lambda: sum(len(each.watches) for each in registries) == 1)
-        sidecar.discovery.reopen()
+        sidecar.discovery.reopen_watch()
         await until(lambda: [len(each.watches) for each in registries] == [1, 1])
     registries[1].stop()
 
--- a/tests/sidecar/test_graceful_shutdown.py
+++ b/tests/sidecar/test_graceful_shutdown.py
@@ -197,7 +197,7 @@
         return sidecar_config(Profiles=[row])
 
     async with running() as sidecar:
-        sidecar.adopt(with_deadline("view", 400.0))
+        sidecar.use_configuration(with_deadline("view", 400.0))
         until_ms = []
         sidecar.driver.stopping = until_ms.append
         now = sidecar.inbound.clock.now()
--- a/tests/sidecar/test_known_classes.py
+++ b/tests/sidecar/test_known_classes.py
@@ -31,8 +31,8 @@
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
-        sidecar.adopt(named("view"))
-        sidecar.adopt(named(*second))
+        sidecar.use_configuration(named("view"))
+        sidecar.use_configuration(named(*second))
         for target in ("/look", *(f"/{name}" for name in second)):
             assert (await app.ask("GET", target)).body == b"done"
         app.close()
@@ -47,8 +47,8 @@
         loop = asyncio.get_running_loop()
         later = loop.call_later
         monkeypatch.setattr(loop, "call_later", lambda wait, *rest: waits.append(wait) or later(wait, *rest))
-        sidecar.adopt(sidecar_config(Profiles=[{**rows[0], "Name": "view", "Deadline": 100.0}]))
+        sidecar.use_configuration(sidecar_config(Profiles=[{**rows[0], "Name": "view", "Deadline": 100.0}]))
         assert 10.2 in [pytest.approx(wait) for wait in waits]
         waits.clear()
-        sidecar.adopt(sidecar_config(Profiles=[{**rows[0], "Name": "see"}]))
+        sidecar.use_configuration(sidecar_config(Profiles=[{**rows[0], "Name": "see"}]))
         assert known_classes.KEEP_S in waits  # and no less, where deadlines are short
--- a/tests/sidecar/test_races_reload.py
+++ b/tests/sidecar/test_races_reload.py
@@ -298,7 +298,9 @@
         app = await App.connect(made.address)
         app.send("POST", "/pay", b"x")
         await held.wait()
-        made.adopt(config.parse({**raw(Profiles=[row("pay"), row("look")]), "discovery": NOWHERE}, {}))
+        made.use_configuration(
+            config.parse({**raw(Profiles=[row("pay"), row("look")]), "discovery": NOWHERE}, {})
+        )
         answer.set()
         assert (await app.answer()).start.split(" ")[1] == "502"
         assert sum(len(upstream.seen) for upstream in upstreams) == 1
--- a/tests/sidecar/test_standing.py
+++ b/tests/sidecar/test_standing.py
@@ -192,7 +192,7 @@
         async with running(registry=old, raw={"seed": str(seed)}, Discovery=strategy, **RULES) as sidecar:
             await asyncio.sleep(40.0 + 0.37 * seed)  # after many failures in a row the backoff is longest
             moved = now()
-            sidecar.discovery.move(parse_address(new.address))
+            sidecar.discovery.change_address(parse_address(new.address))
             assert await list_arrives(sidecar) - moved < limit_s
         new.stop()
 
--- a/tests/sidecar/test_start_times.py
+++ b/tests/sidecar/test_start_times.py
@@ -245,7 +245,7 @@
     for number in range(100):
         at = 1e12 + number * FORGET_MS
         entries = [Listing(f"s{number}", started=at)]
-        updates.append(starts.bounded(at, at - 1000.0, ServerList(number, True, entries, {})))
+        updates.append(starts.with_bounded_starts(at, at - 1000.0, ServerList(number, True, entries, {})))
     assert all(update.entries[0].started == 1e12 + n * FORGET_MS for n, update in enumerate(updates))
     assert len(starts) <= 3
 
@@ -253,7 +253,9 @@
 def test_two_starts_at_one_moment_have_different_times():
     starts, now_ms = StartTimes(), 1e12
     entries = [
-        starts.bounded(now_ms, now_ms, ServerList(n, False, [Listing("s", started=since)], {})).entries[0]
+        starts.with_bounded_starts(
+            now_ms, now_ms, ServerList(n, False, [Listing("s", started=since)], {})
+        ).entries[0]
         for n, since in enumerate([now_ms - 5.0, now_ms - 4.0])
     ]
     assert entries[0].started != entries[1].started
--- a/tests/sidecar/test_wall_clock.py
+++ b/tests/sidecar/test_wall_clock.py
@@ -156,14 +156,14 @@
         agreement = Agreement(600.0, "", "", {})
         agent = Agent(loop, "e1", agreement, (Address("127.0.0.1", 9),), lambda revision: "", act, 1)
         asked = loop.time()
-        seq = int(agent.lease_client.report(asked)["seq"])
+        seq = int(agent.lease_client.report_fields(asked)["seq"])
         granted = {"edition": 0, "permission_ms": 600.0, "life": 1, "pending": 0, "news": False}
         assert agent.lease_client.receive_answer(asked, seq, granted)
         faults.step(step_s)
         agent.refresh(loop.time())
-        left_ms = agent.lease_client.left_ms(loop.time())
+        left_ms = agent.lease_client.lease_left_ms(loop.time())
         assert 300.0 < left_ms <= 600.0
         await asyncio.sleep(0.65)
-        agent.at(loop.time())
-        assert agent.lease_client.left_ms(loop.time()) == 0.0
+        agent.current_stamp(loop.time())
+        assert agent.lease_client.lease_left_ms(loop.time()) == 0.0
         assert acted[-1].fallback
--- a/tests/support/discovery.py
+++ b/tests/support/discovery.py
@@ -238,7 +238,7 @@
         """Discovery is at another address from now on, as after SIGHUP."""
         address = Address("127.0.0.1", 10 + len(self._moved_to))
         self._moved_to[address.port] = registry
-        self.discovery.move(address)
+        self.discovery.change_address(address)
 
     async def has(self, version):
         """Wait until the balancer and the pool have that list; return when that was."""
