--- a/brassfall/sidecar/agent/__init__.py
+++ b/brassfall/sidecar/agent/__init__.py
@@ -1,1 +1,1 @@
-"""The small client side of the fleet parts; used only where the configuration has the key `fleet`."""
+"""The sidecar's client of the control plane, used only if the configuration has the key `fleet`."""
--- a/brassfall/sidecar/agent/agent.py
+++ b/brassfall/sidecar/agent/agent.py
@@ -1,4 +1,7 @@
-"""This sidecar's client of the control plane: reports, the watch on revisions, and what to act on."""
+"""The agent: this sidecar's client of the control plane.
+
+The agent sends reports, watches configuration revisions and determines the active configuration.
+"""
 
 from __future__ import annotations
 
@@ -19,33 +22,39 @@
 from brassfall.sidecar.config import Agreement
 from brassfall.sidecar.config_values import Address
 
-RETRY_ACT_S = 1.0  # after a fault in acting on a configuration, until it is tried again
+# Wait before `act` is called again after it raised an exception, in seconds.
+ACT_RETRY_DELAY_S = 1.0
 
-Act = Callable[[ActiveConfiguration, float], float]
+ActOnConfiguration = Callable[[ActiveConfiguration, float], float]
 
 
 class Agent:
-    """Renews the lease, and calls `act` whenever the configuration to act on has changed."""
+    """Client of the control plane that renews the lease and applies the active configuration.
+
+    The active configuration is applied by the callback `act`.
+    """
 
-    def __init__(  # noqa: PLR0913 - the parts that it joins
+    def __init__(  # noqa: PLR0913 - the agent creates and connects all parts of the client
         self,
         loop: asyncio.AbstractEventLoop,
         name: str,
         agreement: Agreement,
         addresses: tuple[Address, ...],
         check: Callable[[Revision], str],
-        act: Act,
+        act: ActOnConfiguration,
         seed: int,
     ) -> None:
-        """Begin on this sidecar's own file.
+        """Create an agent without a lease, which acts on this sidecar's own file.
 
-        `check` returns why a revision can't be acted on, empty where it can. `act` gets the active
-        configuration and the time, in seconds of the loop, and returns until when that stays the same if no
-        revision comes.
+        `addresses` are those of the list service or its aggregators. `check` returns the reason why this
+        sidecar can't act on a revision, or an empty text if it can. `act` applies the active configuration
+        at a time in seconds of the loop, and returns the time until which the result stays valid if no
+        other revision arrives.
         """
         self._loop = loop
         self._act = act
-        self._acting: int | str | None = None  # the revision, or `FALLBACK`; None before the first one
+        # The revision number that is acted on, or `FALLBACK`; None before the first call of `refresh`.
+        self._acting: int | str | None = None
         self._tasks: list[asyncio.Task[None]] = []
         rng = random.Random(seed)
         self._sources = Sources(addresses, rng)
@@ -56,43 +65,49 @@
         )
         self.report_extensions = self._reporter.extensions
         self.answer_listeners = self._reporter.answer_listeners
-        self.valid_until = -math.inf  # until then, the configuration acted on last is the one to act on
-        self.overrides: list[str] = []  # the ids of those that are acted on
-        self.stamp = b""  # the header of each request to a server, with the revision that decided it
+        # The time until which the configuration applied last stays the active one, in seconds of the loop.
+        self.valid_until = -math.inf
+        self.overrides: list[str] = []  # Ids of the overrides that this sidecar acts on
+        # The header line X-Edition of each request to a server: the revision under which it was selected.
+        self.stamp = b""
 
     def start(self) -> None:
-        """Act on the fallback configuration, and request a lease."""
+        """Act on the fallback configuration, and start to report and to watch revisions.
+
+        The first report requests a lease.
+        """
         self.refresh(self._loop.time())
-        work = (self._reporter.run(), self._watch.run(self._sources))
-        self._tasks = [self._loop.create_task(each) for each in work]
+        coroutines = (self._reporter.run(), self._watch.run(self._sources))
+        self._tasks = [self._loop.create_task(coroutine) for coroutine in coroutines]
 
     async def leave(self) -> None:
-        """Stop, and report that this process acts on nothing any more."""
+        """Stop the agent, and report that this process acts on no configuration any more."""
         tasks = self._tasks
         self.close()
-        # A cancelled call closes its connection: the last report is sent once that is done.
+        # A cancelled call closes its connection; the last report needs a new one, so it waits for that.
         await asyncio.gather(*tasks, return_exceptions=True)
         await self._reporter.deregister()
 
     def close(self) -> None:
-        """Stop reporting and watching."""
+        """Stop reporting and watching, without a last report."""
         for task in self._tasks:
             task.cancel()
         self._tasks = []
 
-    # --- what to act on ---------------------------------------------------------------
+    # --- the active configuration ------------------------------------------------------
 
     def current_stamp(self, now: float) -> bytes:
-        """Return the stamp of what is decided at this time, in seconds of the loop.
+        """Return the header line of requests that are decided at `now`, in seconds of the loop.
 
-        It is called before each decision, and costs one comparison while the configuration holds.
+        The method is called before each decision. While the applied configuration is valid, a call costs one
+        comparison.
         """
         if now >= self.valid_until:
             self.refresh(now)
         return self.stamp
 
     def refresh(self, now: float) -> None:
-        """Act on what holds at this time, and determine until when it does."""
+        """Apply the configuration that is active at `now`, and determine until when it stays valid."""
         active = self.lease_client.active_configuration(now)
         self.valid_until = (
             math.inf if active.fallback else now + self.lease_client.lease_left_ms(now) / 1000.0
@@ -105,23 +120,26 @@
             self._acting = active.acting
             self.stamp = f"X-Edition: {active.acting}\r\n".encode()
         try:
-            until = self._act(active, now)
-        except Exception:  # noqa: BLE001 - called before each decision: a fault would fail every request
+            unchanged_until = self._act(active, now)
+        except Exception:  # noqa: BLE001 - this runs before each decision; raising would fail every request
             log.error(
-                "configuration: could not act on it, the one before stays",
-                action="report it",
+                "configuration: could not apply the active configuration, keeping the previous one",
+                action="report this as a defect of the program, with the traceback",
                 traceback=traceback.format_exc(),
             )
-            until = now + RETRY_ACT_S
-        self.valid_until = min(self.valid_until, until)
+            unchanged_until = now + ACT_RETRY_DELAY_S
+        self.valid_until = min(self.valid_until, unchanged_until)
 
     def renew_stamp(self) -> None:
-        """Replace the stamp by an equal one: requests decided before, and not yet sent, are decided anew."""
+        """Replace the stamp by an equal object, so that decided but unsent requests are decided again.
+
+        A request that is about to be sent compares the identity of its stamp with the current one.
+        """
         self.stamp = bytes(bytearray(self.stamp))
 
     @property
     def state(self) -> str:
-        """The state for operators, as one line of JSON."""
+        """The agent's state for operators, as one line of JSON."""
         now = self._loop.time()
         self.current_stamp(now)
         state: dict[str, Any] = {
@@ -137,5 +155,6 @@
     def _receive_update(self, raw: Mapping[str, Any]) -> None:
         self.lease_client.receive_update(raw)
         self._reporter.wake_if_urgent()
-        # What two revisions have in common is acted on before the acknowledgement is reported.
+        # Once a revision is acknowledged, this sidecar must act only on what the granted and the acknowledged
+        # revision have in common. It does so before it reports the acknowledgement.
         self.refresh(self._loop.time())
--- a/brassfall/sidecar/agent/calls.py
+++ b/brassfall/sidecar/agent/calls.py
@@ -1,4 +1,7 @@
-"""Calls to the list service or an aggregator, one at a time on one open connection, with small answers."""
+"""HTTP calls to the list service or an aggregator, one at a time on one keep-alive connection.
+
+Answers are small JSON documents that are read as a whole.
+"""
 
 from __future__ import annotations
 
@@ -10,22 +13,25 @@
 
 from brassfall.sidecar.config_values import Address
 
-MAX_ANSWER_BYTES = 4 * 1024 * 1024
-MAX_RETRY_AFTER_S = 60.0
+MAX_ANSWER_BYTES = 4 * 1024 * 1024  # Longest accepted body of an answer, in bytes
+MAX_RETRY_AFTER_S = 60.0  # Longest Retry-After that is kept, in seconds
 STATUS_OK = 200
-QUOTED_BYTES = 200  # of an answer, in the text of an error
+QUOTED_BYTES = 200  # Part of an unexpected answer that the error text quotes, in bytes
 
 
 class CallError(Exception):
-    """A call without a good answer; its text is one line. The caller asks again, elsewhere or later."""
+    """A call that failed or got an unusable answer.
+
+    The text is one line. The code that made the call repeats it, later or at another address.
+    """
 
     action = (
-        "see that a list service runs at that address; "
+        "check that a list service runs at that address and is reachable; "
         "without one this sidecar acts on the fallback configuration"
     )
 
     def __init__(self, reason: str, retry_after: float = 0.0) -> None:
-        """`retry_after` is the wait that the answer names, in seconds; 0 if it names none."""
+        """Create an error; `retry_after` is the Retry-After of the answer in seconds, 0 if it has none."""
         super().__init__(reason)
         self.retry_after = retry_after
 
@@ -36,9 +42,10 @@
 
 
 class _Connection(asyncio.Protocol):
-    """One connection, with the one call that may be under way on it.
+    """One connection, which carries at most one call at a time.
 
-    Late bytes of a connection that was given up can't reach a call that was made after it.
+    Each connection has a parser and a future of its own. Bytes that arrive late on an abandoned connection
+    can therefore not be taken for the answer to a call on a newer connection.
     """
 
     def __init__(self, address: Address) -> None:
@@ -51,11 +58,11 @@
 
     @property
     def usable(self) -> bool:
-        """True if another call can be sent on it."""
+        """Whether another call can be sent on this connection."""
         return self.transport is not None and not self.transport.is_closing()
 
     def send(self, message: bytes) -> asyncio.Future[_Answer]:
-        """Send a call; return a future of its answer, or of the error that ends the connection."""
+        """Send a request; return a future for the answer, or for the error that ended the connection."""
         assert self.transport is not None
         self._body.clear()
         self.retry_after = 0.0
@@ -64,36 +71,36 @@
         return self.answer
 
     def close(self) -> None:
-        """Abort the connection; an answer still to come is dropped."""
+        """Abort the connection, and drop the answer of a call under way."""
         self.answer = None
         if self.transport is not None:
             self.transport.abort()
 
-    # --- called by the loop and the parser ------------------------------------------
+    # --- callbacks of the event loop and of the parser --------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Store the transport."""
+        """Store the transport of the new connection."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Parse a part of an answer."""
+        """Parse the bytes as a part of the answer; close the connection if no call is under way."""
         if self.answer is None or self.answer.done():
-            self.close()  # no call is under way: these bytes would be taken for the next one's answer
+            self.close()  # Kept, these unsolicited bytes would be taken for the answer to the next call.
             return
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
             self._fail(error)
         except httptools.HttpParserUpgrade:
-            self._fail(EOFError("upgraded"))
+            self._fail(EOFError("the answer asks to upgrade the connection to another protocol"))
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Fail the call under way."""
-        self._fail(error or EOFError("the connection ended"))
+        """Fail the call under way, if there is one."""
+        self._fail(error or EOFError("the connection was closed before the answer was complete"))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Store the value of Retry-After; the parser calls this."""
+        """Store the value of a Retry-After header; an invalid value is ignored."""
         if name.lower() == b"retry-after":
             try:
                 self.retry_after = min(MAX_RETRY_AFTER_S, max(0.0, float(value)))
@@ -101,13 +108,13 @@
                 return
 
     def on_body(self, data: bytes) -> None:
-        """Store a part of the body; the parser calls this."""
+        """Append a part of the body; fail the call if the body exceeds `MAX_ANSWER_BYTES`."""
         self._body += data
         if len(self._body) > MAX_ANSWER_BYTES:
-            self._fail(EOFError("the answer is too long"))
+            self._fail(EOFError("the body of the answer is longer than 4 MiB"))
 
     def on_message_complete(self) -> None:
-        """Complete the call under way; the parser calls this."""
+        """Complete the call under way, and close the connection if the server does not keep it alive."""
         if self.answer is not None and not self.answer.done():
             self.answer.set_result(_Answer(self._parser.get_status_code(), bytes(self._body)))
         if not self._parser.should_keep_alive() and self.transport is not None:
@@ -119,24 +126,28 @@
 
 
 class Caller:
-    """Makes one call at a time. The connection is opened by a call, and stays open until a call fails."""
+    """Client that makes one call at a time.
+
+    A call opens the connection if none is usable, and the connection stays open until a call fails.
+    """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
         self._connection: _Connection | None = None
-        self.asked_at = 0.0  # when the last call was sent, in seconds of the loop
+        self.sent_at = 0.0  # Time at which the last call was sent, in seconds of the loop
 
     async def call(
         self, address: Address, method: str, path: str, limit_s: float, body: object = None
     ) -> object:
-        """Return the JSON of a 200 answer; raise `CallError` if there is none within the time limit.
+        """Make a call, and return the JSON of its answer.
 
-        Cancelling it closes the connection.
+        `body` is sent as JSON. Raise `CallError` if no answer with status 200 and a JSON body arrives within
+        `limit_s` seconds. Cancelling closes the connection.
         """
         try:
             async with asyncio.timeout(limit_s):
                 status, content = await self._call(address, method, path, body)
-        except (OSError, httptools.HttpParserError, EOFError) as error:  # a time-out is an OSError
+        except (OSError, httptools.HttpParserError, EOFError) as error:  # TimeoutError is an OSError.
             self.close()
             message = f"{address.host}:{address.port}: {error!r}"
             raise CallError(message) from error
@@ -152,11 +163,11 @@
             return json.loads(content)
         except (ValueError, RecursionError) as error:
             self.close()
-            message = f"{address.host}:{address.port}: the answer is no JSON"
+            message = f"{address.host}:{address.port}: the body of the answer is not valid JSON"
             raise CallError(message) from error
 
     def is_connected_to(self, address: Address) -> bool:
-        """Return whether the next call to this address uses the connection of the last one."""
+        """Return whether the next call to `address` would reuse the open connection."""
         connection = self._connection
         return connection is not None and connection.usable and connection.address == address
 
@@ -168,15 +179,15 @@
                 lambda: _Connection(address), address.host, address.port
             )
             self._connection = connection
-        data = b"" if body is None else json.dumps(body, separators=(",", ":")).encode()
+        content = b"" if body is None else json.dumps(body, separators=(",", ":")).encode()
         head = f"{method} {path} HTTP/1.1\r\nHost: {address.host}:{address.port}\r\n"
-        length = f"Content-Length: {len(data)}\r\n" if method != "GET" else ""
-        message = f"{head}{length}\r\n".encode() + data
-        self.asked_at = self._loop.time()
+        length = f"Content-Length: {len(content)}\r\n" if method != "GET" else ""
+        message = f"{head}{length}\r\n".encode() + content
+        self.sent_at = self._loop.time()
         return await connection.send(message)
 
     def close(self) -> None:
-        """Close the connection; an answer still to come is dropped."""
+        """Close the connection, and drop the answer of a call under way."""
         if self._connection is not None:
             self._connection.close()
             self._connection = None
--- a/brassfall/sidecar/agent/lease_client.py
+++ b/brassfall/sidecar/agent/lease_client.py
@@ -1,12 +1,14 @@
-"""Which configuration revision this sidecar may act on, and until when. Pure code: times are passed in.
+"""The lease client: which configuration revision this sidecar may act on, and until when.
 
-A lease runs on this process's own monotonic clock, counted from when its report was *sent*: however long the
-answer took, the lease ends here before the service counts it as ended. Without a lease this sidecar acts on
-the fallback configuration. `LeaseClient.active_configuration` is called at each decision: a process that was
-stopped for ten seconds decides nothing on a lease that expired meanwhile.
+The module is pure code: times are passed in, in seconds of this process's monotonic clock.
 
-On the wire a revision is an `edition`, a lease a `permission`, and both the service's epoch and the id of
-this process a `life`. These names are mapped in this module.
+A lease counts from the time at which the report was *sent* that requested it. However long the answer takes,
+the lease therefore ends at this sidecar before the list service regards it as ended. Without a lease this
+sidecar acts on the fallback configuration. `LeaseClient.active_configuration` is called at each decision, so
+that a process that was stopped for ten seconds makes no decision under a lease that expired meanwhile.
+
+On the wire a revision is called `edition` and a lease `permission`. `life` stands for the epoch of the list
+service in its messages, and for the id of this process in reports. This module maps these names.
 """
 
 from __future__ import annotations
@@ -19,12 +21,16 @@
 
 from brassfall.sidecar.agent import forms
 
-FALLBACK = "safe"  # the active configuration, on the wire and in logs, without a lease
-MAX_REVISIONS = 4  # kept, beside those that are still needed
-LOWER_EPOCH_WAIT_S = 12.0  # more than twice the time that a service needs to count a majority
-MAX_CONCURRENT = 32  # revisions received without a lease: more than `agree_ms` has room for
-MAX_LEASE_MS = 1e7
-MAX_NUMBER = 2**53  # of JSON's whole numbers
+FALLBACK = "safe"  # Name of the fallback configuration on the wire and in logs, in place of a revision number
+MAX_REVISIONS = 4  # Largest number of stored revisions, apart from those that are still needed
+# Time for which only list services of a lower epoch must have answered before one of them is followed, in
+# seconds. It is more than twice the time that a list service needs to count a majority.
+LOWER_EPOCH_WAIT_S = 12.0
+# Largest number of concurrent revisions that are remembered, which is more than can be published within the
+# setting `agree_ms`.
+MAX_CONCURRENT = 32
+MAX_LEASE_MS = 1e7  # Limit below which the length of a lease is accepted, in milliseconds
+MAX_NUMBER = 2**53  # Limit below which a whole number is accepted; JSON parsers read these numbers exactly
 
 
 # --- configuration revisions ---------------------------------------------------------------------
@@ -38,27 +44,33 @@
     settings: Mapping[str, Any]
     plan: Mapping[str, Any] | None
     overrides: tuple[Mapping[str, Any], ...]
-    plan_revision: int = 0  # the revision that stated the plan, whose age counts from there
-    unreadable: str = ""  # the parts left out because this version can't read their form
+    # Number of the revision with which the plan was published. The age of the plan counts from the time at
+    # which this sidecar first used that revision.
+    plan_revision: int = 0
+    # Names of the parts that were left out because this version can't read their form, joined by commas.
+    unreadable: str = ""
 
 
 OWN_FILE = Revision(number=0, settings={}, plan=None, overrides=())
 
 
 class RevisionState(StrEnum):
-    """How far the service has come with a revision; the values are those on the wire."""
+    """State of a revision at the list service; the values are those on the wire."""
 
-    PREPARED = "prepared"  # waits for acknowledgements
-    COMMITTED = "committed"  # leases are granted on it
-    HALTED = "halted"  # will never be committed
+    PREPARED = "prepared"  # The list service waits for acknowledgements of the revision.
+    COMMITTED = "committed"  # The list service grants leases on the revision.
+    HALTED = "halted"  # The list service will never commit the revision.
 
 
 class ActiveConfiguration(NamedTuple):
-    """What to act on: `revision`, or if `fallback` is set the fallback configuration made from it.
+    """The configuration to act on: `revision`, or the fallback configuration derived from it.
+
+    It is the fallback configuration if `fallback` is set.
 
-    `concurrent` are the later revisions that others may act on by now, as far as is known here: of exclusive
-    keys only what all of them agree on is acted on. An acknowledgement promises that for each of them, until
-    a lease on a later one is granted or they are halted.
+    `concurrent` contains the other revisions that other sidecars may act on now, as far as this sidecar
+    knows. For the exclusive keys, this sidecar acts only on what `revision` and all of them agree on. An
+    acknowledgement of a revision promises this to the list service, until a lease on a later revision is
+    granted or the revision is halted.
     """
 
     fallback: bool
@@ -67,7 +79,7 @@
 
     @property
     def acting(self) -> int | str:
-        """The revision's number, or `FALLBACK`, as reports and requests to servers state it."""
+        """The number of the revision or `FALLBACK`, as stated in reports and in requests to servers."""
         return FALLBACK if self.fallback else self.revision.number
 
 
@@ -75,42 +87,48 @@
 
 
 class MessageError(ValueError):
-    """A message from the service that can't be read; it changes nothing."""
+    """A malformed message from the list service, which changes nothing."""
 
-    action = "see which version of the list service runs there; this sidecar keeps its lease until it ends"
+    action = (
+        "check which version of the list service runs at that address; this sidecar keeps its lease until "
+        "the lease ends"
+    )
 
 
 class _Update(NamedTuple):
     """One line of the watch on configuration revisions."""
 
-    epoch: int
-    state: RevisionState | None  # None: one that this version does not know
+    epoch: int  # Epoch of the list service
+    state: RevisionState | None  # State of `revision`; None if this version does not know the state
     revision: Revision
-    committed: Revision | None  # the revision in force, beside one that is not
+    committed: Revision | None  # The committed revision, sent with a `revision` that is not committed
 
 
 class _Answer(NamedTuple):
-    """The parts of an answer to a report that are about the lease."""
+    """The fields of an answer to a report that are about the lease."""
 
-    epoch: int
-    revision: int  # that the lease is on
-    pending: int  # the revision that is prepared; 0: none
-    lease_ms: float  # 0: no lease
+    epoch: int  # Epoch of the list service
+    revision: int  # Number of the revision on which the lease is granted
+    pending: int  # Number of the prepared revision; 0 if none is prepared
+    lease_ms: float  # Length of the lease in milliseconds; 0 if none is granted
 
 
 def read_revision(raw: object) -> Revision:
-    """Return one revision as the service sends it; raise `MessageError` if it is malformed."""
+    """Return a revision parsed from its form on the wire; raise `MessageError` if it is malformed.
+
+    Settings and plans of a form that this version can't read are left out, and named in `unreadable`.
+    """
     raw = _object(raw, "edition")
     number = _number(raw, "edition")
     settings, plan, overrides = raw.get("settings", {}), raw.get("plan"), raw.get("overrides", [])
     if not isinstance(settings, Mapping) or not isinstance(plan, Mapping | None):
-        message = "settings, plan: expected objects"
+        message = "settings, plan: expected objects, or null for the plan"
         raise MessageError(message)
     if not isinstance(overrides, list) or not all(isinstance(row, Mapping) for row in overrides):
         message = "overrides: expected a list of objects"
         raise MessageError(message)
-    unreadable = forms.unreadable(settings)
-    if plan and not forms.plan_readable(plan):
+    unreadable = forms.unreadable_keys(settings)
+    if plan and not forms.can_read_plan(plan):
         plan, unreadable = None, unreadable | {"plan"}
     return Revision(
         number=number,
@@ -123,6 +141,7 @@
 
 
 def _read_update(raw: object) -> _Update:
+    """Return a line of the watch parsed from its form on the wire; raise `MessageError` if malformed."""
     raw = _object(raw, "edition")
     revision = read_revision(raw)
     committed = raw.get("committed")
@@ -135,12 +154,13 @@
 
 
 def _read_answer(raw: object) -> _Answer:
+    """Return the lease fields of an answer to a report; raise `MessageError` if they are malformed."""
     raw = _object(raw, "answer")
     revision, pending, epoch = (_number(raw, name) for name in ("edition", "pending", "life"))
     lease_ms = raw.get("permission_ms", 0.0)
-    number = isinstance(lease_ms, int | float) and not isinstance(lease_ms, bool)
-    if not number or not 0.0 <= lease_ms < MAX_LEASE_MS:
-        message = "permission_ms: expected milliseconds"
+    is_number = isinstance(lease_ms, int | float) and not isinstance(lease_ms, bool)
+    if not is_number or not 0.0 <= lease_ms < MAX_LEASE_MS:
+        message = "permission_ms: expected milliseconds from 0 to less than 10,000,000"
         raise MessageError(message)
     return _Answer(epoch, revision, pending, lease_ms)
 
@@ -155,7 +175,7 @@
 def _number(raw: Mapping[str, Any], name: str) -> int:
     value = raw.get(name, 0)
     if isinstance(value, bool) or not isinstance(value, int) or not 0 <= value < MAX_NUMBER:
-        message = f"{name}: expected a whole number from 0"
+        message = f"{name}: expected a whole number from 0 to 2**53 - 1"
         raise MessageError(message)
     return value
 
@@ -164,44 +184,61 @@
 
 
 class LeaseClient:
-    """The revisions received, what was acknowledged, and the lease."""
+    """State of this process towards the list service: received revisions, acknowledgement and lease.
+
+    The list service whose epoch the client has accepted last is the one that it follows.
+    """
 
     def __init__(self, process_id: str, check: Callable[[Revision], str]) -> None:
-        """Start without a lease. `check` returns why a revision can't be acted on, empty where it can."""
-        self.process_id = process_id  # as reported; replaced when a service of a lower epoch is followed
+        """Create a client without a lease.
+
+        `check` returns the reason why this sidecar can't act on a revision, or an empty text if it can.
+        """
+        # Id of this process in reports. A new id is used once a list service of a lower epoch is followed.
+        self.process_id = process_id
         self._check = check
-        self._revisions: dict[int, Revision] = {0: OWN_FILE}
+        self._revisions: dict[int, Revision] = {0: OWN_FILE}  # The stored revisions by number
+        # The reason for objecting to a revision, by revision number.
         self._objections: dict[int, str] = {}
-        self._prepared = 0  # the revision prepared last, as received
-        self._seq = 0
-        self._epoch = 0  # of the service that is followed
-        self._committed = 0  # the revision committed last, as received
-        self._acknowledged = 0  # the revision acknowledged last, unless it is known to be decided
-        self._acknowledged_by = 0  # the report that acknowledges it
-        self._granted = 0
-        self._granted_by = 0  # the epoch of the service that granted it
-        self._lease_end = -math.inf
-        self._lower_since = -math.inf  # since when only a service of a lower epoch answers
-        # Revisions after the granted one, each with the first report that was made with it known.
+        self._prepared = 0  # Number of the revision that was last received as prepared
+        self._seq = 0  # Sequence number of the last report
+        self._epoch = 0  # Epoch of the list service that is followed
+        self._committed = 0  # Number of the revision that was last received as committed
+        # Number of the revision acknowledged last; 0 once the list service is known to have decided on it.
+        self._acknowledged = 0
+        self._acknowledged_by = 0  # Sequence number of the first report with the acknowledgement
+        self._granted = 0  # Number of the revision on which the last lease was granted
+        self._granted_by = 0  # Epoch of the list service that granted the last lease
+        self._lease_end = -math.inf  # End of the lease in seconds of this process's clock
+        # Time since which only list services of a lower epoch have answered; -inf if none has.
+        self._lower_epoch_since = -math.inf
+        # The concurrent revisions by number, each with the sequence number of the first report that was made
+        # after the revision had become known.
         self._concurrent: dict[int, tuple[Revision, int]] = {}
 
-    # --- what is received -----------------------------------------------------------
+    # --- updates from the watch -------------------------------------------------------
 
     def receive_update(self, raw: object) -> None:
-        """Store the revisions in a line of the watch; raise `MessageError` if it is malformed."""
+        """Store the revisions of a line of the watch, and acknowledge a prepared one.
+
+        Raise `MessageError` if the line is malformed.
+        """
         update = _read_update(raw)
         if update.epoch < self._epoch:
-            return  # from a predecessor of the service that is followed: its numbers may be used again
+            # The line comes from a predecessor of the list service that is followed, which may use the
+            # predecessor's revision numbers again.
+            return
         for revision in (update.committed, update.revision):
             if revision is not None:
                 self._store(revision)
                 self._note_concurrent(revision, update.epoch)
-        in_force = update.revision if update.state is RevisionState.COMMITTED else update.committed
-        if in_force is not None:
-            self._committed = in_force.number
+        committed = update.revision if update.state is RevisionState.COMMITTED else update.committed
+        if committed is not None:
+            self._committed = committed.number
         number = update.revision.number
         if update.state is RevisionState.HALTED:
-            # A service with an old copy of its store may prepare it once more.
+            # A list service with an old copy of its store may prepare the halted revision again; this
+            # sidecar then objects to it.
             self._concurrent.pop(number, None)
             self._objections.setdefault(number, "halted before")
         if update.state is RevisionState.PREPARED:
@@ -210,8 +247,9 @@
                 self._acknowledge(number)
 
     def _store(self, revision: Revision) -> None:
+        """Check and store a revision, and forget the oldest revisions that are no longer needed."""
         if revision.number in self._revisions or revision.number == 0:
-            return  # revisions are immutable
+            return  # The content of a revision never changes.
         objection = self._check(revision)
         if objection:
             self._objections[revision.number] = objection
@@ -222,7 +260,9 @@
             self._objections.pop(number, None)
 
     def _note_concurrent(self, revision: Revision, epoch: int) -> None:
-        # A new service may have lost the revision granted here, and grant an older one.
+        """Remember a revision that other sidecars may act on while this one acts on the granted revision."""
+        # A list service of a new epoch may have lost the revision granted to this sidecar, and may grant
+        # leases on an older one.
         number = revision.number
         later = number > self._granted or (epoch > self._granted_by and number != self._granted)
         if later and number not in self._concurrent:
@@ -238,19 +278,19 @@
 
     @property
     def has_urgent_report(self) -> bool:
-        """True if the next report should not wait for its interval.
+        """Whether the next report should be sent before the report interval has passed.
 
-        It then has an acknowledgement or an objection that was not yet sent, or asks for a lease on a
-        revision that is committed.
+        This is the case if the report has an acknowledgement or an objection that was not sent yet, or if it
+        requests the lease on a newly committed revision.
         """
-        unsent = self._acknowledged > self._granted and self._acknowledged_by > self._seq
-        objects = self._prepared > self._granted and self._prepared in self._objections
-        return unsent or objects or self._committed > self._granted
+        has_new_acknowledgement = self._acknowledged > self._granted and self._acknowledged_by > self._seq
+        has_objection = self._prepared > self._granted and self._prepared in self._objections
+        return has_new_acknowledgement or has_objection or self._committed > self._granted
 
     def report_fields(self, now: float) -> dict[str, Any]:
-        """Return the next report's part about revisions, in its form on the wire."""
+        """Return the fields about revisions of the next report, in their form on the wire."""
         self._seq += 1
-        part: dict[str, Any] = {
+        fields: dict[str, Any] = {
             "life": self.process_id,
             "seq": self._seq,
             "of": self._epoch,
@@ -260,40 +300,43 @@
         }
         if self._objections:
             number = self._prepared if self._prepared in self._objections else max(self._objections)
-            part["objection"] = {"edition": number, "reason": self._objections[number]}
-        return part
+            fields["objection"] = {"edition": number, "reason": self._objections[number]}
+        return fields
 
     # --- leases --------------------------------------------------------------------------
 
-    def receive_answer(self, asked: float, seq: int, raw: object) -> bool:
-        """Use the answer to report `seq`, which was sent at `asked`; raise `MessageError` if it is malformed.
+    def receive_answer(self, sent_at: float, seq: int, raw: object) -> bool:
+        """Apply the answer to the report with sequence number `seq`, which was sent at `sent_at`.
 
-        Return False if it is from a service that another one has succeeded: then no lease is granted.
+        Return False if the answer comes from a list service that another one has succeeded; it then grants no
+        lease. Raise `MessageError` if the answer is malformed.
         """
         answer = _read_answer(raw)
         if answer.epoch < self._epoch:
-            self._meet_lower_epoch(asked)
+            self._receive_lower_epoch_answer(sent_at)
             return False
-        self._lower_since = -math.inf
+        self._lower_epoch_since = -math.inf
         if answer.epoch > self._epoch:
-            # The new service may not know what its predecessor granted: the lease ends.
+            # The new list service may not know the lease that its predecessor granted, so the lease ends.
             self._epoch, self._lease_end = answer.epoch, -math.inf
         if self._acknowledged and seq >= self._acknowledged_by and answer.pending != self._acknowledged:
-            # It was decided after the acknowledgement was sent: committed, or never to be.
+            # The answer is newer than the acknowledgement, and the acknowledged revision is not pending: the
+            # list service has either committed it or will never commit it.
             self._acknowledged = 0
         if answer.lease_ms and answer.revision in self._revisions and answer.revision not in self._objections:
-            self._grant(answer, asked, seq)
+            self._grant(answer, sent_at, seq)
         return True
 
-    def _meet_lower_epoch(self, asked: float) -> None:
-        """Follow a service of a lower epoch once it alone has answered for `LOWER_EPOCH_WAIT_S`.
+    def _receive_lower_epoch_answer(self, sent_at: float) -> None:
+        """Follow list services of a lower epoch once only they have answered for `LOWER_EPOCH_WAIT_S`.
 
-        Its predecessor seems to be gone for good. This goes on like a process that has just started, except
-        that it acts on nothing that the revisions known before forbid, until it has a lease again.
+        The list service of the higher epoch seems to be lost for good. The client then continues like that of
+        a process that has just started, with one difference: the revisions known before stay concurrent
+        revisions, so that nothing is done that they forbid until there is a lease again.
         """
-        if self._lower_since == -math.inf:
-            self._lower_since = asked
-        if asked - self._lower_since < LOWER_EPOCH_WAIT_S:
+        if self._lower_epoch_since == -math.inf:
+            self._lower_epoch_since = sent_at
+        if sent_at - self._lower_epoch_since < LOWER_EPOCH_WAIT_S:
             return
         known = [self._revisions[self._granted], *(revision for revision, _ in self._concurrent.values())]
         self.process_id = f"{self.process_id.partition('+')[0]}+{self._epoch % 10**6}"
@@ -301,14 +344,16 @@
         self._concurrent = {revision.number: (revision, 0) for revision in known if revision.number}
         self._prepared = self._seq = self._epoch = self._granted_by = 0
         self._acknowledged = self._acknowledged_by = self._granted = 0
-        self._lease_end = self._lower_since = -math.inf
+        self._lease_end = self._lower_epoch_since = -math.inf
 
-    def _grant(self, answer: _Answer, asked: float, seq: int) -> None:
-        number, lease_end = answer.revision, asked + answer.lease_ms / 1000.0
+    def _grant(self, answer: _Answer, sent_at: float, seq: int) -> None:
+        """Start the lease that an answer grants, unless it is older than the lease granted last."""
+        number, lease_end = answer.revision, sent_at + answer.lease_ms / 1000.0
         if number < self._granted or (number == self._granted and lease_end <= self._lease_end):
-            return  # a late answer, or from a service that has lost what it had granted
+            return  # The answer is late, or the list service has lost the revision that it granted before.
         self._granted, self._lease_end, self._granted_by = number, lease_end, self._epoch
-        # Of the revisions that the report knew only the pending one can still take effect.
+        # Of the revisions that were known when the report was made, only the pending one can still be
+        # committed.
         self._concurrent = {
             later: row
             for later, row in self._concurrent.items()
@@ -316,19 +361,19 @@
         }
 
     def active_configuration(self, now: float) -> ActiveConfiguration:
-        """Return what to act on at this time."""
+        """Return the configuration to act on at `now`."""
         concurrent = tuple(revision for revision, _ in self._concurrent.values())
         return ActiveConfiguration(now >= self._lease_end, self._revisions[self._granted], concurrent)
 
     def lacks_revision(self, raw: Mapping[str, Any]) -> bool:
-        """Return whether an answer names a revision that was not received."""
+        """Return whether an answer names a revision that is not stored here."""
         return not {_number(raw, "edition"), _number(raw, "pending")} <= self._revisions.keys()
 
     @property
     def newest_revision(self) -> int:
-        """The number of the newest revision received."""
+        """The highest number of the stored revisions."""
         return max(self._revisions)
 
     def lease_left_ms(self, now: float) -> float:
-        """Return how long the lease still runs; 0 without one."""
+        """Return the time left of the lease in milliseconds; 0 without a lease."""
         return max(0.0, (self._lease_end - now) * 1000.0)
--- a/brassfall/sidecar/agent/lists.py
+++ b/brassfall/sidecar/agent/lists.py
@@ -1,4 +1,4 @@
-"""What the agent uses of discovery: the addresses of the list service, and the endpoint list."""
+"""The parts of discovery that the agent uses: the addresses of the list service and the endpoint list."""
 
 from __future__ import annotations
 
--- a/brassfall/sidecar/agent/member.py
+++ b/brassfall/sidecar/agent/member.py
@@ -18,39 +18,45 @@
 from brassfall.sidecar.agent.steering import NEUTRAL, Inputs, Steering
 from brassfall.sidecar.config import Config, ConfigError
 
-LIST_LATE_S = 2.0  # for which the service's list may be ahead; a watch that works brings changes far sooner
+# Time for which this sidecar's endpoint list may be older than the list service's before the watch on it is
+# reopened, in seconds. A working watch delivers changes much sooner.
+LIST_LATE_S = 2.0
 
 
 class Process(Protocol):
-    """The sidecar's process, as far as revisions change it."""
+    """Interface of the sidecar's process to the parts of it that revisions change."""
 
     @property
     def classes_in_use(self) -> Collection[int]:
-        """The slots of classes that requests or clients still use."""
+        """The slots of the request classes that requests in flight or clients still use."""
 
     @property
     def running(self) -> Config:
         """The configuration in use."""
 
-    def use_configuration(self, found: Config) -> None:
-        """Use another configuration from now on; raise `ConfigError` if it can't replace the one in use."""
+    def use_configuration(self, configuration: Config) -> None:
+        """Replace the configuration in use; raise `ConfigError` if the new one can't replace it."""
 
     def steer(self, steer: Steer) -> None:
-        """Use another `Steer` from now on."""
+        """Select servers by another `Steer` from now on."""
 
     def endpoint_list(self) -> EndpointList:
-        """Return the endpoint list."""
+        """Return the current endpoint list."""
 
     @property
     def list_version(self) -> int:
-        """The version of the endpoint list."""
+        """The version of the current endpoint list."""
 
     def reopen_list_watch(self) -> None:
-        """Open the watch on the endpoint list anew: it has fallen behind."""
+        """Reopen the watch on the endpoint list, because the list has fallen behind."""
 
 
 class FleetMember:
-    """Acts on the revisions that this process has a lease on, and reports the delays that it measures."""
+    """This process as a member of the fleet.
+
+    A member acts on the configuration revisions that its process has a lease on, and reports the delays that
+    the process measures.
+    """
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, process: Process, environment: Mapping[str, str]
@@ -59,15 +65,19 @@
         self._now = loop.time
         self._environment = {**environment, "NODE_DISCOVERY": ""}
         self._file = process.running
-        self._overlay: Mapping[str, Any] = {}  # the settings of a revision in use over the file
-        self._steer = NEUTRAL
-        self._decided_for: tuple[ActiveConfiguration, Inputs] | None = None  # what was acted on last
-        self._decided_until = -math.inf
-        self._ahead_since = math.inf  # since when the service's list is ahead of this one
+        # The settings of a revision that are in use in place of settings of the file.
+        self._overlay: Mapping[str, Any] = {}
+        self._steer = NEUTRAL  # The `Steer` in use
+        # The configuration and the inputs that were applied last; None if they have to be applied again.
+        self._applied_inputs: tuple[ActiveConfiguration, Inputs] | None = None
+        # Time until which the same inputs give the same result, in seconds of the loop.
+        self._applied_until = -math.inf
+        # Time since which the list service has a newer list than this sidecar; inf if it has none.
+        self._list_behind_since = math.inf
         file = self._file
         assert file.agreement is not None
         self.agent = Agent(
-            loop, file.name, file.agreement, file.registry, self._objection, self._act, file.seed
+            loop, file.name, file.agreement, file.registry, self._objection_to, self._act, file.seed
         )
         self.steering = Steering(file.agreement, lambda: process.running.names, process.endpoint_list)
         self.delays = DelaySketches(file.agreement.group)
@@ -77,11 +87,12 @@
         self.agent.answer_listeners += [self.steering.receive_answer, self._receive_answer]
 
     def stamp_function(self, loop: asyncio.AbstractEventLoop) -> Callable[[], bytes]:
-        """Return a function that returns the stamp of a decision or a send at the time of its call."""
+        """Return a function without arguments that returns `Agent.current_stamp` for the time of its call."""
         agent, clock = self.agent, loop.time
 
         def stamp() -> bytes:
-            # As `Agent.current_stamp`, with one call less: this runs some five times per request.
+            # The code of `Agent.current_stamp` is repeated to save a function call: this function is called
+            # about five times per request.
             now = clock()
             if now >= agent.valid_until:
                 agent.refresh(now)
@@ -89,23 +100,26 @@
 
         return stamp
 
-    # --- this process's own file ----------------------------------------------------------
+    # --- the configuration file of this process -------------------------------------------
 
     def apply_overlay(self, file: Config) -> Config:
-        """Return a file's configuration with the overlay in use; raise `ConfigError` if it doesn't fit."""
+        """Return the configuration of a file with the overlay in use.
+
+        Raise `ConfigError` if the overlay can't be applied to the file.
+        """
         return self._with_overlay(file, self._overlay)
 
     def use_file(self, file: Config) -> None:
-        """Apply revisions to this file from now on.
+        """Apply revisions to another file of this process from now on.
 
-        Classes may have other numbers by it, so the `Steer` is made anew.
+        The request classes may have other slots in this file, so the `Steer` is computed again.
         """
         self._file = file
-        self._decided_for = None
+        self._applied_inputs = None
         self.agent.refresh(self._now())
 
     def endpoints_changed(self, now: float) -> None:
-        """Act on a change of the endpoint list: other servers may be excluded."""
+        """Apply the active configuration to a changed endpoint list: other servers may be excluded."""
         self.agent.refresh(now)
 
     def _with_overlay(self, file: Config, overlay: Mapping[str, Any]) -> Config:
@@ -125,62 +139,69 @@
         rows = self.delays.take_rows(self._now())
         return {"measures": {"delays": rows}} if rows else {}
 
-    def _receive_answer(self, asked: float, received: float, answer: Mapping[str, Any]) -> None:
-        """Request the list anew if the service's is ahead for longer than a change takes to arrive."""
+    def _receive_answer(self, sent_at: float, received_at: float, answer: Mapping[str, Any]) -> None:
+        """Reopen the watch on the endpoint list if the list has been too old for `LIST_LATE_S`.
+
+        The answer to a report states the version of the list service's list.
+        """
         service_version = answer.get("list_index")
         version = self._process.list_version
         if not isinstance(service_version, int) or service_version <= version:
-            self._ahead_since = math.inf
-        elif received - min(self._ahead_since, asked) < LIST_LATE_S:
-            self._ahead_since = min(self._ahead_since, asked)
+            self._list_behind_since = math.inf
+        elif received_at - min(self._list_behind_since, sent_at) < LIST_LATE_S:
+            self._list_behind_since = min(self._list_behind_since, sent_at)
         else:
             log.warning(
                 "discovery: endpoint list is behind the service's",
                 version=version,
                 service_version=service_version,
-                action="it is requested anew; if this repeats, look at the network to the list service",
+                action="the list is requested again; if this repeats, check the network to the list service",
             )
-            self._ahead_since = math.inf
+            self._list_behind_since = math.inf
             self._process.reopen_list_watch()
 
     # --- revisions --------------------------------------------------------------------------
 
-    def _objection(self, revision: Revision) -> str:
-        """Return why this program can't act on a revision, empty where it can."""
+    def _objection_to(self, revision: Revision) -> str:
+        """Return the reason why this sidecar can't act on a revision, or an empty text if it can."""
         objection = rules.unsupported_reason(revision) or self.steering.objection(revision)
         if objection:
             return objection
         try:
             overlay = rules.overlay_of(revision.settings)
-            found = self._with_overlay(self._file, overlay)
-            reload.successor(self._process.running, found, self._process.classes_in_use)
+            configuration = self._with_overlay(self._file, overlay)
+            reload.successor(self._process.running, configuration, self._process.classes_in_use)
         except ConfigError as error:
             return str(error)
         except Exception as error:  # noqa: BLE001 - any fault must be reported as an objection
-            # Reported, it halts the revision; unreported, every sidecar would act on the fallback.
+            # An objection halts the revision. Without one, the same exception would make every sidecar act on
+            # the fallback configuration.
             return f"a defect in this program, report it: {error!r}"
         return ""
 
     def _act(self, active: ActiveConfiguration, now: float) -> float:
-        """Act on the active configuration; return until when it stays the same if no revision comes."""
+        """Apply the active configuration; return the time until which it stays valid without a new revision.
+
+        Times are in seconds of the loop.
+        """
         inputs = (active, self.steering.inputs(active.revision, now))
-        if inputs == self._decided_for and now < self._decided_until:
-            return self._decided_until  # nothing has changed, as after most reports
-        self._decided_for = None  # if anything below fails, it is tried again
+        if inputs == self._applied_inputs and now < self._applied_until:
+            return self._applied_until  # Nothing has changed, as is the case after most reports.
+        self._applied_inputs = None  # If anything below fails, the next call applies the configuration again.
         applied = self._apply(rules.overlay_of(rules.effective_settings(active)))
-        found = self.steering.effective_rules(active, now)
-        self.agent.overrides = [name for name, _ in found.acted]
-        steer = self.steering.steer(active, found, now)
+        effective_rules = self.steering.effective_rules(active, now)
+        self.agent.overrides = [name for name, _ in effective_rules.acted]
+        steer = self.steering.steer(active, effective_rules, now)
         if steer != self._steer:
             self._steer = steer
             self.agent.renew_stamp()
             self._process.steer(steer)
-        self._decided_for = inputs if applied else None
-        self._decided_until = self.steering.next_end(now)
-        return self._decided_until
+        self._applied_inputs = inputs if applied else None
+        self._applied_until = self.steering.next_end(now)
+        return self._applied_until
 
     def _apply(self, overlay: Mapping[str, Any]) -> bool:
-        """Use this process's own file with an overlay; return False if the two don't fit."""
+        """Use this process's own file with an overlay; return False if the overlay can't be applied to it."""
         if overlay == self._overlay:
             return True
         try:
@@ -189,7 +210,8 @@
             log.warning(
                 "configuration: a revision does not fit this sidecar's file",
                 reason=error,
-                action="the settings before stay; fix the file and send SIGHUP, or publish settings that fit",
+                action="the previous settings stay in use; fix the file and send SIGHUP, or publish settings "
+                "that fit the file",
             )
             return False
         self._overlay = overlay
--- a/brassfall/sidecar/agent/override_layer.py
+++ b/brassfall/sidecar/agent/override_layer.py
@@ -1,6 +1,6 @@
-"""Temporary overrides as a configuration revision states them: typed values, and reading them from the wire.
+"""The temporary overrides of a configuration revision as typed values, and the parser of their wire form.
 
-The names on the wire are in `docs/overrides.md`. They are mapped to the types below here and nowhere else.
+The names on the wire are described in `docs/overrides.md`. Only this module of the sidecar uses them.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class HoldScope(Enum):
-    """What a hold names; the values are the keys on the wire."""
+    """What a hold applies to; the values are the keys on the wire."""
 
     SERVER = "server"
     GROUP = "group"
@@ -26,14 +26,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Shift:
-    """Send these shares of the matching requests to these regions; the rest goes to the other regions."""
+    """Action: send stated shares of the matching requests to stated regions, and the rest elsewhere."""
 
-    shares: Mapping[str, float]  # by region, each from 0 to 1
+    shares: Mapping[str, float]  # Share of each region by its name, from 0 to 1
 
 
 @dataclass(frozen=True, slots=True)
 class Hold:
-    """Start no new request at a server, a group of servers or a region while another can take it."""
+    """Action: start no new request at a server, server group or region while another one is available."""
 
     scope: HoldScope
     name: str
@@ -41,21 +41,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Cap:
-    """Limit the whole fleet's rate of the matching class."""
+    """Action: limit the request rate of the matching request class, summed over the whole fleet."""
 
     requests_per_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class Pin:
-    """Let this region and no other serve the matching tenant."""
+    """Action: let only one region serve the matching tenant."""
 
     region: str
 
 
 @dataclass(frozen=True, slots=True)
 class Freeze:
-    """Keep shares and the plan's weight as they are."""
+    """Action: keep the shares and the weight of the steering plan as they are."""
 
 
 Action = Shift | Hold | Cap | Pin | Freeze
@@ -65,7 +65,7 @@
 
 
 class Place(NamedTuple):
-    """Where this sidecar runs, from the setting `fleet.place`."""
+    """The client group and the region of this sidecar, from the setting `fleet.place`."""
 
     group: str = ""
     region: str = ""
@@ -76,44 +76,52 @@
     """One override of a configuration revision."""
 
     id: str
-    revision: int  # of this override: it grows with each change
-    start_ms: int  # Unix time, by the service's clock
-    priority: int  # the higher one takes precedence
+    revision: int  # Revision number of the override, which grows with each change of it
+    start_ms: int  # Start of the override as Unix time in milliseconds, by the list service's clock
+    priority: int  # The override with the higher number takes precedence
     action: Action
-    request_class: str | None = None  # None: requests of any class
-    tenant: str | None = None  # None: requests of any tenant
-    groups: frozenset[str] = field(default=frozenset())  # empty: sidecars of any group
-    regions: frozenset[str] = field(default=frozenset())  # empty: sidecars of any region
+    request_class: str | None = None  # Name of the matching request class; None matches any class
+    tenant: str | None = None  # Name of the matching tenant; None matches any tenant
+    # Client groups and regions whose sidecars act on the override; an empty set means all of them.
+    groups: frozenset[str] = field(default=frozenset())
+    regions: frozenset[str] = field(default=frozenset())
 
     def applies_at(self, place: Place) -> bool:
-        """Return whether a sidecar at this place acts on the override."""
+        """Return whether a sidecar at `place` acts on the override."""
         in_group = not self.groups or place.group in self.groups
         return in_group and (not self.regions or place.region in self.regions)
 
 
 def precedence(override: Override) -> tuple[int, int, int, str]:
-    """Return the sort key of overrides, the one that takes precedence first."""
+    """Return a sort key with which the override that takes precedence comes first.
+
+    The higher priority takes precedence, then the later start, then the newer revision.
+    """
     return -override.priority, -override.start_ms, -override.revision, override.id
 
 
 class Layer(NamedTuple):
     """The overrides of one configuration revision."""
 
-    overrides: Sequence[Override] = ()  # in order of precedence, the first one counts most
-    problems: tuple[str, ...] = ()  # why rows were left out: the reasons to object to the revision
+    overrides: Sequence[Override] = ()  # In order of precedence; the first override takes precedence over all
+    # The reasons why overrides were left out. The sidecar objects to the revision with these reasons.
+    problems: tuple[str, ...] = ()
 
 
 class UnsupportedOverrideError(ValueError):
     """An override that this version of the program can't act on."""
 
-    action = "end the override, or upgrade this sidecar; it objects to the configuration revision meanwhile"
+    action = "end the override or upgrade this sidecar; until then it objects to the configuration revision"
 
 
 # --- reading the wire ------------------------------------------------------------------------------
 
 
 def read_layer(raw: object) -> Layer:
-    """Return the overrides of a configuration revision, and the problems of rows that can't be read."""
+    """Parse the list of overrides in a configuration revision.
+
+    Overrides that can't be parsed are left out, and each adds a text to the problems of the layer.
+    """
     if not isinstance(raw, list | tuple):
         return Layer(problems=("overrides: expected a list",))
     overrides, problems = [], []
@@ -128,6 +136,7 @@
 
 
 def _read_override(row: Mapping[str, Any]) -> Override:
+    """Return one parsed override; raise `UnsupportedOverrideError` if it is unknown or malformed."""
     match, places = row.get("match", {}), row.get("places", {})
     action = _read_action(row["action"])
     _check_keys("match", match, {"class", "tenant"})
@@ -152,18 +161,23 @@
 
 
 def _check_keys(name: str, raw: Mapping[str, Any], supported: Set[str]) -> None:
+    """Raise `UnsupportedOverrideError` if `raw`, the field `name` of an override, has other keys."""
     if not set(raw) <= supported:
         message = f"unsupported key in {name}: {', '.join(sorted(set(raw) - supported))}"
         raise UnsupportedOverrideError(message)
 
 
 def _read_action(raw: Mapping[str, Any]) -> Action:
+    """Return the one action in `raw`, which maps kinds of actions to their fields.
+
+    Null and false stand for a kind that is not used.
+    """
     kinds = [kind for kind, value in raw.items() if value is not None and value is not False]
-    read = _READERS.get(kinds[0]) if len(kinds) == 1 else None
-    if read is None:
+    read_action = _ACTION_READERS.get(kinds[0]) if len(kinds) == 1 else None
+    if read_action is None:
         message = f"unsupported action: {' and '.join(map(str, kinds)) or 'none named'}"
         raise UnsupportedOverrideError(message)
-    return read(raw[kinds[0]])
+    return read_action(raw[kinds[0]])
 
 
 def _read_shift(raw: Mapping[str, Any]) -> Shift:
@@ -175,11 +189,11 @@
 
 
 def _read_hold(raw: Mapping[str, Any]) -> Hold:
-    named = [(scope, str(name)) for scope, name in raw.items() if name is not None]
-    if len(named) != 1 or named[0][0] not in {scope.value for scope in HoldScope}:
-        message = "unsupported hold of " + (" and ".join(scope for scope, _ in named) or "nothing")
+    targets = [(scope, str(name)) for scope, name in raw.items() if name is not None]
+    if len(targets) != 1 or targets[0][0] not in {scope.value for scope in HoldScope}:
+        message = "unsupported hold of " + (" and ".join(scope for scope, _ in targets) or "nothing")
         raise UnsupportedOverrideError(message)
-    scope, name = named[0]
+    scope, name = targets[0]
     return Hold(HoldScope(scope), name)
 
 
@@ -199,7 +213,7 @@
     return Freeze()
 
 
-_READERS: Mapping[str, Callable[[Any], Action]] = {
+_ACTION_READERS: Mapping[str, Callable[[Any], Action]] = {
     "shift": _read_shift,
     "hold": _read_hold,
     "cap": _read_cap,
--- a/brassfall/sidecar/agent/overrides.py
+++ b/brassfall/sidecar/agent/overrides.py
@@ -1,7 +1,8 @@
-"""What settings and the temporary overrides in force come to at one sidecar. Pure code.
+"""The steering rules that follow from the settings and the temporary overrides in force at one sidecar.
 
-Times are passed in, in seconds of the sidecar's monotonic clock; `deadlines` has the end of each override.
-The result is computed from scratch each time, so nothing has to be undone when an override ends.
+The module is pure code: times are passed in, in seconds of the sidecar's monotonic clock. The module
+`deadlines` has the end of each override. The rules are computed from scratch each time, so nothing has to be
+undone when an override ends.
 """
 
 from __future__ import annotations
@@ -24,17 +25,17 @@
     precedence,
 )
 
-NO_REGION = ""  # the region of a pinned tenant that must not be served anywhere
-SHARE_EPSILON = 1e-9  # a smaller share counts as none
+NO_REGION = ""  # Region of a pinned tenant that no region may serve
+SHARE_EPSILON = 1e-9  # A share up to this size counts as zero
 
-Shares = Mapping[str, float]  # by region
+Shares = Mapping[str, float]  # Share of requests by region name
 
 
-# --- what is known here -----------------------------------------------------------------------------
+# --- what this sidecar knows ------------------------------------------------------------------------
 
 
 class KnownNames(NamedTuple):
-    """The names that the endpoint list and the settings define."""
+    """The names that the endpoint list and the settings of this sidecar define."""
 
     regions: Set[str] = frozenset()
     groups: Set[str] = frozenset()
@@ -44,35 +45,43 @@
 
 
 class LocalView(NamedTuple):
-    """What decides, at one sidecar, how settings and overrides apply."""
+    """The properties of one sidecar on which the effect of settings and overrides depends."""
 
     place: Place
     names: KnownNames
-    sidecars: int = 1  # that share a cap
+    sidecars: int = 1  # Number of sidecars in the fleet among which each cap is divided
 
 
 @dataclass(frozen=True, slots=True)
 class SteeringRules:
-    """What settings, or settings and overrides, say of steering."""
+    """The steering rules that settings state, without or with overrides."""
 
     shares: Shares = field(default_factory=dict)
-    class_shares: Mapping[str, Shares] = field(default_factory=dict)
-    tenant_shares: Mapping[str, Shares] = field(default_factory=dict)
-    tenant_pins: Mapping[str, str] = field(default_factory=dict)  # to that region and no other
+    class_shares: Mapping[str, Shares] = field(default_factory=dict)  # Shares by request class
+    tenant_shares: Mapping[str, Shares] = field(default_factory=dict)  # Shares by tenant
+    # By tenant, the only region that may serve the tenant.
+    tenant_pins: Mapping[str, str] = field(default_factory=dict)
     excluded_regions: frozenset[str] = frozenset()
     excluded_groups: frozenset[str] = frozenset()
     excluded_servers: frozenset[str] = frozenset()
-    caps: Mapping[str, float] = field(default_factory=dict)  # by class, in requests/s of the whole fleet
+    # Largest request rate by request class, in requests/s of the whole fleet.
+    caps: Mapping[str, float] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
-class Effective(SteeringRules):
-    """The rules to act on now; caps are this sidecar's part."""
+class EffectiveRules(SteeringRules):
+    """The steering rules to act on now.
 
-    frozen: bool = False
-    acted: tuple[tuple[str, int], ...] = ()  # id and revision of each override in force here, for the report
-    unknown: tuple[str, ...] = ()  # names in overrides that are not known here
-    notes: tuple[str, ...] = ()  # overrides in force that can't be acted on, and why
+    In contrast to `SteeringRules`, the caps are this sidecar's part of the fleet's caps.
+    """
+
+    frozen: bool = False  # True if shares and the weight of the plan stay as they are
+    # The id and revision of each override in force at this sidecar, for the report.
+    acted: tuple[tuple[str, int], ...] = ()
+    # The names in overrides in force that this sidecar does not know, each as "ID: KIND NAME".
+    unknown: tuple[str, ...] = ()
+    # Texts that say which override in force can't be acted on, and why.
+    notes: tuple[str, ...] = ()
 
 
 # --- settings and overrides together ------------------------------------------------------------------
@@ -80,11 +89,11 @@
 
 def effective_rules(
     now_s: float, settings: SteeringRules, layer: Sequence[Override], deadlines: Deadlines, view: LocalView
-) -> Effective:
-    """Return the rules to act on now.
+) -> EffectiveRules:
+    """Return the rules to act on at `now_s`.
 
-    `layer` is in order of precedence, as `read_layer` returns it. The result changes only when an argument
-    does, or at `deadlines.next_end`.
+    `layer` contains the overrides of a configuration revision in order of precedence, as `read_layer` returns
+    them. The result changes only if an argument other than the time changes, or at `deadlines.next_end`.
     """
     selected = _select(now_s, layer, deadlines, view)
     usable = selected.usable
@@ -93,8 +102,8 @@
     regions = _Regions(view.names.regions, excluded[HoldScope.REGION])
     shifts = _shifts(usable)
     tenant_shares = _tenant_shares(settings, shifts, regions)
-    return Effective(
-        shares=_shares(settings.shares, shifts, ALL_REQUESTS, regions),
+    return EffectiveRules(
+        shares=_effective_shares(settings.shares, shifts, ALL_REQUESTS, regions),
         class_shares=_class_shares(settings, shifts, regions),
         tenant_shares={tenant: shares for tenant, shares in tenant_shares.items() if tenant not in pins},
         tenant_pins=pins,
@@ -110,21 +119,24 @@
 
 
 class _Selection(NamedTuple):
-    """The overrides of a layer that count here, in order of precedence."""
+    """The overrides of a layer that have an effect at this sidecar, in order of precedence."""
 
-    usable: list[Override]  # in force, with all names that they need known
-    doubtful: list[Override]  # ended here, and perhaps not yet at another sidecar; all names known
-    acted: list[tuple[str, int]]  # id and revision of those in force
-    unknown: list[str]  # names in those in force that are not known
+    usable: list[Override]  # Overrides in force of which this sidecar knows all necessary names
+    # Overrides that have ended at this sidecar, but perhaps not at another one, and of which this sidecar
+    # knows all necessary names.
+    doubtful: list[Override]
+    acted: list[tuple[str, int]]  # Id and revision of each override in force
+    unknown: list[str]  # Unknown names in the overrides in force, each as "ID: KIND NAME"
 
 
 def _select(now_s: float, layer: Iterable[Override], deadlines: Deadlines, view: LocalView) -> _Selection:
+    """Return the overrides of a layer that have an effect at a sidecar with this view."""
     selected = _Selection([], [], [], [])
     for override in layer:
         phase = _phase(override, deadlines, now_s) if override.applies_at(view.place) else Phase.OVER
         if phase is Phase.OVER:
             continue
-        missing = _unknown_needs(override, view.names)
+        missing = _unknown_required_names(override, view.names)
         if phase is Phase.DOUBTFUL:
             selected.doubtful.extend([] if missing else [override])
             continue
@@ -140,11 +152,11 @@
     return phase(override.id, override.revision, now_s)
 
 
-# --- names that are not known here ---------------------------------------------------------------------
+# --- names that this sidecar does not know -------------------------------------------------------------
 
 
-def _unknown_needs(override: Override, names: KnownNames) -> list[str]:
-    """Return the unknown names without which an override has no meaning here."""
+def _unknown_required_names(override: Override, names: KnownNames) -> list[str]:
+    """Return the unknown names in an override that make the override unusable, each as "ID: KIND NAME"."""
     unknown: list[str] = []
     if override.request_class is not None and override.request_class not in names.classes:
         unknown.append(f"{override.id}: class {override.request_class}")
@@ -159,7 +171,10 @@
 
 
 def _unknown_regions(override: Override, names: KnownNames) -> list[str]:
-    """Return the unknown regions of a shift, which still applies to the others."""
+    """Return the unknown regions of a shift, each as "ID: region NAME".
+
+    A shift still applies to the regions that are known.
+    """
     if not isinstance(override.action, Shift):
         return []
     shares = override.action.shares
@@ -178,32 +193,33 @@
 def _exclusions(
     settings: SteeringRules, overrides: Sequence[Override], names: KnownNames
 ) -> tuple[dict[HoldScope, frozenset[str]], list[str]]:
-    """Return what is excluded by scope, and a note for each hold that is not acted on."""
+    """Return the excluded names by scope, and a note for each hold that is not acted on."""
     excluded: dict[HoldScope, frozenset[str]] = {}
     notes: list[str] = []
-    for scope, of_settings in (
+    for scope, from_settings in (
         (HoldScope.REGION, settings.excluded_regions),
         (HoldScope.GROUP, settings.excluded_groups),
         (HoldScope.SERVER, settings.excluded_servers),
     ):
-        excluded[scope], scope_notes = _excluded(scope, overrides, of_settings, _names_of(scope, names))
+        excluded[scope], scope_notes = _excluded(scope, overrides, from_settings, _names_of(scope, names))
         notes += scope_notes
     return excluded, notes
 
 
 def _excluded(
-    scope: HoldScope, overrides: Sequence[Override], of_settings: frozenset[str], known: Set[str]
+    scope: HoldScope, overrides: Sequence[Override], from_settings: frozenset[str], known: Set[str]
 ) -> tuple[frozenset[str], list[str]]:
-    """Return what settings and holds exclude; where that is all that is known, the last holds don't count.
+    """Return the names of one scope that settings and holds exclude, and notes.
 
-    Each hold that doesn't count has a note.
+    If these are all `known` names, the holds that come last in precedence are dropped until one name is left.
+    Each dropped hold has a note.
     """
-    override_of: dict[str, str] = {}  # id by name held
+    override_of: dict[str, str] = {}  # Id of the first override that holds a name, by that name
     for override in overrides:
         if isinstance(override.action, Hold) and override.action.scope is scope:
             override_of.setdefault(override.action.name, override.id)
-    excluded = of_settings | override_of.keys()
-    removable = [name for name in override_of if name not in of_settings]
+    excluded = from_settings | override_of.keys()
+    removable = [name for name in override_of if name not in from_settings]
     kind, notes = scope.value, []
     while removable and known and known <= excluded:
         name = removable.pop()
@@ -214,9 +230,9 @@
     return excluded, notes
 
 
-def _caps(of_settings: Mapping[str, float], overrides: Sequence[Override]) -> dict[str, float]:
-    """Return the lowest cap of each class, in requests/s of the whole fleet."""
-    caps = dict(of_settings)
+def _caps(from_settings: Mapping[str, float], overrides: Sequence[Override]) -> dict[str, float]:
+    """Return the lowest cap of each request class, in requests/s of the whole fleet."""
+    caps = dict(from_settings)
     for override in overrides:
         name = override.request_class
         if isinstance(override.action, Cap) and name is not None:
@@ -224,10 +240,10 @@
     return caps
 
 
-def _pins(of_settings: Mapping[str, str], overrides: Sequence[Override]) -> dict[str, str]:
-    """Return the region of each pinned tenant."""
-    pins = dict(of_settings)
-    for override in reversed(overrides):  # the one that takes precedence is written last
+def _pins(from_settings: Mapping[str, str], overrides: Sequence[Override]) -> dict[str, str]:
+    """Return the region of each pinned tenant; overrides replace pins of the settings."""
+    pins = dict(from_settings)
+    for override in reversed(overrides):  # The override that takes precedence is written last.
         if isinstance(override.action, Pin) and override.tenant is not None:
             pins[override.tenant] = override.action.region
     return pins
@@ -236,8 +252,8 @@
 def _undisputed_pins(settings: SteeringRules, selected: _Selection) -> dict[str, str]:
     """Return the pins to act on.
 
-    Near its end a pin may still be acted on by another sidecar: a tenant that this one would then serve
-    elsewhere is served by none.
+    Shortly after this sidecar has ended a pin, another sidecar may still act on it. Until the end of the pin
+    is certain, no region serves a tenant that this sidecar would otherwise serve in another region.
     """
     pins = _pins(settings.tenant_pins, selected.usable)
     if not selected.doubtful:
@@ -247,12 +263,16 @@
 
 
 def common_pins(one: Mapping[str, str], other: Mapping[str, str]) -> dict[str, str]:
-    """Return the pins that two states agree on; a tenant on which they differ is served by no region."""
+    """Return the pins that `one` and `other` agree on.
+
+    A tenant on which the two differ gets the region `NO_REGION`, which means that no region serves it.
+    """
     tenants = {**one, **other}
     return {name: one[name] if one.get(name) == other.get(name) else NO_REGION for name in tenants}
 
 
 def _pins_to_excluded(pins: Mapping[str, str], excluded: frozenset[str]) -> list[str]:
+    """Return a note for each tenant that is pinned to an excluded region."""
     return [
         f"tenant {tenant} is pinned to region {region}, which is held"
         for tenant, region in sorted(pins.items())
@@ -264,12 +284,14 @@
 
 
 class _Regions(NamedTuple):
+    """The names of all known regions, and of the excluded ones."""
+
     known: Set[str]
     excluded: frozenset[str]
 
 
 class _Selector(NamedTuple):
-    """The requests that a shift is for."""
+    """The requests that a shift applies to; None matches any request class or any tenant."""
 
     request_class: str | None = None
     tenant: str | None = None
@@ -280,6 +302,7 @@
 
 
 def _shifts(overrides: Iterable[Override]) -> _Shifts:
+    """Return the shifts among the overrides, each with the requests that it applies to."""
     return [
         (_Selector(override.request_class, override.tenant), override.action)
         for override in overrides
@@ -288,31 +311,36 @@
 
 
 def _class_shares(settings: SteeringRules, shifts: _Shifts, regions: _Regions) -> dict[str, Shares]:
-    """Return the shares of each class that has its own."""
+    """Return the shares of each request class that has shares in the settings or a shift of its own."""
     shifted = {selector.request_class for selector, _ in shifts if selector.request_class}
-    found = {
-        name: _shares(settings.class_shares.get(name, settings.shares), shifts, _Selector(name), regions)
+    by_class = {
+        name: _effective_shares(
+            settings.class_shares.get(name, settings.shares), shifts, _Selector(name), regions
+        )
         for name in {*settings.class_shares, *shifted}
     }
-    return {name: shares for name, shares in found.items() if shares}
+    return {name: shares for name, shares in by_class.items() if shares}
 
 
 def _tenant_shares(settings: SteeringRules, shifts: _Shifts, regions: _Regions) -> dict[str, Shares]:
-    """Return the shares of each tenant that has its own."""
+    """Return the shares of each tenant that has shares in the settings or a shift of its own."""
     shifted = {selector.tenant for selector, _ in shifts if selector.tenant}
-    found = {
-        name: _shares(
+    by_tenant = {
+        name: _effective_shares(
             settings.tenant_shares.get(name, settings.shares), shifts, _Selector(tenant=name), regions
         )
         for name in {*settings.tenant_shares, *shifted}
     }
-    return {name: shares for name, shares in found.items() if shares}
+    return {name: shares for name, shares in by_tenant.items() if shares}
 
 
-def _shares(base: Shares, shifts: _Shifts, selector: _Selector, regions: _Regions) -> Shares:
-    """Return the shares by region after all shifts of these requests; empty if there are none to heed."""
+def _effective_shares(base: Shares, shifts: _Shifts, selector: _Selector, regions: _Regions) -> Shares:
+    """Return the shares by region after all shifts that apply to the requests of `selector`.
+
+    Excluded regions get no share. The result is empty if no region has a share.
+    """
     shares = dict(base)
-    for shifted, shift in reversed(shifts):  # the one that takes precedence is applied last
+    for shifted, shift in reversed(shifts):  # The shift that takes precedence is applied last.
         if shifted in (ALL_REQUESTS, selector):
             shares = _after_shift(shares, shift, regions.known)
     available = {region: share for region, share in shares.items() if region not in regions.excluded}
@@ -323,9 +351,9 @@
 
 
 def _after_shift(base: Mapping[str, float], shift: Shift, known: Set[str]) -> dict[str, float]:
-    """Return the shares that a shift names, with the rest distributed over the other regions.
+    """Return the shares that a shift states, and the rest distributed over the other regions.
 
-    The rest keeps the proportions of `base`; it is even where `base` has no other region.
+    The rest is distributed in the proportions of `base`, and evenly if `base` has no other region.
     """
     shares = {region: share for region, share in shift.shares.items() if region in known}
     if not shares:
@@ -342,14 +370,17 @@
     return shares
 
 
-# --- several revisions, and no lease ------------------------------------------------------------------------
+# --- rules with concurrent revisions, and without a lease ---------------------------------------------------
 
 
-def common(one: Effective, other: Effective, regions: frozenset[str] = frozenset()) -> Effective:
-    """Return the rules of the first revision, restricted to what the other one allows too.
+def common_rules(
+    one: EffectiveRules, other: EffectiveRules, regions: frozenset[str] = frozenset()
+) -> EffectiveRules:
+    """Return the rules `one`, restricted to what the rules `other` of another revision allow as well.
 
-    Only pins that both have are kept, exclusions are united and the lower cap counts. `regions` are those
-    with servers: where the two would exclude all of them, the exclusions of the first alone count.
+    Only pins that both have are kept, the exclusions of both apply, and the lower cap of each class applies.
+    `regions` are the regions with servers: if the two together exclude all of them, only the exclusions of
+    `one` apply.
     """
     excluded = one.excluded_regions | other.excluded_regions
     caps = {name: min(rules.caps.get(name, math.inf) for rules in (one, other)) for name in other.caps}
@@ -361,13 +392,14 @@
     )
 
 
-def fallback(
-    rules: Effective, pins: Mapping[str, str], excluded_regions: Iterable[str], cap_part: float
-) -> Effective:
-    """Return the rules to act on without a lease: overrides in force, less what others may have by now.
+def rules_without_lease(
+    rules: EffectiveRules, pins: Mapping[str, str], excluded_regions: Iterable[str], cap_part: float
+) -> EffectiveRules:
+    """Return the rules to act on without a lease.
 
-    `pins` and `excluded_regions` are those of the fallback configuration; `cap_part` is the part of each cap
-    that is used.
+    These are `rules` without what other sidecars may do differently under a newer revision. `pins` and
+    `excluded_regions` are those of the fallback configuration. A pinned tenant is served only in its region
+    in `pins`. `cap_part` is the part of each cap that is used.
     """
     return replace(
         rules,
--- a/brassfall/sidecar/agent/steering.py
+++ b/brassfall/sidecar/agent/steering.py
@@ -1,6 +1,6 @@
-"""Steering of this sidecar's picks, from configuration revisions, overrides in force and the plan. Pure code.
+"""Steering of this sidecar's server selection by configuration revisions, overrides and the steering plan.
 
-Times are in seconds of the sidecar's monotonic clock.
+The module is pure code: times are passed in, in seconds of the sidecar's monotonic clock.
 """
 
 from __future__ import annotations
@@ -15,29 +15,30 @@
 from brassfall.sidecar.agent.lease_client import ActiveConfiguration, Revision
 from brassfall.sidecar.agent.lists import EndpointList
 from brassfall.sidecar.agent.override_layer import Layer, Place, read_layer
-from brassfall.sidecar.agent.overrides import Effective, LocalView
+from brassfall.sidecar.agent.overrides import EffectiveRules, LocalView
 from brassfall.sidecar.config import Agreement
 from brassfall.sidecar.config_values import Names
 
-NEUTRAL = Steer()
-DEFAULT_PLAN_AGE_LIMIT_MS = 15_000.0
-WEIGHT_STEP = 0.1  # a plan's weight is rounded down to this: each change of it replaces the `Steer`
-MAX_EXPLORE = 0.5  # share of requests
-MAX_LAYERS = 8  # layers of overrides kept, one for each revision
+NEUTRAL = Steer()  # A `Steer` without any steering
+DEFAULT_PLAN_AGE_LIMIT_MS = 15_000.0  # Age limit of a plan that states none, in milliseconds
+# The weight of a plan is rounded down to a multiple of this, because each change of it replaces the `Steer`.
+WEIGHT_STEP = 0.1
+MAX_EXPLORE = 0.5  # Largest accepted share of requests that explore other regions
+MAX_LAYERS = 8  # Largest number of cached layers of overrides, with one layer for each revision
 
 
 class Inputs(NamedTuple):
-    """What the rules and the `Steer` depend on, beside the active configuration and the clock."""
+    """The inputs of the rules and the `Steer`, apart from the active configuration and the clock."""
 
     names: Names
-    list_changes: int
-    deadline_changes: int
-    sidecars: int  # that share a cap
+    list_changes: int  # Number of updates applied to the endpoint list
+    deadline_changes: int  # Number of times left that were accepted
+    sidecars: int  # Number of sidecars in the fleet among which each cap is divided
     plan_weight: float
 
 
 class Steering:
-    """The overrides' deadlines, and the `Steer` that follows from them and the active configuration."""
+    """The deadlines of overrides, and the `Steer` that follows from them and the active configuration."""
 
     def __init__(
         self, agreement: Agreement, names: Callable[[], Names], endpoint_list: Callable[[], EndpointList]
@@ -47,36 +48,43 @@
         self._endpoint_list = endpoint_list
         self._deadlines = Deadlines()
         self._sidecars = 1
-        self._details_wanted = False  # the service asks which overrides are acted on
-        self._refresh_times = False  # the next report asks for all times left
+        # True if the list service has requested the revisions of the overrides that this sidecar acts on.
+        self._details_wanted = False
+        self._refresh_times = False  # True if the next report should request all times left
+        # The id and revision of each override that this sidecar acts on.
         self._acted: tuple[tuple[str, int], ...] = ()
-        self._layers: dict[int, Layer] = {0: Layer()}  # by configuration revision
-        self._plan_revision = -1  # the configuration revision that stated the plan
-        self._plan_since = -math.inf  # when it was first used here
-        self._frozen: Steer | None = None  # the one in use when steering was frozen
+        # The parsed overrides of each configuration revision, by the number of the revision.
+        self._layers: dict[int, Layer] = {0: Layer()}
+        self._plan_revision = -1  # The configuration revision with which the plan in use was published
+        self._plan_since = -math.inf  # Time at which this sidecar first used the plan
+        # The `Steer` at the time at which an override froze steering; None while steering is not frozen.
+        self._frozen_steer: Steer | None = None
 
     # --- reports ------------------------------------------------------------------------
 
     def report_fields(self) -> dict[str, Any]:
-        """Return the part of a report that is about overrides."""
-        part: dict[str, Any] = {
+        """Return the fields of the next report that are about overrides."""
+        fields: dict[str, Any] = {
             "overrides": [name for name, _ in self._acted],
             "digest": digest(self._acted),
             "told": self._deadlines.newest_revision,
         }
         if self._refresh_times:
-            part["retell"] = True
+            fields["retell"] = True
         if self._details_wanted:
-            part["acted"] = dict(self._acted)
+            fields["acted"] = dict(self._acted)
             self._details_wanted = False
-        return part
+        return fields
 
-    def receive_answer(self, asked: float, received: float, answer: Mapping[str, Any]) -> None:
-        """Use the parts of an answer to a report that are about overrides; others are ignored."""
+    def receive_answer(self, sent_at: float, received_at: float, answer: Mapping[str, Any]) -> None:
+        """Use the fields of an answer that are about overrides, and ignore all others.
+
+        The report was sent at `sent_at`, and its answer was received at `received_at`.
+        """
         times_left = answer.get("left")
         if isinstance(times_left, Mapping):
-            self._deadlines.receive(asked, times_left, received)
-        self._refresh_times = self._deadlines.refresh_due(received)
+            self._deadlines.receive(sent_at, times_left, received_at)
+        self._refresh_times = self._deadlines.refresh_due(received_at)
         self._details_wanted = answer.get("list_overrides") is True
         sidecars = answer.get("edges")
         if isinstance(sidecars, int) and sidecars > 0:
@@ -85,7 +93,10 @@
     # --- the rules in force ------------------------------------------------------------------
 
     def inputs(self, revision: Revision, now: float) -> Inputs:
-        """Return what the rules and the `Steer` depend on; they change only with it, or at `next_end`."""
+        """Return the inputs of the rules and of the `Steer`.
+
+        The rules and the `Steer` of an active configuration change only with these inputs, or at `next_end`.
+        """
         return Inputs(
             names=self._names(),
             list_changes=self._endpoint_list().changes,
@@ -95,37 +106,43 @@
         )
 
     def objection(self, revision: Revision) -> str:
-        """Return why the overrides of a revision can't be acted on here, empty where they can."""
+        """Return why this sidecar can't act on the overrides of a revision, or an empty text if it can."""
         return "; ".join(self._layer(revision).problems)
 
-    def effective_rules(self, active: ActiveConfiguration, now: float) -> Effective:
-        """Return the rules to act on now; between revisions, only what all of them allow."""
-        found = self._revision_rules(active.revision, now)
+    def effective_rules(self, active: ActiveConfiguration, now: float) -> EffectiveRules:
+        """Return the rules to act on at `now`, which are those that all concurrent revisions allow."""
+        effective_rules = self._revision_rules(active.revision, now)
         regions = self._regions_with_servers()
-        # Where not all revisions can be heeded, those that others act on first count first: the next ones,
-        # then older ones, which a service with an old copy grants only after the epoch wait.
+        # If the exclusions of all revisions together would leave no region, the revisions that other sidecars
+        # act on first take precedence: first the newer revisions in order, then the older ones. A list
+        # service with an old copy of its store grants leases on an older revision only after the wait for a
+        # lower epoch.
         number = active.revision.number
         for revision in sorted(active.concurrent, key=lambda each: (each.number < number, each.number)):
-            found = overrides.common(found, self._revision_rules(revision, now), regions)
+            effective_rules = overrides.common_rules(
+                effective_rules, self._revision_rules(revision, now), regions
+            )
         if active.fallback:
             base = rules.fallback_rules(active.revision.settings)
-            found = overrides.fallback(
-                found, base.tenant_pins, base.excluded_regions, rules.FALLBACK_CAP_PART
+            effective_rules = overrides.rules_without_lease(
+                effective_rules, base.tenant_pins, base.excluded_regions, rules.FALLBACK_CAP_PART
             )
-        self._acted = found.acted
-        return found
+        self._acted = effective_rules.acted
+        return effective_rules
 
     def next_end(self, now: float) -> float:
-        """Return when the next override or its doubt ends; infinite if none does."""
+        """Return the time at which the phase of an override changes next; inf if no change is due."""
         end = self._deadlines.next_end(now)
         return math.inf if end is None else end
 
-    def _revision_rules(self, revision: Revision, now: float) -> Effective:
+    def _revision_rules(self, revision: Revision, now: float) -> EffectiveRules:
+        """Return the rules of one revision with its overrides in force, regardless of other revisions."""
         settings = rules.base_rules(_with_planned_shares(revision), self._place.group)
         layer = self._layer(revision).overrides
-        return overrides.effective_rules(now, settings, layer, self._deadlines, self._view())
+        return overrides.effective_rules(now, settings, layer, self._deadlines, self._local_view())
 
     def _layer(self, revision: Revision) -> Layer:
+        """Return the parsed overrides of a revision, which are cached for the last `MAX_LAYERS` revisions."""
         layer = self._layers.get(revision.number)
         if layer is None:
             layer = self._layers[revision.number] = read_layer(revision.overrides)
@@ -133,73 +150,85 @@
                 del self._layers[min(number for number in self._layers if number)]
         return layer
 
-    def _view(self) -> LocalView:
-        names, listed = self._names(), self._endpoint_list()
+    def _local_view(self) -> LocalView:
+        """Return the properties of this sidecar on which the effect of overrides depends."""
+        names, endpoint_list = self._names(), self._endpoint_list()
         known = overrides.KnownNames(
             regions=frozenset(names.zones),
-            groups=listed.groups,
-            servers=listed.servers,
+            groups=endpoint_list.groups,
+            servers=endpoint_list.servers,
             classes=frozenset(names.classes),
             tenants=frozenset(names.tenants),
         )
         return LocalView(self._place, known, self._sidecars)
 
     def _regions_with_servers(self) -> frozenset[str]:
+        """Return the names of the regions that have an active server."""
         served = self._endpoint_list().served_zones
         return frozenset(name for name, zone in self._names().zones.items() if zone in served)
 
-    # --- the balancer's form -------------------------------------------------------------------
+    # --- the rules in the balancer's form ------------------------------------------------------
 
-    def steer(self, active: ActiveConfiguration, found: Effective, now: float) -> Steer:
-        """Return the rules by the balancer's numbers of classes, tenants and zones."""
-        steer = self._by_numbers(found)._replace(
+    def steer(self, active: ActiveConfiguration, effective_rules: EffectiveRules, now: float) -> Steer:
+        """Return the rules as a `Steer`, which identifies classes, tenants and zones by number."""
+        steer = self._to_steer(effective_rules)._replace(
             weight=self._plan_weight(active.revision, now),
-            explore=_explore((active.revision.plan or {}).get("look")),
+            explore=_exploration_share((active.revision.plan or {}).get("look")),
         )
-        if not found.frozen:
-            self._frozen = None
+        if not effective_rules.frozen:
+            self._frozen_steer = None
             return steer
-        # Shares and the plan's part are frozen; exclusions, pins and caps still change.
-        self._frozen = self._frozen or steer
+        # Shares, the weight of the plan and exploration are frozen; exclusions, pins and caps still change.
+        self._frozen_steer = self._frozen_steer or steer
         return steer._replace(
-            shares=self._frozen.shares, weight=self._frozen.weight, explore=self._frozen.explore
+            shares=self._frozen_steer.shares,
+            weight=self._frozen_steer.weight,
+            explore=self._frozen_steer.explore,
         )
 
-    def _by_numbers(self, found: Effective) -> Steer:
+    def _to_steer(self, effective_rules: EffectiveRules) -> Steer:
+        """Return a `Steer` with the rules, but without the weight and the exploration of the plan.
+
+        Names that this sidecar does not know are left out.
+        """
         names = self._names()
         zones, tenants, classes = names.zones, names.tenants, names.classes
         pins = {
             tenants[name]: zones.get(region, -1)
-            for name, region in found.tenant_pins.items()
+            for name, region in effective_rules.tenant_pins.items()
             if name in tenants
         }
         tenant_shares = {
             tenants[name]: _by_zone(shares, zones)
-            for name, shares in found.tenant_shares.items()
+            for name, shares in effective_rules.tenant_shares.items()
             if name in tenants
         }
         return Steer(
-            shares=_by_zone(found.shares, zones),
+            shares=_by_zone(effective_rules.shares, zones),
             class_shares={
                 classes[name].slot: _by_zone(shares, zones)
-                for name, shares in found.class_shares.items()
+                for name, shares in effective_rules.class_shares.items()
                 if name in classes
             },
             tenant_shares=tenant_shares | {tenant: {zone: 1.0} for tenant, zone in pins.items() if zone >= 0},
-            excluded_zones=frozenset(zones[name] for name in found.excluded_regions if name in zones),
+            excluded_zones=frozenset(
+                zones[name] for name in effective_rules.excluded_regions if name in zones
+            ),
             excluded_servers=frozenset(
-                self._endpoint_list().in_groups(found.excluded_groups) | found.excluded_servers
+                self._endpoint_list().in_groups(effective_rules.excluded_groups)
+                | effective_rules.excluded_servers
             ),
-            caps={classes[name].slot: rate for name, rate in found.caps.items() if name in classes},
+            caps={classes[name].slot: rate for name, rate in effective_rules.caps.items() if name in classes},
             pins=pins,
         )
 
     # --- the plan ----------------------------------------------------------------------------------
 
     def _plan_weight(self, revision: Revision, now: float) -> float:
-        """Return how far shares count, from 0 to 1: those of settings fully, a plan's less as it ages.
+        """Return the weight of the shares in server selection, from 0 to 1.
 
-        A plan counts fully up to its age limit, then linearly less, and not at all from twice the limit.
+        Shares in the settings have weight 1. The shares of a plan have weight 1 up to the plan's age limit;
+        the weight then decreases linearly to 0 at twice the limit.
         """
         if revision.plan is None or self._place.group in revision.settings.get("shares", {}):
             return 1.0
@@ -213,16 +242,18 @@
 
 
 def _with_planned_shares(revision: Revision) -> Mapping[str, Any]:
-    """Return the settings of a revision, with the plan's shares for groups that have none in the settings."""
+    """Return the settings of a revision, with shares of its plan for groups that the settings leave out."""
     planned = (revision.plan or {}).get("shares", {})
     return {**revision.settings, "shares": {**planned, **revision.settings.get("shares", {})}}
 
 
 def _by_zone(shares: Mapping[str, float], zones: Mapping[str, int]) -> dict[int, float]:
+    """Return shares by the number of the zone instead of the region's name; unknown regions are left out."""
     return {zones[region]: share for region, share in shares.items() if region in zones}
 
 
-def _explore(value: object) -> float:
+def _exploration_share(value: object) -> float:
+    """Return the share of requests that explore other regions as the plan states it; 0 if it is invalid."""
     if isinstance(value, bool) or not isinstance(value, int | float):
         return 0.0
     return float(value) if 0.0 <= value <= MAX_EXPLORE else 0.0
--- a/brassfall/sidecar/agent/watch.py
+++ b/brassfall/sidecar/agent/watch.py
@@ -1,4 +1,4 @@
-"""The watch on configuration revisions: one long answer, opened again whenever it ends."""
+"""The watch on configuration revisions: one long-lived answer, which is requested again when it ends."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class RevisionWatch:
-    """Passes each line of the watch on."""
+    """Keeps a watch on configuration revisions open, and passes on each line of it."""
 
     def __init__(
         self,
@@ -25,7 +25,10 @@
         newest_revision: Callable[[], int],
         receive: Callable[[Mapping[str, Any]], None],
     ) -> None:
-        """Watch from `newest_revision` on; `receive` raises `ValueError` on a malformed line."""
+        """Create a watch on the revisions that are newer than `newest_revision`.
+
+        `receive` is called with each line, parsed from JSON, and raises `ValueError` if it is malformed.
+        """
         self._loop = loop
         self._rng = rng
         self._newest_revision = newest_revision
@@ -33,7 +36,11 @@
         self._failing = False
 
     async def run(self, reports: Sources) -> None:
-        """Watch until cancelled, from the address that reports go to now; the connection is closed then."""
+        """Watch until cancelled; cancelling closes the connection.
+
+        The watch uses the same addresses as the reports. It starts at a random one of them, and moves to the
+        next address when it fails itself.
+        """
         sources = Sources((reports.current, *reports.others), self._rng)
         while True:
             retry_after = 0.0
@@ -43,28 +50,29 @@
                 if channel.accepted:
                     sources.worked()
                     self._failing = False
-            except Exception as error:  # noqa: BLE001 - the watch has to be opened again whatever failed
-                self._note_failure(error)
+            except Exception as error:  # noqa: BLE001 - the watch must be opened again after any fault
+                self._record_failure(error)
             await asyncio.sleep(sources.failed(retry_after))
 
-    def _note_failure(self, error: Exception) -> None:
+    def _record_failure(self, error: Exception) -> None:
         if not self._failing:
             log.warning(
                 "configuration: the watch on revisions fails",
                 reason=repr(error),
-                action="check that a list service runs at that address; reports deliver revisions meanwhile",
+                action="check that a list service runs at its address; answers to reports still announce new "
+                "revisions, which are then fetched",
             )
         self._failing = True
 
     async def _watch(self, address: Address) -> Channel:
-        """Watch until the connection ends or falls silent; return its channel."""
+        """Watch at an address until the connection ends or falls silent; return its channel."""
         host, port = address
         query = f"watch=1&from={self._newest_revision()}"
         request = f"GET {REVISIONS_PATH}?{query} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n".encode()
-        called = self._loop.time()
+        called_at = self._loop.time()
         async with asyncio.timeout(SILENT_S):
             _, channel = await self._loop.create_connection(
-                lambda: Channel(request, self._line, called), host, port
+                lambda: Channel(request, self._receive_line, called_at), host, port
             )
         try:
             await channel.wait_for_end()
@@ -72,5 +80,6 @@
             channel.close()
         return channel
 
-    def _line(self, line: bytes) -> None:
+    def _receive_line(self, line: bytes) -> None:
+        """Parse a line of the watch and pass it on; raise `ValueError` if it is malformed."""
         self._receive(json.loads(line))
--- a/tests/sidecar/test_agent.py
+++ b/tests/sidecar/test_agent.py
@@ -347,9 +347,9 @@
     for key, kind in document.KEYS.items():
         kinds[kind].add(key)
     assert kinds == {
-        document.KeyKind.EXCLUSIVE: rules.EXCLUSIVE,
-        document.KeyKind.ADDITIVE: rules.ADDITIVE,
-        document.KeyKind.FREE: rules.FREE,
+        document.KeyKind.EXCLUSIVE: rules.EXCLUSIVE_KEYS,
+        document.KeyKind.ADDITIVE: rules.ADDITIVE_KEYS,
+        document.KeyKind.FREE: rules.FREE_KEYS,
     }
 
 
--- a/tests/sidecar/test_agent_overrides.py
+++ b/tests/sidecar/test_agent_overrides.py
@@ -51,8 +51,8 @@
     known.receive(100.0, times_of(10_000), 100.2)
     end = known.next_end(100.0)
     assert 109.7 < end <= 110.0  # less what two clocks may differ by
-    assert known.active(end - 0.001) == ("x",) and known.phase("x", 5, end - 0.001) is Phase.IN_FORCE
-    assert known.active(end) == () and known.phase("x", 5, 120.0) is Phase.OVER  # nothing ran meanwhile
+    assert known.active_ids(end - 0.001) == ("x",) and known.phase("x", 5, end - 0.001) is Phase.IN_FORCE
+    assert known.active_ids(end) == () and known.phase("x", 5, 120.0) is Phase.OVER  # nothing ran meanwhile
     # Another sidecar may act on it until then.
     assert known.phase("x", 5, end) is Phase.DOUBTFUL and known.next_end(end) > 110.2
     assert known.digest(101.0) == digest([("x", 5)]) != known.digest(end)
@@ -130,7 +130,7 @@
 def test_a_malformed_time_left_is_named_and_changes_nothing(row):
     known = Deadlines()
     assert known.receive(0.0, {"x": row, "y": {"rev": 1, "left_ms": 1000}}) == ("x",)
-    assert known.active(0.5) == ("y",)
+    assert known.active_ids(0.5) == ("y",)
 
 
 def test_a_thousand_ends_in_one_second_are_few_changes_at_a_sidecar():
@@ -138,14 +138,14 @@
     known.receive(0.0, {f"k{n}": {"rev": n + 1, "left_ms": 10_000 + n} for n in range(1000)})
     while (end := known.next_end(now)) is not None:
         now, changes = end, changes + 1
-    assert changes <= 25 and known.active(now) == ()
+    assert changes <= 25 and known.active_ids(now) == ()
 
 
 def test_times_left_are_requested_anew_so_that_the_margin_is_small_at_the_end():
     known, end, requests = Deadlines(), 86_400.0, 0
     now = 0.0
     known.receive(now, times_of(end * 1000.0))
-    while known.active(now):
+    while known.active_ids(now):
         now += 0.9
         if known.refresh_due(now):
             requests += 1
@@ -304,13 +304,13 @@
         rules_in_force(rows, BASE),
         rules_in_force({"x": pin("b"), "y": hold("b"), "z": cap(40.0)}, BASE),
     )
-    met = overrides.common(one, other)
+    met = overrides.common_rules(one, other)
     assert met.tenant_pins == {"t1": NO_REGION, "t2": "b"} and met.excluded_regions == frozenset("ab")
     assert (met.caps, met.shares, met.acted) == ({"c1": 10.0}, one.shares, one.acted)
     # Where the two exclude all regions, the exclusions of the first alone count.
-    assert overrides.common(one, other, frozenset("ab")).excluded_regions == one.excluded_regions
-    assert overrides.common(one, other, frozenset("abc")).excluded_regions == frozenset("ab")
-    safe = overrides.fallback(one, {"t2": "c"}, (), 0.5)
+    assert overrides.common_rules(one, other, frozenset("ab")).excluded_regions == one.excluded_regions
+    assert overrides.common_rules(one, other, frozenset("abc")).excluded_regions == frozenset("ab")
+    safe = overrides.rules_without_lease(one, {"t2": "c"}, (), 0.5)
     assert safe.tenant_pins == {"t1": NO_REGION, "t2": "c"} and safe.caps == {"c1": 10.0}
     assert safe.excluded_regions == one.excluded_regions
     settings = {
