--- a/brassfall/sidecar/agent/agent.py
+++ b/brassfall/sidecar/agent/agent.py
@@ -16,7 +16,7 @@
 
 from brassfall.sidecar import log
 from brassfall.sidecar.agent.lease_client import ActiveConfiguration, LeaseClient, Revision
-from brassfall.sidecar.agent.lists import Sources
+from brassfall.sidecar.agent.lists import ServiceAddresses
 from brassfall.sidecar.agent.reporter import Node, Reporter
 from brassfall.sidecar.agent.watch import RevisionWatch
 from brassfall.sidecar.config import Agreement
@@ -57,9 +57,9 @@
         self._acting: int | str | None = None
         self._tasks: list[asyncio.Task[None]] = []
         rng = random.Random(seed)
-        self._sources = Sources(addresses, rng)
+        self._addresses = ServiceAddresses(addresses, rng)
         self.lease_client = LeaseClient(os.urandom(8).hex(), check)
-        self._reporter = Reporter(loop, Node(name, agreement), self._sources, self, rng)
+        self._reporter = Reporter(loop, Node(name, agreement), self._addresses, self, rng)
         self._watch = RevisionWatch(
             loop, rng, lambda: self.lease_client.newest_revision, self._receive_update
         )
@@ -77,7 +77,7 @@
         The first report requests a lease.
         """
         self.refresh(self._loop.time())
-        coroutines = (self._reporter.run(), self._watch.run(self._sources))
+        coroutines = (self._reporter.run(), self._watch.run(self._addresses))
         self._tasks = [self._loop.create_task(coroutine) for coroutine in coroutines]
 
     async def leave(self) -> None:
@@ -147,7 +147,7 @@
             "acting": self.lease_client.active_configuration(now).acting,
             "permission_ms": round(self.lease_client.lease_left_ms(now)),
             "overrides": self.overrides,
-            "at": "{}:{}".format(*self._sources.current),
+            "at": "{}:{}".format(*self._addresses.current),
             "failing": self._reporter.failure,
         }
         return json.dumps(state)
--- a/brassfall/sidecar/agent/lists.py
+++ b/brassfall/sidecar/agent/lists.py
@@ -3,6 +3,6 @@
 from __future__ import annotations
 
 from brassfall.sidecar.discovery.endpoint_index import EndpointList
-from brassfall.sidecar.discovery.sources import RETRY_SPREAD, Sources
+from brassfall.sidecar.discovery.sources import RETRY_SPREAD, ServiceAddresses
 
-__all__ = ["RETRY_SPREAD", "EndpointList", "Sources"]
+__all__ = ["RETRY_SPREAD", "EndpointList", "ServiceAddresses"]
--- a/brassfall/sidecar/agent/reporter.py
+++ b/brassfall/sidecar/agent/reporter.py
@@ -12,7 +12,7 @@
 from brassfall.sidecar import log
 from brassfall.sidecar.agent.calls import Caller, CallError
 from brassfall.sidecar.agent.lease_client import LeaseClient
-from brassfall.sidecar.agent.lists import RETRY_SPREAD, Sources
+from brassfall.sidecar.agent.lists import RETRY_SPREAD, ServiceAddresses
 from brassfall.sidecar.config import Agreement
 
 # Default and longest interval between reports, in milliseconds. An answer may request a longer interval than
@@ -72,14 +72,14 @@
         self,
         loop: asyncio.AbstractEventLoop,
         node: Node,
-        sources: Sources,
+        addresses: ServiceAddresses,
         configuration: Configuration,
         rng: random.Random,
     ) -> None:
         self._loop = loop
         self._path = f"/edges/{node.name}"
         self._agreement = node.agreement
-        self._sources = sources
+        self._addresses = addresses
         self._configuration = configuration
         self._rng = rng
         self._caller = Caller(loop)
@@ -97,7 +97,7 @@
             pause: Callable[[float], Awaitable[None]] = asyncio.sleep
             try:
                 await self._report()
-                self._sources.worked()
+                self._addresses.record_success()
                 self._record_failure("")
                 pause = self._pause
             except CallError as error:
@@ -105,14 +105,14 @@
                 wait_s = self._wait_after_failure(error)
             except Exception as error:  # noqa: BLE001 - without reports this sidecar would lose its lease
                 self._record_failure(f"malformed answer: {error!r}")
-                wait_s = min(wait_s, self._sources.failed())
+                wait_s = min(wait_s, self._addresses.record_failure())
             await pause(wait_s)
 
     async def deregister(self) -> None:
         """Report that this process acts on no configuration any more, and close the connection."""
         body = self._configuration.lease_client.report_fields(self._loop.time()) | {"leaving": True}
         try:
-            await self._caller.call(self._sources.current, "POST", self._path, DEREGISTER_S, body)
+            await self._caller.call(self._addresses.current, "POST", self._path, DEREGISTER_S, body)
         except CallError as error:
             log.warning(
                 "configuration: could not deregister from the list service",
@@ -139,9 +139,9 @@
         """
         lease_left_s = self._configuration.lease_client.lease_left_ms(self._loop.time()) / 1000.0
         longest_wait_s = (lease_left_s - CALL_S) / (1.0 + RETRY_SPREAD) if lease_left_s else math.inf
-        previous_address = self._sources.current
-        wait_s = self._sources.failed(error.retry_after, longest_wait_s)
-        if (error.retry_after and self._sources.current == previous_address) or not lease_left_s:
+        previous_address = self._addresses.current
+        wait_s = self._addresses.record_failure(error.retry_after, longest_wait_s)
+        if (error.retry_after and self._addresses.current == previous_address) or not lease_left_s:
             return wait_s
         return min(wait_s, RETRY_S * (1.0 + self._rng.random()))
 
@@ -184,9 +184,9 @@
         configuration = self._configuration
         configuration.current_stamp(self._loop.time())
         body = self._report_body()
-        is_complete = not self._caller.is_connected_to(self._sources.current)
+        is_complete = not self._caller.is_connected_to(self._addresses.current)
         report = body if is_complete else report_delta(body, self._last_report)
-        answer: Any = await self._caller.call(self._sources.current, "POST", self._path, CALL_S, report)
+        answer: Any = await self._caller.call(self._addresses.current, "POST", self._path, CALL_S, report)
         sent_at = self._caller.sent_at
         self._last_report = body
         if isinstance(answer, dict):
@@ -222,9 +222,9 @@
         """Choose the address of the next report by whether the answer redirects this sidecar."""
         if answer.get("elsewhere") is True:
             # The next report goes to another address, at its regular time. A running lease stays valid.
-            self._sources.sent_on()
+            self._addresses.record_redirect()
         else:
-            self._sources.settled()
+            self._addresses.record_no_redirect()
 
     def _store_pace(self, answer: Mapping[str, Any]) -> None:
         """Store the interval and the spread of urgent reports that the answer requests, within limits."""
@@ -235,7 +235,7 @@
 
     async def _fetch_revisions(self) -> None:
         """Fetch the current revisions, which the watch has not delivered yet."""
-        update = await self._caller.call(self._sources.current, "GET", REVISIONS_PATH, CALL_S)
+        update = await self._caller.call(self._addresses.current, "GET", REVISIONS_PATH, CALL_S)
         self._configuration.lease_client.receive_update(update)
         self.wake_if_urgent()
 
--- a/brassfall/sidecar/agent/steering.py
+++ b/brassfall/sidecar/agent/steering.py
@@ -215,7 +215,7 @@
                 zones[name] for name in effective_rules.excluded_regions if name in zones
             ),
             excluded_servers=frozenset(
-                self._endpoint_list().in_groups(effective_rules.excluded_groups)
+                self._endpoint_list().servers_in_groups(effective_rules.excluded_groups)
                 | effective_rules.excluded_servers
             ),
             caps={classes[name].slot: rate for name, rate in effective_rules.caps.items() if name in classes},
--- a/brassfall/sidecar/agent/watch.py
+++ b/brassfall/sidecar/agent/watch.py
@@ -9,10 +9,10 @@
 from typing import Any
 
 from brassfall.sidecar import log
-from brassfall.sidecar.agent.lists import Sources
+from brassfall.sidecar.agent.lists import ServiceAddresses
 from brassfall.sidecar.agent.reporter import REVISIONS_PATH
 from brassfall.sidecar.config_values import Address
-from brassfall.sidecar.discovery.channel import SILENT_S, Channel
+from brassfall.sidecar.discovery.channel import SILENCE_LIMIT_S, Channel
 
 
 class RevisionWatch:
@@ -35,24 +35,24 @@
         self._receive = receive
         self._failing = False
 
-    async def run(self, reports: Sources) -> None:
+    async def run(self, report_addresses: ServiceAddresses) -> None:
         """Watch until cancelled; cancelling closes the connection.
 
         The watch uses the same addresses as the reports. It starts at a random one of them, and moves to the
         next address when it fails itself.
         """
-        sources = Sources((reports.current, *reports.others), self._rng)
+        addresses = ServiceAddresses((report_addresses.current, *report_addresses.others), self._rng)
         while True:
             retry_after = 0.0
             try:
-                channel = await self._watch(sources.current)
+                channel = await self._watch(addresses.current)
                 retry_after = channel.retry_after
                 if channel.accepted:
-                    sources.worked()
+                    addresses.record_success()
                     self._failing = False
             except Exception as error:  # noqa: BLE001 - the watch must be opened again after any fault
                 self._record_failure(error)
-            await asyncio.sleep(sources.failed(retry_after))
+            await asyncio.sleep(addresses.record_failure(retry_after))
 
     def _record_failure(self, error: Exception) -> None:
         if not self._failing:
@@ -70,7 +70,7 @@
         query = f"watch=1&from={self._newest_revision()}"
         request = f"GET {REVISIONS_PATH}?{query} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n".encode()
         called_at = self._loop.time()
-        async with asyncio.timeout(SILENT_S):
+        async with asyncio.timeout(SILENCE_LIMIT_S):
             _, channel = await self._loop.create_connection(
                 lambda: Channel(request, self._receive_line, called_at), host, port
             )
--- a/brassfall/sidecar/discovery/__init__.py
+++ b/brassfall/sidecar/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The endpoint list: how discovery is called, and what its answers mean."""
+"""The client of discovery: the calls, the parser of endpoint lists, and the current endpoint list."""
--- a/brassfall/sidecar/discovery/current_list.py
+++ b/brassfall/sidecar/discovery/current_list.py
@@ -1,6 +1,7 @@
 """The current endpoint list of a sidecar outside of a fleet: its version, and which updates are accepted.
 
-`FleetList` is the same for a sidecar with the key `fleet`, which keeps the entries as well.
+`FleetList` is the counterpart for a sidecar whose configuration has the key `fleet`. It also stores the
+entries of the list.
 """
 
 from __future__ import annotations
@@ -18,76 +19,85 @@
 
 
 class WatchEvent(NamedTuple):
-    """One object of a watch, read."""
+    """Parsed content of one JSON object of a watch."""
 
-    update: ServerList | None  # None: the version is current, and nothing changed
-    stated_age: float | None = None  # seconds, of an object that stands in the place of a heartbeat
+    # The list or the changes; None if the object only states that the current version is the newest.
+    update: ServerList | None
+    # Age of the list in seconds, if the object states one and so counts as a heartbeat; None otherwise.
+    stated_age: float | None = None
 
 
 class CurrentList:
-    """The version of the current list, and from which one changes are requested."""
+    """The version of the current list, and the version from which a watch requests changes.
 
-    def __init__(self, known: ServerList, names: Names) -> None:
+    `configured_list` is the list in the configuration file, and `names` are the names in the settings.
+    """
+
+    def __init__(self, configured_list: ServerList, names: Names) -> None:
         self._names = names
-        self.version = known.version
-        self.requested_from = known.version
+        self.version = configured_list.version
+        self.watch_from_version = configured_list.version  # 0 requests the complete list
 
     @property
     def request_headers(self) -> str:
-        """The header lines of each call, each with its CRLF."""
+        """The additional header lines of each call, which each end with CRLF."""
         return ""
 
     @property
     def age(self) -> AgeBound | None:
-        """What keeps a bound on the age of the list; None if nothing does."""
+        """The upper bound on the age of the list; None if none is kept."""
         return None
 
     @property
     def endpoints(self) -> EndpointList | None:
-        """The entries of the list; None if they are not kept."""
+        """The entries of the list; None if they are not stored."""
         return None
 
     @property
     def size(self) -> int:
-        """How many entries are kept."""
+        """The number of stored entries."""
         return 0
 
     def age_at(self, now: float) -> float | None:  # noqa: ARG002 - of the interface
-        """Return an upper bound on the age of the list in seconds; None if there is none."""
+        """Return the upper bound on the age of the list at `now`, in seconds; None if none is known."""
         return None
 
     def start(self, loop: asyncio.AbstractEventLoop, state: Callable[[], str]) -> None:
-        """Begin to log how old the list is, where that is known; `state` is a part of each line."""
+        """Start to log when the list becomes too old, if its age is known.
+
+        `state` returns a text about the current list for the log lines.
+        """
 
     def close(self) -> None:
-        """Stop logging that."""
+        """Stop logging the age of the list."""
 
     def read_event(self, raw: object) -> WatchEvent:
-        """Return what an object of a watch contains.
-
-        Raise one of `MALFORMED` if it is no list.
-        """
+        """Return the content of one JSON object of a watch; raise one of `MALFORMED` if it is no list."""
         return WatchEvent(parse_list(raw, self._names))
 
     def read_complete(self, raw: object) -> ServerList:
-        """Return a complete list that was requested; raise one of `MALFORMED` if it is none, or too old."""
+        """Return a complete list that was requested.
+
+        Raise one of `MALFORMED` if `raw` is no list or is older than the current list.
+        """
         update = parse_list(raw, self._names)
-        if update.version < self.requested_from:
-            message = "the list is older than the current one"
+        if update.version < self.watch_from_version:
+            message = "the received list is older than the current list"
             raise ValueError(message)
         return update
 
     def accepts_changes(self, update: ServerList) -> bool:
-        """Return whether changes are new; older ones came before in a list, or from another address.
+        """Return whether changes are newer than the current list, or of the same version.
 
-        The current version may come again, with no entries: it answers a new watch.
+        Older changes are already part of the current list, which may have come from another address. Changes
+        of the current version without entries answer a new watch.
         """
-        return update.version >= self.requested_from
+        return update.version >= self.watch_from_version
 
-    def request_complete(self) -> None:
-        """Have the next watch begin with the complete list."""
-        self.requested_from = 0
+    def request_complete_list(self) -> None:
+        """Let the next watch request the complete list instead of changes."""
+        self.watch_from_version = 0
 
-    def take(self, update: ServerList) -> None:
-        """Make an update the current list, or a part of it."""
-        self.version = self.requested_from = update.version
+    def apply(self, update: ServerList) -> None:
+        """Apply a complete list or changes to the current list."""
+        self.version = self.watch_from_version = update.version
--- a/brassfall/sidecar/discovery/endpoint_index.py
+++ b/brassfall/sidecar/discovery/endpoint_index.py
@@ -1,4 +1,4 @@
-"""The entries of the current endpoint list, by server, group and zone."""
+"""The entries of the current endpoint list, indexed by server, group and zone."""
 
 from __future__ import annotations
 
@@ -9,20 +9,22 @@
 from brassfall.sidecar.config_values import Address
 from brassfall.sidecar.discovery.endpoint_list import ServerList
 
-NO_LIST = ServerList(0, complete=True, entries=[], addresses={})
+EMPTY_LIST = ServerList(0, complete=True, entries=[], addresses={})  # A complete list without servers
 
 
 class EndpointList:
-    """The last valid entry of each server, with indices over all of them.
+    """The last valid entry of each server, with indices by group and zone.
 
-    An update costs time by its own length, not by that of the list.
+    The time that an update takes is proportional to the length of the update, not to that of the list.
     """
 
-    def __init__(self, known: ServerList = NO_LIST) -> None:
+    def __init__(self, known: ServerList = EMPTY_LIST) -> None:
         self._entries: dict[str, tuple[Listing, Address | None]] = {}
-        self._groups: dict[str, set[str]] = {}  # names of servers by group; none is empty
-        self._active: Counter[int] = Counter()  # active servers by zone; none is 0
-        self.changes = 0  # updates applied
+        # Names of the servers of each group; no set is empty.
+        self._servers_by_group: dict[str, set[str]] = {}
+        # Number of active servers of each zone; no number is 0.
+        self._active_by_zone: Counter[int] = Counter()
+        self.changes = 0  # Number of updates applied
         self.apply(known)
 
     def __len__(self) -> int:
@@ -30,56 +32,61 @@
 
     @property
     def servers(self) -> Set[str]:
-        """The names of the servers; a view that follows the list."""
+        """The names of all servers, as a view that changes with the list."""
         return self._entries.keys()
 
     @property
     def groups(self) -> Set[str]:
-        """The groups of the servers; a view that follows the list."""
-        return self._groups.keys()
+        """The groups that have a server, as a view that changes with the list."""
+        return self._servers_by_group.keys()
 
     @property
     def served_zones(self) -> Set[int]:
-        """The zones with an active server; a view that follows the list."""
-        return self._active.keys()
+        """The numbers of the zones that have an active server, as a view that changes with the list."""
+        return self._active_by_zone.keys()
 
-    def in_groups(self, groups: Iterable[str]) -> set[str]:
-        """Return the servers of some groups."""
-        return {name for group in groups for name in self._groups.get(group, ())}
+    def servers_in_groups(self, groups: Iterable[str]) -> set[str]:
+        """Return the names of the servers in any of `groups`."""
+        return {name for group in groups for name in self._servers_by_group.get(group, ())}
 
     def apply(self, update: ServerList) -> None:
-        """Apply a complete list, or changes."""
+        """Apply an update, which is a complete list or the entries that changed."""
         self.changes += 1
         if update.complete:
             self._entries.clear()
-            self._groups.clear()
-            self._active.clear()
+            self._servers_by_group.clear()
+            self._active_by_zone.clear()
         for entry in update.entries:
             self._remove(entry.server)
             if entry.state != "left":
                 self._add(entry, update.addresses.get(entry.server))
 
     def _add(self, entry: Listing, address: Address | None) -> None:
+        """Add the entry of a server that has none."""
         self._entries[entry.server] = (entry, address)
-        self._groups.setdefault(str(entry.cell), set()).add(entry.server)
+        self._servers_by_group.setdefault(str(entry.cell), set()).add(entry.server)
         if entry.state == "active":
-            self._active[entry.zone] += 1
+            self._active_by_zone[entry.zone] += 1
 
     def _remove(self, name: str) -> None:
+        """Remove the entry of a server, if it has one."""
         if name not in self._entries:
             return
         entry, _ = self._entries.pop(name)
-        group = self._groups[str(entry.cell)]
+        group = self._servers_by_group[str(entry.cell)]
         group.discard(name)
         if not group:
-            del self._groups[str(entry.cell)]
+            del self._servers_by_group[str(entry.cell)]
         if entry.state == "active":
-            self._active[entry.zone] -= 1
-            if not self._active[entry.zone]:
-                del self._active[entry.zone]
+            self._active_by_zone[entry.zone] -= 1
+            if not self._active_by_zone[entry.zone]:
+                del self._active_by_zone[entry.zone]
 
-    def repaired(self, update: ServerList, invalid: Mapping[str, str]) -> ServerList:
-        """Return the update with the last valid entries in the place of the `invalid` ones, by server."""
+    def with_last_valid_entries(self, update: ServerList, invalid: Mapping[str, str]) -> ServerList:
+        """Return the update, with the last valid entry of each server whose new entry is invalid.
+
+        `invalid` maps the names of these servers to the reasons.
+        """
         entries, addresses = list(update.entries), dict(update.addresses)
         for name in invalid:
             if name not in self._entries:
--- a/brassfall/sidecar/discovery/endpoint_list.py
+++ b/brassfall/sidecar/discovery/endpoint_list.py
@@ -1,4 +1,4 @@
-"""Discovery's form of an endpoint list, read into typed values."""
+"""Parser of endpoint lists in discovery's wire form."""
 
 from __future__ import annotations
 
@@ -21,7 +21,8 @@
 )
 
 STATES = frozenset(("active", "leaving", "left"))
-FIRST_UNNAMED_ZONE = -2  # zones that the settings don't name have numbers from here down; -1 is no zone
+# Zones that the settings don't name have this number or a lower one; -1 stands for no zone.
+FIRST_UNNAMED_ZONE = -2
 ACTIVE, LEFT = "active", "left"
 
 
@@ -30,30 +31,32 @@
     """One message of discovery: the complete list, or the entries that changed."""
 
     version: int
-    complete: bool
+    complete: bool  # True for the complete list, False for changes
     entries: list[model.Listing]
-    addresses: dict[str, Address]
-    # When the list before this one was last known to be the newest, in seconds of the loop: what this one
-    # adds was not there then. -inf where discovery has sent none before.
+    addresses: dict[str, Address]  # Address of each server whose entry states one, by the server's name
+    # Time at which the previous list was last known to be the newest, in seconds of the loop. The servers
+    # that this message adds did not exist then. It is -inf if discovery has sent no list before.
     previous_list_fresh_at: float = -math.inf
 
 
 def parse_list(raw: object, names: Names, invalid: dict[str, str] | None = None) -> ServerList:
-    """Read discovery's form of a list; raise one of `MALFORMED` if it is none.
+    """Parse a list in discovery's wire form; raise one of `MALFORMED` if it is invalid.
 
-    If `invalid` is given, invalid entries are left out and named there, by server, each with its reason, and
-    each server that has not left needs an address. Otherwise one invalid entry makes the list invalid.
+    Without `invalid`, one invalid entry makes the whole list invalid. With `invalid`, invalid entries are
+    left out, and the reason for each is added to `invalid` under the name of the server. In that case the
+    entry of each server that has not left must also have an address.
     """
     message = as_object(raw)
     rows, complete, version = message["endpoints"], message.get("snapshot"), integer(message["index"])
-    # Guards against a complete list without servers where there is only something of another type.
+    # Without these checks a value of another type, such as an empty text, would be read as a complete list
+    # without servers.
     if not isinstance(rows, list) or not isinstance(complete, bool | None) or version < 0:
-        why = "index, snapshot and endpoints have to be a number, true or false, and a list"
+        why = "index has to be a number from 0, snapshot true or false, and endpoints a list"
         raise ValueError(why)
     update = ServerList(version, bool(complete), [], {})
     for number, row in enumerate(rows):
         try:
-            _add(update, row, names, address_needed=invalid is not None)
+            _add(update, row, names, requires_address=invalid is not None)
         except MALFORMED as error:
             if invalid is None:
                 why = f"endpoints[{number}]: {reason(error)}"
@@ -62,30 +65,32 @@
     return update
 
 
-def _add(update: ServerList, raw: object, names: Names, *, address_needed: bool) -> None:
-    """Add an entry to a list; nothing is added if one of `MALFORMED` is raised."""
+def _add(update: ServerList, raw: object, names: Names, *, requires_address: bool) -> None:
+    """Parse an entry and add it to `update`; raise one of `MALFORMED`, and add nothing, if it is invalid."""
     row = as_object(raw)
     entry = _listing(row, names)
     if row.get("address"):
         update.addresses[entry.server] = parse_address(row["address"])
-    elif address_needed and entry.state != LEFT:
-        why = "no address"
+    elif requires_address and entry.state != LEFT:
+        why = "the entry has no address"
         raise ValueError(why)
     update.entries.append(entry)
 
 
 def _name_of(row: object) -> str:
+    """Return the name in an invalid entry; empty if the entry has none."""
     return str(row.get("name", "")) if isinstance(row, Mapping) else ""
 
 
 def _listing(row: Mapping[str, Any], names: Names) -> model.Listing:
+    """Return a parsed entry; raise one of `MALFORMED` if it is invalid."""
     state = row.get("status", ACTIVE)
     if state not in STATES:
-        why = f"status {state!r} is not known"
+        why = f"status {state!r} is none of active, leaving and left"
         raise ValueError(why)
     name = row["name"]
     if not isinstance(name, str) or not name or not name.isprintable():
-        why = f"name {name!r} is not valid"
+        why = f"name {name!r} is not a text of printable characters"
         raise ValueError(why)
     return model.Listing(
         server=name,
@@ -94,16 +99,17 @@
         cell=integer(row.get("group") or 0),
         state=state,
         weight=amount(row.get("weight") or 1.0),
-        # Unix time in ms, which the driver bounds by what it has observed; 0 stays 0, which is long ago.
+        # Unix time in milliseconds; 0 stands for a start long ago. The driver corrects it by what it has
+        # observed, with `StartTimes`.
         started=amount(row.get("since_ms") or 0.0),
     )
 
 
 def _zone(name: str, names: Names) -> int:
-    """Return a zone's number; an entry that names none is in the first one.
+    """Return the number of a zone; an entry without a zone is in the first one.
 
-    A zone that the settings don't name, as a new one that waits for a restart, is one of its own: a retry
-    that has to stay in its zone must not go from there to another.
+    A zone that the settings don't name gets a number of its own. An example is a new zone that the settings
+    will name after a restart. A retry that has to stay within a zone then does not leave the unnamed zone.
     """
     if (number := names.zones.get(name)) is not None:
         return number
--- a/brassfall/sidecar/discovery/interfaces.py
+++ b/brassfall/sidecar/discovery/interfaces.py
@@ -1,4 +1,4 @@
-"""The interfaces of discovery: who is notified of lists, and what a list is received by."""
+"""The interfaces of discovery: the listener for lists, the route to discovery, and the watch strategy."""
 
 from __future__ import annotations
 
@@ -10,77 +10,90 @@
 
 
 class ListListener(Protocol):
-    """Is notified of each endpoint list, and of failed polls."""
+    """Listener that is notified of each endpoint list and of failed polls."""
 
     def endpoints_listed(self, form: ListForm, update: ServerList) -> None:
-        """Take in an endpoint list, or the changes of one."""
+        """Apply a complete endpoint list, or changes of the current one."""
 
     def discovery_failed(self) -> None:
-        """Take note that a poll failed or was rejected, or that its watch has ended."""
+        """Record that a poll failed, was rejected, or was a watch that has ended."""
 
 
 class WatchEnd(NamedTuple):
-    """How a watch ended. Without a connection nothing was heard."""
+    """How a watch ended; the default values are those of a watch without a connection."""
 
-    heard: bool = False  # a complete line came: what discovery had then is notified
-    silent: bool = False  # it was given up since nothing more came
-    heard_at: float = 0.0  # when the last complete line came, or the call was made; seconds of the loop
-    retry_after: float = 0.0  # seconds, where the answer named them
+    # True if a complete line arrived; everything that discovery had then has been received.
+    has_received_line: bool = False
+    silent: bool = False  # True if the watch was given up because no line arrived within the silence limit
+    # Time at which the last complete line arrived, or at which the call was made, in seconds of the loop.
+    last_line_at: float = 0.0
+    retry_after: float = 0.0  # Retry-After of the answer in seconds; 0 if the answer has none
 
     def failures_in_a_row(self, before: int) -> int:
-        """Return how many watches have failed in a row, this one included, after `before` others.
+        """Return the number of watches that have failed in a row, including this one.
 
-        A silent one does not count: by its silence alone enough time has passed.
+        `before` is the number before this watch. A silent watch is not a failure that needs a longer backoff:
+        the silence itself has taken enough time.
         """
-        return 0 if self.heard or self.silent else before + 1
+        return 0 if self.has_received_line or self.silent else before + 1
 
 
 class Route(Protocol):
-    """Where discovery is called, and how long to wait between calls. Times are in seconds."""
+    """The address at which discovery is called, and the waits between calls. Times are in seconds."""
 
     @property
     def current(self) -> Address:
         """The address of the next call."""
 
     def change_address(self, address: Address, addresses: tuple[Address, ...]) -> bool:
-        """Call elsewhere from now on; return False if nothing differs."""
+        """Use other addresses from now on; return False if they are the same as before.
 
-    def worked(self) -> None:
-        """Take note that a list, or changes of one, came from the current address."""
+        `address` is used outside of a fleet, and `addresses` in a fleet.
+        """
+
+    def record_success(self) -> None:
+        """Record that a list or changes of a list came from the current address."""
+
+    def record_failure(self, retry_after: float) -> None:
+        """Record that a call failed, or that the watch has fallen behind.
 
-    def failed(self, retry_after: float) -> None:
-        """Take note that a call failed, or that the watch has fallen behind."""
+        `retry_after` is the Retry-After of the answer, or 0 if there is none.
+        """
 
     def backoff(self, failures: int, retry_after: float) -> float:
-        """Return the wait before the next watch, after `failures` in a row."""
+        """Return the wait before the next watch, after `failures` failed watches in a row."""
 
-    def repeat_until(self, end: WatchEnd, until: float, now: float) -> float | None:
-        """Return until when a polled watch is repeated without the balancer; None if it is not.
+    def repeat_deadline(self, end: WatchEnd, until: float, now: float) -> float | None:
+        """Return the time until which a polled watch is repeated without involving the balancer.
 
-        `until` is what the call before returned, or the limit that the poll began with.
+        Return None if the watch is not repeated, so that the balancer polls next. `until` is the result of
+        the previous call, or for the first call the deadline that the poll began with.
         """
 
-    def hold_back(self, retry_after: float) -> float:
-        """Return how long the balancer is not yet notified that a polled watch has ended."""
+    def notification_delay(self, retry_after: float) -> float:
+        """Return the wait before the balancer is notified that a polled watch has ended."""
 
 
 class WatchStrategy(Protocol):
-    """When discovery is watched."""
+    """Decides when a watch on the endpoint list is open."""
 
     def start(self) -> None:
-        """Begin, once the remembered list is passed on."""
+        """Start, after the listener was notified of the list in the configuration."""
 
     def watch(self, *, on: bool) -> None:
-        """Watch from now on, or stop, as the balancer decides."""
+        """Start or stop a watch, as the balancer decides."""
 
     def change_address(self) -> None:
-        """Give up the watch at the old address, and open one at the new address at once."""
+        """Cancel the watch at the old address, and open one at the new address at once."""
 
     def reopen_watch(self) -> None:
-        """Get what the watch, which has fallen behind, has missed."""
+        """Request the changes that a watch which has fallen behind has missed."""
 
     async def wait_for_first_call(self, limit: float) -> None:
-        """Wait for the first call of a process, where readiness depends on it, at most `limit` seconds."""
+        """Wait until the first call of a process has ended, for at most `limit` seconds.
+
+        A strategy for which readiness does not depend on the first call returns at once.
+        """
 
     def close(self) -> None:
         """Cancel the watch."""
--- a/brassfall/sidecar/discovery/notifier.py
+++ b/brassfall/sidecar/discovery/notifier.py
@@ -1,4 +1,4 @@
-"""What the listener is notified of, with when the list before was last known to be the newest."""
+"""The notifier: applies each accepted update to the current list, and notifies the listener of it."""
 
 from __future__ import annotations
 
@@ -15,7 +15,10 @@
 
 
 class Notifier:
-    """Makes each accepted update a part of the current list, and passes it on to the listener."""
+    """Applies accepted updates to the current list, and notifies the listener of them and of failed polls.
+
+    The notifier adds to each update the time at which the previous list was last known to be the newest.
+    """
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, current: CurrentList, route: Route, listener: ListListener
@@ -24,61 +27,68 @@
         self._current = current
         self._route = route
         self._listener = listener
-        self._open_watch: Channel | None = None
-        # When the current list was last known to be the newest, apart from what the open watch knows.
-        self._fresh_at = -math.inf
+        self._open_watch: Channel | None = None  # The connection of the open watch
+        # Time at which the current list was last known to be the newest, in seconds of the loop. Later lines
+        # of the open watch are not included.
+        self._list_fresh_at = -math.inf
         self._first_list = asyncio.Event()
         self._first_call_ended = asyncio.Event()
 
     async def wait_for_first_list(self, limit: float) -> None:
-        """Wait until discovery has sent a list, at most `limit` seconds."""
+        """Wait until discovery has sent a list, for at most `limit` seconds."""
         await _wait(self._first_list, limit)
 
     async def wait_for_first_call(self, limit: float) -> None:
-        """Wait until the first call is answered or has failed, at most `limit` seconds."""
+        """Wait until the first call was answered or has failed, for at most `limit` seconds."""
         await _wait(self._first_call_ended, limit)
 
-    def call_ended(self) -> None:
-        """Take note that a call was answered or has failed."""
+    def record_call_end(self) -> None:
+        """Record that a call was answered or has failed."""
         self._first_call_ended.set()
 
     def watch_opened(self, channel: Channel) -> None:
-        """Take note of the open watch, which keeps the list fresh while lines come."""
+        """Record the connection of the open watch; each line on it confirms that the list is the newest."""
         self._open_watch = channel
 
     def watch_closed(self) -> None:
-        """Take note that no watch is open."""
-        self._fresh_at, self._open_watch = self._last_fresh(), None
+        """Record that no watch is open."""
+        self._list_fresh_at, self._open_watch = self._last_fresh_at(), None
 
-    def remembered(self, known: ServerList) -> None:
-        """Pass on the list that the configuration had."""
+    def notify_configured_list(self, known: ServerList) -> None:
+        """Notify the listener of the list in the configuration."""
         self._listener.endpoints_listed(ListForm.REMEMBERED, known)
 
-    def listed(self, form: ListForm, update: ServerList, *, on_watch: bool) -> None:
-        """Take in and pass on an update; `on_watch` if it came on the open watch.
+    def accept_update(self, form: ListForm, update: ServerList, *, on_watch: bool) -> None:
+        """Apply an update to the current list, and notify the listener of it.
 
-        There each update after the first comes as it happens.
+        `on_watch` is True if the update came on the open watch. On a watch, each update after the first one
+        arrives as soon as it happens.
         """
         watch, now = self._open_watch, self._loop.time()
-        live = on_watch and watch is not None and watch.updated
-        update = replace(update, previous_list_fresh_at=now if live else self._last_fresh())
-        self._fresh_at = now
-        self._route.worked()
-        self._current.take(update)
+        is_live = on_watch and watch is not None and watch.has_received_object
+        update = replace(update, previous_list_fresh_at=now if is_live else self._last_fresh_at())
+        self._list_fresh_at = now
+        self._route.record_success()
+        self._current.apply(update)
         self._first_list.set()
         self._first_call_ended.set()
         self._listener.endpoints_listed(form, update)
 
-    def failed(self) -> None:
-        """Pass on that a poll failed or has ended."""
+    def notify_failure(self) -> None:
+        """Notify the listener that a poll failed or has ended."""
         self._listener.discovery_failed()
 
-    def _last_fresh(self) -> float:
-        """Return when the current list was last known to be the newest; -inf if none has come yet."""
+    def _last_fresh_at(self) -> float:
+        """Return the time at which the current list was last known to be the newest; -inf without a list."""
         watch = self._open_watch
-        return max(self._fresh_at, watch.heard_at) if watch is not None and watch.updated else self._fresh_at
+        return (
+            max(self._list_fresh_at, watch.last_line_at)
+            if watch is not None and watch.has_received_object
+            else self._list_fresh_at
+        )
 
 
 async def _wait(event: asyncio.Event, limit: float) -> None:
+    """Wait until an event is set, for at most `limit` seconds."""
     with contextlib.suppress(TimeoutError):
         await asyncio.wait_for(event.wait(), limit)
--- a/brassfall/sidecar/discovery/polled_watch.py
+++ b/brassfall/sidecar/discovery/polled_watch.py
@@ -1,4 +1,4 @@
-"""The strategy for polled discovery: the balancer decides when to watch, and is notified of each end."""
+"""The strategy for polled discovery: the balancer starts each watch, and is notified when it has ended."""
 
 from __future__ import annotations
 
@@ -11,11 +11,12 @@
 from brassfall.sidecar.discovery.notifier import Notifier
 from brassfall.sidecar.discovery.watch_call import WatchCall
 
-MOVED_S = 4.0  # so long after a move, what the new address has counts as notified
+# Time after a change of the address within which the list at the new address has to be in force, in seconds.
+ADDRESS_CHANGE_NOTIFIED_S = 4.0
 
 
 class PolledWatch:
-    """Watches while the balancer wants changes, and after a move."""
+    """Watches while the balancer requests it, and after a change of the address."""
 
     def __init__(
         self,
@@ -33,13 +34,13 @@
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Do nothing: the balancer polls."""
+        """Do nothing, because the balancer starts each poll."""
 
     def watch(self, *, on: bool) -> None:
-        """Watch, or stop.
+        """Start a watch unless one is under way, or cancel the watch.
 
-        A watch under way, such as one after a move, is not given up for another: discovery handles calls in
-        turn, and the new one would wait for its turn again.
+        A watch under way, such as one after a change of the address, is not replaced by a new one. Discovery
+        handles calls in the order of their arrival, and a new call would have to wait again.
         """
         if not on:
             self.close()
@@ -48,41 +49,46 @@
             self._task = self._loop.create_task(self._poll())
 
     def change_address(self) -> None:
-        """Watch at the new address at once, also where no watch is open.
+        """Start a watch at the new address at once, even if no watch was under way.
 
-        The list counts as notified some seconds after the move, and the balancer may wait for longer before
-        it polls; for the same reason a call that fails until then is repeated without the balancer.
+        The list at the new address has to be in force within `ADDRESS_CHANGE_NOTIFIED_S`, and the balancer
+        may wait longer before it polls. For the same reason, a call that fails within this time is repeated
+        without involving the balancer.
         """
         self.close()
-        self._task = self._loop.create_task(self._poll(self._loop.time() + MOVED_S))
+        self._task = self._loop.create_task(self._poll(self._loop.time() + ADDRESS_CHANGE_NOTIFIED_S))
 
     def reopen_watch(self) -> None:
-        """Call for the complete list."""
+        """Request the complete list, which has the changes that the watch has missed."""
         self._list_calls.start()
 
     async def wait_for_first_call(self, limit: float) -> None:
-        """Return at once: the balancer polls in its own time."""
+        """Return at once, because readiness does not depend on polls."""
 
     def close(self) -> None:
         """Cancel the watch."""
         if self._task is not None:
             self._task.cancel()
 
-    async def _poll(self, until: float = -math.inf) -> None:
-        """Watch until the balancer has to decide anew, and notify it."""
+    async def _poll(self, repeat_until: float = -math.inf) -> None:
+        """Watch until the balancer has to poll again, and notify it. `repeat_until` is as in `_watch`."""
         try:
-            await self._watch(until)
+            await self._watch(repeat_until)
         except Exception as error:  # noqa: BLE001 - without a notification the balancer would never poll again
             log_failure(error)
         self._task = None
-        self._notifier.failed()
+        self._notifier.notify_failure()
 
-    async def _watch(self, until: float) -> None:
+    async def _watch(self, repeat_until: float) -> None:
+        """Watch, and repeat the watch as long as `Route.repeat_deadline` allows.
+
+        `repeat_until` is the time until which a failed watch is repeated, in seconds of the loop.
+        """
         failures = 0
         end = await self._call.run()
-        while (limit := self._route.repeat_until(end, until, self._loop.time())) is not None:
-            until, failures = limit, end.failures_in_a_row(failures)
+        while (deadline := self._route.repeat_deadline(end, repeat_until, self._loop.time())) is not None:
+            repeat_until, failures = deadline, end.failures_in_a_row(failures)
             await asyncio.sleep(self._route.backoff(failures, end.retry_after))
             end = await self._call.run()
-        if (wait := self._route.hold_back(end.retry_after)) > 0.0:
+        if (wait := self._route.notification_delay(end.retry_after)) > 0.0:
             await asyncio.sleep(wait)
--- a/brassfall/sidecar/discovery/pushed_watch.py
+++ b/brassfall/sidecar/discovery/pushed_watch.py
@@ -1,4 +1,4 @@
-"""The strategy for pushed lists: the watch is always kept up."""
+"""The strategy for pushed lists: a watch is always kept open."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class PushedWatch:
-    """Watches for as long as the process runs; the balancer has no part in it."""
+    """Keeps a watch open while the process runs, without involving the balancer."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, call: WatchCall, route: Route, notifier: Notifier
@@ -23,24 +23,25 @@
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin to watch."""
+        """Open the watch."""
         self._restart()
 
     def watch(self, *, on: bool) -> None:
-        """Ignore what the balancer asks for: the watch is kept up anyway."""
+        """Ignore the request of the balancer, because the watch is always kept open."""
 
     def change_address(self) -> None:
-        """Watch at the new address from now on."""
+        """Cancel the watch at the old address, and open one at the new address."""
         self._restart()
 
     def reopen_watch(self) -> None:
-        """Open the watch anew, which begins with what it has missed."""
+        """Open the watch again; the new watch begins with the changes that the old one has missed."""
         self._restart()
 
     async def wait_for_first_call(self, limit: float) -> None:
-        """Wait until the first call is answered or has failed, at most `limit` seconds.
+        """Wait until the first call was answered or has failed, for at most `limit` seconds.
 
-        What the agent has counts as notified from the first moment of a process.
+        A pushed list has to be in force as soon as discovery has it, so a process should not serve requests
+        before it has the list.
         """
         await self._notifier.wait_for_first_call(limit)
 
@@ -50,10 +51,12 @@
             self._task.cancel()
 
     def _restart(self) -> None:
+        """Replace the watch by a new one."""
         self.close()
-        self._task = self._loop.create_task(self._keep_up())
+        self._task = self._loop.create_task(self._keep_watch_open())
 
-    async def _keep_up(self) -> None:
+    async def _keep_watch_open(self) -> None:
+        """Watch until cancelled, and open the watch again after a backoff whenever it ends."""
         failures = 0
         while True:
             end = WatchEnd()
@@ -61,6 +64,6 @@
                 end = await self._call.run()
             except Exception as error:  # noqa: BLE001 - without a watch, draining servers would get requests
                 log_failure(error)
-            self._notifier.call_ended()
+            self._notifier.record_call_end()
             failures = end.failures_in_a_row(failures)
             await asyncio.sleep(self._route.backoff(failures, end.retry_after))
--- a/brassfall/sidecar/discovery/single_address.py
+++ b/brassfall/sidecar/discovery/single_address.py
@@ -1,19 +1,21 @@
-"""The route to discovery at one address: its backoff after failures."""
+"""The route to discovery at a single address: the address, and the backoff after failures."""
 
 from __future__ import annotations
 
 import random
 
 from brassfall.sidecar.config_values import Address
-from brassfall.sidecar.discovery.channel import BACKOFF_S, NOTIFIED_S, SPREAD
+from brassfall.sidecar.discovery.channel import BACKOFF_S, BACKOFF_SPREAD, NOTIFIED_S
 from brassfall.sidecar.discovery.interfaces import WatchEnd
 
-MAX_BACKOFF_S = 0.3
-MAX_DOUBLINGS = 8  # of the backoff; the maximum is reached far earlier
+MAX_BACKOFF_S = 0.3  # Longest backoff before its random deviation, in seconds
+# Largest number of times that the backoff is doubled, which keeps the power small. The longest backoff is
+# reached after far fewer doublings.
+MAX_DOUBLINGS = 8
 
 
 class SingleAddress:
-    """One address, which is called again however often a call fails."""
+    """Route to discovery at one address, which is called again however often a call fails."""
 
     def __init__(self, address: Address, rng: random.Random) -> None:
         self._address = address
@@ -25,34 +27,36 @@
         return self._address
 
     def change_address(self, address: Address, addresses: tuple[Address, ...]) -> bool:  # noqa: ARG002 - of the interface
-        """Call at `address` from now on; return False if it is the same."""
-        moved = address != self._address
+        """Use `address` from now on; return False if it is the same as before."""
+        changed = address != self._address
         self._address = address
-        return moved
+        return changed
 
-    def worked(self) -> None:
-        """Take note of nothing: the backoff counts the failures of one watch only."""
+    def record_success(self) -> None:
+        """Do nothing: the caller of `backoff` counts the failures."""
 
-    def failed(self, retry_after: float) -> None:
-        """Take note of nothing: there is no other address."""
+    def record_failure(self, retry_after: float) -> None:
+        """Do nothing: there is no other address to move to."""
 
     def backoff(self, failures: int, retry_after: float) -> float:  # noqa: ARG002 - of the interface
-        """Return the wait before the next watch; spread, since all sidecars lose theirs in one moment.
+        """Return the wait before the next watch, after `failures` failed watches in a row.
 
-        `Retry-After` does not count: the time after which a change counts as notified goes on.
+        The wait has a random deviation, because all sidecars lose their watches at the same moment.
+        Retry-After is ignored, because the time within which a change has to be in force does not stop.
         """
         wait = min(BACKOFF_S * 2.0 ** min(max(0, failures - 1), MAX_DOUBLINGS), MAX_BACKOFF_S)
-        return wait * (1.0 - SPREAD + 2.0 * SPREAD * self._rng.random())
+        return wait * (1.0 - BACKOFF_SPREAD + 2.0 * BACKOFF_SPREAD * self._rng.random())
 
-    def repeat_until(self, end: WatchEnd, until: float, now: float) -> float | None:
-        """Return until when a polled watch is repeated; None once the balancer has to poll.
+    def repeat_deadline(self, end: WatchEnd, until: float, now: float) -> float | None:
+        """Return the time until which a polled watch is repeated; None once the balancer has to poll.
 
-        The balancer waits for longer than what a silent watch missed may take, or what a move notifies.
+        The balancer would wait for too long in two cases: after a silent watch, which may have missed a
+        change, and after a change of the address.
         """
         if end.silent:
-            return max(until, end.heard_at + NOTIFIED_S)
-        return None if end.heard or now >= until else until
+            return max(until, end.last_line_at + NOTIFIED_S)
+        return None if end.has_received_line or now >= until else until
 
-    def hold_back(self, retry_after: float) -> float:  # noqa: ARG002 - of the interface
-        """Return 0: the balancer is notified at once."""
+    def notification_delay(self, retry_after: float) -> float:  # noqa: ARG002 - of the interface
+        """Return 0, because the balancer is notified at once."""
         return 0.0
--- a/brassfall/sidecar/discovery/watch_call.py
+++ b/brassfall/sidecar/discovery/watch_call.py
@@ -1,4 +1,4 @@
-"""One watch on discovery: the call, and the objects that come on it."""
+"""One watch on the endpoint list: the call to discovery, and the JSON objects that arrive on it."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 from brassfall.balancer.model import ListForm
 from brassfall.sidecar.config_values import MALFORMED
-from brassfall.sidecar.discovery.channel import End, ImplausibleListError, open_channel
+from brassfall.sidecar.discovery.channel import AnswerEnd, ImplausibleListError, open_channel
 from brassfall.sidecar.discovery.current_list import CurrentList
 from brassfall.sidecar.discovery.interfaces import Route, WatchEnd
 from brassfall.sidecar.discovery.notifier import Notifier
 
-PATH = "/registry/instances"
+PATH = "/registry/instances"  # Path of the endpoint list at discovery
 
 
 class WatchCall:
-    """Watches once, from the current version on, and notifies of what comes."""
+    """Makes one watch at a time for changes since the current version, and passes them to the notifier."""
 
     def __init__(self, route: Route, current: CurrentList, notifier: Notifier) -> None:
         self._route = route
@@ -23,17 +23,17 @@
         self._notifier = notifier
 
     async def run(self) -> WatchEnd:
-        """Watch until the connection ends or falls silent; return how that went.
+        """Watch until the connection ends or has been silent for too long; return how the watch ended.
 
         Cancelling closes the connection.
         """
-        target = f"{PATH}?watch=1&from={self._current.requested_from}"
+        target = f"{PATH}?watch=1&from={self._current.watch_from_version}"
         channel = await open_channel(
             self._route.current, target, self._receive, headers=self._current.request_headers
         )
         if channel is None:
             return WatchEnd()
-        channel.age = self._current.age
+        channel.age_bound = self._current.age
         self._notifier.watch_opened(channel)
         try:
             await channel.wait_for_end()
@@ -41,27 +41,28 @@
             channel.close()
             self._notifier.watch_closed()
         return WatchEnd(
-            heard=channel.heard,
-            silent=channel.end is End.SILENT,
-            heard_at=channel.heard_at,
+            has_received_line=channel.has_received_line,
+            silent=channel.end is AnswerEnd.SILENT,
+            last_line_at=channel.last_line_at,
             retry_after=channel.retry_after,
         )
 
     def _receive(self, line: bytes) -> float | None:
-        """Take one object; return the age that it states in the place of a heartbeat, in seconds.
+        """Process one JSON object of the watch; return the age of the list that it states, in seconds.
 
-        A `ValueError` ends the watch; after an invalid list the next one begins with the complete list.
+        Return None if the object states no age. Raise `ValueError` if it is no valid list, which ends the watch. The next watch then begins
+        with the complete list, unless this list was rejected as implausible.
         """
         try:
             update, stated_age = self._current.read_event(json.loads(line))
         except ImplausibleListError:
             raise
         except MALFORMED as error:
-            self._current.request_complete()
+            self._current.request_complete_list()
             message = f"not a list: {error}"
             raise ValueError(message) from error
         if update is not None and update.complete:
-            self._notifier.listed(ListForm.COMPLETE, update, on_watch=True)
+            self._notifier.accept_update(ListForm.COMPLETE, update, on_watch=True)
         elif update is not None and self._current.accepts_changes(update):
-            self._notifier.listed(ListForm.CHANGES, update, on_watch=True)
+            self._notifier.accept_update(ListForm.CHANGES, update, on_watch=True)
         return stated_age
--- a/tests/sidecar/test_discovery.py
+++ b/tests/sidecar/test_discovery.py
@@ -73,7 +73,7 @@
 async def test_a_watch_that_breaks_is_opened_again_where_lists_are_pushed(how, monkeypatch):
     monkeypatch.setattr(single_address, "BACKOFF_S", 0.01)
     if how == "silent":
-        monkeypatch.setattr(channel, "SILENT_S", 1.0)
+        monkeypatch.setattr(channel, "SILENCE_LIMIT_S", 1.0)
     registry, balancer = await Registry().start(), ScriptedBalancer()
     async with running(balancer=balancer, registry=registry):
         await until(lambda: registry.watches)
--- a/tests/sidecar/test_discovery_bounds.py
+++ b/tests/sidecar/test_discovery_bounds.py
@@ -111,7 +111,7 @@
     async def slow_list(connection):
         rows = [entry(f"s{i:06}") for i in range(20_000)]
         data = HEAD + chunk(json.dumps(listed(50, *rows)).encode() + b"\n")
-        assert len(data) < channel.MAX_LINE
+        assert len(data) < channel.MAX_LINE_BYTES
         for at in range(0, len(data), 65_536):
             await asyncio.sleep(0.12)
             connection.feed(data[at : at + 65_536])
@@ -122,7 +122,7 @@
     async with asyncio.timeout(60.0):
         while started.discovery.version != 50:
             await asyncio.sleep(0.1)
-    assert channel.SILENT_S + 1.0 < now() - begun < 10.0
+    assert channel.SILENCE_LIMIT_S + 1.0 < now() - begun < 10.0
     assert len(registry.calls) == 1
     started.close()
 
--- a/tests/sidecar/test_discovery_invalid_lists.py
+++ b/tests/sidecar/test_discovery_invalid_lists.py
@@ -88,7 +88,7 @@
     started = SidecarWithoutSockets(registry, "automatic")
     await asyncio.sleep(0.01)
     assert len(registry.calls) == 1
-    assert fed < channel.MAX_LINE + 3 * BLOCK
+    assert fed < channel.MAX_LINE_BYTES + 3 * BLOCK
     assert "discovery: call failed, reason=a line is too long" in capsys.readouterr().err
     started.close()
 
--- a/tests/sidecar/test_fleet_list.py
+++ b/tests/sidecar/test_fleet_list.py
@@ -13,34 +13,34 @@
 from brassfall.sidecar.discovery.channel import ImplausibleListError
 from brassfall.sidecar.discovery.endpoint_index import EndpointList
 from brassfall.sidecar.discovery.endpoint_list import ServerList
-from brassfall.sidecar.discovery.fleet_list import DOUBT_S, ListDoubt
+from brassfall.sidecar.discovery.fleet_list import MAX_REJECTION_S, ImplausibleListFilter
 from brassfall.sidecar.discovery.list_age import FRESH_AGAIN, ListAge
-from brassfall.sidecar.discovery.sources import FIRST_BACKOFF_S, MAX_BACKOFF_S, Sources
+from brassfall.sidecar.discovery.sources import FIRST_BACKOFF_S, MAX_BACKOFF_S, ServiceAddresses
 
 ADDRESSES = [Address("127.0.0.1", port) for port in (1, 2, 3)]
 
 
 def test_addresses_are_spread_over_a_fleet_and_waits_grow():
-    fleet = [Sources(ADDRESSES, random.Random(seed)) for seed in range(300)]
+    fleet = [ServiceAddresses(ADDRESSES, random.Random(seed)) for seed in range(300)]
     starts = [source.current.port for source in fleet]
     assert min(starts.count(port) for port in (1, 2, 3)) > 70
-    first = [source.failed() for source in fleet]
+    first = [source.record_failure() for source in fleet]
     assert len(set(first)) == 300 and min(first) < 0.1 and max(first) > 0.3
     for source, port in zip(fleet, starts, strict=True):
         assert source.current.port == port % 3 + 1
     one = fleet[0]
-    waits = [one.failed() for _ in range(30)]
+    waits = [one.record_failure() for _ in range(30)]
     assert max(waits) <= 1.5 * MAX_BACKOFF_S and max(waits) > 0.5
-    named = [source.failed(4.0) for source in fleet]
+    named = [source.record_failure(4.0) for source in fleet]
     assert min(named) >= 4.0 and max(named) <= 5.0 and len(set(named)) > 200
     at = one.current
-    one.failed(4.0)
+    one.record_failure(4.0)
     assert one.current == at  # an address that named a wait is asked again
-    one.worked()
-    assert one.failed() <= 1.5 * FIRST_BACKOFF_S
-    alone = Sources(ADDRESSES[:1], random.Random(1))
+    one.record_success()
+    assert one.record_failure() <= 1.5 * FIRST_BACKOFF_S
+    alone = ServiceAddresses(ADDRESSES[:1], random.Random(1))
     for _ in range(5000):  # an hour without any answer: the calls go on
-        assert alone.failed() <= 1.5 * MAX_BACKOFF_S
+        assert alone.record_failure() <= 1.5 * MAX_BACKOFF_S
 
 
 @pytest.mark.parametrize(
@@ -56,16 +56,16 @@
 def test_the_bound_on_the_age_of_a_list_is_never_too_low(heard, now, bound):
     age = ListAge()
     for at, heartbeats in heard:
-        age.confirmed(0.0, at, heartbeats)
-    assert age.bound(now) == (None if bound is None else pytest.approx(bound))
+        age.record_confirmation(0.0, at, heartbeats)
+    assert age.upper_bound(now) == (None if bound is None else pytest.approx(bound))
 
 
 def test_the_age_of_a_list_is_logged_as_it_passes_each_bound_once():
     age = ListAge()
-    age.confirmed(0.0, 0.1, 0)
-    logged = [passed for now in range(0, 400) if (passed := age.change_to_log(float(now))) is not None]
-    age.confirmed(400.0, 400.1, 0)
-    assert [*logged, age.change_to_log(401.0)] == [
+    age.record_confirmation(0.0, 0.1, 0)
+    logged = [passed for now in range(0, 400) if (passed := age.passed_age_to_log(float(now))) is not None]
+    age.record_confirmation(400.0, 400.1, 0)
+    assert [*logged, age.passed_age_to_log(401.0)] == [
         5.0,
         30.0,
         300.0,
@@ -74,16 +74,16 @@
 
 
 def test_an_implausible_list_is_rejected_for_a_while_and_logged_once():
-    doubt, empty = ListDoubt(), ServerList(50, True, [], {})
+    list_filter, empty = ImplausibleListFilter(), ServerList(50, True, [], {})
     with pytest.raises(ImplausibleListError, match="without servers") as first:
-        doubt.check(empty, 41, 3, 0.0)
+        list_filter.check(empty, 41, 3, 0.0)
     with pytest.raises(ImplausibleListError, match="without servers") as last:
-        doubt.check(empty, 41, 3, DOUBT_S - 1.0)
+        list_filter.check(empty, 41, 3, MAX_REJECTION_S - 1.0)
     assert (first.value.first, last.value.first) == (True, False)
-    doubt.check(empty, 41, 3, DOUBT_S)
-    doubt.check(empty, 41, 0, 0.0)  # nothing is lost by it
+    list_filter.check(empty, 41, 3, MAX_REJECTION_S)
+    list_filter.check(empty, 41, 0, 0.0)  # nothing is lost by it
     with pytest.raises(ImplausibleListError, match="version 50") as again:
-        doubt.check(empty, 60, 0, 0.0)
+        list_filter.check(empty, 60, 0, 0.0)
     assert again.value.first
 
 
@@ -109,4 +109,4 @@
         assert indexed.groups == {str(row.cell) for row in plain.values()}
         assert indexed.served_zones == {row.zone for row in plain.values() if row.state == "active"}
         for groups in (set(), {"0"}, {"1", "2", "9"}):
-            assert indexed.in_groups(groups) == {n for n, row in plain.items() if str(row.cell) in groups}
+            assert indexed.servers_in_groups(groups) == {n for n, row in plain.items() if str(row.cell) in groups}
--- a/tests/sidecar/test_start_times.py
+++ b/tests/sidecar/test_start_times.py
@@ -14,7 +14,7 @@
 from brassfall.balancer.model import Listing, Outcome
 from brassfall.sidecar.core.interfaces import Answer, Result
 from brassfall.sidecar.discovery.endpoint_list import ServerList
-from brassfall.sidecar.discovery.start_times import FORGET_MS, StartTimes
+from brassfall.sidecar.discovery.start_times import FORGET_AFTER_MS, StartTimes
 from tests.support.discovery import (
     HEAD,
     RegistryStub,
@@ -243,10 +243,10 @@
 def test_starts_of_servers_long_gone_are_forgotten():
     starts, updates = StartTimes(), []
     for number in range(100):
-        at = 1e12 + number * FORGET_MS
+        at = 1e12 + number * FORGET_AFTER_MS
         entries = [Listing(f"s{number}", started=at)]
         updates.append(starts.with_bounded_starts(at, at - 1000.0, ServerList(number, True, entries, {})))
-    assert all(update.entries[0].started == 1e12 + n * FORGET_MS for n, update in enumerate(updates))
+    assert all(update.entries[0].started == 1e12 + n * FORGET_AFTER_MS for n, update in enumerate(updates))
     assert len(starts) <= 3
 
 
