--- a/tests/sidecar/test_discovery.py
+++ b/tests/sidecar/test_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery outside of a fleet, on real sockets: pushed and polled lists, and a move to another address."""
+"""Discovery outside of a fleet, on real sockets: pushed and polled lists, and a change of the address."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 
 
 def notifications(balancer):
-    """Form and server names of each list that the balancer was notified of."""
+    """Return the form and the server names of each list that the balancer was notified of."""
     return [(form, [row.server for row in rows]) for form, rows in balancer.named("server_list")]
 
 
 @loopback
-async def test_the_remembered_list_comes_first_and_a_pushed_one_is_watched_from_there():
+async def test_the_configured_list_is_used_first_and_a_pushed_list_is_watched_from_its_version():
     registry, balancer = await Registry().start(), ScriptedBalancer()
-    known = listed(41, entry("s0"))
-    async with running(balancer=balancer, registry=registry, raw={"known": known}):
+    configured_list = listed(41, entry("s0"))
+    async with running(balancer=balancer, registry=registry, raw={"known": configured_list}):
         await until(lambda: registry.watches)
         assert registry.asked == ["/registry/instances?watch=1&from=41"]
         registry.tell(43, entry("s1", status="leaving"))
@@ -34,7 +34,7 @@
 
 
 @loopback
-async def test_lines_are_read_however_they_are_cut_into_chunks():
+async def test_lines_are_parsed_however_they_are_split_into_chunks():
     registry, balancer = await Registry().start(), ScriptedBalancer()
     async with running(balancer=balancer, registry=registry):
         await until(lambda: registry.watches)
@@ -47,7 +47,7 @@
 
 
 @loopback
-async def test_a_complete_list_drops_servers_from_the_pool():
+async def test_a_complete_list_removes_missing_servers_from_the_pool():
     registry = await Registry().start()
     async with running(registry=registry, raw={"known": listed(41, entry("s0"), entry("s1"))}) as sidecar:
         await until(lambda: registry.watches)
@@ -57,7 +57,7 @@
 
 
 @loopback
-async def test_older_changes_are_not_passed_on_and_the_current_version_answers_a_watch():
+async def test_older_changes_are_ignored_and_the_current_version_answers_a_watch():
     registry, balancer = await Registry().start(), ScriptedBalancer()
     async with running(balancer=balancer, registry=registry):
         await until(lambda: registry.watches)
@@ -70,7 +70,7 @@
 
 @pytest.mark.parametrize("how", ["ended", "invalid", "silent"])
 @loopback
-async def test_a_watch_that_breaks_is_opened_again_where_lists_are_pushed(how, monkeypatch):
+async def test_a_watch_on_a_pushed_list_is_reopened_after_it_ends(how, monkeypatch):
     monkeypatch.setattr(single_address, "BACKOFF_S", 0.01)
     if how == "silent":
         monkeypatch.setattr(channel, "SILENCE_LIMIT_S", 1.0)
@@ -90,7 +90,7 @@
 
 
 @loopback
-async def test_where_discovery_is_polled_the_balancer_decides_when_and_is_notified_of_failures():
+async def test_the_balancer_decides_when_discovery_is_polled_and_is_notified_of_failures():
     registry, balancer = await Registry(listed(60, entry("s5"))).start(), ScriptedBalancer()
     async with running(balancer=balancer, registry=registry, Discovery="subscribe") as sidecar:
         assert registry.asked == []
@@ -109,7 +109,7 @@
 
 @pytest.mark.parametrize("pushed", [True, False])
 @loopback
-async def test_a_watch_goes_on_at_the_address_that_discovery_has_moved_to(pushed):
+async def test_a_watch_continues_at_the_new_address_of_discovery(pushed):
     old, new, balancer = await Registry().start(), await Registry().start(), ScriptedBalancer()
     settings = {"Discovery": "automatic" if pushed else "subscribe"}
     async with running(balancer=balancer, registry=old, **settings) as sidecar:
@@ -129,10 +129,10 @@
 
 
 @loopback
-async def test_discovery_is_watched_at_its_new_address_though_no_watch_is_open():
-    gone, new, balancer = await Registry().start(), await Registry().start(), ScriptedBalancer()
-    gone.stop()
-    async with running(balancer=balancer, registry=gone, Discovery="subscribe") as sidecar:
+async def test_a_new_address_of_discovery_is_watched_even_if_no_watch_is_open():
+    stopped, new, balancer = await Registry().start(), await Registry().start(), ScriptedBalancer()
+    stopped.stop()
+    async with running(balancer=balancer, registry=stopped, Discovery="subscribe") as sidecar:
         carry_out(sidecar, balancer, Watch(True))
         await until(lambda: ("refused", []) in notifications(balancer))
         sidecar.discovery.change_address(parse_address(new.address))
--- a/tests/sidecar/test_discovery_bounds.py
+++ b/tests/sidecar/test_discovery_bounds.py
@@ -1,6 +1,7 @@
-"""How long a change may take to arrive, whatever the calls to discovery before it met.
+"""A change of the endpoint list is in force in time, however earlier calls to discovery have failed.
 
-The sidecar's own discovery, driver and balancer are played against a stand-in for discovery."""
+The sidecar's real client of discovery, driver and balancer run against a stub of discovery.
+"""
 
 from __future__ import annotations
 
@@ -26,86 +27,92 @@
 )
 from tests.support.loopback import entry, listed
 
-DOWN_FOR_S = [0.0, *(0.173 * k for k in range(1, 40, 4)), 25.0]  # from a moment to many failures in a row
+# Times for which discovery fails, in seconds. The longest one leads to many failed calls in a row.
+FAILURE_DURATIONS_S = [0.0, *(0.173 * k for k in range(1, 40, 4)), 25.0]
 
 
-async def time_to_arrive(failure, end_of_watch, down_s, seed, strategy, ask_within_ms, next_answers=()):
-    """How long after discovery's return its change is there.
+async def measure_delay(failure, end_of_watch, failing_s, seed, strategy, ask_within_ms, next_answers=()):
+    """Return the time in seconds from the recovery of discovery until its change is in force.
 
-    Its calls met `failure` for `down_s`, and the watch that was open before met `end_of_watch`."""
+    `end_of_watch` is the method of `RegistryStub` that ends the open watch. After that, all calls fail with
+    `failure` for `failing_s` seconds. The calls after the recovery get `next_answers`, one each.
+    """
     registry = RegistryStub()
-    started = SidecarWithoutSockets(registry, strategy, seed, ask_within_ms)
-    await started.has(45)
+    harness = SidecarWithoutSockets(registry, strategy, seed, ask_within_ms)
+    await harness.wait_for_list(45)
     await asyncio.sleep(3.0 + 0.61 * seed)
     getattr(registry, end_of_watch)()
-    registry.down = failure
-    await asyncio.sleep(down_s)
-    registry.down, registry.next_answers, registry.version = None, list(next_answers), 50
-    back = now()
-    took = await started.has(50) - back
-    started.close()
-    return took
+    registry.failure = failure
+    await asyncio.sleep(failing_s)
+    registry.failure, registry.next_answers, registry.version = None, list(next_answers), 50
+    recovered_at = now()
+    delay_s = await harness.wait_for_list(50) - recovered_at
+    harness.close()
+    return delay_s
 
 
 @pytest.mark.parametrize("strategy", STRATEGIES)
 @pytest.mark.parametrize("failure", FAILURES)
 @simulated_time
-async def test_a_change_arrives_in_time_whatever_the_calls_before_it_met(failure, strategy):
-    longest = 0.0
-    for seed, down_s in enumerate(DOWN_FOR_S):
+async def test_a_change_is_in_force_in_time_after_any_failure_of_earlier_calls(failure, strategy):
+    longest_delay_s = 0.0
+    for seed, failing_s in enumerate(FAILURE_DURATIONS_S):
         for end_of_watch, ask_within_ms in (
-            ("silence_all", 4_600.0),
-            ("reset_all", 60_000.0),
-            ("end_all", 10_000.0),
+            ("silence_connections", 4_600.0),
+            ("reset_connections", 60_000.0),
+            ("end_answers", 10_000.0),
         ):
-            took = await time_to_arrive(failure, end_of_watch, down_s, seed, strategy, ask_within_ms)
-            longest = max(longest, took)
-    print(f"{failure}, {strategy}: {longest:.2f} s")
-    assert longest <= NOTIFIED_S - SPARE_S
+            delay_s = await measure_delay(failure, end_of_watch, failing_s, seed, strategy, ask_within_ms)
+            longest_delay_s = max(longest_delay_s, delay_s)
+    print(f"{failure}, {strategy}: {longest_delay_s:.2f} s")
+    assert longest_delay_s <= NOTIFIED_S - SPARE_S
 
 
 @pytest.mark.parametrize("strategy", STRATEGIES)
 @pytest.mark.parametrize("next_failure", ["rejected", "lost", "rejected_at_once", "reset", "empty_answer"])
 @simulated_time
-async def test_a_change_arrives_in_time_after_one_more_failed_call(next_failure, strategy):
-    longest = 0.0
+async def test_a_change_is_in_force_in_time_if_one_call_after_the_recovery_fails(next_failure, strategy):
+    longest_delay_s = 0.0
     for failure in FAILURES:
-        for seed, down_s in enumerate((0.0, 3.15, 4.1, 5.4, 11.3)):
-            for end_of_watch in ("silence_all", "reset_all"):
-                took = await time_to_arrive(
-                    failure, end_of_watch, down_s, seed, strategy, 60_000.0, [next_failure]
+        for seed, failing_s in enumerate((0.0, 3.15, 4.1, 5.4, 11.3)):
+            for end_of_watch in ("silence_connections", "reset_connections"):
+                delay_s = await measure_delay(
+                    failure, end_of_watch, failing_s, seed, strategy, 60_000.0, [next_failure]
                 )
-                longest = max(longest, took)
-    print(f"{next_failure}, {strategy}: {longest:.2f} s")
-    assert longest <= NOTIFIED_S - SPARE_S
+                longest_delay_s = max(longest_delay_s, delay_s)
+    print(f"{next_failure}, {strategy}: {longest_delay_s:.2f} s")
+    assert longest_delay_s <= NOTIFIED_S - SPARE_S
 
 
 @pytest.mark.parametrize("bytes_go_on", [False, True], ids=["half_a_line", "endless_line"])
 @pytest.mark.parametrize("strategy", STRATEGIES)
 @simulated_time
-async def test_an_incomplete_line_does_not_keep_an_open_watch_alive(bytes_go_on, strategy):
-    """It began just before the change, which no heartbeat before that told."""
+async def test_an_incomplete_line_does_not_keep_an_open_watch_alive(sends_more_bytes, strategy):
+    """The watch falls silent within a line, and the line began just before a change of the list.
+
+    If the incomplete line counted as a sign of life, the change would be missed for too long.
+    """
     registry = RegistryStub()
-    started = SidecarWithoutSockets(registry, strategy)
-    await started.has(45)
+    harness = SidecarWithoutSockets(registry, strategy)
+    await harness.wait_for_list(45)
     await asyncio.sleep(7.3)
-    registry.silence_all()
+    registry.silence_connections()
     registry.version = 50
     since, connection = now(), registry.connections[-1]
     connection.feed(chunk(list_line(50)[:-9]))
-    arrival = asyncio.create_task(started.has(50))
-    while not arrival.done():
+    waiting_task = asyncio.create_task(harness.wait_for_list(50))
+    while not waiting_task.done():
         await asyncio.sleep(0.25)
-        if bytes_go_on:
+        if sends_more_bytes:
             connection.feed(chunk(b" "))
-    assert await arrival - since <= NOTIFIED_S - SPARE_S - 1.0
+    assert await waiting_task - since <= NOTIFIED_S - SPARE_S - 1.0
     assert len(registry.calls) == 2
-    started.close()
+    harness.close()
 
 
 @simulated_time
 async def test_a_long_list_on_a_slow_connection_is_accepted():
-    """Its bytes come for longer than silence may last."""
+    """The line with the list takes longer to arrive than the silence limit."""
     registry = RegistryStub()
 
     async def slow_list(connection):
@@ -118,21 +125,21 @@
         await connection.heartbeats()
 
     registry.current_list = slow_list
-    started, begun = SidecarWithoutSockets(registry, "automatic"), now()
+    harness, started_at = SidecarWithoutSockets(registry, "automatic"), now()
     async with asyncio.timeout(60.0):
-        while started.discovery.version != 50:
+        while harness.discovery.version != 50:
             await asyncio.sleep(0.1)
-    assert channel.SILENCE_LIMIT_S + 1.0 < now() - begun < 10.0
+    assert channel.SILENCE_LIMIT_S + 1.0 < now() - started_at < 10.0
     assert len(registry.calls) == 1
-    started.close()
+    harness.close()
 
 
 @pytest.mark.parametrize("strategy", STRATEGIES)
 @simulated_time
-async def test_a_call_that_fails_by_an_unexpected_error_is_repeated(strategy, capsys):
-    """Such as by an address that can't be one."""
+async def test_a_call_that_raises_an_unexpected_exception_is_repeated(strategy, capsys):
+    """An invalid host name, for example, raises `UnicodeError`."""
     registry, loop = RegistryStub(), asyncio.get_running_loop()
-    started = SidecarWithoutSockets(registry, strategy)
+    harness = SidecarWithoutSockets(registry, strategy)
     connect = loop.create_connection
 
     async def fail(*args, **_):
@@ -143,58 +150,59 @@
     await asyncio.sleep(10.0)
     assert len(registry.calls) > 3
     loop.create_connection = connect
-    back, registry.version = now(), 50
-    assert await started.has(50) - back <= NOTIFIED_S - SPARE_S
+    recovered_at, registry.version = now(), 50
+    assert await harness.wait_for_list(50) - recovered_at <= NOTIFIED_S - SPARE_S
     assert "Traceback" not in capsys.readouterr().err
-    started.close()
+    harness.close()
 
 
 @pytest.mark.parametrize("failure", ANSWERED_FAILURES)
 @simulated_time
-async def test_a_failed_call_for_the_complete_list_is_followed_in_time(failure):
-    """No watch is open, as after one that was called off."""
+async def test_a_change_is_in_force_in_time_after_a_failed_call_for_the_complete_list(failure):
+    """No watch is open, because the balancer has stopped it."""
     for seed in range(10):
         registry = RegistryStub()
-        started = SidecarWithoutSockets(registry, seed=seed)
-        await started.has(45)
-        started.discovery.watch(on=False)
+        harness = SidecarWithoutSockets(registry, seed=seed)
+        await harness.wait_for_list(45)
+        harness.discovery.watch(on=False)
         registry.next_answers, registry.version = [failure], 50
-        begun = now()
-        started.discovery.fetch()
-        assert await started.has(50) - begun <= NOTIFIED_S - SPARE_S
-        started.close()
+        started_at = now()
+        harness.discovery.fetch()
+        assert await harness.wait_for_list(50) - started_at <= NOTIFIED_S - SPARE_S
+        harness.close()
 
 
 @pytest.mark.parametrize("strategy", STRATEGIES)
 @pytest.mark.parametrize("failure", FAILURES)
 @simulated_time
-async def test_a_process_whose_first_call_fails_has_the_list_in_time_and_is_ready_before(failure, strategy):
+async def test_a_process_whose_first_call_fails_is_ready_soon_and_has_the_list_in_time(failure, strategy):
     for seed in range(10):
         registry = RegistryStub(50)
         registry.next_answers = [failure]
-        begun = now()
-        started = SidecarWithoutSockets(registry, strategy, seed)
-        await started.discovery.wait_for_first_call(1.0)
-        assert now() - begun <= 1.0
-        spread_s = 2.5 if strategy == "subscribe" else 0.0  # a fleet that starts together
-        assert await started.has(50) - begun <= spread_s + NOTIFIED_S - SPARE_S
-        started.close()
+        started_at = now()
+        harness = SidecarWithoutSockets(registry, strategy, seed)
+        await harness.discovery.wait_for_first_call(1.0)
+        assert now() - started_at <= 1.0
+        # The first polls of a fleet that starts at the same time are spread over this time.
+        spread_s = 2.5 if strategy == "subscribe" else 0.0
+        assert await harness.wait_for_list(50) - started_at <= spread_s + NOTIFIED_S - SPARE_S
+        harness.close()
 
 
 @simulated_time
 async def test_calls_of_a_fleet_that_waits_for_discovery_are_spread():
-    """Each sidecar has calls of its own: a tenth of a second at discovery's return has few of them."""
-    seen, fleet = [], 60
-    for seed in range(fleet):
-        registry = RegistryStub(down="refused")
-        started = SidecarWithoutSockets(registry, seed=seed)
+    """Each sidecar calls at random times, so each tenth of a second after the recovery has few calls."""
+    call_times_s, fleet_size = [], 60
+    for seed in range(fleet_size):
+        registry = RegistryStub(failure="refused")
+        harness = SidecarWithoutSockets(registry, seed=seed)
         await asyncio.sleep(20.0)
-        registry.down, registry.version = None, 50
-        back = now()
-        await started.has(50)
-        seen.append(registry.calls[-1] - back)
-        started.close()
-    tenths = [sum(k / 10 <= at < (k + 1) / 10 for at in seen) for k in range(13)]
-    assert sum(tenths) == fleet
-    assert max(tenths) <= fleet / 4
-    assert sum(at > 0.4 for at in seen) > fleet / 4
+        registry.failure, registry.version = None, 50
+        recovered_at = now()
+        await harness.wait_for_list(50)
+        call_times_s.append(registry.calls[-1] - recovered_at)
+        harness.close()
+    calls_per_tenth = [sum(k / 10 <= at < (k + 1) / 10 for at in call_times_s) for k in range(13)]
+    assert sum(calls_per_tenth) == fleet_size
+    assert max(calls_per_tenth) <= fleet_size / 4
+    assert sum(at > 0.4 for at in call_times_s) > fleet_size / 4
--- a/tests/sidecar/test_start_times.py
+++ b/tests/sidecar/test_start_times.py
@@ -1,4 +1,4 @@
-"""How long servers have been up, whatever the wall clock says: observations bound their `since_ms`."""
+"""Uptimes of servers with a wrong wall clock: observations of the process bound the stated starts."""
 
 from __future__ import annotations
 
@@ -27,20 +27,20 @@
 from tests.support.sidecar_views import balancer_servers
 
 HOUR_S = 3600.0
-UNIX_TIME_AT_0 = 1_790_000_000.0  # at the loop's time 0; the service's clock is right
-CLOCK_ERRORS_S = [0.0, 3.0, -3.0, HOUR_S, -HOUR_S]
+UNIX_TIME_AT_0 = 1_790_000_000.0  # Correct Unix time at time 0 of the loop, in seconds
+CLOCK_ERRORS_S = [0.0, 3.0, -3.0, HOUR_S, -HOUR_S]  # Errors of the sidecar's wall clock, in seconds
 
 
 @pytest.fixture
 def wall_clock(monkeypatch):
-    """The system's wall clock, which the test sets."""
+    """Replace the system's wall clock by a mock that the test sets."""
     clock = mock.Mock(return_value=UNIX_TIME_AT_0)
     monkeypatch.setattr(time, "time", clock)
     return clock
 
 
 class SidecarWithWrongClock(SidecarWithoutSockets):
-    """Its wall clock is wrong by so many seconds when the process starts, and is stepped later."""
+    """A sidecar whose wall clock is wrong by `error_s` seconds at the start, and is stepped later."""
 
     def __init__(self, registry, wall_clock, error_s, strategy="automatic", **rules):
         wall_clock.side_effect = itertools.chain(
@@ -49,18 +49,18 @@
         super().__init__(registry, strategy, **rules)
         self.clock = ManualClock(self.sidecar).clock
 
-    def up_s(self, name):
-        """How long a server has been up by the balancer's count, in seconds."""
+    def uptime_s(self, name):
+        """Return the uptime of a server as the balancer computes it, in seconds."""
         return (self.clock.now() - balancer_servers(self.sidecar)[name].started) / 1000.0
 
-    async def knows(self, name):
+    async def wait_for_server(self, name):
         async with asyncio.timeout(60.0):
             while name not in balancer_servers(self.sidecar):
                 await asyncio.sleep(0.01)
 
 
-class RowsRegistry(RegistryStub):
-    """Discovery that keeps rows; the first answer to a call has all of them."""
+class EntriesRegistry(RegistryStub):
+    """A stub of discovery that stores entries, and sends all of them at the start of each answer."""
 
     def __init__(self, *rows, snapshot=False):
         super().__init__()
@@ -72,7 +72,10 @@
         await connection.heartbeats()
 
     def put(self, name, since_s, *, notify=True, **changes):
-        """Keep a server that started at a time of the loop, and pass it on to the open watch."""
+        """Store a server that started at `since_s`, a time of the loop, and send it on the open watch.
+
+        It is not sent if `notify` is False.
+        """
         row = self.rows[name] = entry(name, since_ms=int((UNIX_TIME_AT_0 + since_s) * 1000.0), **changes)
         self.version += 1
         if notify:
@@ -82,103 +85,109 @@
 
 @pytest.mark.parametrize("error_s", CLOCK_ERRORS_S)
 @simulated_time
-async def test_a_server_on_an_open_watch_is_as_old_as_its_event(error_s, wall_clock):
-    registry = RowsRegistry(entry("s0"))
-    started = SidecarWithWrongClock(registry, wall_clock, error_s)
-    await started.knows("s0")
+async def test_a_server_that_arrives_on_an_open_watch_counts_as_started_then(error_s, wall_clock):
+    registry = EntriesRegistry(entry("s0"))
+    harness = SidecarWithWrongClock(registry, wall_clock, error_s)
+    await harness.wait_for_server("s0")
     await asyncio.sleep(5.0)
     registry.put("s1", now() - 0.02)
-    await started.knows("s1")
-    assert started.up_s("s1") == pytest.approx(0.01, abs=0.02)
+    await harness.wait_for_server("s1")
+    assert harness.uptime_s("s1") == pytest.approx(0.01, abs=0.02)
     await asyncio.sleep(7.0)
-    assert started.up_s("s1") == pytest.approx(7.01, abs=0.02)
-    started.close()
+    assert harness.uptime_s("s1") == pytest.approx(7.01, abs=0.02)
+    harness.close()
 
 
 @pytest.mark.parametrize("error_s", CLOCK_ERRORS_S)
 @simulated_time
-async def test_a_new_start_of_a_known_server_counts_from_its_event(error_s, wall_clock):
-    registry = RowsRegistry(entry("s0"), entry("s1"))
-    started = SidecarWithWrongClock(registry, wall_clock, error_s)
-    await started.knows("s1")
+async def test_a_new_start_of_a_known_server_counts_from_the_event_with_it(error_s, wall_clock):
+    registry = EntriesRegistry(entry("s0"), entry("s1"))
+    harness = SidecarWithWrongClock(registry, wall_clock, error_s)
+    await harness.wait_for_server("s1")
     await asyncio.sleep(1.0)
     for _ in range(2):
         await asyncio.sleep(4.0)
         registry.put("s1", now())
         await asyncio.sleep(1.0)
-        registry.put("s1", now() - 1.0, status="leaving")  # the same start
+        registry.put("s1", now() - 1.0, status="leaving")  # The stated start is the same.
         registry.put("s1", now() - 1.0)
-        assert started.up_s("s1") == pytest.approx(1.0, abs=0.02)
-    started.close()
+        assert harness.uptime_s("s1") == pytest.approx(1.0, abs=0.02)
+    harness.close()
 
 
 @pytest.mark.parametrize("snapshot", [False, True])
-@pytest.mark.parametrize("moved", [False, True])
+@pytest.mark.parametrize("address_changes", [False, True])
 @pytest.mark.parametrize("error_s", CLOCK_ERRORS_S)
 @simulated_time
-async def test_a_server_that_a_new_watch_finds_is_no_older_than_the_gap(error_s, moved, snapshot, wall_clock):
-    """It joined while no watch was open; the new watch begins with the complete list, or with changes."""
-    registry = RowsRegistry(entry("s0"), snapshot=snapshot)
-    started = SidecarWithWrongClock(registry, wall_clock, error_s)
-    await started.knows("s0")
-    await asyncio.sleep(9.0)  # the last heartbeat was a second ago
-    registry.down = "refused"
-    registry.reset_all()
+async def test_a_server_on_a_new_watch_did_not_start_before_the_gap(
+    error_s, address_changes, snapshot, wall_clock
+):
+    """The server joined in a gap in which no watch was open.
+
+    The new watch begins with the complete list or with changes, by the parameter `snapshot`.
+    """
+    registry = EntriesRegistry(entry("s0"), snapshot=snapshot)
+    harness = SidecarWithWrongClock(registry, wall_clock, error_s)
+    await harness.wait_for_server("s0")
+    await asyncio.sleep(9.0)  # The last heartbeat was a second ago.
+    registry.failure = "refused"
+    registry.reset_connections()
     await asyncio.sleep(4.0)
     registry.put("s1", now(), notify=False)
     await asyncio.sleep(2.0)
-    registry.down = None
-    if moved:
-        started.move(registry)
-    await started.knows("s1")
-    waited_s = now() - 15.0  # for the next call
-    up_s = started.up_s("s1")
-    if abs(error_s) < HOUR_S:  # within the gap a small error can't be told from the truth
-        assert 0.0 <= up_s == pytest.approx(2.0 + waited_s + error_s, abs=0.05) or up_s < 0.02
-        assert up_s <= 7.0 + waited_s
+    registry.failure = None
+    if address_changes:
+        harness.change_address(registry)
+    await harness.wait_for_server("s1")
+    waited_s = now() - 15.0  # Time until the next call
+    uptime_s = harness.uptime_s("s1")
+    if abs(error_s) < HOUR_S:  # A small clock error within the gap can't be detected.
+        assert 0.0 <= uptime_s == pytest.approx(2.0 + waited_s + error_s, abs=0.05) or uptime_s < 0.02
+        assert uptime_s <= 7.0 + waited_s
     else:
-        assert 0.0 <= up_s <= 0.02
-    started.close()
+        assert 0.0 <= uptime_s <= 0.02
+    harness.close()
 
 
 @pytest.mark.parametrize("error_s", CLOCK_ERRORS_S)
 @simulated_time
-async def test_a_server_that_was_not_listed_for_a_while_keeps_its_start(error_s, wall_clock):
-    registry = RowsRegistry(entry("s0"))
-    started = SidecarWithWrongClock(registry, wall_clock, error_s)
-    await started.knows("s0")
+async def test_a_server_that_was_unlisted_for_a_while_keeps_its_start(error_s, wall_clock):
+    registry = EntriesRegistry(entry("s0"))
+    harness = SidecarWithWrongClock(registry, wall_clock, error_s)
+    await harness.wait_for_server("s0")
     await asyncio.sleep(3.0)
     registry.put("s1", now())
-    begun = now()
+    started_at = now()
     await asyncio.sleep(2.0)
-    registry.put("s1", begun, status="left")
+    registry.put("s1", started_at, status="left")
     await asyncio.sleep(6.0)
-    registry.put("s1", begun)
-    assert started.up_s("s1") == pytest.approx(8.0, abs=0.02)
-    started.close()
+    registry.put("s1", started_at)
+    assert harness.uptime_s("s1") == pytest.approx(8.0, abs=0.02)
+    harness.close()
 
 
 @pytest.mark.parametrize("error_s", CLOCK_ERRORS_S)
 @simulated_time
-async def test_in_the_first_list_only_impossible_starts_are_corrected(error_s, wall_clock):
-    """No observation of this process bounds these starts, so the wall clock's error shows.
+async def test_only_impossible_starts_are_corrected_in_the_first_list(error_s, wall_clock):
+    """No observation of the process bounds the starts in the first list, so the clock error has an effect.
 
-    No server is up for less than 0 s, which would stretch slow start, and one that started long ago did so
-    whatever the clock says."""
-    registry = RowsRegistry(entry("s0"))
+    An uptime below 0 s would prolong slow start, so it counts as 0 s. The stated start 0 means a start long
+    ago for any error of the clock.
+    """
+    registry = EntriesRegistry(entry("s0"))
     registry.put("s1", -10.0, notify=False)
-    started = SidecarWithWrongClock(registry, wall_clock, error_s)
-    await started.knows("s1")
-    assert started.up_s("s1") == pytest.approx(max(0.0, 10.0 + error_s), abs=0.05)
-    assert balancer_servers(started.sidecar)["s0"].started == 0.0
-    before = started.up_s("s1")
+    harness = SidecarWithWrongClock(registry, wall_clock, error_s)
+    await harness.wait_for_server("s1")
+    assert harness.uptime_s("s1") == pytest.approx(max(0.0, 10.0 + error_s), abs=0.05)
+    assert balancer_servers(harness.sidecar)["s0"].started == 0.0
+    uptime_before = harness.uptime_s("s1")
     await asyncio.sleep(5.0)
-    assert started.up_s("s1") == pytest.approx(before + 5.0, abs=0.02)
-    started.close()
+    assert harness.uptime_s("s1") == pytest.approx(uptime_before + 5.0, abs=0.02)
+    harness.close()
 
 
 class AnsweringUpstreams:
-    """Servers of which each answers after 10 ms."""
+    """Servers that each answer after 10 ms, and count the requests sent to them."""
 
     def __init__(self):
         self.sent = collections.Counter()
@@ -197,7 +206,7 @@
 
 
 class SmallCall:
-    """A small request that may be repeated."""
+    """A small idempotent request."""
 
     request_class = tenant = 0
     key = work = body = None
@@ -212,35 +221,37 @@
 
 
 async def share_of_a_new_server(wall_clock, error_s):
-    """The share of requests that a server gets in the 4 s after it joined, beside five warm ones."""
-    registry = RowsRegistry(*(entry(f"s{number}") for number in range(5)))
-    started = SidecarWithWrongClock(
+    """Return the share of requests that a new server gets in the first 4 s, beside five warm servers."""
+    registry = EntriesRegistry(*(entry(f"s{number}") for number in range(5)))
+    harness = SidecarWithWrongClock(
         registry, wall_clock, error_s, ColdFrom=0.12, WarmUp=22_000.0, FallMultiple=4.0
     )
-    await started.knows("s0")
-    driver, upstreams = started.sidecar.driver, AnsweringUpstreams()
-    driver.connect(upstreams, started.discovery, started.sidecar.peers)
+    await harness.wait_for_server("s0")
+    driver, upstreams = harness.sidecar.driver, AnsweringUpstreams()
+    driver.connect(upstreams, harness.discovery, harness.sidecar.peers)
     until, joins_at = now() + 7.0, now() + 3.0
     while now() < until:
         if joins_at is not None and now() >= joins_at:
             joins_at = None
             registry.put("s5", now())
             upstreams.sent.clear()
-        driver.arrive(SmallCall(), started.clock.now())
+        driver.arrive(SmallCall(), harness.clock.now())
         await asyncio.sleep(0.005)
-    started.close()
+    harness.close()
     return upstreams.sent["s5"] / upstreams.sent.total()
 
 
 @pytest.mark.parametrize("error_s", CLOCK_ERRORS_S[1:])
 @simulated_time
 async def test_a_new_server_gets_the_same_share_whatever_the_wall_clock_says(error_s, wall_clock):
-    right = await share_of_a_new_server(wall_clock, 0.0)
-    assert 0.01 < right < 0.1
-    assert await share_of_a_new_server(wall_clock, error_s) == pytest.approx(right, abs=0.005)
+    share_with_correct_clock = await share_of_a_new_server(wall_clock, 0.0)
+    assert 0.01 < share_with_correct_clock < 0.1
+    assert await share_of_a_new_server(wall_clock, error_s) == pytest.approx(
+        share_with_correct_clock, abs=0.005
+    )
 
 
-def test_starts_of_servers_long_gone_are_forgotten():
+def test_starts_of_servers_unlisted_for_a_long_time_are_forgotten():
     starts, updates = StartTimes(), []
     for number in range(100):
         at = 1e12 + number * FORGET_AFTER_MS
@@ -250,7 +261,7 @@
     assert len(starts) <= 3
 
 
-def test_two_starts_at_one_moment_have_different_times():
+def test_two_starts_of_a_server_at_the_same_time_get_different_times():
     starts, now_ms = StartTimes(), 1e12
     entries = [
         starts.with_bounded_starts(
--- a/tests/support/discovery.py
+++ b/tests/support/discovery.py
@@ -1,6 +1,7 @@
-"""A stand-in for discovery without sockets, whose answer to each call the test decides.
+"""A stub of discovery without sockets; a test decides its answer to each call.
 
-Time is the loop's own and jumps to the next timer, so that each bound is exact and costs no seconds.
+The event loop has simulated time, which jumps to the next timer. Tests of time limits are therefore exact,
+and don't wait in real time.
 """
 
 from __future__ import annotations
@@ -16,18 +17,21 @@
 from tests.support.loopback import entry, listed, sidecar_config
 from tests.support.sidecar_views import balancer_active_servers, pool_servers
 
-NOTIFIED_S = 6.0  # after discovery had a change and could be reached
-SPARE_S = 0.5  # of it stays free for a loop that lags
-MOVED_S = 4.0  # after SIGHUP
-TURN_S = 1.0  # that a call waits at discovery, which handles calls in turn
-HEARTBEAT_S = 2.0
-PATIENCE_S = 60.0  # of the loop's time
+# Time limits in seconds for a change of the list to be in force: after discovery has it and can be reached,
+# and after the address of discovery has changed with SIGHUP. `SPARE_S` of both is left over for an event loop
+# that lags.
+NOTIFIED_S = 6.0
+SPARE_S = 0.5
+ADDRESS_CHANGE_NOTIFIED_S = 4.0
+CALL_WAIT_S = 1.0  # Wait of a call at discovery, which handles calls one after the other, in seconds
+HEARTBEAT_S = 2.0  # Interval of the heartbeats of a watch, in seconds
+MAX_WAIT_S = 60.0  # Longest wait of a test for a list, in seconds of the loop's time
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 LAST_CHUNK = b"0\r\n\r\n"
 
-STRATEGIES = ("automatic", "subscribe")  # the values of the setting `Discovery`: pushed, polled
+STRATEGIES = ("automatic", "subscribe")  # Values of the setting `Discovery` for pushed and for polled lists
 
-# How a call fails; each but the first two is a method of `RegistryStub`.
+# The ways in which a call fails. Each but the first two is the name of a method of `RegistryStub`.
 FAILURES = (
     "refused",
     "lost",
@@ -47,7 +51,7 @@
 
 
 def simulated_time(test):
-    """Run an async test in a loop whose time jumps to the next timer."""
+    """Decorate an async test to run in an event loop whose time jumps to the next timer."""
 
     @functools.wraps(test)
     def run(*args, **kwargs):
@@ -62,17 +66,17 @@
 
 
 def chunk(data):
-    """A chunk of an answer in chunked coding."""
+    """Return the data as one chunk of a chunked transfer coding."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
 def list_line(version):
-    """A complete list of one server, which has the version in its name, as one line."""
+    """Return a line with a complete list of one server, whose name contains the version."""
     return json.dumps(listed(version, entry(f"s{version}"))).encode() + b"\n"
 
 
 class StubConnection(asyncio.Transport):
-    """A connection to the stand-in; what is fed to it arrives at once while it is open."""
+    """A connection to `RegistryStub`; data passed to `feed` arrives at once while the connection is open."""
 
     def __init__(self, channel):
         super().__init__()
@@ -103,18 +107,19 @@
 
 
 class RegistryStub:
-    """Discovery; the answer to a call is looked up when the call comes.
+    """A stub of discovery, which looks up the answer to a call when the call arrives.
 
-    While `down` is set, each call fails so; `next_answers` are those to the first calls after that, and every
-    other call gets a list of `version`."""
+    While `failure` is set to one of `FAILURES`, each call fails in that way. The calls after that get
+    `next_answers`, one each, and all further calls get a list of `version`.
+    """
 
-    def __init__(self, version=45, down=None, next_answers=()):
-        self.version, self.down, self.next_answers = version, down, list(next_answers)
+    def __init__(self, version=45, failure=None, next_answers=()):
+        self.version, self.failure, self.next_answers = version, failure, list(next_answers)
         self.calls, self.connections, self.tasks = [], [], []
 
     async def connect(self, factory, host, port):
         self.calls.append(now())
-        answer = self.down or (self.next_answers.pop(0) if self.next_answers else "current_list")
+        answer = self.failure or (self.next_answers.pop(0) if self.next_answers else "current_list")
         if answer == "refused":
             raise ConnectionRefusedError
         if answer == "lost":
@@ -124,25 +129,25 @@
         self.tasks.append(asyncio.create_task(getattr(self, answer)(connection)))
         return connection, connection.channel
 
-    def silence_all(self):
-        """Let nothing more come on open connections."""
+    def silence_connections(self):
+        """Send no more on the open connections, which stay open."""
         for task in self.tasks:
             task.cancel()
 
-    def reset_all(self):
-        """Reset each connection."""
+    def reset_connections(self):
+        """Reset all connections."""
         for connection in self.connections:
             connection.abort()
 
-    def end_all(self):
-        """End each answer."""
+    def end_answers(self):
+        """End the answers on all connections."""
         for connection in self.connections:
             connection.feed(LAST_CHUNK)
 
     # --- answers --------------------------------------------------------------------------
 
     async def current_list(self, connection):
-        await asyncio.sleep(TURN_S)
+        await asyncio.sleep(CALL_WAIT_S)
         complete = b"watch=1" not in connection.request
         connection.feed(HEAD + chunk(list_line(self.version)))
         if complete:
@@ -153,11 +158,11 @@
         pass
 
     async def head_only(self, connection):
-        await asyncio.sleep(TURN_S)
+        await asyncio.sleep(CALL_WAIT_S)
         connection.feed(HEAD)
 
     async def half_a_line(self, connection):
-        await asyncio.sleep(TURN_S)
+        await asyncio.sleep(CALL_WAIT_S)
         connection.feed(HEAD + chunk(list_line(50)[:40]))
 
     async def endless_line(self, connection):
@@ -165,8 +170,8 @@
         await connection.feed_every(0.3, chunk(b" "))
 
     async def endless_object(self, connection):
-        """An object over many lines that never ends."""
-        await asyncio.sleep(TURN_S)
+        """Send a JSON object that is spread over many lines and never ends."""
+        await asyncio.sleep(CALL_WAIT_S)
         connection.feed(HEAD + chunk(b'{"index": 50,\n'))
         await connection.feed_every(0.3, chunk(b' "more": 1,\n'))
 
@@ -175,14 +180,14 @@
         await connection.feed_every(0.3, b"X-More: 1\r\n")
 
     async def rejected(self, connection):
-        await asyncio.sleep(TURN_S)
+        await asyncio.sleep(CALL_WAIT_S)
         connection.feed(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
 
     async def rejected_at_once(self, connection):
         connection.feed(b"HTTP/1.1 503 No\r\nRetry-After: 60\r\nContent-Length: 0\r\n\r\n")
 
     async def reset(self, connection):
-        await asyncio.sleep(TURN_S)
+        await asyncio.sleep(CALL_WAIT_S)
         connection.abort()
 
     async def empty_answer(self, connection):
@@ -193,7 +198,7 @@
 
 
 class RecordingSidecar(Sidecar):
-    """A sidecar that records the version of each list, and None for each failure, of discovery."""
+    """A sidecar that records each notification of discovery: the version of a list, or None for a failure."""
 
     def __init__(self, loop, configuration):
         self.notified, self.notification = [], asyncio.Event()
@@ -213,12 +218,12 @@
 
 
 class SidecarWithoutSockets:
-    """A sidecar at a stand-in for discovery; its discovery, driver and balancer are real."""
+    """A sidecar that calls a stub of discovery; its client of discovery, driver and balancer are real."""
 
     def __init__(self, registry, strategy="subscribe", seed=0, ask_within_ms=10_000.0, **rules):
         loop = asyncio.get_running_loop()
         loop.create_connection = self._connect
-        self.registry, self._moved_to = registry, {}
+        self.registry, self._registries_by_port = registry, {}
         rules = {"AskWithin": ask_within_ms, "StopSendingWithin": 500.0, **rules}
         configuration = sidecar_config(raw={"seed": str(seed)}, Discovery=strategy, Rules=rules)
         self.sidecar = RecordingSidecar(loop, configuration)
@@ -228,21 +233,21 @@
 
     @property
     def notified(self):
-        """The versions of the lists that discovery has passed on, and None for each failure."""
+        """The versions of the lists that the sidecar was notified of, and None for each failure."""
         return self.sidecar.notified
 
     async def _connect(self, factory, host, port, **_):
-        return await self._moved_to.get(port, self.registry).connect(factory, host, port)
+        return await self._registries_by_port.get(port, self.registry).connect(factory, host, port)
 
-    def move(self, registry):
-        """Discovery is at another address from now on, as after SIGHUP."""
-        address = Address("127.0.0.1", 10 + len(self._moved_to))
-        self._moved_to[address.port] = registry
+    def change_address(self, registry):
+        """Change the address of discovery to that of another stub, as a reload after SIGHUP does."""
+        address = Address("127.0.0.1", 10 + len(self._registries_by_port))
+        self._registries_by_port[address.port] = registry
         self.discovery.change_address(address)
 
-    async def has(self, version):
-        """Wait until the balancer and the pool have that list; return when that was."""
-        async with asyncio.timeout(PATIENCE_S):
+    async def wait_for_list(self, version):
+        """Wait until the balancer and the pool use the list of `version`; return the time of the loop."""
+        async with asyncio.timeout(MAX_WAIT_S):
             while self.discovery.version != version:
                 self.sidecar.notification.clear()
                 await self.sidecar.notification.wait()
@@ -252,5 +257,5 @@
 
     def close(self):
         self.discovery.close()
-        for registry in (self.registry, *self._moved_to.values()):
-            registry.silence_all()
+        for registry in (self.registry, *self._registries_by_port.values()):
+            registry.silence_connections()
