--- a/tests/sidecar/test_agent.py
+++ b/tests/sidecar/test_agent.py
@@ -1,4 +1,7 @@
-"""The sidecar's agent against a list service of the test's own, which asks it to report rarely."""
+"""The sidecar's agent with a stub of the list service that requests a long report interval.
+
+Also tests of the lease client and the membership without a service.
+"""
 
 from __future__ import annotations
 
@@ -23,20 +26,22 @@
 from brassfall.sidecar.discovery.endpoint_list import ServerList
 from tests.support.loopback import sidecar_config
 
-RARELY_MS, SOON_S = (
+# The first value is the report interval that the stub requests, in milliseconds, with which a regular report
+# is sent after at least 6 s. The second value is the longest wait for an early report, in seconds.
+LONG_INTERVAL_MS, EARLY_REPORT_WAIT_S = (
     9_000.0,
     3.0,
-)  # the interval, of which a report takes 6 s or more; the wait for an early one
+)
 
 
 class ListService:
-    """Answers reports, and sends the lines that the test queues to the one watch."""
+    """A stub of the list service, which answers reports and sends queued lines on the one watch."""
 
     def __init__(self) -> None:
         self.reports: asyncio.Queue[dict] = asyncio.Queue()
         self.lines: asyncio.Queue[dict] = asyncio.Queue()
         self.revision = 1
-        self.last_report = (None, None)  # its connection and its fields
+        self.last_report = (None, None)  # The connection and the fields of the last report
 
     async def report(self, request):
         body = await request.read()
@@ -48,7 +53,7 @@
         )
         pending = 2 if self.revision == 1 else 0
         answer = {"edition": self.revision, "permission_ms": 2700.0, "list_index": 0, "news": False}
-        return web.json_response(answer | {"pending": pending, "life": 1, "every_ms": RARELY_MS})
+        return web.json_response(answer | {"pending": pending, "life": 1, "every_ms": LONG_INTERVAL_MS})
 
     async def rules(self, request):
         answer = web.StreamResponse()
@@ -58,42 +63,46 @@
         return answer
 
     async def next_report(self):
-        return await asyncio.wait_for(self.reports.get(), SOON_S)
+        return await asyncio.wait_for(self.reports.get(), EARLY_REPORT_WAIT_S)
 
 
 async def _reports_while_a_revision_is_published():
-    """The reports of an agent while its watch brings a revision that is prepared, then committed."""
+    """Return the reports of an agent while a revision is prepared and then committed on its watch.
+
+    Each row has the acknowledged revision, the newest revision, the process id, and whether the report was a
+    delta.
+    """
     service = ListService()
     routes = [web.post("/edges/{name}", service.report), web.get("/rules", service.rules)]
     runner, address = await _serve(*routes)
     agent = _agent((address,), lambda *_: float("inf"))
     agent.start()
-    seen = []
+    received_reports = []
     try:
-        seen.append(await service.next_report())
+        received_reports.append(await service.next_report())
         service.lines.put_nowait({"edition": 2, "life": 1, "state": "prepared", "committed": {"edition": 1}})
-        seen.append(await service.next_report())
+        received_reports.append(await service.next_report())
         service.revision = 2
         service.lines.put_nowait({"edition": 2, "life": 1, "state": "committed"})
-        seen.append(await service.next_report())
+        received_reports.append(await service.next_report())
         while agent.lease_client.active_configuration(0.0).revision.number != 2:
             await asyncio.sleep(0)
     finally:
         agent.close()
         service.lines.put_nowait(None)
         await runner.cleanup()
-    return seen
+    return received_reports
 
 
 def test_a_report_is_sent_early_when_a_revision_is_prepared_and_when_it_is_committed():
-    seen = asyncio.run(_reports_while_a_revision_is_published())
-    assert [row[:2] for row in seen] == [(0, 0), (2, 2), (2, 2)]
-    # Each but the first is a delta to the one before on its connection.
-    assert [row[3] for row in seen] == [False, True, True] and len({row[2] for row in seen}) == 1
+    rows = asyncio.run(_reports_while_a_revision_is_published())
+    assert [row[:2] for row in rows] == [(0, 0), (2, 2), (2, 2)]
+    # Each report but the first is a delta to the previous one on the connection.
+    assert [row[3] for row in rows] == [False, True, True] and len({row[2] for row in rows}) == 1
 
 
 async def _serve(*routes):
-    """Serve these routes; the server, and its address."""
+    """Start a server with the given routes; return its runner and its address."""
     app = web.Application()
     app.add_routes(routes)
     runner = web.AppRunner(app, shutdown_timeout=0.0)
@@ -108,24 +117,24 @@
 
 
 async def _state_after_malformed_answers(answer, act):
-    """The agent's state once it has reported to both of two services.
+    """Return the agent's state once it has reported to both of two services.
 
-    The one that gets the first report always gives this answer.
+    The service that gets the first report always gives the malformed answer.
     """
-    asked, other = [], asyncio.Event()
+    called_ports, second_service_called = [], asyncio.Event()
 
     async def report(request):
-        asked.append(request.url.port)
-        if request.url.port == asked[0]:
+        called_ports.append(request.url.port)
+        if request.url.port == called_ports[0]:
             return web.Response(text=answer)
-        other.set()
+        second_service_called.set()
         return web.json_response({"edition": 0, "permission_ms": 0.0})
 
     services = [await _serve(web.post("/edges/{name}", report)) for _ in range(2)]
     agent = _agent(tuple(address for _, address in services), act)
     agent.start()
     try:
-        await asyncio.wait_for(other.wait(), SOON_S)
+        await asyncio.wait_for(second_service_called.wait(), EARLY_REPORT_WAIT_S)
         agent.current_stamp(agent.valid_until)
         return agent.state
     finally:
@@ -134,34 +143,34 @@
             await runner.cleanup()
 
 
-def _raise_a_defect(*_):
-    raise KeyError("a defect")
+def _raise_unexpected_error(*_):
+    raise KeyError("an unexpected error")
 
 
 @pytest.mark.parametrize("answer", ["[]", '{"permission_ms": "x"}', '{"every_ms": 1%s}' % ("0" * 400)])
-@pytest.mark.parametrize("act", [lambda *_: float("inf"), _raise_a_defect])
-def test_neither_a_malformed_answer_nor_a_defect_here_ends_the_reports(answer, act):
+@pytest.mark.parametrize("act", [lambda *_: float("inf"), _raise_unexpected_error])
+def test_reports_continue_after_a_malformed_answer_and_after_an_error_in_applying_revisions(answer, act):
     assert json.loads(asyncio.run(_state_after_malformed_answers(answer, act)))["acting"] == "safe"
 
 
 async def _last_report():
-    """The report that follows one which is never answered, when the agent leaves."""
-    reports, go_on = asyncio.Queue(), asyncio.Event()
+    """Return the report that an agent sends when it leaves while an earlier report is unanswered."""
+    reports, answering = asyncio.Queue(), asyncio.Event()
 
     async def report(request):
         reports.put_nowait(await request.json())
-        await go_on.wait()
+        await answering.wait()
         return web.json_response({})
 
     runner, address = await _serve(web.post("/edges/{name}", report))
     agent = _agent((address,), lambda *_: float("inf"))
     agent.start()
     try:
-        await asyncio.wait_for(reports.get(), SOON_S)  # it is not answered
+        await asyncio.wait_for(reports.get(), EARLY_REPORT_WAIT_S)  # This report is not answered.
         await agent.leave()
-        return await asyncio.wait_for(reports.get(), SOON_S)
+        return await asyncio.wait_for(reports.get(), EARLY_REPORT_WAIT_S)
     finally:
-        go_on.set()
+        answering.set()
         await runner.cleanup()
 
 
@@ -189,7 +198,7 @@
 
 
 @pytest.mark.parametrize("unknown", UNKNOWN_FORMS, ids=json.dumps)
-def test_a_revision_of_an_unknown_form_is_objected_to_and_breaks_no_decision(unknown):
+def test_a_revision_of_an_unknown_form_is_objected_to_and_makes_no_decision_fail(unknown):
     client = LeaseClient("l", rules.unsupported_reason)
     client.receive_update({"edition": 5, "state": "prepared", "committed": {"edition": 4}, **unknown})
     assert "does not support this form" in client.report_fields(0.0)["objection"]["reason"]
@@ -204,8 +213,8 @@
             steering.steer(active, steering.effective_rules(active, now), now)
 
 
-class StandInProcess:
-    """The process of a member, which records each `Steer`; its clock is the test's."""
+class StubProcess:
+    """A stub of a member's process, which records each `Steer`; the test sets its clock `now`."""
 
     def __init__(self):
         self.now, self.classes_in_use, self.list_version, self.steers = 0.0, (), 0, []
@@ -228,7 +237,7 @@
 
 
 def _random_event(rng, number):
-    """An event that a member may receive, as a call on it and its process."""
+    """Return a random event for a member, as a function of the member and its process."""
     zones = [*("west", "east", "north"), "none"]
     hold = {"id": "o", "rev": 1 + number // 9, "from_ms": 0, "priority": 0}
     hold["action"] = rng.choice([{"hold": {"region": rng.choice(zones)}}, {"hold": {"group": "3"}}])
@@ -259,16 +268,16 @@
     entry = model.Listing(rng.choice("abc"), rng.randrange(3), cell=rng.randrange(4))
     step = rng.choice([0.01, 0.3, 3.0])
 
-    def answered(member, process):
-        asked, client = process.now, member.agent.lease_client
+    def receive_answer(member, process):
+        sent_at, client = process.now, member.agent.lease_client
         answer["edition"] = client.newest_revision
-        client.receive_answer(asked, client.report_fields(asked)["seq"], answer)
-        member.steering.receive_answer(asked, asked, answer)
+        client.receive_answer(sent_at, client.report_fields(sent_at)["seq"], answer)
+        member.steering.receive_answer(sent_at, sent_at, answer)
 
     return rng.choice(
         [
             lambda member, process: member.agent.lease_client.receive_update(state),
-            answered,
+            receive_answer,
             lambda member, process: process.listed.apply(ServerList(number, False, [entry], {})),
             lambda member, process: setattr(process, "now", process.now + step),
             lambda member, process: None,
@@ -277,27 +286,30 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_a_cached_decision_is_the_one_that_would_be_made_anew(seed):
-    rng, processes = random.Random(seed), [StandInProcess(), StandInProcess()]
+def test_a_cached_decision_equals_one_that_is_computed_again(seed):
+    rng, processes = random.Random(seed), [StubProcess(), StubProcess()]
     file = processes[0].running
-    cached, anew = members = [FleetMember(process, process, {}) for process in processes]
-    decided = 0
+    caching, recomputing = members = [FleetMember(process, process, {}) for process in processes]
+    equal_decisions = 0
     for number in range(2, 300):
         event = _random_event(rng, number)
         for member, process in zip(members, processes, strict=True):
             event(member, process)
-        cached.agent.refresh(processes[0].now)
-        anew.use_file(file)  # a file that was read again is decided on anew
-        decided += cached.agent.valid_until == anew.agent.valid_until
-        assert processes[0].steers == processes[1].steers and cached.agent.overrides == anew.agent.overrides
+        caching.agent.refresh(processes[0].now)
+        recomputing.use_file(file)  # A file that was read again makes the member compute its decision again.
+        equal_decisions += caching.agent.valid_until == recomputing.agent.valid_until
+        assert (
+            processes[0].steers == processes[1].steers
+            and caching.agent.overrides == recomputing.agent.overrides
+        )
         assert processes[0].running.settings == processes[1].running.settings
-    assert decided == 298 and len(processes[0].steers) > 5
+    assert equal_decisions == 298 and len(processes[0].steers) > 5
 
 
-def test_settings_that_did_not_fit_the_file_are_tried_again():
-    process = StandInProcess()
+def test_settings_that_could_not_be_applied_to_the_file_are_tried_again():
+    process = StubProcess()
     member = FleetMember(process, process, {})
-    use_configuration, process.use_configuration = process.use_configuration, _refuse
+    use_configuration, process.use_configuration = process.use_configuration, _raise_config_error
     client = member.agent.lease_client
     client.receive_update(
         {"edition": 5, "life": 1, "state": "committed", "settings": {"PolicyLimits": {"MaxAttempts": 1}}}
@@ -312,8 +324,8 @@
     assert process.running.settings.max_attempts == 1
 
 
-def _refuse(config):
-    raise ConfigError("not now")
+def _raise_config_error(config):
+    raise ConfigError("the configuration is rejected")
 
 
 REPORT_FIELDS = ("process_id", "epoch", "newest_revision", "prepared", "refresh_times", "measures")
@@ -332,17 +344,17 @@
         ([], LAST_REPORT, None),
     ],
 )
-def test_a_report_can_be_a_delta_to_the_last_one_alone(raw, last, expected):
+def test_a_report_can_only_be_a_delta_to_the_last_report(raw, last, expected):
     body = json.dumps(raw).encode()
     if expected is None:
         with pytest.raises(reports.ReportError):
             reports.parse_delta(body, last)
         return
     report, _ = reports.parse_delta(body, last)
-    assert expected == tuple(getattr(report, n) for n in REPORT_FIELDS)
+    assert expected == tuple(getattr(report, name) for name in REPORT_FIELDS)
 
 
-def test_both_sides_declare_the_same_kinds_of_keys():
+def test_sidecar_and_list_service_declare_the_same_kinds_of_keys():
     kinds = {kind: set() for kind in document.KeyKind}
     for key, kind in document.KEYS.items():
         kinds[kind].add(key)
@@ -353,5 +365,5 @@
     }
 
 
-def test_both_sides_leave_the_same_fields_out_of_a_delta():
+def test_sidecar_and_list_service_omit_the_same_fields_from_a_delta():
     assert reporter.DELTA_FIELDS == reports.CARRIED_FIELDS <= set(reports.Report.__struct_encode_fields__)
--- a/tests/sidecar/test_agent_overrides.py
+++ b/tests/sidecar/test_agent_overrides.py
@@ -1,4 +1,4 @@
-"""Overrides at a sidecar: their deadlines, how they are read, and what the ones in force come to."""
+"""Overrides at a sidecar: their deadlines, the parser of their wire form, and the rules that result."""
 
 from __future__ import annotations
 
@@ -42,27 +42,37 @@
 
 
 def times_of(left_ms, rev=5, same_from=None):
-    """The times left in an answer, of the override `x`."""
+    """Return the times left in an answer, with the override `x` alone."""
     return {"x": {"rev": rev, "left_ms": left_ms, **({"same_from": same_from} if same_from else {})}}
 
 
-def test_a_deadline_counts_from_when_the_report_was_sent_and_holds_over_a_stop():
-    known = Deadlines()
-    known.receive(100.0, times_of(10_000), 100.2)
-    end = known.next_end(100.0)
-    assert 109.7 < end <= 110.0  # less what two clocks may differ by
-    assert known.active_ids(end - 0.001) == ("x",) and known.phase("x", 5, end - 0.001) is Phase.IN_FORCE
-    assert known.active_ids(end) == () and known.phase("x", 5, 120.0) is Phase.OVER  # nothing ran meanwhile
-    # Another sidecar may act on it until then.
-    assert known.phase("x", 5, end) is Phase.DOUBTFUL and known.next_end(end) > 110.2
-    assert known.digest(101.0) == digest([("x", 5)]) != known.digest(end)
+def test_a_deadline_counts_from_the_sending_of_the_report_even_if_the_process_is_stopped():
+    known_deadlines = Deadlines()
+    known_deadlines.receive(100.0, times_of(10_000), 100.2)
+    end = known_deadlines.next_end(100.0)
+    assert 109.7 < end <= 110.0  # The end is early by the largest possible drift between two clocks.
+    assert known_deadlines.active_ids(end - 0.001) == ("x",) and known_deadlines.phase("x", 5, end - 0.001) is Phase.IN_FORCE
+    # The phase is correct at 120 s although no code ran in the meantime.
+    assert known_deadlines.active_ids(end) == () and known_deadlines.phase("x", 5, 120.0) is Phase.OVER
+    # Another sidecar may act on the override for a while after this end.
+    assert known_deadlines.phase("x", 5, end) is Phase.DOUBTFUL and known_deadlines.next_end(end) > 110.2
+    assert known_deadlines.digest(101.0) == digest([("x", 5)]) != known_deadlines.digest(end)
 
 
+# Name of the case; answers in order as (sent_s, received_s, left_ms, rev, same_from); whether revision 5 is
+# in force at 105, at 109 and at 115 s.
 ANSWERS = [
-    # (sent_s, received_s, left_ms, rev, same_from) in order: is revision 5 in force at 105, at 109, at 115 s?
     ("one answer", [(100, 100, 10_000, 5, 5)], (True, True, False)),
-    ("more of the same revision", [(100, 100, 10_000, 5, 5), (101, 101, 60_000, 5, 5)], (True, True, False)),
-    ("less of the same revision", [(100, 100, 10_000, 5, 5), (101, 101, 5000, 5, 5)], (True, False, False)),
+    (
+        "a longer time for the same revision",
+        [(100, 100, 10_000, 5, 5), (101, 101, 60_000, 5, 5)],
+        (True, True, False),
+    ),
+    (
+        "a shorter time for the same revision",
+        [(100, 100, 10_000, 5, 5), (101, 101, 5000, 5, 5)],
+        (True, False, False),
+    ),
     ("a slow answer, then a quick one", [(96, 102, 8000, 5, 5), (103, 103, 7000, 5, 5)], (True, True, False)),
     (
         "an older answer that comes late",
@@ -72,49 +82,49 @@
     ("a lower revision", [(100, 100, 10_000, 5, 5), (101, 101, 60_000, 4, 4)], (True, True, False)),
     ("an extension", [(100, 100, 10_000, 5, 5), (101, 101, 60_000, 6, 5)], (True, True, True)),
     (
-        "a shorter one that says the same",
+        "a shortened revision with the same content",
         [(100, 100, 10_000, 5, 5), (101, 101, 5000, 6, 5)],
         (True, False, False),
     ),
     (
-        "one that says something else",
+        "a newer revision with other content",
         [(100, 100, 10_000, 5, 5), (101, 101, 60_000, 6, 6)],
         (True, True, False),
     ),
     (
-        "two of them",
+        "two newer revisions with other content",
         [(100, 100, 10_000, 5, 5), (101, 101, 60_000, 6, 6), (102, 102, 60_000, 7, 7)],
         (True, True, False),
     ),
-    ("only a newer one", [(100, 100, 60_000, 6, 6)], (False, False, False)),
-    ("none left", [(100, 100, 10_000, 5, 5), (101, 101, 0, 5, 5)], (False, False, False)),
+    ("only a newer revision", [(100, 100, 60_000, 6, 6)], (False, False, False)),
+    ("no time left", [(100, 100, 10_000, 5, 5), (101, 101, 0, 5, 5)], (False, False, False)),
 ]
 
 
 @pytest.mark.parametrize(("answers", "wanted"), [t[1:] for t in ANSWERS], ids=[t[0] for t in ANSWERS])
-def test_times_of_a_revision_only_narrow_its_end_and_a_newer_revision_replaces_it(answers, wanted):
-    known, ends = Deadlines(), []
+def test_times_left_of_a_revision_narrow_its_end_and_a_newer_revision_replaces_it(answers, wanted):
+    known_deadlines, ends = Deadlines(), []
     for sent_s, received_s, left_ms, rev, same_from in answers:
-        rejected = known.receive(float(sent_s), times_of(left_ms, rev, same_from), float(received_s))
-        ends.append(known.next_end(100.0))
-        assert not rejected or ends[-1] == ends[-2]  # a contradiction changes nothing
+        rejected = known_deadlines.receive(float(sent_s), times_of(left_ms, rev, same_from), float(received_s))
+        ends.append(known_deadlines.next_end(100.0))
+        assert not rejected or ends[-1] == ends[-2]  # A rejected time left changes nothing.
         assert (rejected == ("x",)) is (left_ms == 60_000 and len(ends) > 1 and rev == 5)
-    assert tuple(known.phase("x", 5, at) is Phase.IN_FORCE for at in (105.0, 109.0, 115.0)) == wanted
+    assert tuple(known_deadlines.phase("x", 5, at) is Phase.IN_FORCE for at in (105.0, 109.0, 115.0)) == wanted
 
 
-def test_slack_from_an_aggregator_makes_an_end_doubtful_and_extends_nothing():
-    known = Deadlines()
+def test_slack_from_an_aggregator_makes_an_end_doubtful_without_extending_the_override():
+    known_deadlines = Deadlines()
     left = {"rev": 5, "left_ms": 10_000, "slack_ms": 3000}
-    known.receive(100.0, {"x": left}, 100.2)
-    end = known.next_end(100.0)
-    assert 109.7 < end <= 110.0 and known.phase("x", 5, end) is Phase.DOUBTFUL
-    over = known.next_end(end)
-    # The most that is left, by any clock.
-    assert 113.2 < over < 113.6 and known.phase("x", 5, over) is Phase.OVER
-    # Another aggregator states less slack: the two together bound the end.
-    known.receive(101.0, {"x": {"rev": 5, "left_ms": 9200, "slack_ms": 100}}, 101.0)
-    assert end <= known.next_end(101.0) < 110.2 and known.next_end(110.2) < 110.7
-    assert known.receive(102.0, {"x": {**left, "left_ms": 60_000}}) == ("x",)
+    known_deadlines.receive(100.0, {"x": left}, 100.2)
+    end = known_deadlines.next_end(100.0)
+    assert 109.7 < end <= 110.0 and known_deadlines.phase("x", 5, end) is Phase.DOUBTFUL
+    fleet_end = known_deadlines.next_end(end)
+    # The latest possible end by any clock.
+    assert 113.2 < fleet_end < 113.6 and known_deadlines.phase("x", 5, fleet_end) is Phase.OVER
+    # Another aggregator states less slack, and the two answers together bound the end.
+    known_deadlines.receive(101.0, {"x": {"rev": 5, "left_ms": 9200, "slack_ms": 100}}, 101.0)
+    assert end <= known_deadlines.next_end(101.0) < 110.2 and known_deadlines.next_end(110.2) < 110.7
+    assert known_deadlines.receive(102.0, {"x": {**left, "left_ms": 60_000}}) == ("x",)
 
 
 BAD_TIMES = [
@@ -127,156 +137,166 @@
 
 
 @pytest.mark.parametrize("row", BAD_TIMES)
-def test_a_malformed_time_left_is_named_and_changes_nothing(row):
-    known = Deadlines()
-    assert known.receive(0.0, {"x": row, "y": {"rev": 1, "left_ms": 1000}}) == ("x",)
-    assert known.active_ids(0.5) == ("y",)
+def test_a_malformed_time_left_is_rejected_by_id_and_changes_nothing(row):
+    known_deadlines = Deadlines()
+    assert known_deadlines.receive(0.0, {"x": row, "y": {"rev": 1, "left_ms": 1000}}) == ("x",)
+    assert known_deadlines.active_ids(0.5) == ("y",)
 
 
-def test_a_thousand_ends_in_one_second_are_few_changes_at_a_sidecar():
-    known, now, changes = Deadlines(), 0.0, 0
-    known.receive(0.0, {f"k{n}": {"rev": n + 1, "left_ms": 10_000 + n} for n in range(1000)})
-    while (end := known.next_end(now)) is not None:
+def test_a_thousand_ends_within_one_second_cause_few_changes_of_phases():
+    known_deadlines, now, changes = Deadlines(), 0.0, 0
+    known_deadlines.receive(0.0, {f"k{n}": {"rev": n + 1, "left_ms": 10_000 + n} for n in range(1000)})
+    while (end := known_deadlines.next_end(now)) is not None:
         now, changes = end, changes + 1
-    assert changes <= 25 and known.active_ids(now) == ()
+    assert changes <= 25 and known_deadlines.active_ids(now) == ()
 
 
-def test_times_left_are_requested_anew_so_that_the_margin_is_small_at_the_end():
-    known, end, requests = Deadlines(), 86_400.0, 0
+def test_times_left_are_requested_again_so_that_the_margin_is_small_near_the_end():
+    known_deadlines, end, requests = Deadlines(), 86_400.0, 0
     now = 0.0
-    known.receive(now, times_of(end * 1000.0))
-    while known.active_ids(now):
+    known_deadlines.receive(now, times_of(end * 1000.0))
+    while known_deadlines.active_ids(now):
         now += 0.9
-        if known.refresh_due(now):
+        if known_deadlines.refresh_due(now):
             requests += 1
-            known.receive(now, times_of(max(0.0, end - now) * 1000.0))
+            known_deadlines.receive(now, times_of(max(0.0, end - now) * 1000.0))
     assert end - 1.0 < now < end + 0.9 and requests < 25
-    known = Deadlines()
-    known.receive(0.0, times_of(60_000), 3.0)  # a slow answer makes the end early: requested anew at once
-    assert known.refresh_due(3.1)
+    known_deadlines = Deadlines()
+    # A slow answer makes the end early, so the times left are requested again at once.
+    known_deadlines.receive(0.0, times_of(60_000), 3.0)
+    assert known_deadlines.refresh_due(3.1)
 
 
 # --- the rules in force ---
 
 
-def row(action, match=None, rev=1, priority=0, from_ms=0, places=None):
+def override_row(action, match=None, rev=1, priority=0, from_ms=0, places=None):
     return {"rev": rev, "from_ms": from_ms, "priority": priority, "action": action, "match": match or {},
             "places": places or {}}  # fmt: skip
 
 
 def rules_in_force(rows, settings=None, left=None, at=0.0, sidecars=4):
-    known = Deadlines(drift=0.0)
-    known.receive(
+    known_deadlines = Deadlines(drift=0.0)
+    known_deadlines.receive(
         0.0, {key: {"rev": r["rev"], "left_ms": (left or {}).get(key, 60_000)} for key, r in rows.items()}
     )
     layer = read_layer([{"id": key, **r} for key, r in rows.items()])
     assert not layer.problems
     view = LocalView(Place("g1", "a"), NAMES, sidecars)
-    return overrides.effective_rules(at, settings or SteeringRules(), layer.overrides, known, view)
+    return overrides.effective_rules(at, settings or SteeringRules(), layer.overrides, known_deadlines, view)
 
 
 def rounded(value):
-    """The value with its floats rounded, for comparisons."""
+    """Return the value with its floats rounded, for comparisons."""
     if isinstance(value, dict):
         return {key: rounded(part) for key, part in value.items()}
     return round(value, 9) if isinstance(value, float) else value
 
 
-T1, C1 = {"tenant": "t1"}, {"class": "c1"}
+T1, C1 = {"tenant": "t1"}, {"class": "c1"}  # The matches of overrides for a tenant and for a request class
 
 
 def pin(region, **more):
-    return row({"pin": {"region": region}}, T1, **more)
+    return override_row({"pin": {"region": region}}, T1, **more)
 
 
 def shift(match=None, **to):
     more = {name: to.pop(name) for name in ("rev", "priority", "from_ms", "places") if name in to}
-    return row({"shift": {"to": to}}, match, **more)
+    return override_row({"shift": {"to": to}}, match, **more)
 
 
 def hold(name, what="region", **more):
-    return row({"hold": {what: name}}, **more)
+    return override_row({"hold": {what: name}}, **more)
 
 
 def cap(rate):
-    return row({"cap": {"per_s": rate}}, C1)
+    return override_row({"cap": {"per_s": rate}}, C1)
 
 
-def test_an_extended_pin_never_overlaps_with_the_home_region_at_another_sidecar():
-    """One receives the extension before the old end, the other does not; both act on the older document."""
-    home = SteeringRules(tenant_pins={"t1": "a"})
+def test_an_extended_pin_and_the_region_of_the_settings_are_never_used_at_the_same_time():
+    """Two sidecars act on the older document, and only one receives the extension before the old end."""
+    settings = SteeringRules(tenant_pins={"t1": "a"})
 
-    def region(known, rev, at):
+    def region(known_deadlines, rev, at):
         layer = read_layer([{"id": "x", **pin("b", rev=rev)}])
-        return overrides.effective_rules(at, home, layer.overrides, known, ANYWHERE).tenant_pins["t1"]
+        return overrides.effective_rules(at, settings, layer.overrides, known_deadlines, ANYWHERE).tenant_pins["t1"]
 
     extended, unextended = Deadlines(), Deadlines()
-    for known in (extended, unextended):
-        known.receive(0.0, {"x": {"rev": 1, "same_from": 1, "left_ms": 10_000}}, 0.1)
+    for known_deadlines in (extended, unextended):
+        known_deadlines.receive(0.0, {"x": {"rev": 1, "same_from": 1, "left_ms": 10_000}}, 0.1)
     extended.receive(9.0, {"x": {"rev": 2, "same_from": 1, "left_ms": 11_000}}, 9.1)
     for tenth in range(150):
         both = {region(extended, 1, tenth / 10.0), region(unextended, 1, tenth / 10.0)}
         assert not {"a", "b"} <= both, tenth
-    # The document with the extension is committed once all have acknowledged it, or have no lease.
+    # The document with the extension is committed once each sidecar has acknowledged it or has no lease.
     assert [region(extended, rev, 12.0) for rev in (1, 2)] == ["", "b"]
     assert [region(extended, rev, 9.5) for rev in (1, 2)] == ["b", "b"]
     assert [region(extended, rev, 21.0) for rev in (1, 2)] == ["a", "a"]
 
 
 BASE = SteeringRules(shares={"a": 0.5, "b": 0.5}, tenant_pins={"t2": "b"}, caps={"c1": 100.0})
-FORCE = [
-    ("nothing", {}, BASE, {"shares": {"a": 0.5, "b": 0.5}, "tenant_pins": {"t2": "b"}, "caps": {"c1": 25.0}}),
-    ("a higher priority goes first", {"x": pin("a", priority=1), "y": pin("b", from_ms=9)}, None,
+# Name of the case; overrides by id; settings; the expected fields of the effective rules.
+RULE_CASES = [
+    ("no override",
+     {}, BASE, {"shares": {"a": 0.5, "b": 0.5}, "tenant_pins": {"t2": "b"}, "caps": {"c1": 25.0}}),
+    ("a higher priority takes precedence", {"x": pin("a", priority=1), "y": pin("b", from_ms=9)}, None,
      {"tenant_pins": {"t1": "a"}}),
-    ("then the newer one", {"x": pin("a", from_ms=1), "y": pin("b", from_ms=2)}, None,
+    ("at equal priority the later start takes precedence",
+     {"x": pin("a", from_ms=1), "y": pin("b", from_ms=2)}, None,
      {"tenant_pins": {"t1": "b"}}),
-    ("a pin goes before a shift of the same tenant", {"x": pin("a"), "y": shift(T1, b=1.0, priority=9)}, None,
+    ("a pin takes precedence over a shift of the same tenant",
+     {"x": pin("a"), "y": shift(T1, b=1.0, priority=9)}, None,
      {"tenant_pins": {"t1": "a"}, "tenant_shares": {}}),
-    ("holds unite", {"x": hold("a"), "y": hold("g1", "group"), "z": hold("s1", "server")},
+    ("all holds apply", {"x": hold("a"), "y": hold("g1", "group"), "z": hold("s1", "server")},
      SteeringRules(excluded_regions=frozenset("b")),
      {"excluded_regions": frozenset("ab"), "excluded_groups": frozenset({"g1"}),
       "excluded_servers": frozenset({"s1"})}),
-    ("caps take the least", {"x": cap(80.0), "y": cap(60.0)}, BASE, {"caps": {"c1": 15.0}}),
-    ("the rest of a shift keeps the shares below", {"x": shift(C1, c=0.4)}, BASE,
+    ("the lowest cap applies", {"x": cap(80.0), "y": cap(60.0)}, BASE, {"caps": {"c1": 15.0}}),
+    ("the rest of a shift keeps the proportions of the settings", {"x": shift(C1, c=0.4)}, BASE,
      {"class_shares": {"c1": {"c": 0.4, "a": 0.3, "b": 0.3}}, "shares": {"a": 0.5, "b": 0.5}}),
-    ("one inside another", {"in": shift(T1, a=0.5, priority=2), "out": shift(T1, b=1.0, priority=1)}, None,
+    ("a shift applies on top of another one",
+     {"in": shift(T1, a=0.5, priority=2), "out": shift(T1, b=1.0, priority=1)}, None,
      {"tenant_shares": {"t1": {"a": 0.5, "b": 0.5}}}),
-    ("a shift of all lies below that of a class of the same age", {"x": shift(C1, a=1.0, from_ms=1),
+    ("a later shift of a class applies on top of a shift of all requests", {"x": shift(C1, a=1.0, from_ms=1),
      "y": shift(b=1.0)}, None, {"shares": {"b": 1.0}, "class_shares": {"c1": {"a": 1.0}}}),
-    ("no share for a region that is held", {"x": shift(a=0.5, b=0.5), "y": hold("a")}, None,
+    ("a held region gets no share", {"x": shift(a=0.5, b=0.5), "y": hold("a")}, None,
      {"shares": {"b": 1.0}}),
-    ("freeze", {"x": row({"freeze": True})}, None, {"frozen": True}),
-    ("elsewhere", {"x": pin("a", places={"regions": ["b"]}), "y": pin("b", places={"groups": ["g1"]})}, None,
+    ("freeze", {"x": override_row({"freeze": True})}, None, {"frozen": True}),
+    ("an override for another place does not apply",
+     {"x": pin("a", places={"regions": ["b"]}), "y": pin("b", places={"groups": ["g1"]})}, None,
      {"tenant_pins": {"t1": "b"}, "acted": (("y", 1),)}),
-    ("names not known here", {"x": hold("zz"), "y": pin("zz"), "z": shift(zz=0.5, a=0.5),
-     "c": row({"cap": {"per_s": 1.0}}, {"class": "zz"})}, BASE,
+    ("unknown names", {"x": hold("zz"), "y": pin("zz"), "z": shift(zz=0.5, a=0.5),
+     "c": override_row({"cap": {"per_s": 1.0}}, {"class": "zz"})}, BASE,
      {"excluded_regions": frozenset(), "tenant_pins": {"t2": "b"}, "shares": {"a": 0.5, "b": 0.5}}),
-    ("all regions held: the last hold does not count",
+    ("if all regions are held, the last hold does not apply",
      {"x": hold("a", priority=3), "y": hold("b", priority=1), "z": hold("c", priority=2)}, None,
      {"excluded_regions": frozenset("ac")}),
-    ("all regions held with the settings", {"x": hold("a")}, SteeringRules(excluded_regions=frozenset("bc")),
+    ("if a hold and the settings exclude all regions, the hold does not apply",
+     {"x": hold("a")}, SteeringRules(excluded_regions=frozenset("bc")),
      {"excluded_regions": frozenset("bc")}),
 ]  # fmt: skip
 
 
-@pytest.mark.parametrize(("rows", "settings", "wanted"), [f[1:] for f in FORCE], ids=[f[0] for f in FORCE])
-def test_rules_in_force_come_from_settings_and_all_overrides(rows, settings, wanted):
-    found = rules_in_force(rows, settings)
-    assert {name: rounded(getattr(found, name)) for name in wanted} == wanted
+@pytest.mark.parametrize(
+    ("rows", "settings", "wanted"), [case[1:] for case in RULE_CASES], ids=[case[0] for case in RULE_CASES]
+)
+def test_effective_rules_combine_the_settings_with_all_overrides_in_force(rows, settings, wanted):
+    effective = rules_in_force(rows, settings)
+    assert {name: rounded(getattr(effective, name)) for name in wanted} == wanted
     if any("zz" in json.dumps(r) for r in rows.values()):
-        assert sorted(found.unknown) == ["c: class zz", "x: region zz", "y: region zz", "z: region zz"]
-    if found.excluded_regions and frozenset("abc") <= {
+        assert sorted(effective.unknown) == ["c: class zz", "x: region zz", "y: region zz", "z: region zz"]
+    if effective.excluded_regions and frozenset("abc") <= {
         r["action"].get("hold", {}).get("region") for r in rows.values()
     }:
-        assert found.notes == ("y: region b is not held off, since no other region would be left",)
+        assert effective.notes == ("y: region b is not held off, since no other region would be left",)
 
 
-def test_an_outer_shift_and_a_pin_apply_again_when_the_inner_shift_ends():
+def test_a_shift_applies_again_when_a_shift_or_a_pin_that_takes_precedence_ends():
     rows = {"in": shift(T1, a=1.0, priority=2), "out": shift(T1, b=1.0), "pin": pin("c", priority=-1)}
     left = {"in": 1000, "pin": 2000}
     for at, pins, shares in ((0.5, {"t1": "c"}, {}), (1.5, {"t1": "c"}, {}), (2.5, {}, {"t1": {"b": 1.0}})):
-        found = rules_in_force(rows, left=left, at=at)
-        assert (found.tenant_pins, found.tenant_shares) == (pins, shares)
+        effective = rules_in_force(rows, left=left, at=at)
+        assert (effective.tenant_pins, effective.tenant_shares) == (pins, shares)
     assert rules_in_force({"in": rows["in"], "out": rows["out"]}, left=left, at=0.5).tenant_shares == {
         "t1": {"a": 1.0}
     }
@@ -286,33 +306,35 @@
     ("settings", "pins"),
     [(None, ["a", "", ""]), ({"t1": "b"}, ["a", "", "b"]), ({"t1": "a"}, ["a", "a", "a"])],
 )
-def test_near_the_end_of_a_pin_its_tenant_is_served_only_where_all_sidecars_agree(settings, pins):
-    known = Deadlines()
-    known.receive(0.0, {"x": {"rev": 1, "left_ms": 10_000}}, 0.3)
+def test_near_the_end_of_a_pin_its_tenant_is_served_only_in_a_region_that_all_sidecars_agree_on(
+    settings, pins
+):
+    known_deadlines = Deadlines()
+    known_deadlines.receive(0.0, {"x": {"rev": 1, "left_ms": 10_000}}, 0.3)
     layer = read_layer([{"id": "x", **pin("a")}])
     rules_now = SteeringRules(tenant_pins=settings or {})
     for at, region in zip((9.7, 10.0, 10.6), pins, strict=True):
-        found = overrides.effective_rules(at, rules_now, layer.overrides, known, ANYWHERE)
-        assert found.tenant_pins.get("t1", "") == region
-        assert bool(found.tenant_pins) is (at < 10.5 or settings is not None)
-        assert found.acted == ((("x", 1),) if at < 9.8 else ())
+        effective = overrides.effective_rules(at, rules_now, layer.overrides, known_deadlines, ANYWHERE)
+        assert effective.tenant_pins.get("t1", "") == region
+        assert bool(effective.tenant_pins) is (at < 10.5 or settings is not None)
+        assert effective.acted == ((("x", 1),) if at < 9.8 else ())
 
 
-def test_between_revisions_and_without_a_lease_only_undisputed_rules_apply():
+def test_only_rules_that_all_revisions_allow_apply_between_revisions_and_without_a_lease():
     rows = {"x": pin("a"), "y": hold("a"), "z": cap(80.0), "s": shift(b=1.0)}
     one, other = (
         rules_in_force(rows, BASE),
         rules_in_force({"x": pin("b"), "y": hold("b"), "z": cap(40.0)}, BASE),
     )
-    met = overrides.common_rules(one, other)
-    assert met.tenant_pins == {"t1": NO_REGION, "t2": "b"} and met.excluded_regions == frozenset("ab")
-    assert (met.caps, met.shares, met.acted) == ({"c1": 10.0}, one.shares, one.acted)
-    # Where the two exclude all regions, the exclusions of the first alone count.
+    common = overrides.common_rules(one, other)
+    assert common.tenant_pins == {"t1": NO_REGION, "t2": "b"} and common.excluded_regions == frozenset("ab")
+    assert (common.caps, common.shares, common.acted) == ({"c1": 10.0}, one.shares, one.acted)
+    # If both together exclude all regions, only the exclusions of the first rules apply.
     assert overrides.common_rules(one, other, frozenset("ab")).excluded_regions == one.excluded_regions
     assert overrides.common_rules(one, other, frozenset("abc")).excluded_regions == frozenset("ab")
-    safe = overrides.rules_without_lease(one, {"t2": "c"}, (), 0.5)
-    assert safe.tenant_pins == {"t1": NO_REGION, "t2": "c"} and safe.caps == {"c1": 10.0}
-    assert safe.excluded_regions == one.excluded_regions
+    fallback = overrides.rules_without_lease(one, {"t2": "c"}, (), 0.5)
+    assert fallback.tenant_pins == {"t1": NO_REGION, "t2": "c"} and fallback.caps == {"c1": 10.0}
+    assert fallback.excluded_regions == one.excluded_regions
     settings = {
         "shares": {"g1": {"a": 1.0}},
         "tenants": {"t2": "b"},
@@ -329,26 +351,28 @@
     ("received", "excluded"),
     [
         ({6: "b"}, "ab"),
-        ({6: "b", 7: "c"}, "ab"),  # together they exclude all regions, and no sidecar acts on 7 before 6
-        ({3: "b", 4: "c", 6: "c"}, "ac"),  # from a service with an old copy, which waits before it grants
+        # Together the revisions exclude all regions, and no sidecar acts on 7 before 6.
+        ({6: "b", 7: "c"}, "ab"),
+        # The older revisions come from a service with an old copy of its store, which waits before it grants.
+        ({3: "b", 4: "c", 6: "c"}, "ac"),
         ({3: "b"}, "ab"),
         ({6: "a", 7: "abc", 8: "c"}, "ac"),
     ],
 )
-def test_between_revisions_that_exclude_all_regions_the_next_one_counts_first(received, excluded):
+def test_the_next_revision_takes_precedence_if_concurrent_revisions_exclude_all_regions(received, excluded):
     def revision(number, names):
         return lease_client.Revision(number, {"regions": {"held": list(names)}}, None, ())
 
     names = config_values.Names({}, {}, {"a": 0, "b": 1, "c": 2, "empty": 3}, {})
-    listing = EndpointList(
+    endpoints = EndpointList(
         endpoint_list.ServerList(1, True, [model.Listing(f"s{zone}", zone) for zone in range(3)], {})
     )
     agreement = config.Agreement(3000.0, "", "", {})
-    made = steering.Steering(agreement, lambda: names, lambda: listing)
+    tested_steering = steering.Steering(agreement, lambda: names, lambda: endpoints)
     active = lease_client.ActiveConfiguration(
         False, revision(5, "a"), tuple(revision(*row) for row in reversed(received.items()))
     )
-    assert made.effective_rules(active, 0.0).excluded_regions == frozenset(excluded)
+    assert tested_steering.effective_rules(active, 0.0).excluded_regions == frozenset(excluded)
 
 
 @pytest.mark.parametrize(
@@ -356,18 +380,18 @@
     [
         ({}, "expected a list"),
         (None, "None"),
-        ({"id": "x", **row({"warp": 9})}, "unsupported action: warp"),
-        ({"id": "x", **row({"freeze": True, "pin": {"region": "a"}})}, "freeze and pin"),
-        ({"id": "x", **row({"freeze": True}, {"user": "u"})}, "unsupported key in match: user"),
-        ({"id": "x", **row({"freeze": True}, places={"racks": ["r"]})}, "unsupported key in places: racks"),
-        ({"id": "x", **row({"hold": {"rack": "r"}})}, "unsupported hold of rack"),
-        ({"id": "x", **row({"freeze": True}), "rev": "1"}, "whole numbers"),
-        ({"id": "x", **row({"shift": {"to": {"a": float("nan")}}})}, "share"),
-        ({"id": "x", **row({"freeze": True}, {"class": ["c1"]})}, "match: expected names"),
-        ({"id": "x", **row({"pin": {"region": "a"}}, {"tenant": {}})}, "match: expected names"),
+        ({"id": "x", **override_row({"warp": 9})}, "unsupported action: warp"),
+        ({"id": "x", **override_row({"freeze": True, "pin": {"region": "a"}})}, "freeze and pin"),
+        ({"id": "x", **override_row({"freeze": True}, {"user": "u"})}, "unsupported key in match: user"),
+        ({"id": "x", **override_row({"freeze": True}, places={"racks": ["r"]})}, "unsupported key in places: racks"),
+        ({"id": "x", **override_row({"hold": {"rack": "r"}})}, "unsupported hold of rack"),
+        ({"id": "x", **override_row({"freeze": True}), "rev": "1"}, "whole numbers"),
+        ({"id": "x", **override_row({"shift": {"to": {"a": float("nan")}}})}, "share"),
+        ({"id": "x", **override_row({"freeze": True}, {"class": ["c1"]})}, "match: expected names"),
+        ({"id": "x", **override_row({"pin": {"region": "a"}}, {"tenant": {}})}, "match: expected names"),
     ],
 )
-def test_an_unsupported_override_is_an_objection_and_the_others_are_read(raw, why):
+def test_an_unsupported_override_is_a_problem_and_the_other_overrides_are_parsed(raw, why):
     layer = read_layer(raw if raw == {} else [raw, {"id": "good", **pin("a")}])
     assert why in layer.problems[0]
     assert [override.id for override in layer.overrides] == ([] if raw == {} else ["good"])
@@ -385,8 +409,8 @@
 
 
 @pytest.mark.parametrize(("raw", "action"), ACTIONS)
-def test_an_action_on_the_wire_is_read_as_one_typed_value(raw, action):
-    layer = read_layer([{"id": "x", **row(raw, T1, rev=3, places={"groups": ["g1"]})}])
+def test_an_action_on_the_wire_is_parsed_into_one_typed_value(raw, action):
+    layer = read_layer([{"id": "x", **override_row(raw, T1, rev=3, places={"groups": ["g1"]})}])
     assert layer.overrides == (
         Override(
             id="x", revision=3, start_ms=0, priority=0, action=action, tenant="t1", groups=frozenset({"g1"})
@@ -408,17 +432,17 @@
         st.tuples(ROWS, st.sampled_from(["t1", "t2"]), st.integers(-1, 1), st.integers(0, 2)), max_size=8
     )
 )
-def test_rules_in_force_match_the_model_whatever_was_before(samples):
+def test_effective_rules_equal_those_of_the_model_for_any_overrides(samples):
     rows = {}
     for number, ((action, by), tenant, priority, from_ms) in enumerate(samples):
         match = {"tenant": tenant} if by == "tenant" else C1 if by == "class" else {}
-        rows[f"o{number}"] = row(action, match, number + 1, priority, from_ms)
-    found = rules_in_force(rows, sidecars=1)
+        rows[f"o{number}"] = override_row(action, match, number + 1, priority, from_ms)
+    effective = rules_in_force(rows, sidecars=1)
     wanted = expected(rows, ("a", "b", "c"))
-    assert {name: getattr(found, name) for name in wanted} == wanted
+    assert {name: getattr(effective, name) for name in wanted} == wanted
 
 
-def test_a_layer_from_the_service_is_read_and_both_sides_make_the_same_digest():
+def test_a_layer_from_the_service_is_parsed_and_both_sides_compute_the_same_digest():
     service = (
         OverrideService()
         .put(1, action={"shift": {"to": {"a": 0.5}}}, match=C1, places={"groups": ["g1"]})
@@ -426,15 +450,15 @@
     )
     active = service.store.active(service.at)
     wire = json.loads(json.dumps({"layer": layer(active), "times_left": times_left(active, service.at)}))
-    layer_read = read_layer(wire["layer"])
-    known = Deadlines()
-    assert not layer_read.problems and known.receive(0.0, wire["times_left"]) == ()
+    parsed_layer = read_layer(wire["layer"])
+    known_deadlines = Deadlines()
+    assert not parsed_layer.problems and known_deadlines.receive(0.0, wire["times_left"]) == ()
     assert (
-        known.newest_revision == active[0].rev
-        and times_left(active, service.at, known.newest_revision) == {}
+        known_deadlines.newest_revision == active[0].rev
+        and times_left(active, service.at, known_deadlines.newest_revision) == {}
     )
-    found = overrides.effective_rules(
-        1.0, SteeringRules(), layer_read.overrides, known, LocalView(Place("g1", "a"), NAMES)
+    effective = overrides.effective_rules(
+        1.0, SteeringRules(), parsed_layer.overrides, known_deadlines, LocalView(Place("g1", "a"), NAMES)
     )
-    assert found.class_shares == {"c1": {"a": 0.5, "b": 0.25, "c": 0.25}}
-    assert deadlines.digest(found.acted) == digest((o.id, o.rev) for o in active)
+    assert effective.class_shares == {"c1": {"a": 0.5, "b": 0.25, "c": 0.25}}
+    assert deadlines.digest(effective.acted) == digest((o.id, o.rev) for o in active)
--- a/tests/sidecar/test_agent_tier.py
+++ b/tests/sidecar/test_agent_tier.py
@@ -1,6 +1,8 @@
-"""A sidecar's agent behind several aggregators that grant, refuse, redirect or fail.
+"""A sidecar's agent with several stubs of aggregators, which grant leases, reject, redirect or fail.
 
-Time is the loop's own and jumps to the next timer, and connections are stand-ins: each bound is exact."""
+The event loop has simulated time, which jumps to the next timer, and there are no sockets. Tests of time
+limits are therefore exact.
+"""
 
 from __future__ import annotations
 
@@ -18,16 +20,17 @@
 from brassfall.sidecar.config_values import Address
 from brassfall.sidecar.discovery.channel import Channel
 
+# Length of the granted leases in seconds, and epoch and committed revision of the list service.
 LEASE_S, EPOCH, REVISION = 2.7, 7, 5
-LONGEST_PAUSE_S = 1.0  # between two reports, at the default interval
+LONGEST_PAUSE_S = 1.0  # Longest time between two reports at the default interval, in seconds
 STATE = {"edition": REVISION, "life": EPOCH, "state": "committed"}
 GRANTS = {"edition": REVISION, "permission_ms": 1000.0 * LEASE_S, "life": EPOCH}
 REDIRECTS = {**GRANTS, "permission_ms": 0.0, "elsewhere": True}
 REDIRECTS_WITH_A_LEASE = {**GRANTS, "permission_ms": 1500.0, "elsewhere": True}
 
 
-def timed(test):
-    """Run an async test in a loop whose time jumps to the next timer."""
+def simulated_time(test):
+    """Decorate an async test to run in an event loop whose time jumps to the next timer."""
 
     @functools.wraps(test)
     def run(*args, **kwargs):
@@ -51,7 +54,7 @@
 
 
 class Connection(asyncio.Transport):
-    """One connection to an aggregator, which answers within the same turn of the loop unless it is silent."""
+    """A connection to a stub of an aggregator, which gets the data in the next iteration of the loop."""
 
     def __init__(self, aggregator, protocol):
         super().__init__()
@@ -76,7 +79,11 @@
 
 
 class Aggregator:
-    """`answer` is what reports get: an object, bytes, `None` for silence, or "reset"."""
+    """A stub of an aggregator, which answers each report as `answer` says.
+
+    `answer` is the JSON object or the bytes of the answer, None for no answer, or "reset" to kill the
+    aggregator.
+    """
 
     def __init__(self, tier, answer):
         self.tier, self.answer, self.up = tier, answer, True
@@ -100,6 +107,7 @@
             connection.feed(self.answer if isinstance(self.answer, bytes) else response(self.answer))
 
     def kill(self):
+        """Reset all connections, and refuse new ones."""
         self.up = False
         for connection in self.connections:
             connection.abort()
@@ -113,30 +121,33 @@
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
-class Tier:
-    """Aggregators by their position among the addresses, and one agent that starts at the first of them."""
+class AggregatorTier:
+    """Several aggregators in the order of their addresses, and an agent that starts with the first one."""
 
     def __init__(self, *answers):
         self.aggregators = [Aggregator(self, answer) for answer in answers]
-        self.reports, self.acted = [], []
-        self.refused = []  # when a connection for reports was, and by which aggregator
+        # Each report as (time, index of the aggregator, fields), and each configuration that was applied.
+        self.reports, self.applied_configurations = [], []
+        # Each refused connection for reports as (time, index of the aggregator).
+        self.refused = []
         asyncio.get_running_loop().create_connection = self.connect
         addresses = tuple(Address("aggregator", port) for port in range(len(answers)))
         self.agent = next(agent for agent in self._agents(addresses) if state(agent)["at"] == "aggregator:0")
 
     def _agents(self, addresses):
+        """Yield agents with different seeds, which determine the first address of an agent."""
         agreement, loop = Agreement(3000.0, "", "", {}), asyncio.get_running_loop()
-        for seed in itertools.count(1):  # it decides where an agent starts
+        for seed in itertools.count(1):
             yield Agent(loop, "e1", agreement, addresses, lambda revision: "", self._act, seed)
 
     def _act(self, active, now):
-        self.acted.append(active)
+        self.applied_configurations.append(active)
         return 1e9
 
     async def connect(self, factory, host, port):
         protocol = factory()
         if not self.aggregators[port].up:
-            if not isinstance(protocol, Channel):  # the watch on revisions has its own waits
+            if not isinstance(protocol, Channel):  # A `Channel` belongs to the watch on revisions.
                 self.refused.append((now(), port))
             raise ConnectionRefusedError
         connection = Connection(self.aggregators[port], protocol)
@@ -145,20 +156,20 @@
 
     @property
     def open(self):
-        """Which of the connections are open, in order, by aggregator."""
+        """Whether each connection is open, in a list for each aggregator."""
         return [[connection.open for connection in each.connections] for each in self.aggregators]
 
     async def run(self, seconds):
         await asyncio.sleep(seconds)
         return self
 
-    async def leased(self):
-        """Start, and wait until the first aggregator has granted a lease."""
+    async def start_and_get_lease(self):
+        """Start the agent, wait until the first aggregator has granted a lease, and clear the records."""
         self.agent.start()
         await self.run(3.0)
         assert self.acting == REVISION
         self.reports.clear()
-        self.acted.clear()
+        self.applied_configurations.clear()
         return self
 
     @property
@@ -166,28 +177,29 @@
         return self.agent.lease_client.active_configuration(now()).acting
 
     @property
-    def asked(self):
-        """The aggregators that were sent reports, in order."""
+    def reported_to(self):
+        """The index of the aggregator that got each report, in order."""
         return [place for _, place, _ in self.reports]
 
     def close(self):
         self.agent.close()
 
-    def kept_its_lease(self):
-        """Return whether it acted on the revision at all times so far."""
-        return self.acting == REVISION and all(active.acting == REVISION for active in self.acted)
+    def has_kept_lease(self):
+        """Return whether the agent has always acted on the revision, and never on the fallback."""
+        return self.acting == REVISION and all(active.acting == REVISION for active in self.applied_configurations)
 
 
-@timed
-async def test_redirected_by_aggregators_without_a_lease_it_stays_with_the_first_that_grants():
-    tier = await Tier(GRANTS, REDIRECTS, GRANTS).leased()
+@simulated_time
+async def test_a_redirected_agent_stays_with_the_first_aggregator_that_grants_a_lease():
+    tier = await AggregatorTier(GRANTS, REDIRECTS, GRANTS).start_and_get_lease()
     tier.aggregators[0].answer = REDIRECTS
     await tier.run(20.0)
-    assert tier.asked[:3] == [0, 1, 2] and set(tier.asked[2:]) == {2}
-    assert tier.kept_its_lease()
+    assert tier.reported_to[:3] == [0, 1, 2] and set(tier.reported_to[2:]) == {2}
+    assert tier.has_kept_lease()
     pauses = [later - at for (at, *_), (later, *_) in zip(tier.reports, tier.reports[1:], strict=False)]
-    assert min(pauses) >= 0.5 and max(pauses) <= LONGEST_PAUSE_S  # no more reports than before
-    # A complete report to each that does not have the last one, all by the same process.
+    # Redirects cause no additional reports.
+    assert min(pauses) >= 0.5 and max(pauses) <= LONGEST_PAUSE_S
+    # An aggregator without the last report gets a complete one. All reports have the same process id.
     assert ["after" in report for *_, report in tier.reports[:4]] == [True, False, False, True]
     assert {report["life"] for *_, report in tier.reports if "life" in report} == {
         tier.agent.lease_client.process_id
@@ -195,143 +207,145 @@
     tier.close()
 
 
-@timed
-async def test_redirected_with_a_lease_that_is_not_renewed_it_moves_before_the_lease_ends():
-    tier = await Tier(GRANTS, GRANTS).leased()
+@simulated_time
+async def test_an_agent_redirected_with_a_shortened_lease_moves_before_the_lease_ends():
+    tier = await AggregatorTier(GRANTS, GRANTS).start_and_get_lease()
     tier.aggregators[0].answer = REDIRECTS_WITH_A_LEASE
     await tier.run(10.0)
-    assert tier.asked[0] == 0 and set(tier.asked[1:]) == {1}
-    assert tier.kept_its_lease()
+    assert tier.reported_to[0] == 0 and set(tier.reported_to[1:]) == {1}
+    assert tier.has_kept_lease()
     tier.close()
 
 
-@timed
-async def test_while_no_aggregator_has_a_lease_it_moves_rarely_and_uses_the_first_grant():
-    tier = await Tier(GRANTS, GRANTS, GRANTS).leased()
+@simulated_time
+async def test_while_no_aggregator_grants_a_lease_the_agent_moves_rarely_and_uses_the_first_grant():
+    tier = await AggregatorTier(GRANTS, GRANTS, GRANTS).start_and_get_lease()
     for each in tier.aggregators:
         each.answer = REDIRECTS
     await tier.run(60.0)
-    moves = sum(a != b for a, b in zip(tier.asked, tier.asked[1:], strict=False))
+    moves = sum(a != b for a, b in zip(tier.reported_to, tier.reported_to[1:], strict=False))
     assert len(tier.reports) <= 60.0 / 0.75 * 1.1 and moves <= 3 + len(tier.reports) / 4 + 1
     assert tier.acting == "safe"
-    last = tier.asked[-1]
+    last = tier.reported_to[-1]
     tier.aggregators[last].answer = GRANTS
     await tier.run(LONGEST_PAUSE_S * reporter.JITTER * 3.0 * 15)
-    assert tier.acting == REVISION and set(tier.asked[-3:]) == {last}
+    assert tier.acting == REVISION and set(tier.reported_to[-3:]) == {last}
     tier.close()
 
 
-RETRY = (
-    # Retry-After; number of addresses; where the next reports go; bounds of the pause in seconds
-    ("0.3", 2, [0, 0], (0.3, 0.375)),  # shorter than the rest of the lease: kept
+# Retry-After; number of addresses; the aggregators that get the next reports; bounds of the pause in seconds.
+RETRY_CASES = (
+    ("0.3", 2, [0, 0], (0.3, 0.375)),  # The Retry-After is shorter than the rest of the lease, and is kept.
     ("5", 2, [0, 1], (0.0, 0.3)),
-    ("5", 1, [0, 0], (5.0, 6.25)),  # no other address: kept
+    ("5", 1, [0, 0], (5.0, 6.25)),  # There is no other address, and the Retry-After is kept.
 )
 
 
-@pytest.mark.parametrize(("seconds", "count", "asked", "pause"), RETRY)
-@timed
-async def test_a_retry_after_longer_than_the_lease_sends_it_to_another_address(seconds, count, asked, pause):
-    tier = await Tier(*[GRANTS] * count).leased()
+@pytest.mark.parametrize(("seconds", "count", "aggregators", "pause"), RETRY_CASES)
+@simulated_time
+async def test_after_a_retry_after_longer_than_the_lease_another_address_is_used(
+    seconds, count, aggregators, pause
+):
+    tier = await AggregatorTier(*[GRANTS] * count).start_and_get_lease()
     tier.aggregators[0].answer = response({}, 503, f"Retry-After: {seconds}\r\n")
     await tier.run(1.5)
     tier.aggregators[0].answer = GRANTS
     await tier.run(6.0)
     refused_at = next(at for at, place, _ in tier.reports if place == 0)
     after = next(at for at, *_ in tier.reports if at > refused_at)
-    assert tier.asked[:2] == asked and pause[0] <= after - refused_at <= pause[1]
-    assert count == 1 or tier.kept_its_lease()
+    assert tier.reported_to[:2] == aggregators and pause[0] <= after - refused_at <= pause[1]
+    assert count == 1 or tier.has_kept_lease()
     tier.close()
 
 
-@timed
-async def test_a_retry_after_from_all_is_kept_and_so_is_one_without_a_lease():
+@simulated_time
+async def test_a_retry_after_from_all_addresses_and_one_without_a_lease_are_kept():
     full = response({}, 503, "Retry-After: 5\r\n")
-    tier = await Tier(GRANTS, GRANTS).leased()
+    tier = await AggregatorTier(GRANTS, GRANTS).start_and_get_lease()
     for each in tier.aggregators:
         each.answer = full
     await tier.run(20.0)
-    assert tier.asked[:3] == [0, 1, 1] and len(tier.reports) <= 6
+    assert tier.reported_to[:3] == [0, 1, 1] and len(tier.reports) <= 6
     tier.close()
-    newcomer = Tier(full, GRANTS)
+    newcomer = AggregatorTier(full, GRANTS)
     newcomer.agent.start()
     await newcomer.run(4.9)
-    assert newcomer.asked == [0]
+    assert newcomer.reported_to == [0]
     newcomer.close()
 
 
-@timed
-async def test_after_a_reset_the_report_goes_to_the_next_address_that_is_up_within_300_ms_each():
-    tier = await Tier(GRANTS, GRANTS, GRANTS).leased()
+@simulated_time
+async def test_after_a_reset_the_report_goes_to_the_next_working_address_within_300_ms_for_each():
+    tier = await AggregatorTier(GRANTS, GRANTS, GRANTS).start_and_get_lease()
     tier.aggregators[0].answer = "reset"
     tier.aggregators[1].up = False
     await tier.run(10.0)
-    (broken, *_), (next_at, *_) = tier.reports[0], tier.reports[1]
-    assert tier.asked[:2] == [0, 2] and next_at - broken <= 2 * 0.3
-    assert tier.kept_its_lease() and set(tier.asked[1:]) == {2}
+    (reset_at, *_), (next_at, *_) = tier.reports[0], tier.reports[1]
+    assert tier.reported_to[:2] == [0, 2] and next_at - reset_at <= 2 * 0.3
+    assert tier.has_kept_lease() and set(tier.reported_to[1:]) == {2}
     tier.close()
 
 
-@timed
-async def test_while_all_are_down_it_reports_often_only_until_its_lease_has_ended():
-    tier = await Tier(GRANTS, GRANTS).leased()
+@simulated_time
+async def test_while_no_aggregator_can_be_reached_reports_are_frequent_only_until_the_lease_ends():
+    tier = await AggregatorTier(GRANTS, GRANTS).start_and_get_lease()
     for each in tier.aggregators:
         each.kill()
     await tier.run(LEASE_S)
-    quick = len(tier.refused)
-    assert quick >= 8 and {port for _, port in tier.refused} == {0, 1}
-    await tier.run(10.0)  # the waits grow
-    before = len(tier.refused)
+    count_with_lease = len(tier.refused)
+    assert count_with_lease >= 8 and {port for _, port in tier.refused} == {0, 1}
+    await tier.run(10.0)  # The waits grow during this time.
+    count_before = len(tier.refused)
     await tier.run(60.0)
-    assert 60.0 / 1.5 < len(tier.refused) - before < 60.0 / 0.5
+    assert 60.0 / 1.5 < len(tier.refused) - count_before < 60.0 / 0.5
     tier.close()
 
 
 @pytest.mark.parametrize("idle", [True, False])
-@timed
-async def test_a_killed_aggregator_costs_no_lease(idle):
-    tier = await Tier(GRANTS, GRANTS).leased()
-    if idle:  # the connection ends between two reports
+@simulated_time
+async def test_the_agent_keeps_its_lease_if_an_aggregator_is_killed(idle):
+    tier = await AggregatorTier(GRANTS, GRANTS).start_and_get_lease()
+    if idle:  # The connection ends between two reports.
         tier.aggregators[0].kill()
     else:
         tier.aggregators[0].answer = "reset"
     await tier.run(10.0)
     at = [at for at, place, _ in tier.reports if place == 1]
-    assert set(tier.asked[0 if idle else 1 :]) == {1} and at[0] - 3.0 <= LONGEST_PAUSE_S + 0.3
-    assert tier.kept_its_lease()
+    assert set(tier.reported_to[0 if idle else 1 :]) == {1} and at[0] - 3.0 <= LONGEST_PAUSE_S + 0.3
+    assert tier.has_kept_lease()
     tier.close()
 
 
-@timed
-async def test_a_stopped_aggregator_costs_no_lease_and_its_late_answer_is_ignored():
-    tier = await Tier(GRANTS, GRANTS).leased()
+@simulated_time
+async def test_the_agent_keeps_its_lease_if_an_aggregator_is_stopped_and_ignores_its_late_answer():
+    tier = await AggregatorTier(GRANTS, GRANTS).start_and_get_lease()
     stopped = tier.aggregators[0]
     stopped.answer = stopped.watch_answer = None
     await tier.run(LONGEST_PAUSE_S + reporter.CALL_S + 0.3)
-    (asked, *_), (moved, *_) = tier.reports[:2]
-    assert tier.asked[:2] == [0, 1] and reporter.CALL_S <= moved - asked <= reporter.CALL_S + 0.3
+    (sent_at, *_), (moved_at, *_) = tier.reports[:2]
+    assert tier.reported_to[:2] == [0, 1] and reporter.CALL_S <= moved_at - sent_at <= reporter.CALL_S + 0.3
     client = tier.agent.lease_client
     before = (vars(client).copy(), tier.open)
     late = response({"edition": 4, "permission_ms": 9000.0, "life": EPOCH + 1, "pending": 4})
     for connection in stopped.unanswered:
-        connection.protocol.data_received(late)  # as if it had been read already
+        connection.protocol.data_received(late)  # As if it was read before the close
     assert (vars(client), tier.open) == before
     seen = len(tier.reports)
     await tier.run(10.0)
     *_, last_answered = tier.reports[seen - 1]
     *_, next_report = tier.reports[seen]
     assert next_report["after"] == last_answered["seq"]
-    assert tier.kept_its_lease() and client.report_fields(now())["of"] == EPOCH
-    assert set(tier.asked[1:]) == {1}
+    assert tier.has_kept_lease() and client.report_fields(now())["of"] == EPOCH
+    assert set(tier.reported_to[1:]) == {1}
     tier.close()
 
 
-@timed
-async def test_a_late_answer_reaches_no_later_call():
-    tier = await Tier(GRANTS, GRANTS).leased()
+@simulated_time
+async def test_a_late_answer_is_not_taken_for_the_answer_to_a_later_call():
+    tier = await AggregatorTier(GRANTS, GRANTS).start_and_get_lease()
     first, second = tier.aggregators
     first.answer = second.answer = None
-    await tier.run(LONGEST_PAUSE_S + reporter.CALL_S + 0.5)  # the call at the second is under way
+    await tier.run(LONGEST_PAUSE_S + reporter.CALL_S + 0.5)  # The call to the second aggregator is under way.
     assert second.unanswered
     first.unanswered[0].protocol.data_received(response({**GRANTS, "edition": 4, "life": EPOCH + 1}))
     first.unanswered[0].protocol.connection_lost(None)
@@ -341,34 +355,34 @@
     tier.close()
 
 
-@timed
-async def test_an_unsolicited_answer_is_not_taken_for_the_next_one():
-    tier = await Tier(GRANTS).leased()
+@simulated_time
+async def test_an_unsolicited_answer_is_not_taken_for_the_answer_to_the_next_report():
+    tier = await AggregatorTier(GRANTS).start_and_get_lease()
     reports_connection = tier.aggregators[0].connections[0]
     assert not isinstance(reports_connection.protocol, Channel) and reports_connection.open
     reports_connection.feed(response({**GRANTS, "life": EPOCH + 1}))
     await tier.run(2.0)
-    assert tier.agent.lease_client.report_fields(now())["of"] == EPOCH and tier.kept_its_lease()
-    assert "after" not in tier.reports[0][2]  # on a connection of its own
+    assert tier.agent.lease_client.report_fields(now())["of"] == EPOCH and tier.has_kept_lease()
+    assert "after" not in tier.reports[0][2]  # The report is complete, since it is on a new connection.
     tier.close()
 
 
-@timed
-async def test_an_aggregator_that_is_behind_takes_it_back_neither_in_revision_nor_in_epoch():
-    tier = await Tier(GRANTS, GRANTS).leased()
+@simulated_time
+async def test_the_agent_follows_an_outdated_aggregator_neither_to_an_older_revision_nor_to_a_lower_epoch():
+    tier = await AggregatorTier(GRANTS, GRANTS).start_and_get_lease()
     older = {**STATE, "edition": REVISION - 1}
     tier.agent.lease_client.receive_update({**STATE, "committed": older})
     tier.aggregators[0].watch_answer = HEAD + chunk(older)
     tier.aggregators[0].answer = {**GRANTS, "edition": REVISION - 1}
     tier.aggregators[0].connections[-1].abort()
     await tier.run(2.0)
-    assert set(tier.asked) == {0} and tier.kept_its_lease()
+    assert set(tier.reported_to) == {0} and tier.has_kept_lease()
     for each in tier.aggregators:
         each.answer = {**GRANTS, "life": EPOCH - 1}
     await tier.run(4.0)
-    assert tier.acting == "safe"  # a service of a lower epoch grants no lease
-    assert tier.agent.lease_client.report_fields(now())["of"] == EPOCH and set(tier.asked[-2:]) == {0, 1}
+    assert tier.acting == "safe"  # A lease of a lower epoch is not accepted.
+    assert tier.agent.lease_client.report_fields(now())["of"] == EPOCH and set(tier.reported_to[-2:]) == {0, 1}
     tier.aggregators[1].answer = GRANTS
     await tier.run(2.0)
-    assert tier.acting == REVISION and tier.asked[-1] == 1
+    assert tier.acting == REVISION and tier.reported_to[-1] == 1
     tier.close()
