--- a/brassfall/sidecar/agent/agent.py
+++ b/brassfall/sidecar/agent/agent.py
@@ -84,7 +84,7 @@
         """Stop the agent, and report that this process acts on no configuration any more."""
         tasks = self._tasks
         self.close()
-        # A cancelled call closes its connection; the last report needs a new one, so it waits for that.
+        # A cancelled call closes its connection. The last report is sent after that, on a new connection.
         await asyncio.gather(*tasks, return_exceptions=True)
         await self._reporter.deregister()
 
--- a/brassfall/sidecar/agent/calls.py
+++ b/brassfall/sidecar/agent/calls.py
@@ -86,7 +86,8 @@
     def data_received(self, data: bytes) -> None:
         """Parse the bytes as a part of the answer; close the connection if no call is under way."""
         if self.answer is None or self.answer.done():
-            self.close()  # Kept, these unsolicited bytes would be taken for the answer to the next call.
+            # These unsolicited bytes would otherwise be taken for the answer to the next call.
+            self.close()
             return
         try:
             self._parser.feed_data(data)
--- a/brassfall/sidecar/agent/lease_client.py
+++ b/brassfall/sidecar/agent/lease_client.py
@@ -350,7 +350,9 @@
         """Start the lease that an answer grants, unless it is older than the lease granted last."""
         number, lease_end = answer.revision, sent_at + answer.lease_ms / 1000.0
         if number < self._granted or (number == self._granted and lease_end <= self._lease_end):
-            return  # The answer is late, or the list service has lost the revision that it granted before.
+            # The answer is late, or the list service has lost the revision that it granted before: the lease
+            # granted last stays in force.
+            return
         self._granted, self._lease_end, self._granted_by = number, lease_end, self._epoch
         # Of the revisions that were known when the report was made, only the pending one can still be
         # committed.
--- a/brassfall/sidecar/discovery/current_list.py
+++ b/brassfall/sidecar/discovery/current_list.py
@@ -36,7 +36,8 @@
     def __init__(self, configured_list: ServerList, names: Names) -> None:
         self._names = names
         self.version = configured_list.version
-        self.watch_from_version = configured_list.version  # 0 requests the complete list
+        # Version from which a watch requests changes; 0 requests the complete list.
+        self.watch_from_version = configured_list.version
 
     @property
     def request_headers(self) -> str:
--- a/brassfall/sidecar/discovery/sources.py
+++ b/brassfall/sidecar/discovery/sources.py
@@ -13,12 +13,13 @@
 from brassfall.sidecar.discovery.interfaces import WatchEnd
 
 FIRST_BACKOFF_S, MAX_BACKOFF_S = 0.25, 1.0  # First and longest backoff before its random factor, in seconds
-# Largest number of times that the backoff is doubled, which keeps the power small. The longest backoff is
-# reached after far fewer doublings.
+# Largest number of times that the backoff is doubled, which keeps the computed power within range. The longest
+# backoff is reached after far fewer doublings.
 MAX_DOUBLINGS = 16
 MAX_RETRY_AFTER_S = 30.0  # Longest Retry-After that is kept, in seconds
 RETRY_SPREAD = 0.25  # Largest random extension of a Retry-After, as a part of it
-# Once each address has redirected this sidecar, only every n-th redirecting answer changes the address.
+# Once each address has redirected this sidecar, only one of this number of redirecting answers changes the
+# address.
 REDIRECTS_PER_ADDRESS_CHANGE = 4
 
 
@@ -51,9 +52,9 @@
         """Record that a call failed or a watch has ended; return the wait before the next call.
 
         Times are in seconds. The next call goes to the next address, unless the answer had a Retry-After,
-        which is `retry_after`: each address spreads the returns of its own callers. If `retry_after` is
-        longer than `longest_wait`, each of the other addresses is called before the Retry-After is kept. All
-        waits are random, because all sidecars lose their watches at the same moment.
+        which is `retry_after`: each address asks its own callers to return at different times. If
+        `retry_after` is longer than `longest_wait`, each of the other addresses is called before the
+        Retry-After is kept. All waits are random, because all sidecars lose their watches at the same moment.
         """
         random_part = self._rng.random()
         if retry_after and (retry_after <= longest_wait or self._failures >= len(self._addresses) - 1):
--- a/tests/sidecar/test_agent_rules.py
+++ b/tests/sidecar/test_agent_rules.py
@@ -440,7 +440,8 @@
         while not west.seen and side.state()["overrides"]:
             await side.ask()
             assert not (west.seen and side.state()["overrides"])
-        assert time.monotonic() - received_at < 2.0  # 0.7 s and the delays of a busy machine
+        # The override has 0.7 s left, and a busy machine adds a delay.
+        assert time.monotonic() - received_at < 2.0
         async with asyncio.timeout(15.0):
             while not west.seen:  # Requests return to the region gradually.
                 await side.ask()
--- a/tests/sidecar/test_agent_tier.py
+++ b/tests/sidecar/test_agent_tier.py
@@ -328,7 +328,8 @@
     before = (vars(client).copy(), tier.open)
     late = response({"edition": 4, "permission_ms": 9000.0, "life": EPOCH + 1, "pending": 4})
     for connection in stopped.unanswered:
-        connection.protocol.data_received(late)  # As if it was read before the close
+        # The answer arrives as if it had been read before the connection was closed.
+        connection.protocol.data_received(late)
     assert (vars(client), tier.open) == before
     seen = len(tier.reports)
     await tier.run(10.0)
--- a/tests/sidecar/test_discovery_fleet.py
+++ b/tests/sidecar/test_discovery_fleet.py
@@ -47,7 +47,7 @@
 @pytest.mark.parametrize(
     ("line", "servers", "logged", "times"),
     [
-        # An incomplete line.
+        # A line that ends in the middle of a list.
         (b'{"index":50,"snapshot":true,"endpoints":[', ["s0", "s1"], "not a list", 2),
         (b"\x00\xff\n", ["s0", "s1"], "not a list", 2),
         (b'{"index":50,"snapshot":true,"endpoints":[]}\n', ["s0", "s1"], "a list without servers", 1),
