--- a/brassfall/sidecar/discovery/single_address.py
+++ b/brassfall/sidecar/discovery/single_address.py
@@ -9,8 +9,8 @@
 from brassfall.sidecar.discovery.interfaces import WatchEnd
 
 MAX_BACKOFF_S = 0.3  # Longest backoff before its random deviation, in seconds
-# Largest number of times that the backoff is doubled, which keeps the computed power within range. The longest
-# backoff is reached after far fewer doublings.
+# Largest number of times that the backoff is doubled, which keeps the computed power within range. The
+# longest backoff is reached after far fewer doublings.
 MAX_DOUBLINGS = 8
 
 
--- a/brassfall/sidecar/discovery/sources.py
+++ b/brassfall/sidecar/discovery/sources.py
@@ -13,8 +13,8 @@
 from brassfall.sidecar.discovery.interfaces import WatchEnd
 
 FIRST_BACKOFF_S, MAX_BACKOFF_S = 0.25, 1.0  # First and longest backoff before its random factor, in seconds
-# Largest number of times that the backoff is doubled, which keeps the computed power within range. The longest
-# backoff is reached after far fewer doublings.
+# Largest number of times that the backoff is doubled, which keeps the computed power within range. The
+# longest backoff is reached after far fewer doublings.
 MAX_DOUBLINGS = 16
 MAX_RETRY_AFTER_S = 30.0  # Longest Retry-After that is kept, in seconds
 RETRY_SPREAD = 0.25  # Largest random extension of a Retry-After, as a part of it
--- a/brassfall/sidecar/discovery/watch_call.py
+++ b/brassfall/sidecar/discovery/watch_call.py
@@ -51,7 +51,8 @@
         """Process one JSON object of the watch; return the age of the list that it states, in seconds.
 
         Return None if the object states no age. Raise `ValueError` if it is no valid list, which ends the
-        watch. The next watch then begins with the complete list, unless this list was rejected as implausible.
+        watch. The next watch then begins with the complete list, unless this list was rejected as
+        implausible.
         """
         try:
             update, stated_age = self._current.read_event(json.loads(line))
