--- a/tests/sidecar/test_agent_overrides.py
+++ b/tests/sidecar/test_agent_overrides.py
@@ -51,7 +51,10 @@
     known_deadlines.receive(100.0, times_of(10_000), 100.2)
     end = known_deadlines.next_end(100.0)
     assert 109.7 < end <= 110.0  # The end is early by the largest possible drift between two clocks.
-    assert known_deadlines.active_ids(end - 0.001) == ("x",) and known_deadlines.phase("x", 5, end - 0.001) is Phase.IN_FORCE
+    assert (
+        known_deadlines.active_ids(end - 0.001) == ("x",)
+        and known_deadlines.phase("x", 5, end - 0.001) is Phase.IN_FORCE
+    )
     # The phase is correct at 120 s although no code ran in the meantime.
     assert known_deadlines.active_ids(end) == () and known_deadlines.phase("x", 5, 120.0) is Phase.OVER
     # Another sidecar may act on the override for a while after this end.
@@ -105,11 +108,15 @@
 def test_times_left_of_a_revision_narrow_its_end_and_a_newer_revision_replaces_it(answers, wanted):
     known_deadlines, ends = Deadlines(), []
     for sent_s, received_s, left_ms, rev, same_from in answers:
-        rejected = known_deadlines.receive(float(sent_s), times_of(left_ms, rev, same_from), float(received_s))
+        rejected = known_deadlines.receive(
+            float(sent_s), times_of(left_ms, rev, same_from), float(received_s)
+        )
         ends.append(known_deadlines.next_end(100.0))
         assert not rejected or ends[-1] == ends[-2]  # A rejected time left changes nothing.
         assert (rejected == ("x",)) is (left_ms == 60_000 and len(ends) > 1 and rev == 5)
-    assert tuple(known_deadlines.phase("x", 5, at) is Phase.IN_FORCE for at in (105.0, 109.0, 115.0)) == wanted
+    assert (
+        tuple(known_deadlines.phase("x", 5, at) is Phase.IN_FORCE for at in (105.0, 109.0, 115.0)) == wanted
+    )
 
 
 def test_slack_from_an_aggregator_makes_an_end_doubtful_without_extending_the_override():
@@ -219,7 +226,9 @@
 
     def region(known_deadlines, rev, at):
         layer = read_layer([{"id": "x", **pin("b", rev=rev)}])
-        return overrides.effective_rules(at, settings, layer.overrides, known_deadlines, ANYWHERE).tenant_pins["t1"]
+        return overrides.effective_rules(
+            at, settings, layer.overrides, known_deadlines, ANYWHERE
+        ).tenant_pins["t1"]
 
     extended, unextended = Deadlines(), Deadlines()
     for known_deadlines in (extended, unextended):
@@ -383,7 +392,10 @@
         ({"id": "x", **override_row({"warp": 9})}, "unsupported action: warp"),
         ({"id": "x", **override_row({"freeze": True, "pin": {"region": "a"}})}, "freeze and pin"),
         ({"id": "x", **override_row({"freeze": True}, {"user": "u"})}, "unsupported key in match: user"),
-        ({"id": "x", **override_row({"freeze": True}, places={"racks": ["r"]})}, "unsupported key in places: racks"),
+        (
+            {"id": "x", **override_row({"freeze": True}, places={"racks": ["r"]})},
+            "unsupported key in places: racks",
+        ),
         ({"id": "x", **override_row({"hold": {"rack": "r"}})}, "unsupported hold of rack"),
         ({"id": "x", **override_row({"freeze": True}), "rev": "1"}, "whole numbers"),
         ({"id": "x", **override_row({"shift": {"to": {"a": float("nan")}}})}, "share"),
--- a/tests/sidecar/test_agent_tier.py
+++ b/tests/sidecar/test_agent_tier.py
@@ -186,7 +186,9 @@
 
     def has_kept_lease(self):
         """Return whether the agent has always acted on the revision, and never on the fallback."""
-        return self.acting == REVISION and all(active.acting == REVISION for active in self.applied_configurations)
+        return self.acting == REVISION and all(
+            active.acting == REVISION for active in self.applied_configurations
+        )
 
 
 @simulated_time
@@ -382,7 +384,10 @@
         each.answer = {**GRANTS, "life": EPOCH - 1}
     await tier.run(4.0)
     assert tier.acting == "safe"  # A lease of a lower epoch is not accepted.
-    assert tier.agent.lease_client.report_fields(now())["of"] == EPOCH and set(tier.reported_to[-2:]) == {0, 1}
+    assert tier.agent.lease_client.report_fields(now())["of"] == EPOCH and set(tier.reported_to[-2:]) == {
+        0,
+        1,
+    }
     tier.aggregators[1].answer = GRANTS
     await tier.run(2.0)
     assert tier.acting == REVISION and tier.reported_to[-1] == 1
--- a/tests/sidecar/test_discovery_fleet.py
+++ b/tests/sidecar/test_discovery_fleet.py
@@ -161,8 +161,7 @@
         behind.tell(45, entry("s4"), snapshot=True)  # The requested complete list, which is still older
         await until(lambda: len(behind.watches) == 4)
         assert (
-            sorted(pool_servers(sidecar)) == ["s5"]
-            and sidecar.discovery.report_fields()["list_index"] == 50
+            sorted(pool_servers(sidecar)) == ["s5"] and sidecar.discovery.report_fields()["list_index"] == 50
         )
         behind.tell(51, entry("s6"))
         await until(lambda: sorted(pool_servers(sidecar)) == ["s5", "s6"])
--- a/tests/sidecar/test_discovery_moves.py
+++ b/tests/sidecar/test_discovery_moves.py
@@ -7,12 +7,12 @@
 import pytest
 
 from tests.support.discovery import (
-    FAILURES,
     ADDRESS_CHANGE_NOTIFIED_S,
+    CALL_WAIT_S,
+    FAILURES,
     NOTIFIED_S,
     SPARE_S,
     STRATEGIES,
-    CALL_WAIT_S,
     RegistryStub,
     SidecarWithoutSockets,
     chunk,
