--- a/brassfall/lab/capacity/hollow.py
+++ b/brassfall/lab/capacity/hollow.py
@@ -141,7 +141,7 @@
         self.discovery = discovery_module.Discovery(loop, config, self)
         self.member = member_module.FleetMember(loop, self, {})
         agent = self.member.agent
-        agent.report_extensions.append(self.discovery.report)
+        agent.report_extensions.append(self.discovery.report_fields)
         agent.answer_listeners.append(self._answered)
         agent.refresh = self._observed(agent.refresh)
 
@@ -164,14 +164,14 @@
         """Note delays, as requests to each region would."""
         for region in REGIONS:
             for delay_ms in FED_MS:
-                self.member.delays.first_byte(region, delay_ms)
+                self.member.delays.count_first_byte(region, delay_ms)
 
     @property
     def acting(self) -> int | str:
         """The revision acted on now, or the word for the fallback configuration."""
         now = self._loop.time()
-        self.member.agent.at(now)
-        found: int | str = self.member.agent.lease_client.active(now).acting
+        self.member.agent.current_stamp(now)
+        found: int | str = self.member.agent.lease_client.active_configuration(now).acting
         return found
 
     @property
@@ -183,7 +183,7 @@
     def _observed(self, refresh: Callable[[float], None]) -> Callable[[float], None]:
         def observed(now: float) -> None:
             refresh(now)
-            acting = self.member.agent.lease_client.active(now).acting
+            acting = self.member.agent.lease_client.active_configuration(now).acting
             if isinstance(acting, int) and acting not in self.acted:
                 _keep(self.acted, acting, self._loop.time())
 
@@ -198,11 +198,11 @@
         """Take note of an endpoint list, or of changes."""
         now = self._loop.time()
         _keep(self.listed, update.version, now)
-        self.member.listed(now)
+        self.member.endpoints_changed(now)
 
     def discovery_failed(self) -> None:
         """Take note that a poll failed or has ended."""
-        self.member.listed(self._loop.time())
+        self.member.endpoints_changed(self._loop.time())
 
     # --- what a sidecar's control part asks of its process ------------------------------
 
@@ -214,7 +214,7 @@
     def apply_configuration(self, config: Any) -> None:
         """Take another configuration: checked as a sidecar checks it."""
         self._config = reload_module.plan_reload(self._config, config, self.classes_in_use).config
-        self.discovery.move(self._config.discovery, self._config.registry)
+        self.discovery.change_address(self._config.discovery, self._config.registry)
 
     def steer(self, steer: Any) -> None:
         """Nothing is picked here."""
@@ -231,7 +231,7 @@
 
     def reopen_list_watch(self) -> None:
         """Open the watch on the list anew."""
-        self.discovery.reopen()
+        self.discovery.reopen_watch()
 
 
 def _keep(times: dict[int, float], number: int, now: float) -> None:
--- a/brassfall/sidecar/clients/client_connection.py
+++ b/brassfall/sidecar/clients/client_connection.py
@@ -281,8 +281,8 @@
     def client_left(self) -> bool:
         """Return whether the client has closed the connection; this polls the socket.
 
-        If the client has, `client_disconnected` of the handler is called for each pending request in the next turn of
-        the event loop.
+        If the client has, `client_disconnected` of the handler is called for each pending request in the next
+        turn of the event loop.
         """
         if self._state is CLOSED:
             return True
--- a/brassfall/sidecar/core/driver.py
+++ b/brassfall/sidecar/core/driver.py
@@ -198,7 +198,9 @@
     def endpoints_listed(self, form: model.ListForm, update: ServerList) -> None:
         """Apply an endpoint list, which is complete or has only the entries that changed."""
         now = self._clock.now()
-        update = self._start_times.bounded(now, self._clock.from_loop_time_s(update.fresh_at), update)
+        update = self._start_times.with_bounded_starts(
+            now, self._clock.from_loop_time_s(update.previous_list_fresh_at), update
+        )
         self._upstreams.update_servers(now, update, complete=form is not model.ListForm.CHANGES)
         self.notify(events.EndpointListReceived(form, update.entries))
 
--- a/brassfall/sidecar/lifecycle/sidecar.py
+++ b/brassfall/sidecar/lifecycle/sidecar.py
@@ -70,10 +70,10 @@
         from brassfall.sidecar.agent.member import FleetMember
 
         member = FleetMember(self._loop, self, os.environ)
-        member.agent.report_extensions.append(self.discovery.report)
+        member.agent.report_extensions.append(self.discovery.report_fields)
         if self._current_config.agreement is not None and self._current_config.agreement.group:
             self.pool.delays = member.delays
-        self.driver.revision_header = self.pool.revision_header = member.stamp_at(self._loop)
+        self.driver.revision_header = self.pool.revision_header = member.stamp_function(self._loop)
         self.admin.add_command("RULES", lambda: member.agent.state, json=True)
         return member
 
@@ -83,13 +83,13 @@
         """Apply an endpoint list, which is complete or has only the entries that changed."""
         self.driver.endpoints_listed(form, update)
         if self.member is not None:
-            self.member.listed(self._loop.time())
+            self.member.endpoints_changed(self._loop.time())
 
     def discovery_failed(self) -> None:
         """Handle that a call to discovery failed or was rejected, or that the watch on it ended."""
         self.driver.discovery_failed()
         if self.member is not None:
-            self.member.listed(self._loop.time())
+            self.member.endpoints_changed(self._loop.time())
 
     # --- called by the fleet membership (agent.member.Process) --------------------
 
@@ -110,7 +110,7 @@
 
     def reopen_list_watch(self) -> None:
         """Open the watch on the endpoint list again, because its changes have fallen behind."""
-        self.discovery.reopen()
+        self.discovery.reopen_watch()
 
     @property
     def configuration(self) -> Config:
@@ -135,7 +135,7 @@
         self.driver.reload(self._current_config, plan.same_classes)
         self.pool.reload(self._current_config)
         self.inbound.reload(self._current_config.names, longest_deadline_ms)
-        self.discovery.move(self._current_config.discovery, self._current_config.registry)
+        self.discovery.change_address(self._current_config.discovery, self._current_config.registry)
 
     # --- startup, reload and shutdown -----------------------------------------------
 
@@ -155,10 +155,10 @@
             log.info("another process of this sidecar is running, waiting for the endpoint list")
             # The other process detects this one at its next check, and reduces its limits at that time.
             await asyncio.gather(
-                self.discovery.first_answer(FIRST_LIST_TIMEOUT_S), asyncio.sleep(HANDOVER_POLL_S)
+                self.discovery.wait_for_first_list(FIRST_LIST_TIMEOUT_S), asyncio.sleep(HANDOVER_POLL_S)
             )
         else:
-            await self.discovery.first_call(FIRST_CALL_TIMEOUT_S)
+            await self.discovery.wait_for_first_call(FIRST_CALL_TIMEOUT_S)
         address = await retry_until_descriptor_free(self._listen_to_clients)
         self.lifecycle.serve()
         if self._reload_due:
@@ -199,7 +199,9 @@
             return
         try:
             file_config = config.load({**environment, "NODE_DISCOVERY": ""})
-            self.apply_configuration(file_config if self.member is None else self.member.over(file_config))
+            self.apply_configuration(
+                file_config if self.member is None else self.member.apply_overlay(file_config)
+            )
         except ConfigError as error:
             log.warning(
                 "reload: configuration rejected, nothing is changed",
@@ -208,7 +210,7 @@
             )
             return
         if self.member is not None:
-            self.member.file_read(file_config)
+            self.member.use_file(file_config)
         log.info("reload: new configuration in use", classes=", ".join(self._current_config.names.classes))
 
     def _longest_deadline_ms(self) -> float:
--- a/brassfall/sidecar/servers/pool.py
+++ b/brassfall/sidecar/servers/pool.py
@@ -197,7 +197,7 @@
         server = connection.server
         if self.delays is not None:
             warming_up = self._clock.now() - server.started < self._warm_up
-            self.delays.handshake(server.region, took_s * 1000.0, cold=warming_up)
+            self.delays.count_handshake(server.region, took_s * 1000.0, cold=warming_up)
         if not connection.usable():
             # An overloaded server may accept a connection and close it at once: no request is sent on it.
             connection.abort()
--- a/brassfall/sidecar/servers/server_connection.py
+++ b/brassfall/sidecar/servers/server_connection.py
@@ -52,10 +52,10 @@
 class DelayObserver(Protocol):
     """The receiver of network delays to regions, in milliseconds, as ordinary traffic shows them."""
 
-    def handshake(self, region: str, ms: float, *, cold: bool) -> None:
+    def count_handshake(self, region: str, ms: float, *, cold: bool) -> None:
         """Record how long opening a connection took; `cold` if the server is warming up."""
 
-    def first_byte(self, region: str, ms: float, spent_ms: float = 0.0) -> None:
+    def count_first_byte(self, region: str, ms: float, spent_ms: float = 0.0) -> None:
         """Record the time from a written request to the first byte of its answer.
 
         `spent_ms` is the part of that time that the server spent on the request; 0 if it did not state that.
@@ -244,7 +244,7 @@
         self._last_read = self._pool.loop.time()
         if self.sent_at and self._pool.delays is not None:
             delay_ms = (self._last_read - self.sent_at) * 1000.0
-            self._pool.delays.first_byte(self.server.region, delay_ms)
+            self._pool.delays.count_first_byte(self.server.region, delay_ms)
             self.sent_at = 0.0
         if self._parser.complete:
             self._end_exchange(reusable=self._parser.keep_alive and not self._parser.extra and self.written)
--- a/tests/sidecar/test_standing.py
+++ b/tests/sidecar/test_standing.py
@@ -207,7 +207,7 @@
         async with running(registry=old, raw={"seed": str(seed)}, Discovery=strategy, **RULES) as sidecar:
             await asyncio.sleep(40.0 + 0.37 * seed)  # the backoff reaches its maximum after many failures
             moved_at = now()
-            sidecar.discovery.move(parse_address(new.address))
+            sidecar.discovery.change_address(parse_address(new.address))
             assert await wait_for_list(sidecar) - moved_at < limit_s
         new.stop()
 
--- a/tests/sidecar/test_wall_clock.py
+++ b/tests/sidecar/test_wall_clock.py
@@ -92,7 +92,9 @@
 
     def retry(now, number, hop, status, spent, last, report):
         faults.step(step_s)
-        return [] if last else [FailRequest(number)] if hop else [SendAttempt(number, "s1", 0.0, window_ends[0])]
+        return (
+            [] if last else [FailRequest(number)] if hop else [SendAttempt(number, "s1", 0.0, window_ends[0])]
+        )
 
     async def record_time(reader, writer):
         sent_at.append(loop.time())
@@ -160,14 +162,14 @@
         agreement = Agreement(600.0, "", "", {})
         agent = Agent(loop, "e1", agreement, (Address("127.0.0.1", 9),), lambda revision: "", apply, 1)
         asked = loop.time()
-        seq = int(agent.lease_client.report(asked)["seq"])
+        seq = int(agent.lease_client.report_fields(asked)["seq"])
         granted = {"edition": 0, "permission_ms": 600.0, "life": 1, "pending": 0, "news": False}
         assert agent.lease_client.receive_answer(asked, seq, granted)
         faults.step(step_s)
         agent.refresh(loop.time())
-        left_ms = agent.lease_client.left_ms(loop.time())
+        left_ms = agent.lease_client.lease_left_ms(loop.time())
         assert 300.0 < left_ms <= 600.0
         await asyncio.sleep(0.65)
-        agent.at(loop.time())
-        assert agent.lease_client.left_ms(loop.time()) == 0.0
+        agent.current_stamp(loop.time())
+        assert agent.lease_client.lease_left_ms(loop.time()) == 0.0
         assert applied[-1].fallback
