--- a/brassfall/controlplane/aggregation/actions.py
+++ b/brassfall/controlplane/aggregation/actions.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from brassfall.controlplane.aggregation.messages import AggregatorReport, ChildOrder, TimesLeft
-from brassfall.controlplane.revisions.refusals import LeaseRefusal, text_of
+from brassfall.controlplane.revisions.refusals import LeaseRefusal, refusal_text
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,7 +49,7 @@
     @property
     def why(self) -> str:
         """The refusal's text on the wire; empty with a lease."""
-        return text_of(self.refusal)
+        return refusal_text(self.refusal)
 
 
 @dataclass(frozen=True, slots=True)
--- a/brassfall/controlplane/aggregation/aggregator.py
+++ b/brassfall/controlplane/aggregation/aggregator.py
@@ -146,11 +146,11 @@
 
     def every_ms(self) -> float:
         """Return the interval between a child's reports: `every_ms` of its answer."""
-        return pace.every_ms(len(self.membership.children))
+        return pace.report_interval_ms(len(self.membership.children))
 
     def spread_ms(self) -> float:
         """Return the time over which urgent reports are spread: `spread_ms` of children's answers."""
-        return pace.spread_ms(len(self.membership.children))
+        return pace.urgent_report_spread_ms(len(self.membership.children))
 
     def children(self, now: float) -> list[ChildRow]:
         """Return the rows for `GET /edges`, by name and process."""
--- a/brassfall/controlplane/overrides/document.py
+++ b/brassfall/controlplane/overrides/document.py
@@ -85,7 +85,7 @@
     groups: tuple[str, ...] = ()
     regions: tuple[str, ...] = ()
 
-    def holds(self, group: str, region: str) -> bool:
+    def includes(self, group: str, region: str) -> bool:
         """Return whether a sidecar at this place acts on the override."""
         return (not self.groups or group in self.groups) and (not self.regions or region in self.regions)
 
@@ -121,7 +121,7 @@
         return Document(**{name: getattr(self, name) for name in Document.__struct_fields__})
 
 
-def parse(override_id: str, body: bytes | str, now_ms: int) -> Document:
+def parse_document(override_id: str, body: bytes | str, now_ms: int) -> Document:
     """Return the document in a call at a time of the service; raise `BadOverrideError` if it is not valid."""
     what = f"override {override_id!r} is not taken"
     if not NAME.match(override_id):
@@ -206,13 +206,13 @@
         yield f"the shares of `action.shift.to` add up to {sum(to.values()):g}, which is over 1"
 
 
-def listing(override: Override, now_ms: int) -> dict[str, Any]:
+def listing_row(override: Override, now_ms: int) -> dict[str, Any]:
     """Return an override in the form of answers and listings, with the time left."""
     found: dict[str, Any] = msgspec.to_builtins(override)
     return {"id": override.id, **found, "left_ms": max(0, override.until_ms - now_ms)}
 
 
-def layer(overrides: Iterable[Override]) -> list[dict[str, Any]]:
+def overrides_layer(overrides: Iterable[Override]) -> list[dict[str, Any]]:
     """Return the overrides layer of a configuration revision.
 
     It has no times: a revision is used for longer than a time left is valid, so these are sent with each
--- a/brassfall/controlplane/overrides/events.py
+++ b/brassfall/controlplane/overrides/events.py
@@ -62,7 +62,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Written:
+class RowWritten:
     """A `WriteRow` or a `DeleteRow` is durable, or has failed if `why` is set."""
 
     ticket: int
@@ -74,14 +74,14 @@
     """Time has passed; nothing else has happened."""
 
 
-Event = Put | End | Written | Tick
+Event = Put | End | RowWritten | Tick
 
 # --- actions ---------------------------------------------------------------------------------------
 
 
 @dataclass(frozen=True, slots=True)
 class WriteRow:
-    """Write a row; `Written` has to follow."""
+    """Write a row; `RowWritten` has to follow."""
 
     ticket: int
     override: Override
@@ -95,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DeleteRow:
-    """Delete a row; `Written` has to follow."""
+    """Delete a row; `RowWritten` has to follow."""
 
     ticket: int
     id: str
--- a/brassfall/controlplane/overrides/expected.py
+++ b/brassfall/controlplane/overrides/expected.py
@@ -101,7 +101,7 @@
         return {
             key: found.rev
             for key, found in self._in_force.items()
-            if found.until_ms > now and found.places.holds(group, region)
+            if found.until_ms > now and found.places.includes(group, region)
         }
 
     def overdue(self, now: int, group: str, region: str) -> tuple[str, ...]:
--- a/brassfall/controlplane/overrides/reconciler.py
+++ b/brassfall/controlplane/overrides/reconciler.py
@@ -37,14 +37,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Published:
+class OverridesPublished:
     """The overrides in force from now on, as the override store publishes them."""
 
     overrides: tuple[Override, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Reported:
+class DigestReported:
     """A sidecar's report; `digest` is None from a version without overrides.
 
     `incarnation` distinguishes the processes of one node.
@@ -58,7 +58,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Details:
+class DetailsReceived:
     """The overrides that a sidecar says it acts on, revisions by id, as requested; any JSON."""
 
     node: str
@@ -66,7 +66,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Left:
+class NodeLeft:
     """A sidecar has left the fleet."""
 
     node: str
@@ -77,7 +77,7 @@
     """Time has passed; nothing else has happened."""
 
 
-Event = Published | Reported | Details | Left | Tick
+Event = OverridesPublished | DigestReported | DetailsReceived | NodeLeft | Tick
 
 # --- actions ---------------------------------------------------------------------------------------
 
@@ -183,12 +183,12 @@
         """The open findings."""
         return [found for node in self._nodes.values() for found in node.findings.values()]
 
-    def denied(self, node: str) -> bool:
+    def is_denied(self, node: str) -> bool:
         """Return whether a node is denied a lease because of its overrides."""
         found = self._nodes.get(node)
         return found is not None and found.denied_ms is not None
 
-    def knows(self, node: str) -> bool:
+    def has_node(self, node: str) -> bool:
         """Return whether a sidecar has reported, or has open findings."""
         return node in self._nodes
 
@@ -199,21 +199,21 @@
     def step(self, now: int, event: Event) -> list[Action]:
         """Apply an event at `now`; return the actions to carry out."""
         match event:
-            case Published():
+            case OverridesPublished():
                 self._expected.publish(now, event.overrides)
                 return []
-            case Reported():
+            case DigestReported():
                 return list(self._reported(now, event))
-            case Details():
+            case DetailsReceived():
                 return list(self._details(now, event))
-            case Left():
+            case NodeLeft():
                 return list(self._left(now, event.node))
             case Tick():
                 return list(self._forget_silent(now))
 
     # --- reports --------------------------------------------------------------------------------
 
-    def _reported(self, now: int, report: Reported) -> Iterator[Action]:
+    def _reported(self, now: int, report: DigestReported) -> Iterator[Action]:
         node = self._nodes.pop(report.node, None)
         if node is None:
             if len(self._nodes) >= MAX_NODES:
@@ -248,7 +248,7 @@
         yield from self._open(now, name, node, found)
         yield from self._alert(node)
 
-    def _details(self, now: int, event: Details) -> Iterator[Action]:
+    def _details(self, now: int, event: DetailsReceived) -> Iterator[Action]:
         node = self._nodes.get(event.node)
         if node is None:
             return
--- a/brassfall/controlplane/overrides/store.py
+++ b/brassfall/controlplane/overrides/store.py
@@ -30,10 +30,10 @@
     OverrideNotWrittenError,
     Publish,
     Put,
+    RowWritten,
     Tick,
     TooManyOverridesError,
     WriteRow,
-    Written,
 )
 from brassfall.controlplane.overrides.history import Entry, EntryKind, HistoryRing, WriteEntry
 
@@ -48,11 +48,11 @@
 
 @dataclass(frozen=True, slots=True)
 class _Write:
-    """A write under way; `made` is None for a deletion, `call` is None for an expired override."""
+    """A write under way; `override` is None for a deletion, `call` is None for an expired override."""
 
     id: str
     call: int | None
-    made: Override | None
+    override: Override | None
 
 
 class OverrideStore:
@@ -111,7 +111,7 @@
         match event:
             case Put() | End():
                 actions += self._call(now, event)
-            case Written():
+            case RowWritten():
                 actions += self._written(now, event)
             case Tick():
                 pass
@@ -198,13 +198,13 @@
         self._ticket += 1
         self._writes[self._ticket] = write
         self._writing.add(write.id)
-        if write.made is not None:
-            self._last_rev = write.made.rev
-            yield WriteRow(self._ticket, write.made)
+        if write.override is not None:
+            self._last_rev = write.override.rev
+            yield WriteRow(self._ticket, write.override)
         else:
             yield DeleteRow(self._ticket, write.id)
 
-    def _written(self, now: int, event: Written) -> Iterator[Action]:
+    def _written(self, now: int, event: RowWritten) -> Iterator[Action]:
         write = self._writes.pop(event.ticket, None)
         if write is None:
             return
@@ -225,13 +225,13 @@
 
     def _durable(self, now: int, write: _Write) -> Iterator[Action]:
         before = self._rows.get(write.id)
-        if write.made is not None:
-            self._take(write.made)
+        if write.override is not None:
+            self._take(write.override)
         else:
             self._rows.pop(write.id, None)
         if write.call is not None:
             self._publish_by(max(now, self._published_at + PUBLISH_MS))
-            yield Answer(write.call, write.made or before)
+            yield Answer(write.call, write.override or before)
 
     def _take(self, found: Override) -> None:
         self._rows[found.id] = found
--- a/brassfall/controlplane/registry/entries.py
+++ b/brassfall/controlplane/registry/entries.py
@@ -181,7 +181,9 @@
 
 def changed(changes: Iterable[Change]) -> list[Any]:
     """Return the entries of a watch's line; a removed one has the status `left`."""
-    return [{**change.row.value, "status": "left"} if change.gone else change.row.value for change in changes]
+    return [
+        {**change.row.value, "status": "left"} if change.deleted else change.row.value for change in changes
+    ]
 
 
 def _weight(weight: float) -> float:
--- a/brassfall/controlplane/registry/fleet.py
+++ b/brassfall/controlplane/registry/fleet.py
@@ -8,7 +8,7 @@
 
 from brassfall.controlplane.registry.revision_service import RevisionService
 from brassfall.controlplane.registry.sidecar_rows import NEVER, Expected, SidecarRow, reported_row
-from brassfall.controlplane.revisions.refusals import text_of
+from brassfall.controlplane.revisions.refusals import refusal_text
 
 COUNT_VALID_MS = 100.0  # for which a count of all sidecars is used
 
@@ -95,7 +95,7 @@
         return RevisionStatus(
             revision=coordinator.state.committed.number,
             prepared=coordinator.state.pending_number,
-            granting=text_of(coordinator.grant_refusal(now)) or "yes",
+            granting=refusal_text(coordinator.grant_refusal(now)) or "yes",
             members=len(coordinator.membership.names),
             sidecars=self.count(),
             leased=len(coordinator.leases.active(now)),
--- a/brassfall/controlplane/registry/fleet_listing.py
+++ b/brassfall/controlplane/registry/fleet_listing.py
@@ -15,7 +15,7 @@
 from brassfall.controlplane.registry.fleet import Fleet
 from brassfall.controlplane.registry.revision_service import RevisionService
 from brassfall.controlplane.registry.sidecar_rows import SidecarRow, Spread
-from brassfall.controlplane.revisions.refusals import text_of
+from brassfall.controlplane.revisions.refusals import refusal_text
 
 _encode = msgspec.json.Encoder().encode
 
@@ -74,7 +74,7 @@
         return Listing(
             rows=rows,
             revision=expected.committed,
-            granting=text_of(service.coordinator.grant_refusal(service.now())) or "yes",
+            granting=refusal_text(service.coordinator.grant_refusal(service.now())) or "yes",
             lists=sidecar_rows.spread(rows, index, expected.silent_ms),
             unanswered=children.unanswered,
         )
--- a/brassfall/controlplane/registry/lists.py
+++ b/brassfall/controlplane/registry/lists.py
@@ -69,7 +69,7 @@
         def changes(found: Iterable[Change]) -> list[RowView]:
             return [
                 RowView(change.row.key, change.index, None, 0)
-                if change.gone
+                if change.deleted
                 else self.view(table, change.row)
                 for change in found
             ]
--- a/brassfall/controlplane/registry/metrics.py
+++ b/brassfall/controlplane/registry/metrics.py
@@ -141,8 +141,8 @@
             "suspects": Value(
                 "Instances kept though their leases are over", len(store.suspects("instances"))
             ),
-            "writes_waiting": Value("Writes that wait for the disk", store.waiting),
-            "disk_failing": Value("1 while commits fail", float(bool(store.statistics.disk))),
+            "writes_waiting": Value("Writes that wait for the disk", store.queued_writes),
+            "disk_failing": Value("1 while commits fail", float(bool(store.statistics.disk_error))),
             "gathering": Value("1 while a lost list is being gathered", float(service.gathering)),
             **super().gauges(),
         }
@@ -155,9 +155,9 @@
             "writes": Value("Records put on the disk", store.writes),
             "commits": Value("Syncs of the disk", store.commits),
             "commit_seconds": Value("Time spent in them", store.commit_s),
-            "commit_failures": Value("Commits that failed", store.failures),
+            "commit_failures": Value("Commits that failed", store.failed_commits),
             "snapshots": Value("Snapshots stored", store.snapshots),
-            "expired": Value("Leases that ended", store.expired),
-            "suspected": Value("Leases whose end was doubted", store.suspected),
+            "expired": Value("Leases that ended", store.expired_leases),
+            "suspected": Value("Leases whose end was doubted", store.suspected_leases),
             **super().counters(),
         }
--- a/brassfall/controlplane/registry/overrides.py
+++ b/brassfall/controlplane/registry/overrides.py
@@ -149,7 +149,7 @@
                 case events.Publish(overrides):
                     self._in_force = overrides
                     self._republish_at, self._republish_pause_s = 0.0, REPUBLISH_S
-                    self._reconcile(reconciliation.Published(overrides))
+                    self._reconcile(reconciliation.OverridesPublished(overrides))
                     self._publish_in_force()
                 case events.Answer():
                     self._answer(action)
@@ -204,7 +204,7 @@
         return ""
 
     async def _written(self, ticket: int, *rows: Command) -> None:
-        self._step(events.Written(ticket, await self._write(rows)))
+        self._step(events.RowWritten(ticket, await self._write(rows)))
 
     async def _tick(self) -> None:
         while True:
@@ -221,7 +221,7 @@
         published = self.revisions.overrides_in_force()
         if published is None or self._publishing or time.monotonic() < self._republish_at:
             return
-        wanted = document.layer(self._in_force)
+        wanted = document.overrides_layer(self._in_force)
         if published == wanted:
             self._republish_pause_s = REPUBLISH_S
             return
@@ -244,9 +244,9 @@
         """Return the overrides part of a report's answer; it has to be called before the lease is decided."""
         digest = report.digest if report.overrides is not None else None
         place = (report.group, report.region)
-        self._reconcile(reconciliation.Reported(name, report.process_id, *place, digest))
+        self._reconcile(reconciliation.DigestReported(name, report.process_id, *place, digest))
         if report.acted_overrides is not None:
-            self._reconcile(reconciliation.Details(name, report.acted_overrides))
+            self._reconcile(reconciliation.DetailsReceived(name, report.acted_overrides))
         answered: dict[str, Any] = {}
         send_all = report.refresh_times or name in self._resend
         self._resend.discard(name)
@@ -272,9 +272,9 @@
         for row in rows:
             names.append(row.name)
             place = (row.place.group, row.place.region)
-            self._reconcile(reconciliation.Reported(row.name, row.process_id, *place, row.digest))
+            self._reconcile(reconciliation.DigestReported(row.name, row.process_id, *place, row.digest))
             if row.acted_overrides is not None:
-                self._reconcile(reconciliation.Details(row.name, row.acted_overrides))
+                self._reconcile(reconciliation.DetailsReceived(row.name, row.acted_overrides))
         due = orders.due(now, names, self.revisions.blocked, self._request, self._resend)
         self._request.difference_update(names)
         self._resend.difference_update(names)
@@ -288,12 +288,12 @@
 
     def parted(self, name: str) -> None:
         """Close the findings of a sidecar that has moved to another aggregator, or left one."""
-        if self.reconciler.knows(name):
+        if self.reconciler.has_node(name):
             self.gone(name)
 
     def gone(self, name: str) -> None:
         """Forget a sidecar that has left the fleet."""
-        self._reconcile(reconciliation.Left(name))
+        self._reconcile(reconciliation.NodeLeft(name))
         self.revisions.blocked.pop(name, None)
 
     def findings(self) -> dict[str, list[str]]:
@@ -312,7 +312,7 @@
         self._answers[call] = future
         self._step(make(call))
         found = await self._outcome(future)
-        return answer(_encode(document.listing(found, self.now()) if found is not None else {}))
+        return answer(_encode(document.listing_row(found, self.now()) if found is not None else {}))
 
     async def _outcome(self, future: asyncio.Future[Override | None]) -> Override | None:
         """Wait for the result of a change; raise `OutcomeUnknownError` if the disk does not answer."""
@@ -320,13 +320,13 @@
             await asyncio.wait({future}, timeout=UNKNOWN_AFTER_S)
             if not future.done() and self.host.store.outcome_unknown:
                 future.cancel()  # the change goes on without it
-                what, why = "the change may have happened", self.host.store.statistics.disk
+                what, why = "the change may have happened", self.host.store.statistics.disk_error
                 raise OutcomeUnknownError(what, why, REPEAT_CALL)
         return future.result()
 
     async def _put(self, request: web.Request) -> web.Response:
         name = request.match_info["name"]
-        made = document.parse(name, await self.host.body(request), self.now())
+        made = document.parse_document(name, await self.host.body(request), self.now())
         return await self._call(lambda call: events.Put(call, name, made))
 
     async def _end(self, request: web.Request) -> web.Response:
@@ -339,9 +339,9 @@
         found = self.store.get(name, now)
         if found is None:
             raise events.NoSuchOverrideError(name, "shown")
-        return answer(_encode(document.listing(found, now)))
+        return answer(_encode(document.listing_row(found, now)))
 
     async def _list(self, _request: web.Request) -> web.Response:
         now = self.now()
-        rows = [document.listing(found, now) for found in self.store.active(now)]
+        rows = [document.listing_row(found, now) for found in self.store.active(now)]
         return answer(_encode({"overrides": rows, "findings": self.findings(), "now_ms": now}))
--- a/brassfall/controlplane/registry/report_answer.py
+++ b/brassfall/controlplane/registry/report_answer.py
@@ -30,8 +30,8 @@
     epoch: int | None = None  # left out where the report named it
     pending: int = 0
     why: str = ""
-    every_ms: float = pace.EVERY_MS  # how far apart its reports are to be
-    spread_ms: float = pace.SPREAD_LEAST_MS  # over what span urgent reports are spread
+    every_ms: float = pace.REPORT_INTERVAL_MS  # how far apart its reports are to be
+    spread_ms: float = pace.MIN_SPREAD_MS  # over what span urgent reports are spread
     members: int = 1  # sidecars in the whole fleet
     times_left: TimesLeft = {}  # of overrides
     list_overrides: bool = False  # the next report is to list what it acts on
--- a/brassfall/controlplane/registry/rules.py
+++ b/brassfall/controlplane/registry/rules.py
@@ -64,7 +64,7 @@
         """Raise `HarmfulError` if settings would stop service, unless they are forced."""
         service = self._service
         concurrent = [revision.settings for revision in service.coordinator.actable_revisions(service.now())]
-        harm = validation.harm(settings, self._active_regions(), concurrent)
+        harm = validation.find_harm(settings, self._active_regions(), concurrent)
         if harm and not forced:
             service.statistics.harmful += 1
             raise HarmfulError(REVISION_REFUSED, harm)
--- a/brassfall/controlplane/registry/server.py
+++ b/brassfall/controlplane/registry/server.py
@@ -29,10 +29,10 @@
 from brassfall.controlplane.registry.rules import RulesCalls
 from brassfall.controlplane.registry.tables import TableCalls
 from brassfall.controlplane.registry.writes import Writes
-from brassfall.controlplane.store.leases import Guard
+from brassfall.controlplane.store.leases import ExpiryGuard
 from brassfall.controlplane.store.log import Log, LogOutcomeUnknownError, LogUnavailableError
 from brassfall.controlplane.store.records import Change
-from brassfall.controlplane.store.store import Options, Store
+from brassfall.controlplane.store.store import Store, StoreOptions
 from brassfall.errors import BrassfallError, UnavailableError
 from brassfall.logs import logger
 from brassfall.settings import RegistrySettings
@@ -95,7 +95,7 @@
             self.geo.start()
             self.aggregators.start()
             self._fleet_listing.start()
-            if self.store.fresh:
+            if self.store.started_empty:
                 self._gathering.begin()
             await self._serve()
             self._not_started = ""
@@ -184,7 +184,7 @@
         return answer(b'{"live":true}')
 
     async def _ready(self, _request: web.Request) -> web.Response:
-        why = self._not_started or (INCOMPLETE if self.gathering else self.store.statistics.disk)
+        why = self._not_started or (INCOMPLETE if self.gathering else self.store.statistics.disk_error)
         return status_response(503, why, NOT_READY_RETRY_S) if why else answer(b'{"ready":true}')
 
     async def _metrics(self, _request: web.Request) -> web.Response:
@@ -203,14 +203,14 @@
         return time.monotonic() - self._started_at
 
 
-def _options(settings: RegistrySettings) -> Options:
+def _options(settings: RegistrySettings) -> StoreOptions:
     guard = settings.guard
-    return Options(
+    return StoreOptions(
         batch=settings.batch,
         queue=settings.limits.queue,
         history_length=settings.ring,
         restart_grace_ms=settings.leases.restart_grace_ms,
-        guard=Guard(guard.share, guard.least, guard.window_ms, guard.keep_ms),
+        guard=ExpiryGuard(guard.share, guard.least, guard.window_ms, guard.keep_ms),
         guarded=entries.guarded,
     )
 
--- a/brassfall/controlplane/revisions/authority.py
+++ b/brassfall/controlplane/revisions/authority.py
@@ -49,19 +49,19 @@
         """Count anew at the next `refusal`, since the state has changed."""
         self._refusal = _NEVER
 
-    def recent_rival(self, now: float) -> LeaseRefusal | None:
-        """Return `possible_rival` as of the last count."""
+    def cached_rival_refusal(self, now: float) -> LeaseRefusal | None:
+        """Return `rival_refusal` as of the last count."""
         if now - self._rival.counted_ms > COUNT_VALID_MS:
-            self._rival = _Count(now, self.possible_rival(now))
+            self._rival = _Count(now, self.rival_refusal(now))
         return self._rival.refusal
 
     def _current_refusal(self, now: float, state: DurableState) -> LeaseRefusal | None:
         ahead, known = self.membership.count_ahead(state.newest), len(self.membership.nodes)
         if 2 * ahead > known:
             return LeaseRefusal(RefusalReason.DISK_BEHIND, f"{ahead} of {known}")
-        return self.possible_rival(now)
+        return self.rival_refusal(now)
 
-    def possible_rival(self, now: float) -> LeaseRefusal | None:
+    def rival_refusal(self, now: float) -> LeaseRefusal | None:
         """Return why another service, or an earlier epoch of this one, may be the one that grants."""
         if now - self.started_ms < self.timing.expiry_bound_ms:
             return LeaseRefusal(RefusalReason.EARLIER_EPOCH)
--- a/brassfall/controlplane/revisions/coordinator.py
+++ b/brassfall/controlplane/revisions/coordinator.py
@@ -282,7 +282,7 @@
         if state is self.state:
             actions += answers
             answers = []
-            state = self._advance(now, self._with_valid_epoch(now, state))
+            state = self._decide_pending(now, self._with_valid_epoch(now, state))
         if state is not self.state:
             self._write = _Write(state, answers)
             actions.append(Persist(state))
@@ -335,12 +335,12 @@
         timing = self.timing
         return self.membership.later_epoch_of_majority(now, timing.epoch_wait_ms, timing.expiry_bound_ms)
 
-    def _advance(self, now: float, state: DurableState) -> DurableState:
+    def _decide_pending(self, now: float, state: DurableState) -> DurableState:
         """Halt or commit the pending revision, if that is due."""
         if state.pending is None:
             return state
         if self.objections:
-            if self.authority.recent_rival(now):
+            if self.authority.cached_rival_refusal(now):
                 return state  # another service may be the one that decides, without these objections
             reasons = {name: objection.reason for name, objection in sorted(self.objections.items())}
             return transitions.with_pending_halted(state, reasons)
@@ -354,7 +354,7 @@
             return False
         # The cost of a check grows with the nodes: reports that come close together are checked together.
         self._next_check_ms = now + CHECK_INTERVAL_MS * len(self.membership.nodes)
-        if self.authority.possible_rival(now):
+        if self.authority.rival_refusal(now):
             return False
         return all(lease.prepared == number for lease in self.leases.active(now).values())
 
--- a/brassfall/controlplane/revisions/messages.py
+++ b/brassfall/controlplane/revisions/messages.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from typing import Any, TypedDict
 
-from brassfall.controlplane.revisions.refusals import LeaseRefusal, text_of
+from brassfall.controlplane.revisions.refusals import LeaseRefusal, refusal_text
 from brassfall.controlplane.revisions.reports import Objection, Report
 from brassfall.controlplane.revisions.state import DurableState
 
@@ -146,7 +146,7 @@
     @property
     def why(self) -> str:
         """The refusal's text on the wire; empty with a lease."""
-        return text_of(self.refusal)
+        return refusal_text(self.refusal)
 
 
 @dataclass(frozen=True, slots=True)
--- a/brassfall/controlplane/revisions/refusals.py
+++ b/brassfall/controlplane/revisions/refusals.py
@@ -36,6 +36,6 @@
         return self.reason.value.format(self.detail)
 
 
-def text_of(refusal: LeaseRefusal | None) -> str:
+def refusal_text(refusal: LeaseRefusal | None) -> str:
     """Return the text on the wire; empty if a lease is granted."""
     return refusal.text if refusal is not None else ""
--- a/brassfall/controlplane/revisions/validation.py
+++ b/brassfall/controlplane/revisions/validation.py
@@ -128,7 +128,7 @@
 # --- harm ------------------------------------------------------------------------------------
 
 
-def harm(settings: Settings, regions: frozenset[str], concurrent: Iterable[Settings] = ()) -> str:
+def find_harm(settings: Settings, regions: frozenset[str], concurrent: Iterable[Settings] = ()) -> str:
     """Return the harm that valid settings would do, as one line; empty if there is none.
 
     `regions` are those of the servers on the list, `concurrent` the settings that sidecars may act on until
--- a/brassfall/controlplane/store/leases.py
+++ b/brassfall/controlplane/store/leases.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Guard:
+class ExpiryGuard:
     """When missing renewals of many leases count as a network fault, and not as the end of their owners."""
 
     share: float = 0.25  # of all guarded leases
@@ -52,7 +52,7 @@
 class Leases:
     """The leases of one table. `now` is monotonic time in ms."""
 
-    def __init__(self, guard: Guard) -> None:
+    def __init__(self, guard: ExpiryGuard) -> None:
         self._guard = guard
         self._leases: dict[str, Lease] = {}
         self._ends: list[tuple[float, int, str]] = []  # heap of (check at, serial, key)
--- a/brassfall/controlplane/store/records.py
+++ b/brassfall/controlplane/store/records.py
@@ -85,8 +85,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """A change of one key: its new row, or with `gone` its deleted row."""
+    """A change of one key: its new row, or with `deleted` its deleted row."""
 
     index: int
     row: Row
-    gone: bool
+    deleted: bool
--- a/brassfall/controlplane/store/row_leases.py
+++ b/brassfall/controlplane/store/row_leases.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 from brassfall.controlplane.store.commands import Command, Delete, Put
-from brassfall.controlplane.store.leases import Guard, Leases
+from brassfall.controlplane.store.leases import ExpiryGuard, Leases
 from brassfall.controlplane.store.outcomes import Decided
 from brassfall.controlplane.store.records import Result, Row, Status
 from brassfall.controlplane.store.state import State
@@ -30,7 +30,7 @@
 class RowLeases:
     """The leases of all tables of one writer; `guarded` returns whether the guard applies to a row."""
 
-    def __init__(self, writer: Writer, guard: Guard, guarded: Guarded, statistics: Statistics) -> None:
+    def __init__(self, writer: Writer, guard: ExpiryGuard, guarded: Guarded, statistics: Statistics) -> None:
         self._writer = writer
         self._guard = guard
         self._guarded = guarded
@@ -89,7 +89,7 @@
             for table, leases in self._tables.items():
                 found = leases.check(monotonic_ms())
                 if found.suspected:
-                    self._statistics.suspected += len(found.suspected)
+                    self._statistics.suspected_leases += len(found.suspected)
                     log.warning("suspect", table=table, keys=found.suspected, action=SUSPECT)
                 for key in found.expired:
                     self._expire(table, key)
@@ -141,7 +141,7 @@
                 return  # renewed meanwhile
             command = Delete(table=table, key=row.key, if_match=row.version)
             if (await self._writer.submit(command, until_settled=True)).done:
-                self._statistics.expired += 1
+                self._statistics.expired_leases += 1
                 log.info("expired", table=table, key=row.key)
         except UnavailableError:
             if self._state.get(table, row.key) is row:
--- a/brassfall/controlplane/store/state.py
+++ b/brassfall/controlplane/store/state.py
@@ -182,7 +182,7 @@
     def _change(self, table: str, row: Row, record: Record) -> Change:
         change = Change(record.index, row, record.kind is RecordKind.DELETE)
         rows = self._rows.setdefault(table, {})
-        if change.gone:
+        if change.deleted:
             rows.pop(row.key, None)
         else:
             rows[row.key] = row
--- a/brassfall/controlplane/store/statistics.py
+++ b/brassfall/controlplane/store/statistics.py
@@ -11,10 +11,10 @@
 
     writes: int = 0  # records made durable
     commits: int = 0
-    refused: int = 0  # writes, because the queue was full
-    failures: int = 0  # commits that failed
+    refused_writes: int = 0  # writes, because the queue was full
+    failed_commits: int = 0  # commits that failed
     snapshots: int = 0
-    expired: int = 0  # leases
-    suspected: int = 0
+    expired_leases: int = 0  # leases
+    suspected_leases: int = 0
     commit_s: float = 0.0  # time spent in commits
-    disk: str = ""  # why the last commit failed; empty once one has succeeded
+    disk_error: str = ""  # why the last commit failed; empty once one has succeeded
--- a/brassfall/controlplane/store/store.py
+++ b/brassfall/controlplane/store/store.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from brassfall.controlplane.store.commands import Command
-from brassfall.controlplane.store.leases import Guard
+from brassfall.controlplane.store.leases import ExpiryGuard
 from brassfall.controlplane.store.log import Log
 from brassfall.controlplane.store.outcomes import Decided
 from brassfall.controlplane.store.records import Change, Result, Row
@@ -28,14 +28,14 @@
 
 
 @dataclass(slots=True)
-class Options:
+class StoreOptions:
     """The options of a store; times in ms."""
 
     batch: int = 1024  # most writes in one commit
     queue: int = 4096  # most writes that wait
     history_length: int = HISTORY_LENGTH  # changes of each table that are kept for watchers
     restart_grace_ms: float = 5000.0  # least time that a lease has left after a start
-    guard: Guard = field(default_factory=Guard)
+    guard: ExpiryGuard = field(default_factory=ExpiryGuard)
     # The rows whose leases don't end while too many of them would end at once.
     guarded: Guarded = unguarded
 
@@ -43,14 +43,14 @@
 class Store:
     """One durable store within a running loop. `notify` is called with each durable change and its table."""
 
-    def __init__(self, durable_log: Log, options: Options, notify: Notify) -> None:
+    def __init__(self, durable_log: Log, options: StoreOptions, notify: Notify) -> None:
         self._options = options
         self._notify = notify
         self.statistics = Statistics()
         self._writer = Writer(durable_log, options.batch, options.queue, self.statistics, self._applied)
         self._leases = RowLeases(self._writer, options.guard, options.guarded, self.statistics)
         self._lease_checks: asyncio.Task[None] | None = None
-        self.fresh = False  # True if there was no row at the start
+        self.started_empty = False  # True if there was no row at the start
         self.incarnation = 0  # the index at which it began, above those of earlier ones
 
     @property
@@ -66,10 +66,16 @@
         """
         loaded = await self._writer.load(self._options.history_length)
         state = self.state
-        self.fresh = not state.row_count
+        self.started_empty = not state.row_count
         self.incarnation = state.index
         self._leases.restart(self._options.restart_grace_ms)
-        log.info("loaded", rows=state.row_count, index=state.index, replayed=loaded.records, fresh=self.fresh)
+        log.info(
+            "loaded",
+            rows=state.row_count,
+            index=state.index,
+            replayed=loaded.records,
+            fresh=self.started_empty,
+        )
         self._writer.start()
         self._lease_checks = asyncio.get_running_loop().create_task(self._leases.run())
 
@@ -103,9 +109,9 @@
         return self._leases.suspects(table)
 
     @property
-    def waiting(self) -> int:
+    def queued_writes(self) -> int:
         """The number of writes that wait for the disk."""
-        return self._writer.waiting
+        return self._writer.queued_writes
 
     @property
     def outcome_unknown(self) -> bool:
--- a/brassfall/controlplane/store/writer.py
+++ b/brassfall/controlplane/store/writer.py
@@ -109,7 +109,7 @@
     def submit(self, command: Command, *, until_settled: bool) -> asyncio.Future[Result]:
         """Queue a command; raise `NotWrittenError` if the queue is full. See `Store.submit`."""
         if self._stopping or len(self._queue) >= self._queue_most:
-            self.statistics.refused += 1
+            self.statistics.refused_writes += 1
             raise NotWrittenError(STOPPING if self._stopping else "too many writes wait for the disk")
         future: asyncio.Future[Result] = asyncio.get_running_loop().create_future()
         self._queue.append(Write(command, future, until_settled))
@@ -117,7 +117,7 @@
         return future
 
     @property
-    def waiting(self) -> int:
+    def queued_writes(self) -> int:
         """The number of writes that wait for the disk."""
         return len(self._queue)
 
@@ -203,15 +203,15 @@
             write.fail(NotWrittenError(reason))
 
     def _disk_failed(self, error: LogError) -> None:
-        self.statistics.failures += 1
-        if not self.statistics.disk:
+        self.statistics.failed_commits += 1
+        if not self.statistics.disk_error:
             log.error("disk", reason=error.summary, action=error.action)
-        self.statistics.disk = error.summary
+        self.statistics.disk_error = error.summary
 
     def _disk_works(self) -> None:
-        if self.statistics.disk:
+        if self.statistics.disk_error:
             log.info("disk is back")
-            self.statistics.disk = ""
+            self.statistics.disk_error = ""
 
     async def _compact(self) -> None:
         if not self._log.due(self.state.row_count) or monotonic_ms() < self._compact_at_ms:
@@ -242,7 +242,7 @@
     def _bound(self, write: Write) -> None:
         """Answer a caller with a bounded wait that the outcome is unknown, once that has passed."""
         if not write.until_settled:
-            error = OutcomeUnknownError("the write may have happened", self.statistics.disk)
+            error = OutcomeUnknownError("the write may have happened", self.statistics.disk_error)
             asyncio.get_running_loop().call_later(UNKNOWN_AFTER_S, write.fail, error)
 
     def _refuse_until_settled(self, batch: list[Write], unsettled: UnsettledBatch) -> None:
@@ -263,7 +263,7 @@
         try:
             there = await loop.run_in_executor(self._thread, self._log.settle)
         except LogError as error:
-            batch.reason = self.statistics.disk = error.summary
+            batch.reason = self.statistics.disk_error = error.summary
             batch.retry_later(loop.time())
             return
         self._unsettled = None
--- a/brassfall/lab/agreement/defects.py
+++ b/brassfall/lab/agreement/defects.py
@@ -22,7 +22,7 @@
     Publish,
     ReportReceived,
 )
-from brassfall.controlplane.revisions.refusals import LeaseRefusal, RefusalReason, text_of
+from brassfall.controlplane.revisions.refusals import LeaseRefusal, RefusalReason, refusal_text
 from brassfall.controlplane.revisions.reports import Report
 from brassfall.controlplane.revisions.state import DurableState
 from brassfall.controlplane.revisions.timing import LeaseTiming
@@ -39,7 +39,7 @@
     """Commits once all that report have acknowledged: who is silent is not waited for."""
 
     def _all_acknowledged(self, now: float, number: int) -> bool:
-        if self.authority.possible_rival(now):
+        if self.authority.rival_refusal(now):
             return False
         nodes = self.membership.nodes.items()
         recent = {name for name, node in nodes if now - node.reported_ms < SILENT_MS}
@@ -60,7 +60,7 @@
 class NeedsNoQuorum(GrantAuthority):
     """Grants whatever it has, whoever follows it."""
 
-    def possible_rival(self, now: float) -> LeaseRefusal | None:
+    def rival_refusal(self, now: float) -> LeaseRefusal | None:
         """Only an earlier epoch is waited for."""
         starting = now - self.started_ms < self.timing.expiry_bound_ms
         return LeaseRefusal(RefusalReason.EARLIER_EPOCH) if starting else None
@@ -76,13 +76,13 @@
     def _all_acknowledged(self, now: float, number: int) -> bool:
         nodes = self.membership.nodes.values()
         acknowledged = sum(node.report.prepared == number for node in nodes)
-        return not self.authority.possible_rival(now) and 2 * acknowledged > len(nodes)
+        return not self.authority.rival_refusal(now) and 2 * acknowledged > len(nodes)
 
 
 class NeverWaits(GrantAuthority):
     """Grants at once after a start, on the majority that an earlier epoch had."""
 
-    def possible_rival(self, now: float) -> LeaseRefusal | None:
+    def rival_refusal(self, now: float) -> LeaseRefusal | None:
         """Nobody is taken for one."""
         return None
 
@@ -90,7 +90,7 @@
 class CountsAtOnce(GrantAuthority):
     """A majority counts from its first reports on, though it may count elsewhere still."""
 
-    def possible_rival(self, now: float) -> LeaseRefusal | None:
+    def rival_refusal(self, now: float) -> LeaseRefusal | None:
         """Members are counted without the epoch wait."""
         if now - self.started_ms < self.timing.expiry_bound_ms:
             return LeaseRefusal(RefusalReason.EARLIER_EPOCH)
@@ -114,8 +114,8 @@
 class CommitsHalted(RevisionCoordinator):
     """Takes an objection down, and commits all the same."""
 
-    def _advance(self, now: float, state: DurableState) -> DurableState:
-        made = super()._advance(now, state)
+    def _decide_pending(self, now: float, state: DurableState) -> DurableState:
+        made = super()._decide_pending(now, state)
         if made.halted is not None and made.halted is not state.halted:
             return msgspec.structs.replace(made, committed=made.halted.revision)
         return made
@@ -124,8 +124,8 @@
 class KeepsHaltedLayers(RevisionCoordinator):
     """What waits behind a halted revision keeps the layers that it took over from it."""
 
-    def _advance(self, now: float, state: DurableState) -> DurableState:
-        made = super()._advance(now, state)
+    def _decide_pending(self, now: float, state: DurableState) -> DurableState:
+        made = super()._decide_pending(now, state)
         if made.halted is not None and made.halted is not state.halted:
             return msgspec.structs.replace(made, pending=state.waiting)
         return made
@@ -153,7 +153,7 @@
         """No rival matters while nothing is committed."""
         refusal = super().refusal(now, state)
         uncommitted = state.committed.number == 0
-        return None if uncommitted and not text_of(refusal).startswith("2") else refusal
+        return None if uncommitted and not refusal_text(refusal).startswith("2") else refusal
 
 
 class ForgetsObjections(RevisionCoordinator):
--- a/brassfall/lab/agreement/service.py
+++ b/brassfall/lab/agreement/service.py
@@ -211,7 +211,7 @@
 
     def _answer(self, granted: messages.LeaseAnswer) -> dict[str, Any]:
         count = len(self.coordinator.membership.nodes)
-        paces = {"every_ms": pace.every_ms(count), "spread_ms": pace.spread_ms(count)}
+        paces = {"every_ms": pace.report_interval_ms(count), "spread_ms": pace.urgent_report_spread_ms(count)}
         return {
             "edition": granted.revision,
             "permission_ms": granted.lease_ms,
--- a/brassfall/lab/agreement/sidecar.py
+++ b/brassfall/lab/agreement/sidecar.py
@@ -72,7 +72,7 @@
         self._report_at = kernel.random.randrange(near or len(services))
         self._watch = Watch(kernel, name, services, self._do, self._line, near)
         self._flight = self._sent_on = 0
-        self._every, self._spread = pace.every_ms(1), pace.spread_ms(1)
+        self._every, self._spread = pace.report_interval_ms(1), pace.urgent_report_spread_ms(1)
         self._timer = 0  # the newest wait for a report: another that is due is void
         self._due_at = math.inf  # when the next report goes out, true time
         self._called = False
--- a/brassfall/lab/overrides/defects.py
+++ b/brassfall/lab/overrides/defects.py
@@ -66,9 +66,9 @@
         if write.call is None:
             return []
         self._writes[ticket] = dataclasses.replace(write, call=None)
-        return [events.Answer(write.call, write.made or self._rows.get(write.id))]
+        return [events.Answer(write.call, write.override or self._rows.get(write.id))]
 
-    def _written(self, now: int, event: events.Written) -> Iterator[events.Action]:
+    def _written(self, now: int, event: events.RowWritten) -> Iterator[events.Action]:
         yield from super()._written(now, event)
         self._publish_by(now)
 
@@ -87,7 +87,7 @@
         rev = before.rev + 1 if before is not None else 1
         same = before.same_from if before is not None and before.content == action.override.content else rev
         made: Override = msgspec.structs.replace(action.override, rev=rev, same_from=same)
-        self._writes[action.ticket] = dataclasses.replace(self._writes[action.ticket], made=made)
+        self._writes[action.ticket] = dataclasses.replace(self._writes[action.ticket], override=made)
         return events.WriteRow(action.ticket, made)
 
 
--- a/brassfall/lab/overrides/judge.py
+++ b/brassfall/lab/overrides/judge.py
@@ -238,7 +238,7 @@
             last = rows[-1]
             if now - max(last.since, last.gone or 0.0) <= SETTLE_MS:
                 continue
-            here = last.override.places.holds("", node.region)
+            here = last.override.places.includes("", node.region)
             if last.gone is None and here and now < last.due - NEAR_END_MS and key not in acted:
                 self._break("a start or an extension was lost", now, f"node {node.number}: {key}")
             elif key in acted and acted[key] < last.override.same_from:
--- a/brassfall/lab/overrides/service.py
+++ b/brassfall/lab/overrides/service.py
@@ -7,7 +7,7 @@
 
 from brassfall.controlplane.overrides import events
 from brassfall.controlplane.overrides import reconciler as rec
-from brassfall.controlplane.overrides.document import Override, layer, times_left
+from brassfall.controlplane.overrides.document import Override, overrides_layer, times_left
 from brassfall.controlplane.overrides.history import HistoryRing, WriteEntry
 from brassfall.lab.overrides.judge import Judge
 from brassfall.lab.overrides.node import CLOCK_RATES, Direction, Node
@@ -130,9 +130,9 @@
             self._commit(writes)
 
     def _publish(self, overrides: tuple[Override, ...]) -> None:
-        self._reconcile(rec.Published(overrides))
+        self._reconcile(rec.OverridesPublished(overrides))
         self._published += 1
-        revision = Revision(self._published, layer(overrides))
+        revision = Revision(self._published, overrides_layer(overrides))
         wait_ms = self._timeline.random_ms(COMMIT_MS)
         self._timeline.at(wait_ms, partial(self._committed, self.incarnation, revision))
 
@@ -176,11 +176,13 @@
         """Report the end of a commit to the store."""
         if self._runs(incarnation, partial(self._confirm, incarnation, tickets, why)):
             for ticket in tickets:
-                self._perform(self.store.step(self.unix(), events.Written(ticket, why)))
+                self._perform(self.store.step(self.unix(), events.RowWritten(ticket, why)))
 
     # --- reports --------------------------------------------------------------------------------
 
-    def _reconcile(self, event: rec.Tick | rec.Published | rec.Reported | rec.Details) -> None:
+    def _reconcile(
+        self, event: rec.Tick | rec.OverridesPublished | rec.DigestReported | rec.DetailsReceived
+    ) -> None:
         writes: list[Write] = []
         for action in self._reconciler.step(self.unix(), event):
             if isinstance(action, rec.RequestDetails):
@@ -199,9 +201,9 @@
         if not self._runs(incarnation, partial(self.receive_report, incarnation, node, run, asked_s, report)):
             return
         name = str(node.number)
-        self._reconcile(rec.Reported(name, str(run), "", node.region, report.state.digest))
+        self._reconcile(rec.DigestReported(name, str(run), "", node.region, report.state.digest))
         if report.acted is not None:
-            self._reconcile(rec.Details(name, report.acted))
+            self._reconcile(rec.DetailsReceived(name, report.acted))
         answer = self._answer(node, report)
         if not node.partitioned(Direction.DOWN):
             receive = partial(node.receive_answer, run, asked_s, answer)
@@ -209,7 +211,7 @@
 
     def _answer(self, node: Node, report: Report) -> Answer:
         now = self.unix()
-        due = [override for override in self.store.active(now) if override.places.holds("", node.region)]
+        due = [override for override in self.store.active(now) if override.places.includes("", node.region)]
         newest = 0 if report.state.refresh or node.resend else report.state.newest
         times: dict[str, Row] = dict(times_left(due, now, newest))
         details_requested, node.details_wanted, node.resend = node.details_wanted, False, False
--- a/brassfall/lab/sim/listing.py
+++ b/brassfall/lab/sim/listing.py
@@ -12,7 +12,7 @@
 from brassfall.controlplane.registry.membership import Call
 from brassfall.controlplane.store.commands import Command, Delete
 from brassfall.controlplane.store.incarnations import index_at
-from brassfall.controlplane.store.leases import Guard, Leases
+from brassfall.controlplane.store.leases import ExpiryGuard, Leases
 from brassfall.controlplane.store.records import Change, Record, Result, Status
 from brassfall.controlplane.store.state import State
 from brassfall.errors import RequestError
@@ -40,7 +40,7 @@
         self.state = State()
         self.state.apply(self.disk)
         self._write([self.state.begin_incarnation(index_at(self._clock_s + now / 1000.0), 0)])
-        self.leases = Leases(Guard(keep_ms=self._keep_ms))
+        self.leases = Leases(ExpiryGuard(keep_ms=self._keep_ms))
         for row in self.state.rows(INSTANCES):
             grace = float(self._wants.restart_grace_ms)
             self.leases.grant(
--- a/tests/controlplane/test_aggregator_mirror.py
+++ b/tests/controlplane/test_aggregator_mirror.py
@@ -135,7 +135,7 @@
     mirror = Mirror(ring=50)
     mirror.take(0.0, whole(100, "a", "b"))
     changes = mirror.take(0.0, whole(200, "b", "c")).changes
-    assert sorted((change.row.key, change.gone) for change in changes) == [("a", True), ("c", False)]
+    assert sorted((change.row.key, change.deleted) for change in changes) == [("a", True), ("c", False)]
     assert not told(mirror, 100).snapshot and told(mirror, 150).snapshot
 
 
--- a/tests/controlplane/test_overrides_document.py
+++ b/tests/controlplane/test_overrides_document.py
@@ -7,7 +7,7 @@
 import pytest
 
 from brassfall.controlplane.overrides.clock import SteadyClock
-from brassfall.controlplane.overrides.document import BadOverrideError, parse
+from brassfall.controlplane.overrides.document import BadOverrideError, parse_document
 from tests.support.overrides_service import HOUR, NOW, body
 
 HOLD = {"hold": {"region": "a"}}
@@ -44,7 +44,7 @@
 @pytest.mark.parametrize(("raw", "reason"), [row[1:] for row in BAD], ids=[row[0] for row in BAD])
 def test_a_bad_document_is_refused_with_its_reason(raw, reason):
     with pytest.raises(BadOverrideError) as caught:
-        parse("x", raw if isinstance(raw, bytes) else json.dumps(raw), NOW)
+        parse_document("x", raw if isinstance(raw, bytes) else json.dumps(raw), NOW)
     assert reason in caught.value.why
     assert (caught.value.status, caught.value.wire()["error"]) == (400, "bad request")
 
@@ -52,7 +52,7 @@
 @pytest.mark.parametrize("name", ["", "a/b", "x" * 129, "a b", "é", "a\n"])
 def test_an_id_is_a_plain_name(name):
     with pytest.raises(BadOverrideError, match="an id is"):
-        parse(name, json.dumps(body()), NOW)
+        parse_document(name, json.dumps(body()), NOW)
 
 
 CLOCKS = [
--- a/tests/controlplane/test_overrides_reconciler.py
+++ b/tests/controlplane/test_overrides_reconciler.py
@@ -8,7 +8,7 @@
 import pytest
 
 from brassfall.controlplane.overrides import reconciler as rec
-from brassfall.controlplane.overrides.document import Override, Places, parse
+from brassfall.controlplane.overrides.document import Override, Places, parse_document
 from brassfall.controlplane.overrides.expected import FRESH_MS, ExpectedOverrides, digest
 from brassfall.controlplane.overrides.history import HistoryRing, WriteEntry
 from tests.support.overrides_service import NOW, body
@@ -27,12 +27,12 @@
         """Id to (revision, time left)."""
         found = []
         for key, (rev, left) in rows.items():
-            document = parse(key, json.dumps(body(left=left)), NOW)
+            document = parse_document(key, json.dumps(body(left=left)), NOW)
             fields = {name: getattr(document, name) for name in type(document).__struct_fields__}
             fields["until_ms"] = self.at + left
             found.append(Override(**fields, id=key, rev=rev, same_from=rev, from_ms=self.at))
         self.in_force = {override.id: override for override in found}
-        self.step(rec.Published(tuple(found)))
+        self.step(rec.OverridesPublished(tuple(found)))
 
     def step(self, event):
         for action in self.reconciler.step(self.at, event):
@@ -49,9 +49,9 @@
             if isinstance(acted, dict):
                 reported = digest(acted.items())
             self.done = []
-            self.step(rec.Reported("n", incarnation, digest=reported, **more))
+            self.step(rec.DigestReported("n", incarnation, digest=reported, **more))
             if rec.RequestDetails("n") in self.done:
-                self.step(rec.Details("n", acted))
+                self.step(rec.DetailsReceived("n", acted))
 
     def kinds(self):
         return sorted(found.kind.value for found in self.reconciler.findings)
@@ -105,12 +105,12 @@
         assert escalation[:4] == ["Resend"] * 3 + ["DenyLease"] and "AlertOperator" in escalation[4:]
         lacks = kind in ("missed-start", "missed-extension", "unreadable")
         assert (
-            node.reconciler.denied("n") is not lacks
+            node.reconciler.is_denied("n") is not lacks
         )  # what acts past an end gets no lease until it acts as due
-    denied = node.reconciler.denied("n")
+    denied = node.reconciler.is_denied("n")
     node.report({key: rev for key, (rev, _) in (then or {}).items()})
     assert (rec.AllowLease("n") in node.done) is denied
-    assert not node.reconciler.findings and not node.reconciler.denied("n")
+    assert not node.reconciler.findings and not node.reconciler.is_denied("n")
     assert node.notes[-1] == ("settled", kind)
 
 
@@ -128,7 +128,7 @@
     node.report({"x": 7}, seconds=2)
     node.publish()
     node.report({}, seconds=8)
-    node.step(rec.Details("n", {"x": 7}))  # of eight seconds ago
+    node.step(rec.DetailsReceived("n", {"x": 7}))  # of eight seconds ago
     node.report({}, seconds=2)
     assert not node.notes
 
@@ -139,7 +139,7 @@
     node.report({"y": 8}, seconds=10)
     assert not node.notes and rec.RequestDetails("n") not in node.done
     there = msgspec.structs.replace(node.in_force["y"], places=Places(regions=("b",)))
-    node.step(rec.Published((there,)))
+    node.step(rec.OverridesPublished((there,)))
     node.report({}, seconds=10, region="a")
     assert not node.notes
     node.report({}, seconds=10, region="b")
@@ -153,7 +153,7 @@
     monkeypatch.setattr(ExpectedOverrides, "due", lambda *args: made.append(args) or due(*args))
     for _ in range(2500):
         node.at += 1
-        node.step(rec.Reported("n", "1", digest="none"))
+        node.step(rec.DigestReported("n", "1", digest="none"))
     assert len(made) <= 2 + 1000 // FRESH_MS
 
 
@@ -165,7 +165,7 @@
     node.report({}, seconds=10)
     restarted = ReconciledNode([msgspec.to_builtins(entry) for entry in entries])
     assert restarted.kinds() == ["missed-start"]
-    restarted.step(rec.Left("n"))
+    restarted.step(rec.NodeLeft("n"))
     assert restarted.notes == [("settled", "missed-start")] and not restarted.reconciler.findings
     silent = ReconciledNode([msgspec.to_builtins(entry) for entry in entries])
     silent.at += rec.FORGET_MS * 2
@@ -180,7 +180,7 @@
         before = len(node.notes)
         for number in range(500):
             name = f"n{number}"
-            node.step(rec.Reported(name, "1", digest=digest([])))
-            node.step(rec.Details(name, {}))
+            node.step(rec.DigestReported(name, "1", digest=digest([])))
+            node.step(rec.DetailsReceived(name, {}))
         assert len(node.notes) - before <= rec.MAX_OPENED_PER_S, second
     assert len(node.notes) == 500
--- a/tests/controlplane/test_overrides_store.py
+++ b/tests/controlplane/test_overrides_store.py
@@ -6,7 +6,7 @@
 
 from brassfall.controlplane.overrides import events
 from brassfall.controlplane.overrides import store as override_store
-from brassfall.controlplane.overrides.document import listing, times_left
+from brassfall.controlplane.overrides.document import listing_row, times_left
 from brassfall.controlplane.overrides.history import HistoryRing
 from brassfall.controlplane.overrides.store import MAX_EXPIRED, PUBLISH_MS, RETRY_MS
 from tests.support.overrides_service import HOUR, NOW, OverrideService
@@ -18,8 +18,8 @@
     service.durable().step(after=PUBLISH_MS)
     made = service.answers[1]
     assert service.published[-1] == {"x": made.rev} and service.kinds() == ["started"]
-    assert listing(made, service.at)["left_ms"] == 60_000 - PUBLISH_MS
-    assert listing(made, service.at)["from_ms"] == NOW
+    assert listing_row(made, service.at)["left_ms"] == 60_000 - PUBLISH_MS
+    assert listing_row(made, service.at)["from_ms"] == NOW
     service.put(2, left=60_000 - PUBLISH_MS)  # just the same document
     assert service.answers[2] == made and not service.open
 
--- a/tests/controlplane/test_revisions_shell.py
+++ b/tests/controlplane/test_revisions_shell.py
@@ -51,7 +51,9 @@
     now = made.overrides.now()
     document = {"action": {"freeze": True}, "by": "a", "why": "b", "until_ms": now + 60_000}
     await client.call(address, "PUT", "/overrides/o", document)
-    made.overrides.reconciler.step(now - 60_000, reconciler.Published(made.overrides.store.active(now)))
+    made.overrides.reconciler.step(
+        now - 60_000, reconciler.OverridesPublished(made.overrides.store.active(now))
+    )
 
 
 @bounded(30.0)
--- a/tests/controlplane/test_store_disk.py
+++ b/tests/controlplane/test_store_disk.py
@@ -18,7 +18,7 @@
 from brassfall.controlplane.store.log import Log, LogError
 from brassfall.controlplane.store.outcomes import NotWrittenError, OutcomeUnknownError
 from brassfall.controlplane.store.records import Result, Status
-from brassfall.controlplane.store.store import Options, Store
+from brassfall.controlplane.store.store import Store, StoreOptions
 from brassfall.errors import UnavailableError
 from tests.support.disk_faults import Disk, image_at
 from tests.support.loopback import bounded, until
@@ -30,7 +30,7 @@
     def __init__(self, folder):
         self.folder, self.disk, self.notified = folder, Disk(), []
         log = Log(folder, connect=self.disk.connect)
-        self.store = Store(log, Options(), lambda table, change: self.notified.append(change.row.key))
+        self.store = Store(log, StoreOptions(), lambda table, change: self.notified.append(change.row.key))
 
     async def __aenter__(self):
         await self.store.start()
@@ -74,11 +74,11 @@
         with pytest.raises(NotWrittenError):
             await running.put("b", "r2")
         assert not running.rows() and not running.notified and not waits.done()
-        assert "EIO open" in running.store.statistics.disk
+        assert "EIO open" in running.store.statistics.disk_error
         running.disk.mend()
         internal = await waits
         assert running.notified == ["internal", "a"]
-        assert not running.store.statistics.disk
+        assert not running.store.statistics.disk_error
         repeated = await running.put("a", "r1")
         assert repeated == Result(Status.DONE, running.rows()["a"])
         await running.put("b", "r2")
@@ -110,7 +110,7 @@
         first = await running.put("before", "r0")
         running.lose_sight("sync")
         lost = asyncio.ensure_future(running.put("a", "r1"))
-        await until(lambda: running.store.statistics.disk)
+        await until(lambda: running.store.statistics.disk_error)
         assert await running.put("before", "r0") == first
         repeat = running.put("a", "r1", until_settled=True)
         running.disk.mend()
@@ -123,7 +123,7 @@
     async with Running(tmp_path) as running:
         running.lose_sight("sync")
         waits = running.put("a", until_settled=True)
-        await until(lambda: running.store.statistics.disk)
+        await until(lambda: running.store.statistics.disk_error)
     with pytest.raises(OutcomeUnknownError, match="stopping"):
         await waits
     with pytest.raises(NotWrittenError, match="stopping"):
@@ -242,13 +242,13 @@
         put = Put(table="t", key="a", value=1, lease_ms=300)
         await running.store.submit(put)
         running.lose_sight("sync")
-        await until(lambda: running.store.statistics.disk)  # its deletion can't be made durable
+        await until(lambda: running.store.statistics.disk_error)  # its deletion can't be made durable
         assert "a" in running.rows()
         running.disk.mend()
         await until(
-            lambda: running.store.statistics.expired
+            lambda: running.store.statistics.expired_leases
         )  # counted by the task that waited for the deletion
-        assert (running.store.statistics.expired, running.rows()) == (1, {})
+        assert (running.store.statistics.expired_leases, running.rows()) == (1, {})
         assert (await running.store.submit(Delete(table="t", key="a"))).status is Status.MISSING
     assert running.after_restart() == {}
 
@@ -310,7 +310,7 @@
             await overrides.start()
         assert running.store.state.get(TABLE, KEY) is None
         running.disk.mend()
-        await until(lambda: not running.store.statistics.disk)
+        await until(lambda: not running.store.statistics.disk_error)
         await overrides.start()
         assert running.store.state.get(TABLE, KEY) is not None
 
--- a/tests/controlplane/test_store_leases.py
+++ b/tests/controlplane/test_store_leases.py
@@ -4,14 +4,14 @@
 
 import pytest
 
-from brassfall.controlplane.store.leases import MAX_STEP_MS, Guard, Leases
+from brassfall.controlplane.store.leases import MAX_STEP_MS, ExpiryGuard, Leases
 
 TTL = 6000.0
 
 
 def run_leases(count, silent_from, until, guard=None, stall=None):
     """Leases of `count` holders that renew at a third, some silent from a time on; what ended when."""
-    leases = Leases(guard or Guard())
+    leases = Leases(guard or ExpiryGuard())
     names = [f"s{i}" for i in range(count)]
     for name in names:
         leases.grant(0.0, name, TTL, guarded=True)
@@ -53,7 +53,7 @@
     ended, suspected, leases = run_leases(12, silent, 100_000.0)
     assert set(ended) == suspected == set(silent)
     assert all(83_900.0 < at < 86_500.0 for at in ended.values())  # a minute after their leases
-    leases = Leases(Guard())
+    leases = Leases(ExpiryGuard())
     for name in "abc":
         leases.grant(0.0, name, TTL, guarded=True)
     now = 0.0
@@ -75,14 +75,14 @@
 def test_no_lease_expires_in_a_stall():
     ended, suspected, _ = run_leases(12, {}, 80_000.0, stall=(20_000.0, 50_000.0))
     assert not ended and not suspected
-    leases = Leases(Guard())
+    leases = Leases(ExpiryGuard())
     leases.grant(0.0, "a", TTL, guarded=True)
     leases.check(30_000.0)
     assert len(leases) == 1 and leases.since_renewal_ms(30_000.0, "a") == MAX_STEP_MS
 
 
 def test_the_end_of_a_leaving_servers_lease_is_not_doubted():
-    leases = Leases(Guard())
+    leases = Leases(ExpiryGuard())
     for name in "abcd":
         leases.grant(0.0, name, TTL, guarded=False)
     now, ended = 0.0, []
--- a/tests/controlplane/test_store_state.py
+++ b/tests/controlplane/test_store_state.py
@@ -144,7 +144,7 @@
                     continue  # the complete list will do
                 found = {key: row[0] for (name, key), row in then.items() if name == table}
                 for change in changes:
-                    if change.gone:
+                    if change.deleted:
                         found.pop(change.row.key, None)
                     else:
                         found[change.row.key] = change.row.version
--- a/tests/controlplane/test_store_stored_data.py
+++ b/tests/controlplane/test_store_stored_data.py
@@ -51,7 +51,7 @@
     for name in table.names:
         found = table.changes_since(name, EXPECTED["changes_after"])
         changes[name] = found and [
-            [change.row.key, change.row.version, change.index, change.gone] for change in found
+            [change.row.key, change.row.version, change.index, change.deleted] for change in found
         ]
     assert changes == EXPECTED["changes"]
 
--- a/tests/lab/test_revisions.py
+++ b/tests/lab/test_revisions.py
@@ -206,7 +206,7 @@
 
     def harm(at, *more):
         others = [revision.settings for revision in core.actable_revisions(at)]
-        return validation.harm(closed(*more), regions, others)
+        return validation.find_harm(closed(*more), regions, others)
 
     # What was acknowledged is in force, and leases on the one before run still.
     assert [revision.number for revision in core.actable_revisions(now + 2.0)] == [1, number]
--- a/tests/sidecar/test_agent_overrides.py
+++ b/tests/sidecar/test_agent_overrides.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from brassfall.balancer import model
-from brassfall.controlplane.overrides.document import layer, times_left
+from brassfall.controlplane.overrides.document import overrides_layer, times_left
 from brassfall.controlplane.overrides.expected import digest
 from brassfall.lab.overrides.judge import expected
 from brassfall.sidecar import config, config_values
@@ -461,7 +461,9 @@
         .durable()
     )
     active = service.store.active(service.at)
-    wire = json.loads(json.dumps({"layer": layer(active), "times_left": times_left(active, service.at)}))
+    wire = json.loads(
+        json.dumps({"layer": overrides_layer(active), "times_left": times_left(active, service.at)})
+    )
     parsed_layer = read_layer(wire["layer"])
     known_deadlines = Deadlines()
     assert not parsed_layer.problems and known_deadlines.receive(0.0, wire["times_left"]) == ()
--- a/tests/support/overrides_service.py
+++ b/tests/support/overrides_service.py
@@ -5,7 +5,7 @@
 import json
 
 from brassfall.controlplane.overrides import events
-from brassfall.controlplane.overrides.document import parse
+from brassfall.controlplane.overrides.document import parse_document
 from brassfall.controlplane.overrides.history import HistoryRing, WriteEntry
 from brassfall.controlplane.overrides.store import MAX_OVERRIDES, OverrideStore
 
@@ -19,7 +19,7 @@
 
 
 def parsed(*args, now=NOW, **more):
-    return parse("x", json.dumps(body(*args, **more)), now)
+    return parse_document("x", json.dumps(body(*args, **more)), now)
 
 
 class OverrideService:
@@ -60,12 +60,12 @@
                 del self.rows[write.id]
         for write in batch:
             if not isinstance(write, WriteEntry):
-                self.step(events.Written(write.ticket, why))
+                self.step(events.RowWritten(write.ticket, why))
         return self
 
     def put(self, call, left=60_000, key="x", after=0, **more):
         self.at += after
-        document = parse(key, json.dumps(body(**more) | {"until_ms": self.at + left}), self.at)
+        document = parse_document(key, json.dumps(body(**more) | {"until_ms": self.at + left}), self.at)
         return self.step(events.Put(call, key, document))
 
     def kinds(self, key="x"):
