--- a/brassfall/controlplane/overrides/__init__.py
+++ b/brassfall/controlplane/overrides/__init__.py
@@ -1,1 +1,1 @@
-"""Temporary overrides: their documents, the store that starts and ends them, and the reconciler."""
+"""Temporary overrides of the configuration: their documents, store, history and reconciler."""
--- a/brassfall/controlplane/overrides/document.py
+++ b/brassfall/controlplane/overrides/document.py
@@ -1,7 +1,7 @@
 """The documents of temporary overrides, and their checks. Pure code.
 
-The wire form is in `docs/overrides.md`. An `Override` is one revision of such a document in the override
-store, with its absolute end.
+`docs/overrides.md` describes the wire form. An `Override` is one revision of such a document in the override
+store; its end is a point in time.
 """
 
 from __future__ import annotations
@@ -15,30 +15,31 @@
 
 from brassfall.errors import RequestError
 
-MAX_LENGTH_MS = 24 * 3_600_000  # a change for longer belongs into the settings
+MAX_LENGTH_MS = 24 * 3_600_000  # Longest duration of an override: a longer change belongs into the settings
 NAME = re.compile(r"[A-Za-z0-9._:-]{1,128}\Z")
-TEXT_MOST = 500  # characters of `by` and of `why`
-PLACES_MOST = 256  # groups, regions, and regions of a shift
-PRIORITY_MOST = 1000
-CAP_MOST_PER_S = 1e9
-MATCH_NEEDED = {"hold": "", "freeze": "", "cap": "class", "pin": "tenant"}  # a shift takes any match
-SUM_SLACK = 1e-6  # shares that add up to one, written as decimals
+TEXT_MOST = 500  # Length of `by` and of `why`, in characters
+MAX_PLACES = 256  # Number of groups, of regions, or of the regions of a shift
+MAX_PRIORITY = 1000
+MAX_CAP_PER_S = 1e9
+# What `match` has to name for each kind of action; "" means nothing. A shift allows any match.
+MATCH_NEEDED = {"hold": "", "freeze": "", "cap": "class", "pin": "tenant"}
+SUM_SLACK = 1e-6  # Rounding error of a sum of shares that are written as decimals
 
 
 class BadOverrideError(RequestError):
-    """A malformed document (400)."""
+    """A malformed override document (status 400)."""
 
-    action = "Mend the document as the reason says, and send it again; docs/overrides.md has its form."
+    action = "Correct the document as the reason says, and send it again; docs/overrides.md has its form."
 
 
 class Shift(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The shares of requests by region; the rest of 1 is distributed as without this override."""
+    """The shares of requests by region; what is missing to 1 is distributed as without the override."""
 
     to: dict[str, float]
 
 
 class Hold(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
-    """What is held off: exactly one of these."""
+    """The server, group or region that gets no requests; exactly one field is set."""
 
     server: str | None = None
     group: str | None = None
@@ -46,7 +47,7 @@
 
 
 class Cap(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The highest rate of a class, of the whole fleet."""
+    """The cap of a request class: a rate for the whole fleet, in requests/s."""
 
     per_s: float
 
@@ -58,7 +59,7 @@
 
 
 class Action(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
-    """The action of an override: exactly one of these."""
+    """The action of an override; exactly one field is set."""
 
     shift: Shift | None = None
     hold: Hold | None = None
@@ -68,30 +69,30 @@
 
     @property
     def kinds(self) -> list[str]:
-        """The names of the actions that are set."""
+        """The names of the fields that are set."""
         return [name for name in self.__struct_fields__ if getattr(self, name)]
 
 
 class Match(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
-    """The requests that an override is for: one class, one tenant, or all."""
+    """The requests to which an override applies: those of one class, of one tenant, or all."""
 
     cls: str | None = msgspec.field(name="class", default=None)
     tenant: str | None = None
 
 
 class Places(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
-    """The places of the sidecars that act on an override; empty is everywhere."""
+    """The groups and regions whose sidecars act on an override; an empty field means all of them."""
 
     groups: tuple[str, ...] = ()
     regions: tuple[str, ...] = ()
 
     def includes(self, group: str, region: str) -> bool:
-        """Return whether a sidecar at this place acts on the override."""
+        """Return whether a sidecar of `group` in `region` acts on the override."""
         return (not self.groups or group in self.groups) and (not self.regions or region in self.regions)
 
 
 class Document(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """The body of `PUT /overrides/ID`; `until_ms` is Unix time by the service's clock."""
+    """The body of `PUT /overrides/ID`; `until_ms` is a Unix time by the clock of the service."""
 
     action: Action
     match: Match = Match()
@@ -103,52 +104,55 @@
 
     @property
     def content(self) -> tuple[Action, Match, Places, int]:
-        """The part that sidecars act on, without who, why and until when."""
+        """The part of the document that sidecars act on: all fields but `by`, `why` and `until_ms`."""
         return self.action, self.match, self.places, self.priority
 
 
 class Override(Document, frozen=True, kw_only=True):
-    """One revision; revisions of all ids share numbers that only grow, over deletes and restarts too."""
+    """One revision of an override.
+
+    The revisions of all ids share one sequence of numbers that only grows, also after deletions and restarts.
+    """
 
     id: str
     rev: int
-    same_from: int  # the oldest revision with the same content, without an end in between
-    from_ms: int  # of the first revision without an end in between
+    same_from: int  # Oldest revision since the start of the override whose content is still the same
+    from_ms: int  # Unix time at which the override was started
 
     @property
     def document(self) -> Document:
-        """The document of the operator."""
+        """The document that the operator sent."""
         return Document(**{name: getattr(self, name) for name in Document.__struct_fields__})
 
 
 def parse_document(override_id: str, body: bytes | str, now_ms: int) -> Document:
-    """Return the document in a call at a time of the service; raise `BadOverrideError` if it is not valid."""
-    what = f"override {override_id!r} is not taken"
+    """Return the document in the body of a call at `now_ms`; raise `BadOverrideError` if it is not valid."""
+    summary = f"override {override_id!r} is not taken"
     if not NAME.match(override_id):
-        raise BadOverrideError(what, "an id is 1 to 128 letters, digits, '.', '_', ':' or '-'")
+        raise BadOverrideError(summary, "an id is 1 to 128 letters, digits, '.', '_', ':' or '-'")
     try:
         document = msgspec.json.decode(body, type=Document, strict=True)
-    except (msgspec.DecodeError, UnicodeDecodeError) as error:  # ValidationError is one of the first
-        raise BadOverrideError(what, str(error)) from error
+    except (msgspec.DecodeError, UnicodeDecodeError) as error:  # DecodeError includes ValidationError
+        raise BadOverrideError(summary, str(error)) from error
     except RecursionError as error:
-        raise BadOverrideError(what, "it is nested too deep") from error
-    wrong = next(faults(document, now_ms), "")
-    if wrong:
-        raise BadOverrideError(what, wrong)
+        raise BadOverrideError(summary, "it is nested too deep") from error
+    fault = next(faults(document, now_ms), "")
+    if fault:
+        raise BadOverrideError(summary, fault)
     return document
 
 
 def faults(document: Document, now_ms: int) -> Iterator[str]:
-    """Yield the faults of a document."""
+    """Yield a text for each fault of a document that is decoded."""
     yield from _action_faults(document.action, document.match)
     for name, text in (("by", document.by), ("why", document.why)):
         if not text.strip() or len(text) > TEXT_MOST:
             yield f"`{name}` has to have 1 to {TEXT_MOST} characters"
     for name, places in (("groups", document.places.groups), ("regions", document.places.regions)):
-        if len(places) > PLACES_MOST or not all(map(NAME.match, places)):
-            yield f"`places.{name}` has to be at most {PLACES_MOST} names"
-    if abs(document.priority) > PRIORITY_MOST:
-        yield f"`priority` has to be between -{PRIORITY_MOST} and {PRIORITY_MOST}"
+        if len(places) > MAX_PLACES or not all(map(NAME.match, places)):
+            yield f"`places.{name}` has to be at most {MAX_PLACES} names"
+    if abs(document.priority) > MAX_PRIORITY:
+        yield f"`priority` has to be between -{MAX_PRIORITY} and {MAX_PRIORITY}"
     left = document.until_ms - now_ms
     if left <= 0:
         yield f"`until_ms` is past by {-left} ms; it is {now_ms} here"
@@ -166,7 +170,7 @@
         yield from _share_faults(action.shift.to)
     elif action.hold is not None:
         yield from _hold_faults(action.hold)
-    elif action.cap is not None and not 0.0 < action.cap.per_s <= CAP_MOST_PER_S:
+    elif action.cap is not None and not 0.0 < action.cap.per_s <= MAX_CAP_PER_S:
         yield "`action.cap.per_s` has to be over 0 and at most 1e9; to shut a class off is a setting"
     elif action.pin is not None and not NAME.match(action.pin.region):
         yield "`action.pin.region` is no name"
@@ -188,7 +192,7 @@
 
 
 def _pairing_faults(kind: str, match: Match) -> Iterator[str]:
-    """Yield a fault unless the match names exactly what an action of this kind needs."""
+    """Yield a fault unless `match` names exactly what an action of this kind needs."""
     if kind not in MATCH_NEEDED:
         return
     named = {name for name, value in (("class", match.cls), ("tenant", match.tenant)) if value is not None}
@@ -198,8 +202,8 @@
 
 
 def _share_faults(to: dict[str, float]) -> Iterator[str]:
-    if not 1 <= len(to) <= PLACES_MOST or not all(map(NAME.match, to)):
-        yield f"`action.shift.to` has to be 1 to {PLACES_MOST} regions"
+    if not 1 <= len(to) <= MAX_PLACES or not all(map(NAME.match, to)):
+        yield f"`action.shift.to` has to be 1 to {MAX_PLACES} regions"
     elif not all(math.isfinite(share) and 0.0 <= share <= 1.0 for share in to.values()):
         yield "a share of `action.shift.to` is not between 0 and 1"
     elif sum(to.values()) > 1.0 + SUM_SLACK:
@@ -207,29 +211,33 @@
 
 
 def listing_row(override: Override, now_ms: int) -> dict[str, Any]:
-    """Return an override in the form of answers and listings, with the time left."""
-    found: dict[str, Any] = msgspec.to_builtins(override)
-    return {"id": override.id, **found, "left_ms": max(0, override.until_ms - now_ms)}
+    """Return an override in the form that answers and listings have, with the time left in ms."""
+    row: dict[str, Any] = msgspec.to_builtins(override)
+    return {"id": override.id, **row, "left_ms": max(0, override.until_ms - now_ms)}
 
 
 def overrides_layer(overrides: Iterable[Override]) -> list[dict[str, Any]]:
     """Return the overrides layer of a configuration revision.
 
-    It has no times: a revision is used for longer than a time left is valid, so these are sent with each
-    answer.
+    The layer has no times left, since a revision is in use for longer than they are valid: they are sent with
+    each answer to a report.
     """
     names = ("id", "rev", "from_ms", "priority", "action", "match", "places")
-    return [{name: msgspec.to_builtins(getattr(found, name)) for name in names} for found in overrides]
+    return [{name: msgspec.to_builtins(getattr(override, name)) for name in names} for override in overrides]
 
 
 def times_left(overrides: Iterable[Override], now_ms: int, newest: int = 0) -> dict[str, dict[str, int]]:
     """Return the times left of overrides by id, in ms, for the answer to a report.
 
-    Only those of revisions after `newest` are returned, the newest that the sidecar has received: all ids
-    share one sequence of revisions. 0 returns all.
+    Overrides up to the revision `newest`, the newest one that the sidecar has received, are left out. That is
+    possible because all ids share one sequence of revisions. With 0 all are returned.
     """
     return {
-        found.id: {"rev": found.rev, "same_from": found.same_from, "left_ms": found.until_ms - now_ms}
-        for found in overrides
-        if found.rev > newest
+        override.id: {
+            "rev": override.rev,
+            "same_from": override.same_from,
+            "left_ms": override.until_ms - now_ms,
+        }
+        for override in overrides
+        if override.rev > newest
     }
--- a/brassfall/controlplane/overrides/events.py
+++ b/brassfall/controlplane/overrides/events.py
@@ -1,4 +1,4 @@
-"""The events and actions of the override store, and the errors of its answers. Pure code."""
+"""The events and actions of the override store, and the errors in its answers. Pure code."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class TooManyOverridesError(ConflictError):
-    """The override store is full (409)."""
+    """A new override while the override store is full (status 409)."""
 
     action = "End overrides that are no longer needed, or put what they have in common into the settings."
 
@@ -22,7 +22,7 @@
 
 
 class NoSuchOverrideError(NotFoundError):
-    """No override with that id is in force (404)."""
+    """An override id of which no override is in force (status 404)."""
 
     action = "List the overrides, and name one of them; it may have ended by itself."
 
@@ -31,7 +31,7 @@
 
 
 class OverrideNotWrittenError(UnavailableError):
-    """A row could not be made durable; nothing has changed (503)."""
+    """A change of an override that could not be made durable and has no effect (status 503)."""
 
     action = "Look at /status and at the disk of the list service, then send the call again."
 
@@ -46,7 +46,7 @@
 class Put:
     """An operator starts, extends or changes an override."""
 
-    call: int  # the caller's number, for the answer
+    call: int  # Number that the caller chooses and that the `Answer` repeats
     id: str
     document: Document
 
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RowWritten:
-    """A `WriteRow` or a `DeleteRow` is durable, or has failed if `why` is set."""
+    """A `WriteRow` or `DeleteRow` is durable or, if `why` is not empty, has failed for that reason."""
 
     ticket: int
     why: str = ""
@@ -81,21 +81,21 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteRow:
-    """Write a row; `RowWritten` has to follow."""
+    """Write the row of an override; the host has to answer with `RowWritten`."""
 
     ticket: int
     override: Override
 
     @property
     def value(self) -> dict[str, Any]:
-        """The row's value; its key is the id."""
-        found: dict[str, Any] = msgspec.to_builtins(self.override)
-        return found
+        """The value of the row, whose key is the id of the override."""
+        fields: dict[str, Any] = msgspec.to_builtins(self.override)
+        return fields
 
 
 @dataclass(frozen=True, slots=True)
 class DeleteRow:
-    """Delete a row; `RowWritten` has to follow."""
+    """Delete the row of an override; the host has to answer with `RowWritten`."""
 
     ticket: int
     id: str
@@ -103,14 +103,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Publish:
-    """Publish the overrides in force, unless the same ones are published already."""
+    """Publish the overrides in force, unless exactly these are published already."""
 
     overrides: tuple[Override, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """Answer a call with the override (the last revision, if it was ended) or an error."""
+    """Answer a call with the override or an error; for an ended override, with its last revision."""
 
     call: int
     override: Override | None = None
--- a/brassfall/controlplane/overrides/findings.py
+++ b/brassfall/controlplane/overrides/findings.py
@@ -1,4 +1,4 @@
-"""The findings of the reconciler: what is wrong with a sidecar's overrides, and the operator's action."""
+"""The findings of the reconciler: faults of the overrides of a sidecar, and what an operator should do."""
 
 from __future__ import annotations
 
@@ -7,43 +7,63 @@
 import msgspec
 
 
-class Kind(StrEnum):
-    """What is wrong with a node; the values are those on the wire and in stored rows."""
+class FindingKind(StrEnum):
+    """The kinds of faults of a node; the values are those on the wire and in stored rows."""
 
-    EXPIRY = "missed-expiry"
-    END = "missed-end"
-    START = "missed-start"
-    EXTENSION = "missed-extension"
-    OLD = "old-state"
-    STRANGE = "unknown-override"
-    WITHOUT = "without-overrides"
+    MISSED_EXPIRY = "missed-expiry"
+    MISSED_END = "missed-end"
+    MISSED_START = "missed-start"
+    MISSED_EXTENSION = "missed-extension"
+    OLD_STATE = "old-state"
+    UNKNOWN_OVERRIDE = "unknown-override"
+    WITHOUT_OVERRIDES = "without-overrides"
     UNREADABLE = "unreadable"
 
 
+# What the operator should do about each kind of finding.
 ACTIONS = {
-    Kind.EXPIRY: "Restart this sidecar: its clock or its process does not go on. It has no lease.",
-    Kind.END: "Restart this sidecar if it goes on: it acts on an override that was ended by hand.",
-    Kind.START: "Look at the sidecar's log for its objection to the edition, or restart it.",
-    Kind.EXTENSION: "Restart this sidecar if it goes on; it acts on an older revision until that one's end.",
-    Kind.OLD: "Restart this sidecar without its old files: it came back with overrides that have ended.",
-    Kind.STRANGE: "See if a second list service, or one with an old disk, answers it; stop the wrong one.",
-    Kind.WITHOUT: "Upgrade this sidecar or take it out of traffic: its version does not support overrides.",
-    Kind.UNREADABLE: "Look at the sidecar's version and log: its list of overrides can't be read.",
+    FindingKind.MISSED_EXPIRY: "Restart this sidecar: its clock or its process has stopped. It has no lease.",
+    FindingKind.MISSED_END: (
+        "Restart this sidecar if it continues: it acts on an override that an operator ended."
+    ),
+    FindingKind.MISSED_START: "Look at the sidecar's log for its objection to the edition, or restart it.",
+    FindingKind.MISSED_EXTENSION: (
+        "Restart this sidecar if it continues: it acts on an older revision until the end of that revision."
+    ),
+    FindingKind.OLD_STATE: (
+        "Restart this sidecar without its old files: it started with overrides that have ended."
+    ),
+    FindingKind.UNKNOWN_OVERRIDE: (
+        "See if a second list service, or one with an old disk, answers it; stop the wrong one."
+    ),
+    FindingKind.WITHOUT_OVERRIDES: (
+        "Upgrade this sidecar or take it out of traffic: its version does not support overrides."
+    ),
+    FindingKind.UNREADABLE: "Look at the sidecar's version and log: its list of overrides can't be read.",
 }
-ACTS_PAST_END = frozenset({Kind.EXPIRY, Kind.END, Kind.OLD, Kind.STRANGE})  # the other kinds lack something
+# Kinds of findings about a node that acts on an override which is not in force. A node with a finding of
+# another kind does not act on an override which is in force.
+ACTS_PAST_END = frozenset(
+    {
+        FindingKind.MISSED_EXPIRY,
+        FindingKind.MISSED_END,
+        FindingKind.OLD_STATE,
+        FindingKind.UNKNOWN_OVERRIDE,
+    }
+)
 
 
 class Finding(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One kind of fault of one node; times are Unix ms by the service's clock."""
+    """One kind of fault of one node; times are Unix ms by the clock of the service."""
 
     node: str
-    kind: Kind
+    kind: FindingKind
     since: int
     ids: tuple[str, ...] = ()
     ended: int | None = None
-    alerted: bool = False  # the operator has been
+    alerted: bool = False  # True once the operator has been alerted
 
     @property
     def action(self) -> str:
-        """The operator's action."""
+        """The text for the operator that says what to do."""
         return ACTIONS[self.kind]
--- a/brassfall/controlplane/overrides/reconciler.py
+++ b/brassfall/controlplane/overrides/reconciler.py
@@ -1,11 +1,12 @@
 """The reconciler: finds sidecars that act on other overrides than are due, and corrects them. Pure code.
 
-Sidecars report a digest of the overrides that they act on. Details are requested only if the digest differs
-for longer than delivery takes. A sidecar that reports falsely is not found here, but by the headers that
-servers receive.
+Sidecars report a digest of the overrides that they act on. The reconciler requests details only if the
+digest differs from the expected one for longer than `LATE_MS`. It can't find a sidecar that reports something
+else than it does; the headers that servers receive show that.
 
-A node with a finding is sent all overrides that are due, up to `MAX_RESENDS` times `RESEND_MS` apart; then
-its lease is denied; after `DENIED_MS` more the operator is alerted.
+A node with a finding is sent the times left of all its overrides again, up to `MAX_RESENDS` times,
+`RESEND_MS` apart. If that does not help, the node gets no lease any more, and after another `DENIED_MS` the
+operator is alerted.
 """
 
 from __future__ import annotations
@@ -19,18 +20,19 @@
 import msgspec
 
 from brassfall.controlplane.overrides.document import Override
-from brassfall.controlplane.overrides.expected import DELIVERY_MS, LATE_MS, Ended, ExpectedOverrides
-from brassfall.controlplane.overrides.findings import ACTS_PAST_END, Finding, Kind
+from brassfall.controlplane.overrides.expected import DELIVERY_MS, LATE_MS, EndedOverride, ExpectedOverrides
+from brassfall.controlplane.overrides.findings import ACTS_PAST_END, Finding, FindingKind
 from brassfall.controlplane.overrides.history import Entry, EntryKind, HistoryRing, WriteEntry
 
-RESEND_MS = 1000  # between two resends
-MAX_RESENDS = 3  # before the lease is denied
-DENIED_MS = 6000  # from denying the lease, which has ended by then, to the alert
-FORGET_MS = 600_000  # without a report, until a node is forgotten
+RESEND_MS = 1000  # Least time between two resends to one node
+MAX_RESENDS = 3  # Number of resends to a node before its lease is denied
+DENIED_MS = 6000  # Time from the denial of a lease to the alert; the lease has ended by then
+FORGET_MS = 600_000  # Time without a report after which a node is forgotten
 MAX_NODES = 10_000
-MAX_OPENED_PER_S = 200  # findings, each of which is a write; others wait for their next report
-MAX_CHECKED = 256  # nodes that one `Tick` checks
-MAX_IDS = 20  # that a finding names
+# Number of findings that are opened in one second: each is a write. Others wait for the node's next report.
+MAX_OPENED_PER_S = 200
+MAX_CHECKED = 256  # Number of nodes that one `Tick` checks for silence
+MAX_IDS = 20  # Number of override ids that a finding names
 
 
 # --- events ----------------------------------------------------------------------------------------
@@ -38,16 +40,17 @@
 
 @dataclass(frozen=True, slots=True)
 class OverridesPublished:
-    """The overrides in force from now on, as the override store publishes them."""
+    """The override store has published the overrides that are in force from now on."""
 
     overrides: tuple[Override, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class DigestReported:
-    """A sidecar's report; `digest` is None from a version without overrides.
+    """A sidecar has reported the digest of the overrides that it acts on.
 
-    `incarnation` distinguishes the processes of one node.
+    `digest` is None if the version of the sidecar does not support overrides. `incarnation` distinguishes the
+    processes of one node.
     """
 
     node: str
@@ -59,7 +62,10 @@
 
 @dataclass(frozen=True, slots=True)
 class DetailsReceived:
-    """The overrides that a sidecar says it acts on, revisions by id, as requested; any JSON."""
+    """A sidecar has sent the requested details: the overrides that it acts on.
+
+    `acted` should be a map from ids to revisions, but may be any JSON value.
+    """
 
     node: str
     acted: object
@@ -84,35 +90,35 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestDetails:
-    """Request details with the answer to the node's report."""
+    """Request the overrides that a node acts on, with the answer to its report."""
 
     node: str
 
 
 @dataclass(frozen=True, slots=True)
 class Resend:
-    """Send the node all times left of the overrides due there."""
+    """Send a node the times left of all overrides that it should act on."""
 
     node: str
 
 
 @dataclass(frozen=True, slots=True)
 class DenyLease:
-    """Grant the node no lease until `AllowLease` follows."""
+    """Grant a node no lease until `AllowLease` follows."""
 
     node: str
 
 
 @dataclass(frozen=True, slots=True)
 class AllowLease:
-    """Grant the node leases again."""
+    """Grant a node leases again."""
 
     node: str
 
 
 @dataclass(frozen=True, slots=True)
 class AlertOperator:
-    """Log a finding that neither resending nor denying the lease has ended."""
+    """Log a finding for the operator; neither resending nor a denied lease has corrected the node."""
 
     finding: Finding
 
@@ -121,7 +127,7 @@
 
 
 class Stage(Enum):
-    """The last step taken for a node with findings."""
+    """The last measure that was taken against the findings of a node."""
 
     RESEND = auto()
     DENIED = auto()
@@ -130,46 +136,47 @@
 
 @dataclass(slots=True)
 class _Node:
-    """The state of one sidecar; times are Unix ms by the service's clock."""
+    """The state of one sidecar; times are Unix ms by the clock of the service."""
 
     incarnation: str
     reported_ms: int
-    started_ms: int  # when this incarnation reported first
-    place: tuple[str, str] = ("", "")
-    differs_since: int | None = None  # since when its digest differs from the expected one
-    strange_since: int | None = None  # since when it acts on unknown overrides
-    suspected: set[Kind] = field(default_factory=set)  # the kinds that its last details showed
-    findings: dict[Kind, Finding] = field(default_factory=dict)
-    resends: int = 0  # since the first finding
+    started_ms: int  # Time of the first report of the present incarnation
+    place: tuple[str, str] = ("", "")  # Group and region of the sidecar
+    differs_since: int | None = None  # Time since which the reported digest differs from the expected one
+    unknown_since: int | None = None  # Time since which the sidecar acts on unknown overrides
+    suspected: set[FindingKind] = field(default_factory=set)  # Kinds of faults that the last details showed
+    findings: dict[FindingKind, Finding] = field(default_factory=dict)
+    resends: int = 0  # Number of resends since the first finding
     resent_ms: int = 0
     denied_ms: int | None = None
     stage: Stage = Stage.RESEND
 
 
 class Reconciler:
-    """Compares reports with the overrides due. `step` takes Unix ms of a `SteadyClock`."""
+    """The state machine that compares reports with the overrides due; `step` takes ms of a `SteadyClock`."""
 
     def __init__(self, ring: HistoryRing) -> None:
         self._ring = ring
         self._expected = ExpectedOverrides()
-        self._nodes: dict[str, _Node] = {}  # least recently reported first
-        self._opened_since = 0
-        self._opened = 0  # findings opened in the second that began then
+        self._nodes: dict[str, _Node] = {}  # Nodes by name, in the order of their last reports
+        self._opened_since_ms = 0  # Start of the second in which opened findings are counted
+        self._opened = 0  # Number of findings that were opened in that second
 
     def restore(self, history: Iterable[Any]) -> None:
-        """Restore open findings from the history's rows, which are in the order of their keys.
+        """Restore the open findings from the rows of the history, which have to be sorted by their keys.
 
-        A finding of an earlier incarnation stays open until a report of its node shows that it has ended.
+        A finding of an earlier incarnation of the service stays open until a report of its node shows that
+        the fault is gone.
         """
         for value in history:
             try:
                 entry = msgspec.convert(value, Entry)
-                kind = Kind(entry.why) if entry.kind in (EntryKind.FOUND, EntryKind.SETTLED) else None
+                kind = FindingKind(entry.why) if entry.kind in (EntryKind.FOUND, EntryKind.SETTLED) else None
             except (msgspec.ValidationError, ValueError):
                 continue
             if entry.kind in (EntryKind.ENDED, EntryKind.EXPIRED):
-                ended = Ended(entry.rev, entry.at_ms, by_time=entry.kind == EntryKind.EXPIRED)
-                self._expected.remember_end(entry.id, ended)
+                end = EndedOverride(entry.rev, entry.at_ms, by_time=entry.kind == EntryKind.EXPIRED)
+                self._expected.remember_end(entry.id, end)
             if kind is None:
                 continue
             node = self._nodes.setdefault(entry.node, _Node("", entry.at_ms, entry.at_ms))
@@ -180,24 +187,24 @@
 
     @property
     def findings(self) -> list[Finding]:
-        """The open findings."""
-        return [found for node in self._nodes.values() for found in node.findings.values()]
+        """The open findings about all nodes."""
+        return [finding for node in self._nodes.values() for finding in node.findings.values()]
 
     def is_denied(self, node: str) -> bool:
         """Return whether a node is denied a lease because of its overrides."""
-        found = self._nodes.get(node)
-        return found is not None and found.denied_ms is not None
+        state = self._nodes.get(node)
+        return state is not None and state.denied_ms is not None
 
     def has_node(self, node: str) -> bool:
-        """Return whether a sidecar has reported, or has open findings."""
+        """Return whether a node has reported and is not forgotten, or has open findings."""
         return node in self._nodes
 
     def expected_digest(self, now: int, group: str, region: str) -> str:
-        """Return the digest that a sidecar at a place should report."""
+        """Return the digest that a sidecar of `group` in `region` should report."""
         return self._expected.digest(now, group, region)
 
     def step(self, now: int, event: Event) -> list[Action]:
-        """Apply an event at `now`; return the actions to carry out."""
+        """Apply an event at `now`, in Unix ms; return the actions that the host has to carry out."""
         match event:
             case OverridesPublished():
                 self._expected.publish(now, event.overrides)
@@ -227,7 +234,7 @@
             yield from self._without_overrides(now, report.node, node)
         elif report.digest == self._expected.digest(now, *node.place):
             yield from self._settle(now, report.node, node, set())
-            node.differs_since = node.strange_since = None
+            node.differs_since = node.unknown_since = None
             node.suspected = set()
         else:
             yield from self._differs(now, report.node, node)
@@ -240,48 +247,54 @@
         yield from self._escalate(now, name, node)
 
     def _without_overrides(self, now: int, name: str, node: _Node) -> Iterator[Action]:
-        """Alert the operator, who alone can help, if overrides are due at a version without them."""
+        """Alert the operator if a sidecar whose version does not support overrides should act on some.
+
+        Resending and denying the lease can't correct such a sidecar.
+        """
         node.differs_since = None
         overdue = self._expected.overdue(now, *node.place)
-        found = {Kind.WITHOUT: overdue} if overdue else {}
-        yield from self._settle(now, name, node, set(found))
-        yield from self._open(now, name, node, found)
+        faults = {FindingKind.WITHOUT_OVERRIDES: overdue} if overdue else {}
+        yield from self._settle(now, name, node, set(faults))
+        yield from self._open(now, name, node, faults)
         yield from self._alert(node)
 
     def _details(self, now: int, event: DetailsReceived) -> Iterator[Action]:
         node = self._nodes.get(event.node)
         if node is None:
             return
-        found = self._expected.compare(now, node.place, node.started_ms, event.acted)
-        if not found:
-            node.differs_since = now  # a change is being delivered
-        node.strange_since = (node.strange_since or now) if Kind.STRANGE in found else None
-        if node.strange_since is not None and now - node.strange_since <= DELIVERY_MS:
-            del found[Kind.STRANGE]  # a new override may reach it before it is published here
-        # A report may have been delayed: a finding needs two in a row.
-        sure = {kind: ids for kind, ids in found.items() if kind in node.suspected}
-        node.suspected = set(found)
-        yield from self._settle(now, event.node, node, set(found))
-        yield from self._open(now, event.node, node, sure)
+        faults = self._expected.compare(now, node.place, node.started_ms, event.acted)
+        if not faults:
+            node.differs_since = now  # The digest differs only because a change is being delivered
+        node.unknown_since = (node.unknown_since or now) if FindingKind.UNKNOWN_OVERRIDE in faults else None
+        if node.unknown_since is not None and now - node.unknown_since <= DELIVERY_MS:
+            # A new override may reach a sidecar before it is published to this reconciler.
+            del faults[FindingKind.UNKNOWN_OVERRIDE]
+        # A report may have been delayed, so a finding is opened only if two details in a row show the fault.
+        confirmed = {kind: ids for kind, ids in faults.items() if kind in node.suspected}
+        node.suspected = set(faults)
+        yield from self._settle(now, event.node, node, set(faults))
+        yield from self._open(now, event.node, node, confirmed)
         yield from self._escalate(now, event.node, node)
 
     # --- findings ---------------------------------------------------------------------------------
 
-    def _open(self, now: int, name: str, node: _Node, found: dict[Kind, tuple[str, ...]]) -> Iterator[Action]:
+    def _open(
+        self, now: int, name: str, node: _Node, found: dict[FindingKind, tuple[str, ...]]
+    ) -> Iterator[Action]:
         for kind, ids in found.items():
             if kind not in node.findings and self._may_open(now):
                 node.findings[kind] = Finding(name, kind, now, ids[:MAX_IDS])
                 yield self._entry(now, EntryKind.FOUND, node.findings[kind])
 
     def _may_open(self, now: int) -> bool:
-        if now - self._opened_since >= 1000:
-            self._opened_since, self._opened = now, 0
+        if now - self._opened_since_ms >= 1000:
+            self._opened_since_ms, self._opened = now, 0
         self._opened += 1
         return self._opened <= MAX_OPENED_PER_S
 
-    def _settle(self, now: int, name: str, node: _Node, still: set[Kind]) -> Iterator[Action]:
-        """Close findings that have ended; with the last of them, end what was done about the node."""
-        for kind in [kind for kind in node.findings if kind not in still]:
+    def _settle(self, now: int, name: str, node: _Node, present: set[FindingKind]) -> Iterator[Action]:
+        """Close the findings whose kinds are not in `present`; after the last one, allow leases again."""
+        for kind in [kind for kind in node.findings if kind not in present]:
             ended = msgspec.structs.replace(node.findings.pop(kind), ended=now)
             yield self._entry(now, EntryKind.SETTLED, ended)
         if not node.findings:
@@ -290,7 +303,7 @@
             node.resends, node.resent_ms, node.denied_ms, node.stage = 0, 0, None, Stage.RESEND
 
     def _escalate(self, now: int, name: str, node: _Node) -> Iterator[Action]:
-        """Resend; if that is not enough, deny the lease; then alert the operator."""
+        """Take the next measure against the findings of a node: resend, deny the lease, or alert."""
         if not node.findings or now - node.resent_ms < RESEND_MS:
             return
         match node.stage:
@@ -303,18 +316,18 @@
                 node.stage = Stage.ALERTED
                 yield from self._alert(node)
                 if not node.findings.keys() & ACTS_PAST_END:
-                    # It lacks an override: without a lease it could not act on it.
+                    # The node lacks an override, and without a lease it could not act on it.
                     node.denied_ms = None
                     yield AllowLease(name)
             case Stage.ALERTED:
-                yield from self._alert(node)  # of further findings
+                yield from self._alert(node)  # Alerts the operator of findings that were opened since
         node.resent_ms = now
         yield Resend(name)
 
     def _alert(self, node: _Node) -> Iterator[Action]:
-        for kind, found in node.findings.items():
-            if not found.alerted:
-                node.findings[kind] = msgspec.structs.replace(found, alerted=True)
+        for kind, finding in node.findings.items():
+            if not finding.alerted:
+                node.findings[kind] = msgspec.structs.replace(finding, alerted=True)
                 yield AlertOperator(node.findings[kind])
 
     def _left(self, now: int, name: str) -> Iterator[Action]:
@@ -323,20 +336,20 @@
             yield from self._settle(now, name, node, set())
 
     def _forget_silent(self, now: int) -> Iterator[Action]:
-        """Forget nodes that have stopped reporting."""
+        """Forget nodes whose last report is older than `FORGET_MS`."""
         for name in list(islice(self._nodes, MAX_CHECKED)):
             if now - self._nodes[name].reported_ms < FORGET_MS:
-                return  # nodes are in the order of their last reports
+                return  # All further nodes have reported later, because of the order of `_nodes`
             yield from self._left(now, name)
 
-    def _entry(self, now: int, kind: EntryKind, found: Finding) -> WriteEntry:
+    def _entry(self, now: int, kind: EntryKind, finding: Finding) -> WriteEntry:
         return self._ring.add(
             Entry(
                 at_ms=now,
                 kind=kind,
-                node=found.node,
-                why=found.kind.value,
+                node=finding.node,
+                why=finding.kind.value,
                 by="reconciler",
-                override={"ids": found.ids} if found.ids else None,
+                override={"ids": finding.ids} if finding.ids else None,
             )
         )
--- a/brassfall/controlplane/overrides/store.py
+++ b/brassfall/controlplane/overrides/store.py
@@ -1,12 +1,12 @@
 """The override store: starts, extends and ends overrides. Pure code.
 
-A change is answered and published only when its row is durable. One write of an id is under way at a time,
-and further calls for the id wait for it: of an extension and an end in the same moment, the one that is
-durable first decides the other, since the extension of an ended override is a new start.
+A change is answered and published only when its row is durable. Only one write of an id is under way at a
+time, and further calls for that id wait for it. If an extension and an end coincide, the one that is durable
+first decides about the other: the extension of an ended override is a new start.
 
-The actions of one step belong into one commit, history entries with the changes that they record. A row has
-the absolute end, which alone decides whether an override is in force: neither a restart nor a late deletion
-gives it more time.
+The actions of one step have to be written in one commit, so that changes and their history entries are
+durable together. A row states the end as a Unix time, which alone decides whether the override is in force:
+neither a restart nor a late deletion extends it.
 """
 
 from __future__ import annotations
@@ -39,11 +39,12 @@
 
 TABLE = "overrides"
 MAX_OVERRIDES = 4096
-MAX_WAITING = 16  # calls for one id that wait for its write
-MAX_EXPIRED = 256  # overrides that one step ends
-PUBLISH_MS = 200  # between two publications
-EXPIRED_MS = 1000  # for which expired overrides are gathered: sidecars end them without a publication
-RETRY_MS = 1000  # from a failed deletion to the next
+MAX_WAITING = 16  # Number of calls for one id that wait for its write
+MAX_EXPIRED = 256  # Number of expired overrides that one step deletes
+PUBLISH_MS = 200  # Least time between two publications
+# Time for which expired overrides are collected for one publication; sidecars end them without it.
+EXPIRED_MS = 1000
+RETRY_MS = 1000  # Time from a failed deletion to the next attempt
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,40 +57,39 @@
 
 
 class OverrideStore:
-    """The overrides of one service, at most `most`. `step` takes Unix ms of a `SteadyClock`."""
+    """The overrides of one service, at most `max_overrides`; `step` takes the Unix ms of a `SteadyClock`."""
 
-    def __init__(self, ring: HistoryRing, most: int = MAX_OVERRIDES) -> None:
+    def __init__(self, ring: HistoryRing, max_overrides: int = MAX_OVERRIDES) -> None:
         self._ring = ring
-        self._most = most
-        self._rows: dict[str, Override] = {}  # the durable ones
-        self._ends: list[
-            tuple[int, str, int]
-        ] = []  # when to end a revision of an id: heap of (Unix ms, id, revision)
-        self._writes: dict[int, _Write] = {}
-        self._writing: set[str] = set()
-        self._waiting: dict[str, deque[Put | End]] = {}
-        self._ticket = 0
+        self._max_overrides = max_overrides
+        self._rows: dict[str, Override] = {}  # Durable overrides by id
+        # Heap of the times in Unix ms at which revisions have to be deleted: (time, id, revision).
+        self._ends: list[tuple[int, str, int]] = []
+        self._writes: dict[int, _Write] = {}  # Writes under way, by ticket
+        self._writing: set[str] = set()  # Ids that have a write under way
+        self._waiting: dict[str, deque[Put | End]] = {}  # Calls that wait for a write of their id
+        self._last_ticket = 0
         self._last_rev = 0
         self._now = 0
         self._publish_at: int | None = None
         self._published_at = -PUBLISH_MS
-        self._mending: list[Entry] = []  # history entries that a torn commit lacks
+        self._missing_entries: list[Entry] = []  # History entries that are missing because of a torn commit
 
     def restore(self, rows: Iterable[tuple[str, Any]], history: Iterable[Any]) -> list[str]:
-        """Restore the rows of an earlier incarnation; return the keys of those that can't be read.
+        """Restore the rows of an earlier incarnation; return the keys of rows that can't be read.
 
-        The newest revision is among the rows or in the history, so that no number is used twice. A row
-        without its entry, or an entry without its row (a commit torn by a kill), is mended with the first
-        step.
+        The newest revision number is either in a row or in the history, so no number is used twice. If a kill
+        tore a commit, a row lacks its history entry or an entry lacks its row: the first step writes entries
+        that correct this.
         """
-        bad = []
+        unreadable = []
         for key, value in rows:
             try:
-                found = msgspec.convert(value, Override)
+                override = msgspec.convert(value, Override)
             except msgspec.ValidationError:
-                bad.append(key)
+                unreadable.append(key)
                 continue
-            self._take(found)
+            self._take(override)
         newest: dict[str, Entry] = {}
         for value in history:
             try:
@@ -99,15 +99,15 @@
             self._last_rev = max(self._last_rev, entry.rev)
             if entry.id:
                 newest[entry.id] = entry
-        self._mending = list(self._torn_commits(newest))
+        self._missing_entries = list(self._torn_commits(newest))
         self._publish_at = 0
-        return bad
+        return unreadable
 
     def step(self, now_ms: int, event: Event) -> list[Action]:
-        """Apply an event; return the actions to carry out, in one commit."""
+        """Apply an event at `now_ms`; return the actions, whose writes have to be made in one commit."""
         now = self._now = max(now_ms, self._now)
-        actions: list[Action] = [self._ring.add(entry) for entry in self._mending]
-        self._mending = []
+        actions: list[Action] = [self._ring.add(entry) for entry in self._missing_entries]
+        self._missing_entries = []
         match event:
             case Put() | End():
                 actions += self._call(now, event)
@@ -122,16 +122,16 @@
         return actions
 
     def active(self, now_ms: int) -> tuple[Override, ...]:
-        """Return the overrides in force, in the order of their ids."""
+        """Return the overrides in force at `now_ms`, sorted by id."""
         return tuple(self._rows[key] for key in sorted(self._rows) if self._rows[key].until_ms > now_ms)
 
     def get(self, override_id: str, now_ms: int) -> Override | None:
-        """Return an override if it is in force."""
-        found = self._rows.get(override_id)
-        return found if found is not None and found.until_ms > now_ms else None
+        """Return the override with this id; None if it is not in force at `now_ms`."""
+        override = self._rows.get(override_id)
+        return override if override is not None and override.until_ms > now_ms else None
 
-    def wake(self) -> int | None:
-        """Return when the next `Tick` is due; None if there is none."""
+    def next_tick_ms(self) -> int | None:
+        """Return the Unix time in ms at which the next `Tick` is needed; None if none is needed."""
         times = [self._ends[0][0]] if self._ends else []
         return min([*times, *([self._publish_at] if self._publish_at is not None else [])], default=None)
 
@@ -151,7 +151,7 @@
         document, row = event.document, self._rows.get(event.id)
         before = row if row is not None and row.until_ms > now else None
         if before is not None and before.document == document:
-            yield Answer(event.call, before)  # the same document changes nothing
+            yield Answer(event.call, before)  # A repeated document changes nothing
             return
         error = self._refusal(now, event, new=row is None)
         if error is not None:
@@ -159,22 +159,23 @@
             return
         if row is not None and before is None:
             yield self._entry(now, EntryKind.EXPIRED, row)
-        made = self._revision(now, event, before)
-        yield from self._write(_Write(event.id, event.call, made))
-        yield self._entry(now, _kind_of_change(before, made), made)
+        revision = self._revision(now, event, before)
+        yield from self._write(_Write(event.id, event.call, revision))
+        yield self._entry(now, _kind_of_change(before, revision), revision)
 
     def _refusal(self, now: int, event: Put, *, new: bool) -> BadOverrideError | TooManyOverridesError | None:
         if event.document.until_ms <= now:
-            what = f"override {event.id!r} is not taken"
-            return BadOverrideError(what, "its end passed while it waited")
-        if new and len(self._rows) + len(self._writes) >= self._most:
-            return TooManyOverridesError(event.id, self._most)
+            summary = f"override {event.id!r} is not taken"
+            return BadOverrideError(summary, "its end passed while it waited")
+        if new and len(self._rows) + len(self._writes) >= self._max_overrides:
+            return TooManyOverridesError(event.id, self._max_overrides)
         return None
 
     def _revision(self, now: int, event: Put, before: Override | None) -> Override:
-        """Return the next revision of an id; `before` is the one in force."""
+        """Return the next revision of an id; `before` is the revision in force, or None."""
         document = event.document
-        rev = max(self._last_rev + 1, now)  # also above those of an incarnation whose disk was lost
+        # A number is at least the Unix time in ms, and so above those of an incarnation whose disk was lost.
+        rev = max(self._last_rev + 1, now)
         same = before is not None and before.content == document.content
         return Override(
             **{name: getattr(document, name) for name in Document.__struct_fields__},
@@ -195,14 +196,14 @@
     # --- writes ---------------------------------------------------------------------------
 
     def _write(self, write: _Write) -> Iterator[Action]:
-        self._ticket += 1
-        self._writes[self._ticket] = write
+        self._last_ticket += 1
+        self._writes[self._last_ticket] = write
         self._writing.add(write.id)
         if write.override is not None:
             self._last_rev = write.override.rev
-            yield WriteRow(self._ticket, write.override)
+            yield WriteRow(self._last_ticket, write.override)
         else:
-            yield DeleteRow(self._ticket, write.id)
+            yield DeleteRow(self._last_ticket, write.id)
 
     def _written(self, now: int, event: RowWritten) -> Iterator[Action]:
         write = self._writes.pop(event.ticket, None)
@@ -233,10 +234,10 @@
             self._publish_by(max(now, self._published_at + PUBLISH_MS))
             yield Answer(write.call, write.override or before)
 
-    def _take(self, found: Override) -> None:
-        self._rows[found.id] = found
-        self._last_rev = max(self._last_rev, found.rev)
-        heapq.heappush(self._ends, (found.until_ms, found.id, found.rev))
+    def _take(self, override: Override) -> None:
+        self._rows[override.id] = override
+        self._last_rev = max(self._last_rev, override.rev)
+        heapq.heappush(self._ends, (override.until_ms, override.id, override.rev))
 
     # --- time -----------------------------------------------------------------------------
 
@@ -245,30 +246,32 @@
             if not self._ends or self._ends[0][0] > now:
                 return
             _, key, rev = heapq.heappop(self._ends)
-            found = self._rows.get(key)
-            if found is None or found.rev != rev:
+            override = self._rows.get(key)
+            if override is None or override.rev != rev:
                 continue
             self._publish_by(now + EXPIRED_MS)
             if key in self._writing:
-                # An extension or an end is being written: the end is checked after that.
+                # An extension or a deletion of this override is being written: expiry is checked again later.
                 heapq.heappush(self._ends, (now + PUBLISH_MS, key, rev))
                 continue
             yield from self._write(_Write(key, None, None))
-            yield self._entry(now, EntryKind.EXPIRED, found)
+            yield self._entry(now, EntryKind.EXPIRED, override)
 
     def _publish_by(self, at: int) -> None:
         self._publish_at = at if self._publish_at is None else min(at, self._publish_at)
 
     # --- history --------------------------------------------------------------------------
 
-    def _entry(self, now: int, kind: EntryKind, found: Override, by: str = "", why: str = "") -> WriteEntry:
-        return self._ring.add(_entry_of(now, kind, found, by, why))
+    def _entry(
+        self, now: int, kind: EntryKind, override: Override, by: str = "", why: str = ""
+    ) -> WriteEntry:
+        return self._ring.add(_entry_of(now, kind, override, by, why))
 
     def _torn_commits(self, newest: dict[str, Entry]) -> Iterator[Entry]:
-        for key, found in self._rows.items():
+        for key, override in self._rows.items():
             entry = newest.get(key)
-            if entry is None or entry.rev < found.rev or entry.kind == EntryKind.ENDED:
-                yield _entry_of(found.from_ms, EntryKind.STARTED, found)
+            if entry is None or entry.rev < override.rev or entry.kind == EntryKind.ENDED:
+                yield _entry_of(override.from_ms, EntryKind.STARTED, override)
         for key, entry in newest.items():
             row = self._rows.get(key)
             if row is None and entry.kind not in (EntryKind.ENDED, EntryKind.EXPIRED):
@@ -281,23 +284,23 @@
                 )
 
 
-def _entry_of(now: int, kind: EntryKind, found: Override, by: str = "", why: str = "") -> Entry:
+def _entry_of(now: int, kind: EntryKind, override: Override, by: str = "", why: str = "") -> Entry:
     expired = kind is EntryKind.EXPIRED
     return Entry(
         at_ms=now,
         kind=kind,
-        id=found.id,
-        rev=found.rev,
-        by=by or ("" if expired else found.by),
-        why=why or ("" if expired else found.why),
-        override=None if kind in (EntryKind.ENDED, EntryKind.EXPIRED) else msgspec.to_builtins(found),
+        id=override.id,
+        rev=override.rev,
+        by=by or ("" if expired else override.by),
+        why=why or ("" if expired else override.why),
+        override=None if kind in (EntryKind.ENDED, EntryKind.EXPIRED) else msgspec.to_builtins(override),
     )
 
 
-def _kind_of_change(before: Override | None, made: Override) -> EntryKind:
-    """Return the kind of a revision that follows another, or none."""
+def _kind_of_change(before: Override | None, after: Override) -> EntryKind:
+    """Return the kind of history entry for the revision `after`; `before` is the one in force, or None."""
     if before is None:
         return EntryKind.STARTED
-    if before.content != made.content or before.until_ms == made.until_ms:
+    if before.content != after.content or before.until_ms == after.until_ms:
         return EntryKind.CHANGED
-    return EntryKind.EXTENDED if made.until_ms > before.until_ms else EntryKind.SHORTENED
+    return EntryKind.EXTENDED if after.until_ms > before.until_ms else EntryKind.SHORTENED
--- a/brassfall/controlplane/revisions/authority.py
+++ b/brassfall/controlplane/revisions/authority.py
@@ -1,8 +1,8 @@
-"""The right of this service to grant leases and decide on revisions. Pure code.
+"""The right of this service to grant leases and to decide on revisions. Pure code.
 
-A second service may run on a copy of the disk. A service grants only while more than half of the members
-follow it, each member follows one service at a time, and a majority counts only after the epoch wait: by then
-all leases that another service granted have ended.
+A second service may run by mistake on a copy of the disk. A service therefore grants leases only while more
+than half of the members follow it, and each member follows one service at a time. A majority counts only
+after the epoch wait (`LeaseTiming.epoch_wait_ms`): by then all leases of another service have ended.
 """
 
 from __future__ import annotations
@@ -15,58 +15,66 @@
 from brassfall.controlplane.revisions.state import DurableState
 from brassfall.controlplane.revisions.timing import LeaseTiming
 
-COUNT_VALID_MS = 100.0  # for which a count of the members is used; its cost grows with the nodes
+# Time for which a count of the members is reused: the cost of a count grows with the number of nodes.
+COUNT_VALID_MS = 100.0
 
 
-class _Count(NamedTuple):
-    """A refusal, or None, as of a count of the members."""
+class _CountedRefusal(NamedTuple):
+    """The refusal that a count of the members at `counted_ms` led to; None if leases may be granted."""
 
     counted_ms: float
     refusal: LeaseRefusal | None
 
 
-_NEVER = _Count(-math.inf, None)
+_NOT_COUNTED = _CountedRefusal(-math.inf, None)
 
 
 class GrantAuthority:
-    """The right of one epoch to grant; None in place of a refusal means that it may."""
+    """The right of one epoch of the service to grant leases.
+
+    Its methods return the reason against it as a `LeaseRefusal`, or None if the service may grant. All times
+    are ms of one monotonic clock.
+    """
 
     def __init__(self, timing: LeaseTiming, started_ms: float, membership: Membership) -> None:
-        """Begin an epoch at `started_ms`, on the monotonic clock of all times here."""
+        """Begin an epoch at `started_ms`."""
         self.timing = timing
         self.started_ms = started_ms
         self.membership = membership
-        self._refusal = _NEVER
-        self._rival = _NEVER
+        self._cached_refusal = _NOT_COUNTED
+        self._cached_rival = _NOT_COUNTED
 
     def refusal(self, now: float, state: DurableState) -> LeaseRefusal | None:
-        """Return why no node can get a lease, as of the last count."""
-        if now - self._refusal.counted_ms > COUNT_VALID_MS:
-            self._refusal = _Count(now, self._current_refusal(now, state))
-        return self._refusal.refusal
+        """Return why no node can get a lease; the result may be up to `COUNT_VALID_MS` old."""
+        if now - self._cached_refusal.counted_ms > COUNT_VALID_MS:
+            self._cached_refusal = _CountedRefusal(now, self._current_refusal(now, state))
+        return self._cached_refusal.refusal
 
-    def recount(self) -> None:
-        """Count anew at the next `refusal`, since the state has changed."""
-        self._refusal = _NEVER
+    def discard_count(self) -> None:
+        """Make the next call of `refusal` count again, because the durable state has changed."""
+        self._cached_refusal = _NOT_COUNTED
 
     def cached_rival_refusal(self, now: float) -> LeaseRefusal | None:
-        """Return `rival_refusal` as of the last count."""
-        if now - self._rival.counted_ms > COUNT_VALID_MS:
-            self._rival = _Count(now, self.rival_refusal(now))
-        return self._rival.refusal
+        """Return the result of `rival_refusal`, which may be up to `COUNT_VALID_MS` old."""
+        if now - self._cached_rival.counted_ms > COUNT_VALID_MS:
+            self._cached_rival = _CountedRefusal(now, self.rival_refusal(now))
+        return self._cached_rival.refusal
 
     def _current_refusal(self, now: float, state: DurableState) -> LeaseRefusal | None:
-        ahead, known = self.membership.count_ahead(state.newest), len(self.membership.nodes)
-        if 2 * ahead > known:
-            return LeaseRefusal(RefusalReason.DISK_BEHIND, f"{ahead} of {known}")
+        nodes_ahead, known_nodes = self.membership.count_ahead(state.newest), len(self.membership.nodes)
+        if 2 * nodes_ahead > known_nodes:
+            return LeaseRefusal(RefusalReason.DISK_BEHIND, f"{nodes_ahead} of {known_nodes}")
         return self.rival_refusal(now)
 
     def rival_refusal(self, now: float) -> LeaseRefusal | None:
-        """Return why another service, or an earlier epoch of this one, may be the one that grants."""
+        """Return a refusal while leases of another service, or of an earlier epoch, may not have ended."""
         if now - self.started_ms < self.timing.expiry_bound_ms:
             return LeaseRefusal(RefusalReason.EARLIER_EPOCH)
-        wait, fresh = self.timing.epoch_wait_ms + COUNT_VALID_MS, self.timing.expiry_bound_ms
-        following, members = self.membership.count_following(now, wait, fresh), len(self.membership.names)
+        wait_ms, max_report_age_ms = self.timing.epoch_wait_ms + COUNT_VALID_MS, self.timing.expiry_bound_ms
+        following, members = (
+            self.membership.count_following(now, wait_ms, max_report_age_ms),
+            len(self.membership.names),
+        )
         if members and 2 * following <= members:
             return LeaseRefusal(RefusalReason.NO_MAJORITY, f"{following} of {members}")
         return None
--- a/brassfall/controlplane/revisions/coordinator.py
+++ b/brassfall/controlplane/revisions/coordinator.py
@@ -1,18 +1,20 @@
 """The coordinator of configuration revisions: `step(now, event) -> actions`, without a clock or a disk.
 
-A revision is *prepared* (durable, and sent to all nodes), then *committed* once each process that may act on
-the revision before has acknowledged it or has no lease any more. No process acts on a revision without a
-lease, which it counts on its own clock from when it sent its report. Hence, with P the length of a lease and
-clocks whose rates are within `drift` of true time:
-
-- After a commit no lease on the revision before is granted, so all of those end within P / (1 - drift).
-- A process that has acknowledged the next revision acts, for exclusive keys, on what is common to both; one
-  that has not has no lease when the commit is decided, and acts on the fallback configuration. So no two
-  processes act on two values of such a key.
+A revision is first *prepared*: it is durable and sent to all nodes. It is *committed* once each process that
+may act on the previous revision has acknowledged the new one or has no lease any more. No process acts on a
+revision without a lease, which it counts on its own clock from when it sent its report. With P the length of
+a lease, and clocks whose rates are within `drift` of true time, this follows:
+
+- After a commit no lease on the previous revision is granted, so all such leases end within P / (1 - drift).
+- A process that has acknowledged the next revision acts, for exclusive keys, only on what both revisions have
+  in common. A process that has not acknowledged it has no lease when the commit is decided, and acts on the
+  fallback configuration. So no two processes act on two values of an exclusive key.
 - A second service on a copy of the disk can commit or grant only with more than half of the members, each of
-  which follows one service at a time; it first waits until all leases that the other granted have ended.
+  which follows one service at a time. It first waits until all leases that the other service granted have
+  ended.
 
-A decision becomes durable before it has any effect: `Persist` asks for that, `Persisted` confirms it.
+A decision is made durable before it has any effect: the action `Persist` requests the write, and the event
+`Persisted` confirms it.
 """
 
 from __future__ import annotations
@@ -50,15 +52,18 @@
 from brassfall.controlplane.revisions.state import DurableState, RevisionOutcome, RevisionState
 from brassfall.controlplane.revisions.timing import LeaseTiming
 
-CHILDREN_SPANS = 2.0  # lease expiry bounds after which every child has acknowledged or has no lease
-CHECK_INTERVAL_MS = 0.01  # for each node, between two checks whether all have acknowledged
-MAX_OUTCOMES = 256
-EPOCH_STEPS = 2**20  # by at most so many an epoch is raised
+# Time after which every child of an aggregator has acknowledged a revision or has no lease, as a multiple of
+# `LeaseTiming.expiry_bound_ms`.
+CHILDREN_SPANS = 2.0
+# Least time between two checks whether all processes have acknowledged, in ms for each node of the fleet.
+CHECK_INTERVAL_MS = 0.01
+MAX_OUTCOMES = 256  # Number of decided revisions whose outcome is kept
+EPOCH_STEPS = 2**20  # Largest number by which one step raises the epoch
 
 
 @dataclass(frozen=True, slots=True)
 class _Departure:
-    """A process that has reported that it is leaving."""
+    """The last report of a process that is leaving: when it arrived, and the id of the process."""
 
     at_ms: float
     process_id: str
@@ -66,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Write:
-    """A state that is being made durable, and the answers to send once it is."""
+    """A state that is being made durable, and the answers that are sent once it is durable."""
 
     state: DurableState
     answers: list[Published]
@@ -75,11 +80,11 @@
 class RevisionCoordinator:
     """The state machine of one epoch of the service.
 
-    `state` is durable; `blocked` has the names that get no lease, with reasons, and may be changed by the
-    host at any time.
+    `state` is the durable state. `blocked` maps the names of nodes that get no lease to the reasons; the host
+    of the coordinator may change it at any time.
     """
 
-    def __init__(  # noqa: PLR0913 - the parts that it joins, by keyword
+    def __init__(  # noqa: PLR0913 - the parts that the coordinator joins, most of them by keyword
         self,
         timing: LeaseTiming,
         started_ms: float,
@@ -90,28 +95,29 @@
         authority: GrantAuthority | None = None,
         blocked: Mapping[str, str] | None = None,
     ) -> None:
-        """Begin an epoch at `started_ms`, on the clock that `step` is given."""
+        """Begin an epoch at `started_ms`, in ms of the monotonic clock that `step` is given."""
         self.timing = timing
         self.state = state
         self.membership = membership
         self.leases = leases if leases is not None else NodeLeases()
         self.authority = authority or GrantAuthority(timing, started_ms, membership)
         self.blocked: Mapping[str, str] = blocked if blocked is not None else {}
-        self.objections: dict[str, Objection] = {}  # to the pending revision, by sidecar
-        self.outcomes: dict[int, RevisionOutcome] = {}  # of the last revisions, by number
+        self.objections: dict[str, Objection] = {}  # Objections to the pending revision, by sidecar
+        self.outcomes: dict[int, RevisionOutcome] = {}  # Outcomes of the last revisions, by revision number
         self._drafts: list[Publish] = []
         self._write: _Write | None = None
         self._departures: dict[str, _Departure] = {}
-        # Revisions committed before the present one, while leases on them may run.
+        # Revisions that were committed before the present one, by number, while leases on them may run.
         self._superseded: dict[int, Revision] = {}
-        # Since when aggregators grant no child a lease that has not acknowledged the pending revision.
+        # For each aggregator process, the time since when it grants leases only to children that have
+        # acknowledged the pending revision.
         self._acknowledged_since: dict[ProcessKey, float] = {}
         self._epoch_checked_ms = -math.inf
-        self._next_check_ms = -math.inf  # of whether all have acknowledged
-        self._own_epoch = 0  # that this run has raised the epoch to; 0: not raised
+        self._next_check_ms = -math.inf  # Earliest time of the next check whether all have acknowledged
+        self._own_epoch = 0  # Epoch that this coordinator raised the stored one to; 0 if it has not raised it
 
     def step(self, now: float, event: Event) -> list[Action]:
-        """Apply an event at `now`, in monotonic ms; return what the host has to do, in this order."""
+        """Apply an event at `now`, in monotonic ms; return the actions of the host, in their order."""
         match event:
             case ReportReceived():
                 return [*self._receive_report(now, event), *self._decide(now)]
@@ -131,26 +137,27 @@
 
     @property
     def epoch(self) -> int:
-        """The epoch that answers and the lines of watches name."""
+        """The epoch that the service states in its answers and in the lines of its watches."""
         return self.membership.epoch
 
     def grant_refusal(self, now: float) -> LeaseRefusal | None:
-        """Return why no node can get a lease at this time; None if this service may grant leases."""
+        """Return why no node can get a lease at `now`; None if this service may grant leases."""
         return self.authority.refusal(now, self.state)
 
     @property
     def departing(self) -> list[str]:
-        """The names whose process is leaving, and that are removed unless another process follows."""
+        """The names of nodes whose process is leaving; a name stays a member if another process reports."""
         return list(self._departures)
 
     def member_added(self, name: str) -> None:
-        """Add a member whose `PersistMember` is durable."""
+        """Count a node as a member; the host calls this once the row of a `PersistMember` is durable."""
         self.membership.names.add(name)
 
     def actable_revisions(self, now: float) -> list[Revision]:
-        """Return all revisions that a process may act on now, or soon.
+        """Return all revisions that a process may act on at `now` or later.
 
-        These are superseded ones on which leases may run, the committed, the pending and the waiting one.
+        These are the committed, the pending and the waiting revision, and superseded revisions on which
+        leases may still run.
         """
         leased = {lease.revision for lease in self.leases.active(now).values()}
         self._superseded = {
@@ -180,15 +187,18 @@
         return [*self._enroll(now, name), self._answer(event, refusal)]
 
     def _note_departure(self, now: float, event: ReportReceived) -> None:
-        """Release the lease; the name stays a member for a while, since another process usually follows."""
+        """Release the lease of a leaving process.
+
+        The name stays a member for the epoch wait, because another process of the node usually starts.
+        """
         name, process_id = event.name, event.report.process_id
         self.leases.release(name, process_id)
         if name in self.membership.names or name in self.membership.nodes:
             self._departures[name] = _Departure(now, process_id)
 
     def _note_objections(self, event: ReportReceived) -> None:
-        own = {event.name: event.report.objection} if event.report.objection is not None else {}
-        for name, objection in (own | dict(event.objections)).items():
+        own_objection = {event.name: event.report.objection} if event.report.objection is not None else {}
+        for name, objection in (own_objection | dict(event.objections)).items():
             if self.state.pending is not None and objection.revision == self.state.pending.number:
                 self.objections[name] = objection
 
@@ -202,17 +212,17 @@
         )
 
     def _refusal(self, now: float, event: ReportReceived) -> LeaseRefusal | None:
-        """Return why this node gets no lease; None if it gets one."""
+        """Return why the node of a report gets no lease; None if it gets one."""
         refusal = self.grant_refusal(now)
         if refusal is not None:
             return refusal
-        blocked = self.blocked.get(event.name, "")
-        if blocked:
-            return LeaseRefusal(RefusalReason.BLOCKED, blocked)
+        blocked_reason = self.blocked.get(event.name, "")
+        if blocked_reason:
+            return LeaseRefusal(RefusalReason.BLOCKED, blocked_reason)
         objection = event.report.objection
         if objection is not None and objection.revision == self.state.committed.number:
             return LeaseRefusal(RefusalReason.OBJECTS, objection.reason)
-        # A revision that is objected to will be halted: no node needs to acknowledge it.
+        # A revision with an objection will be halted, so no node needs to acknowledge it.
         if self.state.pending is None or self.objections:
             return None
         return self._acknowledgement_refusal(now, event, self.state.pending.number)
@@ -220,9 +230,10 @@
     def _acknowledgement_refusal(
         self, now: float, event: ReportReceived, pending: int
     ) -> LeaseRefusal | None:
-        """Return why this node's acknowledgements don't allow a lease; None if they do.
+        """Return why the acknowledgements in a report don't allow a lease; None if they do.
 
-        The lease that it has ends by itself, so a node delays a revision for no longer than that lasts.
+        A node that does not acknowledge gets no new lease, and its present lease ends by itself: the node
+        delays the pending revision at most until then.
         """
         report = event.report
         acknowledged = report.prepared if report.acknowledged is None else report.acknowledged
@@ -237,11 +248,12 @@
     # --- members -------------------------------------------------------------------------
 
     def _enroll(self, now: float, name: str) -> list[Action]:
-        """Make a node a member, if that is due.
+        """Return the action that makes a node a member, if it has to become one now.
 
-        Once a revision is committed, only the service that grants leases adds members: otherwise newcomers
-        that know another service alone would be its majority. Each has to have followed this epoch for the
-        epoch wait, so that many newcomers at once do not cost the service its majority.
+        Once a revision is committed, only a service that may grant leases adds members: otherwise new nodes
+        that report to a second service alone would be a majority for that service. Each new node has to have
+        followed this epoch for the epoch wait, so that many new nodes at once do not cost the service its
+        majority.
         """
         names = self.membership.names
         if name in names:
@@ -252,10 +264,10 @@
         return [PersistMember(name)] if first or (due and not self.grant_refusal(now)) else []
 
     def _remove_departed(self, now: float) -> list[Action]:
-        """Remove one member whose process has left and was not followed by another.
+        """Remove one member whose process has left, and of which no other process has reported since.
 
-        Only the service that grants leases removes members: another could make itself the majority of those
-        that remain.
+        Only a service that may grant leases removes members: otherwise a second service could remove members
+        until the nodes that follow it are the majority of the rest.
         """
         for name, departure in list(self._departures.items()):
             node = self.membership.nodes.get(name)
@@ -289,7 +301,10 @@
         return actions
 
     def _take_drafts(self) -> tuple[list[Action], list[Published], DurableState]:
-        """Return refusals of drafts, which need no write, answers to the others, and the state with those."""
+        """Take the drafts that wait; return refusals, answers, and the state with the accepted drafts.
+
+        The refusals need no write. The answers are valid once the state is durable.
+        """
         refusals: list[Action] = []
         answers: list[Published] = []
         state = self.state
@@ -313,18 +328,19 @@
         return state
 
     def _with_valid_epoch(self, now: float, state: DurableState) -> DurableState:
-        """Raise the epoch above those that sidecars follow, if that is due.
+        """Return the state with an epoch above those that sidecars follow, if the epoch has to be raised.
 
-        A lost disk, or a second service whose clock was ahead, leaves sidecars that follow a later epoch, for
-        as long as clocks differ. Once more than half have reported here alone for the epoch wait, no other
-        service has a majority; this one then waits for its own.
+        After a lost disk, or after a second service whose clock was ahead, sidecars follow a later epoch than
+        this service's, for as long as clocks differ. Once more than half of the nodes have reported to this
+        service alone for the epoch wait, no other service has a majority: this service then raises its epoch
+        and waits for a majority of its own.
         """
-        # The low bits of an epoch are random: two services on one copy do not raise it to the same number.
+        # The low bits of an epoch are random, so two services on copies of one disk choose different steps.
         step = 1 + self.epoch % EPOCH_STEPS
         later = self._later_epoch(now)
         if later:
             return transitions.with_later_epoch(state, max(later, state.epoch) + step)
-        # An epoch that an earlier run raised it to is never used by this one.
+        # If an earlier process raised the epoch, this one raises it again: no two processes use one epoch.
         raised_before = state.epoch >= self.epoch and state.epoch != self._own_epoch
         return msgspec.structs.replace(state, epoch=state.epoch + step) if raised_before else state
 
@@ -336,12 +352,12 @@
         return self.membership.later_epoch_of_majority(now, timing.epoch_wait_ms, timing.expiry_bound_ms)
 
     def _decide_pending(self, now: float, state: DurableState) -> DurableState:
-        """Halt or commit the pending revision, if that is due."""
+        """Return the state in which the pending revision is halted or committed, if that can be decided."""
         if state.pending is None:
             return state
         if self.objections:
             if self.authority.cached_rival_refusal(now):
-                return state  # another service may be the one that decides, without these objections
+                return state  # Another service may hold the majority, and may not know of the objections
             reasons = {name: objection.reason for name, objection in sorted(self.objections.items())}
             return transitions.with_pending_halted(state, reasons)
         if self._all_acknowledged(now, state.pending.number):
@@ -349,10 +365,13 @@
         return state
 
     def _all_acknowledged(self, now: float, number: int) -> bool:
-        """Return whether each process that may act on an earlier revision has acknowledged this one."""
+        """Return whether each process that may act on an earlier revision has acknowledged revision `number`.
+
+        The result is False, too, if the last check was too short a time ago.
+        """
         if now < self._next_check_ms:
             return False
-        # The cost of a check grows with the nodes: reports that come close together are checked together.
+        # The cost of a check grows with the number of nodes: one check covers reports that arrive together.
         self._next_check_ms = now + CHECK_INTERVAL_MS * len(self.membership.nodes)
         if self.authority.rival_refusal(now):
             return False
@@ -364,22 +383,22 @@
         if self._write is None:
             return []
         write, self._write = self._write, None
-        before, self.state = self.state, write.state
+        previous, self.state = self.state, write.state
         state = self.state
-        if state.epoch > before.epoch:
+        if state.epoch > previous.epoch:
             self.membership.epoch = self._own_epoch = state.epoch
-        if state.pending != before.pending:
+        if state.pending != previous.pending:
             self.objections, self._acknowledged_since = {}, {}
-        if state.committed.number != before.committed.number:
+        if state.committed.number != previous.committed.number:
             self._note_outcome(state.committed.number, RevisionOutcome(RevisionState.COMMITTED))
-            self._superseded[before.committed.number] = before.committed
-        if state.halted is not None and state.halted != before.halted:
+            self._superseded[previous.committed.number] = previous.committed
+        if state.halted is not None and state.halted != previous.halted:
             self._note_outcome(state.halted.revision.number, RevisionOutcome(RevisionState.HALTED))
-        self.authority.recount()
+        self.authority.discard_count()
         return [*write.answers, NotifyWatches()]
 
     def _persist_failed(self) -> list[Action]:
-        """Answer the publishers whose drafts were to be written; the state is as before."""
+        """Tell the publishers whose drafts were in the failed write; the state does not change."""
         write, self._write = self._write, None
         answers = write.answers if write is not None else []
         return [PublishFailed(answer.ticket) for answer in answers]
--- a/brassfall/controlplane/revisions/document.py
+++ b/brassfall/controlplane/revisions/document.py
@@ -1,10 +1,14 @@
 """The content of a configuration revision: its layers, and the keys of its settings.
 
-Every key of the settings is declared here. Two values of an *exclusive* key do harm at the same time (which
-region serves a tenant, which regions are held); the sum over all sidecars of an *additive* key must not be
-exceeded; two values of a *free* key may be acted on at the same time. An undeclared key counts as exclusive,
-and a sidecar that does not know it objects. Sidecars have the same table in `sidecar/agent/rules.py`; a test
-compares the two.
+Every key of the settings is declared here as one of three kinds:
+
+- *exclusive*: it does harm if two sidecars act on two values at the same time, for example on two regions
+  that serve one tenant;
+- *additive*: its value is a limit on the sum over all sidecars;
+- *free*: sidecars may act on different values at the same time.
+
+An undeclared key counts as exclusive, and a sidecar that does not know a key objects to the revision. The
+sidecars have the same table in `sidecar/agent/rules.py`; a test compares the two.
 """
 
 from __future__ import annotations
@@ -27,19 +31,19 @@
 
 
 KEYS: Mapping[str, KeyKind] = {
-    "Profiles": KeyKind.FREE,  # rows by `Name`: the amounts of classes, as in a sidecar's settings
-    "PolicyLimits": KeyKind.FREE,  # attempts, waits: as in a sidecar's settings
-    "shares": KeyKind.FREE,  # {GROUP: {REGION: share}}
-    "caps": KeyKind.ADDITIVE,  # {CLASS: requests a second of the whole fleet}
-    "regions": KeyKind.EXCLUSIVE,  # {"held": [REGION, ...]}
-    "tenants": KeyKind.EXCLUSIVE,  # {TENANT: the one REGION that serves it}
+    "Profiles": KeyKind.FREE,  # Profiles of request classes by `Name`, in the form of a sidecar's settings
+    "PolicyLimits": KeyKind.FREE,  # Limits on attempts and waits, in the form of a sidecar's settings
+    "shares": KeyKind.FREE,  # Share of requests by group and region: {GROUP: {REGION: share}}
+    "caps": KeyKind.ADDITIVE,  # Cap of a request class, in requests/s of the whole fleet: {CLASS: rate}
+    "regions": KeyKind.EXCLUSIVE,  # Regions that get no requests: {"held": [REGION, ...]}
+    "tenants": KeyKind.EXCLUSIVE,  # The one region that serves a tenant: {TENANT: REGION}
     "affinity": KeyKind.EXCLUSIVE,
-    "floor": KeyKind.FREE,  # the fallback configuration's exclusive keys, for sidecars without a lease
+    "floor": KeyKind.FREE,  # Exclusive keys of the fallback configuration, for sidecars without a lease
 }
 
 
 def kind_of(key: str) -> KeyKind:
-    """Return the declared kind of a key; the strictest one if it is not declared."""
+    """Return the declared kind of a settings key; an undeclared key is exclusive, the strictest kind."""
     return KEYS.get(key, KeyKind.EXCLUSIVE)
 
 
@@ -49,18 +53,18 @@
     omit_defaults=True,
     rename={"epoch": "life", "plan_revision": "plan_edition"},
 ):
-    """One immutable, numbered configuration; number 0 stands for each sidecar's own file.
+    """One immutable, numbered configuration; number 0 stands for the settings file of each sidecar.
 
-    It is stored under the names that `rename` gives.
+    `rename` gives the names of fields that have another name in stored data and on the wire.
     """
 
     number: int = 0
-    epoch: int = 0  # of the service that numbered it
-    follows: int = 0  # the number of the newest revision before it
-    list_index: int = 0  # of the list of servers, when it was published
+    epoch: int = 0  # Epoch of the service that numbered this revision
+    follows: int = 0  # Number of the newest revision at the time of publication
+    list_index: int = 0  # Index of the list of servers at the time of publication
     settings: dict[str, Any] = {}
     plan: dict[str, Any] | None = None
-    plan_revision: int = 0  # the revision that stated the plan, whose age counts from there
+    plan_revision: int = 0  # Number of the revision that stated the plan: the age of the plan counts from it
     overrides: list[dict[str, Any]] = []
-    forced: bool = False  # published although it is harmful
-    layers: list[str] = []  # the layers that it states itself; the others are from the revision before
+    forced: bool = False  # True if it was published although the check for harm refused it
+    layers: list[str] = []  # Layers that its publisher stated; the others are those of the revision before
--- a/brassfall/controlplane/revisions/messages.py
+++ b/brassfall/controlplane/revisions/messages.py
@@ -1,7 +1,7 @@
 """The events that the coordinator is given, and the actions that its host has to carry out.
 
-Each event that has an answer carries a `ticket`, a number chosen by the host that comes back with the answer.
-Events have no times: `RevisionCoordinator.step` is given the time.
+Each event that has an answer carries a `ticket`: a number that the host chooses and that the answer repeats.
+Events carry no time, because `RevisionCoordinator.step` gets the time as an argument.
 """
 
 from __future__ import annotations
@@ -33,14 +33,14 @@
 class Publish:
     """A draft of a revision, answered by `Published`, `PublishConflict` or `PublishFailed`.
 
-    Layers that are None stay as they are in the newest revision.
+    A layer (`settings`, `plan` or `overrides`) that is None stays as it is in the newest revision.
     """
 
     ticket: int
     settings: dict[str, Any] | None = None
     plan: dict[str, Any] | None = None
     overrides: list[dict[str, Any]] | None = None
-    if_match: int | None = None  # the number that has to be the newest
+    if_match: int | None = None  # Revision number that has to be the newest, or the draft is refused
     list_index: int = 0
     forced: bool = False
     request_id: str = ""
@@ -48,10 +48,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportReceived:
-    """A report, answered by `LeaseAnswer`: of a sidecar, or of an aggregator for itself and its children.
+    """A report of a sidecar, or of an aggregator for itself and its children; answered by `LeaseAnswer`.
 
-    `objections` are those of an aggregator's children, by sidecar; none of them costs the aggregator its
-    lease.
+    `objections` has the objections of an aggregator's children, by sidecar. The aggregator gets a lease in
+    spite of them.
     """
 
     ticket: int
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RemoveMember:
-    """A node is removed, by an operator or after a long silence."""
+    """A node is to be removed, because an operator wants it or because it has long sent no report."""
 
     name: str
 
@@ -90,16 +90,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Persist:
-    """Make a state durable; nothing else is decided before `Persisted` or `PersistFailed` follows."""
+    """Make a state durable; until `Persisted` or `PersistFailed` follows, the coordinator decides nothing."""
 
     state: DurableState
 
 
 @dataclass(frozen=True, slots=True)
 class PersistMember:
-    """Add a name to the durable membership, or remove it.
+    """Add a name to the durable membership, or remove it if `member` is False.
 
-    `RevisionCoordinator.member_added` has to be called once an addition is durable.
+    The host has to call `RevisionCoordinator.member_added` once an addition is durable.
     """
 
     name: str
@@ -108,7 +108,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Published:
-    """The answer to `Publish`: the revision's number, once that is durable."""
+    """The answer to a `Publish` that succeeded: the number of the revision, which is durable by then."""
 
     ticket: int
     revision: int
@@ -116,7 +116,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PublishConflict:
-    """The answer to `Publish` whose `if_match` is not the newest revision."""
+    """The answer to a `Publish` whose `if_match` is not the newest revision, with the newest number."""
 
     ticket: int
     newest: int
@@ -124,17 +124,17 @@
 
 @dataclass(frozen=True, slots=True)
 class PublishFailed:
-    """The answer to `Publish` if the write failed."""
+    """The answer to a `Publish` whose revision could not be made durable."""
 
     ticket: int
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseAnswer:
-    """The answer to a report: the committed revision, and a lease on it.
+    """The answer to a report: the number of the committed revision, and a lease on it.
 
-    `lease_ms` counts from when the node sent its report, on its clock; it is 0 with a refusal. `pending` is
-    the number of the pending revision, or 0.
+    The node counts `lease_ms` on its own clock, from when it sent the report; 0 means that it gets no lease.
+    `pending` is the number of the pending revision, or 0.
     """
 
     ticket: int
@@ -145,13 +145,13 @@
 
     @property
     def why(self) -> str:
-        """The refusal's text on the wire; empty with a lease."""
+        """The text of the refusal on the wire; empty if a lease is granted."""
         return refusal_text(self.refusal)
 
 
 @dataclass(frozen=True, slots=True)
 class NotifyWatches:
-    """Send the new state to all watches."""
+    """Send the present state of the revisions to all watches."""
 
 
 Action = Persist | PersistMember | Published | PublishConflict | PublishFailed | LeaseAnswer | NotifyWatches
--- a/brassfall/controlplane/revisions/reports.py
+++ b/brassfall/controlplane/revisions/reports.py
@@ -1,4 +1,4 @@
-"""The reports of nodes, as they are read from the wire. Pure code."""
+"""The reports of nodes, and their parser. Pure code."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 from brassfall.errors import RequestError
 
-MAX_NUMBER = 2**53  # what JSON readers keep exact
+MAX_NUMBER = 2**53  # Bound on numbers in reports: JSON readers keep smaller integers exact
 MAX_AGE_MS = 1e12
-MAX_TEXT = 64  # characters of ids and places
-MAX_REASON = 2000  # characters of an objection
-MAX_OVERRIDES = 1000
-UNREADABLE = "no report"  # in errors
-FALLBACK = "safe"  # `acting` of a node that acts on the fallback configuration
-# Wire fields that a delta to the last report on its connection may leave out.
+MAX_TEXT = 64  # Length of an id, group or region, in characters
+MAX_REASON = 2000  # Length of the reason of an objection, in characters
+MAX_OVERRIDES = 1000  # Number of overrides that one report may list
+UNREADABLE = "no report"  # Summary of the error for a report that can't be read
+FALLBACK = "safe"  # Value of `acting` for a node that acts on the fallback configuration
+# Wire names of the fields that a delta takes from the previous report on its connection.
 CARRIED_FIELDS = frozenset(
     (
         *("life", "of", "held", "prepared", "acting", "list_index", "list_age_ms"),
@@ -24,19 +24,19 @@
     )
 )
 
-NUMBER_FIELDS = ("seq", "of", "held", "prepared", "list_index", "told")  # by their names on the wire
+NUMBER_FIELDS = ("seq", "of", "held", "prepared", "list_index", "told")  # Wire names of the integer fields
 
-RawReport = dict[str, Any]  # by wire field
+RawReport = dict[str, Any]  # The fields of a report by their wire names
 
 
 class ReportError(RequestError):
-    """A malformed report."""
+    """A malformed report of a node."""
 
-    action = "See which version of the program runs there; the report is dropped, its lease runs out."
+    action = "See which version of the program the node runs; the report is dropped, and its lease expires."
 
 
 class Objection(msgspec.Struct, frozen=True, rename={"revision": "edition"}):
-    """Why a sidecar can't act on a revision."""
+    """The reason why a sidecar can't act on a revision."""
 
     revision: int
     reason: str
@@ -54,50 +54,54 @@
         "acted_overrides": "acted",
     },
 ):
-    """The state of one node, as it reports it; it leaves out what it does not know."""
-
-    process_id: str = ""  # distinguishes the processes of one node
-    seq: int = 0  # grows with each report of that process
-    epoch: int | None = None  # of the service that it follows; 0 before the first answer
-    newest_revision: int = 0  # the newest one received
-    prepared: int = 0  # acknowledged: it acts on what this one and the one in force have in common
-    # Of an aggregator: the revision that its children have to acknowledge before they get a lease, while
-    # `prepared` follows once no child acts without having done so. None from a sidecar: the two are one.
+    """The state of one node in its own report; a node leaves out fields that it does not know."""
+
+    process_id: str = ""  # Distinguishes the processes of one node
+    seq: int = 0  # Sequence number, which grows with each report of the process
+    epoch: int | None = None  # Epoch of the service that the node follows; 0 before its first answer
+    newest_revision: int = 0  # Number of the newest revision that the node has received
+    # Number of the revision that the node has acknowledged: for exclusive keys it acts only on what that
+    # revision and the committed one have in common.
+    prepared: int = 0
+    # From an aggregator: the revision that its children have to acknowledge before they get a lease. Its
+    # `prepared` has the same number once no child acts without having acknowledged. None from a sidecar, for
+    # which `prepared` is both.
     acknowledged: int | None = None
-    acting: int | str = 0  # a revision, or `FALLBACK`
+    acting: int | str = 0  # Number of the revision that the node acts on, or `FALLBACK`
     objection: Objection | None = None
-    list_index: int = 0
+    list_index: int = 0  # Index of the node's list of servers
     list_age_ms: float | None = None
-    overrides: list[str] | None = None  # ids acted on; None from a version without them
-    digest: str = ""  # of the ids and revisions of overrides acted on
-    known_override_revision: int = 0  # the newest revision of overrides whose time left is known
-    refresh_times: bool = False  # requests all times left
-    acted_overrides: dict[str, int] | None = None  # id to revision, if the service asked for it
+    overrides: list[str] | None = None  # Ids of the overrides acted on; None: the version has no overrides
+    digest: str = ""  # Digest of the ids and revisions of the overrides acted on
+    known_override_revision: int = 0  # Newest override revision whose time left the node knows
+    refresh_times: bool = False  # True to request the times left of all overrides
+    acted_overrides: dict[str, int] | None = None  # Revisions acted on, by override id, if requested
     group: str = ""
     region: str = ""
-    leaving: bool = False  # its process ends, and acts on nothing any more
+    leaving: bool = False  # True in the last report of a process, which acts on nothing any more
     measures: dict[str, Any] = {}
 
 
 def parse_report(body: bytes) -> Report:
-    """Return a complete report; raise `ReportError` if it is malformed."""
+    """Return the report in a body that is not a delta; raise `ReportError` if it is malformed."""
     return parse_delta(body, None)[0]
 
 
 def parse_delta(body: bytes, previous: RawReport | None) -> tuple[Report, RawReport]:
     """Return a report that may be a delta to `previous`, and its complete fields for the next delta.
 
-    A delta names the report that it refers to by `after`, which has to be `previous`: otherwise the
-    acknowledgement of one process would count for another. Raise `ReportError` if it is malformed.
+    A delta states in `after` the sequence number of the report that it refers to, which has to be that of
+    `previous`: otherwise the acknowledgement of one process would count for another. Raise `ReportError` if
+    the report is malformed.
     """
     try:
         raw = msgspec.json.decode(body or b"{}", type=RawReport)
         after = raw.pop("after", None)
         if after is not None:
             raw = _carried(after, previous) | raw
-        raw.pop(
-            "acknowledged", None
-        )  # of aggregators alone: a sidecar would get leases by it, and delay commits
+        # Only aggregators may state `acknowledged`: a sidecar with it would get leases without acknowledging
+        # a revision, and delay commits.
+        raw.pop("acknowledged", None)
         report = msgspec.convert(raw, Report)
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
         raise ReportError(UNREADABLE, str(error)) from error
--- a/brassfall/controlplane/revisions/state.py
+++ b/brassfall/controlplane/revisions/state.py
@@ -1,4 +1,7 @@
-"""The durable state of the revisions, each change of which is one write, and the outcome of a revision."""
+"""The durable state of the configuration revisions, and the outcome of a revision.
+
+Each change of the durable state is one write.
+"""
 
 from __future__ import annotations
 
@@ -11,18 +14,18 @@
 
 
 class RevisionState(StrEnum):
-    """How far a revision has come; the values are those on the wire."""
+    """The states of a revision; the values are those on the wire."""
 
-    PREPARED = "prepared"  # durable and sent to all; waits for acknowledgements
+    PREPARED = "prepared"  # The revision is durable, sent to all nodes, and waits for acknowledgements
     COMMITTED = "committed"
-    HALTED = "halted"  # will never be committed
+    HALTED = "halted"  # The revision will never be committed
 
 
 class RevisionOutcome(NamedTuple):
-    """What became of a revision whose content is not kept."""
+    """The outcome of a revision whose content may no longer be stored."""
 
     state: RevisionState  # COMMITTED or HALTED
-    superseded_by: int = 0  # the revision that took its place before it was prepared; 0: none
+    superseded_by: int = 0  # Number of the revision that replaced it before it was prepared; 0 if none did
 
 
 class HaltedRevision(msgspec.Struct, frozen=True, rename={"revision": "edition"}):
@@ -33,15 +36,17 @@
 
 
 class DurableState(msgspec.Struct, frozen=True, rename={"epoch": "life"}):
-    """What is durable of the revisions, stored under the names that `rename` gives."""
+    """The durable state of the revisions; `rename` has the stored names of fields that differ from these."""
 
     committed: Revision = Revision()
-    pending: Revision | None = None  # prepared, and neither committed nor halted yet
-    waiting: Revision | None = None  # the newest that was published while another is pending
-    halted: HaltedRevision | None = None  # the last one that was halted
-    newest: int = 0  # the highest number given
-    epoch: int = 0  # raised above the one that the store gave, if sidecars follow a later one; 0: not raised
-    requests: dict[str, int] = {}  # the revision that each of the last request ids was answered with
+    pending: Revision | None = None  # Revision that is prepared, and neither committed nor halted yet
+    waiting: Revision | None = None  # Newest revision that was published while another one is pending
+    halted: HaltedRevision | None = None  # Revision that was halted last
+    newest: int = 0  # Highest revision number that was given
+    # Epoch to which the service was raised because sidecars follow a later one than the store gave; 0 if it
+    # was not raised.
+    epoch: int = 0
+    requests: dict[str, int] = {}  # Revision number in the answers to the last requests, by request id
 
     @property
     def pending_number(self) -> int:
@@ -50,5 +55,5 @@
 
     @property
     def latest(self) -> Revision:
-        """The revision published last that was not halted: waiting, pending, or else committed."""
+        """The newest revision that was not halted: the waiting, else the pending, else the committed one."""
         return self.waiting or self.pending or self.committed
--- a/brassfall/controlplane/revisions/transitions.py
+++ b/brassfall/controlplane/revisions/transitions.py
@@ -1,4 +1,4 @@
-"""Changes of the durable state, as pure functions: from the state before to the state to be persisted."""
+"""Changes of the durable state, as pure functions that return the state to make durable."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from brassfall.controlplane.revisions.messages import Publish
 from brassfall.controlplane.revisions.state import DurableState, HaltedRevision
 
-MAX_REQUESTS = 64  # request ids kept, with their answers
+MAX_REQUESTS = 64  # Number of request ids that are kept with the revision numbers in their answers
 
 
 def with_draft(state: DurableState, draft: Publish, epoch: int) -> DurableState:
-    """Add a new revision: pending, or waiting until the pending one is decided."""
+    """Return the state with a draft as a new revision: pending, or waiting while another one is pending."""
     revision = _numbered(state, draft, epoch)
     requests = state.requests
     if draft.request_id:
@@ -32,11 +32,11 @@
     stated: dict[str, Any] = {
         name: getattr(draft, name) for name in LAYERS if getattr(draft, name) is not None
     }
-    # Numbers start at the epoch, above those of earlier epochs: a number that a service gave before its disk
-    # was lost is not used again.
+    # The numbers of an epoch start at the epoch, above all numbers of earlier epochs: a number that a service
+    # gave before it lost its disk is not used again.
     number = max(state.newest + 1, epoch)
     base = state.latest
-    of_waiting = state.waiting.layers if state.waiting is not None else ()
+    waiting_layers = state.waiting.layers if state.waiting is not None else ()
     return msgspec.structs.replace(
         base,
         number=number,
@@ -44,21 +44,24 @@
         follows=state.newest,
         list_index=draft.list_index,
         forced=draft.forced,
-        layers=sorted({*stated, *of_waiting}),
+        layers=sorted({*stated, *waiting_layers}),
         plan_revision=number if "plan" in stated else base.plan_revision,
         **stated,
     )
 
 
 def with_pending_committed(state: DurableState) -> DurableState:
-    """Commit the pending revision; the waiting one becomes pending."""
+    """Return the state in which the pending revision is committed, and the waiting one is pending."""
     if state.pending is None:
         return state
     return msgspec.structs.replace(state, committed=state.pending, pending=state.waiting, waiting=None)
 
 
 def with_pending_halted(state: DurableState, objections: Mapping[str, str]) -> DurableState:
-    """Halt the pending revision; the waiting one becomes pending, without the layers of the halted one."""
+    """Return the state in which the pending revision is halted, and the waiting one is pending.
+
+    Layers that the waiting revision took over from the halted one are replaced by the committed layers.
+    """
     if state.pending is None:
         return state
     pending = _without_layers_of_pending(state, state.waiting) if state.waiting is not None else None
@@ -67,7 +70,7 @@
 
 
 def _without_layers_of_pending(state: DurableState, waiting: Revision) -> Revision:
-    """Return the waiting revision, with the committed layers in place of those that it does not state."""
+    """Return the waiting revision with the committed layers in place of the layers that it does not state."""
     layers = {name: getattr(state.committed, name) for name in LAYERS if name not in waiting.layers}
     if "plan" in layers:
         layers["plan_revision"] = state.committed.plan_revision
@@ -75,9 +78,9 @@
 
 
 def with_later_epoch(state: DurableState, epoch: int) -> DurableState:
-    """Publish the latest revision again, under a later epoch and number.
+    """Return the state in which the latest revision is pending again, under a later epoch and number.
 
-    Sidecars ignore numbers and epochs below those that they know.
+    Sidecars ignore numbers and epochs below those that they know, so the old number would have no effect.
     """
     latest = state.latest
     state = msgspec.structs.replace(state, epoch=epoch)
--- a/brassfall/controlplane/revisions/validation.py
+++ b/brassfall/controlplane/revisions/validation.py
@@ -1,4 +1,7 @@
-"""Checks of settings before they are published: their form, and the harm that they would do. Pure code."""
+"""Checks of settings before they are published: their form, and the harm that they would do. Pure code.
+
+A fault or a harm is one line of text; an empty text means that there is none.
+"""
 
 from __future__ import annotations
 
@@ -8,39 +11,39 @@
 from brassfall.controlplane.revisions.document import KeyKind, kind_of
 from brassfall.errors import ConflictError, RequestError
 
-MAX_NAME = 128  # characters
-MAX_DEPTH = 32  # levels of nested objects and lists
+MAX_NAME = 128  # Length of a name, in characters
+MAX_DEPTH = 32  # Depth of nested objects and lists, in levels
 MAX_AMOUNT = 1e12
-MAX_QUOTED = 40  # characters of a name, in a fault
+MAX_QUOTED = 40  # Number of characters of a name that the text of a fault quotes
 
 Settings = Mapping[str, Any]
 
 
 class DocumentError(RequestError):
-    """Settings with a key whose form is not valid."""
+    """Settings with a key whose value has an invalid form."""
 
-    action = "Mend the named key; docs/agreement.md lists the keys and their forms."
+    action = "Correct the named key; docs/agreement.md lists the keys and their forms."
 
 
 class HarmfulError(ConflictError):
-    """Valid settings that would stop service, or a part of it, everywhere."""
+    """Valid settings that would stop all requests, or those of a class or tenant."""
 
-    action = "Look at what it would do; publish it with --force only if just that is wanted."
+    action = "Read what the settings would do; publish them with --force only if exactly that is wanted."
 
 
 # --- form ------------------------------------------------------------------------------------
 
 
 def form_fault(settings: object) -> str:
-    """Return what is wrong with the form of settings, as one line; empty if it is valid."""
+    """Return what is wrong with the form of settings, as one line of text; empty if the form is valid."""
     if not isinstance(settings, dict):
         return "settings: expected an object"
     if _deeper_than(settings, MAX_DEPTH):
         return f"settings: more than {MAX_DEPTH} levels deep"
     for key, value in settings.items():
-        found = _value_fault(key, value)
-        if found:
-            return f"{key}: {found}"
+        fault = _value_fault(key, value)
+        if fault:
+            return f"{key}: {fault}"
     return ""
 
 
@@ -109,9 +112,9 @@
     for key, part in value.items():
         if kind_of(key) is not KeyKind.EXCLUSIVE:
             return f"{key} is not exclusive, and has no fallback"
-        found = _value_fault(key, part)
-        if found:
-            return f"{key}: {found}"
+        fault = _value_fault(key, part)
+        if fault:
+            return f"{key}: {fault}"
     return ""
 
 
@@ -129,10 +132,10 @@
 
 
 def find_harm(settings: Settings, regions: frozenset[str], concurrent: Iterable[Settings] = ()) -> str:
-    """Return the harm that valid settings would do, as one line; empty if there is none.
+    """Return the harm that valid settings would do, as one line of text; empty if they do none.
 
-    `regions` are those of the servers on the list, `concurrent` the settings that sidecars may act on until
-    these are committed and all leases on earlier ones have ended.
+    `regions` are the regions of the servers on the list. `concurrent` are the other settings that sidecars
+    may act on until these settings are committed and all leases on earlier ones have ended.
     """
     return (
         _harm_by_held_regions(settings, regions, concurrent)
@@ -153,7 +156,8 @@
         return f"all regions with servers would be held: {', '.join(sorted(regions))}"
     if regions <= held | _held_regions(settings.get("floor", {})):
         return f"without a lease all regions with servers would be held: {', '.join(sorted(regions))}"
-    # Until then no request is sent to a region that any of them holds, so one region has to be open in all.
+    # While sidecars may act on several settings, a request goes only to a region that none of them holds. So
+    # at least one region must not be held in any of them.
     if held and regions <= held.union(*map(_held_regions, concurrent)):
         return (
             f"while {', '.join(sorted(held))} would be held, editions that sidecars may still act on"
--- a/brassfall/controlplane/store/__init__.py
+++ b/brassfall/controlplane/store/__init__.py
@@ -1,1 +1,1 @@
-"""A versioned table: the core, its leases and its durable log."""
+"""A durable store of versioned tables: its state machine, its leases and its log."""
--- a/brassfall/controlplane/store/log.py
+++ b/brassfall/controlplane/store/log.py
@@ -1,11 +1,11 @@
-"""The durable log of a store: SQLite, one transaction for many records, snapshots and compaction.
+"""The durable log of a store in an SQLite file: batches of records, snapshots and compaction.
 
-An append that returns has put its records on the disk (WAL, `synchronous=FULL`: one sync for each
-transaction). One row holds the records of one transaction, so that a torn write loses all of them or none.
-The file is locked while it is open: two services never share one.
+When an append returns, its records are on the disk (write-ahead log, `synchronous=FULL`: one sync for each
+transaction). One row holds all records of a transaction, so that a torn write loses all of them or none. The
+file is locked while it is open: two services never use the same file.
 
-A commit that fails may have reached the file nevertheless. Its row is searched for by content before any
-other append; while the file can't be read, the outcome is unknown and no append succeeds.
+A commit that fails may nevertheless have reached the file. Before any other append, the log looks for its row
+by content. While the file can't be read, the outcome is unknown and no append succeeds.
 """
 
 from __future__ import annotations
@@ -25,10 +25,11 @@
 from brassfall.controlplane.store.state import HISTORY_LENGTH, State
 from brassfall.errors import StorageError
 
-FORMAT = 1
-MIN_RECORDS = 4096  # between two snapshots; more if the state has more rows
+FORMAT = 1  # Version of the file format, stored as `user_version` of the file
+MIN_RECORDS = 4096  # Least number of records between two snapshots; more if the state has more rows
 FILE = "table.sqlite3"
-# The codes of a disk that fails for a while; others (a lock, a foreign or damaged file) need an operator.
+# SQLite codes of a disk that may work again by itself. Other errors (a lock, a file that is no log, a damaged
+# file) need an operator.
 TEMPORARY_CODES = frozenset(
     {
         sqlite3.SQLITE_FULL,
@@ -39,12 +40,12 @@
     }
 )
 LOCK_CODES = frozenset({sqlite3.SQLITE_BUSY, sqlite3.SQLITE_LOCKED})
-# The errors of a path that can't be a folder: the configuration is wrong, not the disk.
+# Errors of a path that can't be a folder: the configuration is wrong, and not the disk.
 WRONG_PATH_ERRORS = frozenset({errno.EEXIST, errno.ENOTDIR, errno.ELOOP, errno.ENAMETOOLONG, errno.EINVAL})
 
 _encode = msgspec.json.Encoder().encode
-_records = msgspec.json.Decoder(list[Record]).decode
-_snapshot = msgspec.json.Decoder(Snapshot).decode
+_decode_records = msgspec.json.Decoder(list[Record]).decode
+_decode_snapshot = msgspec.json.Decoder(Snapshot).decode
 
 SCHEMA = (
     "create table if not exists log (seq integer primary key, records blob not null)",
@@ -54,34 +55,39 @@
 
 
 class LogError(StorageError):
-    """The log can't be read or written; its text is one line that names the file."""
+    """A log that can't be read or written; the text of the error is one line with the path of the file."""
 
     action = (
-        "Free the disk or give the rights back. A foreign or damaged file: move the folder away and start "
-        "empty; servers come back by themselves, editions and overrides have to be published anew."
+        "Free the disk or restore the access rights. If the file is damaged or of another program, move the "
+        "folder away and start empty: servers register again by themselves, editions and overrides have to "
+        "be published anew."
     )
 
 
 class LogUnavailableError(LogError):
-    """The disk of the log fails for now; the records are not in the file."""
+    """A disk that fails for now; the records are not in the log file."""
 
-    action = "Free the disk, mount it or give the rights back; the service tries again by itself."
+    action = "Free the disk, mount it or restore the access rights; the service retries by itself."
 
 
 class LogOutcomeUnknownError(LogError):
-    """A commit failed and the file can't be read: it is not known whether the records are in it."""
+    """A failed commit whose records may be in the log file, which can't be read."""
 
-    action = "Free the disk, mount it or give the rights back; the service then looks, and goes on by itself."
+    action = (
+        "Free the disk, mount it or restore the access rights; the service then reads the file and continues."
+    )
 
 
 LOCKED = "another process has it open"
-END_ONE = "Find the other process that runs on this folder, and end one of the two; never copy its folder."
+STOP_OTHER_PROCESS = (
+    "Find the other process that runs on this folder, and end one of the two; never copy its folder."
+)
 
 
 class Cursor(Protocol):
-    """The result rows of one statement."""
+    """The rows that one SQL statement returns."""
 
-    def fetchone(self) -> Any:  # noqa: ANN401 - rows of the library
+    def fetchone(self) -> Any:  # noqa: ANN401 - the library does not declare the type of rows
         """Return the next row; None after the last."""
 
     def __iter__(self) -> Iterator[Any]:
@@ -92,17 +98,17 @@
     """An SQLite connection in autocommit mode; failures raise `sqlite3.Error`."""
 
     def execute(self, sql: str, parameters: Sequence[Any] = ..., /) -> Cursor:
-        """Run one statement."""
+        """Run one SQL statement."""
 
     def close(self) -> None:
         """Close the file."""
 
 
 class Connect(Protocol):
-    """Opens a database file for use from any thread; raises `sqlite3.Error` on failure."""
+    """A function that opens a database file for use from any thread; it raises `sqlite3.Error` on failure."""
 
     def __call__(self, path: Path, *, create: bool) -> Connection:
-        """Open the file; `create` makes a missing one."""
+        """Open the file; with `create`, make it if it is missing."""
 
 
 def connect_file(path: Path, *, create: bool) -> Connection:
@@ -112,17 +118,17 @@
 
 
 @dataclass(slots=True)
-class Loaded:
-    """The content of a log."""
+class LoadedLog:
+    """The content of a log that was read."""
 
     state: State
-    records: int  # since the last snapshot
+    records: int  # Number of records since the last snapshot
 
 
 class Log:
     """One open log, for use by one thread at a time.
 
-    `connect` opens the file; tests pass one whose disk fails.
+    `connect` opens the file; tests pass a function that simulates a failing disk.
     """
 
     def __init__(self, folder: Path, checkpoint_pages: int = 1000, connect: Connect = connect_file) -> None:
@@ -130,19 +136,19 @@
         self._path = folder / FILE
         self._checkpoint_pages = checkpoint_pages
         self._connect = connect
-        self._seq = 0  # of the last row known to be in the file
-        self._unsettled: bytes | None = None  # the next row, while its outcome is unknown
+        self._seq = 0  # Sequence number of the last row that is known to be in the file
+        self._unsettled: bytes | None = None  # Content of the next row while its outcome is unknown
         self._since_snapshot = 0
         self._db: Connection | None = None
 
-    def load(self, history_length: int = HISTORY_LENGTH) -> Loaded:
+    def load(self, history_length: int = HISTORY_LENGTH) -> LoadedLog:
         """Open the log and read all of it.
 
-        Raise `LogUnavailableError` while the disk fails, `LogError` if the file is locked, foreign or
-        damaged.
+        Raise `LogUnavailableError` while the disk fails, and `LogError` if the file is locked, damaged, or
+        the file of another program.
         """
         self.close()
-        self._unsettled = None  # settled by reading the whole file
+        self._unsettled = None  # An unknown outcome becomes known by reading the whole file
         try:
             self._folder.mkdir(parents=True, exist_ok=True)
             db = self._open(create=True)
@@ -152,11 +158,11 @@
             raise self._error(error) from error
 
     def append(self, records: list[Record]) -> None:
-        """Put records on the disk, all or none.
+        """Write records to the disk: all of them or none.
 
-        Raise `LogOutcomeUnknownError` if it is not known whether they are in the file: until a call of
-        `settle` returns, every other append fails. Raise another `LogError` if they are not and never will be
-        in it.
+        Raise `LogOutcomeUnknownError` if it is not known whether they are in the file: every further append
+        then fails until a call of `settle` returns. Raise another `LogError` if the records are not in the
+        file and never will be.
         """
         if self._unsettled is not None:
             raise LogUnavailableError(str(self._path), "the outcome of an earlier write is not known yet")
@@ -178,48 +184,48 @@
         self._since_snapshot += len(records)
 
     def settle(self) -> bool:
-        """Return whether the records whose outcome was unknown are in the file for good.
+        """Return whether the records whose outcome is unknown are durable in the file; then it is known.
 
-        Raise `LogError` while that is not known.
+        Raise `LogError` while that can't be found out.
         """
         assert self._unsettled is not None, "no outcome is unknown"
         self.close()
         try:
-            there = self._find(self._reopen(), self._unsettled)
+            written = self._find(self._reopen(), self._unsettled)
         except (sqlite3.Error, ValueError) as error:
             self.close()
             raise self._error(error) from error
         self._unsettled = None
-        if there:
+        if written:
             self._seq += 1
-        return there
+        return written
 
-    def due(self, rows: int) -> bool:
-        """Return whether a snapshot of a state with so many rows is due."""
+    def snapshot_due(self, rows: int) -> bool:
+        """Return whether a snapshot is due of a state with this number of rows."""
         return self._since_snapshot >= max(MIN_RECORDS, rows)
 
     def compact(self, snapshot: Snapshot) -> None:
         """Store a snapshot of all records so far, and delete the records before the previous snapshot.
 
-        Those since the previous one stay, for watchers that reconnect. Raise `LogError` on failure; the log
-        then reads to the same state whether or not the snapshot reached the file.
+        The records since the previous snapshot stay, for watchers that reconnect. Raise `LogError` on
+        failure; a later `load` then returns the same state whether or not the snapshot reached the file.
         """
         assert self._unsettled is None, "a snapshot can't stand for a row whose outcome is unknown"
         body = _encode(snapshot)
         try:
             db = self._db or self._reopen()
             with _transaction(db):
-                before = db.execute("select max(seq) from snapshot").fetchone()[0]
+                previous_seq = db.execute("select max(seq) from snapshot").fetchone()[0]
                 db.execute("insert or replace into snapshot values (?, ?)", (self._seq, body))
                 db.execute("delete from snapshot where seq < ?", (self._seq,))
-                db.execute("delete from log where seq <= ?", (before or 0,))
+                db.execute("delete from log where seq <= ?", (previous_seq or 0,))
         except (sqlite3.Error, ValueError) as error:
             self.close()
             raise self._error(error) from error
         self._since_snapshot = 0
 
     def close(self) -> None:
-        """Close the file and release its lock; all appended records are in it even if this fails."""
+        """Close the file and release its lock; appended records are durable even if closing fails."""
         db, self._db = self._db, None
         if db is not None:
             with contextlib.suppress(sqlite3.Error):
@@ -231,7 +237,7 @@
             return kind(str(self._folder), error.strerror or str(error))
         code = (getattr(error, "sqlite_errorcode", None) or 0) & 0xFF
         if code in LOCK_CODES:
-            return LogError(str(self._path), LOCKED, END_ONE)
+            return LogError(str(self._path), LOCKED, STOP_OTHER_PROCESS)
         if code in TEMPORARY_CODES:
             return LogUnavailableError(str(self._path), str(error))
         return LogError(str(self._path), str(error))
@@ -248,8 +254,8 @@
         return db
 
     def _prepare(self, db: Connection) -> None:
-        """Lock a file, and create the tables of a new one; raise `ValueError` if it is not a log."""
-        # Before WAL: with the lock held for good no shared memory file is needed.
+        """Lock the file, and create the tables if it is new; raise `ValueError` if it is not a log."""
+        # The exclusive lock has to be set before WAL mode: SQLite then needs no shared memory file.
         db.execute("pragma locking_mode=exclusive")
         db.execute("pragma journal_mode=wal")
         db.execute("pragma synchronous=full")
@@ -266,22 +272,26 @@
                 db.execute(f"pragma user_version={FORMAT:d}")
 
     def _reopen(self) -> Connection:
-        """Open the file that this log was loaded from, after a failure closed it."""
+        """Open the file again that this log was loaded from, after a failure closed it."""
         db = self._open(create=False)
-        last = db.execute(LAST_SEQ).fetchone()[0] or 0
-        if last not in (self._seq, self._seq + (self._unsettled is not None)):
-            message = f"its last record is {last} in place of {self._seq}: another process wrote it"
+        last_seq = db.execute(LAST_SEQ).fetchone()[0] or 0
+        if last_seq not in (self._seq, self._seq + (self._unsettled is not None)):
+            message = f"its last record is {last_seq} in place of {self._seq}: another process wrote it"
             raise ValueError(message)
         return db
 
-    def _read(self, db: Connection, history_length: int) -> Loaded:
+    def _read(self, db: Connection, history_length: int) -> LoadedLog:
         stored = db.execute("select seq, body from snapshot order by seq desc limit 1").fetchone()
         snapshot_seq = stored[0] if stored else 0
-        state = State.from_snapshot(_snapshot(stored[1]), history_length) if stored else State(history_length)
+        state = (
+            State.from_snapshot(_decode_snapshot(stored[1]), history_length)
+            if stored
+            else State(history_length)
+        )
         self._seq, self._since_snapshot = snapshot_seq, 0
         earlier: list[Record] = []
         for seq, body in db.execute("select seq, records from log order by seq"):
-            records = _records(body)
+            records = _decode_records(body)
             if seq <= snapshot_seq:
                 earlier += records
                 continue
@@ -296,10 +306,10 @@
             self._since_snapshot += len(records)
         if earlier:
             state.restore_history(earlier)
-        return Loaded(state, self._since_snapshot)
+        return LoadedLog(state, self._since_snapshot)
 
     def _settle_after(self, error: sqlite3.Error) -> bool:
-        """Settle the commit that has just failed; raise `LogOutcomeUnknownError` if that fails too."""
+        """Settle the commit that has just failed; raise `LogOutcomeUnknownError` if that fails, too."""
         try:
             return self.settle()
         except LogError as unread:
@@ -307,14 +317,17 @@
             raise LogOutcomeUnknownError(str(self._path), why) from error
 
     def _find(self, db: Connection, body: bytes) -> bool:
-        """Return whether the next row of the file has this content, and make it durable."""
+        """Return whether the file has a next row with the content `body`, and make that row durable.
+
+        Raise `ValueError` if the row has another content or can't be made durable.
+        """
         found = db.execute("select records from log where seq = ?", (self._seq + 1,)).fetchone()
         if found is None:
             return False
         if found[0] != body:
             message = f"record {self._seq + 1} is another one: another process wrote it"
             raise ValueError(message)
-        # The sync of its commit may have failed: a checkpoint syncs it.
+        # The sync of the commit may have failed. A checkpoint syncs the row.
         if db.execute("pragma wal_checkpoint(truncate)").fetchone()[0]:
             message = "a row that was found could not be made durable"
             raise ValueError(message)
@@ -323,7 +336,7 @@
 
 @contextlib.contextmanager
 def _transaction(db: Connection) -> Iterator[None]:
-    """Commit the statements inside; roll back on any failure."""
+    """Commit the statements of the `with` block; roll back on any failure."""
     db.execute("begin immediate")
     try:
         yield
--- a/brassfall/controlplane/store/outcomes.py
+++ b/brassfall/controlplane/store/outcomes.py
@@ -1,4 +1,4 @@
-"""Writes on their way to the disk, their futures, and the errors of a disk that fails."""
+"""Writes that wait for the disk, the futures of their results, and the errors of a failing disk."""
 
 from __future__ import annotations
 
@@ -9,17 +9,18 @@
 from brassfall.controlplane.store.records import Record, Result
 from brassfall.errors import UnavailableError
 
-SETTLE_PAUSE_S, MAX_SETTLE_PAUSE_S = 0.05, 1.0  # backoff of settling an outcome
+# Backoff between two attempts to find out the outcome of a commit: the first pause, and the longest one.
+SETTLE_PAUSE_S, MAX_SETTLE_PAUSE_S = 0.05, 1.0
 
 
 class NotWrittenError(UnavailableError):
-    """A write can't be made for now; it has not happened."""
+    """A write that was not made because of a failing disk, a full queue or a stop of the service."""
 
     action = "Send it again after Retry-After; if it fails again, look at the disk of the list service."
 
 
 class OutcomeUnknownError(UnavailableError):
-    """It is not known whether a write has happened (503)."""
+    """A write of which it is not known whether it was made (status 503)."""
 
     action = (
         "It may have happened. Repeat it with the same X-Request-Id, which never carries it out twice, or "
@@ -30,9 +31,9 @@
 
 @dataclass(slots=True)
 class Write:
-    """A command on its way, and the future of its result.
+    """A command that is queued or being written, and the future of its result.
 
-    With `until_settled` its caller waits for an unknown outcome without a bound.
+    With `until_settled` the caller waits for an unknown outcome without a time limit.
     """
 
     command: Command
@@ -40,19 +41,19 @@
     until_settled: bool
 
     def answer(self, result: Result) -> None:
-        """Set the result, unless the caller was answered or has left."""
+        """Set the result of the future, unless the caller was answered before or has cancelled it."""
         if not self.future.done():
             self.future.set_result(result)
 
     def fail(self, error: UnavailableError) -> None:
-        """Set an error, unless the caller was answered or has left."""
+        """Set the error of the future, unless the caller was answered before or has cancelled it."""
         if not self.future.done():
             self.future.set_exception(error)
 
 
 @dataclass(slots=True)
-class Decided:
-    """A write with its result, once it is decided."""
+class DecidedWrite:
+    """A write with the result that a transaction has decided; the result need not be durable yet."""
 
     write: Write
     result: Result
@@ -60,21 +61,21 @@
 
 @dataclass(slots=True)
 class UnsettledBatch:
-    """A batch whose commit failed and may be in the file nevertheless; `retry_at` is in the loop's time."""
+    """A batch whose commit failed, but whose records may be in the file; `retry_at` is in the loop's time."""
 
     records: list[Record]
-    decided: list[Decided]
+    decided: list[DecidedWrite]
     reason: str
     retry_at: float
     pause_s: float = SETTLE_PAUSE_S
 
     def retry_later(self, now_s: float) -> None:
-        """Schedule the next try after a pause, which grows."""
+        """Schedule the next attempt to find out the outcome after a pause, which doubles each time."""
         self.retry_at = now_s + self.pause_s
         self.pause_s = min(MAX_SETTLE_PAUSE_S, 2.0 * self.pause_s)
 
     def result_of_repeat(self, command: Command) -> Result | None:
-        """Return the result of the write that this one repeats; None if it repeats none of the batch."""
+        """Return the result of the write in this batch that `command` repeats; None if there is none."""
         if not command.request_id:
             return None
         for earlier in self.decided:
--- a/brassfall/controlplane/store/records.py
+++ b/brassfall/controlplane/store/records.py
@@ -1,6 +1,6 @@
 """The rows, records, snapshots and changes of the versioned store. Pure code.
 
-They are arrays on the disk: the order of the fields is the stored form, their names are not stored.
+They are stored as arrays: the order of the fields is the stored form, and the names are not stored.
 """
 
 from __future__ import annotations
@@ -16,22 +16,22 @@
     """The outcome of a command."""
 
     DONE = "done"
-    MISSING = "missing"  # no row has that key
-    CONFLICT = "conflict"  # the row belongs to a newer owner
-    STALE = "stale"  # the row has another version than `if_match`
+    MISSING = "missing"  # There is no row with this key
+    CONFLICT = "conflict"  # The row belongs to another owner, or its value is not an object as needed
+    STALE = "stale"  # The version of the row is not `if_match`
 
 
 class RecordKind(StrEnum):
-    """The decision of a record; the values are those on the disk."""
+    """The kinds of decisions that a record states; the values are those on the disk."""
 
     PUT = "put"
     DELETE = "delete"
-    ANSWER = "answer"  # nothing changed, but a request id was answered
-    INCARNATION = "life"  # the service has started
+    ANSWER = "answer"  # A request id was answered, and nothing changed
+    INCARNATION = "life"  # The service has started
 
 
 class Result(msgspec.Struct, frozen=True, array_like=True):
-    """The answer to a command; `index` is that of its change, or of the row as it stands."""
+    """The answer to a command; `index` is that of its change, or else the version of the present row."""
 
     status: Status
     index: int
@@ -39,35 +39,35 @@
 
     @property
     def done(self) -> bool:
-        """True if the command was carried out."""
+        """Whether the command was carried out."""
         return self.status is Status.DONE
 
 
 class Row(msgspec.Struct, frozen=True, array_like=True):
-    """One row of a table; values are never changed in place."""
+    """One row of a table; its value is never changed in place."""
 
     key: str
-    version: int
+    version: int  # Index of the change that wrote the row
     value: Any
-    lease_ms: int = 0  # time to live without renewal; 0: unlimited
-    fence: int = 0  # fencing token of the owner; commands with a lower one are refused
-    owner: str = ""  # distinguishes two owners with the same fencing token
+    lease_ms: int = 0  # Time to live without renewal, in ms; 0: unlimited
+    fence: int = 0  # Fencing token of the owner; commands with a lower token are refused
+    owner: str = ""  # Distinguishes two owners that have the same fencing token
 
 
 class Record(msgspec.Struct, frozen=True, array_like=True):
-    """One decision, as it is logged."""
+    """One decision in the form in which it is logged."""
 
     kind: RecordKind
     index: int
-    time_ms: int  # of the store, which never goes back
+    time_ms: int  # Time of the store in ms, which never goes back
     table: str = ""
-    row: Row | None = None  # of a deletion: the deleted row
+    row: Row | None = None  # The new row, or for a deletion the deleted row
     request_id: str = ""
     result: Result | None = None
 
 
 class RememberedAnswer(msgspec.Struct, frozen=True, array_like=True):
-    """The first answer to a request id."""
+    """The first answer to a request id, which is also the answer to its repeats."""
 
     request_id: str
     time_ms: int
@@ -75,7 +75,7 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True, array_like=True):
-    """The complete state at one index."""
+    """The complete state of the store at one index."""
 
     index: int
     time_ms: int
@@ -85,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """A change of one key: its new row, or with `deleted` its deleted row."""
+    """A change of one key: its new row, or if `deleted` is True the row that was deleted."""
 
     index: int
     row: Row
--- a/brassfall/controlplane/store/transaction.py
+++ b/brassfall/controlplane/store/transaction.py
@@ -1,4 +1,4 @@
-"""Transactions, which decide commands before the disk: their changes are visible inside only. Pure code."""
+"""Transactions, which decide commands before they are durable; only they see the changes. Pure code."""
 
 from __future__ import annotations
 
@@ -10,25 +10,25 @@
 from brassfall.controlplane.store.records import Record, RecordKind, Result, Row, Status
 
 
-class Base(Protocol):
-    """The state on which a transaction is based."""
+class BaseState(Protocol):
+    """The state to which the commands of a transaction are applied."""
 
     index: int
 
     def get(self, table: str, key: str) -> Row | None:
-        """Return a row; None if there is none."""
+        """Return the row with this key; None if there is none."""
 
-    def answer(self, request_id: str) -> Result | None:
+    def remembered_answer(self, request_id: str) -> Result | None:
         """Return the first answer to a request id; None if there is none."""
 
 
 class Transaction:
-    """Decides commands one after the other, each with the changes of those before it.
+    """A sequence of commands, each of which is decided with the changes of the commands before it.
 
-    The base state does not change; `records` has the decisions, for the log.
+    The base state does not change. `records` has the decisions in the form for the log.
     """
 
-    def __init__(self, base: Base, time_ms: int) -> None:
+    def __init__(self, base: BaseState, time_ms: int) -> None:
         self.records: list[Record] = []
         self._base = base
         self._time_ms = time_ms
@@ -37,14 +37,14 @@
         self._answers: dict[str, Result] = {}
 
     def get(self, table: str, key: str) -> Row | None:
-        """Return a row with the changes of this transaction."""
+        """Return the row with this key after the commands of this transaction; None if there is none."""
         place = (table, key)
         return self._rows[place] if place in self._rows else self._base.get(table, key)
 
     def run(self, command: Command) -> Result:
-        """Decide one command; a request id that was answered before gets the same answer."""
+        """Decide one command and return its result; a repeated request id gets the first result again."""
         if command.request_id:
-            first = self._answers.get(command.request_id) or self._base.answer(command.request_id)
+            first = self._answers.get(command.request_id) or self._base.remembered_answer(command.request_id)
             if first is not None:
                 return first
         row = self.get(command.table, command.key)
@@ -55,7 +55,7 @@
             case Put():
                 return self._put(command, row)
             case Patch():
-                assert row is not None  # otherwise refused
+                assert row is not None  # `refusal_of` refuses a `Patch` or `Delete` of a missing row
                 value = {**row.value, **command.changes}
                 return self._write(command, msgspec.structs.replace(row, value=value, version=0))
             case Delete():
@@ -96,7 +96,7 @@
 
 
 def refusal_of(command: Command, row: Row | None) -> Result | None:
-    """Return why a command can't be carried out on this row; None if it can."""
+    """Return the result of a command that can't be carried out on `row`; None if it can be."""
     if row is None and not isinstance(command, Put):
         return Result(Status.MISSING, 0, f"{command.key} is not there")
     version = row.version if row is not None else 0
@@ -115,20 +115,21 @@
 
 
 def older_owner(row: Row) -> Result:
-    """Return the answer to an owner with a newer fencing token than the row's.
+    """Return the answer to an owner with a newer fencing token than that of the row.
 
-    Its write was lost with a disk: it has to write its row again, which is not refused.
+    The row that this owner wrote was lost with a disk. MISSING makes the owner write its row again, and that
+    write is not refused.
     """
     return Result(Status.MISSING, 0, f"{row.key} belongs to an older holder, {row.fence}")
 
 
 def newer_owner(row: Row) -> str:
-    """Return why an owner with an older fencing token than the row's is refused."""
+    """Return the reason for the refusal of an owner with an older fencing token than that of the row."""
     return f"{row.key} belongs to a newer holder, {row.fence}"
 
 
 def _superseded(command: Command, row: Row) -> str:
-    """Return why the owner that a command names must not change a row; empty if it may."""
+    """Return why the owner that sends a command must not change a row; empty if it may."""
     if command.fence is not None and command.fence < row.fence:
         return newer_owner(row)
     if isinstance(command, Put) and command.fence == row.fence and command.owner != row.owner:
--- a/tests/controlplane/test_overrides_reconciler.py
+++ b/tests/controlplane/test_overrides_reconciler.py
@@ -9,7 +9,7 @@
 
 from brassfall.controlplane.overrides import reconciler as rec
 from brassfall.controlplane.overrides.document import Override, Places, parse_document
-from brassfall.controlplane.overrides.expected import FRESH_MS, ExpectedOverrides, digest
+from brassfall.controlplane.overrides.expected import DIGEST_VALID_MS, ExpectedOverrides, digest
 from brassfall.controlplane.overrides.history import HistoryRing, WriteEntry
 from tests.support.overrides_service import NOW, body
 
@@ -154,7 +154,7 @@
     for _ in range(2500):
         node.at += 1
         node.step(rec.DigestReported("n", "1", digest="none"))
-    assert len(made) <= 2 + 1000 // FRESH_MS
+    assert len(made) <= 2 + 1000 // DIGEST_VALID_MS
 
 
 def test_findings_outlive_the_service_and_end_when_a_node_is_gone(monkeypatch):
--- a/tests/controlplane/test_overrides_store.py
+++ b/tests/controlplane/test_overrides_store.py
@@ -81,7 +81,7 @@
     assert service.published[before:] == [{}] and not service.rows
     assert most <= 2 * MAX_EXPIRED  # each a row and its entry
     assert sum(value["kind"] == "expired" for value in service.history.values()) == 1000
-    assert service.store.wake() is None
+    assert service.store.next_tick_ms() is None
 
 
 def test_a_disk_that_fails_changes_nothing_and_an_end_is_retried():
--- a/tests/controlplane/test_store_state.py
+++ b/tests/controlplane/test_store_state.py
@@ -180,7 +180,7 @@
 
     for number in range(4):
         put(0, f"r{number}")
-    assert store.answer("r0") is None and store.answer("r1") is not None
+    assert store.remembered_answer("r0") is None and store.remembered_answer("r1") is not None
     put(store_state.ANSWERS_KEPT_MS + 1, "late")
-    assert [store.answer(f"r{n}") for n in range(4)] == [None] * 4
-    assert store.answer("late") is not None
+    assert [store.remembered_answer(f"r{n}") for n in range(4)] == [None] * 4
+    assert store.remembered_answer("late") is not None
--- a/tests/controlplane/test_store_stored_data.py
+++ b/tests/controlplane/test_store_stored_data.py
@@ -45,7 +45,7 @@
     assert loaded.records == EXPECTED["records_since_snapshot"]
     rows = {name: [msgspec.to_builtins(row) for row in table.rows(name)] for name in table.names}
     assert rows == EXPECTED["rows"]
-    answers = {name: msgspec.to_builtins(table.answer(name)) for name in EXPECTED["answers"]}
+    answers = {name: msgspec.to_builtins(table.remembered_answer(name)) for name in EXPECTED["answers"]}
     assert answers == EXPECTED["answers"]
     changes = {}
     for name in table.names:
