--- a/brassfall/sidecar/servers/connecting.py
+++ b/brassfall/sidecar/servers/connecting.py
@@ -11,8 +11,8 @@
 from brassfall.sidecar.servers.exchange import Exchange
 from brassfall.sidecar.servers.server_connection import ServerConnection, ServerIncarnation
 
-# Number of event loop turns that pass until the loop reports an established connection. After a pause of the
-# process they are due at the same time as the time limit, which therefore waits for them before it expires.
+# Number of event loop turns that the loop may need to report an established connection. After a pause of the
+# process, the time limit is due in the first of these turns and expires only after the last one.
 TURNS_TO_REPORT = 4
 
 # Errors that mean that the process (EMFILE) or the system (ENFILE) has no free descriptor.
@@ -77,8 +77,7 @@
         task = self._loop.create_task(self._connect(server, exchange))
         self._opening[task] = exchange
         task.add_done_callback(self._done)
-        # Until the connection is established, the exchange counts as failed locally if the last one failed
-        # so.
+        # Until the connection opens, the exchange counts as failed locally if the previous connect did so.
         exchange.failed_locally = self._local_backoff_s > LOCAL_BACKOFF_S
         exchange.await_connection(task)
 
@@ -124,7 +123,7 @@
 
 
 class _TimeLimit:
-    """A time limit for connecting that a pause of this process does not exceed by mistake.
+    """A time limit for connecting that does not count a pause of this process as a time-out of the server.
 
     When the time is over, the event loop gets `TURNS_TO_REPORT` more turns to report a connection that is
     already established.
--- a/tests/sidecar/test_admin.py
+++ b/tests/sidecar/test_admin.py
@@ -52,7 +52,7 @@
     for change in (lifecycle.drain, lifecycle.rejoin):
         with pytest.raises(InvalidTransitionError, match="stopping"):
             change()
-    lifecycle.serve()  # Has no effect: startup ends after the process was stopped
+    lifecycle.serve()  # `serve` has no effect once the process is stopping
     assert states == [
         ProcessState.SERVING,
         ProcessState.LAME_DUCK,
--- a/tests/sidecar/test_answer_boundaries.py
+++ b/tests/sidecar/test_answer_boundaries.py
@@ -86,11 +86,11 @@
     """A second answer some milliseconds later is then recognised, because the connection is still idle."""
     upstream = await Upstream([OK]).start()
     async with running_until_idle(upstream, balancer=ScriptedBalancer(), **never_cancels()) as sidecar:
-        one, two = await App.connect(sidecar.address), await App.connect(sidecar.address)
-        one.send()
-        two.send()
-        await one.answer()
-        await two.answer()
+        first_app, second_app = await App.connect(sidecar.address), await App.connect(sidecar.address)
+        first_app.send()
+        second_app.send()
+        await first_app.answer()
+        await second_app.answer()
         idle = sidecar.pool.servers["s0"].idle
         settled, newest = idle
         settled.idle_since -= SETTLE_MS
@@ -106,7 +106,7 @@
             return OK
 
         upstream.replies = [second_answer]
-        assert (await one.ask()).body == b"done"
+        assert (await first_app.ask()).body == b"done"
 
 
 NEVER_ENDS = {
--- a/tests/sidecar/test_pool.py
+++ b/tests/sidecar/test_pool.py
@@ -30,17 +30,17 @@
 async def test_idle_connections_are_reused_newest_first_and_closed_ones_are_dropped():
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
-        one, two = await App.connect(sidecar.address), await App.connect(sidecar.address)
-        one.send()
-        two.send()
-        assert (await one.answer()).body == (await two.answer()).body == b"done"
+        first_app, second_app = await App.connect(sidecar.address), await App.connect(sidecar.address)
+        first_app.send()
+        second_app.send()
+        assert (await first_app.answer()).body == (await second_app.answer()).body == b"done"
         idle = sidecar.pool.servers["s0"].idle
         oldest, newest = idle
-        assert (await one.ask()).body == b"done"
+        assert (await first_app.ask()).body == b"done"
         assert idle == [oldest, newest]
         upstream.writers[upstream.seen[-1].connection].close()
         await until(lambda: idle == [oldest])
-        assert (await one.ask()).body == b"done"
+        assert (await first_app.ask()).body == b"done"
         assert len(upstream.writers) == 2
 
 
@@ -115,12 +115,12 @@
     upstream = await Upstream([OK, OK, hang]).start()
     balancer = ScriptedBalancer(outcome=failing)
     async with running(upstream, balancer=balancer) as sidecar:
-        one, two = await App.connect(sidecar.address), await App.connect(sidecar.address)
-        one.send()
-        two.send()
-        await one.answer()
-        await two.answer()
-        one.send()
+        first_app, second_app = await App.connect(sidecar.address), await App.connect(sidecar.address)
+        first_app.send()
+        second_app.send()
+        await first_app.answer()
+        await second_app.answer()
+        first_app.send()
         await until(lambda: len(upstream.seen) == 3)
         busy = upstream.seen[2].connection
         sidecar.driver.perform(CloseIdle("s0"))
--- a/tests/sidecar/test_process_pause.py
+++ b/tests/sidecar/test_process_pause.py
@@ -178,7 +178,7 @@
 async def test_no_attempt_is_written_for_a_client_that_disconnected_during_a_pause_of_the_process(kind):
     """The event loop has not read the end of the client's connection when the next attempt is due.
 
-    It runs due callbacks before it reads from sockets, and a server connection is idle.
+    The loop runs due callbacks before it reads from sockets, and the next attempt uses an idle connection.
     """
     first, second = await Upstream([hang]).start(), await Upstream([OK]).start()
     targets = iter(["s1", "s0"])
--- a/tests/sidecar/test_races_reload.py
+++ b/tests/sidecar/test_races_reload.py
@@ -34,7 +34,7 @@
 from brassfall.sidecar.core.process_state import ProcessLifecycle
 from brassfall.sidecar.discovery.endpoint_list import parse_list
 from brassfall.sidecar.servers import pool as pool_module
-from tests.sidecar.test_reload import raw, row, take
+from tests.sidecar.test_reload import raw, reload_plan, row
 from tests.support.helpers import CLASSES, answered, arrival, listing, of_type, raw_settings
 from tests.support.helpers import balancer as new_balancer
 from tests.support.loopback import OK, App, Upstream, entry, listed, loopback, running, sidecar_config
@@ -198,7 +198,7 @@
 
 def test_a_removed_class_does_not_affect_the_price_of_other_zones():
     before = config.parse(raw(Profiles=[row("a", Worth=1.0), row("dear", Worth=100.0)], Prices=CROSSING), {})
-    after = take(before, raw(Profiles=[row("a", Worth=1.0)], Prices=CROSSING))
+    after = reload_plan(before, raw(Profiles=[row("a", Worth=1.0)], Prices=CROSSING))
     margins = [Balancer(0.0, c.settings, 1).components.zones.margins[0] for c in (before, after.config)]
     alone = Balancer(0.0, config.parse(raw(Profiles=[row("a")], Prices=CROSSING), {}).settings, 1)
     assert margins[0] > margins[1] == alone.components.zones.margins[0]
@@ -210,7 +210,7 @@
     balancer.step(0.0, EndpointsListed(ListForm.REMEMBERED, listing(4)))
     balancer.step(0.0, RequestArrived(1, 1, 1000.0))
     for names in ("ac", "ad", "ae"):
-        plan = take(before, raw(Profiles=[row(name) for name in names], Prices=CROSSING), busy={1})
+        plan = reload_plan(before, raw(Profiles=[row(name) for name in names], Prices=CROSSING), busy={1})
         before = plan.config
         balancer.step(1.0, SettingsReloaded(before.settings, plan.same_classes))
         assert all(kind.slot != 1 for kind in before.names.classes.values())
@@ -223,14 +223,14 @@
 
     before = config.parse(raw(Profiles=[keyed("a"), keyed("b")]), {})
     for profiles in ([row("a"), keyed("b")], [row("a"), row("b", "side_effect")]):
-        assert take(before, raw(Profiles=profiles)).config.names.classes.keys() == {"a", "b"}
+        assert reload_plan(before, raw(Profiles=profiles)).config.names.classes.keys() == {"a", "b"}
     without_ttl = keyed("b")
     del without_ttl["KeyTtl"]
     with pytest.raises(config.ConfigError, match=r"Profiles\.KeyTtl is missing"):
-        take(before, raw(Profiles=[row("a"), without_ttl]))
+        reload_plan(before, raw(Profiles=[row("a"), without_ttl]))
     # If no class was keyed before, the key settings are not required.
     assert (
-        take(config.parse(raw(Profiles=[row("a")]), {}), raw(Profiles=[without_ttl])).same_classes
+        reload_plan(config.parse(raw(Profiles=[row("a")]), {}), raw(Profiles=[without_ttl])).same_classes
         == frozenset()
     )
 
@@ -239,7 +239,7 @@
     zones = {"FailureDomains": ["east", "west"]}
     classes = [row("book", "token", Group="zone", KeyTtl=4000.0)]
     before = config.parse(raw(Profiles=classes, **zones), {})
-    after = take(before, raw(Profiles=classes, FailureDomains=["north", "south"]))
+    after = reload_plan(before, raw(Profiles=classes, FailureDomains=["north", "south"]))
     assert "zones" in after.pending_restart
     rows = [entry(f"s{i}", zone=zone) for i, zone in enumerate(("north", "south", "north", "east"))]
     entries = parse_list(listed(1, *rows), after.config.names).entries
@@ -274,7 +274,7 @@
     clients = inbound.Inbound(StoppedClock(), StoppedClock(), running, None, ProcessLifecycle())
     for _ in range(300):
         profiles = [row(name, rng.choice(EFFECTS)) for name in rng.sample("abcdef", 3)]
-        running = take(running, raw(Profiles=profiles), clients.request_classes).config
+        running = reload_plan(running, raw(Profiles=profiles), clients.request_classes).config
         clients.reload(running.names)
         while len(clients.classes.known) - 1 > rng.randrange(1, 4):
             clients.classes.forget(clients.classes.known[-1])  # Clients may use previous names for 4 s
--- a/tests/sidecar/test_reload.py
+++ b/tests/sidecar/test_reload.py
@@ -50,19 +50,19 @@
     return {"Name": name, "Semantics": semantics, "Objective": 2000.0, "Deadline": 5000.0, **changes}
 
 
-def take(running_config, new, busy=()):
+def reload_plan(running_config, new, busy=()):
     """Return the plan of a reload from a new configuration."""
     return reload.plan_reload(running_config, config.parse(new, {}), busy)
 
 
 def test_classes_keep_their_slots_and_freed_slots_are_reused():
     first = config.parse(raw(Profiles=[row("a"), row("b"), row("c")]), {})
-    second = take(first, raw(Profiles=[row("c"), row("d"), row("b", "side_effect")]))
+    second = reload_plan(first, raw(Profiles=[row("c"), row("d"), row("b", "side_effect")]))
     assert {name: kind.slot for name, kind in second.config.names.classes.items()} == {"c": 2, "d": 3, "b": 4}
     assert second.same_classes == {2}
     assert [p.semantics for p in second.config.settings.profiles] == ["pure"] * 4 + ["side_effect"]
     # Clients no longer use "a" and the old "b", but a request of class "a" is still open.
-    third = take(second.config, raw(Profiles=[row("c"), row("e")]), busy={0})
+    third = reload_plan(second.config, raw(Profiles=[row("c"), row("e")]), busy={0})
     assert {name: kind.slot for name, kind in third.config.names.classes.items()} == {"c": 2, "e": 1}
 
 
@@ -71,7 +71,7 @@
     rng = random.Random(3)
     for _ in range(200):
         names = rng.sample("abcdefghij", 4)
-        running_config = take(running_config, raw(Profiles=[row(name) for name in names])).config
+        running_config = reload_plan(running_config, raw(Profiles=[row(name) for name in names])).config
     assert len(running_config.settings.profiles) <= 8
 
 
@@ -124,7 +124,7 @@
 
 def test_a_reload_of_an_unchanged_file_gives_the_same_configuration():
     before = config.parse(raw(), {})
-    assert take(before, raw()).config == before
+    assert reload_plan(before, raw()).config == before
 
 
 def test_values_that_need_a_restart_are_reported_and_not_changed():
@@ -132,7 +132,7 @@
     new = raw(Me=5, Kinds=["other"])
     new["listen"] = "127.0.0.1:4242"
     new["limits"]["sockets"] = 512
-    after = take(before, new)
+    after = reload_plan(before, new)
     assert after.pending_restart == ("me", "kinds", "listen", "limits")
     assert after.config.listen == before.listen and after.config.settings.me == before.settings.me
 
@@ -184,7 +184,7 @@
     new = [row("view"), row("book", "side_effect")]
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
-        plan = take(
+        plan = reload_plan(
             sidecar_config([upstream]),
             raw(Profiles=new),
             sidecar.driver.request_classes | sidecar.inbound.request_classes,
