--- a/tests/sidecar/test_races_servers.py
+++ b/tests/sidecar/test_races_servers.py
@@ -131,9 +131,8 @@
         faults.share("socket", 1.0, (errno.ENOMEM,))
         assert await ask(app, target, X_Budget="400m") == 503
         assert loop.time() - started_at < 0.4 + 0.5
-        assert (
-            3 <= faults.injected["socket", errno.ENOMEM] <= 12
-        )  # The backoff doubles from 5 ms on, so that few attempts are made
+        # The backoff doubles, starting at 5 ms, so that few attempts are made.
+        assert 3 <= faults.injected["socket", errno.ENOMEM] <= 12
         assert blame(sidecar.driver.balancer) == before
         faults.clear()
         assert await ask(app, target) == 200
