--- a/tests/sidecar/test_discovery_bounds.py
+++ b/tests/sidecar/test_discovery_bounds.py
@@ -84,7 +84,7 @@
     assert longest_delay_s <= NOTIFIED_S - SPARE_S
 
 
-@pytest.mark.parametrize("bytes_go_on", [False, True], ids=["half_a_line", "endless_line"])
+@pytest.mark.parametrize("sends_more_bytes", [False, True], ids=["half_a_line", "endless_line"])
 @pytest.mark.parametrize("strategy", STRATEGIES)
 @simulated_time
 async def test_an_incomplete_line_does_not_keep_an_open_watch_alive(sends_more_bytes, strategy):
