--- a/tests/controlplane/test_aggregation.py
+++ b/tests/controlplane/test_aggregation.py
@@ -441,7 +441,7 @@
                 {"o": {"rev": 1, "same_from": 1, "left_ms": left}},
             )
         at = now + delays[1] + delays[2]
-        if child.newest == 0 or child.refresh_due(at * rates[2] / 1000.0):
+        if child.newest_revision == 0 or child.refresh_due(at * rates[2] / 1000.0):
             rows = times.for_child(at * rates[1], 0)
             asked, heard = ((at - delays[2]) * rates[2] / 1000.0, (at + delays[3]) * rates[2] / 1000.0)
             child.receive(asked, rows, heard)
@@ -450,7 +450,7 @@
         phase = child.phase("o", 1, now * rates[2] / 1000.0)
         if now >= end:
             assert phase is not deadlines.Phase.IN_FORCE
-        elif child.newest:
+        elif child.newest_revision:
             assert phase is not deadlines.Phase.OVER  # another may act on it still
         row = times.for_child(now * rates[1], 0).get("o")
         if row is not None:  # the true end lies between the two bounds that are told
--- a/tests/lab/test_overrides.py
+++ b/tests/lab/test_overrides.py
@@ -70,7 +70,7 @@
 
     def __init__(self, *, older_accepted):
         self.older_accepted = older_accepted  # and times apply to any revision of the override
-        self.by_id, self.revisions, self.newest = {}, {}, 0
+        self.by_id, self.revisions, self.newest_revision = {}, {}, 0
 
     def receive(self, asked_s, times, answered_s):
         for key, row in times.items():
@@ -78,7 +78,7 @@
                 self.by_id.pop(key, None)
             deadlines = self.by_id.setdefault(key, Deadlines())
             deadlines.receive(asked_s, {key: row}, answered_s)
-            self.newest = max(self.newest, row["rev"])
+            self.newest_revision = max(self.newest_revision, row["rev"])
             newest = row["rev"] if self.older_accepted else max(row["rev"], self.revisions.get(key, 0))
             self.revisions[key] = newest
 
