--- a/brassfall/sidecar/agent/steering.py
+++ b/brassfall/sidecar/agent/steering.py
@@ -39,7 +39,7 @@
 
 
 class Steering:
-    """The deadlines of overrides, and the directives that follows from them and the active configuration."""
+    """The deadlines of overrides, and the directives that follow from them and the active configuration."""
 
     def __init__(
         self, agreement: Agreement, names: Callable[[], WireNames], endpoint_list: Callable[[], EndpointList]
--- a/brassfall/sidecar/discovery/current_list.py
+++ b/brassfall/sidecar/discovery/current_list.py
@@ -73,7 +73,10 @@
         """Stop logging the age of the list."""
 
     def read_event(self, raw: object) -> WatchEvent:
-        """Return the content of a JSON object of a watch; raise one of `MALFORMED_ERRORS` if it is no list."""
+        """Return the content of one JSON object of a watch.
+
+        Raise one of `MALFORMED_ERRORS` if the object is no list.
+        """
         return WatchEvent(parse_list(raw, self._names))
 
     def read_complete(self, raw: object) -> ServerList:
