--- a/tests/controlplane/test_revisions_service.py
+++ b/tests/controlplane/test_revisions_service.py
@@ -1,4 +1,4 @@
-"""The list service's editions, overrides and geo as a process: publishers, reports, watches, kills."""
+"""Revisions, overrides and delays of a list service process: publishers, reports, watches and kills."""
 
 from __future__ import annotations
 
@@ -18,17 +18,30 @@
 from tests.support.loopback import bounded, until
 from tests.support.processes import Service
 
-SOON = {"agreement": {"agree_ms": 400}, "limits": {"caller_calls_per_s": 0}}
-UNREAD = (b"{", b"[1", b'{"seq":NaN}', b'{"seq":1e999}', b"\xff", b"[" * 50_000, b'"text"', b"null")
+# Settings with short leases, so that revisions are decided soon, and without a limit on calls per caller.
+SHORT_LEASES = {"agreement": {"agree_ms": 400}, "limits": {"caller_calls_per_s": 0}}
+UNREADABLE_BODIES = (
+    b"{",
+    b"[1",
+    b'{"seq":NaN}',
+    b'{"seq":1e999}',
+    b"\xff",
+    b"[" * 50_000,
+    b'"text"',
+    b"null",
+)
 
 
 def running(**changes):
-    """A test of a service with short leases, which is killed at the end."""
+    """Return a decorator that runs a test with a running service and a function that calls it.
+
+    The service has short leases and the settings `changes`; it is killed at the end of the test.
+    """
 
     def wrap(test):
         @bounded(60.0)
         async def run(tmp_path):
-            async with Service(tmp_path, **{**SOON, **changes}) as service:
+            async with Service(tmp_path, **{**SHORT_LEASES, **changes}) as service:
                 await service.start()
                 async with aiohttp.ClientSession() as session:
                     await test(service, functools.partial(call, session, service))
@@ -40,7 +53,7 @@
 
 
 class Node:
-    """A sidecar by its reports; it objects to caps of a class `b`, and may ignore revisions."""
+    """A sidecar that only reports; it objects to a cap of the class `b`, and may ignore revisions."""
 
     def __init__(self, ask, name, **more):
         self.ask, self.name, self.more = ask, name, more
@@ -48,21 +61,25 @@
         self.ignores_revisions, self.answer, self.objection = False, {}, None
 
     def body(self):
-        made = {
+        """Return the fields of the next report."""
+        fields = {
             "life": "p",
             "seq": self.seq,
             "of": self.epoch,
             "held": self.newest,
             "prepared": self.prepared,
         }
-        made["acting"] = self.answer["edition"] if self.answer.get("permission_ms") else "safe"
-        return made | ({"objection": self.objection} if self.objection else {}) | self.more
+        fields["acting"] = self.answer["edition"] if self.answer.get("permission_ms") else "safe"
+        return fields | ({"objection": self.objection} if self.objection else {}) | self.more
 
     async def report(self):
+        """Send a report, and take over a new revision if the answer states one; return the answer."""
         self.seq += 1
         status, self.answer, _ = await self.ask("POST", f"/edges/{self.name}", self.body())
         assert status == 200, self.answer
-        self.epoch = self.answer.get("life", self.epoch)  # left out where it is the one that was named
+        self.epoch = self.answer.get(
+            "life", self.epoch
+        )  # An answer leaves out the epoch that the report named
         if self.answer["news"] and not self.ignores_revisions:
             _, rules, _ = await self.ask("GET", "/rules")
             self.newest = rules["edition"]
@@ -72,7 +89,8 @@
                 self.prepared = self.newest
         return self.answer
 
-    async def go(self):
+    async def report_repeatedly(self):
+        """Report every 0.02 s until cancelled."""
         while True:
             with contextlib.suppress(aiohttp.ClientError):
                 await self.report()
@@ -80,8 +98,8 @@
 
     @contextlib.asynccontextmanager
     async def reporting(self):
-        """Report all the time, and have a lease."""
-        task = asyncio.create_task(self.go())
+        """Report repeatedly in the background; enter the block once the node has a lease."""
+        task = asyncio.create_task(self.report_repeatedly())
         try:
             await until(lambda: self.answer.get("permission_ms") or task.done())
             yield self
@@ -92,7 +110,7 @@
 
 
 async def decided(ask, revision):
-    """What became of a revision."""
+    """Wait until a revision is committed or halted; return the service's answer about it."""
     async with asyncio.timeout(15.0):
         while True:
             _, answer, _ = await ask("GET", f"/rules?edition={revision}")
@@ -101,16 +119,18 @@
             await asyncio.sleep(0.02)
 
 
-async def lines(service, received):
+async def collect_lines(service, received):
+    """Append the lines of a watch of the revisions to `received` until the watch ends."""
     with contextlib.suppress(client.CallError):
         async for line in client.watch(service.listen, "/rules"):
             received.extend([json.loads(line)] if line else [])
 
 
 @bounded(60.0)
-async def test_a_revision_is_durable_when_answered_and_continues_after_a_kill(tmp_path):
-    # Nothing is committed within a lease's length of the start: the kill falls between the two.
-    async with Service(tmp_path, **SOON | {"agreement": {"agree_ms": 30_000}}) as service:
+async def test_a_prepared_revision_is_durable_when_answered_and_committed_after_a_kill_and_restart(tmp_path):
+    # No revision is committed within the length of a lease after the start. With a long lease the kill comes
+    # between the preparation and the commit.
+    async with Service(tmp_path, **SHORT_LEASES | {"agreement": {"agree_ms": 30_000}}) as service:
         await service.start()
         async with aiohttp.ClientSession() as session:
             ask = functools.partial(call, session, service)
@@ -119,14 +139,14 @@
             number = answer["edition"]
             assert (status, (await ask("GET", "/rules"))[1]["state"]) == (200, "prepared")
         await service.end(signal.SIGKILL)
-        service.write(**SOON)
+        service.write(**SHORT_LEASES)
         await service.start()
         async with aiohttp.ClientSession() as session:
             ask = functools.partial(call, session, service)
             _, edges, _ = await ask("GET", "/edges")
             assert [(row["name"], row["age_ms"]) for row in edges["edges"]] == [("n0", None)]
             assert "has not reported" in edges["edges"][0]["behind"]
-            # The members are of this disk: unless n0 follows, nothing is decided, however long it waits.
+            # The member n0 is durable: as long as n0 does not follow the service, nothing is decided.
             await asyncio.sleep(0.8)
             assert (await ask("GET", "/rules"))[1]["state"] == "prepared"
             assert "only 0 of 1" in (await ask("GET", "/edges"))[1]["permits"]
@@ -137,13 +157,15 @@
 
 
 @running(agreement={"agree_ms": 1500})
-async def test_publishers_at_once_and_ten_in_a_second(service, ask):
+async def test_a_publisher_with_an_old_revision_is_refused_and_the_last_of_many_revisions_is_committed(
+    service, ask
+):
     async with Node(ask, "n0").reporting() as node:
         first = (await ask("PUT", "/rules", {"caps": {"a": 1}}, If_Match="0"))[1]["edition"]
         status, answer, _ = await ask("PUT", "/rules", {}, If_Match="0")
         assert (status, str(first) in answer["reason"]) == (412, True)
         await decided(ask, first)
-        node.ignores_revisions = True  # so that nine come while one is prepared
+        node.ignores_revisions = True  # Nine more revisions are published while the first one is prepared
         answers = [
             await ask("PUT", "/rules", {"caps": {"a": n}}, If_Match=str(first + n - 1)) for n in range(1, 11)
         ]
@@ -160,22 +182,24 @@
 
 
 @running()
-async def test_a_watch_states_prepared_committed_and_the_objections_that_halted(service, ask):
-    kept = []
-    watch = asyncio.create_task(lines(service, kept))
+async def test_a_watch_states_prepared_and_committed_revisions_and_the_objections_to_a_halted_one(
+    service, ask
+):
+    received = []
+    watch = asyncio.create_task(collect_lines(service, received))
     async with Node(ask, "n0").reporting():
         good = (await ask("PUT", "/rules", {"caps": {"a": 1}}))[1]["edition"]
         await decided(ask, good)
         bad = (await ask("PUT", "/rules", {"caps": {"b": 1}}))[1]["edition"]
         found = await decided(ask, bad)
-        await until(lambda: kept and kept[-1]["state"] == "halted")
+        await until(lambda: received and received[-1]["state"] == "halted")
         row = {}
-        while row.get("acting") != good:  # without a permission now and then, where this machine is slow
+        while row.get("acting") != good:  # On a slow machine the node is at times without a lease
             row = (await ask("GET", "/edges"))[1]["edges"][0]
     watch.cancel()
     why = "no class 'b' is known here"
     assert found["objections"] == [{"edge": "n0", "reason": why}]
-    states = [(line["edition"], line["state"]) for line in kept]
+    states = [(line["edition"], line["state"]) for line in received]
     assert states == [
         (0, "committed"),
         (good, "prepared"),
@@ -183,14 +207,16 @@
         (bad, "prepared"),
         (bad, "halted"),
     ]
-    assert kept[-1]["objections"] == found["objections"]
-    assert kept[-1]["committed"]["settings"] == {"caps": {"a": 1}}  # beside it, what is in force
+    assert received[-1]["objections"] == found["objections"]
+    # A line about a halted revision states the committed revision, too.
+    assert received[-1]["committed"]["settings"] == {"caps": {"a": 1}}
     assert (row["held"], row["prepared"], row["overrides"]) == (bad, good, [])
     assert row["behind"] == f"objects to edition {bad}: {why}"
     assert 0 <= row["age_ms"] < 5000 and row["list_index"] == 0
 
 
-HARM = (
+# Harmful settings, and a part of the reason for their refusal.
+HARMFUL_SETTINGS = (
     ({"regions": {"held": ["a", "b"]}}, "a, b"),
     ({"regions": {"held": ["a"]}, "floor": {"regions": {"held": ["b"]}}}, "a, b"),
     ({"caps": {"look": 0}}, "look"),
@@ -203,17 +229,18 @@
 async def test_harmful_settings_are_refused_unless_forced_and_counted(service, ask):
     for name, zone in (("s1", "a"), ("s2", "b")):
         await ask("PUT", f"/registry/instances/{name}", {**ENTRY, "zone": zone, "ttl_ms": 0})
-    for settings, said in HARM:
+    for settings, reason_part in HARMFUL_SETTINGS:
         status, answer, _ = await ask("PUT", "/rules", settings)
-        assert (status, said in answer["reason"]) == (409, True), answer
+        assert (status, reason_part in answer["reason"]) == (409, True), answer
     assert (await ask("GET", "/rules"))[1]["edition"] == 0
-    assert (await ask("PUT", "/rules", HARM[0][0], X_Force="1"))[0] == 200
+    assert (await ask("PUT", "/rules", HARMFUL_SETTINGS[0][0], X_Force="1"))[0] == 200
     answer = (await ask("GET", "/status"))[1]["rules"]
-    assert (answer["harmful_refused"], answer["harmful_forced"]) == (len(HARM), 1)
+    assert (answer["harmful_refused"], answer["harmful_forced"]) == (len(HARMFUL_SETTINGS), 1)
 
 
-BAD = [
-    *(("PUT", "/rules", body, 400) for body in UNREAD),
+# Method, path, body and expected status of calls that are refused.
+MALFORMED_CALLS = [
+    *(("PUT", "/rules", body, 400) for body in UNREADABLE_BODIES),
     ("PUT", "/rules", {"regions": {"held": "a"}}, 400),
     ("PUT", "/rules", {"regions": {"open": []}}, 400),
     ("PUT", "/rules", {"caps": {"a": -1}}, 400),
@@ -225,7 +252,7 @@
     ("PUT", "/rules", b" " * 2_000_000, 413),
     ("GET", "/rules?edition=x", None, 400),
     ("GET", "/rules?edition=99", None, 404),
-    *(("POST", "/edges/n1", body, 400) for body in UNREAD),
+    *(("POST", "/edges/n1", body, 400) for body in UNREADABLE_BODIES),
     ("POST", "/edges/n1", {"seq": -1}, 400),
     ("POST", "/edges/n1", {"seq": 2**60}, 400),
     ("POST", "/edges/n1", {"held": 1.5}, 400),
@@ -249,21 +276,28 @@
 ]  # fmt: skip
 
 
-@running(agreement={"agree_ms": 1500})  # a lease outlasts what is sent here, also on a busy machine
+# The leases last for longer than the calls of the test take, also on a busy machine.
+@running(agreement={"agree_ms": 1500})
 async def test_malformed_calls_are_refused_in_json_and_affect_no_other_caller(service, ask):
     async with Node(ask, "n0").reporting() as node:
-        for method, path, body, wanted in BAD:
+        for method, path, body, expected_status in MALFORMED_CALLS:
             status, answer, _ = await ask(method, path, body)
-            assert (status, set(answer)) == (wanted, {"error", "reason"}), (method, path, body, answer)
-        # Odd measures and digests are dropped by who reads them; the report counts all the same.
-        odd = {
+            assert (status, set(answer)) == (expected_status, {"error", "reason"}), (
+                method,
+                path,
+                body,
+                answer,
+            )
+        # Malformed measures and digests are ignored, but the report that has them is accepted.
+        malformed_parts = {
             "measures": {"delays": [{"region": "a", "window": 1e99, "shake": {"x": -1}}, 7]},
             "digest": "?",
         }
-        assert (await ask("POST", "/edges/n2", {"life": "q", "seq": 1, **odd}))[0] == 200
-        old = node.body() | {"seq": 1}
-        for _ in range(2):  # replayed, and out of order: an answer, and no lease
-            status, answer, _ = await ask("POST", "/edges/n0", old)
+        assert (await ask("POST", "/edges/n2", {"life": "q", "seq": 1, **malformed_parts}))[0] == 200
+        old_report = node.body() | {"seq": 1}
+        # A report that is older than the last one, or repeated, is answered without a lease.
+        for _ in range(2):
+            status, answer, _ = await ask("POST", "/edges/n0", old_report)
             assert (status, answer["permission_ms"], "later report" in answer["why"]) == (200, 0.0, True)
         answer = await node.report()
         assert answer["permission_ms"] > 0.0
@@ -273,21 +307,22 @@
     assert not [line for line in service.lines if line["event"] in ("fault", "?")]
 
 
-def lasting(ms, **more):
-    made = {"action": {"hold": {"region": "b"}}, "by": "ann", "why": "b loses packets"}
-    return {**made, "until_ms": int(time.time() * 1000.0) + ms, **more}
+def override_document(left_ms, **more):
+    """Return the document of an override that ends in `left_ms`."""
+    document = {"action": {"hold": {"region": "b"}}, "by": "ann", "why": "b loses packets"}
+    return {**document, "until_ms": int(time.time() * 1000.0) + left_ms, **more}
 
 
 @bounded(60.0)
-async def test_overrides_have_an_absolute_end_and_leave_the_revision_at_it(tmp_path):
-    async with Service(tmp_path, **SOON) as service:
+async def test_an_override_ends_at_its_time_in_spite_of_a_kill_and_is_removed_from_the_revision(tmp_path):
+    async with Service(tmp_path, **SHORT_LEASES) as service:
         await service.start()
         async with aiohttp.ClientSession() as session:
             ask = functools.partial(call, session, service)
-            status, short, _ = await ask("PUT", "/overrides/short", lasting(6_500))
+            status, short, _ = await ask("PUT", "/overrides/short", override_document(6_500))
             assert (status, 0 < short["left_ms"] <= 6_500) == (200, True)
-            await ask("PUT", "/overrides/long", lasting(600_000, priority=3))
-            await ask("PUT", "/overrides/gone", lasting(600_000))
+            await ask("PUT", "/overrides/long", override_document(600_000, priority=3))
+            await ask("PUT", "/overrides/gone", override_document(600_000))
             assert (await ask("DELETE", "/overrides/gone?by=ann&why=over"))[0] == 200
             assert (await ask("GET", "/overrides/gone"))[0] == 404
         await service.end(signal.SIGKILL)
@@ -298,16 +333,17 @@
             left = {row["id"]: row["left_ms"] for row in answer["overrides"]}
             assert left.keys() == {"short", "long"}
             _, again, _ = await ask("GET", "/overrides/short")
-            # What time the kill and the start took is gone from it: nothing begins anew.
+            # The time that the kill and the start took is not added to the time left.
             assert again["until_ms"] == short["until_ms"] and left["short"] < short["left_ms"] - 100
 
-            async def carried():
+            async def revision_overrides():
+                """Return the ids of the overrides in the newest revision."""
                 _, rules, _ = await ask("GET", "/rules")
                 return sorted(row["id"] for row in rules["overrides"])
 
-            for wanted in (["long", "short"], ["long"]):
+            for expected in (["long", "short"], ["long"]):
                 async with asyncio.timeout(15.0):
-                    while await carried() != wanted:
+                    while await revision_overrides() != expected:
                         await asyncio.sleep(0.02)
             _, answer, _ = await ask("GET", "/overrides")
             assert [row["id"] for row in answer["overrides"]] == ["long"]
@@ -317,17 +353,22 @@
 
 
 @running()
-async def test_pairs_are_listed_after_reports_with_sketches(service, ask):
+async def test_delays_between_groups_and_regions_are_listed_after_reports_with_sketches(service, ask):
     for name, zone in (("s1", "a"), ("s2", "b")):
         await ask("PUT", f"/registry/instances/{name}", {**ENTRY, "zone": zone, "ttl_ms": 0})
-    edge = DelaySketches("west")
+    sketches = DelaySketches("west")
     for _ in range(200):
-        edge.count_handshake("a", 20.0, cold=False)
-        edge.count_first_byte("a", 20.5)
+        sketches.count_handshake("a", 20.0, cold=False)
+        sketches.count_first_byte("a", 20.5)
     status, _, _ = await ask(
         "POST",
         "/edges/n0",
-        {"life": "p", "seq": 1, "group": "west", "measures": {"delays": edge.take_rows(MIN_ROW_INTERVAL_S)}},
+        {
+            "life": "p",
+            "seq": 1,
+            "group": "west",
+            "measures": {"delays": sketches.take_rows(MIN_ROW_INTERVAL_S)},
+        },
     )
     _, answer, _ = await ask("GET", "/geo")
     pairs = {(row["group"], row["region"]): row for row in answer["pairs"]}
--- a/tests/controlplane/test_revisions_shell.py
+++ b/tests/controlplane/test_revisions_shell.py
@@ -1,4 +1,4 @@
-"""A list service within this process: defects in its parts, nodes that leave, and its operators' commands."""
+"""A list service in the process of the tests: defects in parts, nodes that leave, operator commands."""
 
 from __future__ import annotations
 
@@ -29,101 +29,107 @@
 from tests.support.loopback import bounded, until
 
 
-def service(tmp_path, **more):
+def make_service(tmp_path, **more):
+    """Return a list service that is not started, with the settings `more`."""
     return Service(RegistrySettings(listen="127.0.0.1:0", data=str(tmp_path / "registry"), **more))
 
 
 @pytest.mark.parametrize(("part", "method"), [("revisions", "step"), ("overrides", "_step")])
 @bounded(30.0)
-async def test_a_defect_in_one_step_ends_no_part(tmp_path, monkeypatch, part, method):
-    made, calls = service(tmp_path), []
-    kind = type(getattr(made, part))
-    monkeypatch.setattr(kind, method, lambda *_: (calls.append(1), {}["a fault"])[0])
-    await made.start()
+async def test_a_part_continues_after_an_exception_in_one_step(tmp_path, monkeypatch, part, method):
+    service, calls = make_service(tmp_path), []
+    part_type = type(getattr(service, part))
+    monkeypatch.setattr(part_type, method, lambda *_: (calls.append(1), {}["a fault"])[0])
+    await service.start()
     try:
         await until(lambda: len(calls) > 1)
     finally:
-        await made.close()
+        await service.close()
 
 
-async def _start_override(made, address):
-    """Start an override that counts as in force for longer than its delivery takes."""
-    now = made.overrides.now()
+async def _start_override(service, address):
+    """Start an override that for the reconciler has been in force for longer than its delivery takes."""
+    now = service.overrides.now()
     document = {"action": {"freeze": True}, "by": "a", "why": "b", "until_ms": now + 60_000}
     await client.call(address, "PUT", "/overrides/o", document)
-    made.overrides.reconciler.step(
-        now - 60_000, reconciler.OverridesPublished(made.overrides.store.active(now))
+    service.overrides.reconciler.step(
+        now - 60_000, reconciler.OverridesPublished(service.overrides.store.active(now))
     )
 
 
 @bounded(30.0)
 async def test_a_node_that_has_left_is_forgotten_by_all_parts(tmp_path, monkeypatch):
-    made = service(tmp_path, agreement=AgreementSettings(forget_ms=0.0))
-    address = await made.start()
+    service = make_service(tmp_path, agreement=AgreementSettings(forget_ms=0.0))
+    address = await service.start()
     try:
-        revisions, now = made.revisions, made.revisions.now()
+        revisions, now = service.revisions, service.revisions.now()
         row = {"region": "a", "window": 1, "span_ms": 500.0, "shake": {}, "first": {"100": 5}}
         for name, process_id in (("on", "p"), ("on", "q"), ("off", "p"), ("left", "p")):
-            made.nodes.answer(
+            service.nodes.answer(
                 name, Report(process_id=process_id, seq=1, group="g", measures={"delays": [row]})
             )
         await until(lambda: revisions.coordinator.membership.names == {"on", "off", "left"})
-        revisions.coordinator.membership.names.discard("off")  # as if it had never become a member
-        assert set(made.geo.demand) == {"on", "off", "left"} == set(revisions.coordinator.membership.nodes)
-        await _start_override(made, address)
-        made.nodes.answer("left", Report(process_id="p", seq=2, leaving=True))
-        assert made.overrides.findings() == {}  # a last report without a digest is no finding
-        made.nodes.answer("nobody", Report(process_id="p", seq=1, leaving=True))
-        assert revisions.coordinator.departing == ["left"]  # an unknown name is not noted
+        revisions.coordinator.membership.names.discard("off")  # "off" reports, but is not a member
+        assert set(service.geo.demand) == {"on", "off", "left"} == set(revisions.coordinator.membership.nodes)
+        await _start_override(service, address)
+        service.nodes.answer("left", Report(process_id="p", seq=2, leaving=True))
+        assert service.overrides.findings() == {}  # The last report of a node needs no digest of overrides
+        service.nodes.answer("nobody", Report(process_id="p", seq=1, leaving=True))
+        assert revisions.coordinator.departing == ["left"]  # The departure of an unknown node is ignored
         revisions.step(RemoveMember("left"))
-        assert set(made.geo.demand) == {"on", "off"}
+        assert set(service.geo.demand) == {"on", "off"}
         revisions.sweep(now + 1e9)
-        # No member is removed while another service may have the majority.
+        # No member is removed while another service may hold the majority.
         assert revisions.coordinator.membership.names == {"on"}
         monkeypatch.setattr(RevisionCoordinator, "grant_refusal", lambda *_: None)
         revisions.sweep(now + 1e9)
         assert (
-            made.geo.demand,
+            service.geo.demand,
             revisions.coordinator.membership.nodes,
             revisions.coordinator.leases.active(now),
         ) == ({}, {}, {})
     finally:
-        await made.close()
+        await service.close()
 
 
 @bounded(30.0)
 async def test_a_child_that_acts_on_other_overrides_is_denied_a_lease_through_its_aggregator(
     tmp_path, monkeypatch
 ):
-    made, now, seen = service(tmp_path), [1_000_000], []
-    monkeypatch.setattr(type(made.overrides), "now", lambda _: now[0])
-    await made.start()
+    service, now, seen_orders = make_service(tmp_path), [1_000_000], []
+    monkeypatch.setattr(type(service.overrides), "now", lambda _: now[0])
+    await service.start()
     try:
         place, seq = Place("g", "a"), count(1)
 
         def orders(digest, acted=None, joined=(), name="x"):
+            """Report the overrides of the child "c" through the aggregator `name`; return its orders."""
             now[0] += 500
             row = ChildException("c", "1", place, digest, acted)
             report = AggregatorReport("p", next(seq), "a", exceptions=[row], joined=list(joined))
-            return made.aggregators.reported(name, report).orders
+            return service.aggregators.reported(name, report).orders
 
-        assert orders("1-00000000") == []  # not known as a child
+        assert orders("1-00000000") == []  # The service does not know "c" as a child of the aggregator yet
         orders("1-00000000", None, [Member("c", "1")])
-        while not seen or not seen[-1].blocked:
-            seen += orders("1-00000000", {"o9": 5})
-        assert any(order.list_overrides for order in seen) and any(order.refresh_times for order in seen)
-        assert list(made.overrides.findings()) == ["c"] and now[0] < 1_030_000
-        assert orders("0-00000000") == [ChildOrder("c")] and made.overrides.findings() == {}
+        while not seen_orders or not seen_orders[-1].blocked:
+            seen_orders += orders("1-00000000", {"o9": 5})
+        assert any(order.list_overrides for order in seen_orders) and any(
+            order.refresh_times for order in seen_orders
+        )
+        assert list(service.overrides.findings()) == ["c"] and now[0] < 1_030_000
+        assert orders("0-00000000") == [ChildOrder("c")] and service.overrides.findings() == {}
         while not orders("1-00000000", {"o9": 5})[0].blocked:
             pass
-        # A child that moves to another aggregator is checked anew there.
+        # A child that moves to another aggregator starts there without findings.
         assert orders("1-00000000", None, [Member("c", "1")], "y") == [ChildOrder("c")]
-        assert made.overrides.findings() == {}
+        assert service.overrides.findings() == {}
     finally:
-        await made.close()
+        await service.close()
 
 
-def test_the_end_of_an_override_is_computed_with_the_clock_of_the_service(tmp_path, monkeypatch):
+def test_the_command_line_computes_the_end_of_an_override_with_the_clock_of_the_service(
+    tmp_path, monkeypatch
+):
     sent = []
 
     async def call(at, method, path, body=None, headers=None):
@@ -137,7 +143,7 @@
     assert sent[-1] == ("PUT", "/overrides/o", {"until_ms": 5_600_000})
 
 
-def test_an_answer_of_another_program_to_a_publisher_is_reported_as_such(tmp_path, monkeypatch):
+def test_a_publisher_reports_an_answer_that_is_not_of_a_list_service(tmp_path, monkeypatch):
     async def call(at, method, path, body=None, headers=None):
         return {"edition": 1} if method == "PUT" else []
 
@@ -150,21 +156,21 @@
 
 
 @bounded(30.0)
-async def test_a_task_that_fails_is_logged_and_those_that_run_end_with_their_part(capsys):
-    async def fails():
+async def test_a_failed_task_is_logged_and_running_tasks_end_with_their_part(capsys):
+    async def fail():
         raise KeyError("a fault")
 
     tasks, ended = Tasks(), asyncio.Event()
 
-    async def waits():
+    async def wait():
         try:
             await asyncio.Event().wait()
         finally:
             ended.set()
 
     logs.set_up()
-    tasks.spawn(fails())
-    tasks.spawn(waits())
+    tasks.spawn(fail())
+    tasks.spawn(wait())
     await asyncio.sleep(0.0)
     await tasks.end()
     line = json.loads(capsys.readouterr().err.splitlines()[0])
--- a/tests/controlplane/test_store_leases.py
+++ b/tests/controlplane/test_store_leases.py
@@ -1,4 +1,4 @@
-"""Leases: when they end, and when the silence of many is not taken for their death."""
+"""Leases: when they end, and when missing renewals of many owners count as a network fault."""
 
 from __future__ import annotations
 
@@ -6,53 +6,64 @@
 
 from brassfall.controlplane.store.leases import MAX_STEP_MS, ExpiryGuard, Leases
 
-TTL = 6000.0
+TTL = 6000.0  # Time to live of each lease, in ms
 
 
 def run_leases(count, silent_from, until, guard=None, stall=None):
-    """Leases of `count` holders that renew at a third, some silent from a time on; what ended when."""
+    """Run the leases of `count` owners that renew every third of `TTL`; times are in ms.
+
+    `silent_from` maps owners to the times from which they renew no more. No check and no renewal happens
+    within `stall` (start, end). Return the times of expiry by owner, the suspected owners, and the leases.
+    """
     leases = Leases(guard or ExpiryGuard())
     names = [f"s{i}" for i in range(count)]
     for name in names:
         leases.grant(0.0, name, TTL, guarded=True)
-    ended, suspected, now = {}, set(), 0.0
+    expired_at, suspected, now = {}, set(), 0.0
     while now < until:
         now += 100.0
         if stall and stall[0] <= now < stall[1]:
-            continue  # the service does not run; nobody can renew
+            continue  # The service does not run, so nobody can renew a lease
         for i, name in enumerate(names):
-            spoke = (now + 100.0 * (i % 20)) % 2000.0 < 100.0
-            if spoke and name not in ended and now < silent_from.get(name, until):
+            renewal_due = (now + 100.0 * (i % 20)) % 2000.0 < 100.0
+            if renewal_due and name not in expired_at and now < silent_from.get(name, until):
                 leases.renew(now, name)
-        verdict = leases.check(now)
-        ended |= dict.fromkeys(verdict.expired, now)
-        suspected |= set(verdict.suspected)
-    return ended, suspected, leases
+        ended = leases.check(now)
+        expired_at |= dict.fromkeys(ended.expired, now)
+        suspected |= set(ended.suspected)
+    return expired_at, suspected, leases
 
 
 @pytest.mark.parametrize(
-    ("count", "gone", "ends", "suspects"),
+    ("count", "silent_count", "expires", "suspects"),
     [
-        (12, 1, True, 0),  # one has died
-        (3, 1, True, 0),  # also where that is a third
-        (12, 4, False, 4),  # a third is cut off
-        (12, 12, False, 12),  # all are
-        (12, 3, True, 0),  # a quarter is not more than the share
+        (12, 1, True, 0),  # One of twelve owners is silent
+        (
+            3,
+            1,
+            True,
+            0,
+        ),  # One owner is silent, and a single lease always expires, even if it is a third of all
+        (12, 4, False, 4),  # A third of the owners is silent: more than the share of the guard
+        (12, 12, False, 12),  # All owners are silent
+        (12, 3, True, 0),  # A quarter of the owners is silent: not more than the share of the guard
     ],
 )
-def test_the_silence_of_many_is_doubted_and_that_of_few_is_not(count, gone, ends, suspects):
-    silent = {f"s{i}": 20_000.0 for i in range(gone)}
-    ended, suspected, leases = run_leases(count, silent, 40_000.0)
+def test_leases_of_many_silent_owners_are_suspected_and_those_of_few_expire(
+    count, silent_count, expires, suspects
+):
+    silent = {f"s{i}": 20_000.0 for i in range(silent_count)}
+    expired_at, suspected, leases = run_leases(count, silent, 40_000.0)
     assert len(suspected) == suspects == len(leases.suspects)
-    assert set(ended) == (set(silent) if ends else set())
-    assert all(20_000.0 + TTL * 2 / 3 <= at <= 20_000.0 + TTL + 200.0 for at in ended.values())
+    assert set(expired_at) == (set(silent) if expires else set())
+    assert all(20_000.0 + TTL * 2 / 3 <= at <= 20_000.0 + TTL + 200.0 for at in expired_at.values())
 
 
-def test_the_guard_ends_and_a_renewed_lease_is_no_suspect():
+def test_a_suspect_lease_expires_after_the_guard_time_and_a_renewed_lease_is_no_suspect():
     silent = {f"s{i}": 20_000.0 for i in range(4)}
-    ended, suspected, leases = run_leases(12, silent, 100_000.0)
-    assert set(ended) == suspected == set(silent)
-    assert all(83_900.0 < at < 86_500.0 for at in ended.values())  # a minute after their leases
+    expired_at, suspected, leases = run_leases(12, silent, 100_000.0)
+    assert set(expired_at) == suspected == set(silent)
+    assert all(83_900.0 < at < 86_500.0 for at in expired_at.values())  # A minute after the leases ended
     leases = Leases(ExpiryGuard())
     for name in "abc":
         leases.grant(0.0, name, TTL, guarded=True)
@@ -63,29 +74,30 @@
     for name in "abc":
         leases.renew(now, name)
     assert leases.suspects == []
-    ended = []
+    times_without_c = []
     while now < 20_000.0:
         leases.check(now := now + 100.0)
         for name in "ab":
             leases.renew(now, name)
-        ended += [now] if "c" not in leases else []
-    assert ended[0] <= 10_000.0 + TTL + 200.0  # its later death is seen in time, not a minute on
+        times_without_c += [now] if "c" not in leases else []
+    # The lease of a former suspect expires at its end, and not after the guard time of a minute.
+    assert times_without_c[0] <= 10_000.0 + TTL + 200.0
 
 
-def test_no_lease_expires_in_a_stall():
-    ended, suspected, _ = run_leases(12, {}, 80_000.0, stall=(20_000.0, 50_000.0))
-    assert not ended and not suspected
+def test_no_lease_expires_because_of_a_stall():
+    expired_at, suspected, _ = run_leases(12, {}, 80_000.0, stall=(20_000.0, 50_000.0))
+    assert not expired_at and not suspected
     leases = Leases(ExpiryGuard())
     leases.grant(0.0, "a", TTL, guarded=True)
     leases.check(30_000.0)
     assert len(leases) == 1 and leases.since_renewal_ms(30_000.0, "a") == MAX_STEP_MS
 
 
-def test_the_end_of_a_leaving_servers_lease_is_not_doubted():
+def test_unguarded_leases_expire_even_if_all_owners_are_silent():
     leases = Leases(ExpiryGuard())
     for name in "abcd":
         leases.grant(0.0, name, TTL, guarded=False)
-    now, ended = 0.0, []
+    now, expired = 0.0, []
     while now < 7000.0:
-        ended += leases.check(now := now + 100.0).expired
-    assert ended == ["a", "b", "c", "d"]
+        expired += leases.check(now := now + 100.0).expired
+    assert expired == ["a", "b", "c", "d"]
--- a/tests/controlplane/test_store_log.py
+++ b/tests/controlplane/test_store_log.py
@@ -1,4 +1,4 @@
-"""The durable log: cut off at every kind of place, restarted, and on files that are not its own."""
+"""The durable log: truncated files, restarts, and files that are locked, damaged or of another program."""
 
 from __future__ import annotations
 
@@ -12,13 +12,17 @@
 from brassfall.controlplane.store.log import FILE, Log, LogError
 
 
-def written(folder, seed, commits=40):
-    """A log with random commits; the length of its WAL and the rows after each."""
+def write_random_commits(folder, seed, commits=40):
+    """Write a log with random commits.
+
+    Return the contents of its files by name, and for the start and each commit the length of the write-ahead
+    log, the rows and the index after it.
+    """
     rng = random.Random(seed)
     log = Log(folder, checkpoint_pages=0)
     state = log.load().state
     wal = folder / f"{FILE}-wal"
-    steps = [(wal.stat().st_size, {}, 0)]
+    states = [(wal.stat().st_size, {}, 0)]
     for _ in range(commits):
         transaction = state.begin(0)
         for _ in range(rng.randint(1, 20)):
@@ -30,38 +34,41 @@
         if transaction.records:
             log.append(transaction.records)
             state.apply(transaction.records)
-        steps.append((wal.stat().st_size, {row.key: row.value for row in state.rows("t")}, state.index))
-    image = {name: (folder / name).read_bytes() for name in (FILE, f"{FILE}-wal")}
+        states.append((wal.stat().st_size, {row.key: row.value for row in state.rows("t")}, state.index))
+    files = {name: (folder / name).read_bytes() for name in (FILE, f"{FILE}-wal")}
     log.close()
-    return image, steps
+    return files, states
 
 
-def test_after_any_truncation_all_acknowledged_writes_are_there_and_no_index_comes_twice(tmp_path):
+def test_after_any_truncation_all_acknowledged_writes_are_present_and_no_index_is_used_twice(tmp_path):
     rng = random.Random(7)
     for seed in range(4):
-        image, steps = written(tmp_path / f"w{seed}", seed)
-        complete = image[f"{FILE}-wal"]
+        files, states = write_random_commits(tmp_path / f"w{seed}", seed)
+        complete_wal = files[f"{FILE}-wal"]
         for _ in range(250):
-            end = rng.randint(steps[0][0], len(complete))
-            junk = rng.randbytes(rng.choice((0, 1, 24, 4096, 9000)))  # a last page that never came to be
+            end = rng.randint(states[0][0], len(complete_wal))
+            junk = rng.randbytes(
+                rng.choice((0, 1, 24, 4096, 9000))
+            )  # The rest of a write that was not completed
             folder = tmp_path / "truncated"
             shutil.rmtree(folder, ignore_errors=True)
             folder.mkdir()
-            (folder / FILE).write_bytes(image[FILE])
-            (folder / f"{FILE}-wal").write_bytes(complete[:end] + junk)
-            # What was acknowledged when the file had at most this length; nothing beyond half a commit.
-            _, rows, index = max((step for step in steps if step[0] <= end), key=lambda step: step[0])
+            (folder / FILE).write_bytes(files[FILE])
+            (folder / f"{FILE}-wal").write_bytes(complete_wal[:end] + junk)
+            # The last state that was acknowledged before the file was longer than `end`: a part of a further
+            # commit must have no effect.
+            _, rows, index = max((state for state in states if state[0] <= end), key=lambda state: state[0])
             log = Log(folder)
             state = log.load().state
             assert {row.key: row.value for row in state.rows("t")} == rows
             assert state.index == index
             incarnation = state.begin_incarnation(0, 0)
-            log.append([incarnation])  # it can be written to as before
+            log.append([incarnation])  # The truncated log can still be written to
             assert incarnation.index > index
             log.close()
 
 
-def test_after_a_restart_watchers_continue_from_their_index(tmp_path):
+def test_after_a_restart_watchers_continue_from_indexes_since_the_last_but_one_snapshot(tmp_path):
     log = Log(tmp_path)
     state, indexes = log.load().state, []
     for number in range(12):
@@ -77,19 +84,19 @@
     incarnation = state.begin_incarnation(1000, 0)
     restarted.append([incarnation])
     state.apply([incarnation])
-    # From the snapshot before the last one on; nothing older is kept.
+    # Changes are kept since the last but one snapshot, which was made after the change number 4.
     assert [state.changes_since("t", index) is not None for index in indexes] == [False] * 4 + [True] * 8
     assert [change.row.value for change in state.changes_since("t", indexes[6])] == [7, 8, 9, 10, 11]
     assert state.changes_since("t", indexes[-1]) == [] and state.changes_since("t", 999) is None
     restarted.close()
 
 
-def test_a_log_that_is_locked_foreign_or_damaged_is_named(tmp_path):
-    first = Log(tmp_path / "a")
-    first.load()
+def test_the_error_for_a_locked_damaged_or_foreign_file_names_the_file(tmp_path):
+    open_log = Log(tmp_path / "a")
+    open_log.load()
     with pytest.raises(LogError, match=r"table\.sqlite3: another process has it open"):
         Log(tmp_path / "a").load()
-    first.close()
+    open_log.close()
     for name, content in (("b", b"no database" * 100), ("c", None)):
         folder = tmp_path / name
         folder.mkdir()
--- a/tests/controlplane/test_store_log_disk.py
+++ b/tests/controlplane/test_store_log_disk.py
@@ -1,4 +1,4 @@
-"""The durable log on a disk that fails: what is acknowledged is there, what is refused never appears."""
+"""The durable log on a failing disk: acknowledged writes are present, and refused writes never appear."""
 
 from __future__ import annotations
 
@@ -14,89 +14,91 @@
     LogOutcomeUnknownError,
     LogUnavailableError,
 )
-from tests.support.disk_faults import ERRORS, Disk, image_at
+from tests.support.disk_faults import ERRORS, Disk, files_after
 
 WAL = f"{FILE}-wal"
 
 
-class Journal:
-    """A log on a disk that fails, and the table that is made of what it acknowledged."""
+class LogOnDisk:
+    """A log on a simulated disk, and the state that results from the records that it acknowledged."""
 
     def __init__(self, folder, **options):
         self.disk = Disk()
         self.folder = folder
         self.log = Log(folder, connect=self.disk.connect, **options)
         self.state = self.log.load().state
-        self.staged = None
+        self.last_records = None  # Records of the last append
 
     def put(self, key, size=0):
-        """Write a row; `settle` goes on where the outcome is unknown."""
-        stage = self.state.begin(0)
-        stage.run(Put(table="t", key=key, value=key + "x" * size))
-        self.staged = stage.records
-        self.log.append(stage.records)
-        self.state.apply(stage.records)
+        """Write a row whose value has `size` extra characters; if the outcome is unknown, call `settle`."""
+        transaction = self.state.begin(0)
+        transaction.run(Put(table="t", key=key, value=key + "x" * size))
+        self.last_records = transaction.records
+        self.log.append(transaction.records)
+        self.state.apply(transaction.records)
 
     def settle(self):
-        there = self.log.settle()
-        if there:
-            self.state.apply(self.staged)
-        return there
+        """Return whether the records of the last append are in the file, and apply them if they are."""
+        written = self.log.settle()
+        if written:
+            self.state.apply(self.last_records)
+        return written
 
     def keys(self):
+        """Return the keys of the rows that were acknowledged."""
         return [row.key for row in self.state.rows("t")]
 
     def after_restart(self):
-        """The keys that a start reads from the folder, by the standard library's SQLite."""
+        """Return the keys that a start reads from the folder with the SQLite of the standard library."""
         self.log.close()
         restarted = Log(self.folder)
-        table = restarted.load().state
+        state = restarted.load().state
         restarted.close()
-        return [row.key for row in table.rows("t")]
+        return [row.key for row in state.rows("t")]
 
 
 @pytest.fixture
 def journal(tmp_path):
-    made = Journal(tmp_path / "log")
-    made.put("first")
-    yield made
-    made.disk.mend()
-    made.log.close()
+    journal = LogOnDisk(tmp_path / "log")
+    journal.put("first")
+    yield journal
+    journal.disk.repair()
+    journal.log.close()
 
 
 def test_an_unknown_outcome_is_settled_by_content_before_anything_else_is_appended(journal):
-    """The frames of a commit are in the file, its sync fails, and the file can't be opened just then."""
+    """A commit is written to the file, but its sync fails and the file can't be opened again for a while."""
     journal.disk.sync, journal.disk.open = "EIO sync", "EIO open"
     with pytest.raises(LogOutcomeUnknownError, match=r"EIO sync, and then: .*EIO open"):
         journal.put("unknown")
-    unknown = journal.staged
-    journal.disk.mend()
+    unknown_records = journal.last_records
+    journal.disk.repair()
     with pytest.raises(LogUnavailableError, match="not known yet"):
         journal.put("too early")
-    journal.staged = unknown
+    journal.last_records = unknown_records
     assert journal.settle() is True
     journal.put("later")
     assert journal.keys() == ["first", "unknown", "later"] == journal.after_restart()
 
 
-def test_what_is_settled_as_absent_never_appears(journal):
+def test_a_commit_that_is_settled_as_not_written_never_appears(journal):
     journal.disk.write, journal.disk.open = "EIO write", "EIO open"
     with pytest.raises(LogOutcomeUnknownError):
         journal.put("absent", size=9000)
-    journal.disk.mend()
+    journal.disk.repair()
     assert journal.settle() is False
     journal.put("later")
     assert journal.keys() == ["first", "later"] == journal.after_restart()
 
 
-def test_settling_waits_until_the_row_is_durable(journal):
-    """A row that can be read back is not acknowledged before a sync of it has succeeded."""
+def test_settling_fails_until_the_row_is_durable(journal):
+    """A row that can be read is acknowledged only after a sync of it has succeeded."""
     journal.disk.sync = "EIO sync"
     with pytest.raises(LogOutcomeUnknownError):
         journal.put("unsynced")
     with pytest.raises(LogUnavailableError):
         journal.log.settle()
-    journal.disk.mend()
+    journal.disk.repair()
     assert journal.settle() is True
     assert journal.keys() == ["first", "unsynced"] == journal.after_restart()
 
@@ -107,10 +109,8 @@
     ("part", "error"), [("write", "ENOSPC"), ("write", "EIO write"), ("sync", "EIO sync")]
 )
 @pytest.mark.parametrize("opens", ["", "EIO open"])
-def test_after_any_failure_the_writers_the_table_and_a_restart_agree(
-    journal, opens, part, error, after, keep
-):
-    """Each write and sync of a commit of several pages fails in turn, with the file readable or not."""
+def test_after_any_failure_the_writer_the_state_and_a_restart_agree(journal, opens, part, error, after, keep):
+    """Each write and sync of a commit of several pages fails in turn; the file can then be opened or not."""
     disk = journal.disk
     setattr(disk, part, error)
     disk.open, disk.after, disk.keep = opens, after, keep
@@ -121,18 +121,18 @@
         refused = ["victim"]
     except LogOutcomeUnknownError:
         unknown = True
-    disk.mend()
+    disk.repair()
     if unknown and not journal.settle():
         refused = ["victim"]
     journal.put("later")
-    wanted = [key for key in ("first", "victim", "later") if key not in refused]
-    assert journal.keys() == wanted == journal.after_restart()
+    expected = [key for key in ("first", "victim", "later") if key not in refused]
+    assert journal.keys() == expected == journal.after_restart()
 
 
 @pytest.mark.parametrize("error", ["ENOSPC", "EIO write", "EIO sync", "EIO open", "EROFS"])
-def test_a_disk_that_fails_for_long_refuses_and_then_goes_on(journal, error):
+def test_appends_fail_while_the_disk_fails_and_succeed_afterwards(journal, error):
     setattr(journal.disk, "sync" if "sync" in error else "open" if "open" in error else "write", error)
-    journal.log.close()  # also its reopening fails, where that writes
+    journal.log.close()  # The next append has to open the file, which may fail, too
     unknown = False
     for _ in range(3):
         try:
@@ -143,84 +143,88 @@
             pass
         else:
             assert error == "EIO open" or unknown
-    journal.disk.mend()
-    there = unknown and journal.settle()
+    journal.disk.repair()
+    written = unknown and journal.settle()
     journal.put("later")
-    assert journal.keys() == ["first", *(["never"] if there else []), "later"] == journal.after_restart()
+    assert journal.keys() == ["first", *(["never"] if written else []), "later"] == journal.after_restart()
 
 
 @pytest.mark.parametrize("size", [10, 9000])
-def test_a_kill_at_any_step_of_a_write_keeps_what_was_acknowledged(tmp_path, size):
-    """The files after each write of some commits, the last one torn, are read as a restart does."""
-    journal = Journal(tmp_path / "log", checkpoint_pages=4)  # some commits also copy pages into the database
+def test_a_kill_after_any_change_of_the_files_loses_no_acknowledged_commit(tmp_path, size):
+    """A restart reads the files as they were after each change by some commits, with the last change torn."""
+    # With four pages some commits also run a checkpoint, which copies pages into the database file.
+    journal = LogOnDisk(tmp_path / "log", checkpoint_pages=4)
     journal.put("first")
     base = {name: (tmp_path / "log" / name).read_bytes() for name in (FILE, WAL)}
     journal.disk.record()
     acknowledged = [(0, ["first"])]
     for number in range(4):
         journal.put(f"k{number}", size)
-        acknowledged.append((len(journal.disk.steps), journal.keys()))
-    steps = journal.disk.steps
-    journal.disk.steps = None
+        acknowledged.append((len(journal.disk.changes), journal.keys()))
+    changes = journal.disk.changes
+    journal.disk.changes = None
     journal.log.close()
-    assert {step.file for step in steps} == {FILE, WAL}
-    for count in range(len(steps) + 1):
-        for torn in (0.0, 0.3, 0.98, 1.0):
-            folder = tmp_path / f"cut-{count}-{torn}"
+    assert {change.file for change in changes} == {FILE, WAL}
+    for count in range(len(changes) + 1):
+        for last_share in (0.0, 0.3, 0.98, 1.0):
+            folder = tmp_path / f"cut-{count}-{last_share}"
             folder.mkdir()
-            for name, content in image_at(base, steps, count, torn).items():
+            for name, content in files_after(base, changes, count, last_share).items():
                 (folder / name).write_bytes(content)
             restarted = Log(folder)
-            table = restarted.load().state
-            restarted.append([table.begin_incarnation(0, 0)])
+            state = restarted.load().state
+            restarted.append([state.begin_incarnation(0, 0)])
             restarted.close()
-            found = [row.key for row in table.rows("t")]
-            sure = max((known for known in acknowledged if known[0] < count or not known[0]), key=len_of)
-            started = [keys for end, keys in acknowledged if end <= count]
-            assert found[: len(sure[1])] == sure[1], (count, torn)
-            assert len(found) <= len(started) + 1, (count, torn)
+            found = [row.key for row in state.rows("t")]
+            required = max(
+                (point for point in acknowledged if point[0] < count or not point[0]), key=key_count
+            )
+            completed = [keys for end, keys in acknowledged if end <= count]
+            assert found[: len(required[1])] == required[1], (count, last_share)
+            assert len(found) <= len(completed) + 1, (count, last_share)
 
 
-def len_of(known):
-    return len(known[1])
+def key_count(point):
+    """Return the number of keys that were acknowledged after a number of changes."""
+    return len(point[1])
 
 
 @pytest.mark.parametrize("error", ["ENOSPC", "EIO write", "EIO sync"])
 @pytest.mark.parametrize("after", range(0, 12, 3))
-def test_a_snapshot_that_fails_loses_nothing_whether_it_is_in_the_file_or_not(journal, error, after):
+def test_a_failed_snapshot_loses_no_row_whether_it_reached_the_file_or_not(journal, error, after):
     for number in range(8):
         journal.put(f"k{number}", size=3000)
     setattr(journal.disk, "sync" if "sync" in error else "write", error)
     journal.disk.after, journal.disk.open = after, "EIO open"
-    wanted = journal.keys()
+    keys_before = journal.keys()
     try:
         journal.log.compact(journal.state.snapshot())
     except LogUnavailableError:
         assert journal.disk.failed
-    journal.disk.mend()
+    journal.disk.repair()
     journal.put("later")
-    assert journal.keys() == [*wanted, "later"] == journal.after_restart()
+    assert journal.keys() == [*keys_before, "later"] == journal.after_restart()
 
 
-def test_a_file_that_another_process_wrote_meanwhile_is_never_taken_for_this_one(journal):
+def test_a_file_that_another_process_has_written_meanwhile_is_an_error(journal):
     journal.disk.sync, journal.disk.open = "EIO sync", "EIO open"
     with pytest.raises(LogOutcomeUnknownError):
         journal.put("unknown")
-    journal.disk.mend()
+    journal.disk.repair()
     with sqlite3.connect(journal.folder / FILE) as other:
         other.execute("delete from log where seq > 1")
         other.execute("insert into log values (2, x'5b5d')")
     other.close()
-    with pytest.raises(LogError, match="another process wrote it") as found:
+    with pytest.raises(LogError, match="another process wrote it") as caught:
         journal.settle()
-    assert not isinstance(found.value, LogUnavailableError)
+    assert not isinstance(caught.value, LogUnavailableError)
 
 
-def test_a_file_that_is_gone_is_not_made_anew(journal):
+def test_a_file_that_has_disappeared_is_not_created_again(journal):
     journal.disk.sync = "EIO sync"
     with pytest.raises(LogOutcomeUnknownError):
         journal.put("unknown")
-    journal.disk.mend()
+    journal.disk.repair()
     unmounted = journal.folder.rename(journal.folder.with_name("elsewhere"))
     for _ in range(2):
         with pytest.raises(LogUnavailableError):
@@ -230,7 +234,7 @@
     assert journal.after_restart() == ["first", "unknown"]
 
 
-def test_a_foreign_file_in_its_place_is_refused_and_blocks_no_caller(journal):
+def test_a_file_of_another_program_in_place_of_the_log_is_refused(journal):
     journal.log.close()
     for path in journal.folder.iterdir():
         path.unlink()
@@ -242,19 +246,19 @@
 
 
 @pytest.mark.parametrize("name", ERRORS)
-def test_a_start_on_a_failing_disk_says_that_it_passes(tmp_path, name):
-    Journal(tmp_path).log.close()
+def test_a_load_on_a_failing_disk_raises_the_error_of_a_temporary_failure(tmp_path, name):
+    LogOnDisk(tmp_path).log.close()
     disk = Disk()
     part = name.split()[-1] if name.startswith("EIO") else "open"
     setattr(disk, part, name)
     log = Log(tmp_path, connect=disk.connect)
     if part in ("write", "sync"):
-        log.load()  # nothing is written by a read
+        log.load()  # A load writes nothing, so it succeeds
         with pytest.raises((LogUnavailableError, LogOutcomeUnknownError)):
             log.append([])
     else:
         with pytest.raises(LogUnavailableError, match=r"table\.sqlite3"):
             log.load()
-    disk.mend()
+    disk.repair()
     assert log.load().state.index == 0
     log.close()
--- a/tests/controlplane/test_store_state.py
+++ b/tests/controlplane/test_store_state.py
@@ -1,4 +1,4 @@
-"""The state machine and its log, against a plain model."""
+"""The state machine of the store and its log, compared with a model in plain dictionaries."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from brassfall.controlplane.store.records import Status
 from brassfall.controlplane.store.state import State
 
-RING = 3
+HISTORY_LENGTH = 3  # Number of changes that the state keeps of each table
 KEYS = st.sampled_from(["a", "b"])
 TABLES = st.sampled_from(["t", "u"])
 FENCES = st.one_of(st.none(), st.integers(0, 1))
@@ -24,20 +24,22 @@
 IDS = st.sampled_from(["", "", "", "r1", "r2"])
 
 
-class AgainstAPlainModel(RuleBasedStateMachine):
-    """Commands in batches that succeed or fail on the disk, restarts, watchers that come back."""
+class StoreAgainstModel(RuleBasedStateMachine):
+    """Commands whose commits succeed or fail, restarts, and watchers that reconnect with old indexes."""
 
     @initialize()
     def begin(self):
         self.folder = Path(tempfile.mkdtemp())
+        # Rows of the model as (version, value, fence, owner) by (table, key), and results by request id.
         self.rows, self.answers = {}, {}
-        self.lists = {0: {}}  # what each index stood for
+        self.lists = {0: {}}  # Rows of the model at each index that was used
         self.least_index = 0
         self.open()
 
     def open(self):
+        """Load the log, and begin an incarnation."""
         self.log = Log(self.folder)
-        self.state = self.log.load(RING).state
+        self.state = self.log.load(HISTORY_LENGTH).state
         self.least_index += 1000
         incarnation = self.state.begin_incarnation(self.least_index, 0)
         self.log.append([incarnation])
@@ -46,11 +48,12 @@
         self.lists[self.state.index] = dict(self.rows)
 
     def match(self, how, place):
+        """Return the `if_match` of a command for the row at (table, key)."""
         version = self.rows[place][0] if place in self.rows else 0
         return {None: None, "right": version, "none": 0, "wrong": version + 7}[how]
 
     def expected(self, command, place):
-        """What the plain model answers."""
+        """Return the status that the model gives to a command."""
         row = self.rows.get(place)
         if row is None and not isinstance(command, Put):
             return Status.MISSING
@@ -65,6 +68,7 @@
         return Status.DONE
 
     def carry_out(self, command, fails):
+        """Run a command on the state and on the model, and compare; with `fails` its commit fails."""
         place = (command.table, command.key)
         transaction = self.state.begin(0)
         result = transaction.run(command)
@@ -74,7 +78,7 @@
             return
         assert result.status is self.expected(command, place)
         if fails:
-            return  # the disk took nothing: nothing of it may be seen
+            return  # The records did not reach the disk, so the command must have no effect
         if transaction.records:
             self.log.append(transaction.records)
         self.state.apply(transaction.records)
@@ -136,22 +140,22 @@
             assert found == {key: row for (name, key), row in self.rows.items() if name == table}
 
     @invariant()
-    def changes_lead_from_any_list_that_was_given_out_to_the_present_one(self):
-        for index, then in self.lists.items():
+    def changes_lead_from_the_list_of_any_used_index_to_the_present_list(self):
+        for index, rows in self.lists.items():
             for table in ("t", "u"):
                 changes = self.state.changes_since(table, index)
                 if changes is None:
-                    continue  # the complete list will do
-                found = {key: row[0] for (name, key), row in then.items() if name == table}
+                    continue  # The watcher gets the complete list
+                versions = {key: row[0] for (name, key), row in rows.items() if name == table}
                 for change in changes:
                     if change.deleted:
-                        found.pop(change.row.key, None)
+                        versions.pop(change.row.key, None)
                     else:
-                        found[change.row.key] = change.row.version
-                assert found == {row.key: row.version for row in self.state.rows(table)}
+                        versions[change.row.key] = change.row.version
+                assert versions == {row.key: row.version for row in self.state.rows(table)}
 
     @invariant()
-    def an_index_that_was_never_given_out_gets_the_complete_list(self):
+    def an_index_that_was_never_used_gets_the_complete_list(self):
         assert self.state.changes_since("t", self.state.index + 1) is None
         assert (
             self.state.changes_since("t", self.least_index - 1) is None or self.least_index - 1 in self.lists
@@ -163,18 +167,18 @@
             shutil.rmtree(self.folder)
 
 
-AgainstAPlainModel.TestCase.settings = settings(
+StoreAgainstModel.TestCase.settings = settings(
     max_examples=100, stateful_step_count=40, deadline=None, derandomize=True
 )
-TestAgainstAPlainModel = AgainstAPlainModel.TestCase
+TestStoreAgainstModel = StoreAgainstModel.TestCase
 
 
-def test_the_answer_to_a_request_id_is_forgotten_by_age_and_number(monkeypatch):
+def test_answers_to_request_ids_are_dropped_by_number_and_by_age(monkeypatch):
     monkeypatch.setattr(store_state, "MAX_ANSWERS", 3)
     store = State()
 
-    def put(at, request_id):
-        transaction = store.begin(at)
+    def put(time_ms, request_id):
+        transaction = store.begin(time_ms)
         transaction.run(Put(table="t", key="a", value=1, request_id=request_id))
         store.apply(transaction.records)
 
--- a/tests/controlplane/test_store_stored_data.py
+++ b/tests/controlplane/test_store_stored_data.py
@@ -1,8 +1,8 @@
-"""A data folder of the version of 2026-12-02 is read to the same rows, answers and changes.
+"""A data folder that the version of 2026-12-02 wrote is read as that version read it.
 
-`tests/data/registry-folder` was copied from a running list service, as a kill would have left it: a snapshot,
-the records before and after it, and a write-ahead log that was never copied into the database file.
-`expected.json` is what that version itself read from the folder.
+`tests/data/registry-folder` was copied from a running list service, as a kill would have left it. It has a
+snapshot, records before and after it, and a write-ahead log that was not yet copied into the database file.
+`expected.json` has the rows, answers and changes that the version itself read from the folder.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 @pytest.fixture
 def folder(tmp_path):
-    """A copy of the folder, which a test may write to."""
+    """Return a copy of the stored folder, to which a test may write."""
     copy = tmp_path / "registry"
     copy.mkdir()
     for name in (FILE, f"{FILE}-wal"):
@@ -36,37 +36,37 @@
     return copy
 
 
-def test_rows_answers_and_changes_are_those_that_were_written(folder):
+def test_stored_rows_answers_and_changes_are_read(folder):
     log = Log(folder)
     loaded = log.load()
     log.close()
-    table = loaded.state
-    assert (table.index, table.time_ms) == (EXPECTED["index"], EXPECTED["at"])
+    state = loaded.state
+    assert (state.index, state.time_ms) == (EXPECTED["index"], EXPECTED["at"])
     assert loaded.records == EXPECTED["records_since_snapshot"]
-    rows = {name: [msgspec.to_builtins(row) for row in table.rows(name)] for name in table.names}
+    rows = {name: [msgspec.to_builtins(row) for row in state.rows(name)] for name in state.names}
     assert rows == EXPECTED["rows"]
-    answers = {name: msgspec.to_builtins(table.remembered_answer(name)) for name in EXPECTED["answers"]}
+    answers = {name: msgspec.to_builtins(state.remembered_answer(name)) for name in EXPECTED["answers"]}
     assert answers == EXPECTED["answers"]
     changes = {}
-    for name in table.names:
-        found = table.changes_since(name, EXPECTED["changes_after"])
-        changes[name] = found and [
-            [change.row.key, change.row.version, change.index, change.deleted] for change in found
+    for name in state.names:
+        table_changes = state.changes_since(name, EXPECTED["changes_after"])
+        changes[name] = table_changes and [
+            [change.row.key, change.row.version, change.index, change.deleted] for change in table_changes
         ]
     assert changes == EXPECTED["changes"]
 
 
-def test_overrides_and_their_history_are_in_force_as_they_were(folder):
+def test_stored_overrides_are_in_force_and_their_history_is_read(folder):
     log = Log(folder)
-    table = log.load().state
+    state = log.load().state
     log.close()
-    marked = table.get("overrides-clock", "mark").value["mark"]
+    mark_ms = state.get("overrides-clock", "mark").value["mark"]
     overrides = override_store.OverrideStore(HistoryRing())
-    history = [row.value for row in table.rows(TABLE)]
+    history = [row.value for row in state.rows(TABLE)]
     assert (
-        overrides.restore(((row.key, row.value) for row in table.rows(override_store.TABLE)), history) == []
+        overrides.restore(((row.key, row.value) for row in state.rows(override_store.TABLE)), history) == []
     )
-    assert [(found.id, found.by, found.rev) for found in overrides.active(marked)] == [
+    assert [(override.id, override.by, override.rev) for override in overrides.active(mark_ms)] == [
         ("freeze-right", "ana", EXPECTED["rows"]["overrides"][0][2]["rev"])
     ]
     entries = [(msgspec.convert(value, Entry).kind, value["id"]) for value in history]
@@ -74,7 +74,7 @@
 
 
 @bounded(30.0)
-async def test_the_service_starts_on_the_folder_and_goes_on(folder):
+async def test_the_service_starts_on_a_stored_folder_and_answers_repeats_of_its_calls(folder):
     service = Service(RegistrySettings(listen="127.0.0.1:0", data=str(folder)))
     listen = await service.start()
     try:
@@ -87,9 +87,9 @@
 
             instances = (await get("/registry/instances"))["endpoints"]
             assert [row["name"] for row in instances] == [row[0] for row in EXPECTED["rows"]["instances"]]
-            state = EXPECTED["rows"]["rules"][0][2]
-            assert (await get("/rules"))["edition"] == state["committed"]["number"]
-            # A repeat of a call that was answered then gets the same answer, and changes nothing.
+            revisions = EXPECTED["rows"]["rules"][0][2]
+            assert (await get("/rules"))["edition"] == revisions["committed"]["number"]
+            # A repeat of a call that the stored version answered gets the same answer, and changes nothing.
             url, headers = f"http://{listen}/tables/flags/f0", {"X-Request-Id": "flag-0"}
             async with session.put(url, json="other", headers=headers) as response:
                 assert (await response.json())["index"] == EXPECTED["answers"]["flag-0"][1]
--- a/tests/support/disk_faults.py
+++ b/tests/support/disk_faults.py
@@ -1,8 +1,8 @@
-"""A disk that fails, for the durable log: an SQLite VFS whose writes, syncs and opens can be made to fail.
+"""A simulated disk for the durable log: an SQLite VFS whose reads, writes, syncs and opens can fail.
 
-The SQLite of the standard library has no seam for a VFS; `apsw` brings an SQLite of its own that has. `Disk`
-is both: the VFS, and the connection factory that `Log` takes, whose connections raise `sqlite3.Error` as
-those of the standard library do. The code under test is that of `Log` itself.
+The `sqlite3` module of the standard library can't use a VFS of Python code; `apsw`, which has its own SQLite,
+can. `Disk` is the VFS, and `Disk.connect` is the function that `Log` takes to open its file. The connections
+raise `sqlite3.Error` as those of the standard library do, so the tests run the unchanged code of `Log`.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 _numbers = itertools.count()
 
-# How each failing call of the system shows in SQLite.
+# The exception and the result code with which SQLite reports each failing system call.
 ERRORS = {
     "ENOSPC": (apsw.FullError, apsw.SQLITE_FULL),
     "EIO write": (apsw.IOError, apsw.SQLITE_IOERR_WRITE),
@@ -28,16 +28,20 @@
 
 
 def failure(name):
-    """The exception that makes SQLite see an error."""
-    kind, code = ERRORS[name]
-    made = kind(name)
-    made.extendedresult = code
-    return made
+    """Return the exception that a VFS method raises to report an error of `ERRORS` to SQLite."""
+    exception_type, code = ERRORS[name]
+    exception = exception_type(name)
+    exception.extendedresult = code
+    return exception
 
 
 @dataclass
-class Step:
-    """One change of a file, as the disk saw it: `data` written, else truncated to `offset`, else deleted."""
+class FileChange:
+    """One change of a file on the disk.
+
+    `data` was written at `offset`. Without `data` the file was truncated to `offset`; without both it was
+    deleted.
+    """
 
     file: str
     offset: int | None
@@ -45,11 +49,13 @@
 
 
 class Disk(apsw.VFS):
-    """A disk that works until it is told otherwise.
+    """A disk that works until a test makes it fail.
 
-    `write`, `sync`, `open`, `read` name an error of `ERRORS`, or are empty; they hold until they are changed.
-    `keep`: of a write that fails, this share of its bytes reaches the file. `after`: that many writes and
-    syncs succeed first. `steps` has all changes since `record`."""
+    `write`, `sync`, `open` and `read` name an error of `ERRORS` with which such calls fail, or are empty;
+    they stay until they are changed. `keep` is the share of the bytes of a failing write that reach the file.
+    `after` is the number of writes and syncs that succeed before one fails. `failed` counts the failed writes
+    and syncs. `changes` has all changes of files since `record`.
+    """
 
     def __init__(self):
         self.name = f"disk-faults-{next(_numbers)}"
@@ -57,7 +63,7 @@
         self.keep = 0.0
         self.after = 0
         self.failed = 0
-        self.steps = None
+        self.changes = None
         super().__init__(self.name, "")
 
     def xOpen(self, name, flags):
@@ -66,25 +72,25 @@
         return _File(self, name, flags)
 
     def xDelete(self, name, sync_folder):
-        self.note(Path(name).name, None, None)
+        self.record_change(Path(name).name, None, None)
         super().xDelete(name, sync_folder)
 
-    def note(self, file, offset, data):
-        """Keep a change, if changes are recorded."""
-        if self.steps is not None:
-            self.steps.append(Step(file, offset, data))
+    def record_change(self, file, offset, data):
+        """Append a change to `changes`, if changes are recorded."""
+        if self.changes is not None:
+            self.changes.append(FileChange(file, offset, data))
 
-    def mend(self):
-        """All works again."""
+    def repair(self):
+        """Make all calls succeed from now on."""
         self.write = self.sync = self.open = self.read = ""
         self.keep, self.after = 0.0, 0
 
     def record(self):
-        """Keep each change from now on in `steps`."""
-        self.steps = []
+        """Record each change from now on in `changes`."""
+        self.changes = []
 
-    def spared(self):
-        """Whether a write or sync that should fail is one of those that still succeed."""
+    def still_succeeds(self):
+        """Return whether a write or sync is one of the `after` calls that succeed before one fails."""
         if self.after > 0:
             self.after -= 1
             return True
@@ -92,7 +98,7 @@
         return False
 
     def connect(self, path, *, create):
-        """A connection on this disk: the factory that `Log` takes."""
+        """Open a file on this disk; `Log` takes this method as its `connect`."""
         flags = apsw.SQLITE_OPEN_READWRITE | (apsw.SQLITE_OPEN_CREATE if create else 0)
         return _Connection(_translated(apsw.Connection, str(path), flags=flags, vfs=self.name))
 
@@ -110,38 +116,40 @@
 
     def xWrite(self, data, offset):
         disk = self._disk
-        if disk.write and not disk.spared():
-            reached = bytes(data)[: round(len(data) * disk.keep)]
-            if reached:
-                disk.note(self._name, offset, reached)
-                super().xWrite(reached, offset)
+        if disk.write and not disk.still_succeeds():
+            written_part = bytes(data)[: round(len(data) * disk.keep)]
+            if written_part:
+                disk.record_change(self._name, offset, written_part)
+                super().xWrite(written_part, offset)
             raise failure(disk.write)
-        disk.note(self._name, offset, bytes(data))
+        disk.record_change(self._name, offset, bytes(data))
         super().xWrite(data, offset)
 
     def xTruncate(self, size):
         disk = self._disk
-        if disk.write and not disk.spared():
+        if disk.write and not disk.still_succeeds():
             raise failure(disk.write)
-        disk.note(self._name, size, None)
+        disk.record_change(self._name, size, None)
         super().xTruncate(size)
 
     def xSync(self, flags):
-        if self._disk.sync and not self._disk.spared():
+        if self._disk.sync and not self._disk.still_succeeds():
             raise failure(self._disk.sync)
         super().xSync(flags)
 
 
 def _translated(call, *args, **named):
-    """The same call, with the errors of the standard library."""
+    """Return the result of a call of `apsw`; raise its errors as those of the standard library."""
     try:
         return call(*args, **named)
     except apsw.Error as error:
         code = getattr(error, "extendedresult", None) or getattr(error, "result", apsw.SQLITE_ERROR)
-        kind = sqlite3.IntegrityError if isinstance(error, apsw.ConstraintError) else sqlite3.OperationalError
-        made = kind(str(error))
-        made.sqlite_errorcode = code
-        raise made from error
+        exception_type = (
+            sqlite3.IntegrityError if isinstance(error, apsw.ConstraintError) else sqlite3.OperationalError
+        )
+        exception = exception_type(str(error))
+        exception.sqlite_errorcode = code
+        raise exception from error
 
 
 class _Rows:
@@ -166,18 +174,22 @@
         _translated(self._db.close)
 
 
-def image_at(base, steps, count, torn=1.0):
-    """The files after `count` of the steps, with `torn` of the last one's bytes. `base`: name to content."""
+def files_after(base, changes, count, last_share=1.0):
+    """Return the contents of the files by name after the first `count` changes of `base`.
+
+    `base` has the contents by name before the changes. Only the share `last_share` of the bytes of the last
+    change is written, as by a torn write.
+    """
     files = {name: bytearray(content) for name, content in base.items()}
-    for number, step in enumerate(steps[:count], 1):
-        if step.offset is None:
-            files.pop(step.file, None)
+    for number, change in enumerate(changes[:count], 1):
+        if change.offset is None:
+            files.pop(change.file, None)
             continue
-        content = files.setdefault(step.file, bytearray())
-        if step.data is None:
-            del content[step.offset :]
+        content = files.setdefault(change.file, bytearray())
+        if change.data is None:
+            del content[change.offset :]
             continue
-        data = step.data if number < count else step.data[: round(len(step.data) * torn)]
-        content.extend(bytes(max(0, step.offset - len(content))))
-        content[step.offset : step.offset + len(data)] = data
+        data = change.data if number < count else change.data[: round(len(change.data) * last_share)]
+        content.extend(bytes(max(0, change.offset - len(content))))
+        content[change.offset : change.offset + len(data)] = data
     return {name: bytes(content) for name, content in files.items()}
