--- a/brassfall/controlplane/overrides/clock.py
+++ b/brassfall/controlplane/overrides/clock.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-MARK_INTERVAL_MS = 1000.0  # Time between two durable marks while the service runs
+MARK_INTERVAL_MS = 1000.0  # Time between two durable marks while the service runs, in ms
 
 
 class SteadyClock:
@@ -33,7 +33,7 @@
             self._unix_start_ms = max(wall_ms_at_start, mark_ms)
         # Time by which this clock is ahead of the wall clock at the start, in ms, for the log.
         self.ahead_ms = self._unix_start_ms - wall_ms_at_start
-        self._last_mark_ms = -MARK_INTERVAL_MS  # Time of the last mark, counted from the start
+        self._last_mark_ms = -MARK_INTERVAL_MS  # Time from the start of the clock to its last mark, in ms
 
     def now(self, monotonic_ms: float) -> int:
         """Return Unix time in integer milliseconds; it never goes back."""
--- a/brassfall/controlplane/overrides/document.py
+++ b/brassfall/controlplane/overrides/document.py
@@ -15,15 +15,17 @@
 
 from brassfall.errors import RequestError
 
-MAX_LENGTH_MS = 24 * 3_600_000  # Longest duration of an override: a longer change belongs into the settings
+# Longest duration of an override, in ms: a change that has to last longer belongs into the settings.
+MAX_LENGTH_MS = 24 * 3_600_000
 NAME = re.compile(r"[A-Za-z0-9._:-]{1,128}\Z")
-TEXT_MOST = 500  # Length of `by` and of `why`, in characters
-MAX_PLACES = 256  # Number of groups, of regions, or of the regions of a shift
+TEXT_MOST = 500  # Longest text of `by` and of `why` in a document, in characters
+MAX_PLACES = 256  # Largest number of groups, of regions, or of regions of a shift in a document
 MAX_PRIORITY = 1000
 MAX_CAP_PER_S = 1e9
-# What `match` has to name for each kind of action; "" means nothing. A shift allows any match.
+# What the `match` of a document has to name for each kind of action; "" means that it has to be empty. For a
+# shift any `match` is allowed.
 MATCH_NEEDED = {"hold": "", "freeze": "", "cap": "class", "pin": "tenant"}
-SUM_SLACK = 1e-6  # Rounding error of a sum of shares that are written as decimals
+SUM_SLACK = 1e-6  # Allowed rounding error of a sum of shares that are written as decimals
 
 
 class BadOverrideError(RequestError):
@@ -116,8 +118,8 @@
 
     id: str
     rev: int
-    same_from: int  # Oldest revision since the start of the override whose content is still the same
-    from_ms: int  # Unix time at which the override was started
+    same_from: int  # Number of the oldest revision from which on the content has not changed
+    from_ms: int  # Unix time at which the override was started, in ms
 
     @property
     def document(self) -> Document:
@@ -143,7 +145,7 @@
 
 
 def faults(document: Document, now_ms: int) -> Iterator[str]:
-    """Yield a text for each fault of a document that is decoded."""
+    """Yield one line of text for each fault of a decoded document."""
     yield from _action_faults(document.action, document.match)
     for name, text in (("by", document.by), ("why", document.why)):
         if not text.strip() or len(text) > TEXT_MOST:
@@ -229,8 +231,8 @@
 def times_left(overrides: Iterable[Override], now_ms: int, newest: int = 0) -> dict[str, dict[str, int]]:
     """Return the times left of overrides by id, in ms, for the answer to a report.
 
-    Overrides up to the revision `newest`, the newest one that the sidecar has received, are left out. That is
-    possible because all ids share one sequence of revisions. With 0 all are returned.
+    `newest` is the newest override revision that the sidecar has received, or 0. Overrides up to that
+    revision are left out: the sidecar knows them, because all ids share one sequence of revisions.
     """
     return {
         override.id: {
--- a/brassfall/controlplane/overrides/expected.py
+++ b/brassfall/controlplane/overrides/expected.py
@@ -1,6 +1,6 @@
-"""The overrides that sidecars at each place should act on, and findings about other ones. Pure code.
+"""The overrides that sidecars should act on, and the findings about a sidecar that differs. Pure code.
 
-A place is a group and a region.
+Which overrides are due depends on the place of a sidecar. A place is a pair of a group and a region.
 """
 
 from __future__ import annotations
@@ -13,25 +13,26 @@
 from brassfall.controlplane.overrides.document import Override
 from brassfall.controlplane.overrides.findings import FindingKind
 
-# Time after the expiry of an override for which a node may still report that it acts on it: the interval
-# between two reports, and the delay of a report.
+# Time after the expiry of an override for which a node may still report that it acts on the override, in ms:
+# the interval between two reports, and the delay of a report.
 LATE_MS = 1500
-# Time after which sidecars have to act on the start, the change, or the end of an override by an operator.
+# Time after which sidecars have to act on the start, the change, or the end of an override by an operator, in
+# ms.
 DELIVERY_MS = 5000
-DIGEST_VALID_MS = 100  # Least time for which a cached digest is used, however many overrides end meanwhile
+DIGEST_VALID_MS = 100  # Least time for which a cached digest is used, in ms, however many overrides end
 MAX_PLACES = 10_000  # Number of places whose digests are cached
 MAX_ENDED = 8192  # Number of ended overrides that are remembered
 MAX_NAME = 128  # Length of an override id, in characters
-NEVER_MS = 1 << 62  # Time that is never reached
+NEVER_MS = 1 << 62  # Unix time in ms that is never reached
 
 
 @dataclass(frozen=True, slots=True)
 class EndedOverride:
     """The end of an override."""
 
-    rev: int  # Last revision of the override
-    at_ms: int  # Time at which it ended
-    by_time: bool  # True if it expired, False if an operator ended it
+    rev: int  # Number of the last revision of the override
+    at_ms: int  # Unix time at which the override ended, in ms
+    by_time: bool  # True if the override expired, False if an operator ended it
 
     @property
     def grace_ms(self) -> int:
--- a/brassfall/controlplane/overrides/reconciler.py
+++ b/brassfall/controlplane/overrides/reconciler.py
@@ -24,15 +24,16 @@
 from brassfall.controlplane.overrides.findings import ACTS_PAST_END, Finding, FindingKind
 from brassfall.controlplane.overrides.history import Entry, EntryKind, HistoryRing, WriteEntry
 
-RESEND_MS = 1000  # Least time between two resends to one node
-MAX_RESENDS = 3  # Number of resends to a node before its lease is denied
-DENIED_MS = 6000  # Time from the denial of a lease to the alert; the lease has ended by then
-FORGET_MS = 600_000  # Time without a report after which a node is forgotten
+RESEND_MS = 1000  # Least time between two resends of overrides to one node, in ms
+MAX_RESENDS = 3  # Number of resends of overrides to a node before its lease is denied
+DENIED_MS = 6000  # Time from the denial of a lease to the alert, in ms; the lease has ended by then
+FORGET_MS = 600_000  # Time without a report after which a node is forgotten, in ms
 MAX_NODES = 10_000
-# Number of findings that are opened in one second: each is a write. Others wait for the node's next report.
+# Number of findings that are opened in one second, because each is a write to the disk. Further findings are
+# opened with a later report of their node.
 MAX_OPENED_PER_S = 200
 MAX_CHECKED = 256  # Number of nodes that one `Tick` checks for silence
-MAX_IDS = 20  # Number of override ids that a finding names
+MAX_IDS = 20  # Largest number of override ids that a finding names
 
 
 # --- events ----------------------------------------------------------------------------------------
@@ -146,7 +147,7 @@
     unknown_since: int | None = None  # Time since which the sidecar acts on unknown overrides
     suspected: set[FindingKind] = field(default_factory=set)  # Kinds of faults that the last details showed
     findings: dict[FindingKind, Finding] = field(default_factory=dict)
-    resends: int = 0  # Number of resends since the first finding
+    resends: int = 0  # Number of resends of overrides to the node since its first finding
     resent_ms: int = 0
     denied_ms: int | None = None
     stage: Stage = Stage.RESEND
@@ -320,7 +321,9 @@
                     node.denied_ms = None
                     yield AllowLease(name)
             case Stage.ALERTED:
-                yield from self._alert(node)  # Alerts the operator of findings that were opened since
+                yield from self._alert(
+                    node
+                )  # Alert the operator of findings that were opened after the first alert
         node.resent_ms = now
         yield Resend(name)
 
@@ -339,7 +342,7 @@
         """Forget nodes whose last report is older than `FORGET_MS`."""
         for name in list(islice(self._nodes, MAX_CHECKED)):
             if now - self._nodes[name].reported_ms < FORGET_MS:
-                return  # All further nodes have reported later, because of the order of `_nodes`
+                return  # `_nodes` is in the order of the last reports, so all further nodes reported later
             yield from self._left(now, name)
 
     def _entry(self, now: int, kind: EntryKind, finding: Finding) -> WriteEntry:
--- a/brassfall/controlplane/overrides/store.py
+++ b/brassfall/controlplane/overrides/store.py
@@ -39,12 +39,13 @@
 
 TABLE = "overrides"
 MAX_OVERRIDES = 4096
-MAX_WAITING = 16  # Number of calls for one id that wait for its write
-MAX_EXPIRED = 256  # Number of expired overrides that one step deletes
-PUBLISH_MS = 200  # Least time between two publications
-# Time for which expired overrides are collected for one publication; sidecars end them without it.
+MAX_WAITING = 16  # Largest number of calls for one override id that wait for a write of that id
+MAX_EXPIRED = 256  # Largest number of expired overrides that one step deletes
+PUBLISH_MS = 200  # Least time between two publications of the overrides in force, in ms
+# Time for which expired overrides are collected before they are published as ended, in ms. Sidecars end an
+# expired override without waiting for the publication.
 EXPIRED_MS = 1000
-RETRY_MS = 1000  # Time from a failed deletion to the next attempt
+RETRY_MS = 1000  # Time from a failed deletion of an expired override to the next attempt, in ms
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,8 +67,8 @@
         # Heap of the times in Unix ms at which revisions have to be deleted: (time, id, revision).
         self._ends: list[tuple[int, str, int]] = []
         self._writes: dict[int, _Write] = {}  # Writes under way, by ticket
-        self._writing: set[str] = set()  # Ids that have a write under way
-        self._waiting: dict[str, deque[Put | End]] = {}  # Calls that wait for a write of their id
+        self._writing: set[str] = set()  # Override ids that have a write under way
+        self._waiting: dict[str, deque[Put | End]] = {}  # Calls that wait for a write, by override id
         self._last_ticket = 0
         self._last_rev = 0
         self._now = 0
@@ -251,7 +252,7 @@
                 continue
             self._publish_by(now + EXPIRED_MS)
             if key in self._writing:
-                # An extension or a deletion of this override is being written: expiry is checked again later.
+                # An extension or a deletion of this override is being written: check its expiry later.
                 heapq.heappush(self._ends, (now + PUBLISH_MS, key, rev))
                 continue
             yield from self._write(_Write(key, None, None))
--- a/brassfall/controlplane/revisions/coordinator.py
+++ b/brassfall/controlplane/revisions/coordinator.py
@@ -52,8 +52,8 @@
 from brassfall.controlplane.revisions.state import DurableState, RevisionOutcome, RevisionState
 from brassfall.controlplane.revisions.timing import LeaseTiming
 
-# Time after which every child of an aggregator has acknowledged a revision or has no lease, as a multiple of
-# `LeaseTiming.expiry_bound_ms`.
+# Time from the acknowledgement of a revision by an aggregator until each of its children has acknowledged the
+# revision or has no lease any more, as a multiple of `LeaseTiming.expiry_bound_ms`.
 CHILDREN_SPANS = 2.0
 # Least time between two checks whether all processes have acknowledged, in ms for each node of the fleet.
 CHECK_INTERVAL_MS = 0.01
@@ -113,8 +113,8 @@
         # acknowledged the pending revision.
         self._acknowledged_since: dict[ProcessKey, float] = {}
         self._epoch_checked_ms = -math.inf
-        self._next_check_ms = -math.inf  # Earliest time of the next check whether all have acknowledged
-        self._own_epoch = 0  # Epoch that this coordinator raised the stored one to; 0 if it has not raised it
+        self._next_check_ms = -math.inf  # Earliest time of the next call of `_all_acknowledged` that checks
+        self._own_epoch = 0  # Epoch to which this coordinator has raised the stored epoch; 0 if it has not
 
     def step(self, now: float, event: Event) -> list[Action]:
         """Apply an event at `now`, in monotonic ms; return the actions of the host, in their order."""
@@ -287,7 +287,7 @@
     # --- decisions -----------------------------------------------------------------------
 
     def _decide(self, now: float) -> list[Action]:
-        """Start the next write if one is due and none is under way."""
+        """Return the actions that are due, and start the next write if one is due and none is under way."""
         if self._write is not None:
             return []
         actions, answers, state = self._take_drafts()
--- a/brassfall/controlplane/revisions/document.py
+++ b/brassfall/controlplane/revisions/document.py
@@ -60,11 +60,13 @@
 
     number: int = 0
     epoch: int = 0  # Epoch of the service that numbered this revision
-    follows: int = 0  # Number of the newest revision at the time of publication
-    list_index: int = 0  # Index of the list of servers at the time of publication
+    follows: int = 0  # Number of the newest revision when this one was published
+    list_index: int = 0  # Index of the list of servers when this revision was published
     settings: dict[str, Any] = {}
     plan: dict[str, Any] | None = None
     plan_revision: int = 0  # Number of the revision that stated the plan: the age of the plan counts from it
     overrides: list[dict[str, Any]] = []
-    forced: bool = False  # True if it was published although the check for harm refused it
-    layers: list[str] = []  # Layers that its publisher stated; the others are those of the revision before
+    forced: bool = False  # True if the revision was published although its settings are harmful
+    layers: list[
+        str
+    ] = []  # Names of the layers that the publisher stated; others are those of the previous one
--- a/brassfall/controlplane/revisions/membership.py
+++ b/brassfall/controlplane/revisions/membership.py
@@ -31,7 +31,8 @@
     """All nodes known to one epoch of the service."""
 
     epoch: int
-    names: set[str] = field(default_factory=set)  # Names of the durable members: leases need their majority
+    # Names of the durable members. The service may grant leases only if a majority of them follows it.
+    names: set[str] = field(default_factory=set)
     nodes: dict[str, Node] = field(default_factory=dict)  # All nodes that have reported, by name
     stale_reports: int = 0  # Number of reports that were repeated, or arrived after a newer one
 
--- a/brassfall/controlplane/revisions/pace.py
+++ b/brassfall/controlplane/revisions/pace.py
@@ -7,10 +7,11 @@
 
 from __future__ import annotations
 
-# Mean interval between the reports of one node: in a small fleet, and at most.
+# Mean interval between two reports of one node in ms: in a small fleet, and in the largest one.
 REPORT_INTERVAL_MS, MAX_REPORT_INTERVAL_MS = 750.0, 1500.0
 RARER_REPORTS_FROM_NODES = 1000  # Number of nodes from which on each node reports less often
-# Time over which urgent reports are spread: for each node, and at least. 0.5 ms is two reports per ms.
+# Time over which urgent reports are spread, in ms: for each node of the fleet, and at least. 0.5 ms for each
+# node makes two reports per ms.
 SPREAD_PER_NODE_MS, MIN_SPREAD_MS = 0.5, 100.0
 
 
--- a/brassfall/controlplane/revisions/refusals.py
+++ b/brassfall/controlplane/revisions/refusals.py
@@ -19,7 +19,7 @@
     NOT_ACKNOWLEDGED = "it has not acknowledged the edition that is prepared"
     CHILDREN_LAG = "children of it act on without having acknowledged, for longer than what it granted lasts"
     AHEAD_OF_AGGREGATOR = "it knows later revisions than this aggregator"
-    BLOCKED = "{}"  # The part of the service that blocks the node gives the text
+    BLOCKED = "{}"  # A part of the service blocks the node, and gives the text
     # Reasons that concern the whole service or an aggregator:
     EARLIER_EPOCH = "what an earlier epoch of the service granted may not be over"
     DISK_BEHIND = "{} sidecars hold later editions: this disk was lost, or is a copy"
--- a/brassfall/controlplane/revisions/reports.py
+++ b/brassfall/controlplane/revisions/reports.py
@@ -11,9 +11,9 @@
 
 MAX_NUMBER = 2**53  # Bound on numbers in reports: JSON readers keep smaller integers exact
 MAX_AGE_MS = 1e12
-MAX_TEXT = 64  # Length of an id, group or region, in characters
-MAX_REASON = 2000  # Length of the reason of an objection, in characters
-MAX_OVERRIDES = 1000  # Number of overrides that one report may list
+MAX_TEXT = 64  # Longest id, group or region in a report, in characters
+MAX_REASON = 2000  # Longest reason of an objection, in characters
+MAX_OVERRIDES = 1000  # Largest number of overrides that one report lists
 UNREADABLE = "no report"  # Summary of the error for a report that can't be read
 FALLBACK = "safe"  # Value of `acting` for a node that acts on the fallback configuration
 # Wire names of the fields that a delta takes from the previous report on its connection.
@@ -63,9 +63,9 @@
     # Number of the revision that the node has acknowledged: for exclusive keys it acts only on what that
     # revision and the committed one have in common.
     prepared: int = 0
-    # From an aggregator: the revision that its children have to acknowledge before they get a lease. Its
-    # `prepared` has the same number once no child acts without having acknowledged. None from a sidecar, for
-    # which `prepared` is both.
+    # Number of the revision that the children of an aggregator have to acknowledge before they get a lease.
+    # `prepared` has the same number once no child acts without having acknowledged that revision. A sidecar
+    # leaves this field out (None), since it has no children.
     acknowledged: int | None = None
     acting: int | str = 0  # Number of the revision that the node acts on, or `FALLBACK`
     objection: Objection | None = None
@@ -74,8 +74,10 @@
     overrides: list[str] | None = None  # Ids of the overrides acted on; None: the version has no overrides
     digest: str = ""  # Digest of the ids and revisions of the overrides acted on
     known_override_revision: int = 0  # Newest override revision whose time left the node knows
-    refresh_times: bool = False  # True to request the times left of all overrides
-    acted_overrides: dict[str, int] | None = None  # Revisions acted on, by override id, if requested
+    refresh_times: bool = False  # True if the node requests the times left of all overrides
+    acted_overrides: dict[str, int] | None = (
+        None  # Revisions of overrides acted on, by id; None: not requested
+    )
     group: str = ""
     region: str = ""
     leaving: bool = False  # True in the last report of a process, which acts on nothing any more
--- a/brassfall/controlplane/revisions/state.py
+++ b/brassfall/controlplane/revisions/state.py
@@ -25,7 +25,7 @@
     """The outcome of a revision whose content may no longer be stored."""
 
     state: RevisionState  # COMMITTED or HALTED
-    superseded_by: int = 0  # Number of the revision that replaced it before it was prepared; 0 if none did
+    superseded_by: int = 0  # Number of the revision that replaced this one before it was prepared; 0: none
 
 
 class HaltedRevision(msgspec.Struct, frozen=True, rename={"revision": "edition"}):
--- a/brassfall/controlplane/revisions/timing.py
+++ b/brassfall/controlplane/revisions/timing.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-CLOCK_DRIFT = 0.01  # Largest error of the rate of any machine's monotonic clock, as a fraction
+CLOCK_DRIFT = 0.01  # Largest error of the rate of a machine's monotonic clock, as a fraction of 1
 
 
 def expiry_bound_ms(length_ms: float, drift: float) -> float:
--- a/brassfall/controlplane/revisions/transitions.py
+++ b/brassfall/controlplane/revisions/transitions.py
@@ -11,7 +11,7 @@
 from brassfall.controlplane.revisions.messages import Publish
 from brassfall.controlplane.revisions.state import DurableState, HaltedRevision
 
-MAX_REQUESTS = 64  # Number of request ids that are kept with the revision numbers in their answers
+MAX_REQUESTS = 64  # Largest number of request ids that are kept with the revision numbers of their answers
 
 
 def with_draft(state: DurableState, draft: Publish, epoch: int) -> DurableState:
--- a/brassfall/controlplane/revisions/validation.py
+++ b/brassfall/controlplane/revisions/validation.py
@@ -11,8 +11,8 @@
 from brassfall.controlplane.revisions.document import KeyKind, kind_of
 from brassfall.errors import ConflictError, RequestError
 
-MAX_NAME = 128  # Length of a name, in characters
-MAX_DEPTH = 32  # Depth of nested objects and lists, in levels
+MAX_NAME = 128  # Longest name in settings, in characters
+MAX_DEPTH = 32  # Largest depth of nested objects and lists in settings, in levels
 MAX_AMOUNT = 1e12
 MAX_QUOTED = 40  # Number of characters of a name that the text of a fault quotes
 
--- a/brassfall/controlplane/store/incarnations.py
+++ b/brassfall/controlplane/store/incarnations.py
@@ -2,8 +2,9 @@
 
 from __future__ import annotations
 
-INDEXES_PER_MS = 1024  # Indexes reserved for each ms of an incarnation: more than it makes changes on average
-RANDOM_BITS = 30  # Size of the random number that `first_index` takes
+# Number of indexes for each ms of an incarnation's life: more than the changes that it makes on average.
+INDEXES_PER_MS = 1024
+RANDOM_BITS = 30  # Size of the random number that `first_index` takes, in bits
 
 
 def index_at(unix_s: float) -> int:
--- a/brassfall/controlplane/store/leases.py
+++ b/brassfall/controlplane/store/leases.py
@@ -12,9 +12,9 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-MAX_STEP_MS = 500.0  # Time by which the running time advances at most from one call to the next
-STALL_MS = 1000.0  # Time between two calls above which the process counts as stalled
-# Time after a stall in which no lease ends: enough for a call that times out, a pause, and a second call.
+MAX_STEP_MS = 500.0  # Largest advance of the running time from one call of `Leases` to the next, in ms
+STALL_MS = 1000.0  # Time between two calls of `Leases` above which the process counts as stalled, in ms
+# Time after a stall in which no lease ends, in ms: a call that times out, a pause, and a second call fit in.
 STALL_GRACE_MS = 5000.0
 # Fraction of its lease after which an owner without a renewal counts as silent. An owner renews after a third
 # of the lease, so it has missed a renewal by then.
@@ -25,10 +25,10 @@
 class ExpiryGuard:
     """The limits above which missing renewals count as a network fault, not as the end of the owners."""
 
-    share: float = 0.25  # Fraction of all guarded leases
-    least: int = 2  # Number of leases; a single silent lease always ends
-    window_ms: float = 10_000.0  # Time for which an expired lease is counted as missing
-    keep_ms: float = 60_000.0  # Time from the end of a suspect lease until it expires nevertheless
+    share: float = 0.25  # Fraction of all guarded leases above which missing ones count as a network fault
+    least: int = 2  # Least number of missing leases that counts as a network fault: a single one always ends
+    window_ms: float = 10_000.0  # Time for which an expired lease counts as missing, in ms
+    keep_ms: float = 60_000.0  # Time from the end of a suspect lease until it expires nevertheless, in ms
 
 
 @dataclass(slots=True)
@@ -92,7 +92,7 @@
         lease.renewed_ms, lease.ends_ms = running, running + lease.length_ms
         if lease.suspect:
             lease.suspect = False
-            # The check that was scheduled for the suspect would come too late.
+            # A suspect lease is next checked after `keep_ms`, but a renewed lease has to be checked at its end.
             self._schedule(key, lease, lease.ends_ms)
         return True
 
--- a/brassfall/controlplane/store/outcomes.py
+++ b/brassfall/controlplane/store/outcomes.py
@@ -9,7 +9,7 @@
 from brassfall.controlplane.store.records import Record, Result
 from brassfall.errors import UnavailableError
 
-# Backoff between two attempts to find out the outcome of a commit: the first pause, and the longest one.
+# First and longest pause between two attempts to find out the outcome of a failed commit, in seconds.
 SETTLE_PAUSE_S, MAX_SETTLE_PAUSE_S = 0.05, 1.0
 
 
--- a/brassfall/controlplane/store/records.py
+++ b/brassfall/controlplane/store/records.py
@@ -17,7 +17,7 @@
 
     DONE = "done"
     MISSING = "missing"  # There is no row with this key
-    CONFLICT = "conflict"  # The row belongs to another owner, or its value is not an object as needed
+    CONFLICT = "conflict"  # The row belongs to another owner, or a patch needs an object as its value
     STALE = "stale"  # The version of the row is not `if_match`
 
 
--- a/brassfall/controlplane/store/row_leases.py
+++ b/brassfall/controlplane/store/row_leases.py
@@ -19,7 +19,7 @@
 from brassfall.errors import UnavailableError
 from brassfall.logs import logger
 
-CHECK_S = 0.1  # Time between two checks of all leases
+CHECK_S = 0.1  # Time between two checks of all leases, in seconds
 IsGuarded = Callable[[str, Row], bool]
 
 SUSPECT_ACTION = "Look at the network between them and this service; if they are dead, `registry leave` each."
--- a/brassfall/controlplane/store/state.py
+++ b/brassfall/controlplane/store/state.py
@@ -26,9 +26,9 @@
 from brassfall.controlplane.store.transaction import Transaction
 
 HISTORY_LENGTH = 8192  # Number of changes that are kept of each table, for watchers that reconnect
-ANSWERS_KEPT_MS = 600_000  # Time for which the answer to a request id is kept, in the time of the store
+ANSWERS_KEPT_MS = 600_000  # Time for which the answer to a request id is kept, in ms of the store's time
 MAX_ANSWERS = 100_000
-MAX_GAPS = 16  # Number of starts of incarnations whose gap in the indexes is kept
+MAX_GAPS = 16  # Number of gaps between the indexes of incarnations that are kept
 ROW_CHANGES = (RecordKind.PUT, RecordKind.DELETE)
 
 
@@ -158,8 +158,8 @@
         earlier = [record for record in records if record.index <= self.index]
         if not earlier:
             return
-        # The record of an answer or of an incarnation's start may have the same index as an earlier change,
-        # which may be missing here.
+        # If the first record is an answer or the start of an incarnation, a change with the same index may
+        # precede it that is missing here. The histories then start after this index.
         self._oldest = earlier[0].index - (earlier[0].kind in ROW_CHANGES)
         self._histories = {name: ChangeHistory(self._oldest, self._history_length) for name in self._rows}
         previous_index = self._oldest
--- a/brassfall/controlplane/store/writer.py
+++ b/brassfall/controlplane/store/writer.py
@@ -28,8 +28,9 @@
 from brassfall.controlplane.store.statistics import Statistics
 from brassfall.logs import logger
 
-COMPACT_RETRY_MS = 10_000.0  # Time from a snapshot that failed to the next attempt
-UNKNOWN_AFTER_S = 1.0  # Time after which a caller is told that the outcome of its write is unknown
+COMPACT_RETRY_MS = 10_000.0  # Time from a snapshot that failed to the next attempt, in ms
+# Time after which a caller is told that the outcome of its write is unknown, in seconds.
+UNKNOWN_AFTER_S = 1.0
 STOPPING = "the service is stopping"
 Applied = Callable[[list[tuple[str, Change]], list[DecidedWrite]], None]
 
@@ -63,8 +64,8 @@
         self._thread = ThreadPoolExecutor(1, "table-log")
         self._task: asyncio.Task[None] | None = None
         self._stopping = False
-        self._compact_at_ms = 0.0  # Earliest monotonic time of the next snapshot
-        self._time_offset_ms = 0.0  # Time of the state minus monotonic time
+        self._compact_at_ms = 0.0  # Earliest monotonic time of the next snapshot, in ms
+        self._time_offset_ms = 0.0  # Time of the state minus the monotonic time, in ms
 
     async def load(self, history_length: int) -> LoadedLog:
         """Read the log and begin an incarnation; after a failure, `load` may be called again.
@@ -247,7 +248,10 @@
             self._limit_wait(decided_write.write)
 
     def _limit_wait(self, write: Write) -> None:
-        """Tell the caller after `UNKNOWN_AFTER_S` that the outcome is unknown, unless it waits until then."""
+        """Tell the caller of a write after `UNKNOWN_AFTER_S` that its outcome is unknown.
+
+        A caller of a write with `until_settled` waits until the outcome is known.
+        """
         if not write.until_settled:
             error = OutcomeUnknownError("the write may have happened", self.statistics.disk_error)
             asyncio.get_running_loop().call_later(UNKNOWN_AFTER_S, write.fail, error)
--- a/tests/controlplane/test_revisions_service.py
+++ b/tests/controlplane/test_revisions_service.py
@@ -77,9 +77,8 @@
         self.seq += 1
         status, self.answer, _ = await self.ask("POST", f"/edges/{self.name}", self.body())
         assert status == 200, self.answer
-        self.epoch = self.answer.get(
-            "life", self.epoch
-        )  # An answer leaves out the epoch that the report named
+        # The answer leaves out the epoch if it is the one that the report named.
+        self.epoch = self.answer.get("life", self.epoch)
         if self.answer["news"] and not self.ignores_revisions:
             _, rules, _ = await self.ask("GET", "/rules")
             self.newest = rules["edition"]
--- a/tests/controlplane/test_store_disk.py
+++ b/tests/controlplane/test_store_disk.py
@@ -151,10 +151,8 @@
     """The disk fails for short times in several ways; each write is made once or never, as answered."""
     rng = random.Random(seed)
     async with RunningStore(tmp_path) as running:
-        written, given_up = (
-            {},
-            set(),
-        )  # Indexes of successful writes by key; keys of writes that were given up
+        # Indexes of successful writes by key, and keys of writes that their writers have given up.
+        written, given_up = {}, set()
 
         async def write(key):
             while key not in written and key not in given_up:
--- a/tests/controlplane/test_store_log.py
+++ b/tests/controlplane/test_store_log.py
@@ -47,9 +47,8 @@
         complete_wal = files[f"{FILE}-wal"]
         for _ in range(250):
             end = rng.randint(states[0][0], len(complete_wal))
-            junk = rng.randbytes(
-                rng.choice((0, 1, 24, 4096, 9000))
-            )  # The rest of a write that was not completed
+            # Random bytes stand for the rest of a write that was not completed.
+            junk = rng.randbytes(rng.choice((0, 1, 24, 4096, 9000)))
             folder = tmp_path / "truncated"
             shutil.rmtree(folder, ignore_errors=True)
             folder.mkdir()
