--- a/tests/sidecar/test_races_reload.py
+++ b/tests/sidecar/test_races_reload.py
@@ -206,9 +206,9 @@
 
 def test_the_spill_of_a_kept_class_stays_and_a_new_class_starts_without_one():
     balancer = make_balancer("safe", "safe", "safe", Prices=CROSSING)
-    balancer.components.zones.spill = [0.1, 0.2, 0.3]
+    balancer.components.zone_spillover.spill_shares = [0.1, 0.2, 0.3]
     reload_settings(balancer, 1.0, {0, 2}, "safe", "keyed", "safe", "unsafe", Prices=CROSSING)
-    assert balancer.components.zones.spill == [0.1, 0.0, 0.3, 0.0]
+    assert balancer.components.zone_spillover.spill_shares == [0.1, 0.0, 0.3, 0.0]
 
 
 def test_a_removed_class_does_not_affect_the_price_of_other_zones():
