--- a/brassfall/balancer/balancer.py
+++ b/brassfall/balancer/balancer.py
@@ -343,8 +343,8 @@
 
     def _timer_due(self, now: float, event: events.TimerDue) -> None:
         match event.token:
-            case model.ObjectiveTimer(request_id, number):
-                self._objective_reached(now, request_id, number)
+            case model.ObjectiveTimer(request_id, index):
+                self._objective_reached(now, request_id, index)
             case model.QueueDeadlineTimer(request_id):
                 request = self._requests.get(request_id)
                 if request is not None and not request.attempts:
@@ -359,11 +359,11 @@
                 if self._discovery.take_scheduled_call():
                     self._actions.append(model.WatchEndpointList(on=True))
 
-    def _objective_reached(self, now: float, request_id: int, number: int) -> None:
+    def _objective_reached(self, now: float, request_id: int, index: int) -> None:
         request = self._requests.get(request_id)
         if request is None:
             return
-        attempt = request.attempts[number]
+        attempt = request.attempts[index]
         if attempt.outstanding and not attempt.answering:
             self._learner.observe_overdue(now, request, attempt)
 
@@ -412,9 +412,9 @@
     def _cancel_attempts(self, request: Request, retained: int | None = None) -> None:
         """Cancel the attempts of a request in flight, except the one with the index `retained`."""
         if request.limits.may_cancel:
-            for number, attempt in enumerate(request.attempts):
-                if attempt.outstanding and number != retained:
-                    self._actions.append(model.CancelAttempt(request.id, number))
+            for index, attempt in enumerate(request.attempts):
+                if attempt.outstanding and index != retained:
+                    self._actions.append(model.CancelAttempt(request.id, index))
 
     def _forget_if_finished(self, now: float, request: Request) -> None:
         """Drop the record of a finished request, and start the next request in the queue of its key."""
--- a/brassfall/balancer/records.py
+++ b/brassfall/balancer/records.py
@@ -154,6 +154,6 @@
                 return attempt
         return None
 
-    def attempt(self, number: int) -> Attempt | None:
+    def attempt(self, index: int) -> Attempt | None:
         """Return the attempt with this index, or None if there is none."""
-        return self.attempts[number] if 0 <= number < len(self.attempts) else None
+        return self.attempts[index] if 0 <= index < len(self.attempts) else None
--- a/brassfall/balancer/selection.py
+++ b/brassfall/balancer/selection.py
@@ -41,7 +41,7 @@
 
     now: float
     request: Request
-    binding: Attempt | None  # First attempt of the request that may have run
+    binding: Attempt | None  # First attempt of the request that may have run, or None
     may_send: bool  # True if the request may be sent to any server now
     # Servers of earlier attempts, except attempts that failed without their fault.
     tried_servers: list[Server]
--- a/tests/balancer/test_standing_module.py
+++ b/tests/balancer/test_simulated_fleet.py
@@ -190,7 +190,7 @@
     ("cores", "starting", "load", "lost_count", "rejection_probability", "restarted_share"),
     [
         (1, 58, 1.0, 0, 0.0, 0.7),  # Nearly all servers start, and 70% of the sidecars are restarted
-        (3, 24, 0.9, 30, 0.3, 0.7),  # The others are lost or reject, so attempts go beyond the subsets
+        (3, 24, 0.9, 30, 0.3, 0.7),  # Other servers are lost or reject, so attempts leave the subsets
     ],
 )
 def test_all_sidecars_together_do_not_overload_a_server_in_slow_start(
--- a/tests/balancer/test_steering.py
+++ b/tests/balancer/test_steering.py
@@ -156,7 +156,7 @@
     assert sum(first_attempts.values()) >= 396, "requests were refused because of the plan"
     simulation.faults = {}
     simulation.run(4000)
-    assert simulation.run(400)["a"] > 360  # The plan applies again
+    assert simulation.run(400)["a"] > 360  # The plan applies again after the faults
 
 
 def test_a_zone_that_loses_servers_loses_their_part_of_its_share():
@@ -182,7 +182,7 @@
     ],
 )
 def test_excluded_servers_get_no_attempts(steer, request_class, faults, excluded_zone):
-    simulation = Simulation(request_class).steer(steer, wait=0.0)  # An exclusion has no ramp
+    simulation = Simulation(request_class).steer(steer, wait=0.0)  # An exclusion takes effect without a ramp
     simulation.faults = faults
     simulation.run(1000)
     assert simulation.attempts[excluded_zone] == 0
