--- a/brassfall/balancer/records.py
+++ b/brassfall/balancer/records.py
@@ -11,7 +11,7 @@
 from brassfall.balancer.settings import ZONE, KeyScope, Profile, Settings
 
 HASH_MULTIPLIER = 0x9E3779B97F4A7C15  # 2^64 divided by the golden ratio: spreads low bits to higher ones
-HASH_MASK = 0xFFFFFFFFFFFFFFFF  # Keeps the lowest 64 bits of a hash
+HASH_MASK = 0xFFFFFFFFFFFFFFFF  # Mask of the lowest 64 bits, to which hashes are limited
 
 # Outcomes that tell something about a server or the service; a cancelled or unsent attempt tells nothing.
 EVIDENCE = frozenset((OK, ERROR, REJECTED, TIMEOUT, CONNECT_FAILED, RESET))
@@ -86,7 +86,7 @@
     new_connection: bool = False  # True if the attempt had to open a connection
     # True if the server is not at fault: its connection was dropped while idle, or nothing was sent to it.
     excused: bool = False
-    blamed: bool = False  # True if the server was blamed when the attempt reached its latency objective
+    blamed: bool = False  # True if a fault was counted when the attempt reached its latency objective
     answering: bool = False  # True if the answer has started to arrive
 
 
--- a/brassfall/balancer/selection.py
+++ b/brassfall/balancer/selection.py
@@ -12,7 +12,7 @@
 
 CANDIDATES = 3  # Number of candidates for one request
 SAMPLES = 16  # Largest number of servers sampled for one request
-WIDE_SAMPLES = 4  # Number of samples, the last ones, that are taken from all servers instead of the subset
+WIDE_SAMPLES = 4  # Number of the last samples, which are taken from all servers instead of the subset
 
 # The unit of all loads is one request in flight at a server.
 
--- a/brassfall/balancer/slow_start.py
+++ b/brassfall/balancer/slow_start.py
@@ -14,8 +14,8 @@
 # Rate that all sidecars together may send to a server that is warming up, as a share of the rate at which the
 # server collapses. It is below 1 because the subsets of the sidecars overlap unevenly.
 BUDGET_SHARE = 0.5
-# Part of a sent attempt that a refused request counts in the send rate; clients retry a refused request up to
-# a few times.
+# Weight of a refused request in the send rate, relative to a sent attempt, since clients retry a refused
+# request up to a few times.
 REFUSED_WEIGHT = 1.0 / 3.0
 MIN_CAPACITY_SHARE = 0.02  # Smallest share of its full capacity that a server is assumed to have
 MAX_SPEED = 1.6  # Largest relative speed of a server or machine kind that is taken into account
--- a/brassfall/balancer/steering.py
+++ b/brassfall/balancer/steering.py
@@ -25,7 +25,8 @@
 MISS_MARGIN = 0.1  # Excess of missed objectives over the best other zone that has no effect
 MISS_SPAN = 0.3  # Excess of missed objectives above `MISS_MARGIN` at which a zone loses its whole share
 
-# Time in milliseconds whose requests may arrive at once without exceeding a cap; one request always may.
+# Length of a burst in milliseconds: as many requests as a cap allows in this time may arrive at once, and at
+# least one request.
 CAP_BURST_MS = 250.0
 MAX_EXPLORED_SHARE = 0.05  # Largest share of first attempts with which a zone is explored
 MS_PER_S = 1000.0  # Milliseconds per second
@@ -71,7 +72,8 @@
         self._zones: dict[int, Zone] = {}
         # Zones and servers whose exclusion has ended, with the time when it ended.
         self._readmitted: dict[int | str, float] = {}
-        # Number of requests that the cap of each class still allows, with the time when it was computed.
+        # Number of requests that the cap of each class still allows, with the time when the number was
+        # computed.
         self._budgets: dict[int, tuple[float, float]] = {}
 
     @property
--- a/brassfall/balancer/throttle.py
+++ b/brassfall/balancer/throttle.py
@@ -8,7 +8,8 @@
 MAX_WINDOW_REQUESTS = 60  # Largest number of requests in the window
 # Requests beyond this multiple of the accepts are refused (K of the throttle's formula).
 ACCEPTS_MULTIPLIER = 2.0
-FREE_REQUESTS = 3.0  # Number of unaccepted requests that are ignored before the throttle refuses any
+# Number of requests that the formula subtracts, so that a few requests without an accept cause no refusal.
+FREE_REQUESTS = 3.0
 
 
 class Throttle:
--- a/tests/balancer/test_endurance.py
+++ b/tests/balancer/test_endurance.py
@@ -52,7 +52,7 @@
             at, balancer, request = pending.pop(0)
             balancer.step(at, attempt_answered(request, 60.0))
         number += 1
-        # The square gives the first sidecars a larger share of the requests.
+        # Squaring the random number gives the first sidecars a larger share of the requests.
         balancer = balancers[int(rng.random() ** 2 * sidecars)]
         arrival = RequestArrived(number, 0, now + 1000.0, key=rng.randrange(400))
         for send in of_type(balancer.step(now, arrival), SendAttempt):
--- a/tests/balancer/test_too_heavy_requests.py
+++ b/tests/balancer/test_too_heavy_requests.py
@@ -1,4 +1,4 @@
-"""Tests of requests that need too much work to end in time under overload, known by client or by class."""
+"""Tests that, under overload, requests are refused if they need too much work to end in time."""
 
 from __future__ import annotations
 
