--- a/brassfall/balancer/pace.py
+++ b/brassfall/balancer/pace.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass
 
 PACE_MEMORY = 0.98  # Weight of the past at each new answer, so that about the last fifty answers count
-# Weight, in answers, of a machine kind's pace in the pace of its servers, and of the service's pace in the pace
-# of a machine kind.
+# Weight, in answers, of a machine kind's pace in the pace of its servers, and of the service's pace in the
+# pace of a machine kind.
 PRIOR_ANSWERS = 6.0
 PACE_POWER = 2.5  # Exponent of the ratio of two paces in a speed: higher values prefer faster servers more
 MIN_SPEED = 0.2  # Smallest speed, with which a slow server gets enough requests to show that it became faster
