--- a/brassfall/controlplane/overrides/reconciler.py
+++ b/brassfall/controlplane/overrides/reconciler.py
@@ -211,17 +211,17 @@
                 self._expected.publish(now, event.overrides)
                 return []
             case DigestReported():
-                return list(self._reported(now, event))
+                return list(self._receive_digest(now, event))
             case DetailsReceived():
-                return list(self._details(now, event))
+                return list(self._receive_details(now, event))
             case NodeLeft():
-                return list(self._left(now, event.node))
+                return list(self._remove_node(now, event.node))
             case Tick():
                 return list(self._forget_silent(now))
 
     # --- reports --------------------------------------------------------------------------------
 
-    def _reported(self, now: int, report: DigestReported) -> Iterator[Action]:
+    def _receive_digest(self, now: int, report: DigestReported) -> Iterator[Action]:
         node = self._nodes.pop(report.node, None)
         if node is None:
             if len(self._nodes) >= MAX_NODES:
@@ -234,13 +234,13 @@
         if report.digest is None:
             yield from self._without_overrides(now, report.node, node)
         elif report.digest == self._expected.digest(now, *node.place):
-            yield from self._settle(now, report.node, node, set())
+            yield from self._close_findings(now, report.node, node, set())
             node.differs_since = node.unknown_since = None
             node.suspected = set()
         else:
-            yield from self._differs(now, report.node, node)
+            yield from self._handle_difference(now, report.node, node)
 
-    def _differs(self, now: int, name: str, node: _Node) -> Iterator[Action]:
+    def _handle_difference(self, now: int, name: str, node: _Node) -> Iterator[Action]:
         if node.differs_since is None:
             node.differs_since = now
         elif now - node.differs_since >= LATE_MS:
@@ -255,11 +255,11 @@
         node.differs_since = None
         overdue = self._expected.overdue(now, *node.place)
         faults = {FindingKind.WITHOUT_OVERRIDES: overdue} if overdue else {}
-        yield from self._settle(now, name, node, set(faults))
-        yield from self._open(now, name, node, faults)
-        yield from self._alert(node)
+        yield from self._close_findings(now, name, node, set(faults))
+        yield from self._open_findings(now, name, node, faults)
+        yield from self._alert_operator(node)
 
-    def _details(self, now: int, event: DetailsReceived) -> Iterator[Action]:
+    def _receive_details(self, now: int, event: DetailsReceived) -> Iterator[Action]:
         node = self._nodes.get(event.node)
         if node is None:
             return
@@ -273,19 +273,19 @@
         # A report may have been delayed, so a finding is opened only if two details in a row show the fault.
         confirmed = {kind: ids for kind, ids in faults.items() if kind in node.suspected}
         node.suspected = set(faults)
-        yield from self._settle(now, event.node, node, set(faults))
-        yield from self._open(now, event.node, node, confirmed)
+        yield from self._close_findings(now, event.node, node, set(faults))
+        yield from self._open_findings(now, event.node, node, confirmed)
         yield from self._escalate(now, event.node, node)
 
     # --- findings ---------------------------------------------------------------------------------
 
-    def _open(
+    def _open_findings(
         self, now: int, name: str, node: _Node, found: dict[FindingKind, tuple[str, ...]]
     ) -> Iterator[Action]:
         for kind, ids in found.items():
             if kind not in node.findings and self._may_open(now):
                 node.findings[kind] = Finding(name, kind, now, ids[:MAX_IDS])
-                yield self._entry(now, EntryKind.FOUND, node.findings[kind])
+                yield self._history_entry(now, EntryKind.FOUND, node.findings[kind])
 
     def _may_open(self, now: int) -> bool:
         if now - self._opened_since_ms >= 1000:
@@ -293,11 +293,13 @@
         self._opened += 1
         return self._opened <= MAX_OPENED_PER_S
 
-    def _settle(self, now: int, name: str, node: _Node, present: set[FindingKind]) -> Iterator[Action]:
+    def _close_findings(
+        self, now: int, name: str, node: _Node, present: set[FindingKind]
+    ) -> Iterator[Action]:
         """Close the findings whose kinds are not in `present`; after the last one, allow leases again."""
         for kind in [kind for kind in node.findings if kind not in present]:
             ended = msgspec.structs.replace(node.findings.pop(kind), ended=now)
-            yield self._entry(now, EntryKind.SETTLED, ended)
+            yield self._history_entry(now, EntryKind.SETTLED, ended)
         if not node.findings:
             if node.denied_ms is not None:
                 yield AllowLease(name)
@@ -315,37 +317,37 @@
                 yield DenyLease(name)
             case Stage.DENIED if node.denied_ms is not None and now - node.denied_ms >= DENIED_MS:
                 node.stage = Stage.ALERTED
-                yield from self._alert(node)
+                yield from self._alert_operator(node)
                 if not node.findings.keys() & ACTS_PAST_END:
                     # The node lacks an override, and without a lease it could not act on it.
                     node.denied_ms = None
                     yield AllowLease(name)
             case Stage.ALERTED:
-                yield from self._alert(
+                yield from self._alert_operator(
                     node
                 )  # Alert the operator of findings that were opened after the first alert
         node.resent_ms = now
         yield Resend(name)
 
-    def _alert(self, node: _Node) -> Iterator[Action]:
+    def _alert_operator(self, node: _Node) -> Iterator[Action]:
         for kind, finding in node.findings.items():
             if not finding.alerted:
                 node.findings[kind] = msgspec.structs.replace(finding, alerted=True)
                 yield AlertOperator(node.findings[kind])
 
-    def _left(self, now: int, name: str) -> Iterator[Action]:
+    def _remove_node(self, now: int, name: str) -> Iterator[Action]:
         node = self._nodes.pop(name, None)
         if node is not None:
-            yield from self._settle(now, name, node, set())
+            yield from self._close_findings(now, name, node, set())
 
     def _forget_silent(self, now: int) -> Iterator[Action]:
         """Forget nodes whose last report is older than `FORGET_MS`."""
         for name in list(islice(self._nodes, MAX_CHECKED)):
             if now - self._nodes[name].reported_ms < FORGET_MS:
                 return  # `_nodes` is in the order of the last reports, so all further nodes reported later
-            yield from self._left(now, name)
+            yield from self._remove_node(now, name)
 
-    def _entry(self, now: int, kind: EntryKind, finding: Finding) -> WriteEntry:
+    def _history_entry(self, now: int, kind: EntryKind, finding: Finding) -> WriteEntry:
         return self._ring.add(
             Entry(
                 at_ms=now,
--- a/brassfall/controlplane/overrides/store.py
+++ b/brassfall/controlplane/overrides/store.py
@@ -90,7 +90,7 @@
             except msgspec.ValidationError:
                 unreadable.append(key)
                 continue
-            self._take(override)
+            self._add_row(override)
         newest: dict[str, Entry] = {}
         for value in history:
             try:
@@ -100,7 +100,7 @@
             self._last_rev = max(self._last_rev, entry.rev)
             if entry.id:
                 newest[entry.id] = entry
-        self._missing_entries = list(self._torn_commits(newest))
+        self._missing_entries = list(self._entries_of_torn_commits(newest))
         self._publish_at = 0
         return unreadable
 
@@ -159,10 +159,10 @@
             yield Answer(event.call, error=error)
             return
         if row is not None and before is None:
-            yield self._entry(now, EntryKind.EXPIRED, row)
+            yield self._history_entry(now, EntryKind.EXPIRED, row)
         revision = self._revision(now, event, before)
-        yield from self._write(_Write(event.id, event.call, revision))
-        yield self._entry(now, _kind_of_change(before, revision), revision)
+        yield from self._start_write(_Write(event.id, event.call, revision))
+        yield self._history_entry(now, _kind_of_change(before, revision), revision)
 
     def _refusal(self, now: int, event: Put, *, new: bool) -> BadOverrideError | TooManyOverridesError | None:
         if event.document.until_ms <= now:
@@ -191,12 +191,12 @@
         if before is None:
             yield Answer(event.call, error=NoSuchOverrideError(event.id, "ended"))
             return
-        yield from self._write(_Write(event.id, event.call, None))
-        yield self._entry(now, EntryKind.ENDED, before, event.by, event.why)
+        yield from self._start_write(_Write(event.id, event.call, None))
+        yield self._history_entry(now, EntryKind.ENDED, before, event.by, event.why)
 
     # --- writes ---------------------------------------------------------------------------
 
-    def _write(self, write: _Write) -> Iterator[Action]:
+    def _start_write(self, write: _Write) -> Iterator[Action]:
         self._last_ticket += 1
         self._writes[self._last_ticket] = write
         self._writing.add(write.id)
@@ -211,31 +211,33 @@
         if write is None:
             return
         self._writing.discard(write.id)
-        yield from self._failed(now, write, event.why) if event.why else self._durable(now, write)
+        yield from (
+            self._write_failed(now, write, event.why) if event.why else self._write_succeeded(now, write)
+        )
         waiting = self._waiting.pop(write.id, deque())
         while waiting and write.id not in self._writing:
             yield from self._call(now, waiting.popleft())
         if waiting:
             self._waiting[write.id] = waiting
 
-    def _failed(self, now: int, write: _Write, why: str) -> Iterator[Action]:
+    def _write_failed(self, now: int, write: _Write, why: str) -> Iterator[Action]:
         before = self._rows.get(write.id)
         if before is not None:
             heapq.heappush(self._ends, (max(before.until_ms, now + RETRY_MS), write.id, before.rev))
         if write.call is not None:
             yield Answer(write.call, error=OverrideNotWrittenError(write.id, why))
 
-    def _durable(self, now: int, write: _Write) -> Iterator[Action]:
+    def _write_succeeded(self, now: int, write: _Write) -> Iterator[Action]:
         before = self._rows.get(write.id)
         if write.override is not None:
-            self._take(write.override)
+            self._add_row(write.override)
         else:
             self._rows.pop(write.id, None)
         if write.call is not None:
             self._publish_by(max(now, self._published_at + PUBLISH_MS))
             yield Answer(write.call, write.override or before)
 
-    def _take(self, override: Override) -> None:
+    def _add_row(self, override: Override) -> None:
         self._rows[override.id] = override
         self._last_rev = max(self._last_rev, override.rev)
         heapq.heappush(self._ends, (override.until_ms, override.id, override.rev))
@@ -255,20 +257,20 @@
                 # An extension or a deletion of this override is being written: check its expiry later.
                 heapq.heappush(self._ends, (now + PUBLISH_MS, key, rev))
                 continue
-            yield from self._write(_Write(key, None, None))
-            yield self._entry(now, EntryKind.EXPIRED, override)
+            yield from self._start_write(_Write(key, None, None))
+            yield self._history_entry(now, EntryKind.EXPIRED, override)
 
     def _publish_by(self, at: int) -> None:
         self._publish_at = at if self._publish_at is None else min(at, self._publish_at)
 
     # --- history --------------------------------------------------------------------------
 
-    def _entry(
+    def _history_entry(
         self, now: int, kind: EntryKind, override: Override, by: str = "", why: str = ""
     ) -> WriteEntry:
         return self._ring.add(_entry_of(now, kind, override, by, why))
 
-    def _torn_commits(self, newest: dict[str, Entry]) -> Iterator[Entry]:
+    def _entries_of_torn_commits(self, newest: dict[str, Entry]) -> Iterator[Entry]:
         for key, override in self._rows.items():
             entry = newest.get(key)
             if entry is None or entry.rev < override.rev or entry.kind == EntryKind.ENDED:
--- a/brassfall/controlplane/store/leases.py
+++ b/brassfall/controlplane/store/leases.py
@@ -92,7 +92,7 @@
         lease.renewed_ms, lease.ends_ms = running, running + lease.length_ms
         if lease.suspect:
             lease.suspect = False
-            # A suspect lease is next checked after `keep_ms`, but a renewed lease has to be checked at its end.
+            # The next check of a suspect lease is after `keep_ms`; a renewed lease is checked at its end.
             self._schedule(key, lease, lease.ends_ms)
         return True
 
--- a/brassfall/controlplane/store/log.py
+++ b/brassfall/controlplane/store/log.py
@@ -152,10 +152,10 @@
         try:
             self._folder.mkdir(parents=True, exist_ok=True)
             db = self._open(create=True)
-            return self._read(db, history_length)
+            return self._read_all(db, history_length)
         except (sqlite3.Error, msgspec.MsgspecError, ValueError, OSError) as error:
             self.close()
-            raise self._error(error) from error
+            raise self._as_log_error(error) from error
 
     def append(self, records: list[Record]) -> None:
         """Write records to the disk: all of them or none.
@@ -171,14 +171,14 @@
             db = self._db or self._reopen()
         except (sqlite3.Error, ValueError) as error:
             self.close()
-            raise self._error(error) from error
+            raise self._as_log_error(error) from error
         try:
             with _transaction(db):
                 db.execute("insert into log values (?, ?)", (self._seq + 1, body))
         except sqlite3.Error as error:
             self._unsettled = body
             if not self._settle_after(error):
-                raise self._error(error) from error
+                raise self._as_log_error(error) from error
         else:
             self._seq += 1
         self._since_snapshot += len(records)
@@ -191,10 +191,10 @@
         assert self._unsettled is not None, "no outcome is unknown"
         self.close()
         try:
-            written = self._find(self._reopen(), self._unsettled)
+            written = self._find_row(self._reopen(), self._unsettled)
         except (sqlite3.Error, ValueError) as error:
             self.close()
-            raise self._error(error) from error
+            raise self._as_log_error(error) from error
         self._unsettled = None
         if written:
             self._seq += 1
@@ -221,7 +221,7 @@
                 db.execute("delete from log where seq <= ?", (previous_seq or 0,))
         except (sqlite3.Error, ValueError) as error:
             self.close()
-            raise self._error(error) from error
+            raise self._as_log_error(error) from error
         self._since_snapshot = 0
 
     def close(self) -> None:
@@ -231,7 +231,7 @@
             with contextlib.suppress(sqlite3.Error):
                 db.close()
 
-    def _error(self, error: Exception) -> LogError:
+    def _as_log_error(self, error: Exception) -> LogError:
         if isinstance(error, OSError):
             kind = LogError if error.errno in WRONG_PATH_ERRORS else LogUnavailableError
             return kind(str(self._folder), error.strerror or str(error))
@@ -280,7 +280,7 @@
             raise ValueError(message)
         return db
 
-    def _read(self, db: Connection, history_length: int) -> LoadedLog:
+    def _read_all(self, db: Connection, history_length: int) -> LoadedLog:
         stored = db.execute("select seq, body from snapshot order by seq desc limit 1").fetchone()
         snapshot_seq = stored[0] if stored else 0
         state = (
@@ -316,7 +316,7 @@
             why = f"{error}, and then: {unread.why}"
             raise LogOutcomeUnknownError(str(self._path), why) from error
 
-    def _find(self, db: Connection, body: bytes) -> bool:
+    def _find_row(self, db: Connection, body: bytes) -> bool:
         """Return whether the file has a next row with the content `body`, and make that row durable.
 
         Raise `ValueError` if the row has another content or can't be made durable.
--- a/brassfall/controlplane/store/row_leases.py
+++ b/brassfall/controlplane/store/row_leases.py
@@ -99,7 +99,7 @@
                     self._statistics.suspected_leases += len(ended.suspected)
                     log.warning("suspect", table=table, keys=ended.suspected, action=SUSPECT_ACTION)
                 for key in ended.expired:
-                    self._expire(table, key)
+                    self._start_deletion(table, key)
 
     def _leases(self, table: str) -> Leases:
         if table not in self._tables:
@@ -131,16 +131,16 @@
             guarded = self._is_guarded(command.table, row)
             self._tables[command.table].set_guarded(command.key, guarded=guarded)
 
-    def _expire(self, table: str, key: str) -> None:
+    def _start_deletion(self, table: str, key: str) -> None:
         row = self._state.get(table, key)
         if row is None or (table, key) in self._ending:
             return
         self._ending.add((table, key))
-        task = asyncio.get_running_loop().create_task(self._end(table, row))
+        task = asyncio.get_running_loop().create_task(self._delete_expired_row(table, row))
         self._deletion_tasks.add(task)
         task.add_done_callback(self._deletion_tasks.discard)
 
-    async def _end(self, table: str, row: Row) -> None:
+    async def _delete_expired_row(self, table: str, row: Row) -> None:
         """Delete the row of an expired lease by a command; if that fails, grant the lease again."""
         place = (table, row.key)
         try:
--- a/brassfall/controlplane/store/state.py
+++ b/brassfall/controlplane/store/state.py
@@ -145,12 +145,12 @@
         for record in records:
             self.time_ms = max(self.time_ms, record.time_ms)
             if record.request_id and record.result is not None:
-                self._remember(RememberedAnswer(record.request_id, record.time_ms, record.result))
+                self._remember_answer(RememberedAnswer(record.request_id, record.time_ms, record.result))
             if record.kind is RecordKind.INCARNATION:
                 self._gaps = [*self._gaps[1 - MAX_GAPS :], (self.index, record.index)]
                 self.index = record.index
             elif record.kind in ROW_CHANGES and record.row is not None:
-                changes.append((record.table, self._change(record.table, record.row, record)))
+                changes.append((record.table, self._apply_change(record.table, record.row, record)))
         return changes
 
     def restore_history(self, records: Iterable[Record]) -> None:
@@ -168,7 +168,7 @@
                 self._gaps.append((previous_index, record.index))
             elif record.kind in ROW_CHANGES and record.row is not None:
                 change = Change(record.index, record.row, record.kind is RecordKind.DELETE)
-                self._history(record.table).add(change)
+                self._history_of(record.table).add(change)
             previous_index = record.index
 
     def snapshot(self) -> Snapshot:
@@ -187,23 +187,23 @@
         state._answers = {answer.request_id: answer for answer in snapshot.answers}
         return state
 
-    def _change(self, table: str, row: Row, record: Record) -> Change:
+    def _apply_change(self, table: str, row: Row, record: Record) -> Change:
         change = Change(record.index, row, record.kind is RecordKind.DELETE)
         rows = self._rows.setdefault(table, {})
         if change.deleted:
             rows.pop(row.key, None)
         else:
             rows[row.key] = row
-        self._history(table).add(change)
+        self._history_of(table).add(change)
         self.index = self._last_indexes[table] = record.index
         return change
 
-    def _history(self, table: str) -> ChangeHistory:
+    def _history_of(self, table: str) -> ChangeHistory:
         if table not in self._histories:
             self._histories[table] = ChangeHistory(self._oldest, self._history_length)
         return self._histories[table]
 
-    def _remember(self, answer: RememberedAnswer) -> None:
+    def _remember_answer(self, answer: RememberedAnswer) -> None:
         self._answers[answer.request_id] = answer
         oldest_ms = self.time_ms - ANSWERS_KEPT_MS
         surplus = len(self._answers) - MAX_ANSWERS
--- a/brassfall/controlplane/store/transaction.py
+++ b/brassfall/controlplane/store/transaction.py
@@ -103,7 +103,7 @@
     if row is not None and command.fence is not None:
         if command.fence > row.fence and not isinstance(command, Put):
             return older_owner(row)
-        reason = _superseded(command, row)
+        reason = _owner_refusal(command, row)
         if reason:
             return Result(Status.CONFLICT, version, reason)
     if command.if_match is not None and command.if_match != version:
@@ -128,7 +128,7 @@
     return f"{row.key} belongs to a newer holder, {row.fence}"
 
 
-def _superseded(command: Command, row: Row) -> str:
+def _owner_refusal(command: Command, row: Row) -> str:
     """Return why the owner that sends a command must not change a row; empty if it may."""
     if command.fence is not None and command.fence < row.fence:
         return newer_owner(row)
