--- a/tests/controlplane/test_revisions_service.py
+++ b/tests/controlplane/test_revisions_service.py
@@ -19,7 +19,7 @@
 from tests.support.processes import Service
 
 # Settings with short leases, so that revisions are decided soon, and without a limit on calls per caller.
-SHORT_LEASES = {"agreement": {"agree_ms": 400}, "limits": {"caller_calls_per_s": 0}}
+SOON = {"agreement": {"agree_ms": 400}, "limits": {"caller_calls_per_s": 0}}
 UNREADABLE_BODIES = (
     b"{",
     b"[1",
@@ -41,7 +41,7 @@
     def wrap(test):
         @bounded(60.0)
         async def run(tmp_path):
-            async with Service(tmp_path, **{**SHORT_LEASES, **changes}) as service:
+            async with Service(tmp_path, **{**SOON, **changes}) as service:
                 await service.start()
                 async with aiohttp.ClientSession() as session:
                     await test(service, functools.partial(call, session, service))
@@ -129,7 +129,7 @@
 async def test_a_prepared_revision_is_durable_when_answered_and_committed_after_a_kill_and_restart(tmp_path):
     # No revision is committed within the length of a lease after the start. With a long lease the kill comes
     # between the preparation and the commit.
-    async with Service(tmp_path, **SHORT_LEASES | {"agreement": {"agree_ms": 30_000}}) as service:
+    async with Service(tmp_path, **SOON | {"agreement": {"agree_ms": 30_000}}) as service:
         await service.start()
         async with aiohttp.ClientSession() as session:
             ask = functools.partial(call, session, service)
@@ -138,7 +138,7 @@
             number = answer["edition"]
             assert (status, (await ask("GET", "/rules"))[1]["state"]) == (200, "prepared")
         await service.end(signal.SIGKILL)
-        service.write(**SHORT_LEASES)
+        service.write(**SOON)
         await service.start()
         async with aiohttp.ClientSession() as session:
             ask = functools.partial(call, session, service)
@@ -314,7 +314,7 @@
 
 @bounded(60.0)
 async def test_an_override_ends_at_its_time_in_spite_of_a_kill_and_is_removed_from_the_revision(tmp_path):
-    async with Service(tmp_path, **SHORT_LEASES) as service:
+    async with Service(tmp_path, **SOON) as service:
         await service.start()
         async with aiohttp.ClientSession() as session:
             ask = functools.partial(call, session, service)
--- a/tests/controlplane/test_revisions_shell.py
+++ b/tests/controlplane/test_revisions_shell.py
@@ -29,7 +29,7 @@
 from tests.support.loopback import bounded, until
 
 
-def make_service(tmp_path, **more):
+def service(tmp_path, **more):
     """Return a list service that is not started, with the settings `more`."""
     return Service(RegistrySettings(listen="127.0.0.1:0", data=str(tmp_path / "registry"), **more))
 
@@ -37,68 +37,73 @@
 @pytest.mark.parametrize(("part", "method"), [("revisions", "step"), ("overrides", "_step")])
 @bounded(30.0)
 async def test_a_part_continues_after_an_exception_in_one_step(tmp_path, monkeypatch, part, method):
-    service, calls = make_service(tmp_path), []
-    part_type = type(getattr(service, part))
+    list_service, calls = service(tmp_path), []
+    part_type = type(getattr(list_service, part))
     monkeypatch.setattr(part_type, method, lambda *_: (calls.append(1), {}["a fault"])[0])
-    await service.start()
+    await list_service.start()
     try:
         await until(lambda: len(calls) > 1)
     finally:
-        await service.close()
+        await list_service.close()
 
 
-async def _start_override(service, address):
+async def _start_override(list_service, address):
     """Start an override that for the reconciler has been in force for longer than its delivery takes."""
-    now = service.overrides.now()
+    now = list_service.overrides.now()
     document = {"action": {"freeze": True}, "by": "a", "why": "b", "until_ms": now + 60_000}
     await client.call(address, "PUT", "/overrides/o", document)
-    service.overrides.reconciler.step(
-        now - 60_000, reconciler.OverridesPublished(service.overrides.store.active(now))
+    list_service.overrides.reconciler.step(
+        now - 60_000, reconciler.OverridesPublished(list_service.overrides.store.active(now))
     )
 
 
 @bounded(30.0)
 async def test_a_node_that_has_left_is_forgotten_by_all_parts(tmp_path, monkeypatch):
-    service = make_service(tmp_path, agreement=AgreementSettings(forget_ms=0.0))
-    address = await service.start()
+    list_service = service(tmp_path, agreement=AgreementSettings(forget_ms=0.0))
+    address = await list_service.start()
     try:
-        revisions, now = service.revisions, service.revisions.now()
+        revisions, now = list_service.revisions, list_service.revisions.now()
         row = {"region": "a", "window": 1, "span_ms": 500.0, "shake": {}, "first": {"100": 5}}
         for name, process_id in (("on", "p"), ("on", "q"), ("off", "p"), ("left", "p")):
-            service.nodes.answer(
+            list_service.nodes.answer(
                 name, Report(process_id=process_id, seq=1, group="g", measures={"delays": [row]})
             )
         await until(lambda: revisions.coordinator.membership.names == {"on", "off", "left"})
         revisions.coordinator.membership.names.discard("off")  # "off" reports, but is not a member
-        assert set(service.geo.demand) == {"on", "off", "left"} == set(revisions.coordinator.membership.nodes)
-        await _start_override(service, address)
-        service.nodes.answer("left", Report(process_id="p", seq=2, leaving=True))
-        assert service.overrides.findings() == {}  # The last report of a node needs no digest of overrides
-        service.nodes.answer("nobody", Report(process_id="p", seq=1, leaving=True))
+        assert (
+            set(list_service.geo.demand)
+            == {"on", "off", "left"}
+            == set(revisions.coordinator.membership.nodes)
+        )
+        await _start_override(list_service, address)
+        list_service.nodes.answer("left", Report(process_id="p", seq=2, leaving=True))
+        # The last report of a node needs no digest of overrides, so there is no finding.
+        assert list_service.overrides.findings() == {}
+        list_service.nodes.answer("nobody", Report(process_id="p", seq=1, leaving=True))
         assert revisions.coordinator.departing == ["left"]  # The departure of an unknown node is ignored
         revisions.step(RemoveMember("left"))
-        assert set(service.geo.demand) == {"on", "off"}
+        assert set(list_service.geo.demand) == {"on", "off"}
         revisions.sweep(now + 1e9)
         # No member is removed while another service may hold the majority.
         assert revisions.coordinator.membership.names == {"on"}
         monkeypatch.setattr(RevisionCoordinator, "grant_refusal", lambda *_: None)
         revisions.sweep(now + 1e9)
         assert (
-            service.geo.demand,
+            list_service.geo.demand,
             revisions.coordinator.membership.nodes,
             revisions.coordinator.leases.active(now),
         ) == ({}, {}, {})
     finally:
-        await service.close()
+        await list_service.close()
 
 
 @bounded(30.0)
 async def test_a_child_that_acts_on_other_overrides_is_denied_a_lease_through_its_aggregator(
     tmp_path, monkeypatch
 ):
-    service, now, seen_orders = make_service(tmp_path), [1_000_000], []
-    monkeypatch.setattr(type(service.overrides), "now", lambda _: now[0])
-    await service.start()
+    list_service, now, seen_orders = service(tmp_path), [1_000_000], []
+    monkeypatch.setattr(type(list_service.overrides), "now", lambda _: now[0])
+    await list_service.start()
     try:
         place, seq = Place("g", "a"), count(1)
 
@@ -107,7 +112,7 @@
             now[0] += 500
             row = ChildException("c", "1", place, digest, acted)
             report = AggregatorReport("p", next(seq), "a", exceptions=[row], joined=list(joined))
-            return service.aggregators.reported(name, report).orders
+            return list_service.aggregators.reported(name, report).orders
 
         assert orders("1-00000000") == []  # The service does not know "c" as a child of the aggregator yet
         orders("1-00000000", None, [Member("c", "1")])
@@ -116,15 +121,15 @@
         assert any(order.list_overrides for order in seen_orders) and any(
             order.refresh_times for order in seen_orders
         )
-        assert list(service.overrides.findings()) == ["c"] and now[0] < 1_030_000
-        assert orders("0-00000000") == [ChildOrder("c")] and service.overrides.findings() == {}
+        assert list(list_service.overrides.findings()) == ["c"] and now[0] < 1_030_000
+        assert orders("0-00000000") == [ChildOrder("c")] and list_service.overrides.findings() == {}
         while not orders("1-00000000", {"o9": 5})[0].blocked:
             pass
         # A child that moves to another aggregator starts there without findings.
         assert orders("1-00000000", None, [Member("c", "1")], "y") == [ChildOrder("c")]
-        assert service.overrides.findings() == {}
+        assert list_service.overrides.findings() == {}
     finally:
-        await service.close()
+        await list_service.close()
 
 
 def test_the_command_line_computes_the_end_of_an_override_with_the_clock_of_the_service(
