--- a/brassfall/sidecar/agent/calls.py
+++ b/brassfall/sidecar/agent/calls.py
@@ -147,7 +147,7 @@
         """
         try:
             async with asyncio.timeout(limit_s):
-                status, content = await self._call(address, method, path, body)
+                status, content = await self._send_call(address, method, path, body)
         except (OSError, httptools.HttpParserError, EOFError) as error:  # TimeoutError is an OSError.
             self.close()
             message = f"{address.host}:{address.port}: {error!r}"
@@ -172,7 +172,7 @@
         connection = self._connection
         return connection is not None and connection.usable and connection.address == address
 
-    async def _call(self, address: Address, method: str, path: str, body: object) -> _Answer:
+    async def _send_call(self, address: Address, method: str, path: str, body: object) -> _Answer:
         connection = self._connection
         if connection is None or not self.is_connected_to(address):
             self.close()
--- a/brassfall/sidecar/agent/delays.py
+++ b/brassfall/sidecar/agent/delays.py
@@ -139,7 +139,7 @@
         self._window += 1
         rows: list[dict[str, object]] = []
         bytes_left = REPORT_BYTES - 2  # Bytes left, without the brackets of the list
-        for region, row in self._rows(now_s):
+        for region, row in self._due_rows(now_s):
             size = len(json.dumps(row, separators=(",", ":"))) + 1
             if size > bytes_left and rows:
                 break
@@ -149,7 +149,7 @@
         self._window_opened_at = now_s
         return rows
 
-    def _rows(self, now_s: float) -> Iterator[tuple[str, dict[str, object]]]:
+    def _due_rows(self, now_s: float) -> Iterator[tuple[str, dict[str, object]]]:
         """Yield (region name, row) for each region that is due, the one that has waited longest first."""
         due = [item for item in self._regions.items() if now_s - _window_start(item) >= MIN_ROW_INTERVAL_S]
         for region, sketches in sorted(due, key=_window_start):
--- a/brassfall/sidecar/agent/lease_client.py
+++ b/brassfall/sidecar/agent/lease_client.py
@@ -118,8 +118,8 @@
 
     Settings and plans of a form that this version can't read are left out, and named in `unreadable`.
     """
-    raw = _object(raw, "edition")
-    number = _number(raw, "edition")
+    raw = _require_object(raw, "edition")
+    number = _require_number(raw, "edition")
     settings, plan, overrides = raw.get("settings", {}), raw.get("plan"), raw.get("overrides", [])
     if not isinstance(settings, Mapping) or not isinstance(plan, Mapping | None):
         message = "settings, plan: expected objects, or null for the plan"
@@ -135,28 +135,28 @@
         settings={key: value for key, value in settings.items() if key not in unreadable},
         plan=plan or None,
         overrides=tuple(overrides),
-        plan_revision=_number(raw, "plan_edition"),
+        plan_revision=_require_number(raw, "plan_edition"),
         unreadable=", ".join(sorted(unreadable)),
     )
 
 
 def _read_update(raw: object) -> _Update:
     """Return a line of the watch parsed from its form on the wire; raise `MessageError` if malformed."""
-    raw = _object(raw, "edition")
+    raw = _require_object(raw, "edition")
     revision = read_revision(raw)
     committed = raw.get("committed")
     return _Update(
         revision=revision,
         committed=read_revision(committed) if isinstance(committed, Mapping) else None,
-        epoch=_number(raw, "life"),
+        epoch=_require_number(raw, "life"),
         state=next((state for state in RevisionState if state == raw.get("state")), None),
     )
 
 
 def _read_answer(raw: object) -> _Answer:
     """Return the lease fields of an answer to a report; raise `MessageError` if they are malformed."""
-    raw = _object(raw, "answer")
-    revision, pending, epoch = (_number(raw, name) for name in ("edition", "pending", "life"))
+    raw = _require_object(raw, "answer")
+    revision, pending, epoch = (_require_number(raw, name) for name in ("edition", "pending", "life"))
     lease_ms = raw.get("permission_ms", 0.0)
     is_number = isinstance(lease_ms, int | float) and not isinstance(lease_ms, bool)
     if not is_number or not 0.0 <= lease_ms < MAX_LEASE_MS:
@@ -165,14 +165,16 @@
     return _Answer(epoch, revision, pending, lease_ms)
 
 
-def _object(raw: object, name: str) -> Mapping[str, Any]:
+def _require_object(raw: object, name: str) -> Mapping[str, Any]:
+    """Return `raw` if it is a JSON object; raise `MessageError` about the part `name` if it is not."""
     if not isinstance(raw, Mapping):
         message = f"{name}: expected an object"
         raise MessageError(message)
     return raw
 
 
-def _number(raw: Mapping[str, Any], name: str) -> int:
+def _require_number(raw: Mapping[str, Any], name: str) -> int:
+    """Return the whole number in a field, or 0 without the field; raise `MessageError` if it is invalid."""
     value = raw.get(name, 0)
     if isinstance(value, bool) or not isinstance(value, int) or not 0 <= value < MAX_NUMBER:
         message = f"{name}: expected a whole number from 0 to 2**53 - 1"
@@ -369,7 +371,9 @@
 
     def lacks_revision(self, raw: Mapping[str, Any]) -> bool:
         """Return whether an answer names a revision that is not stored here."""
-        return not {_number(raw, "edition"), _number(raw, "pending")} <= self._revisions.keys()
+        return (
+            not {_require_number(raw, "edition"), _require_number(raw, "pending")} <= self._revisions.keys()
+        )
 
     @property
     def newest_revision(self) -> int:
--- a/brassfall/sidecar/agent/member.py
+++ b/brassfall/sidecar/agent/member.py
@@ -77,7 +77,13 @@
         file = self._file
         assert file.agreement is not None
         self.agent = Agent(
-            loop, file.name, file.agreement, file.registry, self._objection_to, self._act, file.seed
+            loop,
+            file.name,
+            file.agreement,
+            file.registry,
+            self._objection_to,
+            self._apply_configuration,
+            file.seed,
         )
         self.steering = Steering(file.agreement, lambda: process.running.names, process.endpoint_list)
         self.delays = DelaySketches(file.agreement.group)
@@ -179,7 +185,7 @@
             return f"a defect in this program, report it: {error!r}"
         return ""
 
-    def _act(self, active: ActiveConfiguration, now: float) -> float:
+    def _apply_configuration(self, active: ActiveConfiguration, now: float) -> float:
         """Apply the active configuration; return the time until which it stays valid without a new revision.
 
         Times are in seconds of the loop.
@@ -188,7 +194,7 @@
         if inputs == self._applied_inputs and now < self._applied_until:
             return self._applied_until  # Nothing has changed, as is the case after most reports.
         self._applied_inputs = None  # If anything below fails, the next call applies the configuration again.
-        applied = self._apply(rules.overlay_of(rules.effective_settings(active)))
+        applied = self._use_overlay(rules.overlay_of(rules.effective_settings(active)))
         effective_rules = self.steering.effective_rules(active, now)
         self.agent.overrides = [name for name, _ in effective_rules.acted]
         steer = self.steering.steer(active, effective_rules, now)
@@ -200,7 +206,7 @@
         self._applied_until = self.steering.next_end(now)
         return self._applied_until
 
-    def _apply(self, overlay: Mapping[str, Any]) -> bool:
+    def _use_overlay(self, overlay: Mapping[str, Any]) -> bool:
         """Use this process's own file with an overlay; return False if the overlay can't be applied to it."""
         if overlay == self._overlay:
             return True
--- a/brassfall/sidecar/agent/overrides.py
+++ b/brassfall/sidecar/agent/overrides.py
@@ -97,7 +97,7 @@
     """
     selected = _select(now_s, layer, deadlines, view)
     usable = selected.usable
-    excluded, notes = _exclusions(settings, usable, view.names)
+    excluded, notes = _exclusions_by_scope(settings, usable, view.names)
     pins = _undisputed_pins(settings, selected)
     regions = _Regions(view.names.regions, excluded[HoldScope.REGION])
     shifts = _shifts(usable)
@@ -110,11 +110,13 @@
         excluded_regions=excluded[HoldScope.REGION],
         excluded_groups=excluded[HoldScope.GROUP],
         excluded_servers=excluded[HoldScope.SERVER],
-        caps={name: rate / max(1, view.sidecars) for name, rate in _caps(settings.caps, usable).items()},
+        caps={
+            name: rate / max(1, view.sidecars) for name, rate in _lowest_caps(settings.caps, usable).items()
+        },
         frozen=any(isinstance(override.action, Freeze) for override in usable),
         acted=tuple(sorted(selected.acted)),
         unknown=tuple(selected.unknown),
-        notes=(*notes, *_pins_to_excluded(pins, regions.excluded)),
+        notes=(*notes, *_notes_on_excluded_pins(pins, regions.excluded)),
     )
 
 
@@ -190,7 +192,7 @@
 # --- holds, caps and pins --------------------------------------------------------------------------------
 
 
-def _exclusions(
+def _exclusions_by_scope(
     settings: SteeringRules, overrides: Sequence[Override], names: KnownNames
 ) -> tuple[dict[HoldScope, frozenset[str]], list[str]]:
     """Return the excluded names by scope, and a note for each hold that is not acted on."""
@@ -201,12 +203,14 @@
         (HoldScope.GROUP, settings.excluded_groups),
         (HoldScope.SERVER, settings.excluded_servers),
     ):
-        excluded[scope], scope_notes = _excluded(scope, overrides, from_settings, _names_of(scope, names))
+        excluded[scope], scope_notes = _excluded_names(
+            scope, overrides, from_settings, _names_of(scope, names)
+        )
         notes += scope_notes
     return excluded, notes
 
 
-def _excluded(
+def _excluded_names(
     scope: HoldScope, overrides: Sequence[Override], from_settings: frozenset[str], known: Set[str]
 ) -> tuple[frozenset[str], list[str]]:
     """Return the names of one scope that settings and holds exclude, and notes.
@@ -230,7 +234,7 @@
     return excluded, notes
 
 
-def _caps(from_settings: Mapping[str, float], overrides: Sequence[Override]) -> dict[str, float]:
+def _lowest_caps(from_settings: Mapping[str, float], overrides: Sequence[Override]) -> dict[str, float]:
     """Return the lowest cap of each request class, in requests/s of the whole fleet."""
     caps = dict(from_settings)
     for override in overrides:
@@ -240,7 +244,7 @@
     return caps
 
 
-def _pins(from_settings: Mapping[str, str], overrides: Sequence[Override]) -> dict[str, str]:
+def _pinned_regions(from_settings: Mapping[str, str], overrides: Sequence[Override]) -> dict[str, str]:
     """Return the region of each pinned tenant; overrides replace pins of the settings."""
     pins = dict(from_settings)
     for override in reversed(overrides):  # The override that takes precedence is written last.
@@ -255,11 +259,11 @@
     Shortly after this sidecar has ended a pin, another sidecar may still act on it. Until the end of the pin
     is certain, no region serves a tenant that this sidecar would otherwise serve in another region.
     """
-    pins = _pins(settings.tenant_pins, selected.usable)
+    pins = _pinned_regions(settings.tenant_pins, selected.usable)
     if not selected.doubtful:
         return pins
     not_over = sorted([*selected.usable, *selected.doubtful], key=precedence)
-    return common_pins(pins, _pins(settings.tenant_pins, not_over))
+    return common_pins(pins, _pinned_regions(settings.tenant_pins, not_over))
 
 
 def common_pins(one: Mapping[str, str], other: Mapping[str, str]) -> dict[str, str]:
@@ -271,7 +275,7 @@
     return {name: one[name] if one.get(name) == other.get(name) else NO_REGION for name in tenants}
 
 
-def _pins_to_excluded(pins: Mapping[str, str], excluded: frozenset[str]) -> list[str]:
+def _notes_on_excluded_pins(pins: Mapping[str, str], excluded: frozenset[str]) -> list[str]:
     """Return a note for each tenant that is pinned to an excluded region."""
     return [
         f"tenant {tenant} is pinned to region {region}, which is held"
--- a/brassfall/sidecar/agent/steering.py
+++ b/brassfall/sidecar/agent/steering.py
@@ -107,7 +107,7 @@
 
     def objection(self, revision: Revision) -> str:
         """Return why this sidecar can't act on the overrides of a revision, or an empty text if it can."""
-        return "; ".join(self._layer(revision).problems)
+        return "; ".join(self._parsed_layer(revision).problems)
 
     def effective_rules(self, active: ActiveConfiguration, now: float) -> EffectiveRules:
         """Return the rules to act on at `now`, which are those that all concurrent revisions allow."""
@@ -138,10 +138,10 @@
     def _revision_rules(self, revision: Revision, now: float) -> EffectiveRules:
         """Return the rules of one revision with its overrides in force, regardless of other revisions."""
         settings = rules.base_rules(_with_planned_shares(revision), self._place.group)
-        layer = self._layer(revision).overrides
+        layer = self._parsed_layer(revision).overrides
         return overrides.effective_rules(now, settings, layer, self._deadlines, self._local_view())
 
-    def _layer(self, revision: Revision) -> Layer:
+    def _parsed_layer(self, revision: Revision) -> Layer:
         """Return the parsed overrides of a revision, which are cached for the last `MAX_LAYERS` revisions."""
         layer = self._layers.get(revision.number)
         if layer is None:
--- a/brassfall/sidecar/discovery/endpoint_list.py
+++ b/brassfall/sidecar/discovery/endpoint_list.py
@@ -56,7 +56,7 @@
     update = ServerList(version, bool(complete), [], {})
     for number, row in enumerate(rows):
         try:
-            _add(update, row, names, requires_address=invalid is not None)
+            _add_entry(update, row, names, requires_address=invalid is not None)
         except MALFORMED as error:
             if invalid is None:
                 why = f"endpoints[{number}]: {reason(error)}"
@@ -65,10 +65,10 @@
     return update
 
 
-def _add(update: ServerList, raw: object, names: Names, *, requires_address: bool) -> None:
+def _add_entry(update: ServerList, raw: object, names: Names, *, requires_address: bool) -> None:
     """Parse an entry and add it to `update`; raise one of `MALFORMED`, and add nothing, if it is invalid."""
     row = as_object(raw)
-    entry = _listing(row, names)
+    entry = _parse_entry(row, names)
     if row.get("address"):
         update.addresses[entry.server] = parse_address(row["address"])
     elif requires_address and entry.state != LEFT:
@@ -82,7 +82,7 @@
     return str(row.get("name", "")) if isinstance(row, Mapping) else ""
 
 
-def _listing(row: Mapping[str, Any], names: Names) -> model.Listing:
+def _parse_entry(row: Mapping[str, Any], names: Names) -> model.Listing:
     """Return a parsed entry; raise one of `MALFORMED` if it is invalid."""
     state = row.get("status", ACTIVE)
     if state not in STATES:
@@ -94,7 +94,7 @@
         raise ValueError(why)
     return model.Listing(
         server=name,
-        zone=_zone(row.get("zone") or "", names),
+        zone=_zone_number(row.get("zone") or "", names),
         kind=names.kinds.get(row.get("type", ""), 0),
         cell=integer(row.get("group") or 0),
         state=state,
@@ -105,7 +105,7 @@
     )
 
 
-def _zone(name: str, names: Names) -> int:
+def _zone_number(name: str, names: Names) -> int:
     """Return the number of a zone; an entry without a zone is in the first one.
 
     A zone that the settings don't name gets a number of its own. An example is a new zone that the settings
--- a/brassfall/sidecar/discovery/notifier.py
+++ b/brassfall/sidecar/discovery/notifier.py
@@ -36,11 +36,11 @@
 
     async def wait_for_first_list(self, limit: float) -> None:
         """Wait until discovery has sent a list, for at most `limit` seconds."""
-        await _wait(self._first_list, limit)
+        await _wait_for_event(self._first_list, limit)
 
     async def wait_for_first_call(self, limit: float) -> None:
         """Wait until the first call was answered or has failed, for at most `limit` seconds."""
-        await _wait(self._first_call_ended, limit)
+        await _wait_for_event(self._first_call_ended, limit)
 
     def record_call_end(self) -> None:
         """Record that a call was answered or has failed."""
@@ -88,7 +88,7 @@
         )
 
 
-async def _wait(event: asyncio.Event, limit: float) -> None:
+async def _wait_for_event(event: asyncio.Event, limit: float) -> None:
     """Wait until an event is set, for at most `limit` seconds."""
     with contextlib.suppress(TimeoutError):
         await asyncio.wait_for(event.wait(), limit)
