--- a/brassfall/sidecar/discovery/endpoint_list.py
+++ b/brassfall/sidecar/discovery/endpoint_list.py
@@ -56,7 +56,7 @@
     update = ServerList(version, bool(complete), [], {})
     for number, row in enumerate(rows):
         try:
-            _add(update, row, names, requires_address=invalid is not None)
+            _add_entry(update, row, names, requires_address=invalid is not None)
         except MALFORMED_ERRORS as error:
             if invalid is None:
                 why = f"endpoints[{number}]: {malformed_reason(error)}"
@@ -65,13 +65,13 @@
     return update
 
 
-def _add(update: ServerList, raw: object, names: WireNames, *, requires_address: bool) -> None:
+def _add_entry(update: ServerList, raw: object, names: WireNames, *, requires_address: bool) -> None:
     """Parse an entry and add it to `update`.
 
     Raise one of `MALFORMED_ERRORS`, and add nothing, if the entry is invalid.
     """
     row = as_object(raw)
-    entry = _listing(row, names)
+    entry = _parse_entry(row, names)
     if row.get("address"):
         update.addresses[entry.server] = parse_address(row["address"])
     elif requires_address and entry.state != LEFT:
@@ -85,7 +85,7 @@
     return str(row.get("name", "")) if isinstance(row, Mapping) else ""
 
 
-def _listing(row: Mapping[str, Any], names: WireNames) -> model.EndpointEntry:
+def _parse_entry(row: Mapping[str, Any], names: WireNames) -> model.EndpointEntry:
     """Return a parsed entry; raise one of `MALFORMED` if it is invalid."""
     state = row.get("status", ACTIVE)
     if state not in STATES:
@@ -97,7 +97,7 @@
         raise ValueError(why)
     return model.EndpointEntry(
         server=name,
-        zone=_zone(row.get("zone") or "", names),
+        zone=_zone_number(row.get("zone") or "", names),
         kind=names.kinds.get(row.get("type", ""), 0),
         cell=to_integer(row.get("group") or 0),
         state=state,
@@ -108,7 +108,7 @@
     )
 
 
-def _zone(name: str, names: WireNames) -> int:
+def _zone_number(name: str, names: WireNames) -> int:
     """Return the number of a zone; an entry without a zone is in the first one.
 
     A zone that the settings don't name gets a number of its own. An example is a new zone that the settings
