--- a/brassfall/lab/play.py
+++ b/brassfall/lab/play.py
@@ -17,17 +17,19 @@
 from collections.abc import Callable
 from dataclasses import asdict
 from pathlib import Path
+from types import ModuleType
 from typing import Any
 
 import msgspec
 
 from brassfall.errors import BrassfallError
-from brassfall.lab import day, judge, ledger, rules, spec, steering
+from brassfall.lab import day, earlier_interface, judge, ledger, rules, spec, steering
 from brassfall.lab.arrivals import load_experiment
 from brassfall.settings import SettingsError
 
 PACKAGE = "brassfall.balancer"
-LATER_REVISION = 'Name a revision with brassfall/balancer as it is now, or play it with mode = "real".'
+PACKAGES = (PACKAGE, "poppypulley")  # what the package of the decisions was called, newest first
+OTHER_REVISION = 'Name a revision whose interface the lab knows, or play it with mode = "real".'
 SLACK_MS = {"simulated": 30.0, "real": 120.0}  # for transit, where rules have time limits
 
 
@@ -56,25 +58,44 @@
 def install(code: Path) -> None:
     """Take the decisions from another folder, in place of those that stand here.
 
-    `SettingsError` if there are none, or if their interface is not the one that the lab speaks.
+    `SettingsError` if there are none, or if their interface is none that the lab knows.
     """
-    package = code / "brassfall" / "balancer"
-    found = importlib.util.spec_from_file_location(
-        PACKAGE, package / "__init__.py", submodule_search_locations=[str(package)]
-    )
-    if found is None or found.loader is None or not (package / "__init__.py").exists():
-        raise SettingsError(str(code), "no decision module there", LATER_REVISION)
-    # Modules that were imported before would be taken in the place of those of that folder.
-    for name in [name for name in sys.modules if f"{name}.".startswith(f"{PACKAGE}.")]:
-        del sys.modules[name]
-    module = importlib.util.module_from_spec(found)
-    sys.modules[PACKAGE] = module
-    found.loader.exec_module(module)
-    setattr(sys.modules["brassfall"], PACKAGE.rpartition(".")[2], module)
-    model, events = sys.modules[f"{PACKAGE}.model"], sys.modules.get(f"{PACKAGE}.events")
-    request = getattr(events, "RequestArrived", None)
-    if not hasattr(request, "request_class") or not hasattr(model, "TimerToken"):
-        raise SettingsError(str(code), "its decision module has an earlier interface", LATER_REVISION)
+    present = _removed_modules()
+    package = _loaded(code)
+    if not _has_present_interface(package):
+        if not earlier_interface.is_interface_of(package):
+            why = "its decision module has an earlier interface that the lab does not know"
+            raise SettingsError(str(code), why, OTHER_REVISION)
+        _removed_modules()
+        sys.modules.update(present)
+        package = earlier_interface.stand_in(PACKAGE, package)
+    sys.modules[PACKAGE] = package
+    setattr(sys.modules["brassfall"], PACKAGE.rpartition(".")[2], package)
+
+
+def _removed_modules() -> dict[str, ModuleType]:
+    """Remove the modules of the decisions: the import of others would find them. Return them by name."""
+    names = [name for name in sys.modules if f"{name}.".startswith(f"{PACKAGE}.")]
+    return {name: sys.modules.pop(name) for name in names}
+
+
+def _loaded(code: Path) -> ModuleType:
+    """Import the package of the decisions in a folder, under the name that it has there."""
+    for name in PACKAGES:
+        file = code.joinpath(*name.split("."), "__init__.py")
+        found = importlib.util.spec_from_file_location(
+            name, file, submodule_search_locations=[str(file.parent)]
+        )
+        if file.exists() and found is not None and found.loader is not None:
+            package = sys.modules[name] = importlib.util.module_from_spec(found)
+            found.loader.exec_module(package)
+            return package
+    raise SettingsError(str(code), "no decision module there", OTHER_REVISION)
+
+
+def _has_present_interface(package: ModuleType) -> bool:
+    request = getattr(getattr(package, "events", None), "RequestArrived", None)
+    return hasattr(request, "request_class") and hasattr(package.model, "TimerToken")
 
 
 def judged(folder: Path, experiment: spec.Experiment) -> judge.Judgement:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -38,6 +38,7 @@
         "controlplane/wire_forms",
         "lab/capacity",
         "lab/capacity_datapath",
+        "lab/earlier_interface",
         "lab/geography",
         "lab/lab",
         "lab/revision_chaos",
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -539,6 +539,7 @@
     "lab/overrides/service.py",
     "lab/overrides/world.py",
     "lab/geography.py",
+    "lab/earlier_interface.py",
     "lab/models/client.py",
     "lab/models/server.py",
     "lab/models/network.py",
