--- a/brassfall/lab/play.py
+++ b/brassfall/lab/play.py
@@ -28,7 +28,7 @@
 from brassfall.settings import SettingsError
 
 PACKAGE = "brassfall.balancer"
-PACKAGES = (PACKAGE, "poppypulley")  # what the package of the decisions was called, newest first
+PACKAGES = (PACKAGE, "poppypulley")  # Present and earlier names of the decision package, newest first
 OTHER_REVISION = 'Name a revision whose interface the lab knows, or play it with mode = "real".'
 SLACK_MS = {"simulated": 30.0, "real": 120.0}  # for transit, where rules have time limits
 
@@ -56,46 +56,53 @@
 
 
 def install(code: Path) -> None:
-    """Take the decisions from another folder, in place of those that stand here.
+    """Replace the decision package of this process by the one in the folder of another revision.
 
-    `SettingsError` if there are none, or if their interface is none that the lab knows.
+    Raise `SettingsError` if the folder has no decision package, or one whose interface the lab does not know.
     """
-    present = _removed_modules()
-    package = _loaded(code)
+    present_modules = _remove_decision_modules()
+    package = _load_package(code)
     if not _has_present_interface(package):
-        if not earlier_interface.is_interface_of(package):
+        if not earlier_interface.is_supported(package):
             why = "its decision module has an earlier interface that the lab does not know"
             raise SettingsError(str(code), why, OTHER_REVISION)
-        _removed_modules()
-        sys.modules.update(present)
-        package = earlier_interface.stand_in(PACKAGE, package)
+        _remove_decision_modules()
+        sys.modules.update(present_modules)
+        package = earlier_interface.with_present_interface(PACKAGE, package)
     sys.modules[PACKAGE] = package
     setattr(sys.modules["brassfall"], PACKAGE.rpartition(".")[2], package)
 
 
-def _removed_modules() -> dict[str, ModuleType]:
-    """Remove the modules of the decisions: the import of others would find them. Return them by name."""
+def _remove_decision_modules() -> dict[str, ModuleType]:
+    """Remove the modules of the decision package from `sys.modules` and return them by name.
+
+    Otherwise the decision package of another revision would import these modules instead of its own.
+    """
     names = [name for name in sys.modules if f"{name}.".startswith(f"{PACKAGE}.")]
     return {name: sys.modules.pop(name) for name in names}
 
 
-def _loaded(code: Path) -> ModuleType:
-    """Import the package of the decisions in a folder, under the name that it has there."""
+def _load_package(code: Path) -> ModuleType:
+    """Import the decision package in the folder of a revision, under the name that it has there."""
     for name in PACKAGES:
         file = code.joinpath(*name.split("."), "__init__.py")
-        found = importlib.util.spec_from_file_location(
+        module_spec = importlib.util.spec_from_file_location(
             name, file, submodule_search_locations=[str(file.parent)]
         )
-        if file.exists() and found is not None and found.loader is not None:
-            package = sys.modules[name] = importlib.util.module_from_spec(found)
-            found.loader.exec_module(package)
+        if file.exists() and module_spec is not None and module_spec.loader is not None:
+            package = sys.modules[name] = importlib.util.module_from_spec(module_spec)
+            module_spec.loader.exec_module(package)
             return package
     raise SettingsError(str(code), "no decision module there", OTHER_REVISION)
 
 
 def _has_present_interface(package: ModuleType) -> bool:
-    request = getattr(getattr(package, "events", None), "RequestArrived", None)
-    return hasattr(request, "request_class") and hasattr(package.model, "SendAttempt")
+    package_events = getattr(package, "events", None)
+    return (
+        hasattr(getattr(package_events, "RequestArrived", None), "request_class")
+        and hasattr(package_events, "EndpointListReceived")
+        and hasattr(package.model, "SendAttempt")
+    )
 
 
 def judged(folder: Path, experiment: spec.Experiment) -> judge.Judgement:
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -451,6 +451,10 @@
     [
         {"events.py": ("    request_class: int", "    band: int")},
         {"model.py": ("SendAttempt", "Send")},
+        {
+            "events.py": ("EndpointListReceived", "EndpointsListed"),
+            "balancer.py": ("EndpointListReceived", "EndpointsListed"),
+        },
         {"events.py": ("RequestArrived", "Arrival"), "balancer.py": ("RequestArrived", "Arrival")},
     ],
 )
