--- a/brassfall/cli/fleet.py
+++ b/brassfall/cli/fleet.py
@@ -158,9 +158,11 @@
     from brassfall.controlplane.registry import client
 
     raw = await client.call(at, "PUT", "/rules", body, headers)
-    revision = client.read(at, PublishAnswer, raw).revision
+    revision = client.decode_answer(at, PublishAnswer, raw).revision
     while wait:
-        found = client.read(at, RevisionState, await client.call(at, "GET", f"/rules?edition={revision}"))
+        found = client.decode_answer(
+            at, RevisionState, await client.call(at, "GET", f"/rules?edition={revision}")
+        )
         if found.state == "halted":
             why = "; ".join(f"{row.sidecar}: {row.reason}".strip(": ") for row in found.objections)
             halted = f"revision {revision} was halted"
@@ -181,8 +183,8 @@
         return state, await client.call(address(at), "GET", "/edges")
 
     raw_state, raw_sidecars = run(both())
-    state = client.read(at, RevisionState, raw_state)
-    listing = client.read(at, SidecarListing, raw_sidecars)
+    state = client.decode_answer(at, RevisionState, raw_state)
+    listing = client.decode_answer(at, SidecarListing, raw_sidecars)
 
     def text() -> str:
         lines = [f"revision {state.revision}: {state.state}"]
@@ -215,7 +217,7 @@
     if duration_s is not None and not (is_number and 0 < duration_s <= OVERRIDE_MOST_S):
         raise OverrideFileError(str(file), "for_s: seconds are required, up to a day")
     raw = run(_add(address(at), name, body, duration_s))
-    left_s = client.read(at, TimeLeft, raw).left_ms / 1000.0
+    left_s = client.decode_answer(at, TimeLeft, raw).left_ms / 1000.0
     _show(raw, lambda: f"override {name}: {left_s:.1f} s left", json=json)
 
 
@@ -224,7 +226,7 @@
 
     if duration_s is not None:
         # By the clock of the service, which ends the override; the one here may be hours off.
-        now_ms = client.read(at, ServiceTime, await client.call(at, "GET", "/overrides")).now_ms
+        now_ms = client.decode_answer(at, ServiceTime, await client.call(at, "GET", "/overrides")).now_ms
         body["until_ms"] = int(now_ms + duration_s * 1000.0)
     return await client.call(at, "PUT", f"/overrides/{name}", body)
 
@@ -245,7 +247,7 @@
     from brassfall.controlplane.registry import client
 
     raw = run(client.call(address(at), "GET", "/overrides"))
-    listing = client.read(at, OverrideListing, raw)
+    listing = client.decode_answer(at, OverrideListing, raw)
 
     def text() -> str:
         lines = [
@@ -267,7 +269,7 @@
     from brassfall.controlplane.registry import client
 
     raw = run(client.call(address(at), "GET", "/geo"))
-    listing = client.read(at, DelayListing, raw)
+    listing = client.decode_answer(at, DelayListing, raw)
 
     def text() -> str:
         lines = [
--- a/brassfall/cli/options.py
+++ b/brassfall/cli/options.py
@@ -54,6 +54,6 @@
     from brassfall.errors import RequestError
 
     try:
-        return entries.name(text)
+        return entries.check_name(text)
     except RequestError as error:
         raise UsageError(error.what, action="Give a name of that form; `registry list` shows some.") from None
--- a/brassfall/cli/registry.py
+++ b/brassfall/cli/registry.py
@@ -59,7 +59,7 @@
     from brassfall.controlplane.registry import client, entries
 
     raw = run(client.call(address(at), "GET", "/registry/instances"))
-    listed = client.read(at, entries.Listed, raw)
+    listed = client.decode_answer(at, entries.InstanceList, raw)
     if json:
         typer.echo(msgspec.json.encode(raw).decode())
         return
@@ -81,7 +81,7 @@
         if line and json:
             typer.echo(line.decode())
         elif line:
-            listed = client.read(at, entries.Listed, line)
+            listed = client.decode_answer(at, entries.InstanceList, line)
             typer.echo(f"index {listed.index}, {'complete list' if listed.snapshot else 'changes'}")
             for row in listed.endpoints:
                 typer.echo("  " + ROW.format_map(msgspec.structs.asdict(row)))
@@ -118,7 +118,7 @@
 
     path = f"/registry/instances/{instance_name(name)}"
     raw = run(client.call(address(at), method, path, body))
-    index = client.read(at, WriteAnswer, raw).index
+    index = client.decode_answer(at, WriteAnswer, raw).index
     typer.echo(msgspec.json.encode(raw).decode() if json else f"{name}: {done}, index {index}")
 
 
--- a/brassfall/controlplane/registry/aggregator/channels.py
+++ b/brassfall/controlplane/registry/aggregator/channels.py
@@ -27,7 +27,7 @@
     """
 
     def __init__(self, mirror: Mirror, now: Callable[[], float], max_unread: int, stuck_s: float) -> None:
-        form = ListFormat("endpoints", entries.endpoints, entries.changed)
+        form = ListFormat("endpoints", entries.list_entries, entries.change_entries)
         super().__init__(lambda: mirror.state, INSTANCES, form, max_unread, stuck_s)
         self._mirror = mirror
         self._now = now
--- a/brassfall/controlplane/registry/aggregator/children.py
+++ b/brassfall/controlplane/registry/aggregator/children.py
@@ -56,7 +56,7 @@
 
     async def report(self, request: web.Request) -> web.Response:
         """Answer `POST /edges/NAME`."""
-        name = entries.name(request.match_info["name"])
+        name = entries.check_name(request.match_info["name"])
         try:
             report = read_report(request, name, await self.front.body(request))
         except ReportError:
--- a/brassfall/controlplane/registry/aggregators.py
+++ b/brassfall/controlplane/registry/aggregators.py
@@ -101,7 +101,7 @@
     # --- reports --------------------------------------------------------------------------------
 
     async def _report(self, request: web.Request) -> web.Response:
-        name = entries.name(request.match_info["name"])
+        name = entries.check_name(request.match_info["name"])
         try:
             report = parse_report(await self._service.host.body(request))
             _check_consistent(report)
@@ -109,14 +109,14 @@
             self._statistics.malformed += 1
             raise
         try:
-            lease = self.reported(name, report)
+            lease = self.receive_report(name, report)
         except AggregatorNameError as error:
             self._statistics.name_conflicts += 1
             log.warning("name conflict", name=name, reason=error.summary, action=error.action)
             raise
         return calls.Brief(body=_encode(lease))
 
-    def reported(self, name: str, report: AggregatorReport) -> AggregatorLease:
+    def receive_report(self, name: str, report: AggregatorReport) -> AggregatorLease:
         """Apply a report of an aggregator; return its answer.
 
         Raise `AggregatorNameError` if another one has the name, `UnavailableError` if there are too many.
@@ -131,7 +131,7 @@
         if not received.stale:
             self._forget_findings(received.departed)
             self._forget_findings(received.arrived)
-            self._geo.merged(name, report)
+            self._geo.receive_aggregator_report(name, report)
         return self._answer(now, name, report, received)
 
     def _check_name(self, now: float, name: str) -> None:
@@ -167,7 +167,7 @@
         orders = self._orders.setdefault(ProcessKey(name, report.process_id), ChildOrders())
         rows = [] if received.stale else report.exceptions
         owned = [row for row in rows if directory.owner(row.name) == name]
-        overrides = self._overrides.merged(now, owned, report, orders)
+        overrides = self._overrides.receive_aggregator_report(now, owned, report, orders)
         return AggregatorLease(
             epoch=epoch,
             revision=granted.revision,
@@ -187,7 +187,7 @@
     def _forget_findings(self, sidecars: list[str]) -> None:
         """Close the findings of sidecars that have changed their aggregator, which may be opened anew."""
         for name in sidecars:
-            self._overrides.parted(name)
+            self._overrides.forget_moved_sidecar(name)
 
     # --- views ----------------------------------------------------------------------------------
 
--- a/brassfall/controlplane/registry/calls.py
+++ b/brassfall/controlplane/registry/calls.py
@@ -45,7 +45,7 @@
 
 def row_address(request: web.Request) -> tuple[str, str]:
     """Return the table and key in the path; raise `RequestError` if they are malformed."""
-    return entries.name(request.match_info["table"]), entries.name(request.match_info["key"])
+    return entries.check_name(request.match_info["table"]), entries.check_name(request.match_info["key"])
 
 
 def writable_row_address(request: web.Request) -> tuple[str, str]:
--- a/brassfall/controlplane/registry/client.py
+++ b/brassfall/controlplane/registry/client.py
@@ -47,7 +47,7 @@
 
 async def call(
     address: str, method: str, path: str, body: object = None, headers: Mapping[str, str] | None = None
-) -> Any:  # noqa: ANN401 - JSON of any form; `read` gives it a type
+) -> Any:  # noqa: ANN401 - JSON of any form; `decode_answer` gives it a type
     """Make one call; return its JSON, or raise `CallError` with the service's reason or the failure."""
     try:
         async with (
@@ -93,7 +93,7 @@
     return bytes(body)
 
 
-def read(address: str, kind: type[Kind], raw: object) -> Kind:
+def decode_answer(address: str, kind: type[Kind], raw: object) -> Kind:
     """Return an answer, or a line of a watch, as its type; raise `CallError` if it is malformed."""
     try:
         return msgspec.json.decode(raw, type=kind) if isinstance(raw, bytes) else msgspec.convert(raw, kind)
--- a/brassfall/controlplane/registry/entries.py
+++ b/brassfall/controlplane/registry/entries.py
@@ -35,7 +35,7 @@
     ttl_ms: int | None = None  # 0: until it leaves
 
 
-class Alteration(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class InstanceUpdate(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """The body of `PATCH`."""
 
     status: Literal["active", "leaving"] | None = None
@@ -43,7 +43,7 @@
     since_ms: int | None = None  # only if this incarnation has the name
 
 
-class Holder(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class IncarnationReference(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """The body of `renew` and `DELETE`, which may be empty."""
 
     since_ms: int | None = None
@@ -62,7 +62,7 @@
     since_ms: int
 
 
-class Listed(msgspec.Struct, frozen=True):
+class InstanceList(msgspec.Struct, frozen=True):
     """A complete list, or a line of a watch."""
 
     index: int
@@ -70,7 +70,7 @@
     snapshot: bool = True
 
 
-def name(text: str) -> str:
+def check_name(text: str) -> str:
     """Return a name of an instance, a table or a key; raise `RequestError` if it is malformed."""
     if not NAME.fullmatch(text):
         message = f"name {text[:MAX_QUOTED]!r}: expected 1 to 128 letters, digits, '.', '_', ':' or '-'"
@@ -78,7 +78,7 @@
     return text
 
 
-def registration(key: str, body: bytes, leases: LeaseSettings) -> tuple[Registration, int]:
+def parse_registration(key: str, body: bytes, leases: LeaseSettings) -> tuple[Registration, int]:
     """Return a registration and its time to live in ms; raise `RequestError` if it is malformed."""
     try:
         asked = msgspec.json.decode(body, type=Registration)
@@ -99,10 +99,10 @@
     _weight(asked.weight)
     _check_range("since_ms", asked.since_ms)
     _check_range("group", asked.group)
-    return asked, ttl(asked.ttl_ms, leases)
+    return asked, check_ttl(asked.ttl_ms, leases)
 
 
-def ttl(asked: int | None, leases: LeaseSettings) -> int:
+def check_ttl(asked: int | None, leases: LeaseSettings) -> int:
     """Return a time to live in ms, by default the configured one; raise `RequestError` out of range."""
     if asked is None:
         return leases.default_ms
@@ -112,7 +112,9 @@
     return asked
 
 
-def register(key: str, asked: Registration, ttl_ms: int, if_match: int | None, request_id: str) -> Put:
+def register_command(
+    key: str, asked: Registration, ttl_ms: int, if_match: int | None, request_id: str
+) -> Put:
     """Return the command of a registration: of two processes with one name the one started later has it."""
     entry = Endpoint(
         key, asked.address, asked.zone, asked.type, asked.group, asked.status, asked.weight, asked.since_ms
@@ -130,10 +132,10 @@
     )
 
 
-def alter(key: str, body: bytes, if_match: int | None, request_id: str) -> Patch:
+def update_command(key: str, body: bytes, if_match: int | None, request_id: str) -> Patch:
     """Return the command that changes status or weight; raise `RequestError` if it is malformed."""
     try:
-        asked = msgspec.json.decode(body, type=Alteration)
+        asked = msgspec.json.decode(body, type=InstanceUpdate)
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
         raise RequestError(str(error)) from error
     changes: dict[str, Any] = {}
@@ -154,32 +156,32 @@
     )
 
 
-def holder(body: bytes) -> int | None:
+def parse_incarnation(body: bytes) -> int | None:
     """Return the incarnation that a call names, or None; raise `RequestError` if the body is malformed."""
     if not body:
         return None
     try:
-        return msgspec.json.decode(body, type=Holder).since_ms
+        return msgspec.json.decode(body, type=IncarnationReference).since_ms
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
         raise RequestError(str(error)) from error
 
 
-def leave(key: str, fence: int | None, if_match: int | None, request_id: str) -> Delete:
+def remove_command(key: str, fence: int | None, if_match: int | None, request_id: str) -> Delete:
     """Return the command that removes an instance."""
     return Delete(table=INSTANCES, key=key, fence=fence, if_match=if_match, request_id=request_id)
 
 
-def guarded(table: str, row: Row) -> bool:
+def is_guarded(table: str, row: Row) -> bool:
     """Return whether a missing renewal of a row may be a network fault, since its server is not leaving."""
     return table == INSTANCES and row.value["status"] == "active"
 
 
-def endpoints(rows: Iterable[Row]) -> list[Any]:
+def list_entries(rows: Iterable[Row]) -> list[Any]:
     """Return the entries of a complete list."""
     return [row.value for row in rows]
 
 
-def changed(changes: Iterable[Change]) -> list[Any]:
+def change_entries(changes: Iterable[Change]) -> list[Any]:
     """Return the entries of a watch's line; a removed one has the status `left`."""
     return [{**change.row.value, "status": "left"} if change.gone else change.row.value for change in changes]
 
--- a/brassfall/controlplane/registry/geo.py
+++ b/brassfall/controlplane/registry/geo.py
@@ -115,7 +115,7 @@
 
     # --- reports ------------------------------------------------------------------------
 
-    def reported(self, name: str, report: Report) -> dict[str, Any]:
+    def receive_report(self, name: str, report: Report) -> dict[str, Any]:
         """Add the delays and the demand of a sidecar's report; nothing is added to its answer."""
         rows = report.measures.get("delays")
         if rows:
@@ -139,7 +139,7 @@
             self._merge_pending()
         return validated.rows
 
-    def merged(self, name: str, report: AggregatorReport) -> None:
+    def receive_aggregator_report(self, name: str, report: AggregatorReport) -> None:
         """Add the delays and the demand of an aggregator's report, which has them by client group."""
         rows = report.measures.get("delays")
         if not isinstance(rows, list):
@@ -164,7 +164,7 @@
                 self.rejected_rows += 1
         return groups
 
-    def gone(self, name: str) -> None:
+    def forget_sidecar(self, name: str) -> None:
         """Forget the demand of a sidecar, or an aggregator, that has left."""
         self._demand.pop(name, None)
         for part in [node for node in self._demand if node.startswith(f"{name}/")]:
--- a/brassfall/controlplane/registry/instances.py
+++ b/brassfall/controlplane/registry/instances.py
@@ -54,28 +54,30 @@
 
     async def _register(self, request: web.Request) -> web.Response:
         key = _name(request)
-        wanted, ttl_ms = entries.registration(key, await self._front.body(request), self._leases)
+        wanted, ttl_ms = entries.parse_registration(key, await self._front.body(request), self._leases)
         self._writes.check_room(INSTANCES, key)
-        command = entries.register(key, wanted, ttl_ms, calls.match(request), calls.request_id(request))
+        command = entries.register_command(
+            key, wanted, ttl_ms, calls.match(request), calls.request_id(request)
+        )
         return await self._writes.run(command)
 
     async def _renew(self, request: web.Request) -> web.Response:
         key = _name(request)
-        return self._writes.renew(INSTANCES, key, entries.holder(await self._front.body(request)))
+        return self._writes.renew(INSTANCES, key, entries.parse_incarnation(await self._front.body(request)))
 
     async def _alter(self, request: web.Request) -> web.Response:
         key, body = _name(request), await self._front.body(request)
         return await self._writes.run(
-            entries.alter(key, body, calls.match(request), calls.request_id(request))
+            entries.update_command(key, body, calls.match(request), calls.request_id(request))
         )
 
     async def _leave(self, request: web.Request) -> web.Response:
         key = _name(request)
-        fence = entries.holder(await self._front.body(request))
+        fence = entries.parse_incarnation(await self._front.body(request))
         return await self._writes.run(
-            entries.leave(key, fence, calls.match(request), calls.request_id(request))
+            entries.remove_command(key, fence, calls.match(request), calls.request_id(request))
         )
 
 
 def _name(request: web.Request) -> str:
-    return entries.name(request.match_info["name"])
+    return entries.check_name(request.match_info["name"])
--- a/brassfall/controlplane/registry/lists.py
+++ b/brassfall/controlplane/registry/lists.py
@@ -61,7 +61,7 @@
 
     def _format(self, table: str) -> ListFormat:
         if table == INSTANCES:
-            return ListFormat("endpoints", entries.endpoints, entries.changed)
+            return ListFormat("endpoints", entries.list_entries, entries.change_entries)
 
         def rows(found: Iterable[Row]) -> list[RowView]:
             return [self.view(table, row) for row in found]
--- a/brassfall/controlplane/registry/member.py
+++ b/brassfall/controlplane/registry/member.py
@@ -12,13 +12,13 @@
 import aiohttp
 
 from brassfall.controlplane.registry.client import UNANSWERED, reason_of, retry_after_s
-from brassfall.controlplane.registry.membership import Call, Membership, Place
+from brassfall.controlplane.registry.membership import RegistrationCall, RegistrationState, ServerRegistration
 from brassfall.logs import logger
 
 log = logger("member")
 
 
-class Member:
+class RegistrationClient:
     """Keeps one server registered for as long as it runs.
 
     `addresses` are HOST:PORT of list services and aggregators, `entry` is the server's as the list has it,
@@ -27,7 +27,7 @@
 
     def __init__(self, addresses: Sequence[str], entry: dict[str, Any], ttl_ms: int = 6000) -> None:
         self._addresses = addresses
-        self.state = Membership(entry, ttl_ms, len(addresses))
+        self.registration = ServerRegistration(entry, ttl_ms, len(addresses))
         self._rng = random.Random()
         self._wake = asyncio.Event()
         self._changed = asyncio.Condition()
@@ -37,25 +37,25 @@
         """Register, and renew from now on."""
         self._task = asyncio.get_running_loop().create_task(self._run())
 
-    async def settled(self) -> Place:
+    async def wait_until_confirmed(self) -> RegistrationState:
         """Wait until the service knows all that was wished; the place in the list then."""
         async with self._changed:
-            await self._changed.wait_for(lambda: self.state.settled)
-        return self.state.place
+            await self._changed.wait_for(lambda: self.registration.is_confirmed)
+        return self.registration.state
 
-    async def over(self) -> str:
+    async def wait_until_finished(self) -> str:
         """Wait until another process has the name, or the service refuses; why."""
         async with self._changed:
-            await self._changed.wait_for(lambda: self.state.over)
-        return self.state.reason or self.state.place.value
+            await self._changed.wait_for(lambda: self.registration.is_finished)
+        return self.registration.reason or self.registration.state.value
 
     async def request_status(self, status: str, limit_s: float) -> bool:
         """Be `leaving`, or have `left`; whether the service knows within the limit."""
-        self.state.request_status(_now_ms(), status)
+        self.registration.request_status(_now_ms(), status)
         self._wake.set()
         try:
             async with asyncio.timeout(limit_s):
-                await self.settled()
+                await self.wait_until_confirmed()
         except TimeoutError:
             return False
         return True
@@ -67,38 +67,38 @@
             await asyncio.wait({self._task})
 
     async def _run(self) -> None:
-        limit = aiohttp.ClientTimeout(total=self.state.patience_ms / 1000.0)
+        limit = aiohttp.ClientTimeout(total=self.registration.call_timeout_ms / 1000.0)
         async with aiohttp.ClientSession(timeout=limit) as session:
-            while not self.state.over:
+            while not self.registration.is_finished:
                 await self._sleep()
-                if self.state.due > _now_ms():
+                if self.registration.due_ms > _now_ms():
                     continue
-                before = self.state.place
-                await self._call(session, self.state.call(_now_ms()))
-                if self.state.place is not before:
-                    log.info("place", place=self.state.place.value, reason=self.state.reason)
+                before = self.registration.state
+                await self._call(session, self.registration.next_call(_now_ms()))
+                if self.registration.state is not before:
+                    log.info("place", place=self.registration.state.value, reason=self.registration.reason)
                 async with self._changed:
                     self._changed.notify_all()
 
     async def _sleep(self) -> None:
         self._wake.clear()
-        left_s = (self.state.due - _now_ms()) / 1000.0
+        left_s = (self.registration.due_ms - _now_ms()) / 1000.0
         if left_s > 0.0:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(left_s):
                     await self._wake.wait()
 
-    async def _call(self, session: aiohttp.ClientSession, call: Call) -> None:
+    async def _call(self, session: aiohttp.ClientSession, call: RegistrationCall) -> None:
         chance = self._rng.random()
-        url = f"http://{self._addresses[call.address]}{call.path}"
+        url = f"http://{self._addresses[call.address_index]}{call.path}"
         try:
             async with session.request(call.method, url, json=call.body) as answer:
                 body = await answer.read()
                 retry_s = retry_after_s(answer.headers.get("Retry-After"))
                 reason = "" if answer.status == 200 else reason_of(body)
-                self.state.ended(_now_ms(), answer.status, chance, retry_s, reason)
+                self.registration.apply_result(_now_ms(), answer.status, chance, retry_s, reason)
         except UNANSWERED:
-            self.state.ended(_now_ms(), 0, chance)
+            self.registration.apply_result(_now_ms(), 0, chance)
 
 
 def _now_ms() -> float:
--- a/brassfall/controlplane/registry/node_calls.py
+++ b/brassfall/controlplane/registry/node_calls.py
@@ -40,7 +40,7 @@
         return [web.post("/edges/{name}", self._report), web.delete("/edges/{name}", self._remove)]
 
     async def _report(self, request: web.Request) -> web.Response:
-        name = entries.name(request.match_info["name"])
+        name = entries.check_name(request.match_info["name"])
         try:
             report = read_report(request, name, await self._service.host.body(request))
         except ReportError:
@@ -73,7 +73,7 @@
         fields: AnswerFields = {}
         if not report.leaving:  # the last report has none of their fields
             for extension in service.extensions:
-                fields |= extension.reported(name, report)
+                fields |= extension.receive_report(name, report)
         lease, coordinator = service.report(name, report), service.coordinator
         state, index = coordinator.state, service.host.store.state.last_index(INSTANCES)
         newest = state.pending_number or state.committed.number
@@ -94,7 +94,7 @@
         )
 
     async def _remove(self, request: web.Request) -> web.Response:
-        name, service = entries.name(request.match_info["name"]), self._service
+        name, service = entries.check_name(request.match_info["name"]), self._service
         membership = service.coordinator.membership
         if name not in membership.names and name not in membership.nodes:
             via = service.directory.owner(name)
--- a/brassfall/controlplane/registry/overrides.py
+++ b/brassfall/controlplane/registry/overrides.py
@@ -240,7 +240,7 @@
 
     # --- reports ------------------------------------------------------------------------
 
-    def reported(self, name: str, report: Report) -> dict[str, Any]:
+    def receive_report(self, name: str, report: Report) -> dict[str, Any]:
         """Return the overrides part of a report's answer; it has to be called before the lease is decided."""
         digest = report.digest if report.overrides is not None else None
         place = (report.group, report.region)
@@ -261,7 +261,7 @@
             answered["list_overrides"] = True
         return answered
 
-    def merged(
+    def receive_aggregator_report(
         self, now: float, rows: Iterable[ChildException], report: AggregatorReport, orders: ChildOrders
     ) -> OverrideMessages:
         """Return the overrides part of the answer to an aggregator's report.
@@ -286,12 +286,12 @@
         left = document.times_left(self.store.active(at), at, report.known_override_revision)
         return OverrideMessages(left, digests, due)
 
-    def parted(self, name: str) -> None:
+    def forget_moved_sidecar(self, name: str) -> None:
         """Close the findings of a sidecar that has moved to another aggregator, or left one."""
         if self.reconciler.knows(name):
-            self.gone(name)
+            self.forget_sidecar(name)
 
-    def gone(self, name: str) -> None:
+    def forget_sidecar(self, name: str) -> None:
         """Forget a sidecar that has left the fleet."""
         self._reconcile(reconciliation.Left(name))
         self.revisions.blocked.pop(name, None)
@@ -330,12 +330,12 @@
         return await self._call(lambda call: events.Put(call, name, made))
 
     async def _end(self, request: web.Request) -> web.Response:
-        name = entries.name(request.match_info["name"])
+        name = entries.check_name(request.match_info["name"])
         by, why = (request.query.get(key, "")[: document.TEXT_MOST] for key in ("by", "why"))
         return await self._call(lambda call: events.End(call, name, by, why))
 
     async def _get(self, request: web.Request) -> web.Response:
-        name, now = entries.name(request.match_info["name"]), self.now()
+        name, now = entries.check_name(request.match_info["name"]), self.now()
         found = self.store.get(name, now)
         if found is None:
             raise events.NoSuchOverrideError(name, "shown")
--- a/brassfall/controlplane/registry/revision_service.py
+++ b/brassfall/controlplane/registry/revision_service.py
@@ -63,10 +63,10 @@
 class ReportExtension(Protocol):
     """A part of the service with its own fields in reports and their answers."""
 
-    def reported(self, name: str, report: Report) -> AnswerFields:
+    def receive_report(self, name: str, report: Report) -> AnswerFields:
         """Apply a sidecar's report; return its fields of the answer."""
 
-    def gone(self, name: str) -> None:
+    def forget_sidecar(self, name: str) -> None:
         """Forget a sidecar that has left the fleet."""
 
     def findings(self) -> dict[str, list[str]]:
@@ -234,7 +234,7 @@
         """Have all parts forget a node that has left, and an aggregator's children with it."""
         for sidecar in (name, *self.directory.remove(name)):
             for extension in self.extensions:
-                extension.gone(sidecar)
+                extension.forget_sidecar(sidecar)
 
     def sweep(self, now: float) -> None:
         """Remove nodes, members or not, that have not reported for `forget_ms`; `now` is monotonic ms.
--- a/brassfall/controlplane/registry/server.py
+++ b/brassfall/controlplane/registry/server.py
@@ -211,7 +211,7 @@
         history_length=settings.ring,
         restart_grace_ms=settings.leases.restart_grace_ms,
         guard=Guard(guard.share, guard.least, guard.window_ms, guard.keep_ms),
-        guarded=entries.guarded,
+        guarded=entries.is_guarded,
     )
 
 
--- a/brassfall/controlplane/registry/tables.py
+++ b/brassfall/controlplane/registry/tables.py
@@ -45,7 +45,7 @@
         ]
 
     async def _list(self, request: web.Request) -> web.StreamResponse:
-        return await self._lists.read(request, entries.name(request.match_info["table"]))
+        return await self._lists.read(request, entries.check_name(request.match_info["table"]))
 
     async def _get(self, request: web.Request) -> web.Response:
         table, key = calls.row_address(request)
@@ -74,7 +74,7 @@
 
     def _lease_ms(self, request: web.Request) -> int:
         lease = request.headers.get(LEASE)
-        return 0 if lease is None else entries.ttl(calls.number(lease, LEASE), self._leases)
+        return 0 if lease is None else entries.check_ttl(calls.number(lease, LEASE), self._leases)
 
     async def _delete(self, request: web.Request) -> web.Response:
         table, key = calls.writable_row_address(request)
--- a/brassfall/lab/demonstration/fleet.py
+++ b/brassfall/lab/demonstration/fleet.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from brassfall.controlplane.registry import client
-from brassfall.controlplane.registry.entries import Listed
+from brassfall.controlplane.registry.entries import InstanceList
 from brassfall.controlplane.registry.rules import PublishedAnswer
 from brassfall.lab.demonstration.processes import READY_TIMEOUT_S, DemoError, ProcessGroup
 
@@ -104,7 +104,7 @@
     async def publish_revision(self, settings: object) -> int:
         """Publish a configuration revision; return its number."""
         raw = await client.call(self.service_address, "PUT", "/rules", settings)
-        return client.read(self.service_address, PublishedAnswer, raw).revision
+        return client.decode_answer(self.service_address, PublishedAnswer, raw).revision
 
     async def exclude_region(self, region: str, until_unix_s: float) -> None:
         """Put the override `demo`, which keeps requests off a region until a time."""
@@ -130,7 +130,7 @@
 
     async def _count_active_servers(self) -> int:
         raw = await client.call(self.service_address, "GET", "/registry/instances")
-        endpoints = client.read(self.service_address, Listed, raw).endpoints
+        endpoints = client.decode_answer(self.service_address, InstanceList, raw).endpoints
         return sum(endpoint.status == "active" for endpoint in endpoints)
 
     # --- the sidecar ------------------------------------------------------------------------
--- a/brassfall/lab/real/server.py
+++ b/brassfall/lab/real/server.py
@@ -18,7 +18,7 @@
 from aiohttp import web
 
 from brassfall import logs
-from brassfall.controlplane.registry.member import Member
+from brassfall.controlplane.registry.member import RegistrationClient
 from brassfall.lab import ledger
 from brassfall.lab.day import Machine
 from brassfall.lab.models.server import ACCEPTED, BROKEN, DRAINING, FULL, Job, Server
@@ -167,7 +167,7 @@
     await web.TCPSite(runner, "127.0.0.1", 0, backlog=BACKLOG).start()
     address = f"127.0.0.1:{runner.addresses[0][1]}"
     writer.add(_incarnation(order, host.core.began))
-    member = Member([order.registry], _entry(order, address), order.ttl_ms)
+    member = RegistrationClient([order.registry], _entry(order, address), order.ttl_ms)
     member.start()
     child.report("ready", ServerReady(listen=address, pid=os.getpid()))
     async for command in commands:
@@ -194,7 +194,7 @@
     )
 
 
-async def _drain(host: Host, member: Member, drain_s: float) -> None:
+async def _drain(host: Host, member: RegistrationClient, drain_s: float) -> None:
     """Deregister, and reject attempts, over `drain_s` seconds."""
     begun = time.monotonic()
     host.core.drain(child.clock())
--- a/brassfall/lab/registry_benchmark/measurements.py
+++ b/brassfall/lab/registry_benchmark/measurements.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from brassfall.controlplane.registry import client
-from brassfall.controlplane.registry.entries import Listed
+from brassfall.controlplane.registry.entries import InstanceList
 from brassfall.lab.registry_benchmark.loads import WatchLoad, WriteLoad, in_processes
 from brassfall.lab.registry_benchmark.service import BenchError, measured_service
 from brassfall.lab.registry_benchmark.table import percentile
@@ -128,7 +128,7 @@
         await _register(service.listen, entries)
     async with measured_service(folder) as service:
         raw = await client.call(service.listen, "GET", "/registry/instances")
-        if len(client.read(service.listen, Listed, raw).endpoints) != entries:
+        if len(client.decode_answer(service.listen, InstanceList, raw).endpoints) != entries:
             message = "entries are missing"
             raise BenchError(message)
         return Starts(empty_s, service.start_s)
--- a/brassfall/lab/sim/listing.py
+++ b/brassfall/lab/sim/listing.py
@@ -9,7 +9,7 @@
 from brassfall import settings
 from brassfall.controlplane.registry import entries
 from brassfall.controlplane.registry.entries import INSTANCES
-from brassfall.controlplane.registry.membership import Call
+from brassfall.controlplane.registry.membership import RegistrationCall
 from brassfall.controlplane.store.commands import Command, Delete
 from brassfall.controlplane.store.incarnations import index_at
 from brassfall.controlplane.store.leases import Guard, Leases
@@ -44,7 +44,7 @@
         for row in self.state.rows(INSTANCES):
             grace = float(self._wants.restart_grace_ms)
             self.leases.grant(
-                now, row.key, row.lease_ms, guarded=entries.guarded(INSTANCES, row), grace_ms=grace
+                now, row.key, row.lease_ms, guarded=entries.is_guarded(INSTANCES, row), grace_ms=grace
             )
         # Servers of an earlier incarnation are to register again before any list without them is sent.
         self.gathered_at = now + self._wants.gather_ms if disk_lost else now
@@ -79,7 +79,7 @@
             self.run(Delete(table=INSTANCES, key=key))
         return expired
 
-    def call(self, now: float, call: Call) -> int:
+    def call(self, now: float, call: RegistrationCall) -> int:
         """Carry out one call of a member; the HTTP status of the answer."""
         key, body = call.path.split("/")[3], msgspec.json.encode(call.body)
         if call.method == "POST":
@@ -93,15 +93,17 @@
         if row is None:
             self.leases.drop(key)
         elif result.done:
-            self.leases.grant(now, key, row.lease_ms, guarded=entries.guarded(INSTANCES, row))
+            self.leases.grant(now, key, row.lease_ms, guarded=entries.is_guarded(INSTANCES, row))
         return STATUS[result.status]
 
     def _command(self, method: str, key: str, body: bytes) -> Command:
         if method == "PUT":
-            return entries.register(key, *entries.registration(key, body, self._wants), None, "")
+            return entries.register_command(
+                key, *entries.parse_registration(key, body, self._wants), None, ""
+            )
         if method == "PATCH":
-            return entries.alter(key, body, None, "")
-        return entries.leave(key, entries.holder(body), None, "")
+            return entries.update_command(key, body, None, "")
+        return entries.remove_command(key, entries.parse_incarnation(body), None, "")
 
     def _renew(self, now: float, key: str, since: int) -> int:
         row = self.state.get(INSTANCES, key)
@@ -114,15 +116,15 @@
 
     def listed(self) -> list[dict[str, Any]]:
         """The complete list."""
-        return entries.endpoints(self.state.rows(INSTANCES))
+        return entries.list_entries(self.state.rows(INSTANCES))
 
     def since(self, index: int) -> list[dict[str, Any]] | None:
         """The changes after an announced index; None where only the complete list will do."""
         changes = self.state.changes_since(INSTANCES, index)
-        return None if changes is None else entries.changed(changes)
+        return None if changes is None else entries.change_entries(changes)
 
     def take_changes(self) -> list[dict[str, Any]]:
         """The changes since this was called last, as a watch sends them."""
-        announced = entries.changed(self.changes)
+        announced = entries.change_entries(self.changes)
         self.changes.clear()
         return announced
--- a/brassfall/lab/sim/lists.py
+++ b/brassfall/lab/sim/lists.py
@@ -6,7 +6,7 @@
 from typing import Any, NamedTuple
 
 from brassfall.balancer.model import EndpointEntry
-from brassfall.controlplane.registry.membership import Call
+from brassfall.controlplane.registry.membership import RegistrationCall
 from brassfall.lab import ledger
 from brassfall.lab.sim.listing import ListService
 from brassfall.lab.sim.parts import Host
@@ -36,7 +36,7 @@
     """A server's call on its way to the list service."""
 
     session: MemberSession
-    call: Call
+    call: RegistrationCall
 
 
 class _MemberAnswer(NamedTuple):
@@ -78,9 +78,9 @@
         self.service.start(0.0)
         for host in world.servers.values():
             world.begin_host(host, 0.0, warming_up=False)
-            call = host.member.call(0.0)
-            host.member.ended(0.0, self.service.call(0.0, call), self.rng.random())
-            world.at(host.member.due, self.speak, MemberSession(host, host.session))
+            call = host.member.next_call(0.0)
+            host.member.apply_result(0.0, self.service.call(0.0, call), self.rng.random())
+            world.at(host.member.due_ms, self.speak, MemberSession(host, host.session))
         self.service.take_changes()
         known = {row["name"]: self._listing(row) for row in self.service.listed()}
         for sidecar in world.sidecars:
@@ -102,12 +102,12 @@
         """A server calls the list service, if that is due."""
         host = session.host
         member = host.member
-        if not session.is_current or member.over or (host.up and host.core.is_stopped):
+        if not session.is_current or member.is_finished or (host.up and host.core.is_stopped):
             return
-        if member.due > now:
-            self.world.at(member.due, self.speak, session)
+        if member.due_ms > now:
+            self.world.at(member.due_ms, self.speak, session)
             return
-        call = _MemberCall(session, member.call(now))
+        call = _MemberCall(session, member.next_call(now))
         self.world.at(now + self._delay(), self._called, call)
 
     def _called(self, now: float, member_call: _MemberCall) -> None:
@@ -117,13 +117,13 @@
         status = self.service.call(now, call) if is_reached else 0
         if status:
             self._notify_watches(now)
-        wait = self._delay() if status else host.member.patience_ms
+        wait = self._delay() if status else host.member.call_timeout_ms
         self.world.at(now + wait, self._call_answered, _MemberAnswer(session, status))
 
     def _call_answered(self, now: float, answer: _MemberAnswer) -> None:
         session, status = answer
         if session.is_current:
-            session.host.member.ended(now, status, self.rng.random())
+            session.host.member.apply_result(now, status, self.rng.random())
             self.speak(now, session)
 
     def _expire(self, now: float, _: None) -> None:
--- a/brassfall/lab/sim/parts.py
+++ b/brassfall/lab/sim/parts.py
@@ -5,7 +5,7 @@
 import math
 from typing import Any
 
-from brassfall.controlplane.registry.membership import Membership
+from brassfall.controlplane.registry.membership import ServerRegistration
 from brassfall.lab.day import Machine
 from brassfall.lab.models.server import Server
 
@@ -22,7 +22,7 @@
         self.up = False
         self.leaving = False
         self.core: Server
-        self.member: Membership
+        self.member: ServerRegistration
         self.session = 0  # of its calls to the list service: a new one voids the one before
         self.wakes_at = math.inf
 
--- a/brassfall/lab/sim/world.py
+++ b/brassfall/lab/sim/world.py
@@ -17,7 +17,7 @@
 from typing import Any, NamedTuple
 
 from brassfall.balancer.model import CONNECT_FAILED, ERROR, OK, REJECTED, RESET, TIMEOUT, Outcome
-from brassfall.controlplane.registry.membership import Membership
+from brassfall.controlplane.registry.membership import ServerRegistration
 from brassfall.lab import ledger
 from brassfall.lab.day import Day
 from brassfall.lab.geography import Delays
@@ -388,8 +388,8 @@
             "weight": 1.0,
             "since_ms": since,
         }
-        host.member = Membership(entry, int(self.day.ttl))
-        host.member.due = now
+        host.member = ServerRegistration(entry, int(self.day.ttl))
+        host.member.due_ms = now
         host.session += 1
 
     def start(self, now: float, host: Host) -> None:
--- a/brassfall/lab/transcriber.py
+++ b/brassfall/lab/transcriber.py
@@ -19,7 +19,7 @@
 import msgspec
 from aiohttp import web
 
-from brassfall.controlplane.registry.member import Member
+from brassfall.controlplane.registry.member import RegistrationClient
 from brassfall.errors import ListenError
 from brassfall.logs import logger
 from brassfall.settings import parse_address
@@ -128,10 +128,10 @@
             "weight": 1.0,
             "since_ms": int(time.time() * 1000.0),
         }
-        member = Member(registry, entry, ttl_ms)
+        member = RegistrationClient(registry, entry, ttl_ms)
         member.start()
         log.info("ready", name=name, listen=f"{host}:{port}")
-        lost = asyncio.get_running_loop().create_task(member.over())
+        lost = asyncio.get_running_loop().create_task(member.wait_until_finished())
         await asyncio.wait(
             (lost, asyncio.get_running_loop().create_task(stop.wait())),
             return_when=asyncio.FIRST_COMPLETED,
@@ -148,7 +148,7 @@
     return open(ledger or os.devnull, "ab", buffering=0)
 
 
-async def _drain(server: Transcriber, member: Member) -> None:
+async def _drain(server: Transcriber, member: RegistrationClient) -> None:
     log.info("leaving", told=await member.request_status("leaving", 2.0))
     server.leaving_at = time.monotonic()
     await asyncio.sleep(NOTICE_S)
--- a/tests/controlplane/test_aggregator_mirror.py
+++ b/tests/controlplane/test_aggregator_mirror.py
@@ -55,7 +55,11 @@
 
     def line(self, index):
         changes = self.state.changes_since(INSTANCES, index)
-        told = entries.endpoints(self.state.rows(INSTANCES)) if changes is None else entries.changed(changes)
+        told = (
+            entries.list_entries(self.state.rows(INSTANCES))
+            if changes is None
+            else entries.change_entries(changes)
+        )
         return ListLine(self.state.last_index(INSTANCES), changes is None, told)
 
 
--- a/tests/controlplane/test_aggregators_parts.py
+++ b/tests/controlplane/test_aggregators_parts.py
@@ -47,14 +47,14 @@
             for first in range(0, children, 200):
                 joined = [Member(f"c{number}", "1") for number in range(first, min(children, first + 200))]
                 seq += 1
-                made.aggregators.reported("x", _report(seq, joined=joined))
+                made.aggregators.receive_report("x", _report(seq, joined=joined))
             assert made.revisions.directory.count() == children
             counts = ChildCounts(known=children, leased=children)
             several = []
             for _ in range(3):
                 seq += 1
                 report = _report(seq, epoch=made.revisions.coordinator.epoch, children=counts)
-                several.append(_steps(lambda report=report: made.aggregators.reported("x", report)))
+                several.append(_steps(lambda report=report: made.aggregators.receive_report("x", report)))
             costs.append(min(several))
         assert costs[0] > 300 and costs[1] < 1.1 * costs[0], costs
     finally:
@@ -72,14 +72,16 @@
         )
         delays = {"delays": [{**row, "group": "g"}]}
         for name in ("x", "y"):
-            made.aggregators.reported(name, _report(1, joined=[Member(f"c-{name}", "1")], measures=delays))
+            made.aggregators.receive_report(
+                name, _report(1, joined=[Member(f"c-{name}", "1")], measures=delays)
+            )
         await until(lambda: revisions.coordinator.membership.names == {"x", "y"})
         revisions.sweep(revisions.now())
         assert set(revisions.directory.aggregators) == {"x", "y"}
         monkeypatch.setattr(RevisionCoordinator, "grant_refusal", lambda *_: None)
-        made.aggregators.reported("y", _report(2, leaving=True, children=ChildCounts(leased=1)))
+        made.aggregators.receive_report("y", _report(2, leaving=True, children=ChildCounts(leased=1)))
         assert not revisions.coordinator.departing  # a child of it may act: it is no end yet
-        made.aggregators.reported("y", _report(3, leaving=True))
+        made.aggregators.receive_report("y", _report(3, leaving=True))
         assert revisions.coordinator.departing == ["y"]
         revisions.sweep(revisions.now() + revisions.settings.forget_ms + 1.0)
         await until(lambda: not revisions.coordinator.membership.names)
@@ -103,15 +105,15 @@
                 merged.add(0.0, f"c{child}", group, {"delays": rows})
         told = merged.take(EVERY_MS)["delays"]
         for seq, row in enumerate(told):
-            made.geo.merged("x", _report(seq, measures={"delays": [row]}))
+            made.geo.receive_aggregator_report("x", _report(seq, measures={"delays": [row]}))
         rates = {key: rate for key, (_, rate, _) in made.geo.demand.items()}
         assert rates == {f"x/{g}/{r}": pytest.approx(600.0) for g in GROUPS for r in REGIONS}
         assert made.geo.rejected_rows == 0
         bad = [
             {**told[0], name: value} for name, value in (("answers", -1), ("answers", "x"), ("span_ms", 0))
         ]
-        made.geo.gone("x")
-        made.geo.merged("x", _report(9, measures={"delays": bad}))
+        made.geo.forget_sidecar("x")
+        made.geo.receive_aggregator_report("x", _report(9, measures={"delays": bad}))
         assert made.geo.demand == {}
     finally:
         await made.close()
--- a/tests/controlplane/test_registry_service.py
+++ b/tests/controlplane/test_registry_service.py
@@ -15,8 +15,8 @@
 
 from brassfall import settings
 from brassfall.controlplane.registry import client
-from brassfall.controlplane.registry.member import Member
-from brassfall.controlplane.registry.membership import Place
+from brassfall.controlplane.registry.member import RegistrationClient
+from brassfall.controlplane.registry.membership import RegistrationState
 from tests.support.loopback import bounded, until
 from tests.support.processes import Service
 from tests.support.spread import crowded
@@ -141,14 +141,14 @@
 @running()
 async def test_of_two_processes_with_one_name_the_newer_holds_it(service, session):
     entry = {**ENTRY, "name": "s1", "since_ms": 100}
-    old = Member([service.listen], entry, 600)
-    new = Member([service.listen], {**entry, "since_ms": 200, "address": "127.0.0.1:7002"}, 600)
+    old = RegistrationClient([service.listen], entry, 600)
+    new = RegistrationClient([service.listen], {**entry, "since_ms": 200, "address": "127.0.0.1:7002"}, 600)
     old.start()
-    assert await old.settled() is Place.REGISTERED
+    assert await old.wait_until_confirmed() is RegistrationState.REGISTERED
     new.start()
-    assert await new.settled() is Place.REGISTERED
-    assert "newer" in await old.over()
-    assert old.state.place is Place.REPLACED  # it calls no more
+    assert await new.wait_until_confirmed() is RegistrationState.REGISTERED
+    assert "newer" in await old.wait_until_finished()
+    assert old.registration.state is RegistrationState.REPLACED  # it calls no more
     body = {**ENTRY, "since_ms": 100}
     assert (await call(session, service, "PUT", "/registry/instances/s1", body))[0] == 409
     renew = "/registry/instances/s1/renew"
@@ -328,9 +328,9 @@
 @running()
 async def test_ten_thousand_idle_connections_cost_nobody_a_watch_or_a_call(service, session):
     resource.setrlimit(resource.RLIMIT_NOFILE, (resource.getrlimit(resource.RLIMIT_NOFILE)[1],) * 2)
-    member = Member([service.listen], {**ENTRY, "name": "s1", "since_ms": 1}, 2000)
+    member = RegistrationClient([service.listen], {**ENTRY, "name": "s1", "since_ms": 1}, 2000)
     member.start()
-    await member.settled()
+    await member.wait_until_confirmed()
     reader, kept, _ = await watch_until_told(service.listen, 0, [])
     host, port = service.listen.split(":")
     crowd = []
@@ -343,7 +343,7 @@
     status, told, _ = await call(session, service, "GET", "/status")
     assert status == 200 and told["connections"] <= 4096  # the share of one address
     assert told["instances"] == {"active": 1} and told["watches"]["instances"] == 1
-    assert member.state.place is Place.REGISTERED
+    assert member.registration.state is RegistrationState.REGISTERED
     for sock in crowd:
         sock.close()
     await call(session, service, "DELETE", "/registry/instances/s1")
--- a/tests/controlplane/test_registry_sockets.py
+++ b/tests/controlplane/test_registry_sockets.py
@@ -12,8 +12,8 @@
 from brassfall import settings
 from brassfall.controlplane.registry import client, front
 from brassfall.controlplane.registry.aggregator.service import Service as Aggregator
-from brassfall.controlplane.registry.member import Member
-from brassfall.controlplane.registry.membership import Place
+from brassfall.controlplane.registry.member import RegistrationClient
+from brassfall.controlplane.registry.membership import RegistrationState
 from brassfall.controlplane.registry.server import Service
 from brassfall.settings import AggregatorSettings, RegistrySettings
 from tests.support.loopback import bounded, until
@@ -85,11 +85,11 @@
             AggregatorSettings(name="a1", region="east", listen="127.0.0.1:0", upstream=[listen])
         )
     )
-    member = Member([listen], ENTRY, ttl_ms=3000)
+    member = RegistrationClient([listen], ENTRY, ttl_ms=3000)
     member.start()
     await aggregator.start()
     try:
-        assert await member.settled() is Place.REGISTERED
+        assert await member.wait_until_confirmed() is RegistrationState.REGISTERED
         await until(lambda: aggregator.mirror.count == 1)
         assert failing.left == 0
     finally:
--- a/tests/controlplane/test_registry_watches.py
+++ b/tests/controlplane/test_registry_watches.py
@@ -57,7 +57,11 @@
 async def sent_to_all_but_the_one_that_is_gone():
     table, ended = State(), asyncio.get_running_loop().create_future()
     channel = TableChannel(
-        lambda: table, "instances", ListFormat("endpoints", entries.endpoints, entries.changed), 9999, 1.0
+        lambda: table,
+        "instances",
+        ListFormat("endpoints", entries.list_entries, entries.change_entries),
+        9999,
+        1.0,
     )
     async with connections(3) as made:
         for near, _, _, _ in made:
--- a/tests/controlplane/test_revisions_shell.py
+++ b/tests/controlplane/test_revisions_shell.py
@@ -103,7 +103,7 @@
             now[0] += 500
             row = ChildException("c", "1", place, digest, acted)
             report = AggregatorReport("p", next(seq), "a", exceptions=[row], joined=list(joined))
-            return made.aggregators.reported(name, report).orders
+            return made.aggregators.receive_report(name, report).orders
 
         assert orders("1-00000000") == []  # not known as a child
         orders("1-00000000", None, [Member("c", "1")])
--- a/tests/controlplane/test_wire_forms.py
+++ b/tests/controlplane/test_wire_forms.py
@@ -21,7 +21,13 @@
 from brassfall.controlplane.registry.aggregator.mirror import ListLine, parse_line
 from brassfall.controlplane.registry.aggregator.state_lines import read_state
 from brassfall.controlplane.registry.aggregator_rows import AggregatorRow
-from brassfall.controlplane.registry.entries import Alteration, Endpoint, Holder, Listed, Registration
+from brassfall.controlplane.registry.entries import (
+    Endpoint,
+    IncarnationReference,
+    InstanceList,
+    InstanceUpdate,
+    Registration,
+)
 from brassfall.controlplane.registry.fleet_listing import Listing
 from brassfall.controlplane.registry.report_answer import ReportAnswer
 from brassfall.controlplane.registry.sidecar_rows import SidecarRow, Spread
@@ -48,12 +54,12 @@
     **{kind: AggregatorLease for kind in AGGREGATOR_KINDS if kind.endswith("answer")},
     **dict.fromkeys(ANSWER_KINDS, ReportAnswer),
     "aggregator watch /registry/instances": ListLine,
-    "aggregator GET /registry/instances answer": Listed,
-    "operator GET /registry/instances answer": Listed,
+    "aggregator GET /registry/instances answer": InstanceList,
+    "operator GET /registry/instances answer": InstanceList,
     "operator PUT /registry/instances/s1 call": Registration,
     "operator PUT /registry/instances/s2 call": Registration,
-    "operator PATCH /registry/instances/s1 call": Alteration,
-    "operator POST /registry/instances/s1/renew call": Holder,
+    "operator PATCH /registry/instances/s1 call": InstanceUpdate,
+    "operator POST /registry/instances/s1/renew call": IncarnationReference,
     "operator PUT /overrides/west-off call": Document,
     "operator PUT /overrides/look-9 call": Document,
 }
--- a/tests/lab/test_registry_simulated.py
+++ b/tests/lab/test_registry_simulated.py
@@ -9,7 +9,7 @@
 import pytest
 
 from brassfall.controlplane.registry.entries import INSTANCES
-from brassfall.controlplane.registry.membership import Membership, Place
+from brassfall.controlplane.registry.membership import RegistrationState, ServerRegistration
 from brassfall.lab.sim.listing import ListService
 
 TTL = 3000
@@ -40,7 +40,7 @@
 
     def join(self, name, since):
         entry = {"name": name, "address": f"127.0.0.1:{7000 + since}", "since_ms": since}
-        self.members[name, since] = member = Membership(entry, TTL)
+        self.members[name, since] = member = ServerRegistration(entry, TTL)
         self.at(self.now + self.rng.random() * 200.0, self.speak, name, since)
         return member
 
@@ -55,24 +55,24 @@
 
     def speak(self, name, since):
         member = self.members[name, since]
-        if (name, since) in self.dead or member.over:
+        if (name, since) in self.dead or member.is_finished:
             return
-        if member.due > self.now:
-            self.at(member.due, self.speak, name, since)
+        if member.due_ms > self.now:
+            self.at(member.due_ms, self.speak, name, since)
             return
-        call, way = member.call(self.now), self.rng.uniform(1.0, 40.0)
+        call, way = member.next_call(self.now), self.rng.uniform(1.0, 40.0)
         self.at(self.now + way, self.arrive, name, since, call, way)
 
     def arrive(self, name, since, call, way):
         reachable = name not in self.cut and self.service.up and not self.service.stalled
         status = self.service.call(self.now, call) if reachable else 0
         lost = status and self.rng.random() < 0.02  # the answer, after the call was carried out
-        wait = way if status and not lost else self.members[name, since].patience_ms
+        wait = way if status and not lost else self.members[name, since].call_timeout_ms
         self.at(self.now + wait, self.answered, name, since, 0 if lost else status)
 
     def answered(self, name, since, status):
         if (name, since) not in self.dead:
-            self.members[name, since].ended(self.now, status, self.rng.random())
+            self.members[name, since].apply_result(self.now, status, self.rng.random())
             self.speak(name, since)
 
     # --- faults: each is over by the time it names ---------------------------------------------
@@ -159,7 +159,7 @@
         ), seed
         if renewed is not None:
             assert listed[renewed] == 5, seed
-            assert world.members[renewed, 0].place is Place.REPLACED, seed
+            assert world.members[renewed, 0].state is RegistrationState.REPLACED, seed
         lives += service.announced[-1] > service.announced[0] + 2**20
         doubted += bool(world.cut or world.disturbed_at)
     assert lives > 50 and doubted > 50  # the faults were there
