--- a/brassfall/controlplane/registry/__init__.py
+++ b/brassfall/controlplane/registry/__init__.py
@@ -1,1 +1,1 @@
-"""The list service: discovery as PROTOCOL has it, over a durable table."""
+"""The list service: servers register in a durable table, and sidecars and aggregators read and watch it."""
--- a/brassfall/controlplane/registry/aggregator/__init__.py
+++ b/brassfall/controlplane/registry/aggregator/__init__.py
@@ -1,1 +1,1 @@
-"""The process of an aggregator: a mirror of the list, leases for its children, forwarded writes."""
+"""The aggregator process: it mirrors the endpoint list, leases revisions to sidecars, and forwards writes."""
--- a/brassfall/controlplane/registry/aggregator/children.py
+++ b/brassfall/controlplane/registry/aggregator/children.py
@@ -1,4 +1,4 @@
-"""The reports of an aggregator's children, and their answers."""
+"""Reports of the sidecars that are children of an aggregator, and the answers to them."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from brassfall.controlplane.aggregation.events import ChildReported, Event
 from brassfall.controlplane.registry import calls, entries
 from brassfall.controlplane.registry.callers import Connection
-from brassfall.controlplane.registry.front import Front
-from brassfall.controlplane.registry.http_errors import AskElsewhereError
+from brassfall.controlplane.registry.front import HttpServer
+from brassfall.controlplane.registry.http_errors import TryOtherAddressError
 from brassfall.controlplane.registry.report_answer import ReportAnswer
 from brassfall.controlplane.registry.reports import read_report
 from brassfall.controlplane.revisions.reports import Report, ReportError
 
-MAX_REPORTS_AFTER_REDIRECT = 1  # after one that was answered with `elsewhere` and without a lease
-NO_LEASE, FULL, NO_ANSWER = "no lease", "no place", "no answer"
+MAX_REPORTS_AFTER_REDIRECT = 1  # reports in a row that are answered with `elsewhere` and without a lease
+NO_LEASE, FULL, NO_ANSWER = "no lease", "no place", "no answer"  # errors of reports that are not answered
 
 Step = Callable[[Event], list[Action]]
 
@@ -30,24 +30,24 @@
 
 @dataclass(slots=True)
 class ChildStatistics:
-    """Reports since the start."""
+    """Counts of children's reports since the start of the process."""
 
     reports: int = 0
-    refused: int = 0  # malformed
-    granted: int = 0
-    rejected: int = 0  # newcomers over the rate, and over the limit of children
+    refused: int = 0  # number of malformed reports
+    granted: int = 0  # number of reports answered with a lease
+    rejected: int = 0  # number of new children's reports beyond their rate or the maximum of children
 
 
 @dataclass(slots=True)
-class Children:
-    """Answers reports as the core decides.
+class ChildReports:
+    """Answers children's reports as the aggregator's core decides.
 
-    `newest` returns the newest revision whose document children can be sent, `list_index` the index of the
-    list.
+    `newest` returns the number of the newest revision that children can read here, and `list_index` the
+    index of the mirrored list.
     """
 
     core: Aggregator
-    front: Front
+    http_server: HttpServer
     step: Step
     newest: Callable[[], int]
     list_index: Callable[[], int]
@@ -55,41 +55,43 @@
     _tickets: count[int] = field(default_factory=count)
 
     async def report(self, request: web.Request) -> web.Response:
-        """Answer `POST /edges/NAME`."""
+        """Answer `POST /edges/NAME`, the report of a child."""
         name = entries.check_name(request.match_info["name"])
         try:
-            report = read_report(request, name, await self.front.body(request))
+            report = read_report(request, name, await self.http_server.body(request))
         except ReportError:
             self.statistics.refused += 1
             raise
-        decided = self.answer(name, report)
-        if not isinstance(decided, AnswerChild):
-            return decided
-        self._check_redirect(request, decided)
-        return self._encoded(report, decided)
+        decision = self.answer_report(name, report)
+        if not isinstance(decision, AnswerChild):
+            return decision
+        self._check_redirect(request, decision)
+        return self._encoded_answer(report, decision)
 
     @staticmethod
-    def _check_redirect(request: web.Request, decided: AnswerChild) -> None:
-        """Raise `AskElsewhereError` for a sidecar that was redirected and still reports here.
+    def _check_redirect(request: web.Request, decision: AnswerChild) -> None:
+        """Raise `TryOtherAddressError` for a sidecar that was redirected and still reports here.
 
-        An older version does not read `elsewhere`, but moves to the next address after an error.
+        Older versions of the sidecar ignore the field `elsewhere`, but move to the next address after an
+        error.
         """
         connection = request.protocol
         assert isinstance(connection, Connection)
-        redirected = decided.elsewhere and not decided.lease_ms
+        redirected = decision.elsewhere and not decision.lease_ms
         connection.reports_after_redirect = connection.reports_after_redirect + 1 if redirected else 0
         if connection.reports_after_redirect > MAX_REPORTS_AFTER_REDIRECT:
             connection.reports_after_redirect = 0
-            raise AskElsewhereError(NO_LEASE, decided.why)
+            raise TryOtherAddressError(NO_LEASE, decision.why)
 
-    def answer(self, name: str, report: Report) -> AnswerChild | web.Response:
-        """Return the core's answer to a report, or a rejection with `Retry-After`.
+    def answer_report(self, name: str, report: Report) -> AnswerChild | web.Response:
+        """Return the core's answer to the report of the child `name`, or a rejection with `Retry-After`.
 
-        Raise `AskElsewhereError` while there is no epoch to answer for, or no room for the child.
+        Raise `TryOtherAddressError` while no epoch of the list service is known, or if the maximum number of
+        children is reached.
         """
         core = self.core
         if not core.epoch:
-            raise AskElsewhereError(NO_LEASE, "the list service has not answered this aggregator yet")
+            raise TryOtherAddressError(NO_LEASE, "the list service has not answered this aggregator yet")
         self.statistics.reports += 1
         for action in self.step(ChildReported(next(self._tickets), name, report)):
             match action:
@@ -99,11 +101,11 @@
                     self.statistics.rejected += 1
                     if len(core.membership.children) >= core.timing.children_most:
                         why = f"all {core.timing.children_most} children are known"
-                        raise AskElsewhereError(FULL, why)
-                    return self.front.reject(why, retry_ms / 1000.0)
-        raise AskElsewhereError(NO_ANSWER, "the report was not answered by the core")
+                        raise TryOtherAddressError(FULL, why)
+                    return self.http_server.reject(why, retry_ms / 1000.0)
+        raise TryOtherAddressError(NO_ANSWER, "the report was not answered by the core")
 
-    def _encoded(self, report: Report, granted: AnswerChild) -> web.Response:
+    def _encoded_answer(self, report: Report, granted: AnswerChild) -> web.Response:
         core, index = self.core, self.list_index()
         self.statistics.granted += granted.lease_ms > 0.0
         answer = ReportAnswer(
@@ -121,4 +123,4 @@
             list_overrides=granted.order is not None and granted.order.list_overrides,
             elsewhere=granted.elsewhere,
         )
-        return calls.Brief(body=_encode(answer))
+        return calls.MinimalResponse(body=_encode(answer))
--- a/brassfall/controlplane/registry/aggregator/clock.py
+++ b/brassfall/controlplane/registry/aggregator/clock.py
@@ -1,4 +1,4 @@
-"""The one clock of an aggregator, for the core, the mirror and all leases."""
+"""The clock of an aggregator, which its core, its mirror and all leases share."""
 
 from __future__ import annotations
 
--- a/brassfall/controlplane/registry/aggregator/list_feed.py
+++ b/brassfall/controlplane/registry/aggregator/list_feed.py
@@ -1,4 +1,4 @@
-"""The endpoint list at an aggregator, which mirrors it from the list service for its children."""
+"""The endpoint list at an aggregator: it is mirrored from the list service, and served to children."""
 
 from __future__ import annotations
 
@@ -11,83 +11,87 @@
 
 from brassfall.controlplane.aggregation.messages import AggregatorLease
 from brassfall.controlplane.registry import calls
-from brassfall.controlplane.registry.aggregator.channels import AGE, ListChannel
+from brassfall.controlplane.registry.aggregator.channels import AGE_HEADER, ListChannel
 from brassfall.controlplane.registry.aggregator.clock import now_ms
 from brassfall.controlplane.registry.aggregator.mirror import DOUBT_MS, Mirror, parse_line
-from brassfall.controlplane.registry.aggregator.upstream import Line, Upstream, WatchState
+from brassfall.controlplane.registry.aggregator.upstream import Upstream, WatchLine, WatchState
 from brassfall.controlplane.registry.calls import answer
 from brassfall.controlplane.registry.entries import INSTANCES
-from brassfall.controlplane.registry.front import Front, WatchRequest
-from brassfall.controlplane.registry.http_errors import AskElsewhereError
+from brassfall.controlplane.registry.front import HttpServer, WatchRequest
+from brassfall.controlplane.registry.http_errors import TryOtherAddressError
 from brassfall.controlplane.registry.limits import JoinLimiter
-from brassfall.controlplane.registry.lists import KNOWN_INDEX
+from brassfall.controlplane.registry.lists import KNOWN_INDEX_HEADER
 from brassfall.controlplane.registry.tasks import Tasks
 from brassfall.logs import logger
 
 PATH = "/registry/instances"
-NO_LIST, NO_LATER_LIST = "no list", "no list that late"
-LATE_MS = 2000.0  # for which the service may be ahead; a watch that works brings changes far sooner
+NO_LIST, LIST_TOO_OLD = "no list", "no list that late"
+MAX_LAG_MS = 2000.0  # time for which the mirror may lag; a watch that works brings changes far sooner
 
-BEGAN_ANEW = "Look at the list service, which lost its list or runs twice; sidecars reject the list for 30 s."
-LATE = "Nothing if it does not repeat; else look at the network to the list service. It is watched anew."
+LIST_REPLACED_ACTION = (
+    "Look at the list service, which lost its list or runs twice; sidecars reject the list for 30 s."
+)
+LATE_LIST_ACTION = (
+    "Nothing if it does not repeat; else look at the network to the list service. It is watched anew."
+)
 
 log = logger("aggregator")
 
 
 @dataclass(frozen=True, slots=True)
 class LaterIndex:
-    """An index that a caller has and that is later than the mirror's."""
+    """An index of a caller that is later than the mirror's, and when it was first seen."""
 
     since_ms: float
     index: int
 
 
 class ListFeed:
-    """Mirrors the list, and answers the children's calls for it.
+    """Mirrors the endpoint list, and answers children's calls for it.
 
-    `confirmed` is called when the list was confirmed as the newest; `lists_per_s` limits how many complete
-    lists are sent.
+    `on_confirmed` is called each time the mirrored list was confirmed as the newest; `lists_per_s` limits the
+    rate at which complete lists are sent.
     """
 
-    def __init__(  # noqa: PLR0913 - the parts that it joins
+    def __init__(  # noqa: PLR0913 - it connects these parts
         self,
         mirror: Mirror,
         upstream: Upstream,
-        front: Front,
+        http_server: HttpServer,
         tasks: Tasks,
-        confirmed: Callable[[], None],
+        on_confirmed: Callable[[], None],
         lists_per_s: float,
     ) -> None:
         self.mirror = mirror
         self.watch_state = WatchState(upstream.addresses[0])
         self._upstream = upstream
-        self._front = front
+        self._http_server = http_server
         self._tasks = tasks
-        self._confirmed = confirmed
+        self._on_confirmed = on_confirmed
         self._rng = random.Random()
         self._join_limiter = JoinLimiter(lists_per_s)
-        self._late_since_ms: float | None = None
-        self._later: LaterIndex | None = None
+        self._lagging_since_ms: float | None = None
+        self._later_index: LaterIndex | None = None
         self._watching: asyncio.Task[None] | None = None
         self._channel = self._new_channel()
 
     def start(self) -> None:
-        """Start to watch the list service's list."""
-        self._front.channels[INSTANCES] = self._channel
+        """Start to watch the endpoint list of the list service."""
+        self._http_server.channels[INSTANCES] = self._channel
         self._open_watch()
 
     def _new_channel(self) -> ListChannel:
-        limits = self._front.limits
+        limits = self._http_server.limits
         return ListChannel(self.mirror, now_ms, limits.watch_bytes, limits.watch_stuck_ms / 1000.0)
 
     @property
-    def missing(self) -> str:
-        """Why there is no list yet; empty if there is one."""
+    def missing_reason(self) -> str:
+        """The reason why no list has been mirrored yet; empty if there is a list."""
         return "" if self.mirror.holds_list else self.watch_state.failing or "not received yet"
 
     @property
     def age_ms(self) -> int | None:
-        """An upper bound on the list's age in ms; None without a list."""
+        """An upper bound on the age of the mirrored list, in ms; None without a list."""
         return round(self.mirror.age_ms(now_ms())) if self.mirror.holds_list else None
 
     # --- from the list service --------------------------------------------------------------
@@ -101,65 +105,75 @@
     def _watch_path(self) -> str:
         return f"{PATH}?watch=1&from={self.mirror.index}"
 
-    def _receive(self, line: Line) -> None:
+    def _receive(self, line: WatchLine) -> None:
         if line.text:
-            self._take(line)
-        if line.lines:
-            self.mirror.confirmed_by_watch(line.asked, line.heard, line.empties)
-            self._confirmed()
-
-    def _take(self, line: Line) -> None:
-        taken = self.mirror.take(line.heard, parse_line(line.text), first=line.lines == 1)
-        if taken.replaced:
-            log.warning("list began anew", index=self.mirror.index, action=BEGAN_ANEW)
-            self._channel.end()
-            self._channel = self._front.channels[INSTANCES] = self._new_channel()
-        for change in taken.changes:
-            self._channel.changed(change)
-        if taken.index_grew:
+            self._apply(line)
+        if line.content_lines:
+            self.mirror.confirm_by_watch(line.opened_ms, line.received_ms, line.heartbeats)
+            self._on_confirmed()
+
+    def _apply(self, line: WatchLine) -> None:
+        update = self.mirror.apply_line(
+            line.received_ms, parse_line(line.text), first=line.content_lines == 1
+        )
+        if update.replaced:
+            log.warning("mirrored list replaced", index=self.mirror.index, action=LIST_REPLACED_ACTION)
+            self._channel.abort_all()
+            self._channel = self._http_server.channels[INSTANCES] = self._new_channel()
+        for change in update.changes:
+            self._channel.queue_change(change)
+        if update.index_grew:
             self._channel.flush_soon()
-        if self._later is not None and self._later.index <= self.mirror.index:
-            self._later = None
+        if self._later_index is not None and self._later_index.index <= self.mirror.index:
+            self._later_index = None
 
-    def answered(self, asked: float, lease: AggregatorLease) -> None:
-        """Apply the list's index in the answer to a report sent at `asked`; it shows a watch that is late."""
-        self.mirror.confirmed_by_answer(asked, lease.list_index)
-        self._confirmed()
+    def apply_lease(self, sent_ms: float, lease: AggregatorLease) -> None:
+        """Compare the mirror with the list index in the answer to a report that was sent at `sent_ms`.
+
+        If the mirror lags for longer than `MAX_LAG_MS`, the watch on the list service is opened again.
+        """
+        self.mirror.confirm_by_answer(sent_ms, lease.list_index)
+        self._on_confirmed()
         if lease.list_index <= self.mirror.index:
-            self._late_since_ms = None
-        elif self._late_since_ms is None:
-            self._late_since_ms = now_ms()
-        elif now_ms() - self._late_since_ms > LATE_MS:
-            log.warning("list is late", index=self.mirror.index, above=lease.list_index, action=LATE)
-            self._late_since_ms = None
+            self._lagging_since_ms = None
+        elif self._lagging_since_ms is None:
+            self._lagging_since_ms = now_ms()
+        elif now_ms() - self._lagging_since_ms > MAX_LAG_MS:
+            log.warning(
+                "list is late", index=self.mirror.index, above=lease.list_index, action=LATE_LIST_ACTION
+            )
+            self._lagging_since_ms = None
             self._open_watch()
 
     # --- to the children --------------------------------------------------------------------
 
     async def read(self, request: web.Request) -> web.StreamResponse:
-        """Return the answer to `GET /registry/instances`: the complete list, or a watch on it.
+        """Answer `GET /registry/instances`: the complete list, or a watch on it.
 
-        Raise `AskElsewhereError` if there is no list, or only an older one than the caller's.
+        Raise `TryOtherAddressError` without a list, or if the caller has a later one than the mirror's.
         """
         watches = calls.is_watch(request)
         if watches:
-            index = calls.number(request.query.get("from", "0"), "from")
+            index = calls.parse_whole_number(request.query.get("from", "0"), "from")
         else:
-            index = calls.number(request.headers.get(KNOWN_INDEX, "0"), KNOWN_INDEX)
+            index = calls.parse_whole_number(request.headers.get(KNOWN_INDEX_HEADER, "0"), KNOWN_INDEX_HEADER)
         self._check_index(index)
         return await self._watch(request, index) if watches else self._complete_list()
 
     def _check_index(self, index: int) -> None:
-        """Raise `AskElsewhereError` if this index is later than the mirror's, while that may be a fault."""
+        """Raise `TryOtherAddressError` for a caller's index that is later than the mirror's.
+
+        After `DOUBT_MS` such an index is accepted, since by then the list service's list must have restarted.
+        """
         if not self.mirror.holds_list:
-            raise AskElsewhereError(NO_LIST, self.missing)
+            raise TryOtherAddressError(NO_LIST, self.missing_reason)
         if index <= self.mirror.index:
             return
-        if self._later is None:
-            self._later = LaterIndex(now_ms(), index)
-        if now_ms() - self._later.since_ms < DOUBT_MS:
+        if self._later_index is None:
+            self._later_index = LaterIndex(now_ms(), index)
+        if now_ms() - self._later_index.since_ms < DOUBT_MS:
             why = f"the caller has index {index}, this aggregator {self.mirror.index}"
-            raise AskElsewhereError(NO_LATER_LIST, why)
+            raise TryOtherAddressError(LIST_TOO_OLD, why)
 
     async def _watch(self, request: web.Request, index: int) -> web.StreamResponse:
         if self.mirror.state.changes_since(INSTANCES, index) is None:
@@ -167,18 +181,18 @@
             if rejection is not None:
                 return rejection
         channel = self._channel
-        headers = {AGE: str(channel.promised_age_ms())}
-        return await self._front.watch(request, WatchRequest(index, lambda: channel, headers=headers))
+        headers = {AGE_HEADER: str(channel.promised_age_ms())}
+        return await self._http_server.watch(request, WatchRequest(index, lambda: channel, headers=headers))
 
     def _complete_list(self) -> web.Response:
         rejection = self._admit_complete_list()
         if rejection is not None:
             return rejection
         response = answer(self._channel.snapshot())
-        response.headers[AGE] = str(round(self.mirror.age_ms(now_ms())))
+        response.headers[AGE_HEADER] = str(round(self.mirror.age_ms(now_ms())))
         return response
 
     def _admit_complete_list(self) -> web.Response | None:
-        """Count a complete list; return the answer to send instead if there are too many at once."""
-        wait_s = self._join_limiter.wait(now_ms() / 1000.0, self._rng.random())
-        return self._front.reject("too many take the whole list at once", wait_s) if wait_s else None
+        """Count a complete list; return the rejection to send if there are too many, else None."""
+        wait_s = self._join_limiter.admission_wait_s(now_ms() / 1000.0, self._rng.random())
+        return self._http_server.reject("too many take the whole list at once", wait_s) if wait_s else None
--- a/brassfall/controlplane/registry/aggregator/reporter.py
+++ b/brassfall/controlplane/registry/aggregator/reporter.py
@@ -1,4 +1,4 @@
-"""The reports of an aggregator to the list service: one at a time, at intervals or urgent."""
+"""Reports of an aggregator to the list service, sent one at a time, at intervals or when urgent."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 from brassfall.controlplane.registry.aggregator.upstream import Upstream, UpstreamError
 from brassfall.logs import logger
 
-JITTER = 0.1  # of the interval, either way
-URGENT_INTERVAL_S = 0.01  # between two urgent reports
-FAULT_PAUSE_S = 0.25  # after a defect here
+JITTER = 0.1  # fraction by which the interval between reports is lengthened or shortened at random
+URGENT_INTERVAL_S = 0.01  # pause before an urgent report
+FAULT_PAUSE_S = 0.25  # pause after an unexpected exception
 
 log = logger("reports")
 
@@ -28,43 +28,43 @@
 
 @dataclass(slots=True)
 class Reporter:
-    """Sends the core's reports, and passes the answers to it.
+    """Sends the core's reports to the list service, and passes the answers to the core.
 
-    `step` passes an event to the core and carries its actions out, except for `SendReport`, which it returns.
+    `step` passes an event to the core, performs its actions except for `SendReport`, and returns all of them.
     """
 
     core: Aggregator
     upstream: Upstream
     step: Step
-    answered: Callable[
+    on_answer: Callable[
         [float, AggregatorLease], None
-    ]  # called with answers of the followed epoch, and when their reports were sent
+    ]  # called with the time at which a report was sent, and its answer, if that is of the followed epoch
     rng: random.Random
     sent: int = 0
     failed: int = 0
-    failing: str = ""  # why the last report had no good answer; empty if it had one
+    failing: str = ""  # reason the last report had no good answer; empty if it had one
     _addresses: Addresses = field(init=False)
     _urgent: asyncio.Event = field(default_factory=asyncio.Event)
 
     def __post_init__(self) -> None:
-        self._addresses = self.upstream.spread()
+        self._addresses = self.upstream.new_addresses()
 
     @property
-    def at(self) -> str:
-        """The address of the next report."""
+    def address(self) -> str:
+        """The address to which the next report is sent."""
         return self._addresses.current
 
-    def hurry(self) -> None:
-        """Report at once, or as soon as a report under way was answered."""
+    def report_soon(self) -> None:
+        """Send a report at once, or as soon as the report under way has been answered."""
         self._urgent.set()
 
     async def run(self) -> None:
-        """Report until cancelled."""
+        """Send reports until cancelled."""
         while True:
             wait_s = FAULT_PAUSE_S
             try:
                 wait_s = await self._report()
-            except Exception:  # without reports no child would get a lease
+            except Exception:  # reporting has to go on, since without it no child would get a lease
                 log.exception("fault", action=logs.REPORT)
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(wait_s):
@@ -72,7 +72,7 @@
                     await asyncio.sleep(URGENT_INTERVAL_S)
 
     async def _report(self) -> float:
-        """Send one report; return the wait until the next, in s."""
+        """Send the report that is due; return the wait until the next report, in s."""
         self._urgent.clear()
         for action in self.step(ReportDue()):
             if isinstance(action, SendReport):
@@ -83,27 +83,27 @@
         return every_s * (1.0 + JITTER * (2.0 * self.rng.random() - 1.0))
 
     async def _send(self, report: AggregatorReport) -> float | None:
-        """Send a report; return the wait after a failure, in s, or None after a good answer."""
-        asked = self.upstream.now()
+        """Send a report; return None after a good answer, or the wait after a failure, in s."""
+        sent_ms = self.upstream.now()
         self.sent += 1
         try:
             lease = await self.upstream.report(self._addresses.current, self.core.name, report)
         except UpstreamError as error:
             self.failed += 1
-            self._fails(error.summary)
+            self._set_failing(error.summary)
             self.step(UpstreamFailed(report.seq))
-            return self._addresses.failed(error.retry_s)
-        self._addresses.worked()
-        self._fails("")
-        self.step(UpstreamAnswered(asked, lease))
+            return self._addresses.record_failure(error.retry_s)
+        self._addresses.record_success()
+        self._set_failing("")
+        self.step(UpstreamAnswered(sent_ms, lease))
         if lease.epoch == self.core.epoch:
-            self.answered(asked, lease)
+            self.on_answer(sent_ms, lease)
         return None
 
-    def _fails(self, why: str) -> None:
-        if bool(why) != bool(self.failing):
-            if why:
-                log.warning("reports fail", reason=why, action=UpstreamError.action)
+    def _set_failing(self, reason: str) -> None:
+        if bool(reason) != bool(self.failing):
+            if reason:
+                log.warning("reports fail", reason=reason, action=UpstreamError.action)
             else:
                 log.info("reports are answered")
-        self.failing = why
+        self.failing = reason
--- a/brassfall/controlplane/registry/aggregator/service.py
+++ b/brassfall/controlplane/registry/aggregator/service.py
@@ -1,4 +1,4 @@
-"""The aggregator's process: its parts, their start and graceful shutdown, and its routes."""
+"""The process of an aggregator: its parts, their start and graceful shutdown, and its HTTP routes."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from brassfall.controlplane.aggregation.timing import AggregatorTiming
 from brassfall.controlplane.registry import process
 from brassfall.controlplane.registry.aggregator import configuration, list_feed, status
-from brassfall.controlplane.registry.aggregator.children import Children
+from brassfall.controlplane.registry.aggregator.children import ChildReports
 from brassfall.controlplane.registry.aggregator.clock import now_ms
 from brassfall.controlplane.registry.aggregator.configuration import Configuration
 from brassfall.controlplane.registry.aggregator.forwarding import Forwarding
@@ -27,16 +27,16 @@
 from brassfall.controlplane.registry.aggregator.reporter import Reporter
 from brassfall.controlplane.registry.aggregator.upstream import Upstream
 from brassfall.controlplane.registry.calls import answer
-from brassfall.controlplane.registry.front import Front
+from brassfall.controlplane.registry.front import HttpServer
 from brassfall.controlplane.registry.http_errors import status_response
 from brassfall.controlplane.registry.metrics import CONTENT_TYPE, HttpMetrics, ProcessMetrics
 from brassfall.controlplane.registry.tasks import Tasks
 from brassfall.logs import faults, logger
 from brassfall.settings import AggregatorSettings
 
-TICK_S = 0.05
-LEASES_END_S = 4.0  # until all child leases have ended and the service was notified
-NOT_READY_RETRY_S = 1.0
+TICK_S = 0.05  # interval at which the core gets a tick
+LEASES_END_S = 4.0  # time limit of a shutdown for the end of all children's leases, and the last report
+NOT_READY_RETRY_S = 1.0  # `Retry-After` of `/health/ready` while the aggregator is not ready
 
 log = logger("aggregator")
 _encode = msgspec.json.Encoder().encode
@@ -48,31 +48,31 @@
     def __init__(self, settings: AggregatorSettings) -> None:
         self.settings = settings
         self.metrics = HttpMetrics(self)
-        self.front = Front(settings.limits, self.metrics.called)
+        self.http_server = HttpServer(settings.limits, self.metrics.called)
         self.mirror = Mirror(settings.ring)
         self.core = _core(settings)
         rng = random.Random()
         self._upstream = Upstream(settings.upstream, now_ms, rng)
         self._tasks = Tasks()
-        self.configuration = Configuration(self._upstream, self.front, self.step, self._tasks)
+        self.configuration = Configuration(self._upstream, self.http_server, self.step, self._tasks)
         self.list_feed = ListFeed(
             self.mirror,
             self._upstream,
-            self.front,
+            self.http_server,
             self._tasks,
             self._list_confirmed,
             settings.lists_per_s,
         )
-        self.children = Children(
+        self.children = ChildReports(
             self.core,
-            self.front,
+            self.http_server,
             self.step,
             lambda: self.configuration.newest,
             lambda: self.mirror.index,
         )
-        self.reporter = Reporter(self.core, self._upstream, self.step, self.list_feed.answered, rng)
+        self.reporter = Reporter(self.core, self._upstream, self.step, self.list_feed.apply_lease, rng)
         self.forwarding = Forwarding(
-            self._upstream, self.front, settings.writes_at_once, settings.writes_waiting
+            self._upstream, self.http_server, settings.writes_at_once, settings.writes_waiting
         )
         self._started_at = time.monotonic()
         self._leaving = False
@@ -81,13 +81,13 @@
     # --- start and shutdown -----------------------------------------------------------------
 
     async def start(self) -> str:
-        """Start to serve calls and to watch the list service; return the address.
+        """Start to serve calls and to watch the list service; return the address as HOST:PORT.
 
         Raise `OSError` if the address can't be bound.
         """
-        await self.front.bind(self.settings.listen)
+        await self.http_server.bind(self.settings.listen)
         self._upstream.open()
-        at = await self.front.serve(self._routes(), lambda: None)
+        at = await self.http_server.serve(self._routes(), lambda: None)
         if not self.settings.advertise:
             self.core.identity.listen = at
         self.list_feed.start()
@@ -97,7 +97,7 @@
         return at
 
     async def close(self) -> None:
-        """Grant no more leases, wait until all have ended, notify the service, and stop."""
+        """Stop granting leases, wait until all have ended and the list service knows, and stop serving."""
         self._leaving = True
         self.step(Leave())
         if not self.core.may_end():
@@ -105,7 +105,7 @@
                 async with asyncio.timeout(LEASES_END_S):
                     await self._leases_ended.wait()
         await self._tasks.end()
-        await self.front.close()
+        await self.http_server.close()
         await self._upstream.close()
 
     async def _tick(self) -> None:
@@ -119,16 +119,19 @@
     # --- the core ---------------------------------------------------------------------------
 
     def step(self, event: Event) -> list[Action]:
-        """Pass an event to the core, carry its actions out, and return them for the caller."""
+        """Pass an event to the core, perform its actions, and return them.
+
+        Actions that are about a call or report are left to the caller.
+        """
         actions = self.core.step(now_ms(), event)
         for action in actions:
             match action:
                 case ReportNow():
-                    self.reporter.hurry()
+                    self.reporter.report_soon()
                 case NotifyChildren(line):
                     self.configuration.publish(line)
                 case FetchState():
-                    self.configuration.fetch(self.reporter.at)
+                    self.configuration.fetch_state(self.reporter.address)
         return actions
 
     def _list_confirmed(self) -> None:
@@ -171,11 +174,11 @@
     # --- operation --------------------------------------------------------------------------
 
     def unready(self) -> str:
-        """Return why this aggregator can't serve sidecars; empty if it can."""
-        if self.list_feed.missing:
-            return f"no list: {self.list_feed.missing}"
-        if self.configuration.missing:
-            return f"no rules: {self.configuration.missing}"
+        """Return the reason why this aggregator can't serve sidecars; empty if it can."""
+        if self.list_feed.missing_reason:
+            return f"no list: {self.list_feed.missing_reason}"
+        if self.configuration.missing_reason:
+            return f"no rules: {self.configuration.missing_reason}"
         why = self.core.unready(now_ms())
         return f"{why}; {self.reporter.failing}" if why and self.reporter.failing else why
 
@@ -193,12 +196,12 @@
         return answer(_encode(status.status(self)))
 
     def process_metrics(self) -> ProcessMetrics:
-        """Return the metrics beside those of calls and watches."""
+        """Return the metrics of the aggregator's parts, apart from those of calls and watches."""
         return status.process_metrics(self)
 
     @property
     def uptime_s(self) -> float:
-        """Time since the start, in s."""
+        """The time since the aggregator was created, in s."""
         return time.monotonic() - self._started_at
 
 
@@ -215,5 +218,5 @@
 
 
 async def serve(settings: AggregatorSettings) -> int:
-    """Run until SIGTERM or SIGINT; return the exit status."""
+    """Run an aggregator until SIGTERM or SIGINT; return the exit status."""
     return await process.run(Service(settings), settings.listen, "aggregator", name=settings.name)
--- a/brassfall/controlplane/registry/aggregator/state_lines.py
+++ b/brassfall/controlplane/registry/aggregator/state_lines.py
@@ -1,4 +1,4 @@
-"""The lines of the list service's watch on the configuration, as an aggregator reads them. Pure code."""
+"""Parsing of the revision state in lines of the list service's watch on `/rules`. No I/O."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 from brassfall.errors import RequestError
 
 UNREADABLE = "no state of the rules"
-MAX_REASON, MAX_QUOTED = 200, 40  # characters of a reason, and of a state in it
+MAX_REASON, MAX_QUOTED = 200, 40  # lengths to which a reason, and a state in it, are cut, in characters
 
 
 class StateError(RequestError):
-    """A malformed line of the list service's watch on the configuration."""
+    """A line with the revision state is malformed."""
 
     action = "See which version of the list service runs there; its watch is opened again."
 
 
 class RevisionInForce(msgspec.Struct, frozen=True):
-    """The committed revision, beside one that is not."""
+    """The number of the committed revision, in a line about another revision."""
 
     revision: int = msgspec.field(name="edition")
 
 
 class StateLine(msgspec.Struct, frozen=True):
-    """The part of a line that an aggregator reads; its children get the line unchanged."""
+    """The part of a revision state line that an aggregator reads; children get the line unchanged."""
 
     revision: int = msgspec.field(name="edition")
     epoch: int = msgspec.field(name="life")
@@ -34,7 +34,7 @@
 
 
 def read_state(line: bytes) -> StateReceived:
-    """Return the core's event of a line; raise `StateError` if it is malformed."""
+    """Parse a line with the revision state into an event for the core; raise `StateError` if malformed."""
     try:
         found = msgspec.json.decode(line, type=StateLine)
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
--- a/brassfall/controlplane/registry/aggregator/status.py
+++ b/brassfall/controlplane/registry/aggregator/status.py
@@ -1,4 +1,4 @@
-"""The status of an aggregator: `/status` and `/edges`, and its own part of `/metrics`."""
+"""The answers to `/status` and `/edges` of an aggregator, and the metrics of its parts."""
 
 from __future__ import annotations
 
@@ -7,24 +7,24 @@
 import msgspec
 
 from brassfall.controlplane.aggregation.aggregator import Aggregator
-from brassfall.controlplane.registry.aggregator.children import Children
+from brassfall.controlplane.registry.aggregator.children import ChildReports
 from brassfall.controlplane.registry.aggregator.clock import now_ms
 from brassfall.controlplane.registry.aggregator.configuration import Configuration
 from brassfall.controlplane.registry.aggregator.forwarding import Forwarding
 from brassfall.controlplane.registry.aggregator.list_feed import ListFeed
 from brassfall.controlplane.registry.aggregator.reporter import Reporter
-from brassfall.controlplane.registry.front import Front
+from brassfall.controlplane.registry.front import HttpServer
 from brassfall.controlplane.registry.metrics import ProcessMetrics, Value, Values
 from brassfall.settings import AggregatorSettings
 
 
-class Parts(Protocol):
-    """The parts of an aggregator with a status."""
+class StatusSource(Protocol):
+    """The parts of an aggregator that its status and metrics are read from."""
 
     settings: AggregatorSettings
     core: Aggregator
-    front: Front
-    children: Children
+    http_server: HttpServer
+    children: ChildReports
     reporter: Reporter
     forwarding: Forwarding
     list_feed: ListFeed
@@ -32,27 +32,27 @@
 
     @property
     def uptime_s(self) -> float:
-        """Time since the start, in s."""
+        """The time since the aggregator was created, in s."""
 
     def unready(self) -> str:
-        """Return why it can't serve sidecars; empty if it can."""
+        """Return the reason why the aggregator can't serve sidecars; empty if it can."""
 
 
 class ListView(msgspec.Struct, frozen=True):
-    """The mirrored list; its age is an upper bound, None without a list."""
+    """The mirrored list; `age_ms` is an upper bound on its age, None without a list."""
 
     index: int
     age_ms: int | None
 
 
 class CountedListView(ListView, frozen=True):
-    """The mirrored list with its number of servers."""
+    """The mirrored list, with the number of servers on it."""
 
     servers: int
 
 
 class ChildrenView(msgspec.Struct, frozen=True):
-    """The answer to `/edges`: the children here, by their newest reports."""
+    """The answer to `GET /edges`: the children of this aggregator, by their newest reports."""
 
     aggregator: str
     region: str
@@ -63,7 +63,7 @@
 
 
 class UpstreamStatus(msgspec.Struct, frozen=True):
-    """How the calls to the list service stand."""
+    """The state of the reports, watches and forwarded calls to the list service."""
 
     at: str
     reports: int
@@ -76,12 +76,12 @@
 
 
 class AggregatorStatus(msgspec.Struct, frozen=True):
-    """The answer to `/status`."""
+    """The answer to `GET /status` of an aggregator."""
 
     aggregator: str
     region: str
     uptime_s: float
-    ready: str  # "yes", or why not
+    ready: str  # "yes", or the reason why the aggregator can't serve sidecars
     upstream: UpstreamStatus
     epoch: int
     revision: int = msgspec.field(name="edition")
@@ -97,12 +97,12 @@
     watches: dict[str, int]
 
 
-def children(parts: Parts) -> ChildrenView:
+def children(source: StatusSource) -> ChildrenView:
     """Return the answer to `GET /edges`."""
-    at, core, feed = now_ms(), parts.core, parts.list_feed
+    at, core, feed = now_ms(), source.core, source.list_feed
     return ChildrenView(
-        aggregator=parts.settings.name,
-        region=parts.settings.region,
+        aggregator=source.settings.name,
+        region=source.settings.region,
         children=core.children(at),
         revision=core.committed,
         permits=core.unready(at) or "yes",
@@ -110,16 +110,16 @@
     )
 
 
-def status(parts: Parts) -> AggregatorStatus:
-    """Return the answer to `/status`."""
-    core, statistics, at = parts.core, parts.children.statistics, now_ms()
-    front, feed = parts.front, parts.list_feed
+def status(source: StatusSource) -> AggregatorStatus:
+    """Return the answer to `GET /status`."""
+    core, statistics, at = source.core, source.children.statistics, now_ms()
+    http_server, feed = source.http_server, source.list_feed
     return AggregatorStatus(
-        aggregator=parts.settings.name,
-        region=parts.settings.region,
-        uptime_s=round(parts.uptime_s, 1),
-        ready=parts.unready() or "yes",
-        upstream=_upstream(parts),
+        aggregator=source.settings.name,
+        region=source.settings.region,
+        uptime_s=round(source.uptime_s, 1),
+        ready=source.unready() or "yes",
+        upstream=_upstream(source),
         epoch=core.epoch,
         revision=core.committed,
         prepared=core.pending,
@@ -129,40 +129,40 @@
         members=core.members,
         reports=statistics.reports,
         reports_refused=statistics.refused + core.membership.stale,
-        rejected=front.rejected,
-        connections=len(front.callers),
-        watches={name: channel.count for name, channel in front.channels.items()},
+        rejected=http_server.rejected,
+        connections=len(http_server.callers),
+        watches={name: channel.count for name, channel in http_server.channels.items()},
     )
 
 
-def _upstream(parts: Parts) -> UpstreamStatus:
-    reporter, forwarding = parts.reporter, parts.forwarding
+def _upstream(source: StatusSource) -> UpstreamStatus:
+    reporter, forwarding = source.reporter, source.forwarding
     return UpstreamStatus(
-        at=reporter.at,
+        at=reporter.address,
         reports=reporter.sent,
         reports_failed=reporter.failed,
         failing=reporter.failing,
-        list_watch=parts.list_feed.watch_state.failing or "ok",
-        configuration_watch=parts.configuration.watch_state.failing or "ok",
+        list_watch=source.list_feed.watch_state.failing or "ok",
+        configuration_watch=source.configuration.watch_state.failing or "ok",
         passed_up=forwarding.forwarded,
         not_passed_up=forwarding.rejected,
     )
 
 
-def process_metrics(parts: Parts) -> ProcessMetrics:
-    """Gauges and counters of the tier."""
-    return ProcessMetrics(_gauges(parts), _counters(parts))
+def process_metrics(source: StatusSource) -> ProcessMetrics:
+    """Return the gauges and counters of an aggregator."""
+    return ProcessMetrics(_gauges(source), _counters(source))
 
 
-def _gauges(parts: Parts) -> Values:
-    core, feed, at = parts.core, parts.list_feed, now_ms()
+def _gauges(source: StatusSource) -> Values:
+    core, feed, at = source.core, source.list_feed, now_ms()
     counts = core.counts(at)
     return {
         "children": Value("Sidecars that report here", counts.known),
         "children_permitted": Value("Those that hold a lease on a revision", counts.leased),
         "children_lagging": Value("Those that have not acknowledged the prepared revision", counts.lagging),
         "children_fallback": Value("Those that act on the fallback configuration", counts.fallback),
-        "ready": Value("1 while leases can be granted", float(not parts.unready())),
+        "ready": Value("1 while leases can be granted", float(not source.unready())),
         "edition": Value("The configuration revision in force", core.committed),
         "edition_prepared": Value("The revision that is prepared; 0 is none", core.pending),
         "lease_left_ms": Value("How long the lease from the list service still runs", core.lease_left_ms(at)),
@@ -171,9 +171,11 @@
     }
 
 
-def _counters(parts: Parts) -> Values:
-    core, statistics, reporter = parts.core, parts.children.statistics, parts.reporter
-    refused_lines = parts.list_feed.watch_state.refused_lines + parts.configuration.watch_state.refused_lines
+def _counters(source: StatusSource) -> Values:
+    core, statistics, reporter = source.core, source.children.statistics, source.reporter
+    refused_lines = (
+        source.list_feed.watch_state.refused_lines + source.configuration.watch_state.refused_lines
+    )
     return {
         "reports": Value("Reports of children answered", statistics.reports),
         "reports_refused": Value("Malformed or stale reports", statistics.refused + core.membership.stale),
@@ -181,7 +183,7 @@
         "children_turned_away": Value("Reports of children rejected with Retry-After", statistics.rejected),
         "upstream_reports": Value("Reports sent to the list service", reporter.sent),
         "upstream_failures": Value("Reports without a good answer", reporter.failed),
-        "passed_up": Value("Calls forwarded to the list service", parts.forwarding.forwarded),
-        "not_passed_up": Value("Calls that were not forwarded, or got no answer", parts.forwarding.rejected),
+        "passed_up": Value("Calls forwarded to the list service", source.forwarding.forwarded),
+        "not_passed_up": Value("Calls that were not forwarded, or got no answer", source.forwarding.rejected),
         "lines_refused": Value("Lines from the list service that were not believed", refused_lines),
     }
--- a/brassfall/controlplane/registry/aggregator_rows.py
+++ b/brassfall/controlplane/registry/aggregator_rows.py
@@ -1,4 +1,4 @@
-"""The rows of the listing of aggregators, by their newest reports. Pure code."""
+"""Rows of `GET /aggregators`, built from the newest report of each aggregator. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -8,11 +8,15 @@
 
 from brassfall.controlplane.aggregation.directory import AggregatorProcess
 from brassfall.controlplane.aggregation.messages import ChildCounts
-from brassfall.controlplane.registry.sidecar_rows import LIST_OLD_MS, Expected
+from brassfall.controlplane.registry.sidecar_rows import OLD_LIST_AGE_MS, ExpectedState
 
 
 class AggregatorRow(msgspec.Struct, rename={"process_id": "life", "newest_revision": "held"}):
-    """One aggregator in `GET /aggregators`; ages are in ms, `members` is the number of its children here."""
+    """One aggregator in the answer to `GET /aggregators`.
+
+    Ages are in ms. `children` has the counts that the aggregator reported, `members` is the number of
+    children that the list service assigns to it, and `behind` says in which way it lags.
+    """
 
     name: str
     region: str
@@ -41,11 +45,14 @@
 def aggregator_row(
     name: str,
     process: AggregatorProcess,
-    former: Sequence[AggregatorProcess],
+    superseded: Sequence[AggregatorProcess],
     now: float,
-    expected: Expected,
+    expected: ExpectedState,
 ) -> AggregatorRow:
-    """Return the row of a name's current process; `former` are superseded ones, `now` is monotonic ms."""
+    """Return the row of the aggregator `name`, whose current process is `process`.
+
+    `superseded` holds earlier processes of the same name; `now` is monotonic ms.
+    """
     report = process.report
     return AggregatorRow(
         name=name,
@@ -63,25 +70,25 @@
         members=len(process.children),
         lagging=report.lagging,
         objections=report.objections,
-        behind=_behind(process, former, now, expected),
+        behind=_describe_lag(process, superseded, now, expected),
     )
 
 
-def _behind(
-    process: AggregatorProcess, former: Sequence[AggregatorProcess], now: float, expected: Expected
+def _describe_lag(
+    process: AggregatorProcess, superseded: Sequence[AggregatorProcess], now: float, expected: ExpectedState
 ) -> str:
-    """Return in which way an aggregator lags, as a line that docs/operations.md explains; empty if not."""
+    """Return in which way an aggregator lags, as a line explained in docs/operations.md; empty if not."""
     report = process.report
     if now - process.reported_ms > expected.silent_ms:
         return "silent: its children act on safe rules, or have moved"
-    older = sum(now - each.reported_ms <= expected.silent_ms for each in former)
+    older = sum(now - each.reported_ms <= expected.silent_ms for each in superseded)
     if older:
         return f"{older} older processes of its name still report; they get no lease"
     if report.epoch not in (None, 0, expected.epoch):
         return f"follows another epoch of the service, {report.epoch}"
     if report.newest_revision < expected.committed:
         return f"does not hold revision {expected.committed}"
-    if report.list_age_ms is not None and report.list_age_ms > LIST_OLD_MS:
+    if report.list_age_ms is not None and report.list_age_ms > OLD_LIST_AGE_MS:
         return f"its list may be {report.list_age_ms / 1000.0:.1f} s old: it keeps it, and asks on"
     if report.children.lagging:
         return f"{report.children.lagging} children have not acknowledged revision {report.acknowledged}"
--- a/brassfall/controlplane/registry/aggregators.py
+++ b/brassfall/controlplane/registry/aggregators.py
@@ -1,4 +1,4 @@
-"""`POST /aggregators/NAME` and `GET /aggregators`: the reports of aggregators, and their listing."""
+"""HTTP calls of aggregators: `POST /aggregators/NAME` takes a report, `GET /aggregators` lists them."""
 
 from __future__ import annotations
 
@@ -30,30 +30,30 @@
 from brassfall.controlplane.revisions.reports import Objection, Report
 from brassfall.logs import faults, logger
 
-SWEEP_S = 1.0
-MAX_NAME = 128  # characters
-REPLACED = "a newer process of its name reports"
+SWEEP_S = 1.0  # interval at which forgotten and migrated children are removed
+MAX_NAME_LENGTH = 128  # of a child's name in a report, in characters
+SUPERSEDED = "a newer process of its name reports"  # on the wire, as the reason to grant no lease
 
 log = logger("aggregators")
 _encode = msgspec.json.Encoder().encode
 
 
 class AggregatorsStatus(msgspec.Struct, frozen=True):
-    """The part of `/status` about aggregators; counts are since the start."""
+    """The part of `/status` about aggregators; counts of events run since the start of the process."""
 
     known: int
-    live: int  # have reported recently
+    live: int  # number of aggregators that have reported recently
     children: int
-    children_unplaced: int  # arrivals beyond the number of sidecars that are kept
+    children_unplaced: int  # arrivals of children beyond the maximum number of sidecars that are kept
     reports: int
     reports_malformed: int
     name_conflicts: int
-    reports_superseded: int  # of superseded processes
+    reports_superseded: int  # reports of processes that a newer process of the same name has replaced
 
 
 @dataclass(slots=True)
 class AggregatorStatistics:
-    """Counts since the start."""
+    """Counts of aggregators' reports since the start of the process."""
 
     reports: int = 0
     malformed: int = 0
@@ -62,7 +62,7 @@
 
 
 class Aggregators:
-    """The aggregators that report to one service."""
+    """Answers the reports of the aggregators below one list service, and lists these aggregators."""
 
     def __init__(self, service: RevisionService, fleet: Fleet, overrides: Overrides, geo: Geo) -> None:
         self._service = service
@@ -70,19 +70,19 @@
         self._overrides = overrides
         self._geo = geo
         self._statistics = AggregatorStatistics()
-        self._orders: dict[ProcessKey, ChildOrders] = {}  # by process of an aggregator
+        self._child_orders: dict[ProcessKey, ChildOrders] = {}  # one entry for each live aggregator process
         self._tasks = Tasks()
 
     def start(self) -> None:
-        """Start to remove migrated and forgotten children; the revision service has to be started."""
+        """Start to remove migrated and forgotten children; call it after `RevisionService.start`."""
         self._tasks.spawn(self._sweep())
 
     async def close(self) -> None:
-        """Stop all tasks."""
+        """Cancel the removal of children, and wait until it has ended."""
         await self._tasks.end()
 
     def routes(self) -> list[web.RouteDef]:
-        """Return the routes of aggregators."""
+        """Return the HTTP routes below `/aggregators`."""
         return [web.post("/aggregators/{name}", self._report), web.get("/aggregators", self._list)]
 
     async def _sweep(self) -> None:
@@ -91,12 +91,14 @@
             with faults(log):
                 self._service.remove_migrated()
                 directory = self._service.directory
-                self._forget_findings(directory.sweep(self._service.now()))
+                self._forget_moved_sidecars(directory.sweep(self._service.now()))
                 live = {
                     ProcessKey(name, process.report.process_id)
                     for name, process in directory.aggregators.items()
                 }
-                self._orders = {key: orders for key, orders in self._orders.items() if key in live}
+                self._child_orders = {
+                    key: orders for key, orders in self._child_orders.items() if key in live
+                }
 
     # --- reports --------------------------------------------------------------------------------
 
@@ -114,12 +116,13 @@
             self._statistics.name_conflicts += 1
             log.warning("name conflict", name=name, reason=error.summary, action=error.action)
             raise
-        return calls.Brief(body=_encode(lease))
+        return calls.MinimalResponse(body=_encode(lease))
 
     def receive_report(self, name: str, report: AggregatorReport) -> AggregatorLease:
-        """Apply a report of an aggregator; return its answer.
+        """Apply the report of the aggregator `name`; return the answer to it.
 
-        Raise `AggregatorNameError` if another one has the name, `UnavailableError` if there are too many.
+        Raise `AggregatorNameError` if a sidecar or another aggregator has the name, and `UnavailableError`
+        if the maximum number of aggregators is known.
         """
         now, service = self._service.now(), self._service
         self._check_name(now, name)
@@ -127,12 +130,12 @@
         self._statistics.reports += 1
         if received.superseded:
             self._statistics.superseded += 1
-            return self._superseded(report)
+            return self._superseded_answer(report)
         if not received.stale:
-            self._forget_findings(received.departed)
-            self._forget_findings(received.arrived)
+            self._forget_moved_sidecars(received.departed)
+            self._forget_moved_sidecars(received.arrived)
             self._geo.receive_aggregator_report(name, report)
-        return self._answer(now, name, report, received)
+        return self._lease_answer(now, name, report, received)
 
     def _check_name(self, now: float, name: str) -> None:
         coordinator = self._service.coordinator
@@ -143,11 +146,11 @@
             aggregator = f"aggregator {name}"
             raise AggregatorNameError(aggregator, "a sidecar that reports here has this name")
 
-    def _superseded(self, report: AggregatorReport) -> AggregatorLease:
-        """Return the answer to a superseded process.
+    def _superseded_answer(self, report: AggregatorReport) -> AggregatorLease:
+        """Return the answer to a process that a newer process of the same name has replaced.
 
-        It names the pending revision: otherwise the process would take that for decided, and end promises of
-        children whose leases still run.
+        The answer names the pending revision. Without it the process would take that revision for decided,
+        and would end promises of children whose leases still run.
         """
         coordinator = self._service.coordinator
         return AggregatorLease(
@@ -155,16 +158,16 @@
             coordinator.state.committed.number,
             pending=coordinator.state.pending_number,
             seq=report.seq,
-            why=REPLACED,
+            why=SUPERSEDED,
         )
 
-    def _answer(
+    def _lease_answer(
         self, now: float, name: str, report: AggregatorReport, received: ReceivedReport
     ) -> AggregatorLease:
         service = self._service
         epoch, directory = service.coordinator.epoch, service.directory
-        granted = service.report(name, _as_member(report), _objections(report))
-        orders = self._orders.setdefault(ProcessKey(name, report.process_id), ChildOrders())
+        granted = service.answer_report(name, _as_node_report(report), _objections(report))
+        orders = self._child_orders.setdefault(ProcessKey(name, report.process_id), ChildOrders())
         rows = [] if received.stale else report.exceptions
         owned = [row for row in rows if directory.owner(row.name) == name]
         overrides = self._overrides.receive_aggregator_report(now, owned, report, orders)
@@ -184,8 +187,8 @@
             orders=overrides.orders,
         )
 
-    def _forget_findings(self, sidecars: list[str]) -> None:
-        """Close the findings of sidecars that have changed their aggregator, which may be opened anew."""
+    def _forget_moved_sidecars(self, sidecars: list[str]) -> None:
+        """Close the findings about sidecars that changed their aggregator; later reports may reopen them."""
         for name in sidecars:
             self._overrides.forget_moved_sidecar(name)
 
@@ -195,7 +198,7 @@
         return answer(_encode(AggregatorListing(self.rows())))
 
     def rows(self) -> list[AggregatorRow]:
-        """Return the rows of all aggregators."""
+        """Return the rows of `GET /aggregators`, one for each aggregator."""
         now, expected, directory = self._service.now(), self._fleet.expected(), self._service.directory
         return [
             aggregator_row(name, process, directory.former(name), now, expected)
@@ -203,7 +206,7 @@
         ]
 
     def status(self) -> AggregatorsStatus:
-        """Return the part of `/status` on aggregators."""
+        """Return the part of `/status` about aggregators."""
         now, directory, statistics = self._service.now(), self._service.directory, self._statistics
         return AggregatorsStatus(
             known=len(directory.aggregators),
@@ -217,8 +220,8 @@
         )
 
 
-def _as_member(report: AggregatorReport) -> Report:
-    """Return the report of an aggregator as that of one node."""
+def _as_node_report(report: AggregatorReport) -> Report:
+    """Convert an aggregator's report into the form of a sidecar's, which the coordinator reads."""
     return Report(
         process_id=report.process_id,
         seq=report.seq,
@@ -230,7 +233,7 @@
         list_index=report.list_index,
         list_age_ms=report.list_age_ms,
         region=report.region,
-        # While a child may act the lease is not released.
+        # An aggregator that leaves keeps its lease while one of its children still holds one.
         leaving=report.leaving and not report.children.leased,
     )
 
@@ -240,11 +243,11 @@
 
 
 def _check_consistent(report: AggregatorReport) -> None:
-    """Raise `AggregatorReportError` for a report that contradicts itself."""
+    """Raise `AggregatorReportError` for a report with a malformed child name or contradictory fields."""
     names = [member.name for member in (*report.joined, *report.departed)]
     names += [*report.lagging, *report.objections, *(row.name for row in report.exceptions)]
-    if any(not 0 < len(name) <= MAX_NAME for name in names):
-        raise AggregatorReportError(UNREADABLE, f"the name of a child: 1 to {MAX_NAME} characters")
+    if any(not 0 < len(name) <= MAX_NAME_LENGTH for name in names):
+        raise AggregatorReportError(UNREADABLE, f"the name of a child: 1 to {MAX_NAME_LENGTH} characters")
     lagging = report.children.lagging or len(report.lagging)
     if lagging and report.prepared and report.prepared == report.acknowledged:
         raise AggregatorReportError(
--- a/brassfall/controlplane/registry/calls.py
+++ b/brassfall/controlplane/registry/calls.py
@@ -1,4 +1,4 @@
-"""Reading the path, query and headers of calls, and their answers."""
+"""Parsing of the path, query and headers of HTTP requests, and JSON answers."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from brassfall.controlplane.registry.entries import INSTANCES
 from brassfall.errors import RequestError
 
-# Tables that are written under their own paths alone.
-OWNED = {
+# Tables that can't be written under `/tables`, each with the path of the calls that write it.
+TABLE_PATHS = {
     INSTANCES: "/registry/instances",
     "rules": "/rules",
     "edges": "/edges",
@@ -19,65 +19,69 @@
     "geo": "/geo",
 }
 
-MAX_DIGITS = 16
-MAX_QUOTED = 40  # characters of a malformed number
-MAX_REQUEST_ID = 128  # characters
+MAX_DIGITS = 16  # of a whole number in a request
+MAX_QUOTED = 40  # length to which a malformed number is cut in an error message, in characters
+MAX_REQUEST_ID = 128  # length of `X-Request-Id`, in characters
 
 
-class Brief(web.Response):
-    """A small answer to the report of a sidecar or an aggregator, with the header of its length alone.
+class MinimalResponse(web.Response):
+    """The answer to the report of a sidecar or an aggregator, with no header but its length.
 
-    It is sent about once a second on each connection: the others (server, date, type) would add 120 bytes.
+    Such an answer is sent about once a second on each connection, and the usual headers (Server, Date,
+    Content-Type) would add 120 bytes to each.
     """
 
 
-async def shorten(_request: web.Request, response: web.StreamResponse) -> None:
-    """Drop the headers of a `Brief`; aiohttp calls this before it sends a head."""
-    if isinstance(response, Brief):
+async def drop_optional_headers(_request: web.Request, response: web.StreamResponse) -> None:
+    """Remove the usual headers of a `MinimalResponse`; aiohttp calls this before it sends a response head."""
+    if isinstance(response, MinimalResponse):
         for name in ("Server", "Date", "Content-Type"):
             response.headers.popall(name, None)
 
 
 def answer(body: bytes, status: int = 200) -> web.Response:
-    """Return an answer with encoded JSON."""
+    """Return a response whose body is JSON that has been encoded already."""
     return web.Response(body=body, status=status, content_type="application/json")
 
 
 def row_address(request: web.Request) -> tuple[str, str]:
-    """Return the table and key in the path; raise `RequestError` if they are malformed."""
+    """Return the table and the key in the path of a request; raise `RequestError` if one is malformed."""
     return entries.check_name(request.match_info["table"]), entries.check_name(request.match_info["key"])
 
 
 def writable_row_address(request: web.Request) -> tuple[str, str]:
-    """Return the table and key of a write; raise `RequestError` if the table has its own path."""
+    """Return the table and the key in the path of a write.
+
+    Raise `RequestError` if one is malformed, or the table can only be written under another path.
+    """
     table, key = row_address(request)
-    if table in OWNED:
-        message = f"{table} is written under {OWNED[table]}"
+    if table in TABLE_PATHS:
+        message = f"{table} is written under {TABLE_PATHS[table]}"
         raise RequestError(message)
     return table, key
 
 
 def is_watch(request: web.Request) -> bool:
-    """Return whether a call asks for a watch."""
+    """Return whether the query of a request asks for a watch."""
     return request.query.get("watch", "0") not in ("0", "")
 
 
-def number(text: str, field: str) -> int:
-    """Return a whole number; raise `RequestError` with the field if it is none."""
+def parse_whole_number(text: str, field: str) -> int:
+    """Parse a whole number from 0 up; raise `RequestError`, which names the field, if the text is none."""
     if not (text.isascii() and text.isdigit() and len(text) <= MAX_DIGITS):
         message = f"{field}: {text[:MAX_QUOTED]!r} is no whole number from 0 up"
         raise RequestError(message)
     return int(text)
 
 
-def match(request: web.Request) -> int | None:
-    """Return the version in `If-Match`; None without it."""
+def if_match_version(request: web.Request) -> int | None:
+    """Return the version in the header `If-Match`; None without that header."""
     text = request.headers.get("If-Match")
-    return None if text is None else number(text.strip('"'), "If-Match")
+    return None if text is None else parse_whole_number(text.strip('"'), "If-Match")
 
 
 def request_id(request: web.Request) -> str:
-    """Return `X-Request-Id`; empty without it."""
+    """Return the header `X-Request-Id`, empty without it; raise `RequestError` if it is malformed."""
     text = request.headers.get("X-Request-Id", "")
     if len(text) > MAX_REQUEST_ID or not text.isprintable():
         message = f"X-Request-Id: expected up to {MAX_REQUEST_ID} printable characters"
--- a/brassfall/controlplane/registry/channels.py
+++ b/brassfall/controlplane/registry/channels.py
@@ -1,4 +1,4 @@
-"""The channels of watches: the rows of a table, or one small state that is always sent complete."""
+"""Two kinds of watch channels: the rows of a table, or one small state that is sent complete each time."""
 
 from __future__ import annotations
 
@@ -13,64 +13,65 @@
 from brassfall.controlplane.store.records import Change, Row
 from brassfall.controlplane.store.state import State
 
-CACHED_LINES = 64
-AGE_MARGIN_S = 0.1  # added to ages that are sent, since an encoded list is used for as long
+CACHED_LINES = 64  # maximum number of encoded lines that a table's channel keeps
+AGE_MARGIN_S = 0.1  # added to each age that is sent, since an encoded list is reused for that time
 
 _encode = msgspec.json.Encoder().encode
 
 
 @dataclass(frozen=True, slots=True)
 class ListFormat:
-    """The form in which a table is sent: the field of its rows, and their encoding."""
+    """The JSON form of a table's lists: the name of the field with the rows, and how rows are encoded."""
 
     list_field: str
     rows: Callable[[Iterable[Row]], list[Any]]
     changes: Callable[[Iterable[Change]], list[Any]]
-    has_ages: bool = False  # rows have ages: an encoded list is used for `AGE_MARGIN_S` at most
+    has_ages: bool = False  # True if rows state ages, so that an encoded list expires after `AGE_MARGIN_S`
 
 
 class TableChannel(Channel):
-    """All watches on one table: `{"index", "snapshot", LIST}` lines, with complete lists or changes.
+    """All watches on the table `name`, whose lines are complete lists or the changes since the last line.
 
-    `state` returns the state of the store, `name` is the table.
+    A line is a JSON object with `index`, `snapshot` (True for a complete list) and the field with the rows.
+    `state` returns the current state of the store.
     """
 
     def __init__(
-        self, state: Callable[[], State], name: str, form: ListFormat, max_unread: int, stuck_s: float
+        self, state: Callable[[], State], name: str, list_format: ListFormat, max_unread: int, stuck_s: float
     ) -> None:
         super().__init__(max_unread, stuck_s)
         self._state = state
         self._name = name
-        self._format = form
+        self._format = list_format
         self._snapshot: tuple[int, bytes] | None = None
-        self._encoded_at = 0.0
+        self._encoded_at_s = 0.0
         self._lines: dict[tuple[int, int], bytes] = {}
         self._changes: list[Change] = []
 
     @property
-    def last(self) -> int:
-        """The index up to which all changes are known."""
+    def last_index(self) -> int:
+        """The index of the table's newest change."""
         return self._state().last_index(self._name)
 
     def snapshot(self) -> bytes:
-        """Return the complete list, encoded once for each version."""
-        index, now = self.last, asyncio.get_running_loop().time()
-        aged = self._format.has_ages and now - self._encoded_at > AGE_MARGIN_S
+        """Return the complete list as an encoded line, which is encoded once for each index."""
+        index, now = self.last_index, asyncio.get_running_loop().time()
+        aged = self._format.has_ages and now - self._encoded_at_s > AGE_MARGIN_S
         if self._snapshot is None or self._snapshot[0] != index or aged:
-            self._encoded_at = now
+            self._encoded_at_s = now
             rows = self._format.rows(self._state().rows(self._name))
             self._snapshot = (index, self._encode_line(index, rows, snapshot=True))
             self.statistics.lists_encoded += 1
         return self._snapshot[1]
 
     def first_line(self, index: int) -> bytes:
-        """Return the changes after an index, or the complete list if not all of them are known."""
+        """Return the changes after an index, or the complete list if the history starts later."""
         changes = self._state().changes_since(self._name, index)
         return self.snapshot() if changes is None else self._line(index, changes)
 
     def _line(self, after: int, changes: list[Change]) -> bytes:
-        """Return the line of the changes after an index, encoded once for all watches."""
-        last = self.last
+        """Return the encoded line with the changes after an index; all watches share one encoding."""
+        last = self.last_index
         key = (after, last)
         if key not in self._lines or self._format.has_ages:
             if len(self._lines) >= CACHED_LINES:
@@ -79,8 +80,8 @@
             self.statistics.lines_encoded += 1
         return self._lines[key]
 
-    def changed(self, change: Change) -> None:
-        """Send a durable change; those of one commit are sent in one line."""
+    def queue_change(self, change: Change) -> None:
+        """Queue a durable change for all watches; the changes of one commit are sent in one line."""
         self._changes.append(change)
         self.flush_soon()
 
@@ -88,37 +89,37 @@
         newest = {change.row.key: change for change in self._changes}
         self._changes = []
         changes = self._format.changes(newest.values())
-        return chunk(self._encode_line(self.last, changes, snapshot=False))
+        return chunk(self._encode_line(self.last_index, changes, snapshot=False))
 
     def _encode_line(self, index: int, rows: list[Any], *, snapshot: bool) -> bytes:
         return _encode({"index": index, "snapshot": snapshot, self._format.list_field: rows})
 
 
 class StateChannel(Channel):
-    """Watches on one small state, which `encoded` returns: each line is the complete state."""
+    """All watches on one small state; each line is the complete state, which `encode_state` returns."""
 
-    def __init__(self, encoded: Callable[[], bytes], max_unread: int, stuck_s: float) -> None:
+    def __init__(self, encode_state: Callable[[], bytes], max_unread: int, stuck_s: float) -> None:
         super().__init__(max_unread, stuck_s)
-        self._encoded = encoded
+        self._encode_state = encode_state
         self._version = 1
 
     @property
-    def last(self) -> int:
-        """The number of changes of the state."""
+    def last_index(self) -> int:
+        """The number of changes of the state so far, plus one."""
         return self._version
 
     def snapshot(self) -> bytes:
-        """Return the state."""
-        return self._encoded()
+        """Return the complete state, encoded."""
+        return self._encode_state()
 
     def first_line(self, _index: int) -> bytes:
-        """Return the state for any index: the watch may have missed earlier ones."""
-        return self._encoded()
+        """Return the complete state whatever the index, since the watch may have missed earlier states."""
+        return self._encode_state()
 
     def state_changed(self) -> None:
-        """Send the state once the running callbacks are done."""
+        """Send the state to all watches once the callbacks that are due have run."""
         self._version += 1
         self.flush_soon()
 
     def _changes_chunk(self) -> bytes:
-        return chunk(self._encoded())
+        return chunk(self._encode_state())
--- a/brassfall/controlplane/registry/children_listing.py
+++ b/brassfall/controlplane/registry/children_listing.py
@@ -1,4 +1,4 @@
-"""Requests to aggregators for the rows of their children, within a time limit."""
+"""Requests to aggregators for the rows of their children, each with a time limit."""
 
 from __future__ import annotations
 
@@ -11,87 +11,87 @@
 import aiohttp
 import msgspec
 
-from brassfall.controlplane.registry.sidecar_rows import Expected, SidecarRow, behind
+from brassfall.controlplane.registry.sidecar_rows import ExpectedState, SidecarRow, describe_lag
 from brassfall.controlplane.revisions.reports import Objection
 
-TIMEOUT_S = 1.0
-MAX_CONCURRENT = 8
-ANSWER_BYTES = 4_000_000
-MAX_REASON = 200  # characters
+TIMEOUT_S = 1.0  # for one aggregator's answer
+MAX_CONCURRENT = 8  # requests to aggregators that are under way at once
+MAX_ANSWER_BYTES = 4_000_000
+MAX_REASON = 200  # length to which the reason of a failed request is cut, in characters
 
 
 class _ChildRow(SidecarRow, kw_only=True):
-    """A row as an aggregator sends it."""
+    """The row of a sidecar as an aggregator sends it, with the sidecar's objection."""
 
     objection: Objection | None = None
 
 
-class _Answer(msgspec.Struct, rename={"rows": "edges"}):
-    """The part of an aggregator's `GET /edges` that is read here."""
+class _EdgesAnswer(msgspec.Struct, rename={"rows": "edges"}):
+    """The part of an aggregator's answer to `GET /edges` that the list service reads."""
 
     rows: list[_ChildRow]
 
 
 @dataclass(slots=True)
 class ChildListing:
-    """The rows of the aggregators that answered, and why the others did not, by aggregator."""
+    """The rows of the children, by aggregator, and why an aggregator did not answer, by aggregator."""
 
     rows: dict[str, list[SidecarRow]] = field(default_factory=dict)
     unanswered: dict[str, str] = field(default_factory=dict)
 
 
-async def gather(
-    session: aiohttp.ClientSession, listens: Mapping[str, str], expected: Expected
+async def request_child_rows(
+    session: aiohttp.ClientSession, addresses: Mapping[str, str], expected: ExpectedState
 ) -> ChildListing:
-    """Request the rows of aggregators by name, at their addresses; ages count from the request.
+    """Request the children's rows from all aggregators; `addresses` maps their names to HOST:PORT.
 
-    Cancelling ends all calls.
+    The time that a request takes is added to the ages in its rows. Cancelling ends all requests.
     """
-    listing, free = ChildListing(), asyncio.Semaphore(MAX_CONCURRENT)
+    listing, slots = ChildListing(), asyncio.Semaphore(MAX_CONCURRENT)
 
-    async def ask(name: str, listen: str) -> None:
-        async with free:
+    async def request_from(name: str, address: str) -> None:
+        async with slots:
             try:
-                listing.rows[name] = await _ask(session, name, listen, expected)
+                listing.rows[name] = await _request_rows(session, name, address, expected)
             except TimeoutError:
-                listing.unanswered[name] = f"no answer from {listen} within {TIMEOUT_S:g} s"
+                listing.unanswered[name] = f"no answer from {address} within {TIMEOUT_S:g} s"
             except (aiohttp.ClientError, msgspec.MsgspecError, OSError, ValueError) as error:
-                listing.unanswered[name] = f"{listen}: {error}"[:MAX_REASON]
+                listing.unanswered[name] = f"{address}: {error}"[:MAX_REASON]
 
-    await asyncio.gather(*(ask(name, listen) for name, listen in listens.items()))
+    await asyncio.gather(*(request_from(name, address) for name, address in addresses.items()))
     return listing
 
 
-async def _ask(
-    session: aiohttp.ClientSession, name: str, listen: str, expected: Expected
+async def _request_rows(
+    session: aiohttp.ClientSession, name: str, address: str, expected: ExpectedState
 ) -> list[SidecarRow]:
-    if not listen:
-        message = "it has not reported where it listens"
+    if not address:
+        message = "it has not reported where it addresses"
         raise ValueError(message)
-    asked_s = time.monotonic()
-    async with asyncio.timeout(TIMEOUT_S), session.get(f"http://{listen}/edges") as response:
+    requested_s = time.monotonic()
+    async with asyncio.timeout(TIMEOUT_S), session.get(f"http://{address}/edges") as response:
         response.raise_for_status()
-        body = await _read(response)
-    rows = msgspec.json.decode(body, type=_Answer).rows
-    elapsed_ms = (time.monotonic() - asked_s) * 1000.0
-    return [_row(each, name, elapsed_ms, expected) for each in rows]
+        body = await _read_body(response)
+    rows = msgspec.json.decode(body, type=_EdgesAnswer).rows
+    elapsed_ms = (time.monotonic() - requested_s) * 1000.0
+    return [_sidecar_row(child, name, elapsed_ms, expected) for child in rows]
 
 
-def _row(child: _ChildRow, via: str, elapsed_ms: float, expected: Expected) -> SidecarRow:
+def _sidecar_row(child: _ChildRow, via: str, elapsed_ms: float, expected: ExpectedState) -> SidecarRow:
     row = SidecarRow(**{field: getattr(child, field) for field in SidecarRow.__struct_fields__})
     row.via = via
     if row.age_ms is not None:
         row.age_ms = round(row.age_ms + elapsed_ms)
-    row.behind = behind(row, expected, child.objection)
+    row.behind = describe_lag(row, expected, child.objection)
     return row
 
 
-async def _read(response: aiohttp.ClientResponse) -> bytes:
+async def _read_body(response: aiohttp.ClientResponse) -> bytes:
     body = bytearray()
     with contextlib.closing(response):
         async for part in response.content.iter_any():
             body += part
-            if len(body) > ANSWER_BYTES:
-                message = f"its answer is longer than {ANSWER_BYTES} bytes"
+            if len(body) > MAX_ANSWER_BYTES:
+                message = f"its answer is longer than {MAX_ANSWER_BYTES} bytes"
                 raise ValueError(message)
     return bytes(body)
--- a/brassfall/controlplane/registry/client.py
+++ b/brassfall/controlplane/registry/client.py
@@ -1,4 +1,4 @@
-"""A client of the list service: single calls and watches."""
+"""A client of the list service's HTTP calls and watches, and helpers to read its answers."""
 
 from __future__ import annotations
 
@@ -12,20 +12,21 @@
 from brassfall.errors import UnreachableError
 
 CALL_TIMEOUT_S = 2.0
-# The last two: an address that is no URL, and a line or a head without end.
-UNANSWERED = (aiohttp.ClientError, TimeoutError, OSError, ValueError, HttpProcessingError)
-UNREADABLE = (msgspec.MsgspecError, UnicodeDecodeError, RecursionError)
+# Exceptions of a call that got no answer. `ValueError` stands for an address that makes no valid URL,
+# `HttpProcessingError` for an answer with an endless line or head.
+CONNECTION_ERRORS = (aiohttp.ClientError, TimeoutError, OSError, ValueError, HttpProcessingError)
+DECODING_ERRORS = (msgspec.MsgspecError, UnicodeDecodeError, RecursionError)
 ANOTHER_PROGRAM = "Another program seems to listen there: name the address of a list service."
-SILENCE_TIMEOUT_S = 4.5  # a watch brings a heartbeat every 2 s
+SILENCE_TIMEOUT_S = 4.5  # for the next bytes of a watch, which sends a heartbeat every 2 s
 
-MAX_REASON = 200  # characters
-MAX_LINE = 2**22  # bytes of a watch's line
+MAX_REASON = 200  # length to which the reason of a failed call is cut, in characters
+MAX_LINE_BYTES = 2**22  # maximum length of a line of a watch
 
-Kind = TypeVar("Kind")
+Decoded = TypeVar("Decoded")
 
 
 class ErrorAnswer(msgspec.Struct, frozen=True):
-    """The body of an answer that is an error."""
+    """The JSON body of an answer with an error status."""
 
     reason: str
 
@@ -34,13 +35,13 @@
 
 
 class CallError(UnreachableError):
-    """A call had no good answer; its text is one line."""
+    """A call got no answer, an error status or a malformed answer; the error's text is one line."""
 
     action = "See that a list service runs at that address and is reachable from here; its log says more."
 
 
 class CallRefusedError(CallError):
-    """The service refused a call; the text is the service's own, and says what can be done."""
+    """The service answered a call with an error status; reason and action are the service's own."""
 
     action = "See the log of the list service for what it refused."
 
@@ -48,75 +49,81 @@
 async def call(
     address: str, method: str, path: str, body: object = None, headers: Mapping[str, str] | None = None
 ) -> Any:  # noqa: ANN401 - JSON of any form; `decode_answer` gives it a type
-    """Make one call; return its JSON, or raise `CallError` with the service's reason or the failure."""
+    """Make one call; return the decoded JSON of its answer.
+
+    `address` is HOST:PORT. Raise `CallError` with the service's reason, or with the failure of the call.
+    """
     try:
         async with (
             aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=CALL_TIMEOUT_S)) as session,
             session.request(method, f"http://{address}{path}", json=body, headers=headers) as answer,
         ):
             data = await answer.read()
-    except UNANSWERED as error:
+    except CONNECTION_ERRORS as error:
         raise CallError(address, str(error)[:MAX_REASON] or "no answer") from error
     if answer.status != 200:
-        raise _refused(address, answer.status, data)
+        raise _refusal_error(address, answer.status, data)
     try:
         return msgspec.json.decode(data)
-    except UNREADABLE as error:
+    except DECODING_ERRORS as error:
         raise CallError(address, "the answer is no JSON", ANOTHER_PROGRAM) from error
 
 
 async def watch(address: str, path: str, index: int = 0) -> AsyncIterator[bytes]:
-    """Yield the lines of one watch, with empty ones, until it ends; raise `CallError` if it fails."""
+    """Yield the lines of one watch, including the empty heartbeats, until the service ends it.
+
+    `index` is the last one that the caller has. Raise `CallError` if the watch fails.
+    """
     limit = aiohttp.ClientTimeout(total=None, connect=CALL_TIMEOUT_S, sock_read=SILENCE_TIMEOUT_S)
     try:
         async with (
-            aiohttp.ClientSession(timeout=limit, read_bufsize=MAX_LINE) as session,
+            aiohttp.ClientSession(timeout=limit, read_bufsize=MAX_LINE_BYTES) as session,
             session.get(f"http://{address}{path}?watch=1&from={index}") as answer,
         ):
             if answer.status != 200:
-                raise _refused(address, answer.status, await answer.read())
+                raise _refusal_error(address, answer.status, await answer.read())
             async for line in answer.content:
                 yield line.strip()
-    except UNANSWERED as error:
+    except CONNECTION_ERRORS as error:
         raise CallError(address, str(error)[:MAX_REASON] or "the watch fell silent") from error
 
 
-async def read_bounded(answer: aiohttp.ClientResponse, most: int) -> bytes:
-    """Return the body of an answer; raise `ValueError`, and close its connection, if it is too long."""
+async def read_bounded(answer: aiohttp.ClientResponse, max_bytes: int) -> bytes:
+    """Return the body of an answer; if it is too long, close its connection and raise `ValueError`."""
     body = bytearray()
     async for part in answer.content.iter_any():
         body += part
-        if len(body) > most:
+        if len(body) > max_bytes:
             answer.close()
-            message = f"an answer of more than {most} bytes"
+            message = f"an answer of more than {max_bytes} bytes"
             raise ValueError(message)
     return bytes(body)
 
 
-def decode_answer(address: str, kind: type[Kind], raw: object) -> Kind:
-    """Return an answer, or a line of a watch, as its type; raise `CallError` if it is malformed."""
+def decode_answer(address: str, form: type[Decoded], raw: object) -> Decoded:
+    """Convert the JSON of an answer, or of a line of a watch, to a type; raise `CallError` if that fails."""
     try:
-        return msgspec.json.decode(raw, type=kind) if isinstance(raw, bytes) else msgspec.convert(raw, kind)
-    except UNREADABLE as error:
+        return msgspec.json.decode(raw, type=form) if isinstance(raw, bytes) else msgspec.convert(raw, form)
+    except DECODING_ERRORS as error:
         raise CallError(address, f"what came is not what was asked for: {error}", ANOTHER_PROGRAM) from error
 
 
 def retry_after_s(text: str | None) -> float:
-    """Return the seconds of a `Retry-After`, up to a minute; 0 if it is malformed."""
+    """Parse the header `Retry-After` into seconds, 60 at most; return 0 if it is missing or malformed."""
     try:
         return min(max(float(text or 0.0), 0.0), 60.0)
     except ValueError:
         return 0.0
 
 
-def _refused(address: str, status: int, body: bytes) -> CallRefusedError:
-    text, _, action = reason_of(body).partition(". ")
+def _refusal_error(address: str, status: int, body: bytes) -> CallRefusedError:
+    text, _, action = error_reason(body).partition(". ")
     return CallRefusedError(address, f"{status}, {text}", action)
 
 
-def reason_of(body: bytes) -> str:
-    """Return the reason in an error's answer, or the start of a body in another form."""
+def error_reason(body: bytes) -> str:
+    """Return the reason in the body of an error answer, or the start of a body that has none."""
     try:
         return _error_answer(body).reason
-    except UNREADABLE:
+    except DECODING_ERRORS:
         return body[:MAX_REASON].decode("latin-1")
--- a/brassfall/controlplane/registry/entries.py
+++ b/brassfall/controlplane/registry/entries.py
@@ -1,4 +1,4 @@
-"""Instances on the wire: registrations, changes and list entries, with their checks. Pure code."""
+"""JSON forms of instances: registrations, updates and list entries, with their validation. No I/O."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 INSTANCES = "instances"
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._:-]{0,127}")
 TEXT = re.compile(r"[\x20-\x7e]{0,128}")
-MAX_INTEGER = 2**53  # above it JSON readers lose precision
-MAX_QUOTED = 140  # characters of a malformed name
+MAX_INTEGER = 2**53  # JSON parsers with double-precision numbers lose precision above this value
+MAX_QUOTED = 140  # length to which a malformed name is cut in an error message, in characters
 
 
 class Registration(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -32,25 +32,25 @@
     status: Literal["active", "leaving"] = "active"
     weight: float = 1.0
     since_ms: int = 0
-    ttl_ms: int | None = None  # 0: until it leaves
+    ttl_ms: int | None = None  # length of the lease; 0: no lease, None: the configured default
 
 
 class InstanceUpdate(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The body of `PATCH`."""
+    """The body of `PATCH /registry/instances/NAME`."""
 
     status: Literal["active", "leaving"] | None = None
     weight: float | None = None
-    since_ms: int | None = None  # only if this incarnation has the name
+    since_ms: int | None = None  # if given, the update applies only to this incarnation of the server
 
 
 class IncarnationReference(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The body of `renew` and `DELETE`, which may be empty."""
+    """The body of a renewal or `DELETE` of an instance, which may name the incarnation that it is for."""
 
     since_ms: int | None = None
 
 
 class Endpoint(msgspec.Struct, frozen=True):
-    """One entry of a list, in the protocol's form."""
+    """One entry of the endpoint list, in the form of the discovery protocol."""
 
     name: str
     address: str
@@ -63,7 +63,10 @@
 
 
 class InstanceList(msgspec.Struct, frozen=True):
-    """A complete list, or a line of a watch."""
+    """The answer to `GET /registry/instances`, or a line of a watch on it.
+
+    With `snapshot` the endpoints are the complete list, otherwise the entries changed since the last line.
+    """
 
     index: int
     endpoints: list[Endpoint]
@@ -71,7 +74,7 @@
 
 
 def check_name(text: str) -> str:
-    """Return a name of an instance, a table or a key; raise `RequestError` if it is malformed."""
+    """Return a valid name of an instance, table or key as it is; raise `RequestError` for a malformed one."""
     if not NAME.fullmatch(text):
         message = f"name {text[:MAX_QUOTED]!r}: expected 1 to 128 letters, digits, '.', '_', ':' or '-'"
         raise RequestError(message)
@@ -79,7 +82,10 @@
 
 
 def parse_registration(key: str, body: bytes, leases: LeaseSettings) -> tuple[Registration, int]:
-    """Return a registration and its time to live in ms; raise `RequestError` if it is malformed."""
+    """Parse the body of a registration of the instance `key`; return it with its time to live in ms.
+
+    Raise `RequestError` if a field is malformed or out of range.
+    """
     try:
         asked = msgspec.json.decode(body, type=Registration)
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
@@ -103,7 +109,10 @@
 
 
 def check_ttl(asked: int | None, leases: LeaseSettings) -> int:
-    """Return a time to live in ms, by default the configured one; raise `RequestError` out of range."""
+    """Return the requested time to live in ms, or the configured default for None.
+
+    Raise `RequestError` if it is outside the configured limits; 0 stands for no lease, and is allowed.
+    """
     if asked is None:
         return leases.default_ms
     if asked != 0 and not leases.least_ms <= asked <= leases.most_ms:
@@ -115,7 +124,10 @@
 def register_command(
     key: str, asked: Registration, ttl_ms: int, if_match: int | None, request_id: str
 ) -> Put:
-    """Return the command of a registration: of two processes with one name the one started later has it."""
+    """Return the store command for a registration.
+
+    The start time of the server is the fence: of two processes with one name, the later one gets the row.
+    """
     entry = Endpoint(
         key, asked.address, asked.zone, asked.type, asked.group, asked.status, asked.weight, asked.since_ms
     )
@@ -133,7 +145,10 @@
 
 
 def update_command(key: str, body: bytes, if_match: int | None, request_id: str) -> Patch:
-    """Return the command that changes status or weight; raise `RequestError` if it is malformed."""
+    """Parse an update of an instance's status or weight into a store command.
+
+    Raise `RequestError` if the body is malformed or changes nothing.
+    """
     try:
         asked = msgspec.json.decode(body, type=InstanceUpdate)
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
@@ -157,7 +172,10 @@
 
 
 def parse_incarnation(body: bytes) -> int | None:
-    """Return the incarnation that a call names, or None; raise `RequestError` if the body is malformed."""
+    """Return the incarnation in the body of a renewal or removal; None for an empty body or without one.
+
+    Raise `RequestError` if the body is malformed.
+    """
     if not body:
         return None
     try:
@@ -167,22 +185,25 @@
 
 
 def remove_command(key: str, fence: int | None, if_match: int | None, request_id: str) -> Delete:
-    """Return the command that removes an instance."""
+    """Return the store command that removes an instance."""
     return Delete(table=INSTANCES, key=key, fence=fence, if_match=if_match, request_id=request_id)
 
 
 def is_guarded(table: str, row: Row) -> bool:
-    """Return whether a missing renewal of a row may be a network fault, since its server is not leaving."""
+    """Return whether the guard against mass expiry applies to a row.
+
+    It applies to instances that are not leaving: their missing renewals may be due to a network fault.
+    """
     return table == INSTANCES and row.value["status"] == "active"
 
 
 def list_entries(rows: Iterable[Row]) -> list[Any]:
-    """Return the entries of a complete list."""
+    """Return the JSON entries of a complete endpoint list."""
     return [row.value for row in rows]
 
 
 def change_entries(changes: Iterable[Change]) -> list[Any]:
-    """Return the entries of a watch's line; a removed one has the status `left`."""
+    """Return the JSON entries of changed instances; a removed instance has the status `left`."""
     return [{**change.row.value, "status": "left"} if change.gone else change.row.value for change in changes]
 
 
--- a/brassfall/controlplane/registry/fleet.py
+++ b/brassfall/controlplane/registry/fleet.py
@@ -1,4 +1,4 @@
-"""Views of the whole fleet: the number of sidecars, and the rows of those that report to the service."""
+"""The number of sidecars in the fleet, and the rows of those that report to the list service directly."""
 
 from __future__ import annotations
 
@@ -7,10 +7,15 @@
 import msgspec
 
 from brassfall.controlplane.registry.revision_service import RevisionService
-from brassfall.controlplane.registry.sidecar_rows import NEVER, Expected, SidecarRow, reported_row
+from brassfall.controlplane.registry.sidecar_rows import (
+    NEVER_REPORTED,
+    ExpectedState,
+    SidecarRow,
+    reported_row,
+)
 from brassfall.controlplane.revisions.refusals import text_of
 
-COUNT_VALID_MS = 100.0  # for which a count of all sidecars is used
+COUNT_VALID_MS = 100.0  # time for which a count of all sidecars is cached
 
 
 class RevisionStatus(
@@ -25,14 +30,14 @@
         "forced": "harmful_forced",
     },
 ):
-    """The part of `/status` on the revisions."""
+    """The part of `/status` about configuration revisions; counts run since the start of the process."""
 
-    revision: int  # committed
-    prepared: int  # pending; 0: none
+    revision: int  # number of the committed revision
+    prepared: int  # number of the pending revision; 0: none
     granting: str  # "yes", or why no lease can be granted
     members: int
-    sidecars: int  # in the whole fleet
-    leased: int  # processes that may act on a revision
+    sidecars: int  # number of sidecars in the whole fleet, including the children of aggregators
+    leased: int  # number of processes that hold a lease on a revision
     reports: int
     reports_refused: int
     harmful: int
@@ -40,17 +45,16 @@
 
 
 class Fleet:
-    """Views of all nodes, which change nothing."""
+    """Read-only views of all nodes that report to the list service."""
 
     def __init__(self, service: RevisionService) -> None:
         self._service = service
         self._counted_ms, self._count = -math.inf, 0
 
     def count(self) -> int:
-        """Return the number of sidecars in the whole fleet, each counted once.
+        """Return the number of sidecars in the whole fleet: members, and the children of aggregators.
 
-        These are members and the children of aggregators. With aggregators, the count may be `COUNT_VALID_MS`
-        old.
+        Each sidecar is counted once. If there are aggregators, the count may be `COUNT_VALID_MS` old.
         """
         now, directory = self._service.now(), self._service.directory
         members = self._service.coordinator.membership.names
@@ -62,19 +66,19 @@
         return self._count
 
     def _is_direct(self, name: str) -> bool:
-        """Return whether a node is a sidecar that reports to the service itself."""
+        """Return whether a node is a sidecar that reports to the list service directly."""
         directory = self._service.directory
         return name not in directory and not directory.knows(name)
 
-    def expected(self) -> Expected:
-        """Return the values that rows are compared with."""
+    def expected(self) -> ExpectedState:
+        """Return the state that an up-to-date sidecar or aggregator has, to compare its row with."""
         coordinator = self._service.coordinator
-        return Expected(
+        return ExpectedState(
             coordinator.state.committed.number, coordinator.epoch, coordinator.timing.expiry_bound_ms
         )
 
     def rows(self) -> list[SidecarRow]:
-        """Return the rows of all sidecars that report here themselves, or did, in the order of names."""
+        """Return the rows of direct sidecars by name, including members that have not reported yet."""
         now, expected = self._service.now(), self.expected()
         membership = self._service.coordinator.membership
         rows = []
@@ -84,12 +88,12 @@
                 rows.append(
                     reported_row(node, now, expected)
                     if node is not None
-                    else SidecarRow(name=name, behind=NEVER)
+                    else SidecarRow(name=name, behind=NEVER_REPORTED)
                 )
         return rows
 
     def status(self) -> RevisionStatus:
-        """Return the part of `/status` on the revisions."""
+        """Return the part of `/status` about configuration revisions."""
         coordinator, statistics = self._service.coordinator, self._service.statistics
         now = self._service.now()
         return RevisionStatus(
--- a/brassfall/controlplane/registry/fleet_listing.py
+++ b/brassfall/controlplane/registry/fleet_listing.py
@@ -1,4 +1,4 @@
-"""`GET /edges`: all sidecars, those that report here and the children that aggregators list."""
+"""`GET /edges`: the listing of all sidecars, both direct ones and the children of aggregators."""
 
 from __future__ import annotations
 
@@ -25,7 +25,10 @@
     frozen=True,
     rename={"rows": "edges", "revision": "edition", "granting": "permits", "lists": "list"},
 ):
-    """The answer to `GET /edges`; `unanswered` has the aggregators that did not list their children."""
+    """The answer to `GET /edges`.
+
+    `unanswered` maps each aggregator that did not list its children to the reason.
+    """
 
     rows: list[SidecarRow]
     revision: int
@@ -35,7 +38,7 @@
 
 
 class FleetListing:
-    """Makes the listing, and requests it from aggregators; concurrent calls share one request."""
+    """Answers `GET /edges`, for which it requests rows from aggregators; concurrent calls share a request."""
 
     def __init__(self, service: RevisionService, fleet: Fleet) -> None:
         self._service = service
@@ -44,11 +47,11 @@
         self._request: asyncio.Task[ChildListing] | None = None
 
     def start(self) -> None:
-        """Prepare requests to aggregators; call it within the running loop."""
+        """Open the client session for requests to aggregators; call it within the running loop."""
         self._session = aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0))
 
     async def close(self) -> None:
-        """Cancel a request under way, and stop."""
+        """Cancel a request under way, and close the client session."""
         if self._request is not None:
             self._request.cancel()
             await asyncio.gather(self._request, return_exceptions=True)
@@ -63,36 +66,39 @@
         return answer(_encode(await self.listing()))
 
     async def listing(self) -> Listing:
-        """Return the listing. Cancelling it does not cancel a request that other calls share."""
+        """Return the listing of all sidecars.
+
+        Cancelling it does not cancel the request to the aggregators, which other calls may share.
+        """
         service, expected = self._service, self._fleet.expected()
-        children = await self._ask()
-        by_name = {row.name: row for row in self._fleet.rows()}
-        by_name |= self._children(children)
-        rows = [by_name[name] for name in sorted(by_name)]
+        children = await self._request_children()
+        rows_by_name = {row.name: row for row in self._fleet.rows()}
+        rows_by_name |= self._child_rows(children)
+        rows = [rows_by_name[name] for name in sorted(rows_by_name)]
         index = service.host.store.state.last_index(INSTANCES)
         sidecar_rows.add_findings(rows, [extension.findings() for extension in service.extensions])
         return Listing(
             rows=rows,
             revision=expected.committed,
             granting=text_of(service.coordinator.grant_refusal(service.now())) or "yes",
-            lists=sidecar_rows.spread(rows, index, expected.silent_ms),
+            lists=sidecar_rows.list_spread(rows, index, expected.silent_ms),
             unanswered=children.unanswered,
         )
 
-    async def _ask(self) -> ChildListing:
+    async def _request_children(self) -> ChildListing:
         aggregators = self._service.directory.aggregators
         if not aggregators or self._session is None:
             return ChildListing()
         if self._request is None or self._request.done():
-            listens = {name: process.report.listen for name, process in aggregators.items()}
-            request = children_listing.gather(self._session, listens, self._fleet.expected())
+            addresses = {name: process.report.listen for name, process in aggregators.items()}
+            request = children_listing.request_child_rows(self._session, addresses, self._fleet.expected())
             self._request = asyncio.create_task(request)
         return await asyncio.shield(self._request)
 
-    def _children(self, listing: ChildListing) -> dict[str, SidecarRow]:
-        """Return the rows of children by name, each from the aggregator that owns it.
+    def _child_rows(self, listing: ChildListing) -> dict[str, SidecarRow]:
+        """Return the rows of aggregators' children by name, each from the aggregator that owns the child.
 
-        A child whose aggregator does not answer has a row without details.
+        A child has a row without details if its aggregator does not answer or does not list it.
         """
         rows: dict[str, SidecarRow] = {}
         directory, nodes = self._service.directory, self._service.coordinator.membership.nodes
--- a/brassfall/controlplane/registry/front.py
+++ b/brassfall/controlplane/registry/front.py
@@ -1,4 +1,4 @@
-"""The HTTP server of the processes of this package: connections, limits, errors and watches."""
+"""The HTTP server of a list service or aggregator: connections, limits, errors and watches."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 from brassfall import logs
 from brassfall.controlplane.registry import calls
-from brassfall.controlplane.registry.callers import HEAD_BYTES, QUIET, Callers, Connection
+from brassfall.controlplane.registry.callers import HEAD_BYTES, SILENCED_LOGGER, CallerConnections, Connection
 from brassfall.controlplane.registry.http_errors import UnknownPathError, error_response, status_response
 from brassfall.controlplane.registry.limits import CallerQuotas, CallRateLimiter, JoinLimiter
 from brassfall.controlplane.registry.watches import TICK_S, Channel, chunk
@@ -24,13 +24,13 @@
 from brassfall.logs import faults, logger
 from brassfall.settings import CallerLimits, parse_address
 
-BACKLOG = 4096  # a whole fleet may connect at once
-BIND_RETRY_S, BIND_PAUSE_S = 3.0, 0.1
-# Failures for lack of memory, buffers or descriptors, which may end by themselves.
+BACKLOG = 4096  # pending connections of the listening socket; a whole fleet may connect at once
+BIND_RETRY_S, BIND_PAUSE_S = 3.0, 0.1  # time for which a failed bind is retried, and pause between attempts
+# Errors of `bind` for lack of memory, buffers or descriptors, which may pass by themselves.
 TEMPORARY_ERRORS = frozenset({errno.EINTR, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
-BODY_TIMEOUT_S = 5.0
-SHUTDOWN_TIMEOUT_S = 5.0  # for calls under way, when the process ends
-WATCH_RETRY_S = 5.0  # if a caller's places for watches are in use; up to twice as long
+BODY_TIMEOUT_S = 5.0  # for the complete body of a request
+SHUTDOWN_TIMEOUT_S = 5.0  # for the answers to calls under way when the server closes
+WATCH_RETRY_S = 5.0  # `Retry-After` if a caller has no place for a watch left; spread up to twice as long
 
 log = logger("http")
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
@@ -39,27 +39,27 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchRequest:
-    """The channel of a new watch; `channel` and `deferred` are called when they are needed."""
+    """What a new watch is on; `channel` and `deferred` are called once the watch has been admitted."""
 
-    index: int  # up to which the caller has received all changes
+    index: int  # index up to which the caller has received all changes
     channel: Callable[[], Channel]
-    deferred: Callable[[], bool] = lambda: False  # its first line waits for `Channel.release`
+    deferred: Callable[[], bool] = lambda: False  # True if the first line waits for `Channel.release`
     headers: Mapping[str, str] = field(default_factory=dict)
 
 
-class Front:
-    """The HTTP server of one process within a running loop, with the limits of its callers.
+class HttpServer:
+    """The HTTP server of one process within a running loop, with limits on its callers.
 
-    `called` gets the method, status and seconds of each answered call. `channels` has the channels of
-    watches by name, which the owner of the process adds.
+    `called` is called with the method, status and duration in seconds of each answered call. `channels` maps
+    names to the channels of watches; the parts of the process add theirs.
     """
 
     def __init__(self, limits: CallerLimits, called: Called) -> None:
         self.limits = limits
-        self.callers = Callers(limits)
+        self.callers = CallerConnections(limits)
         self._watches = CallerQuotas(limits.watches, limits.caller_share)
         self.channels: dict[str, Channel] = {}
-        self.rejected = 0  # calls that got 503 with `Retry-After`
+        self.rejected = 0  # number of calls answered with 503 and `Retry-After`
         self.rng = random.Random()
         self._called = called
         self._rates = CallRateLimiter(limits.caller_calls_per_s)
@@ -72,24 +72,28 @@
     # --- start and end ------------------------------------------------------
 
     async def bind(self, listen: str) -> None:
-        """Bind the address; raise `OSError` if that fails.
+        """Bind the listening socket to an address HOST:PORT; raise `OSError` if that fails.
 
-        Failures for lack of memory or descriptors are retried for `BIND_RETRY_S`.
+        A failure for lack of memory or descriptors is retried for `BIND_RETRY_S`.
         """
         _raise_descriptors()
         self._socket = await _create_server(parse_address(listen))
-        # Otherwise the kernel buffers megabytes for each slow reader, beyond the limit of its watch.
+        # Accepted sockets inherit this send buffer. Without it the kernel buffers megabytes for each slow
+        # reader, beyond the limit on the unread bytes of a watch.
         self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, self.limits.watch_bytes // 2)
 
     def unbind(self) -> None:
-        """Release the address after a failed start, before any call is served."""
+        """Close the listening socket after a failed start, unless calls are already served."""
         if self._socket is not None and self._server is None:
             self._socket.close()
 
     async def serve(self, routes: Iterable[web.RouteDef], after_tick: Callable[[], None]) -> str:
-        """Serve calls; return the address. `after_tick` is called every `TICK_S`, after the channels."""
+        """Start to serve calls; return the bound address as HOST:PORT.
+
+        `after_tick` is called every `TICK_S`, after the channels have sent their heartbeats.
+        """
         app = web.Application(middlewares=[self._call], client_max_size=self.limits.body_bytes)
-        app.on_response_prepare.append(calls.shorten)
+        app.on_response_prepare.append(calls.drop_optional_headers)
         app.router.add_routes(routes)
         self._runner = web.AppRunner(app, handler_cancellation=True)
         await self._runner.setup()
@@ -103,7 +107,7 @@
                 manager,
                 loop=loop,
                 access_log=None,
-                logger=QUIET,
+                logger=SILENCED_LOGGER,
                 max_line_size=HEAD_BYTES,
                 max_field_size=HEAD_BYTES,
                 max_headers=64,
@@ -118,13 +122,13 @@
         return f"{host}:{port}"
 
     async def close(self) -> None:
-        """Stop: end the watches, and wait for the answers to calls under way."""
+        """Stop accepting connections, end the watches, and wait for the answers to calls under way."""
         if self._server is not None:
             self._server.close()
         else:
             self.unbind()
         for channel in self.channels.values():
-            channel.end()
+            channel.abort_all()
         if self._heartbeat is not None:
             self._heartbeat.cancel()
             await asyncio.wait({self._heartbeat})
@@ -133,7 +137,7 @@
                 await asyncio.wait_for(self._runner.cleanup(), SHUTDOWN_TIMEOUT_S)
 
     async def _tick(self, after: Callable[[], None]) -> None:
-        """Tick the channels and close idle connections; a late tick is not repeated."""
+        """Tick the channels and close idle connections every `TICK_S`; a late tick is not made up for."""
         while True:
             await asyncio.sleep(TICK_S)
             with faults(log):
@@ -146,14 +150,14 @@
 
     @web.middleware
     async def _call(self, request: web.Request, handler: Handler) -> web.StreamResponse:
-        """Limit the caller's rate of calls, and answer every error in JSON."""
+        """Limit the caller's rate of calls, and pass the call on; errors are answered in JSON."""
         connection = request.protocol
         assert isinstance(connection, Connection)
-        self.callers.busy(connection)
+        self.callers.mark_busy(connection)
         begun = time.perf_counter()
         status = 500
         try:
-            wait = self._rates.wait(connection.caller, time.monotonic())
+            wait = self._rates.admission_wait_s(connection.caller, time.monotonic())
             made = (
                 status_response(429, f"{connection.caller} calls too often", wait)
                 if wait
@@ -163,7 +167,7 @@
             return made
         finally:
             self._called(request.method, status, time.perf_counter() - begun)
-            self.callers.idle(connection)
+            self.callers.mark_idle(connection)
 
     async def _handle(self, request: web.Request, handler: Handler) -> web.StreamResponse:
         try:
@@ -187,49 +191,53 @@
             return status_response(500, "a fault in the service")
 
     async def body(self, request: web.Request) -> bytes:
-        """Return the complete body of a call; raise `TimeoutError` if it is not received in time."""
+        """Return the complete body of a call; raise `TimeoutError` if it takes over `BODY_TIMEOUT_S`."""
         if not request.can_read_body:
             return b""
         if request.content.is_eof():
-            return await request.read()  # received with the head, as small ones are
+            return await request.read()  # the body arrived with the head, so that no time limit is needed
         async with asyncio.timeout(BODY_TIMEOUT_S):
             return await request.read()
 
     # --- complete lists and watches ----------------------------------------------
 
     def reject(self, reason: str, retry_s: float) -> web.Response:
-        """Return a 503 with `Retry-After`, in s."""
+        """Count a rejected call; return a 503 whose `Retry-After` is `retry_s`, in s."""
         self.rejected += 1
         return status_response(503, reason, retry_s)
 
     def admit_join(self, reason: str) -> web.Response | None:
-        """Count a complete list or a new watch; return the answer to send instead if there are too many."""
-        wait_s = self._join_limiter.wait(time.monotonic(), self.rng.random())
+        """Count a complete list or a new watch; return the rejection if there are too many, else None."""
+        wait_s = self._join_limiter.admission_wait_s(time.monotonic(), self.rng.random())
         return self.reject(reason, wait_s) if wait_s else None
 
     async def watch(self, request: web.Request, wanted: WatchRequest) -> web.StreamResponse:
-        """Serve a watch until it ends; cancelling ends it, which aiohttp does when its caller has left."""
+        """Serve a watch until it ends, or reject it if there are too many.
+
+        Cancelling ends the watch; aiohttp cancels it when the caller has disconnected.
+        """
         connection = request.protocol
         assert isinstance(connection, Connection)
         rejection = self.admit_join("too many open a watch at once")
         if rejection is not None:
             return rejection
-        why = self._watches.take(connection.caller)
+        why = self._watches.acquire(connection.caller)
         if why:
             return self.reject(why, WATCH_RETRY_S * (1.0 + self.rng.random()))
         try:
             return await _serve_watch(request, wanted)
         finally:
-            self._watches.give_back(connection.caller)
+            self._watches.release(connection.caller)
 
 
 async def _serve_watch(request: web.Request, wanted: WatchRequest) -> web.StreamResponse:
-    """Serve a watch until it ends; its lines bypass aiohttp's stream."""
+    """Serve an admitted watch until it ends; lines are written to the transport, past aiohttp's stream."""
     response = web.StreamResponse(headers={"Content-Type": "application/json", **wanted.headers})
     response.enable_chunked_encoding()
     deferred = wanted.deferred()
     await response.prepare(request)
-    # The head is sent with the first byte: that of the first line, or a blank of an empty one.
+    # aiohttp sends the response head with the first byte of the body. That byte is the `{` of the first line,
+    # or a blank before a deferred first line.
     await response.write(b" " if deferred else b"{")
     transport = request.transport
     ended: asyncio.Future[None] = asyncio.get_running_loop().create_future()
@@ -238,11 +246,11 @@
     channel, index = wanted.channel(), wanted.index
     if not deferred:
         transport.write(chunk(channel.first_line(index)[1:]))
-    watch = channel.add(transport, index if deferred else channel.last, ended, deferred=deferred)
+    watch = channel.add_watch(transport, index if deferred else channel.last_index, ended, deferred=deferred)
     try:
         await ended
     finally:
-        channel.drop(watch)
+        channel.remove_watch(watch)
     return response
 
 
@@ -258,7 +266,7 @@
 
 
 def _closing(response: web.Response) -> web.Response:
-    """Return the answer, with which its connection closes."""
+    """Return a response after which its connection is closed."""
     response.force_close()
     return response
 
--- a/brassfall/controlplane/registry/gathering.py
+++ b/brassfall/controlplane/registry/gathering.py
@@ -1,4 +1,4 @@
-"""Rebuilding a list that was lost with its disk: it is not sent while servers register again."""
+"""Rebuilding an endpoint list that was lost with its disk: nothing is sent while servers register again."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 log = logger("registry")
 
 
-class Gathering:
-    """The time in which the list is known to be incomplete, on the monotonic clock.
+class ListRebuild:
+    """The period in which the endpoint list is known to be incomplete, on the monotonic clock.
 
-    It is `duration_s` from a start with an empty store, once a caller has shown that there was a list before:
-    without such evidence the list is sent.
+    The period lasts `duration_s` from a start with an empty store. The list counts as incomplete in it only
+    once a caller has shown an index of an earlier list; without this evidence the list is sent.
     """
 
     def __init__(self, duration_s: float) -> None:
@@ -21,34 +21,37 @@
         self._until = 0.0
         self._evidence = False
 
-    def begin(self) -> None:
-        """Begin: the process has started with an empty store."""
+    def start(self) -> None:
+        """Start the period, because the process has started with an empty store."""
         self._until = time.monotonic() + self._duration_s
 
     @property
-    def active(self) -> bool:
-        """True if the list must not be sent now."""
+    def is_incomplete(self) -> bool:
+        """True if the list is known to be incomplete, so that it must not be sent now."""
         return self._evidence and self.left_s > 0.0
 
     @property
     def left_s(self) -> float:
-        """The time left, in s."""
+        """The remaining time of the period, in s; negative after its end."""
         return self._until - time.monotonic()
 
     def add_evidence(self) -> None:
-        """Note that a caller knows an index of an earlier incarnation that this store does not know."""
+        """Record that a caller has an index unknown to this store, which shows that a list was lost."""
         if self._until and not self._evidence:
             self._evidence = True
             log.warning(
-                "gathering",
+                "rebuilding lost list",
                 reason="callers know a list that this service has lost",
                 action="Nothing if servers register again; else check their leases and addresses.",
             )
 
     def has_ended(self, instances: int) -> bool:
-        """Whether it has ended since the last call; `instances` are listed by now, for the log."""
+        """Return True once, at the first call after the end of the period.
+
+        `instances` is the present number of instances on the list, for the log.
+        """
         if not self._until or self.left_s > 0.0:
             return False
         self._until = 0.0
-        log.info("gathered", instances=instances, needed=self._evidence)
+        log.info("list rebuild ended", instances=instances, needed=self._evidence)
         return True
--- a/brassfall/controlplane/registry/geo.py
+++ b/brassfall/controlplane/registry/geo.py
@@ -1,4 +1,4 @@
-"""Geo steering in the list service: delays from reports, `GET /geo`, and plans published as revisions."""
+"""Geo steering in the list service: delays from reports, `GET /geo`, and steering plans as revisions."""
 
 from __future__ import annotations
 
@@ -30,42 +30,42 @@
 from brassfall.logs import logger
 from brassfall.settings import GeoSettings
 
-TICK_S = 0.25
-ESTIMATE_MAX_AGE_S = 1.0  # for which an estimate is used
-DEMAND_EXPIRY_S = 10.0  # since the last report, until the demand of a node counts as none
-FIRST_REPORT_SPAN_S = 1.0  # of a sidecar's demand, before there are two reports
-MIN_REPORT_SPAN_S = 0.25
-REPORT_BATCH = 256  # reports that are merged into the evidence at once
-MAX_ANSWERS = 2**53  # of one row
-LEASE_HOLDER = "list service"
-NO_PLAN = "Look at the reason; the last plan fades out, and requests are then steered without one."
+TICK_S = 0.25  # interval at which the plan publisher is stepped
+ESTIMATE_MAX_AGE_S = 1.0  # time for which an estimate of the delays is cached
+DEMAND_EXPIRY_S = 10.0  # time after a node's last report from which its demand counts as zero
+FIRST_REPORT_SPAN_S = 1.0  # time span that a sidecar's first report is assumed to cover
+MIN_REPORT_SPAN_S = 0.25  # minimum time span of a report, which bounds the request rate computed from it
+REPORT_BATCH = 256  # number of queued reports at which they are merged into the evidence
+MAX_ANSWERS = 2**53  # limit of the answers that one row may count; larger integers are not exact in JSON
+LEASE_HOLDER = "list service"  # value of the publisher's lease row, for operators
+NO_PLAN_ACTION = "Look at the reason; the last plan fades out, and requests are then steered without one."
 
 log = logger("geo")
 _encode = msgspec.json.Encoder().encode
 
 
 class Host(Protocol):
-    """What the list service provides."""
+    """The part of the list service that geo steering uses."""
 
     store: Store
 
 
 class Revisions(Protocol):
-    """The part of the configuration revisions that plans go through."""
+    """The part of the revision service that publishes plans."""
 
     def durable_state(self) -> DurableState:
-        """Return the durable state of the revisions."""
+        """Return the durable state of the configuration revisions."""
 
     def publish(self, **draft: Unpack[DraftFields]) -> asyncio.Future[int]:
-        """Publish a revision; return its number once that is durable."""
+        """Publish a revision; the future's result is its number, once the revision is durable."""
 
 
 class Demand(NamedTuple):
-    """The requests of one node, or of one group and region behind an aggregator."""
+    """The request rate of one sidecar, or of one client group towards one region behind an aggregator."""
 
     group: str
-    rate: float  # requests/s
-    reported_s: float  # on the monotonic clock
+    rate: float  # in requests/s
+    reported_s: float  # monotonic time of the report, in s
 
 
 class GeoAnswer(msgspec.Struct, frozen=True):
@@ -78,29 +78,31 @@
 
 @dataclass(slots=True)
 class Geo:
-    """The delays between client groups and regions that this process received, and its plans."""
+    """Collects delays between client groups and regions from reports, and publishes plans made from them."""
 
     host: Host
     revisions: Revisions
     settings: GeoSettings
-    rejected_rows: int = 0  # of all reports
+    rejected_rows: int = 0  # number of malformed rows in all reports
     _evidence: evidence.State = field(default_factory=evidence.State)
-    _pending: list[evidence.NodeReport] = field(default_factory=list)  # not yet merged into the evidence
-    _demand: dict[str, Demand] = field(default_factory=dict)  # by node; of an aggregator by group and region
+    _pending_reports: list[evidence.NodeReport] = field(
+        default_factory=list
+    )  # reports that are not merged into the evidence yet
+    _demand: dict[str, Demand] = field(default_factory=dict)  # by sidecar, or by aggregator/group/region
     _estimate: Estimate | None = None
-    _estimated_s: float = float("-inf")
-    _open_since: dict[str, float] = field(default_factory=dict)  # since when each region has had servers
+    _estimated_at_s: float = float("-inf")
+    _open_since: dict[str, float] = field(default_factory=dict)  # by region: when it got servers, monotonic s
     _publisher: publisher.State = field(default_factory=publisher.State)
     _tasks: Tasks = field(default_factory=Tasks)
     _executor: ThreadPoolExecutor = field(default_factory=lambda: ThreadPoolExecutor(1, "geo"))
 
     def start(self) -> None:
-        """Start to publish plans, if the settings give the capacity of servers."""
+        """Start to publish plans; do nothing if the settings don't give the capacity of servers."""
         if self.settings.per_weight_per_s > 0.0:
-            self._tasks.spawn(self._tick())
+            self._tasks.spawn(self._run_publisher())
 
     async def close(self) -> None:
-        """Stop: cancel all calls, and wait for an estimate or plan that is being computed."""
+        """Cancel all tasks, and wait for an estimate or plan that is being computed in the executor."""
         await self._tasks.end()
         self._executor.shutdown(cancel_futures=True)
 
@@ -110,51 +112,51 @@
 
     @property
     def demand(self) -> Mapping[str, Demand]:
-        """The demand by node; that of an aggregator is split by group and region."""
+        """The demand by sidecar; the demand behind an aggregator is keyed by aggregator/group/region."""
         return self._demand
 
     # --- reports ------------------------------------------------------------------------
 
     def receive_report(self, name: str, report: Report) -> dict[str, Any]:
-        """Add the delays and the demand of a sidecar's report; nothing is added to its answer."""
+        """Add the delays and the demand in a sidecar's report; return no fields for the answer."""
         rows = report.measures.get("delays")
         if rows:
             now_s = time.monotonic()
-            valid = self._add(name, report.process_id, report.group, rows, now_s)
-            answers = sum(evidence.sample_count(row.first_bytes) for row in valid)
-            before = self._demand.get(name)
-            before_s = before.reported_s if before else now_s - FIRST_REPORT_SPAN_S
-            rate = answers / max(MIN_REPORT_SPAN_S, now_s - before_s)
+            valid = self._queue_rows(name, report.process_id, report.group, rows, now_s)
+            answer_count = sum(evidence.sample_count(row.first_bytes) for row in valid)
+            previous = self._demand.get(name)
+            previous_s = previous.reported_s if previous else now_s - FIRST_REPORT_SPAN_S
+            rate = answer_count / max(MIN_REPORT_SPAN_S, now_s - previous_s)
             self._demand[name] = Demand(report.group, rate, now_s)
         return {}
 
-    def _add(
+    def _queue_rows(
         self, node: str, incarnation: str, group: str, rows: object, now_s: float
     ) -> tuple[evidence.DelayRow, ...]:
-        """Validate rows of delays, and queue the valid ones to be merged; return these."""
+        """Validate the rows of delays in a report; queue the valid rows for merging, and return them."""
         validated = evidence.validate_rows(rows)
         self.rejected_rows += sum(validated.rejected.values())
-        self._pending.append(evidence.NodeReport(node, incarnation, group, validated.rows, now_s))
-        if len(self._pending) >= REPORT_BATCH:
+        self._pending_reports.append(evidence.NodeReport(node, incarnation, group, validated.rows, now_s))
+        if len(self._pending_reports) >= REPORT_BATCH:
             self._merge_pending()
         return validated.rows
 
     def receive_aggregator_report(self, name: str, report: AggregatorReport) -> None:
-        """Add the delays and the demand of an aggregator's report, which has them by client group."""
+        """Add the delays and the demand in an aggregator's report, whose rows name their client group."""
         rows = report.measures.get("delays")
         if not isinstance(rows, list):
             self.rejected_rows += rows is not None
             return
         now_s = time.monotonic()
-        for group, group_rows in self._by_group(rows).items():
-            # A group's members behind one aggregator count as one node.
-            self._add(f"{name}/{group}", report.process_id, group, group_rows, now_s)
+        for group, group_rows in self._rows_by_group(rows).items():
+            # In the evidence, all sidecars of a group behind one aggregator count as one node.
+            self._queue_rows(f"{name}/{group}", report.process_id, group, group_rows, now_s)
             for row in group_rows:
                 rate = _rate(row)
                 if rate is not None:
                     self._demand[f"{name}/{group}/{row['region']}"] = Demand(group, rate, now_s)
 
-    def _by_group(self, rows: list[Any]) -> dict[str, list[Any]]:
+    def _rows_by_group(self, rows: list[Any]) -> dict[str, list[Any]]:
         groups: dict[str, list[Any]] = {}
         for row in rows:
             group = row.get("group") if isinstance(row, dict) else None
@@ -165,25 +167,26 @@
         return groups
 
     def forget_sidecar(self, name: str) -> None:
-        """Forget the demand of a sidecar, or an aggregator, that has left."""
+        """Forget the demand of a sidecar or aggregator that has left the fleet."""
         self._demand.pop(name, None)
         for part in [node for node in self._demand if node.startswith(f"{name}/")]:
             del self._demand[part]
 
     def findings(self) -> dict[str, list[str]]:
-        """Return no findings: delays say nothing wrong of a single sidecar."""
+        """Return no findings, since delays never show a fault of a single sidecar."""
         return {}
 
     def _merge_pending(self) -> None:
-        # Each merge copies the table of nodes, which may have thousands: not at each report.
-        self._evidence = evidence.merge_reports(self._evidence, self._pending)
-        self._pending = []
+        # Each merge copies the table of nodes, which may have thousands of rows. So reports are merged in
+        # batches.
+        self._evidence = evidence.merge_reports(self._evidence, self._pending_reports)
+        self._pending_reports = []
 
     # --- estimates ------------------------------------------------------------------------
 
     async def _current_estimate(self) -> Estimate:
         now_s = time.monotonic()
-        if self._estimate is None or now_s - self._estimated_s > ESTIMATE_MAX_AGE_S:
+        if self._estimate is None or now_s - self._estimated_at_s > ESTIMATE_MAX_AGE_S:
             self._merge_pending()
             self._evidence = evidence.expire_nodes(self._evidence, now_s)
             groups = sorted({demand.group for demand in self._demand.values() if demand.group})
@@ -191,7 +194,7 @@
                 update_estimate, self._evidence, now_s, groups, sorted(self._capacity()), self._estimate
             )
             self._estimate = await asyncio.get_running_loop().run_in_executor(self._executor, update)
-            self._estimated_s = now_s
+            self._estimated_at_s = now_s
         return self._estimate
 
     async def _get(self, _request: web.Request) -> web.Response:
@@ -211,7 +214,7 @@
 
     # --- plans ------------------------------------------------------------------------------
 
-    async def _tick(self) -> None:
+    async def _run_publisher(self) -> None:
         while True:
             await asyncio.sleep(TICK_S)
             self._step(publisher.Tick())
@@ -219,23 +222,23 @@
     def _step(self, event: publisher.Event) -> None:
         self._publisher, actions = publisher.step(self._publisher, time.monotonic(), event)
         for action in actions:
-            self._tasks.spawn(self._run(action))
+            self._tasks.spawn(self._perform_action(action))
 
-    async def _run(self, action: publisher.Action) -> None:
+    async def _perform_action(self, action: publisher.Action) -> None:
         try:
-            event = await self._perform(action)
+            event = await self._result_of_action(action)
         except RequestError as error:
-            log.warning("no plan", reason=str(error), action=NO_PLAN)
+            log.warning("no plan", reason=str(error), action=NO_PLAN_ACTION)
             event = publisher.CallFailed()
         self._step(event)
 
-    async def _perform(self, action: publisher.Action) -> publisher.Event:
-        """Carry an action out; return the event with its result."""
+    async def _result_of_action(self, action: publisher.Action) -> publisher.Event:
+        """Perform an action of the publisher; return the event that reports the result."""
         match action:
-            case publisher.AcquireLease(asked_s):
-                return await self._acquire_lease(asked_s)
-            case publisher.RenewLease(asked_s, version):
-                return self._renew_lease(asked_s, version)
+            case publisher.AcquireLease(requested_s):
+                return await self._acquire_lease(requested_s)
+            case publisher.RenewLease(requested_s, version):
+                return self._renew_lease(requested_s, version)
             case publisher.ReadNewest():
                 return self._read_newest()
             case publisher.ComputePlan(before, follows):
@@ -243,7 +246,7 @@
             case publisher.PublishPlan(plan, follows, token):
                 return await self._publish(plan, follows, token)
 
-    async def _acquire_lease(self, asked_s: float) -> publisher.Event:
+    async def _acquire_lease(self, requested_s: float) -> publisher.Event:
         row = Put(
             table=publisher.TABLE,
             key=publisher.KEY,
@@ -253,15 +256,15 @@
         )
         result = await self.host.store.submit(row)
         if not result.done:
-            return publisher.LeaseDenied(asked_s)
-        return publisher.LeaseGranted(asked_s, result.index)
+            return publisher.LeaseDenied(requested_s)
+        return publisher.LeaseGranted(requested_s, result.index)
 
-    def _renew_lease(self, asked_s: float, version: int) -> publisher.Event:
+    def _renew_lease(self, requested_s: float, version: int) -> publisher.Event:
         renewed = (
             self._fencing_token() == version
             and self.host.store.renew(publisher.TABLE, publisher.KEY, None).done
         )
-        return publisher.LeaseGranted(asked_s, version) if renewed else publisher.LeaseDenied(asked_s)
+        return publisher.LeaseGranted(requested_s, version) if renewed else publisher.LeaseDenied(requested_s)
 
     def _fencing_token(self) -> int:
         row = self.host.store.state.get(publisher.TABLE, publisher.KEY)
@@ -273,7 +276,7 @@
         try:
             plan = plan_from_json(newest.plan) if newest.plan is not None else None
         except PlanError:
-            plan = None  # from a version with another form of plans
+            plan = None  # the plan was written by a version with another plan format
         return publisher.NewestRead(plan, durable.newest)
 
     async def _compute_plan(self, before: Plan | None) -> Plan | None:
@@ -300,7 +303,7 @@
         return demand
 
     def _ramped_capacity(self, now_s: float) -> dict[str, float]:
-        """Return the capacity by region, reduced for one whose servers have come back recently."""
+        """Return the capacity by region in requests/s, ramped up in regions that got servers recently."""
         capacity = self._capacity()
         self._open_since = open_since(self._open_since, capacity, now_s)
         return {
@@ -313,12 +316,12 @@
         if self._fencing_token() != token:
             return publisher.PublicationRejected()
         number = await self.revisions.publish(plan=plan.as_json(), if_match=follows)
-        log.info("plan", edition=number, moved=round(plan.shift, 3))
+        log.info("plan published", edition=number, moved=round(plan.shift, 3))
         return publisher.Published(number)
 
 
 def _rate(row: Mapping[str, Any]) -> float | None:
-    """Return the answers/s that an aggregator's row counts; None if it is malformed."""
+    """Return the rate of answers per second in an aggregator's row of delays; None for a malformed row."""
     answers, span_ms = row.get("answers"), row.get("span_ms")
     if not evidence.is_name(row.get("region")):
         return None
--- a/brassfall/controlplane/registry/http_errors.py
+++ b/brassfall/controlplane/registry/http_errors.py
@@ -1,4 +1,4 @@
-"""Errors as HTTP answers: each has a status, a slug for programs and a reason for people, in JSON."""
+"""HTTP error answers: a status, and JSON with a slug for programs and a reason for people."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
     UnavailableError,
 )
 
-MIN_RETRY_S = 0.05  # in `Retry-After`
+MIN_RETRY_S = 0.05  # minimum value of `Retry-After`
 
 
 class UnknownPathError(NotFoundError):
-    """The service has no such path (404)."""
+    """The path of the request does not exist (404)."""
 
     action = "See docs/registry.md for the paths; a service of an earlier version lacks the newer ones."
 
 
 class MethodNotAllowedError(RequestError):
-    """The path has no such method (405)."""
+    """The path exists, but does not support the method of the request (405)."""
 
     action = "See docs/registry.md for the methods of the path."
     status = 405
@@ -32,7 +32,7 @@
 
 
 class BodyTimeoutError(RequestError):
-    """The body of a call did not come in time (408)."""
+    """The body of the request did not arrive in time (408)."""
 
     action = "Send the complete body at once; look at the network between the two."
     status = 408
@@ -40,15 +40,15 @@
 
 
 class InternalError(RequestError):
-    """A defect of the service (500)."""
+    """A request failed because of a defect in the service (500)."""
 
     action = "Report it with the traceback that the service's log has under `fault`."
     status = 500
     slug = "internal error"
 
 
-class AskElsewhereError(RequestError):
-    """This process can't answer, and another address can (503, without a time to come back here)."""
+class TryOtherAddressError(RequestError):
+    """This process can't answer, but another address may (503, without `Retry-After`)."""
 
     action = "Ask another aggregator, or the list service; /health/ready here says what is missing."
     status = 503
@@ -73,14 +73,14 @@
 
 
 def status_response(status: int, reason: str, retry_s: float | None = None) -> web.Response:
-    """Return the answer for a status and a reason; `retry_s` adds `Retry-After`."""
+    """Return the error answer for a status and a reason; `retry_s` adds the header `Retry-After`."""
     return error_response(BY_STATUS.get(status, RequestError)(reason), retry_s, status)
 
 
 def error_response(
     error: RequestError, retry_s: float | None = None, status: int | None = None
 ) -> web.Response:
-    """Return the answer for an error; `retry_s` and `status` replace its own."""
+    """Return the HTTP answer for an error; `retry_s` and `status` override the error's own values."""
     status = error.status if status is None else status
     body = error.wire() if status in BY_STATUS else {**error.wire(), "error": "error"}
     wait_s = error.retry_s if retry_s is None and isinstance(error, UnavailableError) else retry_s
--- a/brassfall/controlplane/registry/instances.py
+++ b/brassfall/controlplane/registry/instances.py
@@ -1,4 +1,4 @@
-"""The calls under `/registry/instances`: servers register, renew and leave, and are listed."""
+"""HTTP calls under `/registry/instances`: servers register, renew and leave, and clients list them."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 from brassfall.controlplane.registry import calls, entries
 from brassfall.controlplane.registry.calls import answer
 from brassfall.controlplane.registry.entries import INSTANCES
-from brassfall.controlplane.registry.front import Front
+from brassfall.controlplane.registry.front import HttpServer
 from brassfall.controlplane.registry.http_errors import status_response
-from brassfall.controlplane.registry.lists import Lists
+from brassfall.controlplane.registry.lists import TableReads
 from brassfall.controlplane.registry.writes import Writes
 from brassfall.controlplane.store.store import Store
 from brassfall.settings import LeaseSettings
@@ -23,22 +23,27 @@
 
 
 class InstanceCalls:
-    """Answers the calls on instances; `leases` limits their times to live."""
+    """Answers the HTTP calls on instances; `leases` has the limits of their times to live."""
 
     def __init__(
-        self, store: Store, front: Front, lists: Lists, writes: Writes, leases: LeaseSettings
+        self,
+        store: Store,
+        http_server: HttpServer,
+        table_reads: TableReads,
+        writes: Writes,
+        leases: LeaseSettings,
     ) -> None:
         self._store = store
-        self._front = front
-        self._lists = lists
+        self._http_server = http_server
+        self._table_reads = table_reads
         self._writes = writes
         self._leases = leases
 
     def routes(self) -> list[web.RouteDef]:
-        """Return the routes of instances."""
+        """Return the HTTP routes under `/registry/instances`."""
         one = PATH + "/{name}"
         return [
-            web.get(PATH, partial(self._lists.read, table=INSTANCES)),
+            web.get(PATH, partial(self._table_reads.read, table=INSTANCES)),
             web.get(one, self._get),
             web.put(one, self._register),
             web.post(one + "/renew", self._renew),
@@ -50,32 +55,34 @@
         row = self._store.state.get(INSTANCES, _name(request))
         if row is None:
             return status_response(404, "no such instance")
-        return answer(_encode(self._lists.view(INSTANCES, row)))
+        return answer(_encode(self._table_reads.row_view(INSTANCES, row)))
 
     async def _register(self, request: web.Request) -> web.Response:
         key = _name(request)
-        wanted, ttl_ms = entries.parse_registration(key, await self._front.body(request), self._leases)
+        wanted, ttl_ms = entries.parse_registration(key, await self._http_server.body(request), self._leases)
         self._writes.check_room(INSTANCES, key)
         command = entries.register_command(
-            key, wanted, ttl_ms, calls.match(request), calls.request_id(request)
+            key, wanted, ttl_ms, calls.if_match_version(request), calls.request_id(request)
         )
-        return await self._writes.run(command)
+        return await self._writes.execute(command)
 
     async def _renew(self, request: web.Request) -> web.Response:
         key = _name(request)
-        return self._writes.renew(INSTANCES, key, entries.parse_incarnation(await self._front.body(request)))
+        return self._writes.renew(
+            INSTANCES, key, entries.parse_incarnation(await self._http_server.body(request))
+        )
 
     async def _alter(self, request: web.Request) -> web.Response:
-        key, body = _name(request), await self._front.body(request)
-        return await self._writes.run(
-            entries.update_command(key, body, calls.match(request), calls.request_id(request))
+        key, body = _name(request), await self._http_server.body(request)
+        return await self._writes.execute(
+            entries.update_command(key, body, calls.if_match_version(request), calls.request_id(request))
         )
 
     async def _leave(self, request: web.Request) -> web.Response:
         key = _name(request)
-        fence = entries.parse_incarnation(await self._front.body(request))
-        return await self._writes.run(
-            entries.remove_command(key, fence, calls.match(request), calls.request_id(request))
+        fence = entries.parse_incarnation(await self._http_server.body(request))
+        return await self._writes.execute(
+            entries.remove_command(key, fence, calls.if_match_version(request), calls.request_id(request))
         )
 
 
--- a/brassfall/controlplane/registry/member.py
+++ b/brassfall/controlplane/registry/member.py
@@ -1,4 +1,4 @@
-"""A server's membership: it registers, renews, and says when it leaves, over HTTP."""
+"""An HTTP client that keeps a server on the endpoint list: it registers, renews and deregisters it."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 import aiohttp
 
-from brassfall.controlplane.registry.client import UNANSWERED, reason_of, retry_after_s
+from brassfall.controlplane.registry.client import CONNECTION_ERRORS, error_reason, retry_after_s
 from brassfall.controlplane.registry.membership import RegistrationCall, RegistrationState, ServerRegistration
 from brassfall.logs import logger
 
@@ -19,10 +19,10 @@
 
 
 class RegistrationClient:
-    """Keeps one server registered for as long as it runs.
+    """Keeps one server registered until it is closed or the registration is finished.
 
-    `addresses` are HOST:PORT of list services and aggregators, `entry` is the server's as the list has it,
-    `ttl_ms` the length of its lease.
+    `addresses` are HOST:PORT of list services and aggregators, `entry` is the server's entry on the list,
+    and `ttl_ms` is the length of its lease.
     """
 
     def __init__(self, addresses: Sequence[str], entry: dict[str, Any], ttl_ms: int = 6000) -> None:
@@ -34,23 +34,23 @@
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Register, and renew from now on."""
+        """Start to register the server, and then to renew its lease; call it within the running loop."""
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     async def wait_until_confirmed(self) -> RegistrationState:
-        """Wait until the service knows all that was wished; the place in the list then."""
+        """Wait until the service has confirmed the requested status; return the registration's state."""
         async with self._changed:
             await self._changed.wait_for(lambda: self.registration.is_confirmed)
         return self.registration.state
 
     async def wait_until_finished(self) -> str:
-        """Wait until another process has the name, or the service refuses; why."""
+        """Wait until the server has left, was replaced or was refused; return the reason."""
         async with self._changed:
             await self._changed.wait_for(lambda: self.registration.is_finished)
         return self.registration.reason or self.registration.state.value
 
     async def request_status(self, status: str, limit_s: float) -> bool:
-        """Be `leaving`, or have `left`; whether the service knows within the limit."""
+        """Request the status `leaving` or `left`; return whether the service confirms it within the limit."""
         self.registration.request_status(_now_ms(), status)
         self._wake.set()
         try:
@@ -61,7 +61,7 @@
         return True
 
     async def close(self) -> None:
-        """Renew no more: the lease runs out. A call that is under way is cancelled."""
+        """Stop renewing, so that the lease expires; a call under way is cancelled."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.wait({self._task})
@@ -76,7 +76,11 @@
                 before = self.registration.state
                 await self._call(session, self.registration.next_call(_now_ms()))
                 if self.registration.state is not before:
-                    log.info("place", place=self.registration.state.value, reason=self.registration.reason)
+                    log.info(
+                        "registration state changed",
+                        place=self.registration.state.value,
+                        reason=self.registration.reason,
+                    )
                 async with self._changed:
                     self._changed.notify_all()
 
@@ -95,9 +99,9 @@
             async with session.request(call.method, url, json=call.body) as answer:
                 body = await answer.read()
                 retry_s = retry_after_s(answer.headers.get("Retry-After"))
-                reason = "" if answer.status == 200 else reason_of(body)
+                reason = "" if answer.status == 200 else error_reason(body)
                 self.registration.apply_result(_now_ms(), answer.status, chance, retry_s, reason)
-        except UNANSWERED:
+        except CONNECTION_ERRORS:
             self.registration.apply_result(_now_ms(), 0, chance)
 
 
--- a/brassfall/controlplane/registry/membership.py
+++ b/brassfall/controlplane/registry/membership.py
@@ -1,4 +1,4 @@
-"""A server's registration in the list: the next call, and when it is due. Pure code.
+"""The registration of a server on the endpoint list: which call comes next, and when. No I/O, no clock.
 
 The host of a `ServerRegistration` makes the call that `next_call` returns at the time `due_ms`, and passes
 its result to `apply_result`. `chance`, a random number from 0 to 1, spreads the calls of a fleet that would
@@ -12,15 +12,16 @@
 from enum import Enum
 from typing import Any
 
-FIRST_WAIT_MS, MAX_WAIT_MS = 100.0, 1000.0  # between attempts that get no answer; doubled each time
+# Backoff after a failed call: it doubles with each further failure in a row, from the first to the last.
+FIRST_BACKOFF_MS, MAX_BACKOFF_MS = 100.0, 1000.0
 MAX_CALL_TIMEOUT_MS = 2000.0
-REJOIN_SPREAD_MS = 50.0  # over which servers register again after the service has lost its list
-RETRY_AFTER_SPREAD = 0.25  # of a wait that the service names
-LEFT = "left"
+REJOIN_SPREAD_MS = 50.0  # time over which servers spread their calls when the service has lost its list
+RETRY_AFTER_SPREAD = 0.25  # fraction of a `Retry-After` by which the wait is lengthened at random
+LEFT = "left"  # status of a server that has left the list
 
 
 class RegistrationState(Enum):
-    """The state of a server's registration; the values are for logs."""
+    """The state of a server's registration; the values are texts for logs."""
 
     UNREGISTERED = "not registered"
     REGISTERED = "registered"
@@ -31,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RegistrationCall:
-    """One call to make, at the address of this number."""
+    """An HTTP call to make, at the address with the index `address_index`."""
 
     address_index: int
     method: str
@@ -41,26 +42,26 @@
 
 @dataclass(frozen=True, slots=True)
 class _PendingCall:
-    """The status in a call, and when it was made."""
+    """The server's status that a call under way reports, and when the call was made."""
 
     status: str
-    begun_ms: float
+    made_ms: float
 
 
 @dataclass(slots=True)
 class ServerRegistration:
-    """One server's registration. Times are monotonic ms."""
+    """The registration of one server. Times are monotonic ms."""
 
-    entry: Mapping[str, Any]  # the server's, as the list has it
+    entry: Mapping[str, Any]  # the server's entry on the list
     ttl_ms: int
-    addresses: int = 1
+    address_count: int = 1
     state: RegistrationState = RegistrationState.UNREGISTERED
-    reason: str = ""  # why the service refused it, or gave the name to another
-    due_ms: float = 0.0  # when the next call is to be made
-    _status: str = "active"  # as the server wants it
-    _confirmed: str = ""  # the status that the service has
-    _address: int = 0
-    _failures: int = 0  # in a row
+    reason: str = ""  # why the service refused the registration, or gave the name to another process
+    due_ms: float = 0.0  # time at which the next call is to be made
+    _wanted_status: str = "active"  # status that the server wants to have on the list
+    _confirmed_status: str = ""  # status that the service confirmed last
+    _address_index: int = 0
+    _failures: int = 0  # number of failed calls in a row
     _pending: _PendingCall = _PendingCall("", 0.0)
 
     @property
@@ -70,71 +71,74 @@
 
     @property
     def is_confirmed(self) -> bool:
-        """True if the service has the status that the server wants."""
+        """True if the service has confirmed the wanted status, or no more calls are to be made."""
         return self.is_finished or (
-            self.state is RegistrationState.REGISTERED and self._confirmed == self._status
+            self.state is RegistrationState.REGISTERED and self._confirmed_status == self._wanted_status
         )
 
     @property
     def call_timeout_ms(self) -> float:
-        """The time limit of a call, in ms: two calls may fail within one lease."""
+        """The time limit of a call, in ms; it is so short that two calls may fail within one lease."""
         return min(MAX_CALL_TIMEOUT_MS, self.ttl_ms / 4.0)
 
-    def request_status(self, now: float, status: str) -> None:
-        """Request the status `leaving` or `left`; a call is due at once."""
-        self._status = status
-        self.due_ms = min(self.due_ms, now)
+    def request_status(self, now_ms: float, status: str) -> None:
+        """Set the wanted status to `leaving` or `left`, and make a call due at once."""
+        self._wanted_status = status
+        self.due_ms = min(self.due_ms, now_ms)
 
-    def next_call(self, now: float) -> RegistrationCall:
-        """Return the call to make now."""
-        self._pending = _PendingCall(self._status, now)
+    def next_call(self, now_ms: float) -> RegistrationCall:
+        """Return the call to make now, and remember it as under way."""
+        self._pending = _PendingCall(self._wanted_status, now_ms)
         path = f"/registry/instances/{self.entry['name']}"
         incarnation = {"since_ms": self.entry["since_ms"]}
-        if self._status == LEFT:
-            return RegistrationCall(self._address, "DELETE", path, incarnation)
+        if self._wanted_status == LEFT:
+            return RegistrationCall(self._address_index, "DELETE", path, incarnation)
         if self.state is RegistrationState.UNREGISTERED:
-            body = {**self.entry, "status": self._status, "ttl_ms": self.ttl_ms}
-            return RegistrationCall(self._address, "PUT", path, body)
-        if self._confirmed != self._status:
-            return RegistrationCall(self._address, "PATCH", path, {**incarnation, "status": self._status})
-        return RegistrationCall(self._address, "POST", f"{path}/renew", incarnation)
+            body = {**self.entry, "status": self._wanted_status, "ttl_ms": self.ttl_ms}
+            return RegistrationCall(self._address_index, "PUT", path, body)
+        if self._confirmed_status != self._wanted_status:
+            return RegistrationCall(
+                self._address_index, "PATCH", path, {**incarnation, "status": self._wanted_status}
+            )
+        return RegistrationCall(self._address_index, "POST", f"{path}/renew", incarnation)
 
     def apply_result(
-        self, now: float, status: int, chance: float, retry_s: float = 0.0, reason: str = ""
+        self, now_ms: float, status: int, chance: float, retry_s: float = 0.0, reason: str = ""
     ) -> None:
-        """Apply the result of the call: its HTTP status, or 0 without an answer in time.
+        """Apply the result of the call under way: its HTTP status, or 0 if there was no answer in time.
 
-        `retry_s` is its `Retry-After`; 0 without one.
+        `retry_s` is the `Retry-After` of the answer in s, 0 without one; `reason` is that of an error answer.
         """
         leaves = self._pending.status == LEFT
         if status == 200 or (leaves and status in (404, 409)):
-            self._confirm(chance)
+            self._apply_success(chance)
         elif status == 404:
-            # The service has lost the registration: the list lacks this server.
-            self.state, self._confirmed, self._failures = RegistrationState.UNREGISTERED, "", 0
-            self.due_ms = now + REJOIN_SPREAD_MS * chance
+            # The service does not know the registration, so that the server is missing on the list.
+            self.state, self._confirmed_status, self._failures = RegistrationState.UNREGISTERED, "", 0
+            self.due_ms = now_ms + REJOIN_SPREAD_MS * chance
         elif status == 409:
             self.state, self.reason = RegistrationState.REPLACED, reason
         elif 400 <= status < 500 and status not in (408, 429):
             self.state, self.reason = RegistrationState.REFUSED, reason
         else:
-            self._retry(now, chance, retry_s)
+            self._schedule_retry(now_ms, chance, retry_s)
 
-    def _confirm(self, chance: float) -> None:
+    def _apply_success(self, chance: float) -> None:
         call = self._pending
         self.state = RegistrationState.LEFT if call.status == LEFT else RegistrationState.REGISTERED
-        self._confirmed, self._failures = call.status, 0
-        # The lease may count from the call; less than a third of it, so that two calls may fail.
+        self._confirmed_status, self._failures = call.status, 0
+        # The lease counts from the time of the call at the earliest. The next call follows after less than a
+        # third of the lease, so that two calls may fail before it ends.
         third_ms = self.ttl_ms / 3.0
-        wait_ms = third_ms * (0.8 + 0.2 * chance) if self._confirmed == self._status else 0.0
-        self.due_ms = call.begun_ms + wait_ms
+        wait_ms = third_ms * (0.8 + 0.2 * chance) if self._confirmed_status == self._wanted_status else 0.0
+        self.due_ms = call.made_ms + wait_ms
 
-    def _retry(self, now: float, chance: float, retry_s: float) -> None:
+    def _schedule_retry(self, now_ms: float, chance: float, retry_s: float) -> None:
         """Schedule another call: at the next address after a backoff, or at this one after `Retry-After`."""
-        wait_ms = min(FIRST_WAIT_MS * 2.0**self._failures, MAX_WAIT_MS) * (0.5 + 0.5 * chance)
+        wait_ms = min(FIRST_BACKOFF_MS * 2.0**self._failures, MAX_BACKOFF_MS) * (0.5 + 0.5 * chance)
         self._failures += 1
         if retry_s:
             wait_ms = retry_s * 1000.0 * (1.0 + RETRY_AFTER_SPREAD * chance)
         else:
-            self._address = (self._address + 1) % self.addresses
-        self.due_ms = now + wait_ms
+            self._address_index = (self._address_index + 1) % self.address_count
+        self.due_ms = now_ms + wait_ms
--- a/brassfall/controlplane/registry/metrics.py
+++ b/brassfall/controlplane/registry/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics in Prometheus' text form, read from plain counters at each scrape."""
+"""Metrics of a control-plane process in Prometheus' text format, read from plain counters at each scrape."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from prometheus_client import CollectorRegistry, Histogram, generate_latest
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily, Metric
 
-from brassfall.controlplane.registry.front import Front
+from brassfall.controlplane.registry.front import HttpServer
 from brassfall.controlplane.store.store import Store
 
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
@@ -19,18 +19,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Value:
-    """One metric's help text, and its value at a scrape."""
+    """The help text of a metric, and its value at a scrape."""
 
     text: str
     value: float
 
 
-Values = dict[str, Value]  # by name, without the prefix `brassfall_` and a counter's suffix `_total`
+Values = dict[str, Value]  # by metric name, without the prefix `brassfall_` and a counter's suffix `_total`
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessMetrics:
-    """The metrics of one process beside those of its HTTP server."""
+    """The metrics of one process, apart from those of its HTTP server."""
 
     gauges: Values = field(default_factory=dict)
     counters: Values = field(default_factory=dict)
@@ -39,24 +39,24 @@
 class HttpProcess(Protocol):
     """A process with an HTTP server and its own metrics."""
 
-    front: Front
+    http_server: HttpServer
 
     def process_metrics(self) -> ProcessMetrics:
-        """Return its own gauges and counters."""
+        """Return the gauges and counters that are not those of the HTTP server."""
 
 
 class ListService(HttpProcess, Protocol):
-    """The measured parts of a list service."""
+    """The parts of a list service that its metrics are read from."""
 
     store: Store
 
     @property
-    def gathering(self) -> bool:
+    def is_rebuilding_list(self) -> bool:
         """True if a lost list is being rebuilt from its servers' registrations."""
 
 
 class HttpMetrics:
-    """The metrics of one process: of its calls and watches, and its own."""
+    """Collects the metrics of one process: those of its HTTP server, and its own."""
 
     def __init__(self, process: HttpProcess) -> None:
         self._process = process
@@ -71,32 +71,32 @@
         )
 
     def called(self, method: str, status: int, seconds: float) -> None:
-        """Count an answered call."""
+        """Count an answered call, and record the duration of a write."""
         self._calls[method, status] += 1
         if method != "GET":
             self._seconds.observe(seconds)
 
     def text(self) -> bytes:
-        """Return all metrics in Prometheus' text form."""
+        """Return all metrics in Prometheus' text format."""
         return generate_latest(self._registry)
 
     def gauges(self) -> Values:
         """Return the present values."""
-        front = self._process.front
-        channels = front.channels.values()
+        http_server = self._process.http_server
+        channels = http_server.channels.values()
         return {
             "watches": Value("Open watches", sum(channel.count for channel in channels)),
             "watches_behind": Value(
                 "Watches that read too slowly", sum(channel.behind for channel in channels)
             ),
-            "connections": Value("Open connections", len(front.callers)),
+            "connections": Value("Open connections", len(http_server.callers)),
             **self._process.process_metrics().gauges,
         }
 
     def counters(self) -> Values:
         """Return the counts since the start."""
-        front = self._process.front
-        statistics = [channel.statistics for channel in front.channels.values()]
+        http_server = self._process.http_server
+        statistics = [channel.statistics for channel in http_server.channels.values()]
         return {
             "lists_built": Value("Whole lists encoded", sum(each.lists_encoded for each in statistics)),
             "lines_built": Value("Lines of watches encoded", sum(each.lines_encoded for each in statistics)),
@@ -105,10 +105,10 @@
                 "Slow watches sent in one line what they had missed", sum(each.merged for each in statistics)
             ),
             "watches_cut": Value("Slow watches that were aborted", sum(each.aborted for each in statistics)),
-            "turned_away": Value("Calls rejected with Retry-After", front.rejected),
-            "connections_refused": Value("Connections rejected at the limit", front.callers.rejected),
-            "connections_idled": Value("Connections closed for idling", front.callers.idle_closed),
-            "malformed": Value("Calls that were no HTTP", front.callers.malformed),
+            "turned_away": Value("Calls rejected with Retry-After", http_server.rejected),
+            "connections_refused": Value("Connections rejected at the limit", http_server.callers.rejected),
+            "connections_idled": Value("Connections closed for idling", http_server.callers.idle_closed),
+            "malformed": Value("Calls that were no HTTP", http_server.callers.malformed),
             **self._process.process_metrics().counters,
         }
 
@@ -125,7 +125,7 @@
 
 
 class ListServiceMetrics(HttpMetrics):
-    """The metrics of one list service."""
+    """Collects the metrics of one list service, including those of its store."""
 
     def __init__(self, service: ListService) -> None:
         self._service = service
@@ -143,7 +143,7 @@
             ),
             "writes_waiting": Value("Writes that wait for the disk", store.waiting),
             "disk_failing": Value("1 while commits fail", float(bool(store.statistics.disk))),
-            "gathering": Value("1 while a lost list is being gathered", float(service.gathering)),
+            "gathering": Value("1 while a lost list is being gathered", float(service.is_rebuilding_list)),
             **super().gauges(),
         }
 
--- a/brassfall/controlplane/registry/node_calls.py
+++ b/brassfall/controlplane/registry/node_calls.py
@@ -1,4 +1,4 @@
-"""`POST` and `DELETE /edges/NAME`: a sidecar's report, and its removal by an operator."""
+"""HTTP calls `POST /edges/NAME`, a sidecar's report, and `DELETE /edges/NAME`, its removal by an operator."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from brassfall.controlplane.revisions.reports import Report, ReportError
 from brassfall.errors import NotFoundError, UnavailableError
 
-FULL, FULL_RETRY_S = "no place", 10.0
+NO_PLACE, NO_PLACE_RETRY_S = "no place", 10.0  # error and `Retry-After` if the maximum of nodes is known
 
 _encode = msgspec.json.Encoder().encode
 
@@ -29,14 +29,14 @@
 
 
 class NodeCalls:
-    """The calls of sidecars that report to the service itself."""
+    """Answers the reports of sidecars that report to the list service directly."""
 
     def __init__(self, service: RevisionService, fleet: Fleet) -> None:
         self._service = service
         self._fleet = fleet
 
     def routes(self) -> list[web.RouteDef]:
-        """Return the routes of nodes."""
+        """Return the HTTP routes below `/edges/`."""
         return [web.post("/edges/{name}", self._report), web.delete("/edges/{name}", self._remove)]
 
     async def _report(self, request: web.Request) -> web.Response:
@@ -51,13 +51,13 @@
         except (AggregatorNameError, UnavailableError):
             self._service.statistics.refused_reports += 1
             raise
-        return calls.Brief(body=_encode(self.answer(name, report)))
+        return calls.MinimalResponse(body=_encode(self.answer(name, report)))
 
     def _check_place(self, name: str) -> None:
-        """Raise an error if a report of this name can't be accepted.
+        """Check that a report of the sidecar `name` can be accepted.
 
-        It is `AggregatorNameError` if a live aggregator has the name, `UnavailableError` if there are too
-        many nodes.
+        Raise `AggregatorNameError` if a live aggregator has the name, and `UnavailableError` if the name is
+        new and the maximum number of nodes is known.
         """
         service = self._service
         if service.directory.live(service.now(), name):
@@ -65,16 +65,16 @@
             raise AggregatorNameError(sidecar, "an aggregator has this name")
         nodes, most = service.coordinator.membership.nodes, service.settings.members_most
         if name not in nodes and len(nodes) >= most:
-            raise UnavailableError(FULL, f"all {most} sidecars are known", retry_s=FULL_RETRY_S)
+            raise UnavailableError(NO_PLACE, f"all {most} sidecars are known", retry_s=NO_PLACE_RETRY_S)
 
     def answer(self, name: str, report: Report) -> ReportAnswer:
-        """Apply a report; return its answer."""
+        """Apply the report of the sidecar `name`; return the answer to it."""
         service = self._service
         fields: AnswerFields = {}
-        if not report.leaving:  # the last report has none of their fields
+        if not report.leaving:  # the last report of a sidecar lacks the fields that extensions read
             for extension in service.extensions:
                 fields |= extension.receive_report(name, report)
-        lease, coordinator = service.report(name, report), service.coordinator
+        lease, coordinator = service.answer_report(name, report), service.coordinator
         state, index = coordinator.state, service.host.store.state.last_index(INSTANCES)
         newest = state.pending_number or state.committed.number
         nodes = len(coordinator.membership.nodes)
--- a/brassfall/controlplane/registry/override_clock.py
+++ b/brassfall/controlplane/registry/override_clock.py
@@ -1,4 +1,4 @@
-"""The overrides' clock over the store, with durable marks from which the time continues after a kill."""
+"""The clock of overrides: its time is stored at intervals, and continues from there after a crash."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from brassfall.logs import logger
 
 TABLE, KEY = "overrides-clock", "mark"
-BOOT_ID = Path("/proc/sys/kernel/random/boot_id")  # differs after each start of the machine
+BOOT_ID = Path("/proc/sys/kernel/random/boot_id")  # file with an id that is new at each boot of the machine
 
 log = logger("overrides")
 
 
 class OverrideClock:
-    """Unix ms without the jumps of the wall clock; the store has to be loaded."""
+    """A clock in Unix ms that does not follow steps of the wall clock; create it once the store is loaded."""
 
     def __init__(self, store: Store, tasks: Tasks) -> None:
         self._store = store
@@ -37,23 +37,23 @@
         )
 
     def now(self) -> int:
-        """Return Unix ms, which never go back."""
+        """Return the time in Unix ms, which never goes back."""
         return self._clock.now(_monotonic_ms())
 
     async def write_first_mark(self) -> None:
-        """Make the time durable, before any answer depends on it.
+        """Store the time durably before any answer depends on it.
 
         Raise `UnavailableError` while the disk fails. Cancelling does not cancel a write under way.
         """
         await self._store.submit(self.mark(), until_settled=False)
 
     def mark(self) -> Put:
-        """Return the command that makes the present time durable."""
+        """Return the store command that stores the present time."""
         at = _monotonic_ms()
         return Put(table=TABLE, key=KEY, value={"mark": self._clock.now(at), "at": at, "boot": _boot_id()})
 
     def write_mark_when_due(self) -> None:
-        """Start a write of the time, once a second and one at a time."""
+        """Start to store the time if a write is due, which is once a second, and none is under way."""
         if self._writing is not None and not self._writing.done():
             return
         if self._clock.mark(_monotonic_ms()) is not None:
@@ -63,7 +63,7 @@
         try:
             await self._store.submit(self.mark())
         except UnavailableError as error:
-            log.warning("time not durable", reason=error.summary, action=error.action)
+            log.warning("override clock not durable", reason=error.summary, action=error.action)
 
 
 def _monotonic_ms() -> float:
--- a/brassfall/controlplane/registry/overrides.py
+++ b/brassfall/controlplane/registry/overrides.py
@@ -1,4 +1,4 @@
-"""`/overrides` over the durable store, and the part of answers to reports that is about overrides."""
+"""Overrides in the list service: HTTP calls under `/overrides`, and fields of reports and answers."""
 
 from __future__ import annotations
 
@@ -37,19 +37,20 @@
 from brassfall.errors import UnavailableError
 from brassfall.logs import faults, logger
 
-TICK_S = 0.1
-REPUBLISH_S, MAX_REPUBLISH_S = 1.0, 30.0  # backoff: a revision may be objected to each time
-REPEAT_CALL = "Send the same call again: it is answered with the outcome, and changes nothing twice."
-DENIED = "it acts on other overrides than are due"  # on the wire, as the reason to grant no lease
+TICK_S = 0.1  # interval at which ends of overrides are checked
+# Backoff between attempts to publish the overrides in force; sidecars may object to each of the revisions.
+REPUBLISH_S, MAX_REPUBLISH_S = 1.0, 30.0
+REPEAT_CALL_ACTION = "Send the same call again: it is answered with the outcome, and changes nothing twice."
+LEASE_DENIED = "it acts on other overrides than are due"  # on the wire, as the reason to grant no lease
 
-NOT_PUBLISHED = "Look at the reason and at /status; it is published again by itself."
+NOT_PUBLISHED_ACTION = "Look at the reason and at /status; it is published again by itself."
 
 log = logger("overrides")
 _encode = msgspec.json.Encoder().encode
 
 
 class Host(Protocol):
-    """What the overrides use of the list service."""
+    """The part of the list service that overrides use."""
 
     store: Store
 
@@ -58,15 +59,15 @@
 
 
 class Revisions(Protocol):
-    """What the overrides use of the configuration revisions."""
+    """The part of the revision service that overrides use."""
 
-    blocked: dict[str, str]  # sidecars that get no lease, and why
+    blocked: dict[str, str]  # sidecars that get no lease, with the reason
 
     def overrides_in_force(self) -> list[dict[str, Any]] | None:
         """Return the overrides of the committed revision; None while another one is pending."""
 
     def publish(self, **draft: Unpack[DraftFields]) -> asyncio.Future[int]:
-        """Publish a revision; return its number once that is durable."""
+        """Publish a revision; the future's result is its number, once the revision is durable."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -80,27 +81,27 @@
 
 @dataclass(slots=True)
 class Overrides:
-    """The overrides of one list service: their store, their reconciler and their calls."""
+    """Connects the override store and the reconciler of a list service with its disk, calls and reports."""
 
     host: Host
     revisions: Revisions
     store: OverrideStore = field(init=False)
     reconciler: Reconciler = field(init=False)
     clock: OverrideClock = field(init=False)
-    _calls: count[int] = field(default_factory=count)
-    _answers: dict[int, asyncio.Future[Override | None]] = field(default_factory=dict)  # by call
+    _call_numbers: count[int] = field(default_factory=count)
+    _answers: dict[int, asyncio.Future[Override | None]] = field(default_factory=dict)  # by number of a call
     _tasks: Tasks = field(default_factory=Tasks)
     _in_force: tuple[Override, ...] = ()
     _publishing: bool = False
-    _republish_at: float = 0.0  # when overrides that are not in the revision are published anew, monotonic s
+    _republish_at: float = 0.0  # earliest time at which the overrides are published again, monotonic s
     _republish_pause_s: float = REPUBLISH_S
-    _resend: set[str] = field(default_factory=set)  # sidecars whose next answer has all times left
-    _request: set[str] = field(default_factory=set)  # sidecars whose next answer requests details
+    _resend_times: set[str] = field(default_factory=set)  # sidecars whose next answer has all times left
+    _request_details: set[str] = field(default_factory=set)  # sidecars whose next answer requests details
 
     async def start(self) -> None:
-        """Load the durable state, and write the first mark of the clock before any call is answered.
+        """Load the durable state, store the time of the clock, and start to end overrides that are over.
 
-        Raise `UnavailableError` while the disk fails; it may be called again.
+        Raise `UnavailableError` while the disk fails; then it may be called again.
         """
         state = self.host.store.state
         ring = history.HistoryRing()
@@ -110,17 +111,21 @@
         self.clock = OverrideClock(self.host.store, self._tasks)
         rows = ((row.key, row.value) for row in state.rows(TABLE))
         for key in self.store.restore(rows, (row.value for row in entries_before)):
-            log.error("unreadable", override=key, action="End it with `override end`, and write it anew.")
+            log.error(
+                "stored override unreadable",
+                override=key,
+                action="End it with `override end`, and write it anew.",
+            )
         self.reconciler.restore(row.value for row in entries_before)
         await self.clock.write_first_mark()
         self._tasks.spawn(self._tick())
 
     async def close(self) -> None:
-        """Stop; writes under way are cancelled."""
+        """Cancel all tasks, including writes under way."""
         await self._tasks.end()
 
     def routes(self) -> list[web.RouteDef]:
-        """Return the routes of `/overrides`."""
+        """Return the HTTP routes under `/overrides`."""
         return [
             web.get("/overrides", self._list),
             web.get("/overrides/{name}", self._get),
@@ -131,30 +136,31 @@
     # --- the store and the reconciler -------------------------------------------------
 
     def now(self) -> int:
-        """Return Unix ms, by a clock that does not follow jumps of the wall clock."""
+        """Return the time in Unix ms by the override clock, which does not follow steps of the wall clock."""
         return self.clock.now()
 
     def _step(self, event: events.Event) -> None:
-        """Pass an event to the override store, and carry its actions out."""
+        """Pass an event to the override store, and perform the actions that it returns."""
         for action in self.store.step(self.now(), event):
             match action:
                 case events.WriteRow(ticket, override):
                     row = Put(table=TABLE, key=override.id, value=action.value)
-                    # With a mark of the clock: after a kill, time does not begin before the override.
-                    self._tasks.spawn(self._written(ticket, row, self.clock.mark()))
+                    # The clock's time is stored with the override, so that after a crash the clock does not
+                    # restart at a time before it.
+                    self._tasks.spawn(self._write_and_report(ticket, row, self.clock.mark()))
                 case events.DeleteRow(ticket, name):
-                    self._tasks.spawn(self._written(ticket, Delete(table=TABLE, key=name)))
+                    self._tasks.spawn(self._write_and_report(ticket, Delete(table=TABLE, key=name)))
                 case history.WriteEntry():
-                    self._record(action)
+                    self._write_history(action)
                 case events.Publish(overrides):
                     self._in_force = overrides
                     self._republish_at, self._republish_pause_s = 0.0, REPUBLISH_S
                     self._reconcile(reconciliation.Published(overrides))
                     self._publish_in_force()
                 case events.Answer():
-                    self._answer(action)
+                    self._resolve_call(action)
 
-    def _answer(self, made: events.Answer) -> None:
+    def _resolve_call(self, made: events.Answer) -> None:
         future = self._answers.pop(made.call, None)
         if future is None or future.done():
             return
@@ -164,47 +170,49 @@
             future.set_result(made.override)
 
     def _reconcile(self, event: reconciliation.Event) -> None:
-        """Pass an event to the reconciler, and carry its actions out."""
+        """Pass an event to the reconciler, and perform the actions that it returns."""
         for action in self.reconciler.step(self.now(), event):
             match action:
                 case reconciliation.RequestDetails(node):
-                    self._request.add(node)
+                    self._request_details.add(node)
                 case reconciliation.Resend(node):
-                    self._resend.add(node)
+                    self._resend_times.add(node)
                 case reconciliation.DenyLease(node):
-                    self.revisions.blocked[node] = DENIED
-                    log.warning("refused", edge=node, action="Upgrade that sidecar, or end the override.")
+                    self.revisions.blocked[node] = LEASE_DENIED
+                    log.warning(
+                        "lease denied", edge=node, action="Upgrade that sidecar, or end the override."
+                    )
                 case reconciliation.AllowLease(node):
                     self.revisions.blocked.pop(node, None)
                 case reconciliation.AlertOperator(finding):
                     log.error(
-                        "finding",
+                        "override finding",
                         edge=finding.node,
                         kind=finding.kind,
                         ids=finding.ids,
                         action=finding.action,
                     )
                 case history.WriteEntry():
-                    self._record(action)
+                    self._write_history(action)
 
-    def _record(self, action: history.WriteEntry) -> None:
+    def _write_history(self, action: history.WriteEntry) -> None:
         rows: list[Command] = [Put(table=history.TABLE, key=action.key, value=action.value)]
         if action.drop:
             rows.append(Delete(table=history.TABLE, key=action.drop))
-        self._tasks.spawn(self._write(rows))
+        self._tasks.spawn(self._write_rows(rows))
 
-    async def _write(self, rows: Iterable[Command]) -> str:
-        """Write rows; return why they could not be made durable, empty if they are."""
+    async def _write_rows(self, rows: Iterable[Command]) -> str:
+        """Write rows to the store; return the reason if that fails, an empty text if they are durable."""
         try:
-            # Rows that are submitted without a pause are in one commit.
+            # All rows are submitted before the first is awaited, so that they share one commit.
             for future in [self.host.store.submit(row) for row in rows]:
                 await future
         except UnavailableError as error:
             return str(error)
         return ""
 
-    async def _written(self, ticket: int, *rows: Command) -> None:
-        self._step(events.Written(ticket, await self._write(rows)))
+    async def _write_and_report(self, ticket: int, *rows: Command) -> None:
+        self._step(events.Written(ticket, await self._write_rows(rows)))
 
     async def _tick(self) -> None:
         while True:
@@ -214,10 +222,10 @@
                 self._reconcile(reconciliation.Tick())
                 self._publish_in_force()
             if self._in_force:
-                self.clock.write_mark_when_due()  # without overrides no end depends on the time
+                self.clock.write_mark_when_due()  # only the ends of overrides depend on this time
 
     def _publish_in_force(self) -> None:
-        """Publish the overrides in force, unless the committed revision has them."""
+        """Start to publish the overrides in force, unless the committed revision has them."""
         published = self.revisions.overrides_in_force()
         if published is None or self._publishing or time.monotonic() < self._republish_at:
             return
@@ -234,39 +242,43 @@
         try:
             await self.revisions.publish(overrides=layer)
         except UnavailableError as error:
-            log.warning("not published", reason=str(error), action=NOT_PUBLISHED)
+            log.warning("overrides not published", reason=str(error), action=NOT_PUBLISHED_ACTION)
         finally:
             self._publishing = False
 
     # --- reports ------------------------------------------------------------------------
 
     def receive_report(self, name: str, report: Report) -> dict[str, Any]:
-        """Return the overrides part of a report's answer; it has to be called before the lease is decided."""
+        """Apply the part of a sidecar's report about overrides; return the fields of the answer about them.
+
+        Call it before the lease is decided, since it may block the sidecar's lease.
+        """
         digest = report.digest if report.overrides is not None else None
         place = (report.group, report.region)
         self._reconcile(reconciliation.Reported(name, report.process_id, *place, digest))
         if report.acted_overrides is not None:
             self._reconcile(reconciliation.Details(name, report.acted_overrides))
         answered: dict[str, Any] = {}
-        send_all = report.refresh_times or name in self._resend
-        self._resend.discard(name)
+        send_all = report.refresh_times or name in self._resend_times
+        self._resend_times.discard(name)
         now = self.now()
         left = document.times_left(
             self.store.active(now), now, 0 if send_all else report.known_override_revision
         )
         if left:
             answered["left"] = left
-        if name in self._request:
-            self._request.discard(name)
+        if name in self._request_details:
+            self._request_details.discard(name)
             answered["list_overrides"] = True
         return answered
 
     def receive_aggregator_report(
         self, now: float, rows: Iterable[ChildException], report: AggregatorReport, orders: ChildOrders
     ) -> OverrideMessages:
-        """Return the overrides part of the answer to an aggregator's report.
+        """Apply the part of an aggregator's report about overrides; return that part of the answer.
 
-        `rows` are of the children whose digest differs; `now` is monotonic ms.
+        `rows` holds the children whose digest of overrides differs from the expected one; `now` is monotonic
+        ms.
         """
         names = []
         for row in rows:
@@ -275,9 +287,9 @@
             self._reconcile(reconciliation.Reported(row.name, row.process_id, *place, row.digest))
             if row.acted_overrides is not None:
                 self._reconcile(reconciliation.Details(row.name, row.acted_overrides))
-        due = orders.due(now, names, self.revisions.blocked, self._request, self._resend)
-        self._request.difference_update(names)
-        self._resend.difference_update(names)
+        due = orders.due(now, names, self.revisions.blocked, self._request_details, self._resend_times)
+        self._request_details.difference_update(names)
+        self._resend_times.difference_update(names)
         at = self.now()
         digests = [
             PlaceDigest(place, self.reconciler.expected_digest(at, place.group, place.region))
@@ -287,17 +299,17 @@
         return OverrideMessages(left, digests, due)
 
     def forget_moved_sidecar(self, name: str) -> None:
-        """Close the findings of a sidecar that has moved to another aggregator, or left one."""
+        """Close the findings about a sidecar that has moved to another aggregator, or left its aggregator."""
         if self.reconciler.knows(name):
             self.forget_sidecar(name)
 
     def forget_sidecar(self, name: str) -> None:
-        """Forget a sidecar that has left the fleet."""
+        """Close the findings about a sidecar that has left the fleet, and unblock its lease."""
         self._reconcile(reconciliation.Left(name))
         self.revisions.blocked.pop(name, None)
 
     def findings(self) -> dict[str, list[str]]:
-        """Return the findings by sidecar, each with the operator's action."""
+        """Return the findings by sidecar, each as a text with the action for the operator."""
         found: dict[str, list[str]] = {}
         for finding in self.reconciler.findings:
             found.setdefault(finding.node, []).append(f"{finding.kind}: {finding.action}")
@@ -305,34 +317,37 @@
 
     # --- calls ----------------------------------------------------------------------------
 
-    async def _call(self, make: Callable[[int], events.Event]) -> web.Response:
-        """Make a change, and answer it once it is durable; cancelling does not undo the change."""
-        call = next(self._calls)
+    async def _apply_change(self, make: Callable[[int], events.Event]) -> web.Response:
+        """Pass a change to the override store, and answer once it is durable.
+
+        `make` returns the change's event for the number of this call. Cancelling does not undo the change.
+        """
+        call = next(self._call_numbers)
         future: asyncio.Future[Override | None] = asyncio.get_running_loop().create_future()
         self._answers[call] = future
         self._step(make(call))
-        found = await self._outcome(future)
+        found = await self._wait_for_outcome(future)
         return answer(_encode(document.listing(found, self.now()) if found is not None else {}))
 
-    async def _outcome(self, future: asyncio.Future[Override | None]) -> Override | None:
-        """Wait for the result of a change; raise `OutcomeUnknownError` if the disk does not answer."""
+    async def _wait_for_outcome(self, future: asyncio.Future[Override | None]) -> Override | None:
+        """Return the result of a change; raise `OutcomeUnknownError` if the disk does not answer in time."""
         while not future.done():
             await asyncio.wait({future}, timeout=UNKNOWN_AFTER_S)
             if not future.done() and self.host.store.outcome_unknown:
-                future.cancel()  # the change goes on without it
+                future.cancel()  # only the wait ends; the change may still be carried out
                 what, why = "the change may have happened", self.host.store.statistics.disk
-                raise OutcomeUnknownError(what, why, REPEAT_CALL)
+                raise OutcomeUnknownError(what, why, REPEAT_CALL_ACTION)
         return future.result()
 
     async def _put(self, request: web.Request) -> web.Response:
         name = request.match_info["name"]
         made = document.parse(name, await self.host.body(request), self.now())
-        return await self._call(lambda call: events.Put(call, name, made))
+        return await self._apply_change(lambda call: events.Put(call, name, made))
 
     async def _end(self, request: web.Request) -> web.Response:
         name = entries.check_name(request.match_info["name"])
         by, why = (request.query.get(key, "")[: document.TEXT_MOST] for key in ("by", "why"))
-        return await self._call(lambda call: events.End(call, name, by, why))
+        return await self._apply_change(lambda call: events.End(call, name, by, why))
 
     async def _get(self, request: web.Request) -> web.Response:
         name, now = entries.check_name(request.match_info["name"]), self.now()
--- a/brassfall/controlplane/registry/report_answer.py
+++ b/brassfall/controlplane/registry/report_answer.py
@@ -1,4 +1,4 @@
-"""The answer to a sidecar's report, by the service or an aggregator. Pure code."""
+"""The JSON form of the answer that a list service or aggregator gives to a sidecar's report."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
         "times_left": "left",
     },
 ):
-    """What a sidecar is answered. A field that is left out is as a sidecar takes it to be."""
+    """The answer to a sidecar's report; a sidecar takes a field that is left out to have its default."""
 
-    revision: int  # in force
-    lease_ms: float  # counted from when the sidecar asked; 0: none, and `why` says why
-    list_index: int
-    has_changes: bool  # whether there is a revision or a list that the sidecar does not have
-    epoch: int | None = None  # left out where the report named it
-    pending: int = 0
-    why: str = ""
-    every_ms: float = pace.EVERY_MS  # how far apart its reports are to be
-    spread_ms: float = pace.SPREAD_LEAST_MS  # over what span urgent reports are spread
-    members: int = 1  # sidecars in the whole fleet
-    times_left: TimesLeft = {}  # of overrides
-    list_overrides: bool = False  # the next report is to list what it acts on
-    elsewhere: bool = False  # another address may have a lease to grant
+    revision: int  # number of the committed revision
+    lease_ms: float  # length of the lease, counted from when the report was sent; 0: no lease, see `why`
+    list_index: int  # index of the endpoint list of the answering process
+    has_changes: bool  # True if there is a newer revision or list than the sidecar has
+    epoch: int | None = None  # epoch of the list service; left out if the report named the same
+    pending: int = 0  # number of the pending revision; 0: none
+    why: str = ""  # reason why no lease is granted
+    every_ms: float = pace.EVERY_MS  # interval at which the sidecar is to report
+    spread_ms: float = pace.SPREAD_LEAST_MS  # time span over which sidecars spread urgent reports
+    members: int = 1  # number of sidecars in the whole fleet
+    times_left: TimesLeft = {}  # remaining times of overrides
+    list_overrides: bool = False  # True if the next report is to list the overrides that the sidecar acts on
+    elsewhere: bool = False  # True if the sidecar may get a lease at another address
--- a/brassfall/controlplane/registry/reports.py
+++ b/brassfall/controlplane/registry/reports.py
@@ -1,4 +1,4 @@
-"""Reading reports of sidecars: complete ones, and deltas to the last one on the connection."""
+"""Parsing of sidecars' reports, which are complete or a delta to the last report on the connection."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 def read_report(request: web.Request, name: str, body: bytes) -> Report:
-    """Return the report of a sidecar; raise `ReportError` if it is malformed.
+    """Parse the report of the sidecar `name`; raise `ReportError` if it is malformed.
 
-    It may be a delta to the last report of the same name on the same connection.
+    The body may be a delta to the last report of the same sidecar on the same connection.
     """
     connection = request.protocol
     assert isinstance(connection, Connection)
