--- a/brassfall/controlplane/registry/revision_service.py
+++ b/brassfall/controlplane/registry/revision_service.py
@@ -1,4 +1,4 @@
-"""The coordinator of revisions within a running service: its clock, its disk and its publishers."""
+"""Connects the coordinator of configuration revisions with the clock, the store and the service's calls."""
 
 from __future__ import annotations
 
@@ -32,23 +32,25 @@
 from brassfall.logs import faults, logger
 from brassfall.settings import AgreementSettings
 
-STATE_TABLE, STATE_KEY = "rules", "state"  # the row of the durable state
-MEMBER_TABLE = "edges"  # one row for each durable member
-CHANNEL = "/rules"  # among the channels of watches
-TICK_S = 0.05
-SWEEP_S = 60.0
-UNWRITTEN = "Look at the disk of the list service (/status says what it answered); nothing has changed."
-FORGOTTEN = "Nothing if it is gone for good; else look at its process and its network to the service."
-HALTED = "Fix what the objections name and publish again; the revision before stays active."
+STATE_TABLE, STATE_KEY = "rules", "state"  # table and key of the row with the coordinator's durable state
+MEMBER_TABLE = "edges"  # table with one row for each member
+CHANNEL = "/rules"  # name of the watch channel of the revision state
+TICK_S = 0.05  # interval at which the coordinator gets a tick
+SWEEP_S = 60.0  # interval at which nodes that no longer report are removed
+WRITE_FAILED_ACTION = (
+    "Look at the disk of the list service (/status says what it answered); nothing has changed."
+)
+FORGOTTEN_ACTION = "Nothing if it is gone for good; else look at its process and its network to the service."
+HALTED_ACTION = "Fix what the objections name and publish again; the revision before stays active."
 
-AnswerFields = dict[str, Any]  # by the wire's names
+AnswerFields = dict[str, Any]  # fields of an answer, by their names in JSON
 
 log = logger("rules")
 _encode = msgspec.json.Encoder().encode
 
 
 class Host(Protocol):
-    """What the parts of a list service use of it."""
+    """The part of a list service that the revision service uses."""
 
     store: Store
     channels: dict[str, Channel]
@@ -61,60 +63,63 @@
 
 
 class ReportExtension(Protocol):
-    """A part of the service with its own fields in reports and their answers."""
+    """A part of the list service with its own fields in reports and in the answers to them."""
 
     def receive_report(self, name: str, report: Report) -> AnswerFields:
-        """Apply a sidecar's report; return its fields of the answer."""
+        """Apply a sidecar's report; return the extension's fields of the answer."""
 
     def forget_sidecar(self, name: str) -> None:
-        """Forget a sidecar that has left the fleet."""
+        """Remove all state about a sidecar that has left the fleet."""
 
     def findings(self) -> dict[str, list[str]]:
-        """Return the findings by sidecar."""
+        """Return the extension's findings, as texts, by sidecar."""
 
 
 class UnwrittenError(UnavailableError):
-    """A revision could not be made durable; nothing has changed."""
+    """A published revision could not be written to disk; the configuration has not changed."""
 
     action = "Look at the disk of the list service (/status says what it answered), then publish again."
 
 
 @dataclass(slots=True)
 class RevisionStatistics:
-    """Counts since the start."""
+    """Counts of reports and publications since the start of the process."""
 
-    reports: int = 0  # answered, of sidecars and aggregators
+    reports: int = 0  # number of answered reports, of sidecars and aggregators
     refused_reports: int = 0
-    granted: int = 0
+    granted: int = 0  # number of reports answered with a lease
     published: int = 0
-    harmful: int = 0  # refused
-    forced: int = 0
+    harmful: int = 0  # number of revisions refused as harmful
+    forced: int = 0  # number of harmful revisions that were published by force
 
 
 @dataclass(slots=True)
 class RevisionService:
-    """The coordinator of a list service; everything runs in the service's loop."""
+    """Runs the coordinator of a list service; all methods are to be called in the service's loop."""
 
     host: Host
     settings: AgreementSettings
     statistics: RevisionStatistics = field(default_factory=RevisionStatistics)
-    blocked: dict[str, str] = field(default_factory=dict)  # sidecars that get no lease, and why
+    blocked: dict[str, str] = field(default_factory=dict)  # sidecars that get no lease, with the reason
     extensions: list[ReportExtension] = field(default_factory=list)
     coordinator: RevisionCoordinator = field(init=False)
-    directory: Directory = field(init=False)  # of the children of aggregators
+    directory: Directory = field(init=False)  # aggregators, and which children belong to which of them
     channel: StateChannel = field(init=False)
     started_ms: float = 0.0
     _tickets: count[int] = field(default_factory=count)
-    _publishers: dict[int, asyncio.Future[int]] = field(default_factory=dict)  # by ticket
-    _answers: dict[int, messages.LeaseAnswer] = field(default_factory=dict)  # by ticket
-    _writing: set[str] = field(default_factory=set)  # members whose rows are being written
+    _publishers: dict[int, asyncio.Future[int]] = field(default_factory=dict)  # publications by ticket
+    _lease_answers: dict[int, messages.LeaseAnswer] = field(default_factory=dict)  # answers by ticket
+    _members_being_written: set[str] = field(
+        default_factory=set
+    )  # members with a write of their row under way
     _tasks: Tasks = field(default_factory=Tasks)
-    _line: tuple[DurableState, bytes] | None = None  # a state, and its encoded line
+    _encoded_line: tuple[DurableState, bytes] | None = None  # the last encoded state, and its line
 
     def start(self, watch_bytes: int, stuck_s: float) -> None:
-        """Load the durable state from the store, which has to be loaded, and begin an epoch.
+        """Read the durable state from the store, and begin an epoch; call it once the store is loaded.
 
-        `watch_bytes` and `stuck_s` limit the watches on the state as they do those on tables.
+        `watch_bytes` and `stuck_s` limit the watches on the revision state: how many unread bytes a watch may
+        have, and for how long it may then read nothing, in s.
         """
         table = self.host.store.state
         row = table.get(STATE_TABLE, STATE_KEY)
@@ -132,18 +137,18 @@
         self._tasks.spawn(self._tick())
 
     async def close(self) -> None:
-        """Stop; writes under way are cancelled."""
+        """Cancel all tasks, including writes under way."""
         await self._tasks.end()
 
     @staticmethod
     def now() -> float:
-        """Return the coordinator's time, in monotonic ms."""
+        """Return the time that the coordinator uses, in monotonic ms."""
         return time.monotonic() * 1000.0
 
     # --- the coordinator --------------------------------------------------------------
 
     def step(self, event: messages.Event) -> None:
-        """Pass an event to the coordinator, and carry its actions out."""
+        """Pass an event to the coordinator, and perform the actions that it returns."""
         for action in self.coordinator.step(self.now(), event):
             self._carry_out(action)
 
@@ -152,42 +157,45 @@
             case messages.Persist(state):
                 self._tasks.spawn(self._persist(state))
             case messages.PersistMember(name, member=True):
-                self._add_member(name)
+                self._start_member_write(name)
             case messages.PersistMember(name):
-                self._delete_member(name)
+                self._start_member_delete(name)
                 self.forget(name)
             case messages.LeaseAnswer(ticket):
-                self._answers[ticket] = action
+                self._lease_answers[ticket] = action
             case messages.Published(ticket, revision):
-                self._settle(ticket, revision)
+                self._resolve_publication(ticket, revision)
             case messages.PublishConflict(ticket, newest):
                 error = PreconditionFailedError("not published", f"the newest edition is {newest}")
-                self._settle(ticket, error)
+                self._resolve_publication(ticket, error)
             case messages.PublishFailed(ticket):
-                self._settle(ticket, UnwrittenError("not published", "the disk refused it"))
+                self._resolve_publication(ticket, UnwrittenError("not published", "the disk refused it"))
             case messages.NotifyWatches():
-                self._line = None
+                self._encoded_line = None
                 self.channel.state_changed()
 
     async def _tick(self) -> None:
-        swept = self.now()
+        swept_ms = self.now()
         while True:
             await asyncio.sleep(TICK_S)
             with faults(log):
                 self.step(messages.Tick())
-                if self.now() - swept > SWEEP_S * 1000.0:
-                    swept = self.now()
-                    self.sweep(swept)
+                if self.now() - swept_ms > SWEEP_S * 1000.0:
+                    swept_ms = self.now()
+                    self.sweep(swept_ms)
 
     # --- reports ----------------------------------------------------------------------
 
-    def report(
+    def answer_report(
         self, name: str, report: Report, objections: Mapping[str, Objection] | None = None
     ) -> messages.LeaseAnswer:
-        """Return the coordinator's answer to a report; `objections` are those of an aggregator's children."""
+        """Pass a report to the coordinator; return its answer.
+
+        `objections` maps children of a reporting aggregator to their objections.
+        """
         ticket = next(self._tickets)
         self.step(messages.ReportReceived(ticket, name, report, objections or {}))
-        answer = self._answers.pop(ticket)
+        answer = self._lease_answers.pop(ticket)
         self.statistics.reports += 1
         self.statistics.granted += answer.lease_ms > 0.0
         return answer
@@ -195,10 +203,10 @@
     # --- publications -----------------------------------------------------------------
 
     def publish(self, **draft: Unpack[messages.DraftFields]) -> asyncio.Future[int]:
-        """Publish a revision; return a future of its number, which is set once it is durable.
+        """Publish a revision; the future's result is its number, once the revision is durable.
 
-        The future fails with `PreconditionFailedError` if another revision is the newest, and with
-        `UnwrittenError` if the write fails; cancelling it does not end the publication.
+        The future fails with `PreconditionFailedError` if the draft follows a revision that is not the
+        newest, and with `UnwrittenError` if the write fails. Cancelling it does not end the publication.
         """
         ticket = next(self._tickets)
         future: asyncio.Future[int] = asyncio.get_running_loop().create_future()
@@ -207,7 +215,7 @@
         self.step(messages.Publish(ticket, list_index=list_index, **draft))
         return future
 
-    def _settle(self, ticket: int, result: int | Exception) -> None:
+    def _resolve_publication(self, ticket: int, result: int | Exception) -> None:
         future = self._publishers.pop(ticket, None)
         if future is None or future.done():
             return
@@ -222,7 +230,7 @@
         try:
             await self.host.store.submit(row)
         except NotWrittenError as error:
-            log.error("not durable", reason=str(error), action=UNWRITTEN)  # noqa: TRY400 - no traceback is needed
+            log.error("not durable", reason=str(error), action=WRITE_FAILED_ACTION)  # noqa: TRY400 - no traceback is needed
             self.step(messages.PersistFailed())
             return
         self.step(messages.Persisted())
@@ -231,86 +239,88 @@
     # --- members ----------------------------------------------------------------------
 
     def forget(self, name: str) -> None:
-        """Have all parts forget a node that has left, and an aggregator's children with it."""
+        """Make all extensions forget a node that has left, and the children of an aggregator with it."""
         for sidecar in (name, *self.directory.remove(name)):
             for extension in self.extensions:
                 extension.forget_sidecar(sidecar)
 
-    def sweep(self, now: float) -> None:
-        """Remove nodes, members or not, that have not reported for `forget_ms`; `now` is monotonic ms.
+    def sweep(self, now_ms: float) -> None:
+        """Remove nodes, members or not, that have not reported for `forget_ms`.
 
-        Members are removed only if this service may grant leases: otherwise a minority could become the
-        majority.
+        Members are removed only while the coordinator may grant leases. Otherwise a minority of the members
+        could become the majority.
         """
-        may_grant = self.coordinator.grant_refusal(now) is None
-        membership, limit_ms = self.coordinator.membership, now - self.settings.forget_ms
-        self.coordinator.leases.active(now)  # forgets those that have ended
+        may_grant = self.coordinator.grant_refusal(now_ms) is None
+        membership, limit_ms = self.coordinator.membership, now_ms - self.settings.forget_ms
+        self.coordinator.leases.active(now_ms)  # this call also removes leases that have ended
         for name in [*membership.nodes.keys() | membership.names]:
             if name in membership.names and not may_grant:
                 continue
             node = membership.nodes.get(name)
             if (node.reported_ms if node is not None else self.started_ms) < limit_ms:
-                log.warning("forgotten", name=name, reason="no report for too long", action=FORGOTTEN)
+                log.warning(
+                    "node forgotten", name=name, reason="no report for too long", action=FORGOTTEN_ACTION
+                )
                 self.step(messages.RemoveMember(name))
                 self.forget(name)
 
     def remove_migrated(self) -> None:
-        """Remove members that now report to an aggregator, and so no longer count towards a majority.
+        """Remove members that now report to an aggregator, so that they no longer count towards a majority.
 
-        Only a service that may grant leases does so, as with all members that leave.
+        As with all members that leave, this is done only while the coordinator may grant leases.
         """
-        now, membership = self.now(), self.coordinator.membership
-        if self.coordinator.grant_refusal(now) is not None:
+        now_ms, membership = self.now(), self.coordinator.membership
+        if self.coordinator.grant_refusal(now_ms) is not None:
             return
         for name in [name for name in membership.names if name in self.directory]:
             node = membership.nodes.get(name)
-            if node is None or now - node.reported_ms > self.coordinator.timing.epoch_wait_ms:
+            if node is None or now_ms - node.reported_ms > self.coordinator.timing.epoch_wait_ms:
                 self.step(messages.RemoveMember(name))
 
-    def _add_member(self, name: str) -> None:
-        if name not in self._writing:
-            self._writing.add(name)
-            self._tasks.spawn(self._write_member(name))
+    def _start_member_write(self, name: str) -> None:
+        if name not in self._members_being_written:
+            self._members_being_written.add(name)
+            self._tasks.spawn(self._write_member_row(name))
 
-    async def _write_member(self, name: str) -> None:
-        with self._member_written(name):
+    async def _write_member_row(self, name: str) -> None:
+        with self._member_write(name):
             await self.host.store.submit(Put(table=MEMBER_TABLE, key=name, value={}, quiet=True))
             self.coordinator.member_added(name)
 
-    def _delete_member(self, name: str) -> None:
-        self._writing.add(name)
-        self._tasks.spawn(self._unwrite_member(name))
+    def _start_member_delete(self, name: str) -> None:
+        self._members_being_written.add(name)
+        self._tasks.spawn(self._delete_member_row(name))
 
-    async def _unwrite_member(self, name: str) -> None:
-        with self._member_written(name):
+    async def _delete_member_row(self, name: str) -> None:
+        with self._member_write(name):
             await self.host.store.submit(Delete(table=MEMBER_TABLE, key=name))
 
     @contextlib.contextmanager
-    def _member_written(self, name: str) -> Iterator[None]:
-        """Note that a member's row is being written; a failed write is tried again with a later report."""
+    def _member_write(self, name: str) -> Iterator[None]:
+        """End the write of a member's row: log a failure, and allow a later report to start another write."""
         try:
             yield
         except NotWrittenError as error:
-            log.warning("member not durable", name=name, reason=str(error), action=UNWRITTEN)
+            log.warning("member not durable", name=name, reason=str(error), action=WRITE_FAILED_ACTION)
         finally:
-            self._writing.discard(name)
+            self._members_being_written.discard(name)
 
     # --- views ------------------------------------------------------------------------
 
     def line(self) -> bytes:
-        """Return the line that watches on the state get."""
+        """Return the encoded line that watches on the revision state get."""
         state = self.coordinator.state
-        if self._line is None or self._line[0] is not state:
+        if self._encoded_line is None or self._encoded_line[0] is not state:
             encoded = _encode(revision_state.current_state(state, self.coordinator.epoch))
-            self._line = (state, encoded)
-        return self._line[1]
+            self._encoded_line = (state, encoded)
+        return self._encoded_line[1]
 
     def durable_state(self) -> DurableState:
-        """Return the durable state of the revisions."""
+        """Return the durable state of the configuration revisions."""
         return self.coordinator.state
 
     def overrides_in_force(self) -> list[dict[str, Any]] | None:
-        """Return the overrides layer of the committed revision; None while another one is pending."""
+        """Return the overrides in the committed revision; None while another revision is pending."""
         state = self.coordinator.state
         return None if state.pending is not None else state.committed.overrides
 
@@ -323,7 +333,7 @@
             "halted",
             edition=after.halted.revision.number,
             objections=after.halted.objections,
-            action=HALTED,
+            action=HALTED_ACTION,
         )
     if after.pending is not None and after.pending != before.pending:
         log.info("prepared", edition=after.pending.number, layers=after.pending.layers)
--- a/brassfall/controlplane/registry/revision_state.py
+++ b/brassfall/controlplane/registry/revision_state.py
@@ -1,4 +1,4 @@
-"""The wire form of revisions: the state as a line of watches, and what became of one revision. Pure code."""
+"""JSON forms of configuration revisions: lines of watches, and the outcome of a single revision. No I/O."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 class RevisionLine(
     msgspec.Struct, frozen=True, kw_only=True, rename={"number": "edition", "plan_revision": "plan_edition"}
 ):
-    """One revision as it is sent to sidecars."""
+    """A revision in the form in which sidecars get it."""
 
     number: int
     follows: int
@@ -33,24 +33,24 @@
 
 
 class ObjectionRow(msgspec.Struct, frozen=True, rename={"node": "edge"}):
-    """Why a revision was halted: the objection of one sidecar, or with an empty `node` another reason."""
+    """A reason why a revision is not in force; `node` names the sidecar that objects, or is empty."""
 
     node: str
     reason: str
 
 
 class StateLine(RevisionLine, frozen=True, kw_only=True, rename={"epoch": "life"}):
-    """A revision, its state, and the committed one beside it if that is another."""
+    """A revision with its state, and the committed revision if that is a different one."""
 
     epoch: int
     state: RevisionState
     objections: list[ObjectionRow]
-    newest: int  # the highest number given
+    newest: int  # highest revision number that the service has assigned
     committed: RevisionLine | UnsetType = UNSET
 
 
 class Outcome(msgspec.Struct, frozen=True, rename={"number": "edition", "epoch": "life"}):
-    """What became of a revision whose content is not kept."""
+    """The outcome of a revision whose content is no longer stored."""
 
     number: int
     epoch: int
@@ -59,7 +59,11 @@
 
 
 def current_state(state: DurableState, epoch: int) -> StateLine:
-    """Return the line of the pending, else of a halted one after the committed, else of the committed."""
+    """Return the line for watches on the revision state.
+
+    Its revision is the pending one; without one, a halted revision newer than the committed one; without
+    that, the committed revision.
+    """
     in_force = _revision_line(state.committed)
     if state.pending is not None:
         return _state_line(state, epoch, state.pending, RevisionState.PREPARED, committed=in_force)
@@ -72,7 +76,10 @@
 def state_of(
     state: DurableState, epoch: int, outcomes: Mapping[int, RevisionOutcome], number: int
 ) -> StateLine | Outcome:
-    """Return what became of one revision; raise `NotFoundError` if that is not known."""
+    """Return the state of the revision `number`; raise `NotFoundError` if it is unknown.
+
+    `outcomes` holds the states of revisions whose content is no longer stored.
+    """
     if number == state.committed.number:
         return _state_line(state, epoch, state.committed, RevisionState.COMMITTED)
     for revision in (state.pending, state.waiting):
--- a/brassfall/controlplane/registry/rules.py
+++ b/brassfall/controlplane/registry/rules.py
@@ -1,4 +1,4 @@
-"""`GET` and `PUT /rules`: the state of the revisions, watches on it, and published settings."""
+"""HTTP calls `GET /rules`, which answers or watches the revision state, and `PUT /rules`, which publishes."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from brassfall.controlplane.revisions.validation import DocumentError, HarmfulError
 
 REVISION_REFUSED, SETTINGS_REFUSED = "edition refused", "settings refused"
-NO_JSON = "settings are no JSON"
+NOT_JSON = "settings are no JSON"
 
 _encode = msgspec.json.Encoder().encode
 
@@ -27,41 +27,41 @@
 
 
 class RulesCalls:
-    """The calls of operators, publishers and watchers."""
+    """Answers the HTTP calls under `/rules`."""
 
     def __init__(self, service: RevisionService) -> None:
         self._service = service
 
     def routes(self) -> list[web.RouteDef]:
-        """Return the routes of revisions."""
+        """Return the HTTP routes of `/rules`."""
         return [web.get("/rules", self._get), web.put("/rules", self._put)]
 
     async def _get(self, request: web.Request) -> web.StreamResponse:
         if calls.is_watch(request):
             return await self._service.host.watch(request, CHANNEL)
-        asked = request.query.get("edition")
-        if asked is None:
+        requested_number = request.query.get("edition")
+        if requested_number is None:
             return answer(self._service.line())
         coordinator = self._service.coordinator
-        number = calls.number(asked, "edition")
-        found = revision_state.state_of(coordinator.state, coordinator.epoch, coordinator.outcomes, number)
-        return answer(_encode(found))
+        number = calls.parse_whole_number(requested_number, "edition")
+        outcome = revision_state.state_of(coordinator.state, coordinator.epoch, coordinator.outcomes, number)
+        return answer(_encode(outcome))
 
     async def _put(self, request: web.Request) -> web.Response:
-        settings = _read(await self._service.host.body(request))
+        settings = _parse_settings(await self._service.host.body(request))
         forced = request.headers.get("X-Force", "0") not in ("0", "")
-        self._check_harm(settings, forced=forced)
+        self._refuse_harmful(settings, forced=forced)
         number = await self._service.publish(
             settings=settings,
-            if_match=calls.match(request),
+            if_match=calls.if_match_version(request),
             request_id=calls.request_id(request),
             forced=forced,
         )
         self._service.statistics.published += 1
         return answer(_encode(PublishedAnswer(number)))
 
-    def _check_harm(self, settings: dict[str, Any], *, forced: bool) -> None:
-        """Raise `HarmfulError` if settings would stop service, unless they are forced."""
+    def _refuse_harmful(self, settings: dict[str, Any], *, forced: bool) -> None:
+        """Raise `HarmfulError` for settings that would stop service, unless they are forced; count both."""
         service = self._service
         concurrent = [revision.settings for revision in service.coordinator.actable_revisions(service.now())]
         harm = validation.harm(settings, self._active_regions(), concurrent)
@@ -75,14 +75,14 @@
         return frozenset(row.value["zone"] for row in rows if row.value["status"] == "active")
 
 
-def _read(body: bytes) -> dict[str, Any]:
-    """Return the settings of a call; raise `DocumentError` if they are malformed."""
+def _parse_settings(body: bytes) -> dict[str, Any]:
+    """Parse the settings in the body of a call; raise `DocumentError` if they are malformed."""
     try:
         settings = msgspec.json.decode(body)
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
-        raise DocumentError(NO_JSON, str(error)) from error
-    fault = validation.form_fault(settings)
-    if fault:
-        raise DocumentError(SETTINGS_REFUSED, fault)
+        raise DocumentError(NOT_JSON, str(error)) from error
+    error_text = validation.form_fault(settings)
+    if error_text:
+        raise DocumentError(SETTINGS_REFUSED, error_text)
     found: dict[str, Any] = settings
     return found
--- a/brassfall/controlplane/registry/server.py
+++ b/brassfall/controlplane/registry/server.py
@@ -1,4 +1,4 @@
-"""The list service: its parts, their start and graceful shutdown, and its health."""
+"""The process of the list service: its parts, their start and graceful shutdown, and health checks."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 from brassfall.controlplane.registry.entries import INSTANCES
 from brassfall.controlplane.registry.fleet import Fleet
 from brassfall.controlplane.registry.fleet_listing import FleetListing
-from brassfall.controlplane.registry.front import Front
-from brassfall.controlplane.registry.gathering import Gathering
+from brassfall.controlplane.registry.front import HttpServer
+from brassfall.controlplane.registry.gathering import ListRebuild
 from brassfall.controlplane.registry.geo import Geo
 from brassfall.controlplane.registry.http_errors import status_response
 from brassfall.controlplane.registry.instances import InstanceCalls
-from brassfall.controlplane.registry.lists import INCOMPLETE, Lists
+from brassfall.controlplane.registry.lists import LIST_INCOMPLETE, TableReads
 from brassfall.controlplane.registry.metrics import CONTENT_TYPE, ListServiceMetrics, ProcessMetrics
 from brassfall.controlplane.registry.node_calls import NodeCalls
 from brassfall.controlplane.registry.overrides import Overrides
@@ -38,7 +38,10 @@
 from brassfall.settings import RegistrySettings
 
 STARTING, NOT_STARTED = "the service is starting", "the service has not started"
-RETRY_S, RETRY_MOST_S = 0.2, 5.0  # between attempts to start on a disk that fails; doubled each time
+START_RETRY_S, MAX_START_RETRY_S = (
+    0.2,
+    5.0,
+)  # backoff between attempts to start while the disk fails; doubled each time
 NOT_READY_RETRY_S = 1.0
 
 log = logger("registry")
@@ -48,7 +51,7 @@
 class Service:
     """One list service within a running loop.
 
-    `store`, `channels`, `body` and `watch` are what its parts use of it.
+    Its parts use `store`, `channels`, `body` and `watch` by the `Host` protocols that they define.
     """
 
     def __init__(self, settings: RegistrySettings) -> None:
@@ -56,15 +59,15 @@
         limits, leases = settings.limits, settings.leases
         self.store = Store(Log(Path(settings.data)), _options(settings), self._changed)
         self.metrics = ListServiceMetrics(self)
-        self.front = Front(limits, self.metrics.called)
-        self.channels = self.front.channels
-        self.body = self.front.body
-        self._gathering = Gathering(leases.gather_ms / 1000.0)
-        self._lists = Lists(self.store, self.front, self._gathering)
-        self.watch = self._lists.watch
+        self.http_server = HttpServer(limits, self.metrics.called)
+        self.channels = self.http_server.channels
+        self.body = self.http_server.body
+        self._list_rebuild = ListRebuild(leases.gather_ms / 1000.0)
+        self._table_reads = TableReads(self.store, self.http_server, self._list_rebuild)
+        self.watch = self._table_reads.watch
         writes = Writes(self.store, limits)
-        self._instances = InstanceCalls(self.store, self.front, self._lists, writes, leases)
-        self._tables = TableCalls(self.store, self.front, self._lists, writes, leases)
+        self._instances = InstanceCalls(self.store, self.http_server, self._table_reads, writes, leases)
+        self._tables = TableCalls(self.store, self.http_server, self._table_reads, writes, leases)
         self.revisions = RevisionService(self, settings.agreement)
         self.overrides = Overrides(self, self.revisions)
         self.geo = Geo(self, self.revisions, settings.geo)
@@ -76,58 +79,62 @@
         self._fleet_listing = FleetListing(self.revisions, self.fleet)
         self._started_at = time.monotonic()
         self._listen = ""
-        self._not_started = STARTING  # why calls can't be answered yet
+        self._not_started = STARTING  # reason why calls can't be answered yet; empty after the start
 
     # --- start and shutdown -----------------------------------------------------------
 
     async def start(self) -> str:
-        """Load the store and serve calls; return the address.
+        """Load the store and serve calls; return the address as HOST:PORT.
 
-        While the disk fails it is tried again, and `/health/ready` says why. Raise `LogError` if only an
-        operator can help, `OSError` if the address can't be bound. Cancelling releases the address.
+        While the disk fails the start is retried, and `/health/ready` gives the reason. Raise `LogError` if
+        only an operator can repair the store, and `OSError` if the address can't be bound. Cancelling
+        releases the address.
         """
-        await self.front.bind(self.settings.listen)
+        await self.http_server.bind(self.settings.listen)
         try:
-            await self._until_disk_works(self.store.start)
+            await self._start_part_until_disk_works(self.store.start)
             limits = self.settings.limits
             self.revisions.start(limits.watch_bytes, limits.watch_stuck_ms / 1000.0)
-            await self._until_disk_works(self.overrides.start)
+            await self._start_part_until_disk_works(self.overrides.start)
             self.geo.start()
             self.aggregators.start()
             self._fleet_listing.start()
             if self.store.fresh:
-                self._gathering.begin()
+                self._list_rebuild.start()
             await self._serve()
             self._not_started = ""
         except BaseException:
-            self.front.unbind()
+            self.http_server.unbind()
             raise
         return self._listen
 
-    async def _until_disk_works(self, begin: Callable[[], Awaitable[None]]) -> None:
-        """Start a part; while the disk fails, answer calls under `/health/` alone, and try again."""
-        pause_s = RETRY_S
-        while (failure := await _attempt(begin)) is not None:
+    async def _start_part_until_disk_works(self, start_part: Callable[[], Awaitable[None]]) -> None:
+        """Start a part of the service, and retry while the disk fails.
+
+        Meanwhile calls are served, but only those under `/health/` are answered.
+        """
+        pause_s = START_RETRY_S
+        while (failure := await _try_start(start_part)) is not None:
             if self._not_started != failure.summary:
                 log.error("not ready", reason=failure.summary, action=failure.action)
             self._not_started = failure.summary
             await self._serve()
             await asyncio.sleep(pause_s)
-            pause_s = min(RETRY_MOST_S, 2.0 * pause_s)
+            pause_s = min(MAX_START_RETRY_S, 2.0 * pause_s)
 
     async def _serve(self) -> None:
         if not self._listen:
             routes = [self._when_started(route) for route in self._routes()]
-            self._listen = await self.front.serve(routes, self._release_watches)
+            self._listen = await self.http_server.serve(routes, self._release_watches)
 
     def _when_started(self, route: web.RouteDef) -> web.RouteDef:
-        """Return a route that is refused until all parts have started, except under `/health/`."""
+        """Wrap a route so that it answers 503 until all parts have started; leave routes under `/health/`."""
 
         async def handle(request: web.Request) -> web.StreamResponse:
             if self._not_started:
                 raise UnavailableError(NOT_STARTED, self._not_started)
             made = route.handler(request)
-            assert isinstance(made, Awaitable)  # the paths here are functions, no classes
+            assert isinstance(made, Awaitable)  # every handler here is a coroutine function, not a view class
             response: web.StreamResponse = await made
             return response
 
@@ -137,7 +144,7 @@
 
     async def close(self) -> None:
         """Stop serving calls, end the watches, and wait for writes under way."""
-        await self.front.close()
+        await self.http_server.close()
         await self._fleet_listing.close()
         await self.aggregators.close()
         await self.geo.close()
@@ -149,18 +156,18 @@
 
     def _changed(self, table: str, change: Change) -> None:
         self.metrics.changes += 1
-        self._lists.changed(table, change)
+        self._table_reads.notify_watches(table, change)
 
     def _release_watches(self) -> None:
-        """Send deferred watches their first line once the list has become complete."""
-        if self._gathering.has_ended(self.store.state.count(INSTANCES)):
+        """Send deferred watches their first line once the rebuild of a lost list has ended."""
+        if self._list_rebuild.has_ended(self.store.state.count(INSTANCES)):
             for channel in self.channels.values():
                 channel.release()
 
     @property
-    def gathering(self) -> bool:
+    def is_rebuilding_list(self) -> bool:
         """True if a lost list is being rebuilt from its servers' registrations."""
-        return self._gathering.active
+        return self._list_rebuild.is_incomplete
 
     # --- operation --------------------------------------------------------------------
 
@@ -184,7 +191,9 @@
         return answer(b'{"live":true}')
 
     async def _ready(self, _request: web.Request) -> web.Response:
-        why = self._not_started or (INCOMPLETE if self.gathering else self.store.statistics.disk)
+        why = self._not_started or (
+            LIST_INCOMPLETE if self.is_rebuilding_list else self.store.statistics.disk
+        )
         return status_response(503, why, NOT_READY_RETRY_S) if why else answer(b'{"ready":true}')
 
     async def _metrics(self, _request: web.Request) -> web.Response:
@@ -194,12 +203,12 @@
         return answer(_encode(status.status(self)))
 
     def process_metrics(self) -> ProcessMetrics:
-        """Return the metrics beside those of calls, watches and the store."""
+        """Return the metrics of the service's parts, apart from those of calls, watches and the store."""
         return status.process_metrics(self)
 
     @property
     def uptime_s(self) -> float:
-        """Time since the start, in s."""
+        """The time since the service was created, in s."""
         return time.monotonic() - self._started_at
 
 
@@ -215,15 +224,15 @@
     )
 
 
-async def _attempt(begin: Callable[[], Awaitable[None]]) -> BrassfallError | None:
-    """Start a part; return the error if the disk fails for now, None once it has started."""
+async def _try_start(start_part: Callable[[], Awaitable[None]]) -> BrassfallError | None:
+    """Start a part of the service; return the error if the disk fails for now, None after a start."""
     try:
-        await begin()
+        await start_part()
     except (LogUnavailableError, LogOutcomeUnknownError, UnavailableError) as error:
         return error
     return None
 
 
 async def serve(settings: RegistrySettings) -> int:
-    """Run until SIGTERM or SIGINT; the exit status."""
+    """Run a list service until SIGTERM or SIGINT; return the exit status."""
     return await process.run(Service(settings), settings.listen, "registry", data=settings.data)
--- a/brassfall/controlplane/registry/sidecar_rows.py
+++ b/brassfall/controlplane/registry/sidecar_rows.py
@@ -1,4 +1,4 @@
-"""The rows of the listing of sidecars, by their newest reports. Pure code."""
+"""Rows of `GET /edges`, built from the newest report of each sidecar. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -11,14 +11,15 @@
 from brassfall.controlplane.revisions.membership import Node
 from brassfall.controlplane.revisions.reports import FALLBACK, Objection
 
-LIST_OLD_MS = 10_000.0  # more than a watch takes to be opened anew and confirm the list
-NEVER = "has not reported since the service began"
+OLD_LIST_AGE_MS = 10_000.0  # age from which a list counts as old; reopening a watch takes less
+NEVER_REPORTED = "has not reported since the service began"
 
 
 class SidecarRow(msgspec.Struct, kw_only=True, rename={"newest_revision": "held"}):
-    """One sidecar in `GET /edges`; ages are in ms, and None stands for a field that it has not reported.
+    """One sidecar in the answer to `GET /edges`.
 
-    `via` names the aggregator that it reports to, `behind` says in which way it lags.
+    Ages are in ms, and None stands for a field that the sidecar has not reported. `via` names the aggregator
+    that it reports to, and `behind` says in which way it lags.
     """
 
     name: str
@@ -36,7 +37,7 @@
 
 
 class Spread(msgspec.Struct, frozen=True):
-    """The versions and ages of the sidecars' lists, and the index of the service's own."""
+    """The range of indices of the sidecars' endpoint lists, their maximum age, and the service's index."""
 
     index: int
     oldest: int
@@ -45,16 +46,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Expected:
-    """The values that rows are compared with: the committed revision, the epoch, and the longest silence."""
+class ExpectedState:
+    """The state that an up-to-date node has.
+
+    `committed` is the committed revision, `epoch` that of the list service, and `silent_ms` the time without
+    a report after which a node counts as silent.
+    """
 
     committed: int
     epoch: int
     silent_ms: float
 
 
-def reported_row(node: Node, now: float, expected: Expected) -> SidecarRow:
-    """Return the row of a sidecar that reports to the service itself."""
+def reported_row(node: Node, now: float, expected: ExpectedState) -> SidecarRow:
+    """Return the row of a sidecar that reports to the list service directly; `now` is monotonic ms."""
     report = node.report
     row = SidecarRow(
         name=node.name,
@@ -68,19 +73,19 @@
         group=report.group,
         region=report.region,
     )
-    row.behind = behind(row, expected, report.objection, report.epoch)
+    row.behind = describe_lag(row, expected, report.objection, report.epoch)
     return row
 
 
-def behind(
-    row: SidecarRow, expected: Expected, objection: Objection | None = None, follows: int | None = None
+def describe_lag(
+    row: SidecarRow, expected: ExpectedState, objection: Objection | None = None, follows: int | None = None
 ) -> str:
-    """Return in which way a sidecar lags, as a line that docs/operations.md explains; empty if it does not.
+    """Return in which way a sidecar lags, as one of the lines of docs/operations.md; empty if it doesn't.
 
-    `follows` is the epoch that it follows, if that is known.
+    `follows` is the epoch of the list service that the sidecar follows, if that is known.
     """
     if row.age_ms is None:
-        return NEVER
+        return NEVER_REPORTED
     if row.age_ms > expected.silent_ms:
         return "silent: it acts on safe rules, or is gone"
     if objection is not None and objection.revision >= expected.committed:
@@ -89,7 +94,7 @@
         return f"does not hold edition {expected.committed}"
     if follows not in (None, 0, expected.epoch):
         return f"takes the word of another life of the service, {follows}"
-    if row.list_age_ms is not None and row.list_age_ms > LIST_OLD_MS:
+    if row.list_age_ms is not None and row.list_age_ms > OLD_LIST_AGE_MS:
         return f"its list may be {row.list_age_ms / 1000.0:.1f} s old: it keeps it, and asks on"
     if row.acting != expected.committed:
         return "acts on safe rules" if row.acting == FALLBACK else f"acts on edition {row.acting}"
@@ -97,15 +102,18 @@
 
 
 def add_findings(rows: Iterable[SidecarRow], found: Iterable[Mapping[str, list[str]]]) -> None:
-    """Add the findings of report extensions to the rows of their sidecars."""
+    """Append findings to the field `behind` of the rows; each mapping has findings by sidecar."""
     findings = list(found)
     for row in rows:
         lines = [line for each in findings for line in each.get(row.name, ())]
         row.behind = "; ".join([*([row.behind] if row.behind else []), *lines])
 
 
-def spread(rows: Iterable[SidecarRow], index: int, silent_ms: float) -> Spread:
-    """Return the spread of the lists of the sidecars that have reported within `silent_ms`."""
+def list_spread(rows: Iterable[SidecarRow], index: int, silent_ms: float) -> Spread:
+    """Return the range of the endpoint lists of the sidecars that have reported within `silent_ms`.
+
+    `index` is the index of the service's own list.
+    """
     fresh = [row for row in rows if row.age_ms is not None and row.age_ms <= silent_ms]
     lists = [row.list_index for row in fresh if row.list_index is not None]
     ages = [row.list_age_ms for row in fresh if row.list_age_ms is not None]
--- a/brassfall/controlplane/registry/tables.py
+++ b/brassfall/controlplane/registry/tables.py
@@ -1,4 +1,4 @@
-"""The calls under `/tables`: rows of any table, with conditions and leases."""
+"""HTTP calls under `/tables`: rows of any table, with preconditions and leases."""
 
 from __future__ import annotations
 
@@ -7,34 +7,39 @@
 
 from brassfall.controlplane.registry import calls, entries
 from brassfall.controlplane.registry.calls import answer
-from brassfall.controlplane.registry.front import Front
+from brassfall.controlplane.registry.front import HttpServer
 from brassfall.controlplane.registry.http_errors import status_response
-from brassfall.controlplane.registry.lists import Lists
+from brassfall.controlplane.registry.lists import TableReads
 from brassfall.controlplane.registry.writes import Writes
 from brassfall.controlplane.store.commands import Delete, Put
 from brassfall.controlplane.store.store import Store
 from brassfall.errors import RequestError
 from brassfall.settings import LeaseSettings
 
-LEASE = "X-Lease"  # the time to live of a row, in ms
+LEASE = "X-Lease"  # request header with the time to live of a row, in ms
 
 _encode = msgspec.json.Encoder().encode
 
 
 class TableCalls:
-    """Answers the calls on tables; `leases` limits their times to live."""
+    """Answers the HTTP calls on tables; `leases` has the limits of the rows' times to live."""
 
     def __init__(
-        self, store: Store, front: Front, lists: Lists, writes: Writes, leases: LeaseSettings
+        self,
+        store: Store,
+        http_server: HttpServer,
+        table_reads: TableReads,
+        writes: Writes,
+        leases: LeaseSettings,
     ) -> None:
         self._store = store
-        self._front = front
-        self._lists = lists
+        self._http_server = http_server
+        self._table_reads = table_reads
         self._writes = writes
         self._leases = leases
 
     def routes(self) -> list[web.RouteDef]:
-        """Return the routes of tables."""
+        """Return the HTTP routes under `/tables`."""
         one = "/tables/{table}/{key}"
         return [
             web.get("/tables/{table}", self._list),
@@ -45,19 +50,19 @@
         ]
 
     async def _list(self, request: web.Request) -> web.StreamResponse:
-        return await self._lists.read(request, entries.check_name(request.match_info["table"]))
+        return await self._table_reads.read(request, entries.check_name(request.match_info["table"]))
 
     async def _get(self, request: web.Request) -> web.Response:
         table, key = calls.row_address(request)
         row = self._store.state.get(table, key)
         if row is None:
             return status_response(404, f"{key} is not there")
-        return answer(_encode(self._lists.view(table, row)))
+        return answer(_encode(self._table_reads.row_view(table, row)))
 
     async def _put(self, request: web.Request) -> web.Response:
         table, key = calls.writable_row_address(request)
         try:
-            value = msgspec.json.decode(await self._front.body(request))
+            value = msgspec.json.decode(await self._http_server.body(request))
         except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
             message = f"the value is no JSON: {error}"
             raise RequestError(message) from error
@@ -67,25 +72,28 @@
             key=key,
             value=value,
             lease_ms=self._lease_ms(request),
-            if_match=calls.match(request),
+            if_match=calls.if_match_version(request),
             request_id=calls.request_id(request),
         )
-        return await self._writes.run(command)
+        return await self._writes.execute(command)
 
     def _lease_ms(self, request: web.Request) -> int:
         lease = request.headers.get(LEASE)
-        return 0 if lease is None else entries.check_ttl(calls.number(lease, LEASE), self._leases)
+        return 0 if lease is None else entries.check_ttl(calls.parse_whole_number(lease, LEASE), self._leases)
 
     async def _delete(self, request: web.Request) -> web.Response:
         table, key = calls.writable_row_address(request)
         command = Delete(
-            table=table, key=key, if_match=calls.match(request), request_id=calls.request_id(request)
+            table=table,
+            key=key,
+            if_match=calls.if_match_version(request),
+            request_id=calls.request_id(request),
         )
-        return await self._writes.run(command)
+        return await self._writes.execute(command)
 
     async def _renew(self, request: web.Request) -> web.Response:
         table, key = calls.writable_row_address(request)
-        version = calls.match(request)
+        version = calls.if_match_version(request)
         row = self._store.state.get(table, key)
         if row is not None and version is not None and row.version != version:
             return status_response(412, f"{key} has version {row.version}, not version {version}")
--- a/brassfall/controlplane/registry/tasks.py
+++ b/brassfall/controlplane/registry/tasks.py
@@ -1,4 +1,4 @@
-"""The tasks of one part of the service: they are cancelled with it, and logged if they fail."""
+"""Background tasks of one part of a process: they are cancelled with it, and their failures are logged."""
 
 from __future__ import annotations
 
@@ -15,20 +15,21 @@
 class Tasks:
     """Owns tasks that no caller awaits, and logs their failures.
 
-    The loop has only weak references to tasks, and logs a failed one when it is collected.
+    asyncio's loop keeps only weak references to tasks, so that a task without an owner may be collected, and
+    it logs a failure only when the task is collected.
     """
 
     def __init__(self) -> None:
         self._running: set[asyncio.Task[Any]] = set()
 
-    def spawn(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
-        """Start a task; cancelling it is no failure."""
-        task = asyncio.get_running_loop().create_task(work)
+    def spawn(self, coroutine: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
+        """Start a task; a cancelled task does not count as failed."""
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._running.add(task)
-        task.add_done_callback(self._done)
+        task.add_done_callback(self._log_failure)
         return task
 
-    def _done(self, task: asyncio.Task[Any]) -> None:
+    def _log_failure(self, task: asyncio.Task[Any]) -> None:
         self._running.discard(task)
         error = None if task.cancelled() else task.exception()
         if error is not None:
--- a/brassfall/controlplane/registry/watches.py
+++ b/brassfall/controlplane/registry/watches.py
@@ -1,11 +1,11 @@
-"""Watches: one channel encodes each change once for all its watches, and no slow reader delays another.
+"""Watches: a channel encodes each change once for all its watches, and no slow reader delays another.
 
 A watch is a chunked HTTP answer without an end: a first line with the state, then a line for each change. A
-reader with more unread bytes than allowed is sent nothing until it has read them; then it gets one line with
-all changes since, each entry once, or the complete list if the history of changes is too short. One that
-reads nothing for long is aborted.
+reader with more unread bytes than allowed is sent nothing until it has read most of them. Then it gets one
+line with all changes since, each entry once, or the complete list if the history of changes is too short. A
+reader that reads nothing for too long is aborted.
 
-Heartbeats are empty lines at fixed times: the k-th on a watch is written no sooner than k times
+Heartbeats are empty lines at fixed times: the k-th heartbeat on a watch is written no sooner than k times
 `HEARTBEAT_S` after the call was received. So a reader can compute an upper bound on the age of its state
 from its own clock alone.
 """
@@ -17,22 +17,22 @@
 from dataclasses import dataclass
 
 HEARTBEAT_S = 2.0
-SLOTS = 20  # ticks over which the heartbeats of all watches are spread
+SLOTS = 20  # number of ticks over which the heartbeats of all watches are spread
 TICK_S = HEARTBEAT_S / SLOTS
 
 
 def chunk(line: bytes) -> bytes:
-    """Return a line as one chunk of an answer."""
+    """Return a line, with its line end, as one chunk of a chunked HTTP answer."""
     return b"%x\r\n%b\n\r\n" % (len(line) + 1, line)
 
 
-EMPTY = chunk(b"")
+EMPTY_LINE = chunk(b"")
 
 
 class Watch:
-    """One open watch. `sent_index` is the index up to which all changes have been sent to its reader."""
+    """An open watch. `sent_index` is the index up to which all changes have been sent to its reader."""
 
-    __slots__ = ("_ended", "behind_since", "deferred", "new", "sent_index", "slot", "transport", "unread")
+    __slots__ = ("_ended", "behind_since", "deferred", "is_new", "sent_index", "slot", "transport", "unread")
 
     def __init__(
         self, transport: asyncio.Transport, sent_index: int, slot: int, ended: asyncio.Future[None]
@@ -40,19 +40,21 @@
         self.transport = transport
         self.sent_index = sent_index
         self.slot = slot
-        self.behind_since: float | None = None  # since when it has too many unread bytes; loop time, s
-        self.unread = 0  # bytes, at the last check while behind
-        self.new = True  # the next tick of its slot is too soon for a heartbeat
-        self.deferred = False  # its first line waits for `Channel.release`
+        self.behind_since: float | None = (
+            None  # loop time at which the reader got too slow, in s; None if not
+        )
+        self.unread = 0  # number of unread bytes at the last check of a slow reader
+        self.is_new = True  # True until its slot's first tick, which would be too soon for a heartbeat
+        self.deferred = False  # True while the first line waits for `Channel.release`
         self._ended = ended
 
     def write(self, data: bytes) -> None:
-        """Send data, unless its transport is closing: uvloop's transports raise on writes after their end."""
+        """Send data, unless the transport is closing: uvloop's transports raise on writes after their end."""
         if not self.transport.is_closing():
             self.transport.write(data)
 
     def abort(self) -> None:
-        """Abort the connection; unread data is dropped."""
+        """Abort the connection and end the watch; unread data is dropped."""
         self.transport.abort()
         if not self._ended.done():
             self._ended.set_result(None)
@@ -60,20 +62,20 @@
 
 @dataclass(slots=True)
 class ChannelStatistics:
-    """Counts of a channel since the start."""
+    """Counts of a channel since it was created."""
 
     lists_encoded: int = 0
     lines_encoded: int = 0
     lines_sent: int = 0
-    merged: int = 0  # slow watches that were sent all missed changes in one line
-    aborted: int = 0  # slow watches that read nothing for too long
+    merged: int = 0  # number of times that a slow watch was sent all missed changes in one line
+    aborted: int = 0  # number of slow watches aborted because they read nothing for too long
 
 
 class Channel(abc.ABC):
-    """All watches on one resource, which a subclass encodes.
+    """All watches on one resource, whose state and changes a subclass encodes.
 
-    `max_unread` bytes may wait for a reader before its changes are merged; it then has `stuck_s` seconds to
-    read on. All methods are to be called in the loop's thread.
+    A reader with more than `max_unread` unread bytes is slow: its changes are merged, and it is aborted if it
+    reads nothing for `stuck_s` seconds. All methods are to be called in the loop's thread.
     """
 
     def __init__(self, max_unread: int, stuck_s: float) -> None:
@@ -91,8 +93,8 @@
 
     @property
     @abc.abstractmethod
-    def last(self) -> int:
-        """The index up to which all changes are known."""
+    def last_index(self) -> int:
+        """The index of the newest change."""
 
     @abc.abstractmethod
     def snapshot(self) -> bytes:
@@ -100,15 +102,15 @@
 
     @abc.abstractmethod
     def first_line(self, index: int) -> bytes:
-        """Return the line after an index: the changes since, or the snapshot."""
+        """Return the encoded line for a reader with an index: the changes since, or the complete state."""
 
     @abc.abstractmethod
     def _changes_chunk(self) -> bytes:
-        """Return the chunk of the changes since the last call."""
+        """Return a chunk with all changes since the last call of this method."""
 
     def heartbeat(self) -> bytes:
-        """Return the chunk sent every `HEARTBEAT_S`, after all changes so far."""
-        return EMPTY
+        """Return the chunk that each watch is sent every `HEARTBEAT_S`, after all changes so far."""
+        return EMPTY_LINE
 
     # --- watchers -------------------------------------------------------------
 
@@ -117,12 +119,13 @@
         """The number of watches that read too slowly."""
         return len(self._behind)
 
-    def add(
+    def add_watch(
         self, transport: asyncio.Transport, index: int, ended: asyncio.Future[None], *, deferred: bool = False
     ) -> Watch:
-        """Add a watch that has all changes up to an index; a `deferred` one gets its first line at `release`.
+        """Add a watch whose reader has all changes up to an index.
 
-        Its first heartbeat is sent in the second round of its slot, `HEARTBEAT_S` from now or later.
+        A `deferred` watch gets its first line when `release` is called. The first heartbeat is sent at the
+        second tick of the watch's slot, `HEARTBEAT_S` from now or later.
         """
         watch = Watch(transport, index, (self._ticks + 1) % SLOTS, ended)
         self._slots[watch.slot][watch] = None
@@ -132,23 +135,23 @@
             self._deferred[watch] = None
         return watch
 
-    def drop(self, watch: Watch) -> None:
-        """Remove a watch."""
+    def remove_watch(self, watch: Watch) -> None:
+        """Remove a watch; do nothing if it has been removed before."""
         if self._slots[watch.slot].pop(watch, 0) is None:
             self.count -= 1
         self._behind.pop(watch, None)
         self._deferred.pop(watch, None)
 
     def release(self) -> None:
-        """Send the first line to each deferred watch."""
+        """Send their first line to all deferred watches."""
         for watch in list(self._deferred):
             watch.deferred = False
             self._send(watch, chunk(self.first_line(watch.sent_index)))
-            watch.sent_index = self.last
+            watch.sent_index = self.last_index
         self._deferred.clear()
 
-    def end(self) -> None:
-        """End all watches."""
+    def abort_all(self) -> None:
+        """Abort the connections of all watches."""
         for slot in self._slots:
             for watch in list(slot):
                 watch.abort()
@@ -156,13 +159,13 @@
     # --- sending --------------------------------------------------------------
 
     def flush_soon(self) -> None:
-        """Send the changes once the running callbacks are done: those of one commit share a line."""
+        """Send queued changes once the callbacks that are due have run: a commit's changes share a line."""
         if self._flush is None:
-            self._flush = asyncio.get_running_loop().call_soon(self._send_changes)
+            self._flush = asyncio.get_running_loop().call_soon(self._send_queued_changes)
 
-    def _send_changes(self) -> None:
+    def _send_queued_changes(self) -> None:
         self._flush = None
-        line, last = self._changes_chunk(), self.last
+        line, last = self._changes_chunk(), self.last_index
         self.statistics.lines_encoded += 1
         for slot in self._slots:
             for watch in slot:
@@ -171,16 +174,16 @@
                     watch.sent_index = last
 
     def tick(self) -> None:
-        """Send the heartbeats of one slot, and check slow readers; to be called every `TICK_S`."""
+        """Send the heartbeats of one slot, and check slow readers; call it every `TICK_S`."""
         if self._flush is not None:
-            # A heartbeat states that all changes before it were sent.
+            # A heartbeat states that all changes so far have been sent, so that queued ones are sent first.
             self._flush.cancel()
-            self._send_changes()
+            self._send_queued_changes()
         self._ticks += 1
         heartbeat = self.heartbeat()
         for watch in self._slots[self._ticks % SLOTS]:
-            if watch.new:
-                watch.new = False
+            if watch.is_new:
+                watch.is_new = False
             elif watch.behind_since is None:
                 watch.write(heartbeat)
         now = asyncio.get_running_loop().time()
@@ -197,7 +200,7 @@
             self._behind[watch] = None
 
     def _check_slow(self, watch: Watch, now: float) -> None:
-        """Send a slow reader that has caught up all missed changes, or abort one that is stuck."""
+        """Send missed changes to a slow reader that has read on; abort one that has read nothing for long."""
         unread = watch.transport.get_write_buffer_size()
         if unread <= self._max_unread // 4:
             self._catch_up(watch)
@@ -206,12 +209,12 @@
         elif watch.behind_since is not None and now - watch.behind_since > self._stuck_s:
             self.statistics.aborted += 1
             watch.abort()
-            self.drop(watch)
+            self.remove_watch(watch)
 
     def _catch_up(self, watch: Watch) -> None:
         watch.behind_since = None
         del self._behind[watch]
-        last = self.last
+        last = self.last_index
         if watch.sent_index < last:
             self.statistics.merged += 1
             self._send(watch, chunk(self.first_line(watch.sent_index)))
--- a/tests/controlplane/test_aggregator_mirror.py
+++ b/tests/controlplane/test_aggregator_mirror.py
@@ -20,7 +20,7 @@
     parse_line,
 )
 from brassfall.controlplane.registry.entries import INSTANCES
-from brassfall.controlplane.registry.watches import EMPTY
+from brassfall.controlplane.registry.watches import EMPTY_LINE
 from brassfall.controlplane.store.commands import Delete, Put
 from brassfall.controlplane.store.state import State
 from tests.support.loopback import bounded, until
@@ -108,7 +108,7 @@
             which = rng.randrange(2)
             mirror = mirrors[which]
             line = above.line(mirror.index if mirror.holds_list else 0)
-            mirror.take(0.0, line, first=not open_watches[which])
+            mirror.apply_line(0.0, line, first=not open_watches[which])
             open_watches[which] = True
         at = rng.randrange(len(held))
         index, rows = held[at]
@@ -124,21 +124,23 @@
 
 def test_changes_since_an_index_come_from_the_ring_and_the_whole_list_only_once_that_is_gone():
     mirror = Mirror(ring=4)
-    mirror.take(0.0, whole(100, "a", "b"))
+    mirror.apply_line(0.0, whole(100, "a", "b"))
     for index in range(101, 104):
-        mirror.take(0.0, ListLine(index, False, [endpoint("a", index)]))
+        mirror.apply_line(0.0, ListLine(index, False, [endpoint("a", index)]))
     line = told(mirror, 101)
     assert (line.index, line.snapshot, [e["weight"] for e in line.endpoints]) == (103, False, [103])
     assert not told(mirror, 100).snapshot and told(mirror, 99).snapshot  # never told by this one
     for index in range(104, 110):
-        mirror.take(0.0, ListLine(index, False, [{**endpoint("b"), "status": "left"}, endpoint(f"n{index}")]))
+        mirror.apply_line(
+            0.0, ListLine(index, False, [{**endpoint("b"), "status": "left"}, endpoint(f"n{index}")])
+        )
     assert told(mirror, 106).snapshot and not told(mirror, 107).snapshot
 
 
 def test_a_whole_list_amid_a_watch_is_told_as_changes_but_not_to_who_was_told_what_came_between():
     mirror = Mirror(ring=50)
-    mirror.take(0.0, whole(100, "a", "b"))
-    changes = mirror.take(0.0, whole(200, "b", "c")).changes
+    mirror.apply_line(0.0, whole(100, "a", "b"))
+    changes = mirror.apply_line(0.0, whole(200, "b", "c")).changes
     assert sorted((change.row.key, change.gone) for change in changes) == [("a", True), ("c", False)]
     assert not told(mirror, 100).snapshot and told(mirror, 150).snapshot
 
@@ -146,27 +148,27 @@
 @pytest.mark.parametrize("line", [whole(99, "a"), whole(300)])
 def test_a_list_that_is_older_or_empty_is_held_off_and_then_believed(line):
     mirror = Mirror(ring=50)
-    mirror.take(0.0, whole(100, "a"))
-    mirror.confirmed(5.0)
+    mirror.apply_line(0.0, whole(100, "a"))
+    mirror.confirm(5.0)
     with pytest.raises(MirrorError):
-        mirror.take(10.0, line)
-    mirror.confirmed(20.0)
+        mirror.apply_line(10.0, line)
+    mirror.confirm(20.0)
     assert (mirror.index, mirror.count, mirror.confirmed_ms) == (100, 1, 5.0)  # nor is it fresh meanwhile
     with pytest.raises(MirrorError):
-        mirror.take(9.0 + DOUBT_MS, line)
-    assert mirror.take(11.0 + DOUBT_MS, line).replaced == (line.index < 100)
+        mirror.apply_line(9.0 + DOUBT_MS, line)
+    assert mirror.apply_line(11.0 + DOUBT_MS, line).replaced == (line.index < 100)
     assert mirror.index == line.index
 
 
 def test_a_service_that_was_started_again_lists_the_same_by_a_higher_index():
     above, mirror = Above(ring=50), Mirror(50)
     above.write(*(Put(table=INSTANCES, key=key, value=endpoint(key)) for key in ("s0", "s1")))
-    mirror.take(0.0, above.line(0))
+    mirror.apply_line(0.0, above.line(0))
     before = mirror.index
     above.restart()
     line = above.line(before)
     assert (line.snapshot, line.endpoints, line.index > before) == (False, [], True)
-    assert mirror.take(1.0, line).changes == ()
+    assert mirror.apply_line(1.0, line).changes == ()
     assert mirror.index == line.index  # else it would be catching up for ever, and grant nothing
     assert told(mirror, before) == line  # whoever holds what came before lacks nothing
     assert taken((0, {}), told(mirror, 0)) == (line.index, {key: endpoint(key) for key in ("s0", "s1")})
@@ -175,25 +177,25 @@
 def test_who_was_told_what_a_restored_copy_has_forgotten_gets_the_whole_list():
     above, mirror = Above(ring=50), Mirror(50)
     above.write(Put(table=INSTANCES, key="s0", value=endpoint("s0")))
-    mirror.take(0.0, above.line(0), first=True)
+    mirror.apply_line(0.0, above.line(0), first=True)
     above.write(Put(table=INSTANCES, key="s1", value=endpoint("s1")))
     copy = deepcopy(above.state)
     above.write(Put(table=INSTANCES, key="s2", value=endpoint("s2")))
     held = taken((0, {}), above.line(0))
     above.restart(copy)
     line = above.line(mirror.index)
-    assert not line.snapshot and mirror.take(0.0, line, first=True).index_grew
+    assert not line.snapshot and mirror.apply_line(0.0, line, first=True).index_grew
     assert set(taken(held, told(mirror, held[0]))[1]) == {"s0", "s1"}
 
 
 def test_a_good_line_ends_the_doubt():
     mirror = Mirror(ring=50)
-    mirror.take(0.0, whole(100, "a"))
+    mirror.apply_line(0.0, whole(100, "a"))
     with pytest.raises(MirrorError):
-        mirror.take(0.0, whole(90, "a"))
-    mirror.take(1.0, ListLine(101, False, []))
+        mirror.apply_line(0.0, whole(90, "a"))
+    mirror.apply_line(1.0, ListLine(101, False, []))
     with pytest.raises(MirrorError):
-        mirror.take(2.0 + DOUBT_MS, whole(90, "a"))
+        mirror.apply_line(2.0 + DOUBT_MS, whole(90, "a"))
 
 
 @pytest.mark.parametrize(
@@ -212,37 +214,37 @@
     with pytest.raises(MirrorError):
         parse_line(b"[" * 5000)
     with pytest.raises(MirrorError):
-        Mirror(4).take(0.0, ListLine(5, False, [endpoint("a")]))  # changes, of what?
+        Mirror(4).apply_line(0.0, ListLine(5, False, [endpoint("a")]))  # changes, of what?
 
 
 def test_the_age_is_counted_from_the_asking_and_from_empty_lines():
     mirror = Mirror(ring=50)
-    mirror.take(1000.0, whole(100, "a"))
-    mirror.confirmed_by_watch(900.0, 1000.0, 0)
+    mirror.apply_line(1000.0, whole(100, "a"))
+    mirror.confirm_by_watch(900.0, 1000.0, 0)
     assert mirror.age_ms(1000.0) == 100.0
-    mirror.confirmed_by_watch(900.0, 5000.0, 2)  # sent 2 * 1.98 s after the asking, or later
+    mirror.confirm_by_watch(900.0, 5000.0, 2)  # sent 2 * 1.98 s after the asking, or later
     assert mirror.age_ms(5000.0) == pytest.approx(140.0)
-    mirror.confirmed_by_answer(6000.0, 101)  # the service has a newer one
-    mirror.confirmed_by_watch(900.0, 6100.0, 2)
+    mirror.confirm_by_answer(6000.0, 101)  # the service has a newer one
+    mirror.confirm_by_watch(900.0, 6100.0, 2)
     assert mirror.age_ms(6000.0) == pytest.approx(1140.0)
-    mirror.confirmed_by_answer(6000.0, 100)
+    mirror.confirm_by_answer(6000.0, 100)
     assert mirror.age_ms(6250.0) == 250.0
 
 
 def test_no_empty_line_makes_an_old_list_look_fresh():
     mirror, clock = Mirror(ring=50), [0.0]
     channel = ListChannel(mirror, lambda: clock[0], 65536, 10.0)
-    mirror.take(0.0, whole(100, "a"))
-    mirror.confirmed(0.0)
+    mirror.apply_line(0.0, whole(100, "a"))
+    mirror.confirm(0.0)
     clock[0] = FRESH_MS
-    assert (channel.heartbeat(), channel.promised_age_ms()) == (EMPTY, FRESH_MS)
+    assert (channel.heartbeat(), channel.promised_age_ms()) == (EMPTY_LINE, FRESH_MS)
     clock[0] = FRESH_MS + 1500.0
     line = msgspec.json.decode(channel.heartbeat().split(b"\r\n")[1])
     assert line == {"index": 100, "snapshot": False, "endpoints": [], "age_ms": 3500}
     assert channel.promised_age_ms() == 3500
-    mirror.confirmed(clock[0])
+    mirror.confirm(clock[0])
     beats = [channel.heartbeat() for _ in range(60)]
-    fresh = [beat for beat in beats if beat != EMPTY]
+    fresh = [beat for beat in beats if beat != EMPTY_LINE]
     assert (
         len(fresh) == 41 and beats[:41] == fresh
     )  # each watch is told once or twice, on its part of the beat
@@ -269,9 +271,9 @@
 async def test_watches_are_told_that_the_index_grew_without_a_change():
     mirror, transport = Mirror(ring=50), Transport()
     channel = ListChannel(mirror, lambda: 0.0, 65536, 10.0)
-    mirror.take(0.0, whole(100, "a"))
-    channel.add(transport, 100, asyncio.get_running_loop().create_future())
-    assert mirror.take(0.0, ListLine(200, False, []), first=True).index_grew
+    mirror.apply_line(0.0, whole(100, "a"))
+    channel.add_watch(transport, 100, asyncio.get_running_loop().create_future())
+    assert mirror.apply_line(0.0, ListLine(200, False, []), first=True).index_grew
     channel.flush_soon()
     await until(lambda: transport.written)
     line = msgspec.json.decode(transport.written[0].split(b"\r\n")[1])
@@ -281,9 +283,9 @@
 def test_the_next_address_is_asked_after_a_failure_but_who_is_told_a_time_comes_back_there():
     addresses = Addresses(("a", "b"), random.Random(1))
     first = addresses.current
-    assert 2.0 <= addresses.failed(2.0) <= 2.5 and addresses.current == first
-    assert 0.05 <= addresses.failed() <= 0.15 and addresses.current != first
-    waits = [addresses.failed() for _ in range(40)]
+    assert 2.0 <= addresses.record_failure(2.0) <= 2.5 and addresses.current == first
+    assert 0.05 <= addresses.record_failure() <= 0.15 and addresses.current != first
+    waits = [addresses.record_failure() for _ in range(40)]
     assert 0.5 <= max(waits) <= 1.5
-    addresses.worked()
-    assert addresses.failed() <= 0.15
+    addresses.record_success()
+    assert addresses.record_failure() <= 0.15
--- a/tests/controlplane/test_aggregator_shell.py
+++ b/tests/controlplane/test_aggregator_shell.py
@@ -15,7 +15,7 @@
 from brassfall.cli import main as cli
 from brassfall.controlplane.registry import client
 from brassfall.controlplane.registry.aggregator import service as aggregators
-from brassfall.controlplane.registry.aggregator.channels import AGE
+from brassfall.controlplane.registry.aggregator.channels import AGE_HEADER
 from brassfall.controlplane.registry.aggregator.clock import now_ms
 from brassfall.controlplane.registry.server import Service
 from brassfall.settings import (
@@ -191,7 +191,7 @@
     async with tier(tmp_path, ring=4, lists_per_s=20.0, agree_ms=SOON_MS) as (_, at, below, session):
         async with Watch(session, below, f"{LIST}?watch=1&from=0") as watch:
             first = await watch.news()
-            assert first["snapshot"] and watch.answer.headers[AGE] == "2000"
+            assert first["snapshot"] and watch.answer.headers[AGE_HEADER] == "2000"
             status, told, _ = await call(session, below, "PUT", f"{LIST}/s1", ENTRY, X_Request_Id="r1")
             again = await call(session, below, "PUT", f"{LIST}/s1", ENTRY, X_Request_Id="r1")
             assert (status, again[1]) == (200, told)
@@ -320,7 +320,9 @@
                 ends = made.core.lease_until_ms / 1000.0
                 assert all(asked + length / 1000.0 <= ends for asked, length, _ in granted)
                 status, _, headers = await call(session, below, "GET", LIST)
-                assert status == 200 and float(headers[AGE]) >= 0.9 * AGREE_MS  # served, and no younger
+                assert (
+                    status == 200 and float(headers[AGE_HEADER]) >= 0.9 * AGREE_MS
+                )  # served, and no younger
                 assert (await call(session, below, "GET", "/health/ready"))[0] == 503
                 # One is under way and one waits for it; the others are refused at once.
                 writes = [
--- a/tests/controlplane/test_registry_fleet.py
+++ b/tests/controlplane/test_registry_fleet.py
@@ -47,7 +47,7 @@
     while any(int(row["version"]) <= before for row in await fleet.lists()):
         assert {row["servers"] for row in await fleet.lists()} == {"6"}  # never emptied meanwhile
         await asyncio.sleep(0.02)
-    assert "gathering" in {line["event"] for line in fleet.service.lines}
+    assert "rebuilding lost list" in {line["event"] for line in fleet.service.lines}
     return 6
 
 
--- a/tests/controlplane/test_registry_spread.py
+++ b/tests/controlplane/test_registry_spread.py
@@ -54,10 +54,12 @@
 
 def test_a_rejected_caller_gets_the_next_place_in_the_line_and_a_sample_over_half_a_second():
     limiter, rng = JoinLimiter(1000.0), random.Random(3)
-    assert [limiter.wait(0.0, rng.random()) for _ in range(250)] == [0.0] * 250
+    assert [limiter.admission_wait_s(0.0, rng.random()) for _ in range(250)] == [0.0] * 250
     for place in range(1, 1751):
         chance = rng.choice([0.0, rng.random(), 1.0])
-        assert limiter.wait(0.0, chance) == pytest.approx(place / 1000.0 + LEAST_S + SPAN_S * chance)
+        assert limiter.admission_wait_s(0.0, chance) == pytest.approx(
+            place / 1000.0 + LEAST_S + SPAN_S * chance
+        )
 
 
 def test_a_herd_that_waits_as_it_is_asked_to_comes_back_at_the_rate_that_is_admitted():
@@ -66,7 +68,7 @@
     back, entered = [], []
     while calls:
         now, number = heapq.heappop(calls)
-        wait = limiter.wait(now, rng.random())
+        wait = limiter.admission_wait_s(now, rng.random())
         if wait:
             back.append(now + wait)
             heapq.heappush(calls, (back[-1], number))
--- a/tests/controlplane/test_registry_watches.py
+++ b/tests/controlplane/test_registry_watches.py
@@ -10,7 +10,7 @@
 
 from brassfall.controlplane.registry import entries
 from brassfall.controlplane.registry.channels import ListFormat, TableChannel
-from brassfall.controlplane.registry.watches import EMPTY, SLOTS
+from brassfall.controlplane.registry.watches import EMPTY_LINE, SLOTS
 from brassfall.controlplane.store.commands import Put
 from brassfall.controlplane.store.state import State
 
@@ -65,7 +65,7 @@
     )
     async with connections(3) as made:
         for near, _, _, _ in made:
-            channel.add(near, 0, ended)
+            channel.add_watch(near, 0, ended)
         gone, gone_protocol, _, far = made[0]
         far.abort()
         await gone_protocol.over
@@ -76,11 +76,11 @@
         transaction = table.begin(0)
         transaction.run(Put(table="instances", key="s1", value={"name": "s1"}))
         for _, change in table.apply(transaction.records):
-            channel.changed(change)
+            channel.queue_change(change)
         for _ in range(2 * SLOTS):
             channel.tick()
         for _, _, reader, _ in made[1:]:
-            while not reader.came.endswith(EMPTY):
+            while not reader.came.endswith(EMPTY_LINE):
                 await asyncio.sleep(0)
             assert b'"s1"' in reader.came
         assert channel.count == 3  # the call of the one that is gone has not ended yet
--- a/tests/support/processes.py
+++ b/tests/support/processes.py
@@ -392,7 +392,7 @@
         )  # fmt: skip
         self.servers[name] = made
         await made.start()
-        await made.event("place", place="registered")
+        await made.event("registration state changed", place="registered")
 
     async def add_sidecar(self, number):
         folder = self.tmp_path / f"n{number}"
