--- a/tests/controlplane/test_aggregator_mirror.py
+++ b/tests/controlplane/test_aggregator_mirror.py
@@ -1,4 +1,4 @@
-"""The mirror of the list: never back, changes by the service's own indices, and an honest age."""
+"""The aggregator's mirror of the endpoint list: doubt about older lists, changes by index, and its age."""
 
 from __future__ import annotations
 
@@ -30,18 +30,18 @@
     return {"name": name, "address": "127.0.0.1:7001", "status": "active", "weight": weight}
 
 
-def whole(index, *names):
+def complete_list(index, *names):
     return ListLine(index, True, [endpoint(name) for name in names])
 
 
-class Above:
-    """The list service's table, and what it tells who asks from an index."""
+class ListServiceTable:
+    """The list service's table of instances, and the lines that it sends to readers with an index."""
 
     def __init__(self, ring):
         self.state = State(ring)
 
     def restart(self, copy=None):
-        """Begin a life above all indices told so far, on the disk as it is or an older copy."""
+        """Begin an incarnation above all indices sent so far, on the present disk or an older copy of it."""
         floor = self.state.index + 1000
         if copy is not None:
             self.state = deepcopy(copy)
@@ -55,17 +55,17 @@
 
     def line(self, index):
         changes = self.state.changes_since(INSTANCES, index)
-        told = (
+        listed = (
             entries.list_entries(self.state.rows(INSTANCES))
             if changes is None
             else entries.change_entries(changes)
         )
-        return ListLine(self.state.last_index(INSTANCES), changes is None, told)
+        return ListLine(self.state.last_index(INSTANCES), changes is None, listed)
 
 
-def taken(held, line):
-    """What a sidecar holds that takes in a line: its index, and its entries by name."""
-    index, rows = held
+def apply_to_sidecar(sidecar_list, line):
+    """Return a sidecar's list after a line, as its index and its entries by name."""
+    index, rows = sidecar_list
     rows = {} if line.snapshot else dict(rows)
     for entry in line.endpoints:
         if entry["status"] == "left":
@@ -76,126 +76,141 @@
     return line.index, rows
 
 
-def told(mirror, index):
-    """What the mirror tells who asks from an index."""
-    made = Above(1)
-    made.state = mirror.state
-    return made.line(index)
+def line_from_mirror(mirror, index):
+    """Return the line that a mirror sends to a reader with an index."""
+    table = ListServiceTable(1)
+    table.state = mirror.state
+    return table.line(index)
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_who_moves_between_service_and_mirrors_holds_what_the_service_lists(seed):
+def test_a_sidecar_that_switches_between_service_and_mirrors_has_the_list_of_the_service(seed):
     rng = random.Random(seed)
-    above = Above(ring=rng.choice((3, 50)))
-    above.write(Put(table=INSTANCES, key="s0", value=endpoint("s0")))
+    table = ListServiceTable(ring=rng.choice((3, 50)))
+    table.write(Put(table=INSTANCES, key="s0", value=endpoint("s0")))
     mirrors = [Mirror(rng.choice((2, 50))) for _ in range(2)]
-    held = [(0, {}) for _ in range(3)]
-    wholes, copies = 0, []
-    open_watches = [False, False]  # of the mirrors, since the service was started
+    sidecar_lists = [(0, {}) for _ in range(3)]
+    complete_lists, disk_copies = 0, []
+    watch_is_open = [False, False]  # by mirror: whether it has had a line since the service's last start
     for step in range(300):
         key = f"s{rng.randrange(8)}"
         if rng.random() < 0.02:
-            copies.append(deepcopy(above.state))
+            disk_copies.append(deepcopy(table.state))
         if rng.random() < 0.02:
-            above.restart(rng.choice([None, *copies]))
-            open_watches = [False, False]
+            table.restart(rng.choice([None, *disk_copies]))
+            watch_is_open = [False, False]
         elif rng.random() < 0.6:
-            above.write(Put(table=INSTANCES, key=key, value=endpoint(key, rng.random())))
-        elif above.state.count(INSTANCES) > 1:
-            above.write(Delete(table=INSTANCES, key=key))
-        above.write(Put(table="other", key="k", value=step))  # indices are of all tables
+            table.write(Put(table=INSTANCES, key=key, value=endpoint(key, rng.random())))
+        elif table.state.count(INSTANCES) > 1:
+            table.write(Delete(table=INSTANCES, key=key))
+        table.write(Put(table="other", key="k", value=step))  # writes to other tables raise the index, too
         if rng.random() < 0.5:
-            which = rng.randrange(2)
-            mirror = mirrors[which]
-            line = above.line(mirror.index if mirror.holds_list else 0)
-            mirror.apply_line(0.0, line, first=not open_watches[which])
-            open_watches[which] = True
-        at = rng.randrange(len(held))
-        index, rows = held[at]
-        source = rng.choice([above, *(m for m in mirrors if m.holds_list and m.index >= index)])
-        line = above.line(index) if source is above else told(source, index)
-        wholes += line.snapshot
-        held[at] = taken((index, rows), line)
-        # What it holds now is the service's list at that index, from wherever it came.
-        if held[at][0] == above.state.last_index(INSTANCES):
-            assert held[at][1] == {row.key: row.value for row in above.state.rows(INSTANCES)}
-    assert wholes < 150  # the others went on from where they were
-
-
-def test_changes_since_an_index_come_from_the_ring_and_the_whole_list_only_once_that_is_gone():
+            mirror_number = rng.randrange(2)
+            mirror = mirrors[mirror_number]
+            line = table.line(mirror.index if mirror.holds_list else 0)
+            mirror.apply_line(0.0, line, first=not watch_is_open[mirror_number])
+            watch_is_open[mirror_number] = True
+        at = rng.randrange(len(sidecar_lists))
+        index, rows = sidecar_lists[at]
+        source = rng.choice(
+            [table, *(mirror for mirror in mirrors if mirror.holds_list and mirror.index >= index)]
+        )
+        line = table.line(index) if source is table else line_from_mirror(source, index)
+        complete_lists += line.snapshot
+        sidecar_lists[at] = apply_to_sidecar((index, rows), line)
+        # A sidecar at the service's newest index has the service's list, whichever source it came from.
+        if sidecar_lists[at][0] == table.state.last_index(INSTANCES):
+            assert sidecar_lists[at][1] == {row.key: row.value for row in table.state.rows(INSTANCES)}
+    assert complete_lists < 150  # the remaining lines were changes since the sidecar's index
+
+
+def test_changes_are_sent_from_the_ring_and_a_complete_list_only_before_its_start():
     mirror = Mirror(ring=4)
-    mirror.apply_line(0.0, whole(100, "a", "b"))
+    mirror.apply_line(0.0, complete_list(100, "a", "b"))
     for index in range(101, 104):
         mirror.apply_line(0.0, ListLine(index, False, [endpoint("a", index)]))
-    line = told(mirror, 101)
+    line = line_from_mirror(mirror, 101)
     assert (line.index, line.snapshot, [e["weight"] for e in line.endpoints]) == (103, False, [103])
-    assert not told(mirror, 100).snapshot and told(mirror, 99).snapshot  # never told by this one
+    assert (
+        not line_from_mirror(mirror, 100).snapshot and line_from_mirror(mirror, 99).snapshot
+    )  # the mirror's first list had index 100, so that it does not know changes since 99
     for index in range(104, 110):
         mirror.apply_line(
             0.0, ListLine(index, False, [{**endpoint("b"), "status": "left"}, endpoint(f"n{index}")])
         )
-    assert told(mirror, 106).snapshot and not told(mirror, 107).snapshot
+    assert line_from_mirror(mirror, 106).snapshot and not line_from_mirror(mirror, 107).snapshot
 
 
-def test_a_whole_list_amid_a_watch_is_told_as_changes_but_not_to_who_was_told_what_came_between():
+def test_a_complete_list_within_a_watch_is_sent_as_changes_except_from_an_index_in_between():
     mirror = Mirror(ring=50)
-    mirror.apply_line(0.0, whole(100, "a", "b"))
-    changes = mirror.apply_line(0.0, whole(200, "b", "c")).changes
+    mirror.apply_line(0.0, complete_list(100, "a", "b"))
+    changes = mirror.apply_line(0.0, complete_list(200, "b", "c")).changes
     assert sorted((change.row.key, change.gone) for change in changes) == [("a", True), ("c", False)]
-    assert not told(mirror, 100).snapshot and told(mirror, 150).snapshot
+    assert not line_from_mirror(mirror, 100).snapshot and line_from_mirror(mirror, 150).snapshot
 
 
-@pytest.mark.parametrize("line", [whole(99, "a"), whole(300)])
-def test_a_list_that_is_older_or_empty_is_held_off_and_then_believed(line):
+@pytest.mark.parametrize("line", [complete_list(99, "a"), complete_list(300)])
+def test_an_older_or_empty_list_is_accepted_only_after_the_doubt_time(line):
     mirror = Mirror(ring=50)
-    mirror.apply_line(0.0, whole(100, "a"))
+    mirror.apply_line(0.0, complete_list(100, "a"))
     mirror.confirm(5.0)
     with pytest.raises(MirrorError):
         mirror.apply_line(10.0, line)
     mirror.confirm(20.0)
-    assert (mirror.index, mirror.count, mirror.confirmed_ms) == (100, 1, 5.0)  # nor is it fresh meanwhile
+    assert (mirror.index, mirror.count, mirror.confirmed_ms) == (
+        100,
+        1,
+        5.0,
+    )  # a doubted line confirms nothing
     with pytest.raises(MirrorError):
         mirror.apply_line(9.0 + DOUBT_MS, line)
     assert mirror.apply_line(11.0 + DOUBT_MS, line).replaced == (line.index < 100)
     assert mirror.index == line.index
 
 
-def test_a_service_that_was_started_again_lists_the_same_by_a_higher_index():
-    above, mirror = Above(ring=50), Mirror(50)
-    above.write(*(Put(table=INSTANCES, key=key, value=endpoint(key)) for key in ("s0", "s1")))
-    mirror.apply_line(0.0, above.line(0))
+def test_a_restart_of_the_service_raises_the_index_without_changes():
+    table, mirror = ListServiceTable(ring=50), Mirror(50)
+    table.write(*(Put(table=INSTANCES, key=key, value=endpoint(key)) for key in ("s0", "s1")))
+    mirror.apply_line(0.0, table.line(0))
     before = mirror.index
-    above.restart()
-    line = above.line(before)
+    table.restart()
+    line = table.line(before)
     assert (line.snapshot, line.endpoints, line.index > before) == (False, [], True)
     assert mirror.apply_line(1.0, line).changes == ()
-    assert mirror.index == line.index  # else it would be catching up for ever, and grant nothing
-    assert told(mirror, before) == line  # whoever holds what came before lacks nothing
-    assert taken((0, {}), told(mirror, 0)) == (line.index, {key: endpoint(key) for key in ("s0", "s1")})
-
-
-def test_who_was_told_what_a_restored_copy_has_forgotten_gets_the_whole_list():
-    above, mirror = Above(ring=50), Mirror(50)
-    above.write(Put(table=INSTANCES, key="s0", value=endpoint("s0")))
-    mirror.apply_line(0.0, above.line(0), first=True)
-    above.write(Put(table=INSTANCES, key="s1", value=endpoint("s1")))
-    copy = deepcopy(above.state)
-    above.write(Put(table=INSTANCES, key="s2", value=endpoint("s2")))
-    held = taken((0, {}), above.line(0))
-    above.restart(copy)
-    line = above.line(mirror.index)
+    assert (
+        mirror.index == line.index
+    )  # a lower index would make the aggregator lag for ever, and grant no lease
+    assert (
+        line_from_mirror(mirror, before) == line
+    )  # a sidecar with the index before the restart gets no changes
+    assert apply_to_sidecar((0, {}), line_from_mirror(mirror, 0)) == (
+        line.index,
+        {key: endpoint(key) for key in ("s0", "s1")},
+    )
+
+
+def test_a_sidecar_with_changes_that_a_restored_disk_copy_lacks_gets_the_complete_list():
+    table, mirror = ListServiceTable(ring=50), Mirror(50)
+    table.write(Put(table=INSTANCES, key="s0", value=endpoint("s0")))
+    mirror.apply_line(0.0, table.line(0), first=True)
+    table.write(Put(table=INSTANCES, key="s1", value=endpoint("s1")))
+    copy = deepcopy(table.state)
+    table.write(Put(table=INSTANCES, key="s2", value=endpoint("s2")))
+    sidecar_list = apply_to_sidecar((0, {}), table.line(0))
+    table.restart(copy)
+    line = table.line(mirror.index)
     assert not line.snapshot and mirror.apply_line(0.0, line, first=True).index_grew
-    assert set(taken(held, told(mirror, held[0]))[1]) == {"s0", "s1"}
+    assert set(apply_to_sidecar(sidecar_list, line_from_mirror(mirror, sidecar_list[0]))[1]) == {"s0", "s1"}
 
 
-def test_a_good_line_ends_the_doubt():
+def test_a_plausible_line_restarts_the_doubt_time():
     mirror = Mirror(ring=50)
-    mirror.apply_line(0.0, whole(100, "a"))
+    mirror.apply_line(0.0, complete_list(100, "a"))
     with pytest.raises(MirrorError):
-        mirror.apply_line(0.0, whole(90, "a"))
+        mirror.apply_line(0.0, complete_list(90, "a"))
     mirror.apply_line(1.0, ListLine(101, False, []))
     with pytest.raises(MirrorError):
-        mirror.apply_line(2.0 + DOUBT_MS, whole(90, "a"))
+        mirror.apply_line(2.0 + DOUBT_MS, complete_list(90, "a"))
 
 
 @pytest.mark.parametrize(
@@ -208,33 +223,35 @@
         [1],
     ],
 )
-def test_what_is_no_list_is_refused(raw):
+def test_malformed_lines_are_refused(raw):
     with pytest.raises(MirrorError):
         parse_line(msgspec.json.encode(raw))
     with pytest.raises(MirrorError):
         parse_line(b"[" * 5000)
     with pytest.raises(MirrorError):
-        Mirror(4).apply_line(0.0, ListLine(5, False, [endpoint("a")]))  # changes, of what?
+        Mirror(4).apply_line(0.0, ListLine(5, False, [endpoint("a")]))  # changes before a complete list
 
 
-def test_the_age_is_counted_from_the_asking_and_from_empty_lines():
+def test_the_age_counts_from_the_time_of_the_call_and_its_heartbeats():
     mirror = Mirror(ring=50)
-    mirror.apply_line(1000.0, whole(100, "a"))
+    mirror.apply_line(1000.0, complete_list(100, "a"))
     mirror.confirm_by_watch(900.0, 1000.0, 0)
     assert mirror.age_ms(1000.0) == 100.0
-    mirror.confirm_by_watch(900.0, 5000.0, 2)  # sent 2 * 1.98 s after the asking, or later
+    mirror.confirm_by_watch(
+        900.0, 5000.0, 2
+    )  # the second heartbeat is sent 2 * 1.98 s after the call, or later
     assert mirror.age_ms(5000.0) == pytest.approx(140.0)
-    mirror.confirm_by_answer(6000.0, 101)  # the service has a newer one
+    mirror.confirm_by_answer(6000.0, 101)  # the service has a newer list, so that this confirms nothing
     mirror.confirm_by_watch(900.0, 6100.0, 2)
     assert mirror.age_ms(6000.0) == pytest.approx(1140.0)
     mirror.confirm_by_answer(6000.0, 100)
     assert mirror.age_ms(6250.0) == 250.0
 
 
-def test_no_empty_line_makes_an_old_list_look_fresh():
+def test_heartbeats_of_an_old_list_state_its_age():
     mirror, clock = Mirror(ring=50), [0.0]
     channel = ListChannel(mirror, lambda: clock[0], 65536, 10.0)
-    mirror.apply_line(0.0, whole(100, "a"))
+    mirror.apply_line(0.0, complete_list(100, "a"))
     mirror.confirm(0.0)
     clock[0] = FRESH_MS
     assert (channel.heartbeat(), channel.promised_age_ms()) == (EMPTY_LINE, FRESH_MS)
@@ -243,16 +260,16 @@
     assert line == {"index": 100, "snapshot": False, "endpoints": [], "age_ms": 3500}
     assert channel.promised_age_ms() == 3500
     mirror.confirm(clock[0])
-    beats = [channel.heartbeat() for _ in range(60)]
-    fresh = [beat for beat in beats if beat != EMPTY_LINE]
+    heartbeats = [channel.heartbeat() for _ in range(60)]
+    stated_fresh = [heartbeat for heartbeat in heartbeats if heartbeat != EMPTY_LINE]
     assert (
-        len(fresh) == 41 and beats[:41] == fresh
-    )  # each watch is told once or twice, on its part of the beat
-    assert msgspec.json.decode(fresh[0].split(b"\r\n")[1])["age_ms"] == FRESH_MS
+        len(stated_fresh) == 41 and heartbeats[:41] == stated_fresh
+    )  # each watch gets one or two heartbeats that state a fresh list, in its slot
+    assert msgspec.json.decode(stated_fresh[0].split(b"\r\n")[1])["age_ms"] == FRESH_MS
 
 
 class Transport:
-    """Takes what is written to a watch."""
+    """A transport that records what is written to a watch."""
 
     def __init__(self):
         self.written = []
@@ -268,10 +285,10 @@
 
 
 @bounded(10.0)
-async def test_watches_are_told_that_the_index_grew_without_a_change():
+async def test_watches_get_a_line_when_the_index_grows_without_changes():
     mirror, transport = Mirror(ring=50), Transport()
     channel = ListChannel(mirror, lambda: 0.0, 65536, 10.0)
-    mirror.apply_line(0.0, whole(100, "a"))
+    mirror.apply_line(0.0, complete_list(100, "a"))
     channel.add_watch(transport, 100, asyncio.get_running_loop().create_future())
     assert mirror.apply_line(0.0, ListLine(200, False, []), first=True).index_grew
     channel.flush_soon()
@@ -280,7 +297,7 @@
     assert line == {"index": 200, "snapshot": False, "endpoints": []}
 
 
-def test_the_next_address_is_asked_after_a_failure_but_who_is_told_a_time_comes_back_there():
+def test_a_failure_switches_to_the_next_address_but_retry_after_keeps_the_address():
     addresses = Addresses(("a", "b"), random.Random(1))
     first = addresses.current
     assert 2.0 <= addresses.record_failure(2.0) <= 2.5 and addresses.current == first
--- a/tests/controlplane/test_registry_clocks.py
+++ b/tests/controlplane/test_registry_clocks.py
@@ -1,6 +1,7 @@
-"""The wall clock of the list service's machine is stepped, amid a life and between two: spans are real time.
+"""Steps of the wall clock of the list service's machine, within and between incarnations.
 
-Once with a real process, whose `time.time` is off by what a file says; then in process, step by step.
+Leases, overrides and ages have to follow real time. The tests guard against a use of the wall clock for time
+spans, once with a real process, whose `time.time` is shifted by a file's content, and then in this process.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 from tests.support.processes import Service
 
 HOUR_S = 3600.0
-# Python runs a module `sitecustomize` before a program: this one steps the wall clock of its process alone.
+# Python runs a module `sitecustomize` before a program. This one shifts the wall clock of its process alone.
 STEPPED_CLOCK = """
 import os, time
 def stepped(clock, unit):
@@ -37,7 +38,7 @@
 
 
 class SteppedService(Service):
-    """A list service in a process of its own, whose wall clock is off by what a file says."""
+    """A list service in its own process, whose wall clock is shifted by the seconds in a file."""
 
     def __init__(self, tmp_path, **changes):
         super().__init__(tmp_path, **changes)
@@ -47,7 +48,7 @@
         self.step(0.0)
 
     def step(self, off_s):
-        """Set it, at once and for processes to come."""
+        """Set the shift of the wall clock in s, for the running process and later ones."""
         new = self.folder / "new"
         new.write_text(str(off_s))
         os.replace(new, self.folder / "off")
@@ -58,43 +59,43 @@
 
 
 class Override:
-    """An override, and the monotonic times between which it ends, in s."""
+    """An override, and the earliest and latest monotonic time of its end, in s."""
 
     def __init__(self, name, length_s):
         self.path, self.length_s = f"/overrides/{name}", length_s
 
-    async def start(self, ask):
-        """Start it, by the service's own time."""
+    async def start(self, call_service):
+        """Create the override, with an end that is computed from the service's own time."""
         sent = time.monotonic()
-        _, listed, _ = await ask("GET", "/overrides")
+        _, listed, _ = await call_service("GET", "/overrides")
         self.earliest, self.latest = sent + self.length_s, time.monotonic() + self.length_s
         self.until_ms = int(listed["now_ms"] + self.length_s * 1000.0)
         body = {"action": {"hold": {"region": "b"}}, "by": "ann", "why": "b loses packets"}
-        assert (await ask("PUT", self.path, {**body, "until_ms": self.until_ms}))[0] == 200
+        assert (await call_service("PUT", self.path, {**body, "until_ms": self.until_ms}))[0] == 200
 
-    async def check(self, ask):
-        """What is left of it is what real time has left."""
+    async def check(self, call_service):
+        """Check that the remaining time of the override is that in real time."""
         sent = time.monotonic()
-        _, shown, _ = await ask("GET", self.path)
+        _, shown, _ = await call_service("GET", self.path)
         left_s, rounding_s = shown["left_ms"] / 1000.0, 0.003
         assert self.earliest - time.monotonic() - rounding_s <= left_s <= self.latest - sent + rounding_s
         assert shown["until_ms"] == self.until_ms
 
-    async def check_end(self, ask):
-        """It is there until its end, and not long after it."""
-        over = time.monotonic() + await gone_after(ask, self.path, time.monotonic())
-        assert self.earliest <= over <= self.latest + 10.0
+    async def check_end(self, call_service):
+        """Check that the override exists until its end, and is removed soon after it."""
+        ended = time.monotonic() + await seconds_until_gone(call_service, self.path, time.monotonic())
+        assert self.earliest <= ended <= self.latest + 10.0
 
 
-async def taken(ask, path):
-    """Whether a row is there."""
-    return (await ask("GET", path))[0] == 200
+async def row_exists(call_service, path):
+    """Return whether a row exists."""
+    return (await call_service("GET", path))[0] == 200
 
 
-async def gone_after(ask, path, begun):
-    """Real seconds from a moment until a row is gone."""
+async def seconds_until_gone(call_service, path, begun):
+    """Wait until a row is removed; return the real time since `begun`, in s."""
     async with asyncio.timeout(20.0):
-        while await taken(ask, path):
+        while await row_exists(call_service, path):
             await asyncio.sleep(0.05)
     return time.monotonic() - begun
 
@@ -104,45 +105,47 @@
 
 @pytest.mark.parametrize("step_s", [HOUR_S, -HOUR_S], ids=["forward", "back"])
 @bounded(90.0)
-async def test_a_step_of_an_hour_amid_an_incarnation_and_over_a_kill_changes_no_span(tmp_path, step_s):
+async def test_a_clock_step_of_an_hour_during_an_incarnation_or_a_crash_changes_no_time_span(
+    tmp_path, step_s
+):
     short = Override("short", 12.0)
     async with SteppedService(tmp_path, leases={"restart_grace_ms": 1500}) as service:
         await service.start()
         async with aiohttp.ClientSession() as session:
-            ask = functools.partial(call, session, service)
-            _, first, _ = await ask("GET", "/overrides")
+            call_service = functools.partial(call, session, service)
+            _, first, _ = await call_service("GET", "/overrides")
             assert abs(first["now_ms"] - time.time() * 1000.0) < 5000.0
             begun = time.monotonic()
-            await short.start(ask)
-            assert (await ask("PUT", "/tables/t/leased", 1, X_Lease="2000"))[0] == 200
-            _, first_answer, _ = await ask("PUT", "/tables/t/once", 1, X_Request_Id="r1")
+            await short.start(call_service)
+            assert (await call_service("PUT", "/tables/t/leased", 1, X_Lease="2000"))[0] == 200
+            _, first_answer, _ = await call_service("PUT", "/tables/t/once", 1, X_Request_Id="r1")
             service.step(step_s)
-            # Amid the incarnation: ages, leases and times left go on as if nothing had been.
-            _, row, _ = await ask("GET", "/tables/t/leased")
+            # Within the incarnation the step has no effect on ages, leases and remaining times.
+            _, row, _ = await call_service("GET", "/tables/t/leased")
             assert row["age_ms"] <= (time.monotonic() - begun) * 1000.0 + AGE_MARGIN_S * 1000.0 + 1.0
-            await short.check(ask)
-            assert await gone_after(ask, "/tables/t/leased", begun) > 1.9
-            await ask("PUT", "/tables/t/kept", 1, X_Lease="1000")
+            await short.check(call_service)
+            assert await seconds_until_gone(call_service, "/tables/t/leased", begun) > 1.9
+            await call_service("PUT", "/tables/t/kept", 1, X_Lease="1000")
         await service.end(signal.SIGKILL)
         started = time.monotonic()
         await service.start()
         async with aiohttp.ClientSession() as session:
-            ask = functools.partial(call, session, service)
-            # Over the start: indexes grow, the answer to a known request is the first, the grace is real
-            # time, and the override has lost what passed, no less and no more.
-            await short.check(ask)
-            assert (await ask("PUT", "/tables/t/once", 2, X_Request_Id="r1"))[1] == first_answer
-            _, written, _ = await ask("PUT", "/tables/t/more", 1)
+            call_service = functools.partial(call, session, service)
+            # After the restart indices grow, a repeated request gets its first answer, the grace period is
+            # real time, and the override's remaining time has shrunk by the real time that has passed.
+            await short.check(call_service)
+            assert (await call_service("PUT", "/tables/t/once", 2, X_Request_Id="r1"))[1] == first_answer
+            _, written, _ = await call_service("PUT", "/tables/t/more", 1)
             assert written["index"] > first_answer["index"]
-            assert await gone_after(ask, "/tables/t/kept", started) > 1.5
-            await short.check_end(ask)
+            assert await seconds_until_gone(call_service, "/tables/t/kept", started) > 1.5
+            await short.check_end(call_service)
 
 
 @bounded(90.0)
-async def test_a_lost_disk_is_recognized_although_the_clock_went_back_and_gathering_is_real_time(
+async def test_a_lost_disk_is_detected_after_a_clock_step_back_and_the_rebuild_takes_real_time(
     tmp_path,
 ):
-    """No clock says it: an index that was published before may be above all of the new incarnation."""
+    """After a clock step back, an index of the lost list may be above all indices of the new incarnation."""
     async with SteppedService(tmp_path, leases={"gather_ms": 4000}) as service:
         await service.start()
         async with aiohttp.ClientSession() as session:
@@ -153,18 +156,18 @@
         started = time.monotonic()
         await service.start()
         async with aiohttp.ClientSession() as session:
-            ask = functools.partial(call, session, service)
+            call_service = functools.partial(call, session, service)
             known = str(before["index"])
-            status, _, _ = await ask("GET", "/registry/instances", X_Held_Index=known)
-            assert status == 503  # it is known to be lost, whatever the clock says
-            _, after, _ = await ask("PUT", "/registry/instances/s1", ENTRY)
+            status, _, _ = await call_service("GET", "/registry/instances", X_Held_Index=known)
+            assert status == 503  # the caller's index shows that a list was lost
+            _, after, _ = await call_service("PUT", "/registry/instances/s1", ENTRY)
             assert after["index"] < before["index"]
             service.step(HOUR_S)
             async with asyncio.timeout(20.0):
-                while (await ask("GET", "/registry/instances", X_Held_Index=known))[0] != 200:
+                while (await call_service("GET", "/registry/instances", X_Held_Index=known))[0] != 200:
                     await asyncio.sleep(0.05)
             assert time.monotonic() - started > 4.0
-            # Who watches from the index of the incarnation that was lost gets the whole list, not a part.
+            # A watch from an index of the lost incarnation gets the complete list, not changes.
             async with session.get(
                 f"http://{service.listen}/registry/instances?watch=1&from={known}"
             ) as answer:
@@ -175,8 +178,8 @@
 # --- in process ------------------------------------------------------------------------------------
 
 
-class Wall:
-    """The wall clock of this process, off by some seconds."""
+class SteppedWallClock:
+    """The wall clock of this process, shifted by `off_s` seconds."""
 
     def __init__(self, monkeypatch):
         self.off_s, real = 0.0, time.time
@@ -184,13 +187,13 @@
 
 
 @pytest.fixture
-def wall(monkeypatch):
-    """Steps the wall clock that the service reads."""
-    return Wall(monkeypatch)
+def wall_clock(monkeypatch):
+    """Return a wall clock whose shift can be set, as the service reads it."""
+    return SteppedWallClock(monkeypatch)
 
 
-def configured(tmp_path, **changes):
-    """Settings of a service in process."""
+def load_settings(tmp_path, **changes):
+    """Return the settings of a service in this process."""
     return settings.load_registry(Service(tmp_path, **changes).config)
 
 
@@ -215,65 +218,65 @@
 
 @pytest.mark.parametrize("step_s", STEPS)
 @bounded(60.0)
-async def test_indexes_grow_over_starts_with_a_stepped_clock_and_one_step_leaves_no_trace(
-    tmp_path, wall, step_s
-):
-    config, indexes = configured(tmp_path), []
+async def test_indices_grow_over_restarts_with_a_stepped_clock(tmp_path, wall_clock, step_s):
+    config, indexes = load_settings(tmp_path), []
     for off_s in (0.0, step_s, 0.0, -step_s, 0.0):
-        wall.off_s = off_s
-        async with Incarnation(config) as ask:
-            written = [await ask("PUT", "/tables/t/k", [off_s, value]) for value in range(3)]
+        wall_clock.off_s = off_s
+        async with Incarnation(config) as call_service:
+            written = [await call_service("PUT", "/tables/t/k", [off_s, value]) for value in range(3)]
             indexes += [body["index"] for _, body, _ in written]
-            _, listed, _ = await ask("GET", "/tables/t")
+            _, listed, _ = await call_service("GET", "/tables/t")
             assert listed["index"] == indexes[-1]
     assert indexes == sorted(set(indexes))
 
 
 @pytest.mark.parametrize("step_s", STEPS)
 @bounded(60.0)
-async def test_an_override_ends_by_real_time_through_steps_amid_and_between_incarnations(
-    tmp_path, wall, step_s
+async def test_an_override_ends_by_real_time_despite_clock_steps_during_and_between_incarnations(
+    tmp_path, wall_clock, step_s
 ):
-    config = configured(tmp_path)
+    config = load_settings(tmp_path)
     short = Override("o", 4.0)
-    async with Incarnation(config) as ask:
-        await short.start(ask)
-        wall.off_s = step_s
+    async with Incarnation(config) as call_service:
+        await short.start(call_service)
+        wall_clock.off_s = step_s
         await asyncio.sleep(0.3)
-        await short.check(ask)
+        await short.check(call_service)
     for off_s in (step_s, 2.0 * step_s):
-        wall.off_s = off_s
-        async with Incarnation(config) as ask:
-            await short.check(ask)
+        wall_clock.off_s = off_s
+        async with Incarnation(config) as call_service:
+            await short.check(call_service)
             if off_s != step_s:
-                await short.check_end(ask)
+                await short.check_end(call_service)
 
 
 @pytest.mark.parametrize("step_s", [HOUR_S, -HOUR_S], ids=["forward", "back"])
 @bounded(60.0)
-async def test_a_server_restarted_with_a_stepped_clock_waits_for_its_own_lease_at_most(
-    tmp_path, wall, step_s
+async def test_a_server_restarted_with_a_stepped_clock_waits_at_most_for_its_earlier_lease(
+    tmp_path, wall_clock, step_s
 ):
-    """Of two processes with one name the later start holds it, and a server reads its start from its own wall
-    clock: after a step back the new process looks like the older one, until the other's lease is over."""
-    config = configured(tmp_path, leases={"least_ms": 300})
-    async with Incarnation(config) as ask:
+    """Of two processes with the same name the one that started later gets it, by the servers' wall clocks.
+
+    After a step back a restarted server looks like the older process until the lease of the other ends.
+    """
+    config = load_settings(tmp_path, leases={"least_ms": 300})
+    async with Incarnation(config) as call_service:
         since = int(time.time() * 1000.0)
         path = "/registry/instances/s1"
         before = {**ENTRY, "since_ms": since, "ttl_ms": 800}
         granted = time.monotonic()
-        assert (await ask("PUT", path, before))[0] == 200
+        assert (await call_service("PUT", path, before))[0] == 200
         after = {**before, "address": "127.0.0.1:7002", "since_ms": since + int(step_s * 1000.0)}
-        status, _, _ = await ask("PUT", path, after)
+        status, _, _ = await call_service("PUT", path, after)
         assert status == (200 if step_s > 0 else 409)
         async with asyncio.timeout(10.0):
-            while (await ask("PUT", path, after))[0] != 200:
+            while (await call_service("PUT", path, after))[0] != 200:
                 await asyncio.sleep(0.05)
         assert step_s > 0 or time.monotonic() - granted > 0.8
 
 
 @pytest.mark.parametrize("step_s", STEPS)
-def test_an_incarnation_on_a_durable_table_begins_above_it_whatever_the_clock_says(step_s):
+def test_the_first_index_of_an_incarnation_is_above_the_last_whatever_the_clock_says(step_s):
     now = 1_800_000_000.0
     for sample in (0, 1023, 2**30 - 1):
         last = first_index(now, 0, sample) + 5
--- a/tests/controlplane/test_registry_service.py
+++ b/tests/controlplane/test_registry_service.py
@@ -1,4 +1,4 @@
-"""The list service as a process: killed, starved of disk, crowded, and told nonsense."""
+"""The list service as a process: kills, a full disk, many callers, and invalid calls."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 from brassfall.controlplane.registry.membership import RegistrationState
 from tests.support.loopback import bounded, until
 from tests.support.processes import Service
-from tests.support.spread import crowded
+from tests.support.spread import overfull_windows
 
 ENTRY = {"address": "127.0.0.1:7001", "zone": "a", "type": "m2", "group": 3, "weight": 1.0}
 
 
-def running(**changes):
-    """A test of a service that was started, and is killed at the end."""
+def with_service(**changes):
+    """Run a test with a service that is started before and killed after it, and a client session."""
 
     def wrap(test):
         @bounded(120.0)
@@ -41,7 +41,7 @@
 
 
 async def call(session, service, method, path, body=None, **headers):
-    """Status, JSON and headers of one call."""
+    """Make one call; return the status, JSON and headers of its answer."""
     headers = {name.replace("_", "-"): value for name, value in headers.items()}
     data = body if isinstance(body, bytes | None) else json.dumps(body)
     async with session.request(
@@ -50,34 +50,34 @@
         return answer.status, json.loads(await answer.read()), answer.headers
 
 
-async def figures(session, service):
-    """The metrics, by name."""
+async def read_metrics(session, service):
+    """Return the values of all metrics by name."""
     async with session.get(f"http://{service.listen}/metrics") as answer:
         rows = (line.rsplit(" ", 1) for line in (await answer.text()).splitlines() if line[0] != "#")
         return {name: float(value) for name, value in rows}
 
 
-class Writers:
-    """Writers that each count up a row of their own, and remember what was acknowledged."""
+class CountingWriters:
+    """Concurrent writers, each of which counts up a row of its own and records acknowledged values."""
 
     def __init__(self, service, count, size=10):
         self.service, self.count, self.size = service, count, size
-        self.acked, self.indexes, self.failed = {}, [], 0
+        self.acknowledged, self.indexes, self.failed = {}, [], 0
 
     async def write(self, session, which):
-        key, value = f"k{which}", self.acked.get(f"k{which}", 0)
+        key, value = f"k{which}", self.acknowledged.get(f"k{which}", 0)
         while True:
             value += 1
             body = {"n": value, "x": "x" * self.size}
             try:
-                status, told, _ = await call(session, self.service, "PUT", f"/tables/t/{key}", body)
+                status, answered, _ = await call(session, self.service, "PUT", f"/tables/t/{key}", body)
             except aiohttp.ClientError:
                 return
             if status == 200:
-                self.acked[key] = value
-                self.indexes.append(told["index"])
+                self.acknowledged[key] = value
+                self.indexes.append(answered["index"])
             else:
-                assert status == 503 and told["reason"]
+                assert status == 503 and answered["reason"]
                 self.failed += 1
                 value -= 1
                 await asyncio.sleep(0.01)
@@ -86,18 +86,18 @@
         return [asyncio.create_task(self.write(session, which)) for which in range(self.count)]
 
     async def check(self, session):
-        """After a restart: every acknowledged write is there, and no index came twice or went back."""
-        _, told, _ = await call(session, self.service, "GET", "/tables/t")
-        held = {row["key"]: row["value"]["n"] for row in told["rows"]}
-        assert all(held[key] >= value for key, value in self.acked.items())
+        """Check after a restart that every acknowledged write is kept, and no index repeats or goes back."""
+        _, answered, _ = await call(session, self.service, "GET", "/tables/t")
+        held = {row["key"]: row["value"]["n"] for row in answered["rows"]}
+        assert all(held[key] >= value for key, value in self.acknowledged.items())
         assert len(set(self.indexes)) == len(self.indexes)
-        assert told["index"] > max(self.indexes, default=0)
+        assert answered["index"] > max(self.indexes, default=0)
 
 
 @bounded(150.0)
-async def test_thirty_kills_amid_writes_lose_nothing_acknowledged(tmp_path):
+async def test_no_acknowledged_write_is_lost_by_thirty_kills(tmp_path):
     async with Service(tmp_path, limits={"caller_calls_per_s": 0}) as service:
-        writers, rng = Writers(service, 16), random.Random(5)
+        writers, rng = CountingWriters(service, 16), random.Random(5)
         for _ in range(30):
             await service.start()
             async with aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0)) as session:
@@ -113,10 +113,10 @@
 
 
 @bounded(60.0)
-async def test_a_full_disk_refuses_writes_and_loses_none(tmp_path):
+async def test_a_full_disk_refuses_writes_and_loses_no_acknowledged_one(tmp_path):
     async with Service(tmp_path, limits={"caller_calls_per_s": 0}) as service:
-        await service.start(limit="ulimit -f 2000;")  # blocks of 512 bytes, for each file
-        writers = Writers(service, 4, size=30_000)
+        await service.start(limit="ulimit -f 2000;")  # limit of the size of each file, in blocks of 512 bytes
+        writers = CountingWriters(service, 4, size=30_000)
         async with aiohttp.ClientSession() as session:
             status, _, _ = await call(
                 session, service, "PUT", "/registry/instances/s1", {**ENTRY, "ttl_ms": 0}
@@ -125,21 +125,24 @@
             await until(lambda: writers.failed > 20)
             for task in tasks:
                 task.cancel()
-            status, told, _ = await call(session, service, "GET", "/registry/instances")
-            assert (status, [row["name"] for row in told["endpoints"]]) == (200, ["s1"])  # reads go on
+            status, answered, _ = await call(session, service, "GET", "/registry/instances")
+            assert (status, [row["name"] for row in answered["endpoints"]]) == (
+                200,
+                ["s1"],
+            )  # reads still work
             await service.event("disk")
             await service.end(signal.SIGKILL)
             await service.start()
             await writers.check(session)
             status, _, _ = await call(session, service, "PUT", "/tables/t/after", 1)
             assert status == 200
-            status, told, _ = await call(session, service, "GET", "/registry/instances")
-            assert [row["name"] for row in told["endpoints"]] == ["s1"]
+            status, answered, _ = await call(session, service, "GET", "/registry/instances")
+            assert [row["name"] for row in answered["endpoints"]] == ["s1"]
         await service.end(signal.SIGKILL)
 
 
-@running()
-async def test_of_two_processes_with_one_name_the_newer_holds_it(service, session):
+@with_service()
+async def test_of_two_processes_with_the_same_name_the_newer_one_is_registered(service, session):
     entry = {**ENTRY, "name": "s1", "since_ms": 100}
     old = RegistrationClient([service.listen], entry, 600)
     new = RegistrationClient([service.listen], {**entry, "since_ms": 200, "address": "127.0.0.1:7002"}, 600)
@@ -148,29 +151,29 @@
     new.start()
     assert await new.wait_until_confirmed() is RegistrationState.REGISTERED
     assert "newer" in await old.wait_until_finished()
-    assert old.registration.state is RegistrationState.REPLACED  # it calls no more
+    assert old.registration.state is RegistrationState.REPLACED  # the replaced process makes no more calls
     body = {**ENTRY, "since_ms": 100}
     assert (await call(session, service, "PUT", "/registry/instances/s1", body))[0] == 409
     renew = "/registry/instances/s1/renew"
     assert (await call(session, service, "POST", renew, {"since_ms": 100}))[0] == 409
     assert (await call(session, service, "DELETE", "/registry/instances/s1", {"since_ms": 100}))[0] == 409
     assert (await call(session, service, "POST", renew, {"since_ms": 200}))[0] == 200
-    _, told, _ = await call(session, service, "GET", "/registry/instances")
-    assert [row["address"] for row in told["endpoints"]] == ["127.0.0.1:7002"]
+    _, answered, _ = await call(session, service, "GET", "/registry/instances")
+    assert [row["address"] for row in answered["endpoints"]] == ["127.0.0.1:7002"]
     assert await new.request_status("left", 5.0)
     assert (await call(session, service, "POST", renew, {"since_ms": 200}))[0] == 404
     await old.close()
     await new.close()
 
 
-@running()
-async def test_conditions_ids_and_leases_of_a_table(service, session):
+@with_service()
+async def test_preconditions_request_ids_and_leases_of_a_table(service, session):
     row = "/tables/duty/one"
     _, first, _ = await call(session, service, "PUT", row, {"who": "a"}, If_Match="0", X_Request_Id="r1")
     again = await call(session, service, "PUT", row, {"who": "b"}, If_Match="0", X_Request_Id="r1")
-    assert again[:2] == (200, first)  # the first answer, and nothing written
-    status, told, _ = await call(session, service, "PUT", row, {"who": "b"}, If_Match="0")
-    assert (status, told["error"]) == (412, "precondition failed")
+    assert again[:2] == (200, first)  # a repeated request gets the first answer, and writes nothing
+    status, answered, _ = await call(session, service, "PUT", row, {"who": "b"}, If_Match="0")
+    assert (status, answered["error"]) == (412, "precondition failed")
     assert (await call(session, service, "GET", row))[1]["value"] == {"who": "a"}
     version = first["index"]
     status, leased, _ = await call(
@@ -181,47 +184,50 @@
     async for line in client.watch(service.listen, "/tables/duty"):
         seen += [(r["key"], r["value"]) for r in json.loads(line or b'{"rows":[]}')["rows"]]
         if seen[-1] == ("one", None):
-            break  # the lease has ended, and the watch was told
+            break  # the lease has ended, and the watch was notified of that
     assert seen == [("one", {"who": "c"}), ("one", None)]
 
 
-@running(limits={"caller_calls_per_s": 2})
-async def test_a_caller_that_calls_too_often_is_told_when_to_come_back(service, session):
+@with_service(limits={"caller_calls_per_s": 2})
+async def test_a_caller_over_its_rate_gets_429_with_retry_after(service, session):
     calls = [await call(session, service, "GET", "/health/live") for _ in range(40)]
-    refused = [(told, headers) for status, told, headers in calls if status == 429]
-    # A second's worth comes through at once, and what comes due meanwhile.
+    refused = [(answered, headers) for status, answered, headers in calls if status == 429]
+    # The calls of one second are admitted at once, and further ones at the rate.
     assert [status for status, _, _ in calls[:2]] == [200, 200] and len(refused) >= 10
-    told, headers = refused[0]
-    assert told["error"] == "too many calls" and 0.0 < float(headers["Retry-After"]) <= 0.5
+    answered, headers = refused[0]
+    assert answered["error"] == "too many calls" and 0.0 < float(headers["Retry-After"]) <= 0.5
     url = f"http://{service.listen}/health/live"
     other = aiohttp.TCPConnector(local_addr=("127.0.0.2", 0))
     async with aiohttp.ClientSession(connector=other) as far, far.get(url) as answer:
-        assert answer.status == 200  # another caller has a rate of its own
+        assert answer.status == 200  # another caller has its own limit
 
 
-@running(limits={"tables": 3})
-async def test_tables_that_nobody_writes_leave_nothing_behind_and_the_others_are_bounded(service, session):
+@with_service(limits={"tables": 3})
+async def test_reading_missing_tables_creates_none_and_the_number_of_tables_is_limited(service, session):
     for number in range(20):
         assert (await call(session, service, "GET", f"/tables/none{number}"))[1]["rows"] == []
     statuses = [(await call(session, service, "PUT", f"/tables/t{n}/k", 1))[0] for n in range(5)]
     assert statuses == [200, 200, 200, 503, 503]
     assert (await call(session, service, "PUT", "/tables/t0/other", 1))[0] == 200
-    _, told, _ = await call(session, service, "GET", "/status")
-    assert set(told["watches"]) <= {"t0", "t1", "t2", "/rules"}
+    _, answered, _ = await call(session, service, "GET", "/status")
+    assert set(answered["watches"]) <= {"t0", "t1", "t2", "/rules"}
 
 
-# --- a herd ---------------------------------------------------------------------------------------
+# --- many watchers------------------------------------------------------------------------------------
 
 
-async def watch_until_told(listen, index, waits):
-    """One watcher that comes back when it is told to; its reader, once its first line has come."""
+async def open_watch(listen, index, waits):
+    """Open a watch, with retries after each `Retry-After`; return its reader, writer and first line.
+
+    The waits in s are appended to `waits`.
+    """
     host, port = listen.split(":")
     while True:
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(b"GET /registry/instances?watch=1&from=%d HTTP/1.1\r\nHost: x\r\n\r\n" % index)
         head = (await reader.readuntil(b"\r\n\r\n")).decode().lower()
         if " 200 " in head.splitlines()[0]:
-            await reader.readuntil(b"\n")  # the length of the first part
+            await reader.readuntil(b"\n")  # the line with the length of the first chunk
             line = await reader.readuntil(b"}\n")
             return reader, writer, line
         assert " 503 " in head.splitlines()[0]
@@ -230,38 +236,38 @@
         await asyncio.sleep(waits[-1])
 
 
-@running(limits={"caller_share": 1.0, "caller_calls_per_s": 0})
-async def test_a_herd_of_2000_watchers_gets_in_and_no_list_is_built_twice(service, session):
+@with_service(limits={"caller_share": 1.0, "caller_calls_per_s": 0})
+async def test_2000_watchers_are_admitted_and_each_list_is_encoded_once(service, session):
     for number in range(50):
         await call(session, service, "PUT", f"/registry/instances/s{number}", {**ENTRY, "ttl_ms": 0})
-    before = await figures(session, service)
+    before = await read_metrics(session, service)
     waits, began = [], time.monotonic()
-    herd = [asyncio.create_task(watch_until_told(service.listen, 0, waits)) for _ in range(2000)]
+    openings = [asyncio.create_task(open_watch(service.listen, 0, waits)) for _ in range(2000)]
     versions = 0
-    while not all(task.done() for task in herd):
+    while not all(task.done() for task in openings):
         versions += 1
         weight = {"weight": 1.0 + versions / 1000.0}
         assert (await call(session, service, "PATCH", "/registry/instances/s1", weight))[0] == 200
         await asyncio.sleep(0.02)
-    watching = await asyncio.gather(*herd)
-    took, after = time.monotonic() - began, await figures(session, service)
+    watching = await asyncio.gather(*openings)
+    took, after = time.monotonic() - began, await read_metrics(session, service)
     assert after["brassfall_watches"] == 2000
     assert 0 < after["brassfall_lists_built_total"] - before["brassfall_lists_built_total"] <= versions + 1
-    # How many are turned away depends on how fast they come; that no more get in than should doesn't.
+    # The number of rejected calls depends on how fast they arrive, but the rate of admitted ones does not.
     joins = settings.RegistryLimits().joins_per_s
     assert took >= (2000 - joins / 4.0) / joins
     turned_away = after["brassfall_turned_away_total"] - before["brassfall_turned_away_total"]
     assert turned_away == len(waits)
-    assert not crowded(waits, 0.5)  # they come back spread out, and not at once
+    assert not overfull_windows(waits, 0.5)  # the retries are spread, not all at once
     await call(session, service, "DELETE", "/registry/instances/s7")
     for reader, writer, _ in watching:
         assert b'"left"' in await reader.readuntil(b'"left"')
         writer.close()
 
 
-# --- bad callers ----------------------------------------------------------------------------------
+# --- invalid callers-------------------------------------------------------------------------------
 
-BAD = [
+INVALID_CALLS = [
     ("PUT", "/registry/instances/a%2Fb", ENTRY, 400, "name"),
     ("PUT", "/registry/instances/a%00b", ENTRY, 400, "name"),
     ("PUT", "/registry/instances/" + "a" * 129, ENTRY, 400, "name"),
@@ -298,75 +304,75 @@
 ]  # fmt: skip
 
 
-@running(limits={"idle_ms": 2000})
-async def test_bad_calls_get_a_4xx_that_says_why_and_cost_others_nothing(service, session):
+@with_service(limits={"idle_ms": 2000})
+async def test_invalid_calls_get_a_4xx_with_the_reason_and_disturb_no_others(service, session):
     assert (await call(session, service, "PUT", "/registry/instances/s1", {**ENTRY, "ttl_ms": 0}))[0] == 200
-    reader, kept, _ = await watch_until_told(service.listen, 0, [])
-    for method, path, body, status, reason in BAD:
+    reader, watch_writer, _ = await open_watch(service.listen, 0, [])
+    for method, path, body, status, reason in INVALID_CALLS:
         try:
-            got, told, _ = await call(session, service, method, path, body)
+            got, answered, _ = await call(session, service, method, path, body)
         except aiohttp.ClientError:
-            assert status == 413, path  # cut off amid a body that nobody will read
+            assert status == 413, path  # the connection is closed within a body that is too large
             continue
-        assert (got, reason in told["reason"]) == (status, True), (path, told)
+        assert (got, reason in answered["reason"]) == (status, True), (path, answered)
     host, port = service.listen.split(":")
-    for junk in (b"\x16\x03\x01\x02\x00\x01\x00", b"GET / HTTP/1.1\r\n" + b"X: y\r\n" * 5000 + b"\r\n"):
+    for garbage in (b"\x16\x03\x01\x02\x00\x01\x00", b"GET / HTTP/1.1\r\n" + b"X: y\r\n" * 5000 + b"\r\n"):
         far, writer = await asyncio.open_connection(host, int(port))
-        writer.write(junk)
+        writer.write(garbage)
         assert (await far.read()).split(b" ")[1] == b"400"
         writer.close()
-    dribble, writer = await asyncio.open_connection(host, int(port))
-    writer.write(b"GET / HTTP/1.1\r\nX: ")  # and never an end
-    assert await dribble.read() == b""  # cut off
+    incomplete, writer = await asyncio.open_connection(host, int(port))
+    writer.write(b"GET / HTTP/1.1\r\nX: ")  # a request head without an end
+    assert await incomplete.read() == b""  # the service closes the connection
     writer.close()
     assert not [line for line in service.lines if line["event"] in ("fault", "?")]
     await call(session, service, "DELETE", "/registry/instances/s1")
-    await reader.readuntil(b'"left"')  # the watch from before has lived through it all
-    kept.close()
+    await reader.readuntil(b'"left"')  # the watch that was opened before still works
+    watch_writer.close()
 
 
-@running()
-async def test_ten_thousand_idle_connections_cost_nobody_a_watch_or_a_call(service, session):
+@with_service()
+async def test_ten_thousand_idle_connections_disturb_no_watch_or_call(service, session):
     resource.setrlimit(resource.RLIMIT_NOFILE, (resource.getrlimit(resource.RLIMIT_NOFILE)[1],) * 2)
     member = RegistrationClient([service.listen], {**ENTRY, "name": "s1", "since_ms": 1}, 2000)
     member.start()
     await member.wait_until_confirmed()
-    reader, kept, _ = await watch_until_told(service.listen, 0, [])
+    reader, watch_writer, _ = await open_watch(service.listen, 0, [])
     host, port = service.listen.split(":")
-    crowd = []
+    idle_sockets = []
     for number in range(10_000):
-        crowd.append(socket.create_connection((host, int(port))))
+        idle_sockets.append(socket.create_connection((host, int(port))))
         if number % 50 == 0:
-            await asyncio.sleep(0)  # the member's turn: it is in this process
+            await asyncio.sleep(0)  # lets the registration client run, which is in this process
         if number % 1000 == 0:
             assert (await call(session, service, "GET", "/registry/instances"))[0] == 200
-    status, told, _ = await call(session, service, "GET", "/status")
-    assert status == 200 and told["connections"] <= 4096  # the share of one address
-    assert told["instances"] == {"active": 1} and told["watches"]["instances"] == 1
+    status, answered, _ = await call(session, service, "GET", "/status")
+    assert status == 200 and answered["connections"] <= 4096  # the maximum share of one address
+    assert answered["instances"] == {"active": 1} and answered["watches"]["instances"] == 1
     assert member.registration.state is RegistrationState.REGISTERED
-    for sock in crowd:
+    for sock in idle_sockets:
         sock.close()
     await call(session, service, "DELETE", "/registry/instances/s1")
     await reader.readuntil(b'"left"')
-    kept.close()
+    watch_writer.close()
     await member.close()
 
 
-@running(limits={"watch_bytes": 65536, "watch_stuck_ms": 3000, "caller_calls_per_s": 0})
-async def test_a_slow_reader_delays_nobody_is_merged_and_then_cut_off(service, session):
+@with_service(limits={"watch_bytes": 65536, "watch_stuck_ms": 3000, "caller_calls_per_s": 0})
+async def test_a_slow_reader_delays_no_other_gets_merged_changes_and_is_then_aborted(service, session):
     host, port = service.listen.split(":")
-    quick, kept, _ = await watch_until_told(service.listen, 0, [])
-    heard = []
+    fast_reader, watch_writer, _ = await open_watch(service.listen, 0, [])
+    received = []
 
     async def read_on():
-        while data := await quick.read(65_536):
-            heard.append(data)
+        while data := await fast_reader.read(65_536):
+            received.append(data)
 
     reading = asyncio.create_task(read_on())
-    slow = socket.socket()
-    slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-    slow.connect((host, int(port)))
-    slow.send(b"GET /registry/instances?watch=1&from=0 HTTP/1.1\r\nHost: x\r\n\r\n")
+    slow_reader = socket.socket()
+    slow_reader.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+    slow_reader.connect((host, int(port)))
+    slow_reader.send(b"GET /registry/instances?watch=1&from=0 HTTP/1.1\r\nHost: x\r\n\r\n")
 
     async def write(rounds):
         for number in range(rounds):
@@ -374,66 +380,66 @@
             await asyncio.gather(
                 *(call(session, service, "PUT", f"/registry/instances/s{i}", wide) for i in range(40))
             )
-            if (await figures(session, service))["brassfall_watches_behind"]:
+            if (await read_metrics(session, service))["brassfall_watches_behind"]:
                 return
 
     await write(2000)
     last = {"zone": "the end", **{k: ENTRY[k] for k in ("address",)}, "ttl_ms": 0}
     await call(session, service, "PUT", "/registry/instances/s1", last)
-    # At once, though the other reads nothing.
-    await until(lambda: b'"the end"' in b"".join(heard[-2:]))
-    # The slow one reads on: it gets what it missed in one line.
-    slow.settimeout(10)
+    # The fast reader gets the change at once, though the slow reader reads nothing.
+    await until(lambda: b'"the end"' in b"".join(received[-2:]))
+    # When the slow reader reads on, it gets all missed changes in one line.
+    slow_reader.settimeout(10)
 
     def read_all():
         got = b""
         while b'"the end"' not in got[-4000:]:
-            data = slow.recv(65_536)
-            assert data  # it was cut off, though it reads on
+            data = slow_reader.recv(65_536)
+            assert data  # no end of the connection, since the reader reads on
             got += data
         return got
 
     await asyncio.to_thread(read_all)
-    assert (await figures(session, service))["brassfall_watches_merged_total"] == 1
-    await write(2000)  # and it reads nothing more: it is cut off
+    assert (await read_metrics(session, service))["brassfall_watches_merged_total"] == 1
+    await write(2000)  # the slow reader reads nothing more, so that it is aborted
     async with asyncio.timeout(20.0):
-        while not (await figures(session, service))["brassfall_watches_cut_total"]:
+        while not (await read_metrics(session, service))["brassfall_watches_cut_total"]:
             await asyncio.sleep(0.1)
     async with asyncio.timeout(20.0):
-        while (await figures(session, service))["brassfall_watches"] != 1:
+        while (await read_metrics(session, service))["brassfall_watches"] != 1:
             await asyncio.sleep(0.1)
-    assert not reading.done()  # and the quick one has its watch as before
+    assert not reading.done()  # the fast reader still has its watch
     reading.cancel()
-    kept.close()
-    slow.close()
+    watch_writer.close()
+    slow_reader.close()
 
 
 # --- configuration ----------------------------------------------------------------------------------
 
-GOOD = '[registry]\nlisten = "127.0.0.1:0"\ndata = "d"\n'
+VALID_SETTINGS = '[registry]\nlisten = "127.0.0.1:0"\ndata = "d"\n'
 
 
 @pytest.mark.parametrize(
-    ("text", "wrong"),
+    ("text", "expected_error"),
     [
         ("", "registry"),
         ("[registry]\n", "listen"),
-        (GOOD + "colour = 1\n", "colour"),
-        (GOOD.replace("127.0.0.1:0", "here"), "here"),
-        (GOOD + 'batch = "many"\n', "batch"),
-        (GOOD + "[registry.limits]\nwatches = 0\n", "registry.limits.watches"),
-        (GOOD + "[registry.limits]\ncaller_share = 2.0\n", "caller_share"),
-        (GOOD + "[registry.leases]\nleast_ms = 9000\n", "least_ms"),
-        (GOOD + "[registry.guard]\nshare = nan\n", "registry.guard.share"),
-        (GOOD + '[registry.cluster]\nname = "a"\nmembers = {}\n', "cluster"),
+        (VALID_SETTINGS + "colour = 1\n", "colour"),
+        (VALID_SETTINGS.replace("127.0.0.1:0", "here"), "here"),
+        (VALID_SETTINGS + 'batch = "many"\n', "batch"),
+        (VALID_SETTINGS + "[registry.limits]\nwatches = 0\n", "registry.limits.watches"),
+        (VALID_SETTINGS + "[registry.limits]\ncaller_share = 2.0\n", "caller_share"),
+        (VALID_SETTINGS + "[registry.leases]\nleast_ms = 9000\n", "least_ms"),
+        (VALID_SETTINGS + "[registry.guard]\nshare = nan\n", "registry.guard.share"),
+        (VALID_SETTINGS + '[registry.cluster]\nname = "a"\nmembers = {}\n', "cluster"),
         ("= 1", "line 1"),
     ],
 )
-def test_a_bad_file_is_named_with_key_and_reason(tmp_path, text, wrong):
+def test_an_invalid_settings_file_is_named_with_key_and_reason(tmp_path, text, expected_error):
     path = tmp_path / "c.toml"
     path.write_text(text)
-    with pytest.raises(settings.SettingsError, match=wrong) as caught:
+    with pytest.raises(settings.SettingsError, match=expected_error) as caught:
         settings.load_registry(path)
     assert str(caught.value).startswith(str(path)) and "\n" not in str(caught.value)
-    path.write_text(GOOD)
+    path.write_text(VALID_SETTINGS)
     assert settings.load_registry(path).limits.watches == 6000
--- a/tests/controlplane/test_registry_sockets.py
+++ b/tests/controlplane/test_registry_sockets.py
@@ -1,4 +1,4 @@
-"""System calls that fail for a moment at the sockets of the list service, its clients and an aggregator."""
+"""Temporary errors of system calls at the sockets of the list service, its clients and an aggregator."""
 
 from __future__ import annotations
 
@@ -19,66 +19,68 @@
 from tests.support.loopback import bounded, until
 
 ENTRY = {"name": "s1", "address": "127.0.0.1:7001", "zone": "a", "since_ms": 1, "status": "active"}
-MOMENTARY = [errno.EINTR, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]
-CONNECT = [errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENOBUFS, errno.ECONNRESET, errno.ETIMEDOUT]
+TEMPORARY_ERRORS = [errno.EINTR, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]
+CONNECT_ERRORS = [errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENOBUFS, errno.ECONNRESET, errno.ETIMEDOUT]
 
 
-class Failing:
+class FailingCall:
     """A call that fails a number of times, and then does what it stands for."""
 
-    def __init__(self, call, number, times):
-        self._call, self._number, self.left = call, number, times
+    def __init__(self, call, error_number, times):
+        self._call, self._error_number, self.left = call, error_number, times
 
     def __call__(self, *args, **kwargs):
         if self.left:
             self.left -= 1
-            raise OSError(self._number, os.strerror(self._number))
+            raise OSError(self._error_number, os.strerror(self._error_number))
         return self._call(*args, **kwargs)
 
 
-def service(tmp_path):
+def new_service(tmp_path):
     return Service(RegistrySettings(listen="127.0.0.1:0", data=str(tmp_path / "registry")))
 
 
-@pytest.mark.parametrize("number", MOMENTARY, ids=errno.errorcode.get)
+@pytest.mark.parametrize("error_number", TEMPORARY_ERRORS, ids=errno.errorcode.get)
 @bounded(30.0)
-async def test_a_start_goes_on_when_the_listening_socket_fails_for_a_moment(tmp_path, monkeypatch, number):
-    failing = Failing(socket.create_server, number, 3)
+async def test_the_start_retries_temporary_errors_of_the_listening_socket(
+    tmp_path, monkeypatch, error_number
+):
+    failing = FailingCall(socket.create_server, error_number, 3)
     monkeypatch.setattr(socket, "create_server", failing)
-    made = service(tmp_path)
-    listen = await made.start()
+    list_service = new_service(tmp_path)
+    listen = await list_service.start()
     try:
         assert failing.left == 0
         assert await client.call(listen, "GET", "/health/ready") == {"ready": True}
     finally:
-        await made.close()
+        await list_service.close()
 
 
 @pytest.mark.parametrize(
-    ("number", "retry_s"), [(errno.EADDRINUSE, 3.0), (errno.ENOBUFS, 0.3)], ids=["in use", "for long"]
+    ("error_number", "retry_s"), [(errno.EADDRINUSE, 3.0), (errno.ENOBUFS, 0.3)], ids=["in use", "for long"]
 )
 @bounded(30.0)
-async def test_a_start_ends_when_the_address_is_in_use_or_the_failure_lasts(
-    tmp_path, monkeypatch, number, retry_s
+async def test_the_start_fails_if_the_address_is_in_use_or_the_error_lasts(
+    tmp_path, monkeypatch, error_number, retry_s
 ):
     monkeypatch.setattr(front, "BIND_RETRY_S", retry_s)
-    failing = Failing(socket.create_server, number, 1000)
+    failing = FailingCall(socket.create_server, error_number, 1000)
     monkeypatch.setattr(socket, "create_server", failing)
-    with pytest.raises(OSError, match=os.strerror(number)) as failed:
-        await service(tmp_path).start()
-    assert failed.value.errno == number
-    assert (failing.left == 999) == (number == errno.EADDRINUSE)
+    with pytest.raises(OSError, match=os.strerror(error_number)) as failed:
+        await new_service(tmp_path).start()
+    assert failed.value.errno == error_number
+    assert (failing.left == 999) == (error_number == errno.EADDRINUSE)
 
 
-@pytest.mark.parametrize("number", CONNECT, ids=errno.errorcode.get)
+@pytest.mark.parametrize("error_number", CONNECT_ERRORS, ids=errno.errorcode.get)
 @bounded(30.0)
-async def test_a_member_and_an_aggregator_go_on_when_connects_fail_for_a_moment(
-    tmp_path, monkeypatch, number
+async def test_a_registered_server_and_an_aggregator_retry_failed_connects(
+    tmp_path, monkeypatch, error_number
 ):
-    made = service(tmp_path)
-    listen = await made.start()
+    list_service = new_service(tmp_path)
+    listen = await list_service.start()
     loop = asyncio.get_running_loop()
-    failing = Failing(loop.sock_connect, number, 6)
+    failing = FailingCall(loop.sock_connect, error_number, 6)
     monkeypatch.setattr(loop, "sock_connect", failing)
     aggregator = Aggregator(
         settings.check_aggregator(
@@ -95,4 +97,4 @@
     finally:
         await member.close()
         await aggregator.close()
-        await made.close()
+        await list_service.close()
--- a/tests/controlplane/test_registry_start.py
+++ b/tests/controlplane/test_registry_start.py
@@ -1,4 +1,4 @@
-"""The list service on a disk that fails while it starts, as a process; and what an answer leaves durable."""
+"""Starts of the list service on a failing disk, and the durability of the override clock."""
 
 from __future__ import annotations
 
@@ -18,92 +18,94 @@
 from tests.support.processes import Service
 
 
-async def ask(session, service, path):
+async def get_json(session, service, path):
     async with session.get(f"http://127.0.0.1:{service.port}{path}") as response:
         return response.status, await response.json()
 
 
 async def start_unready(service, limit=""):
-    """Start the process in the background; the task ends when it is ready."""
+    """Start the process on a failing disk; return a task that ends when the process is ready."""
     starting = asyncio.ensure_future(service.start(limit))
     await until(lambda: service.process is not None)
     await service.event("not ready")
     return starting
 
 
-def not_there(service):
-    """Something stands in the place of the file; it can be moved away."""
+def block_file(service):
+    """Put a folder in the place of the store's file, which `unblock_file` removes."""
     (service.data / FILE).mkdir(parents=True)
     return ""
 
 
-def full(service):
+def limit_file_size(service):
     return "ulimit -S -f 0;"
 
 
-def mend_not_there(service):
+def unblock_file(service):
     (service.data / FILE).rmdir()
 
 
-def mend_full(service):
+def raise_file_limit(service):
     most = resource.RLIM_INFINITY
     resource.prlimit(service.process.pid, resource.RLIMIT_FSIZE, (most, most))
 
 
 @pytest.mark.parametrize(
-    ("spoil", "mend", "reason"),
-    [(not_there, mend_not_there, "unable to open"), (full, mend_full, "disk")],
+    ("break_disk", "repair_disk", "reason"),
+    [(block_file, unblock_file, "unable to open"), (limit_file_size, raise_file_limit, "disk")],
     ids=["not there", "full"],
 )
 @bounded(60.0)
-async def test_while_the_disk_fails_health_is_served_and_then_all(tmp_path, spoil, mend, reason):
+async def test_while_the_disk_fails_only_health_checks_are_answered_and_later_all_calls(
+    tmp_path, break_disk, repair_disk, reason
+):
     async with Service(tmp_path) as service, aiohttp.ClientSession() as session:
-        starting = await start_unready(service, spoil(service))
-        assert await ask(session, service, "/health/live") == (200, {"live": True})
-        status, answered = await ask(session, service, "/health/ready")
-        assert status == 503 and reason in answered["reason"] and FILE in answered["reason"]
+        starting = await start_unready(service, break_disk(service))
+        assert await get_json(session, service, "/health/live") == (200, {"live": True})
+        status, body = await get_json(session, service, "/health/ready")
+        assert status == 503 and reason in body["reason"] and FILE in body["reason"]
         for path in ("/registry/instances", "/registry/instances?watch=1", "/rules", "/status", "/overrides"):
-            status, answered = await ask(session, service, path)
-            assert status == 503 and "has not started" in answered["reason"], path
+            status, body = await get_json(session, service, path)
+            assert status == 503 and "has not started" in body["reason"], path
         assert not starting.done()
-        mend(service)
+        repair_disk(service)
         await starting
-        assert await ask(session, service, "/health/ready") == (200, {"ready": True})
-        assert (await ask(session, service, "/registry/instances"))[0] == 200
+        assert await get_json(session, service, "/health/ready") == (200, {"ready": True})
+        assert (await get_json(session, service, "/registry/instances"))[0] == 200
         assert await service.end() == 0
 
 
 @bounded(60.0)
-async def test_sigterm_ends_a_start_that_waits_for_its_disk(tmp_path):
+async def test_sigterm_ends_a_start_that_waits_for_the_disk(tmp_path):
     async with Service(tmp_path) as service:
-        starting = await start_unready(service, not_there(service))
+        starting = await start_unready(service, block_file(service))
         begun = time.monotonic()
         assert await service.end(signal.SIGTERM) == 0
         assert time.monotonic() - begun < 5.0
         starting.cancel()
 
 
-def lock(folder):
+def lock_store(folder):
     log = Log(folder)
     log.load()
     return log
 
 
-def damage(folder):
+def corrupt_store(folder):
     folder.mkdir()
     (folder / FILE).write_bytes(b"no database" * 100)
 
 
-def wrong_path(folder):
+def replace_folder_by_file(folder):
     folder.write_text("no folder")
 
 
-@pytest.mark.parametrize("spoil", [lock, damage, wrong_path])
+@pytest.mark.parametrize("break_disk", [lock_store, corrupt_store, replace_folder_by_file])
 @bounded(30.0)
-async def test_what_only_an_operator_can_mend_still_ends_the_process(tmp_path, spoil):
+async def test_a_store_that_only_an_operator_can_repair_ends_the_process(tmp_path, break_disk):
     async with Service(tmp_path) as service:
-        other = spoil(service.data)
-        with pytest.raises(AssertionError, match="can't start"):  # before it was ready
+        other = break_disk(service.data)
+        with pytest.raises(AssertionError, match="can't start"):  # the process ends before it is ready
             await service.start()
         assert await service.end() == 1
         if other is not None:
@@ -111,7 +113,7 @@
 
 
 @bounded(30.0)
-async def test_an_override_that_was_answered_has_a_mark_of_its_time(tmp_path):
+async def test_the_clock_is_stored_before_an_override_is_answered(tmp_path):
     service = InProcess(RegistrySettings(listen="127.0.0.1:0", data=str(tmp_path / "registry")))
     listen = await service.start()
     try:
@@ -119,7 +121,7 @@
             document = {"action": {"freeze": True}, "by": "ana", "why": "maintenance"}
             document["until_ms"] = service.overrides.now() + 60_000
             async with session.put(f"http://{listen}/overrides/o", json=document) as response:
-                answered = await response.json()
-        assert service.store.state.get(TABLE, KEY).value["mark"] >= answered["from_ms"]
+                body = await response.json()
+        assert service.store.state.get(TABLE, KEY).value["mark"] >= body["from_ms"]
     finally:
         await service.close()
--- a/tests/controlplane/test_registry_watches.py
+++ b/tests/controlplane/test_registry_watches.py
@@ -1,4 +1,4 @@
-"""Watches whose readers are gone, on uvloop, whose transports raise when they are written to then."""
+"""Watches whose connections are closed, on uvloop, whose transports raise on writes after their end."""
 
 from __future__ import annotations
 
@@ -15,46 +15,46 @@
 from brassfall.controlplane.store.state import State
 
 
-class Reader(asyncio.Protocol):
-    """One end of a connection: what came."""
+class ReaderProtocol(asyncio.Protocol):
+    """One end of a connection, which records the received bytes."""
 
     def __init__(self):
-        self.came = b""
-        self.over = asyncio.get_running_loop().create_future()
+        self.received = b""
+        self.closed = asyncio.get_running_loop().create_future()
 
     def data_received(self, data):
-        self.came += data
+        self.received += data
 
     def connection_lost(self, error):
-        self.over.set_result(None)
+        self.closed.set_result(None)
 
 
 @contextlib.asynccontextmanager
 async def connections(count):
-    """So many connections: the transport at one end, the reader and its transport at the other."""
+    """Open connections; yield for each the accepted transport and protocol, the reader, its transport."""
     loop, accepted = asyncio.get_running_loop(), []
 
-    class Near(Reader):
+    class AcceptedEnd(ReaderProtocol):
         def connection_made(self, transport):
             accepted.append((transport, self))
 
-    server = await loop.create_server(Near, "127.0.0.1", 0)
-    made = []
+    server = await loop.create_server(AcceptedEnd, "127.0.0.1", 0)
+    opened = []
     for _ in range(count):
-        far, reader = await loop.create_connection(Reader, *server.sockets[0].getsockname())
-        while len(accepted) <= len(made):
+        far, reader = await loop.create_connection(ReaderProtocol, *server.sockets[0].getsockname())
+        while len(accepted) <= len(opened):
             await asyncio.sleep(0)
-        made.append((*accepted[len(made)], reader, far))
+        opened.append((*accepted[len(opened)], reader, far))
     try:
-        yield made
+        yield opened
     finally:
         server.close()
-        for near, _, _, far in made:
+        for near, _, _, far in opened:
             far.abort()
             near.abort()
 
 
-async def sent_to_all_but_the_one_that_is_gone():
+async def send_to_watches_of_which_one_is_closed():
     table, ended = State(), asyncio.get_running_loop().create_future()
     channel = TableChannel(
         lambda: table,
@@ -63,15 +63,15 @@
         9999,
         1.0,
     )
-    async with connections(3) as made:
-        for near, _, _, _ in made:
+    async with connections(3) as opened:
+        for near, _, _, _ in opened:
             channel.add_watch(near, 0, ended)
-        gone, gone_protocol, _, far = made[0]
+        closed, closed_protocol, _, far = opened[0]
         far.abort()
-        await gone_protocol.over
+        await closed_protocol.closed
         with pytest.raises(RuntimeError):
-            while True:  # its end is complete a moment after it was told
-                gone.write(b" ")
+            while True:  # uvloop raises once the close is complete, shortly after the protocol was notified
+                closed.write(b" ")
                 await asyncio.sleep(0)
         transaction = table.begin(0)
         transaction.run(Put(table="instances", key="s1", value={"name": "s1"}))
@@ -79,13 +79,13 @@
             channel.queue_change(change)
         for _ in range(2 * SLOTS):
             channel.tick()
-        for _, _, reader, _ in made[1:]:
-            while not reader.came.endswith(EMPTY_LINE):
+        for _, _, reader, _ in opened[1:]:
+            while not reader.received.endswith(EMPTY_LINE):
                 await asyncio.sleep(0)
-            assert b'"s1"' in reader.came
-        assert channel.count == 3  # the call of the one that is gone has not ended yet
+            assert b'"s1"' in reader.received
+        assert channel.count == 3  # the closed watch counts until its call ends
 
 
-def test_a_reader_that_is_gone_keeps_no_other_from_lines_and_heartbeats():
+def test_a_closed_watch_keeps_no_other_watch_from_lines_and_heartbeats():
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(asyncio.wait_for(sent_to_all_but_the_one_that_is_gone(), 10.0))
+        runner.run(asyncio.wait_for(send_to_watches_of_which_one_is_closed(), 10.0))
--- a/tests/controlplane/test_wire_forms.py
+++ b/tests/controlplane/test_wire_forms.py
@@ -1,9 +1,9 @@
-"""The control plane's messages and stored rows keep the recorded forms, whatever the code calls them.
+"""The control plane's messages and stored rows keep their recorded JSON forms.
 
-`tests/data/wire/` holds each message that a small deployment (`tests/support/wire_scenario.py`) passed
-around, by kind, and the rows that it stored, as they were before names in the code were changed. Today's
-types have to read them and write the same JSON, and the deployment, played anew, has to pass the same forms
-around.
+The tests guard against a renamed attribute that changes a JSON field. `tests/data/wire/` has the messages
+that a small deployment (`tests/support/wire_scenario.py`) sent, by kind, and the rows that it stored. The
+present types have to decode these and encode the same JSON, and a new run of the deployment has to send
+messages of the same forms.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 from brassfall.controlplane.revisions.state import DurableState
 from brassfall.sidecar.agent.lease_client import LeaseClient
 from tests.support.loopback import bounded
-from tests.support.wire_scenario import Recorder, forms, play
+from tests.support.wire_scenario import Recorder, forms, run_scenario
 
 RECORDED = {
     kind: messages
@@ -48,8 +48,8 @@
 RULES_KINDS = [kind for kind in RECORDED if kind.endswith("watch /rules")]
 RULES_KINDS += ["operator GET /rules when halted answer", "operator GET /rules with overrides answer"]
 
-# What a type writes of each kind of message that it reads; the other kinds have tests of their own below.
-SAME = {
+# Types that have to encode a kind of message just as they decoded it. Other kinds have their own tests below.
+ROUND_TRIP_TYPES = {
     **{kind: AggregatorReport for kind in AGGREGATOR_KINDS if kind.endswith("call")},
     **{kind: AggregatorLease for kind in AGGREGATOR_KINDS if kind.endswith("answer")},
     **dict.fromkeys(ANSWER_KINDS, ReportAnswer),
@@ -65,8 +65,8 @@
 }
 
 
-def each(*kinds):
-    """A parameter for each recorded message of these kinds."""
+def for_each_message(*kinds):
+    """Parametrize a test with each recorded message of these kinds."""
     rows = [
         pytest.param(message, id=f"{kind} {number}")
         for kind in kinds
@@ -75,67 +75,68 @@
     return pytest.mark.parametrize("message", rows)
 
 
-def plain(value):
-    """A value as its JSON reads."""
+def as_json(value):
+    """Return a value as it reads after JSON encoding and decoding."""
     return json.loads(msgspec.json.encode(value))
 
 
-def written(message, made):
-    """What the type writes of the fields that a message has; the rest it may fill with what is left out."""
+def fields_of(message, encoded):
+    """Return the encoded fields that a message has; the type may add defaults for other fields."""
     if isinstance(message, dict):
-        return {name: written(message[name], made[name]) for name in message if name in made}
+        return {name: fields_of(message[name], encoded[name]) for name in message if name in encoded}
     if isinstance(message, list):
-        return [written(one, other) for one, other in zip(message, made, strict=True)]
-    return made
+        return [fields_of(one, other) for one, other in zip(message, encoded, strict=True)]
+    return encoded
 
 
-@pytest.mark.parametrize(("kind", "form"), SAME.items(), ids=list(SAME))
-def test_what_is_read_is_written_again(kind, form):
+@pytest.mark.parametrize(("kind", "form"), ROUND_TRIP_TYPES.items(), ids=list(ROUND_TRIP_TYPES))
+def test_each_message_is_encoded_as_it_was_decoded(kind, form):
     for message in RECORDED[kind]:
-        made = plain(msgspec.json.decode(json.dumps(message), type=form))
-        assert written(message, made) == message
+        encoded = as_json(msgspec.json.decode(json.dumps(message), type=form))
+        assert fields_of(message, encoded) == message
 
 
-@each(*[kind for kind in AGGREGATOR_KINDS if kind.endswith("call")])
-def test_merged_reports_are_read_and_written_alike(message):
+@for_each_message(*[kind for kind in AGGREGATOR_KINDS if kind.endswith("call")])
+def test_aggregator_reports_are_encoded_as_they_were_decoded(message):
     report = parse_aggregator_report(json.dumps(message).encode())
-    assert plain(msgspec.convert(plain(report), AggregatorReport)) == plain(report)
-    assert written(message, plain(report)) == message
+    assert as_json(msgspec.convert(as_json(report), AggregatorReport)) == as_json(report)
+    assert fields_of(message, as_json(report)) == message
 
 
-@each(*[kind for kind in AGGREGATOR_KINDS if kind.endswith("answer")], *ANSWER_KINDS)
-def test_answers_of_the_tier_are_written_byte_for_byte(message):
+@for_each_message(*[kind for kind in AGGREGATOR_KINDS if kind.endswith("answer")], *ANSWER_KINDS)
+def test_answers_to_reports_are_encoded_without_any_difference(message):
     form = AggregatorLease if "epoch" in message else ReportAnswer
-    assert plain(msgspec.convert(message, form)) == message
+    assert as_json(msgspec.convert(message, form)) == message
 
 
 @pytest.mark.parametrize("kind", REPORT_KINDS)
-def test_reports_are_read_field_by_field(kind):
+def test_sidecar_reports_keep_each_recorded_field(kind):
     before = None
     for message in RECORDED[kind]:
         if "after" in message:
-            # The record leaves out reports of a form seen before: the one that this goes on from is put in.
+            # Reports of a form that was seen before are not recorded. So the report that this delta follows
+            # is made up from the last one.
             before = {**before, "seq": message["after"]}
         report, before = parse_delta(json.dumps(message).encode(), before)
-        made = plain(report)
+        encoded = as_json(report)
         for name, value in message.items():
-            assert name == "after" or made[name] == value
-        assert set(message) - {"after"} <= set(made)
-    fields = set(plain(Report()))
+            assert name == "after" or encoded[name] == value
+        assert set(message) - {"after"} <= set(encoded)
+    fields = set(as_json(Report()))
     full = RECORDED["service POST /edges full call"][0]
     assert fields == set(full) | {"acknowledged", "leaving"}
 
 
-def test_a_report_with_nothing_in_it_says_what_it_always_did():
-    assert plain(parse_report(b"{}")) == {
+def test_an_empty_report_has_the_recorded_defaults():
+    assert as_json(parse_report(b"{}")) == {
         "life": "", "seq": 0, "of": None, "held": 0, "prepared": 0, "acknowledged": None, "acting": 0,
         "objection": None, "list_index": 0, "list_age_ms": None, "overrides": None, "digest": "", "told": 0,
         "retell": False, "acted": None, "group": "", "region": "", "leaving": False, "measures": {},
     }  # fmt: skip
 
 
-@each(*ANSWER_KINDS)
-def test_answers_are_heeded_by_a_sidecar(message):
+@for_each_message(*ANSWER_KINDS)
+def test_a_sidecar_accepts_recorded_answers(message):
     client = LeaseClient("p", lambda revision: "")
     seq = client.report_fields(0.0)["seq"]
     for number in (message["edition"], message.get("pending", 0)):
@@ -145,8 +146,8 @@
     assert client.active_configuration(0.0).fallback == (message["permission_ms"] == 0.0)
 
 
-@each(*RULES_KINDS)
-def test_lines_of_the_rules_are_read_by_sidecars_and_aggregators(message):
+@for_each_message(*RULES_KINDS)
+def test_sidecars_and_aggregators_read_recorded_revision_lines(message):
     client = LeaseClient("p", lambda revision: "")
     client.receive_update(message)
     assert client.newest_revision == message["edition"]
@@ -161,49 +162,49 @@
     assert (received.state, received.committed) == (message["state"], in_force)
 
 
-@each("aggregator watch /registry/instances", "operator GET /registry/instances answer")
-def test_lines_of_the_list_are_read(message):
+@for_each_message("aggregator watch /registry/instances", "operator GET /registry/instances answer")
+def test_recorded_lines_of_the_endpoint_list_are_decoded(message):
     line = parse_line(json.dumps(message).encode())
-    assert plain(line) == message
-    assert plain(msgspec.convert(line.endpoints, list[Endpoint])) == message["endpoints"]
+    assert as_json(line) == message
+    assert as_json(msgspec.convert(line.endpoints, list[Endpoint])) == message["endpoints"]
 
 
-@each("operator GET /aggregators answer")
-def test_rows_of_aggregators_are_read_and_written_alike(message):
-    assert plain(msgspec.convert(message["aggregators"], list[AggregatorRow])) == message["aggregators"]
+@for_each_message("operator GET /aggregators answer")
+def test_rows_of_aggregators_are_encoded_as_they_were_decoded(message):
+    assert as_json(msgspec.convert(message["aggregators"], list[AggregatorRow])) == message["aggregators"]
 
 
-@each("operator GET /edges answer")
-def test_rows_of_sidecars_are_read_and_written_alike(message):
+@for_each_message("operator GET /edges answer")
+def test_rows_of_sidecars_are_encoded_as_they_were_decoded(message):
     assert len(message["edges"]) > 1
     for row in message["edges"]:
-        assert written(row, plain(msgspec.convert(row, SidecarRow))) == row
-    assert plain(msgspec.convert(message["list"], Spread)) == message["list"]
-    assert written(message, plain(msgspec.convert(message, Listing))) == message
+        assert fields_of(row, as_json(msgspec.convert(row, SidecarRow))) == row
+    assert as_json(msgspec.convert(message["list"], Spread)) == message["list"]
+    assert fields_of(message, as_json(msgspec.convert(message, Listing))) == message
 
 
-@each("operator GET /tables/overrides, as stored answer")
-def test_stored_overrides_are_read_and_written_alike(message):
+@for_each_message("operator GET /tables/overrides, as stored answer")
+def test_stored_overrides_are_encoded_as_they_were_decoded(message):
     assert message["rows"]
     for row in message["rows"]:
-        made = plain(msgspec.convert(row["value"], Override))
-        assert made == row["value"]
+        encoded = as_json(msgspec.convert(row["value"], Override))
+        assert encoded == row["value"]
 
 
-@each("operator GET /tables/overrides-history, as stored answer")
-def test_the_stored_history_is_read_and_written_alike(message):
+@for_each_message("operator GET /tables/overrides-history, as stored answer")
+def test_stored_history_entries_are_encoded_as_they_were_decoded(message):
     assert message["rows"]
     for row in message["rows"]:
-        assert plain(msgspec.convert(row["value"], Entry)) == row["value"]
+        assert as_json(msgspec.convert(row["value"], Entry)) == row["value"]
 
 
-@each("operator GET /tables/rules, as stored answer")
-def test_stored_revisions_are_read_and_written_alike(message):
+@for_each_message("operator GET /tables/rules, as stored answer")
+def test_stored_revisions_are_encoded_as_they_were_decoded(message):
     (row,) = message["rows"]
-    assert plain(msgspec.convert(row["value"], DurableState)) == row["value"]
+    assert as_json(msgspec.convert(row["value"], DurableState)) == row["value"]
 
 
-def test_all_that_may_be_stored_of_revisions_keeps_its_names():
+def test_every_field_of_the_stored_revision_state_keeps_its_name():
     edition = {
         "number": 9, "life": 8, "follows": 7, "list_index": 6, "settings": {"caps": {"look": 1}},
         "plan": {"rows": []}, "plan_edition": 5, "overrides": [{"id": "x"}], "forced": True,
@@ -214,11 +215,11 @@
         "halted": {"edition": edition, "objections": {"n0": "no"}}, "newest": 9, "life": 8,
         "requests": {"r": 9},
     }  # fmt: skip
-    assert plain(msgspec.convert(value, DurableState)) == value
+    assert as_json(msgspec.convert(value, DurableState)) == value
 
 
-# Whether a message has these is a matter of when a report comes.
-TIMED = {
+# Fields whose presence in a message depends on when a report arrives.
+TIMING_DEPENDENT = {
     "POST /aggregators answer": {".pending: number", ".why: string"},
     "GET /aggregators answer": {".aggregators[].objections.*: string", ".aggregators[].lagging[]: string"},
     "GET /rules?edition=N answer": forms(RECORDED["operator GET /rules?edition=N answer"][0]),
@@ -226,15 +227,15 @@
 
 
 @bounded(60.0)
-async def test_a_deployment_passes_the_recorded_forms_around(tmp_path):
-    passed, recorded = by_type(await play(tmp_path)), by_type(RECORDED)
+async def test_a_deployment_sends_messages_of_the_recorded_forms(tmp_path):
+    passed, recorded = forms_by_type(await run_scenario(tmp_path)), forms_by_type(RECORDED)
     assert passed.keys() == recorded.keys()
     for kind, known in recorded.items():
-        assert passed[kind] ^ known <= TIMED.get(kind, set()), kind
+        assert passed[kind] ^ known <= TIMING_DEPENDENT.get(kind, set()), kind
 
 
-def by_type(messages):
-    """The fields and JSON types of all messages of one type, whoever sent them."""
+def forms_by_type(messages):
+    """Return the fields and JSON types of all messages of a type, whichever client sent them."""
     found = {}
     for kind, some in messages.items():
         words = [word for word in kind.split()[1:] if word not in ("full", "leaving")]
@@ -242,7 +243,7 @@
     return found
 
 
-def test_a_renamed_field_is_noticed():
+def test_the_recorder_notices_a_renamed_field():
     recorder = Recorder()
     recorder.add("k", {"edition": 1, "place": {"x": {"rev": 1}}})
     recorder.add("k", b'{"edition":2,"place":{"x":{"rev":3}}}')
--- a/tests/support/wire_scenario.py
+++ b/tests/support/wire_scenario.py
@@ -1,8 +1,8 @@
-"""One small deployment of the control plane, played through, with every message on its wire recorded.
+"""A scenario with a small deployment of the control plane, in which every message on the wire is recorded.
 
-A service, an aggregator below it, two sidecars' agents (one reports to the service itself, one to the
-aggregator) and an operator. What passes is recorded by forwarding proxies between them, so the record says
-nothing of the program's own names.
+The deployment has a list service, an aggregator, an operator, and the agents of two sidecars, of which one
+reports to the service and one to the aggregator. Forwarding proxies between them record the messages, so that
+the record does not depend on names in the program.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 
 from brassfall.sidecar.agent.agent import Agent
 from brassfall.sidecar.config import Address, Agreement
-from tests.controlplane.test_aggregator_shell import SOON_MS, above, aggregator, started
+from tests.controlplane.test_aggregator_shell import SHORT_AGREE_MS, aggregator, list_service, started
 from tests.support.loopback import until
 
-Message = Any  # as JSON has it
-KEYED = {"left", "objections", "acted"}  # fields whose value is a map from ids or names
+Message = Any  # a decoded JSON message
+MAP_FIELDS = {"left", "objections", "acted"}  # fields whose value is a map with ids or names as keys
 DELAYS = [{"region": "east", "window": 1, "span_ms": 2500, "shake": {"40": 3}, "first": {"44": 5}}]
 
-# A report and a merged report with every field that today's programs may fill.
+# The reports of a sidecar and of an aggregator, with every field that the present programs may send.
 FULL_REPORT = {
     "life": "p9",
     "seq": 1,
@@ -84,14 +84,14 @@
 
 
 class Recorder:
-    """What passed, by kind of message; of each form the first."""
+    """Records messages by kind: of each JSON form of a kind, the first message."""
 
     def __init__(self) -> None:
         self.messages: dict[str, list[Message]] = {}
         self._forms: set[tuple[str, frozenset[str]]] = set()
 
     def add(self, kind: str, raw: bytes | Message) -> None:
-        """Record one message of a kind, if none of its form was recorded before."""
+        """Record a message of a kind, unless one of the same form was recorded before."""
         message = json.loads(raw) if isinstance(raw, bytes) else raw
         form = (kind, forms(message))
         if form not in self._forms:
@@ -100,10 +100,10 @@
 
 
 def forms(message: Message, path: str = "") -> frozenset[str]:
-    """Each field's path in a message, with the JSON type of its value; a key that is data is a `*`."""
+    """Return the path of each field in a message, with the JSON type of its value; a key of a map is `*`."""
     if isinstance(message, dict):
-        keyed = path.rpartition(".")[2] in KEYED
-        parts = [forms(value, f"{path}.{'*' if keyed else name}") for name, value in message.items()]
+        is_map = path.rpartition(".")[2] in MAP_FIELDS
+        parts = [forms(value, f"{path}.{'*' if is_map else name}") for name, value in message.items()]
         return frozenset({f"{path}: object"}).union(*parts)
     if isinstance(message, list):
         return frozenset({f"{path}: list"}).union(*(forms(part, f"{path}[]") for part in message))
@@ -112,11 +112,12 @@
 
 
 @asynccontextmanager
-async def proxy(upstream: str, recorder: Recorder, who: str) -> AsyncIterator[str]:
-    """Forward one client's calls to `upstream`, and record them; where it listens.
+async def proxy(upstream: str, recorder: Recorder, client_name: str) -> AsyncIterator[str]:
+    """Forward the calls of one client to `upstream`, and record them; yield the address of the proxy.
 
-    Calls go out on one connection, as the client made them: a report may go on from the one before on its
-    connection. Watches have a connection each."""
+    All calls are sent on one connection, in the client's order, since a report may be a delta to the last
+    report on its connection. Each watch has its own connection.
+    """
 
     async def forward(request: web.Request) -> web.StreamResponse:
         body = await request.read()
@@ -129,9 +130,9 @@
                 return await stream(request, answer)
             content = await answer.read()
         if body:
-            recorder.add(f"{who} {kind} call", body)
+            recorder.add(f"{client_name} {kind} call", body)
         if answer.status == 200:
-            recorder.add(f"{who} {kind} answer", content)
+            recorder.add(f"{client_name} {kind} answer", content)
         return web.Response(status=answer.status, body=content, content_type="application/json")
 
     async def stream(request: web.Request, answer: aiohttp.ClientResponse) -> web.StreamResponse:
@@ -139,15 +140,18 @@
         await made.prepare(request)
         rest = b""
         with suppress(aiohttp.ClientError, ConnectionError):
-            async for part in answer.content.iter_any():
-                *lines, rest = (rest + part).split(b"\n")
+            async for chunk in answer.content.iter_any():
+                *lines, rest = (rest + chunk).split(b"\n")
                 for line in filter(None, lines):
-                    recorder.add(f"{who} watch {request.path}", line)
-                await made.write(part)
+                    recorder.add(f"{client_name} watch {request.path}", line)
+                await made.write(chunk)
         return made
 
-    one = aiohttp.TCPConnector(limit=1)
-    async with aiohttp.ClientSession(connector=one) as calls, aiohttp.ClientSession() as streams:
+    single_connection = aiohttp.TCPConnector(limit=1)
+    async with (
+        aiohttp.ClientSession(connector=single_connection) as calls,
+        aiohttp.ClientSession() as streams,
+    ):
         app = web.Application()
         app.router.add_route("*", "/{path:.*}", forward)
         runner = web.AppRunner(app, handler_cancellation=True, shutdown_timeout=0.1)
@@ -162,17 +166,17 @@
 
 @asynccontextmanager
 async def agent(name: str, address: str) -> AsyncIterator[Agent]:
-    """A sidecar's agent without a data path, which objects to caps of the class `b`."""
+    """Run a sidecar's agent without a data path, which objects to caps of the class `b`."""
 
     def check(revision: Any) -> str:
         return "no class 'b' is known here" if "b" in revision.settings.get("caps", {}) else ""
 
     host, port = address.split(":")
-    stands = Agreement(SOON_MS, "west-1", "east", {})
+    agreement = Agreement(SHORT_AGREE_MS, "west-1", "east", {})
     made = Agent(
         asyncio.get_running_loop(),
         name,
-        stands,
+        agreement,
         (Address(host, int(port)),),
         check,
         lambda *_: float("inf"),
@@ -187,14 +191,14 @@
 
 
 class Operator:
-    """Calls the service, and records what it sends and gets."""
+    """A client that calls the service or an aggregator, and records its requests and the answers."""
 
-    def __init__(self, session: aiohttp.ClientSession, recorder: Recorder, at: str, who: str) -> None:
-        self._session, self._recorder, self._at, self._who = session, recorder, at, who
+    def __init__(self, session: aiohttp.ClientSession, recorder: Recorder, at: str, client_name: str) -> None:
+        self._session, self._recorder, self._at, self._client_name = session, recorder, at, client_name
 
     async def call(self, method: str, path: str, body: Message = None, kind: str = "") -> Any:
-        """One call that has to succeed; its answer."""
-        kind = f"{self._who} {method} {kind or path}"
+        """Make a call that has to succeed; return its decoded answer."""
+        kind = f"{self._client_name} {method} {kind or path}"
         data = None if body is None else json.dumps(body)
         async with self._session.request(method, f"http://{self._at}{path}", data=data) as answer:
             content = await answer.read()
@@ -205,7 +209,7 @@
         return json.loads(content)
 
     async def decided(self, revision: int) -> str:
-        """What became of a revision."""
+        """Wait until a revision is no longer pending; return its state."""
         async with asyncio.timeout(15.0):
             while True:
                 found = await self.call("GET", f"/rules?edition={revision}", kind="/rules?edition=N")
@@ -214,31 +218,31 @@
                 await asyncio.sleep(0.02)
 
 
-def acting(made: Agent) -> Any:
-    """What an agent acts on."""
-    return json.loads(made.state)["acting"]
+def acting(agent: Agent) -> Any:
+    """Return the revision that an agent acts on."""
+    return json.loads(agent.state)["acting"]
 
 
-async def play(tmp_path: Any) -> dict[str, list[Message]]:
-    """Play the deployment; the messages by kind."""
+async def run_scenario(tmp_path: Any) -> dict[str, list[Message]]:
+    """Run the deployment; return the recorded messages by kind."""
     recorder = Recorder()
     async with (
-        started(above(tmp_path, agree_ms=SOON_MS)) as (service,),
-        proxy(service, recorder, "aggregator") as between,
-        started(aggregator(between, agree_ms=SOON_MS)) as (below,),
-        proxy(service, recorder, "sidecar") as direct,
-        proxy(below, recorder, "child") as behind,
+        started(list_service(tmp_path, agree_ms=SHORT_AGREE_MS)) as (service,),
+        proxy(service, recorder, "aggregator") as proxied_service,
+        started(aggregator(proxied_service, agree_ms=SHORT_AGREE_MS)) as (aggregator_address,),
+        proxy(service, recorder, "sidecar") as proxied_for_sidecar,
+        proxy(aggregator_address, recorder, "child") as proxied_aggregator,
         aiohttp.ClientSession() as session,
     ):
         operator = Operator(session, recorder, service, "operator")
-        await _list_servers(operator)
-        async with agent("n0", direct) as n0, agent("n1", behind) as n1:
+        await _register_servers(operator)
+        async with agent("n0", proxied_for_sidecar) as n0, agent("n1", proxied_aggregator) as n1:
             await until(lambda: acting(n0) == acting(n1) == 0)
-            await _publish(operator, n0, n1)
-            await _override(operator)
+            await _publish_revisions(operator, n0, n1)
+            await _create_overrides(operator)
             await until(lambda: child_has_times_left(recorder))
-            await _report_all(Operator(session, recorder, service, "service"))
-            await _list_all(operator, Operator(session, recorder, below, "aggregator"))
+            await _send_full_reports(Operator(session, recorder, service, "service"))
+            await _read_all_listings(operator, Operator(session, recorder, aggregator_address, "aggregator"))
     return recorder.messages
 
 
@@ -248,7 +252,7 @@
     return any("slack_ms" in row for answer in answers for row in answer.get("left", {}).values())
 
 
-async def _list_servers(operator: Operator) -> None:
+async def _register_servers(operator: Operator) -> None:
     entry = {
         "address": "127.0.0.1:7001",
         "zone": "east",
@@ -268,7 +272,7 @@
     await operator.call("GET", "/registry/instances")
 
 
-async def _publish(operator: Operator, *agents: Agent) -> None:
+async def _publish_revisions(operator: Operator, *agents: Agent) -> None:
     settings = {
         "caps": {"look": 7},
         "regions": {"held": ["west"]},
@@ -283,7 +287,7 @@
     await operator.call("GET", "/rules", kind="/rules when halted")
 
 
-async def _override(operator: Operator) -> None:
+async def _create_overrides(operator: Operator) -> None:
     now_ms = (await operator.call("GET", "/overrides", kind="/overrides when empty"))["now_ms"]
     held = {
         "action": {"hold": {"region": "west"}},
@@ -310,8 +314,8 @@
     await operator.call("DELETE", "/overrides/look-9")
 
 
-async def _report_all(service: Operator) -> None:
-    """Reports with every field; the second, a shorter one, goes on from the first."""
+async def _send_full_reports(service: Operator) -> None:
+    """Send three reports of a sidecar and of an aggregator: with every field, a second one, and the last."""
     kind = "/edges full"
     answer = await service.call("POST", "/edges/n9", FULL_REPORT, kind=kind)
     await service.call("POST", "/edges/n9", {**FULL_REPORT, "seq": 2, "of": answer["life"]}, kind=kind)
@@ -324,15 +328,15 @@
     await service.call("POST", "/aggregators/a9", leaving, kind="/aggregators leaving")
 
 
-async def _list_all(operator: Operator, below: Operator) -> None:
+async def _read_all_listings(operator: Operator, aggregator: Operator) -> None:
     await operator.call("GET", "/edges")
     await operator.call("GET", "/aggregators")
     await operator.call("GET", "/geo")
     await operator.call("GET", "/status")
     for table in ("rules", "edges", "overrides", "overrides-history"):
         await operator.call("GET", f"/tables/{table}", kind=f"/tables/{table}, as stored")
-    await below.call("GET", "/edges")
-    await below.call("GET", "/status")
-    await below.call("GET", "/registry/instances")
+    await aggregator.call("GET", "/edges")
+    await aggregator.call("GET", "/status")
+    await aggregator.call("GET", "/registry/instances")
     await operator.call("DELETE", "/registry/instances/s2")
     await operator.call("DELETE", "/edges/n0")
