--- a/brassfall/controlplane/registry/aggregator/children.py
+++ b/brassfall/controlplane/registry/aggregator/children.py
@@ -20,8 +20,10 @@
 from brassfall.controlplane.registry.reports import read_report
 from brassfall.controlplane.revisions.reports import Report, ReportError
 
-MAX_REPORTS_AFTER_REDIRECT = 1  # reports in a row that are answered with `elsewhere` and without a lease
-NO_LEASE, FULL, NO_ANSWER = "no lease", "no place", "no answer"  # errors of reports that are not answered
+# Number of reports in a row on a connection that are answered with `elsewhere` and without a lease; further
+# ones get an error.
+MAX_REPORTS_AFTER_REDIRECT = 1
+NO_LEASE, FULL, NO_ANSWER = "no lease", "no place", "no answer"  # summaries of errors for children
 
 Step = Callable[[Event], list[Action]]
 
--- a/brassfall/controlplane/registry/aggregator/configuration.py
+++ b/brassfall/controlplane/registry/aggregator/configuration.py
@@ -69,9 +69,9 @@
 
     async def _fetch_state(self, address: str) -> None:
         try:
-            answered = await self._upstream.call(address, "GET", PATH)
-            if answered.status == 200:
-                self._step(read_state(answered.body))
+            answer = await self._upstream.call(address, "GET", PATH)
+            if answer.status == 200:
+                self._step(read_state(answer.body))
         except (UpstreamError, StateError) as error:
             log.warning("revision state not fetched", reason=error.summary, action=error.action)
         finally:
--- a/brassfall/controlplane/registry/aggregator/forwarding.py
+++ b/brassfall/controlplane/registry/aggregator/forwarding.py
@@ -14,7 +14,7 @@
 
 REQUEST_HEADERS = ("If-Match", "X-Request-Id", "X-Lease", "X-Force", "Content-Type")
 RESPONSE_HEADERS = ("Content-Type", "Retry-After")
-RETRY_S = 1.0  # `Retry-After` of a call that was not forwarded or answered
+RETRY_S = 1.0  # `Retry-After` of a call that was not forwarded or answer
 NOT_FORWARDED, NO_ANSWER = "not passed up", "no answer from the list service"
 
 
@@ -61,17 +61,17 @@
         try:
             body = await self.http_server.body(request)
             async with self._capacity:
-                answered = await self._call(request, body)
+                answer = await self._call(request, body)
         finally:
             self._in_flight -= 1
         self.forwarded += 1
-        headers = {name: answered.headers[name] for name in RESPONSE_HEADERS if name in answered.headers}
-        return web.Response(status=answered.status, body=answered.body, headers=headers)
+        headers = {name: answer.headers[name] for name in RESPONSE_HEADERS if name in answer.headers}
+        return web.Response(status=answer.status, body=answer.body, headers=headers)
 
     async def _call(self, request: web.Request, body: bytes) -> Answer:
         headers = {name: request.headers[name] for name in REQUEST_HEADERS if name in request.headers}
         try:
-            answered = await self.upstream.call(
+            answer = await self.upstream.call(
                 self._addresses.current, request.method, request.raw_path, body or None, **headers
             )
         except UpstreamError as error:
@@ -79,4 +79,4 @@
             self._addresses.record_failure()
             raise NotForwardedError(NO_ANSWER, error.summary, retry_s=RETRY_S) from error
         self._addresses.record_success()
-        return answered
+        return answer
--- a/brassfall/controlplane/registry/aggregator/list_feed.py
+++ b/brassfall/controlplane/registry/aggregator/list_feed.py
@@ -26,14 +26,14 @@
 
 PATH = "/registry/instances"
 NO_LIST, LIST_TOO_OLD = "no list", "no list that late"
-MAX_LAG_MS = 2000.0  # time for which the mirror may lag; a watch that works brings changes far sooner
+# Time for which the mirror may lag behind the list service before its watch is opened again. A working watch
+# brings changes far sooner.
+MAX_LAG_MS = 2000.0
 
 LIST_REPLACED_ACTION = (
-    "Look at the list service, which lost its list or runs twice; sidecars reject the list for 30 s."
-)
-LATE_LIST_ACTION = (
-    "Nothing if it does not repeat; else look at the network to the list service. It is watched anew."
+    "Check the list service, which lost its list or runs twice. Sidecars reject the new list for 30 s."
 )
+LATE_LIST_ACTION = "If this repeats, check the network to the list service. The watch is opened again."
 
 log = logger("aggregator")
 
--- a/brassfall/controlplane/registry/aggregator/mirror.py
+++ b/brassfall/controlplane/registry/aggregator/mirror.py
@@ -55,16 +55,16 @@
 def parse_line(line: bytes) -> ListLine:
     """Parse a line of the watch on the list service; raise `MirrorError` if it is malformed."""
     try:
-        found = msgspec.json.decode(line, type=ListLine)
+        decoded = msgspec.json.decode(line, type=ListLine)
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
         raise MirrorError(MALFORMED, str(error)[:MAX_REASON]) from error
-    if not 0 < found.index < 2**53:
+    if not 0 < decoded.index < 2**53:
         raise MirrorError(MALFORMED, "index is out of range")
-    for entry in found.endpoints:
+    for entry in decoded.endpoints:
         name, status = entry.get("name"), entry.get("status")
         if not (isinstance(name, str) and NAME.fullmatch(name) and isinstance(status, str)):
             raise MirrorError(MALFORMED, f"an entry without name or status: {str(entry)[:MAX_QUOTED]}")
-    return found
+    return decoded
 
 
 class Mirror:
@@ -98,9 +98,9 @@
 
         Raise `MirrorError` for an implausible list that is not accepted yet.
         """
-        why = self._implausibility(line) if line.snapshot else ""
-        if why:
-            self._raise_while_doubted(now_ms, why)
+        reason = self._implausibility(line) if line.snapshot else ""
+        if reason:
+            self._raise_while_doubted(now_ms, reason)
         self._doubted_since_ms = None
         if not line.snapshot:
             return self._apply_changes(line, first=first)
@@ -113,12 +113,12 @@
             return f"a list without servers, where {self.count} are known"
         return f"index {line.index}, where {self.index} is mirrored" if line.index < self.index else ""
 
-    def _raise_while_doubted(self, now_ms: float, why: str) -> None:
+    def _raise_while_doubted(self, now_ms: float, reason: str) -> None:
         """Raise `MirrorError`, unless the lines have been implausible for `DOUBT_MS`."""
         if self._doubted_since_ms is None:
             self._doubted_since_ms = now_ms
         if now_ms - self._doubted_since_ms < DOUBT_MS:
-            raise MirrorError(NOT_ACCEPTED, why)
+            raise MirrorError(NOT_ACCEPTED, reason)
 
     def _replace_list(self, line: ListLine) -> MirrorUpdate:
         replaced = self.holds_list
--- a/brassfall/controlplane/registry/aggregator/reporter.py
+++ b/brassfall/controlplane/registry/aggregator/reporter.py
@@ -18,7 +18,7 @@
 from brassfall.logs import logger
 
 JITTER = 0.1  # fraction by which the interval between reports is lengthened or shortened at random
-URGENT_INTERVAL_S = 0.01  # pause before an urgent report
+URGENT_INTERVAL_S = 0.01  # minimum interval between two urgent reports
 FAULT_PAUSE_S = 0.25  # pause after an unexpected exception
 
 log = logger("reports")
@@ -36,9 +36,9 @@
     core: Aggregator
     upstream: Upstream
     step: Step
-    on_answer: Callable[
-        [float, AggregatorLease], None
-    ]  # called with the time at which a report was sent, and its answer, if that is of the followed epoch
+    # `on_answer` is called with the time at which a report was sent, and its answer, if that is of the epoch
+    # that the core follows.
+    on_answer: Callable[[float, AggregatorLease], None]
     rng: random.Random
     sent: int = 0
     failed: int = 0
--- a/brassfall/controlplane/registry/aggregator/service.py
+++ b/brassfall/controlplane/registry/aggregator/service.py
@@ -87,14 +87,14 @@
         """
         await self.http_server.bind(self.settings.listen)
         self._upstream.open()
-        at = await self.http_server.serve(self._routes(), lambda: None)
+        address = await self.http_server.serve(self._routes(), lambda: None)
         if not self.settings.advertise:
-            self.core.identity.listen = at
+            self.core.identity.listen = address
         self.list_feed.start()
         self.configuration.start()
         self._tasks.spawn(self.reporter.run())
         self._tasks.spawn(self._tick())
-        return at
+        return address
 
     async def close(self) -> None:
         """Stop granting leases, wait until all have ended and the list service knows, and stop serving."""
--- a/brassfall/controlplane/registry/aggregator/state_lines.py
+++ b/brassfall/controlplane/registry/aggregator/state_lines.py
@@ -36,11 +36,11 @@
 def read_state(line: bytes) -> StateReceived:
     """Parse a line with the revision state into an event for the core; raise `StateError` if malformed."""
     try:
-        found = msgspec.json.decode(line, type=StateLine)
+        decoded = msgspec.json.decode(line, type=StateLine)
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
         raise StateError(UNREADABLE, str(error)[:MAX_REASON]) from error
-    if found.state not in set(RevisionState):
-        raise StateError(UNREADABLE, f"state: {found.state[:MAX_QUOTED]!r}")
-    committed = found.committed.revision if found.committed is not None else 0
-    in_force = found.revision if found.state == RevisionState.COMMITTED else committed
-    return StateReceived(found.epoch, found.revision, found.state, in_force, line)
+    if decoded.state not in set(RevisionState):
+        raise StateError(UNREADABLE, f"state: {decoded.state[:MAX_QUOTED]!r}")
+    committed = decoded.committed.revision if decoded.committed is not None else 0
+    in_force = decoded.revision if decoded.state == RevisionState.COMMITTED else committed
+    return StateReceived(decoded.epoch, decoded.revision, decoded.state, in_force, line)
--- a/brassfall/controlplane/registry/aggregator/status.py
+++ b/brassfall/controlplane/registry/aggregator/status.py
@@ -99,20 +99,20 @@
 
 def children(source: StatusSource) -> ChildrenView:
     """Return the answer to `GET /edges`."""
-    at, core, feed = now_ms(), source.core, source.list_feed
+    time_ms, core, feed = now_ms(), source.core, source.list_feed
     return ChildrenView(
         aggregator=source.settings.name,
         region=source.settings.region,
-        children=core.children(at),
+        children=core.children(time_ms),
         revision=core.committed,
-        permits=core.unready(at) or "yes",
+        permits=core.unready(time_ms) or "yes",
         mirrored=ListView(feed.mirror.index, feed.age_ms),
     )
 
 
 def status(source: StatusSource) -> AggregatorStatus:
     """Return the answer to `GET /status`."""
-    core, statistics, at = source.core, source.children.statistics, now_ms()
+    core, statistics, time_ms = source.core, source.children.statistics, now_ms()
     http_server, feed = source.http_server, source.list_feed
     return AggregatorStatus(
         aggregator=source.settings.name,
@@ -123,9 +123,9 @@
         epoch=core.epoch,
         revision=core.committed,
         prepared=core.pending,
-        lease_left_ms=round(core.lease_left_ms(at)),
+        lease_left_ms=round(core.lease_left_ms(time_ms)),
         mirrored=CountedListView(feed.mirror.index, feed.age_ms, feed.mirror.count),
-        children=msgspec.to_builtins(core.counts(at)),
+        children=msgspec.to_builtins(core.counts(time_ms)),
         members=core.members,
         reports=statistics.reports,
         reports_refused=statistics.refused + core.membership.stale,
@@ -155,8 +155,8 @@
 
 
 def _gauges(source: StatusSource) -> Values:
-    core, feed, at = source.core, source.list_feed, now_ms()
-    counts = core.counts(at)
+    core, feed, time_ms = source.core, source.list_feed, now_ms()
+    counts = core.counts(time_ms)
     return {
         "children": Value("Sidecars that report here", counts.known),
         "children_permitted": Value("Those that hold a lease on a revision", counts.leased),
@@ -165,7 +165,9 @@
         "ready": Value("1 while leases can be granted", float(not source.unready())),
         "edition": Value("The configuration revision in force", core.committed),
         "edition_prepared": Value("The revision that is prepared; 0 is none", core.pending),
-        "lease_left_ms": Value("How long the lease from the list service still runs", core.lease_left_ms(at)),
+        "lease_left_ms": Value(
+            "How long the lease from the list service still runs", core.lease_left_ms(time_ms)
+        ),
         "list_index": Value("The index of the list held", feed.mirror.index),
         "list_age_ms": Value("An upper bound on its age", feed.age_ms or 0),
     }
--- a/brassfall/controlplane/registry/aggregator/upstream.py
+++ b/brassfall/controlplane/registry/aggregator/upstream.py
@@ -22,11 +22,12 @@
 from brassfall.errors import RequestError, UnreachableError
 from brassfall.logs import logger
 
-CALL_TIMEOUT_S = 1.0  # a lease counts from when its report was sent, so that a later answer is of little use
-SILENCE_TIMEOUT_S = 4.5  # for the next bytes of a watch, which sends a line every 2 s
+# Time limit of a call. A lease counts from when its report was sent, so that a later answer is of little use.
+CALL_TIMEOUT_S = 1.0
+SILENCE_TIMEOUT_S = 4.5  # time limit for the next bytes of a watch, which sends a line every 2 s
 CONNECT_TIMEOUT_S = 1.0
-MAX_LINE_BYTES = 2**24  # maximum length of a line of a watch, which is enough for about 120,000 servers
-MAX_ANSWER_BYTES = 2**24
+MAX_LINE_BYTES = 2**24  # maximum length of a line of a watch, enough for a list of about 120,000 servers
+MAX_ANSWER_BYTES = 2**24  # maximum length of the body of an answer
 MAX_REASON = 200  # length to which the reason of a failed call is cut, in characters
 
 log = logger("upstream")
--- a/brassfall/controlplane/registry/aggregators.py
+++ b/brassfall/controlplane/registry/aggregators.py
@@ -31,7 +31,7 @@
 from brassfall.logs import faults, logger
 
 SWEEP_S = 1.0  # interval at which forgotten and migrated children are removed
-MAX_NAME_LENGTH = 128  # of a child's name in a report, in characters
+MAX_NAME_LENGTH = 128  # maximum length of a child's name in a report, in characters
 SUPERSEDED = "a newer process of its name reports"  # on the wire, as the reason to grant no lease
 
 log = logger("aggregators")
@@ -41,14 +41,14 @@
 class AggregatorsStatus(msgspec.Struct, frozen=True):
     """The part of `/status` about aggregators; counts of events run since the start of the process."""
 
-    known: int
+    known: int  # number of known aggregators
     live: int  # number of aggregators that have reported recently
-    children: int
+    children: int  # number of children of all aggregators
     children_unplaced: int  # arrivals of children beyond the maximum number of sidecars that are kept
     reports: int
     reports_malformed: int
-    name_conflicts: int
-    reports_superseded: int  # reports of processes that a newer process of the same name has replaced
+    name_conflicts: int  # number of reports refused because another node has the aggregator's name
+    reports_superseded: int  # number of reports of processes replaced by a newer one of the same name
 
 
 @dataclass(slots=True)
--- a/brassfall/controlplane/registry/callers.py
+++ b/brassfall/controlplane/registry/callers.py
@@ -13,7 +13,7 @@
 from brassfall.controlplane.registry.limits import CallerQuotas
 from brassfall.settings import CallerLimits
 
-HEAD_BYTES = 4096  # maximum length of a line in the head of a request
+HEAD_BYTES = 4096  # maximum length of a line in the head of a request, in bytes
 # aiohttp logs every malformed request with its traceback. This logger drops these records; malformed
 # requests are counted in `CallerConnections.malformed` instead.
 SILENCED_LOGGER = logging.getLogger("brassfall.http")
@@ -133,8 +133,8 @@
     def _close_longest_idle(self, caller: str) -> bool:
         """Close the connection that has been idle for longest; return False if none could be closed.
 
-        While places are left in total, only the caller's own connections come into question, since then its
-        quota is used up.
+        If all places are taken, any idle connection may be closed. Otherwise the caller's quota is used up,
+        and only its own connections may be closed.
         """
         full = self._quotas.total >= self._limits.connections
         for connection in self._idle:
--- a/brassfall/controlplane/registry/calls.py
+++ b/brassfall/controlplane/registry/calls.py
@@ -19,9 +19,9 @@
     "geo": "/geo",
 }
 
-MAX_DIGITS = 16  # of a whole number in a request
+MAX_DIGITS = 16  # maximum number of digits of a whole number in a request
 MAX_QUOTED = 40  # length to which a malformed number is cut in an error message, in characters
-MAX_REQUEST_ID = 128  # length of `X-Request-Id`, in characters
+MAX_REQUEST_ID = 128  # maximum length of the header `X-Request-Id`, in characters
 
 
 class MinimalResponse(web.Response):
--- a/brassfall/controlplane/registry/children_listing.py
+++ b/brassfall/controlplane/registry/children_listing.py
@@ -14,8 +14,8 @@
 from brassfall.controlplane.registry.sidecar_rows import ExpectedState, SidecarRow, describe_lag
 from brassfall.controlplane.revisions.reports import Objection
 
-TIMEOUT_S = 1.0  # for one aggregator's answer
-MAX_CONCURRENT = 8  # requests to aggregators that are under way at once
+TIMEOUT_S = 1.0  # time limit for the answer of one aggregator
+MAX_CONCURRENT = 8  # maximum number of requests to aggregators that are under way at once
 MAX_ANSWER_BYTES = 4_000_000
 MAX_REASON = 200  # length to which the reason of a failed request is cut, in characters
 
--- a/brassfall/controlplane/registry/client.py
+++ b/brassfall/controlplane/registry/client.py
@@ -17,10 +17,10 @@
 CONNECTION_ERRORS = (aiohttp.ClientError, TimeoutError, OSError, ValueError, HttpProcessingError)
 DECODING_ERRORS = (msgspec.MsgspecError, UnicodeDecodeError, RecursionError)
 ANOTHER_PROGRAM = "Another program seems to listen there: name the address of a list service."
-SILENCE_TIMEOUT_S = 4.5  # for the next bytes of a watch, which sends a heartbeat every 2 s
+SILENCE_TIMEOUT_S = 4.5  # time limit for the next bytes of a watch, which sends a heartbeat every 2 s
 
 MAX_REASON = 200  # length to which the reason of a failed call is cut, in characters
-MAX_LINE_BYTES = 2**22  # maximum length of a line of a watch
+MAX_LINE_BYTES = 2**22  # maximum length of a line of a watch, in bytes
 
 Decoded = TypeVar("Decoded")
 
--- a/brassfall/controlplane/registry/entries.py
+++ b/brassfall/controlplane/registry/entries.py
@@ -87,57 +87,64 @@
     Raise `RequestError` if a field is malformed or out of range.
     """
     try:
-        asked = msgspec.json.decode(body, type=Registration)
+        registration = msgspec.json.decode(body, type=Registration)
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
         raise RequestError(str(error)) from error
-    if asked.name not in (None, key):
-        message = f"name: the path says {key!r}, the entry says {str(asked.name)[:MAX_QUOTED]!r}"
+    if registration.name not in (None, key):
+        message = f"name: the path says {key!r}, the entry says {str(registration.name)[:MAX_QUOTED]!r}"
         raise RequestError(message)
     try:
-        parse_address(asked.address)
+        parse_address(registration.address)
     except ValueError as error:
         message = f"address: {error}"
         raise RequestError(message) from error
     for field in ("address", "zone", "type"):
-        if not TEXT.fullmatch(getattr(asked, field)):
+        if not TEXT.fullmatch(getattr(registration, field)):
             message = f"{field}: expected up to 128 printable characters"
             raise RequestError(message)
-    _weight(asked.weight)
-    _check_range("since_ms", asked.since_ms)
-    _check_range("group", asked.group)
-    return asked, check_ttl(asked.ttl_ms, leases)
+    _weight(registration.weight)
+    _check_range("since_ms", registration.since_ms)
+    _check_range("group", registration.group)
+    return registration, check_ttl(registration.ttl_ms, leases)
 
 
-def check_ttl(asked: int | None, leases: LeaseSettings) -> int:
+def check_ttl(requested: int | None, leases: LeaseSettings) -> int:
     """Return the requested time to live in ms, or the configured default for None.
 
     Raise `RequestError` if it is outside the configured limits; 0 stands for no lease, and is allowed.
     """
-    if asked is None:
+    if requested is None:
         return leases.default_ms
-    if asked != 0 and not leases.least_ms <= asked <= leases.most_ms:
-        message = f"ttl_ms: {asked} is not between {leases.least_ms} and {leases.most_ms}"
+    if requested != 0 and not leases.least_ms <= requested <= leases.most_ms:
+        message = f"ttl_ms: {requested} is not between {leases.least_ms} and {leases.most_ms}"
         raise RequestError(message)
-    return asked
+    return requested
 
 
 def register_command(
-    key: str, asked: Registration, ttl_ms: int, if_match: int | None, request_id: str
+    key: str, registration: Registration, ttl_ms: int, if_match: int | None, request_id: str
 ) -> Put:
     """Return the store command for a registration.
 
     The start time of the server is the fence: of two processes with one name, the later one gets the row.
     """
     entry = Endpoint(
-        key, asked.address, asked.zone, asked.type, asked.group, asked.status, asked.weight, asked.since_ms
+        key,
+        registration.address,
+        registration.zone,
+        registration.type,
+        registration.group,
+        registration.status,
+        registration.weight,
+        registration.since_ms,
     )
     return Put(
         table=INSTANCES,
         key=key,
         value=msgspec.structs.asdict(entry),
         lease_ms=ttl_ms,
-        fence=asked.since_ms,
-        owner=asked.address,
+        fence=registration.since_ms,
+        owner=registration.address,
         if_match=if_match,
         request_id=request_id,
         quiet=True,
@@ -150,14 +157,14 @@
     Raise `RequestError` if the body is malformed or changes nothing.
     """
     try:
-        asked = msgspec.json.decode(body, type=InstanceUpdate)
+        update = msgspec.json.decode(body, type=InstanceUpdate)
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
         raise RequestError(str(error)) from error
     changes: dict[str, Any] = {}
-    if asked.status is not None:
-        changes["status"] = asked.status
-    if asked.weight is not None:
-        changes["weight"] = _weight(asked.weight)
+    if update.status is not None:
+        changes["status"] = update.status
+    if update.weight is not None:
+        changes["weight"] = _weight(update.weight)
     if not changes:
         message = "neither status nor weight is named"
         raise RequestError(message)
@@ -165,7 +172,7 @@
         table=INSTANCES,
         key=key,
         changes=changes,
-        fence=asked.since_ms,
+        fence=update.since_ms,
         if_match=if_match,
         request_id=request_id,
     )
--- a/brassfall/controlplane/registry/front.py
+++ b/brassfall/controlplane/registry/front.py
@@ -24,17 +24,17 @@
 from brassfall.logs import faults, logger
 from brassfall.settings import CallerLimits, parse_address
 
-BACKLOG = 4096  # pending connections of the listening socket; a whole fleet may connect at once
+BACKLOG = 4096  # length of the listening socket's backlog, since a whole fleet may connect at once
 BIND_RETRY_S, BIND_PAUSE_S = 3.0, 0.1  # time for which a failed bind is retried, and pause between attempts
 # Errors of `bind` for lack of memory, buffers or descriptors, which may pass by themselves.
 TEMPORARY_ERRORS = frozenset({errno.EINTR, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
-BODY_TIMEOUT_S = 5.0  # for the complete body of a request
-SHUTDOWN_TIMEOUT_S = 5.0  # for the answers to calls under way when the server closes
-WATCH_RETRY_S = 5.0  # `Retry-After` if a caller has no place for a watch left; spread up to twice as long
+BODY_TIMEOUT_S = 5.0  # time limit for the complete body of a request
+SHUTDOWN_TIMEOUT_S = 5.0  # time limit for the answers to calls under way when the server closes
+WATCH_RETRY_S = 5.0  # minimum `Retry-After` for a caller without a free place for a watch; at most twice that
 
 log = logger("http")
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
-Called = Callable[[str, int, float], None]
+CallObserver = Callable[[str, int, float], None]
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,24 +50,24 @@
 class HttpServer:
     """The HTTP server of one process within a running loop, with limits on its callers.
 
-    `called` is called with the method, status and duration in seconds of each answered call. `channels` maps
+    `on_call` is called with the method, status and duration in seconds of each answered call. `channels` maps
     names to the channels of watches; the parts of the process add theirs.
     """
 
-    def __init__(self, limits: CallerLimits, called: Called) -> None:
+    def __init__(self, limits: CallerLimits, on_call: CallObserver) -> None:
         self.limits = limits
         self.callers = CallerConnections(limits)
         self._watches = CallerQuotas(limits.watches, limits.caller_share)
         self.channels: dict[str, Channel] = {}
         self.rejected = 0  # number of calls answered with 503 and `Retry-After`
         self.rng = random.Random()
-        self._called = called
+        self._on_call = on_call
         self._rates = CallRateLimiter(limits.caller_calls_per_s)
         self._join_limiter = JoinLimiter(limits.joins_per_s)
         self._socket: socket.socket | None = None
         self._runner: web.AppRunner | None = None
         self._server: asyncio.Server | None = None
-        self._heartbeat: asyncio.Task[None] | None = None
+        self._tick_task: asyncio.Task[None] | None = None
 
     # --- start and end ------------------------------------------------------
 
@@ -76,7 +76,7 @@
 
         A failure for lack of memory or descriptors is retried for `BIND_RETRY_S`.
         """
-        _raise_descriptors()
+        _raise_descriptor_limit()
         self._socket = await _create_server(parse_address(listen))
         # Accepted sockets inherit this send buffer. Without it the kernel buffers megabytes for each slow
         # reader, beyond the limit on the unread bytes of a watch.
@@ -117,7 +117,7 @@
             sock=sock,
             backlog=BACKLOG,
         )
-        self._heartbeat = loop.create_task(self._tick(after_tick))
+        self._tick_task = loop.create_task(self._tick(after_tick))
         host, port = sock.getsockname()[:2]
         return f"{host}:{port}"
 
@@ -129,14 +129,14 @@
             self.unbind()
         for channel in self.channels.values():
             channel.abort_all()
-        if self._heartbeat is not None:
-            self._heartbeat.cancel()
-            await asyncio.wait({self._heartbeat})
+        if self._tick_task is not None:
+            self._tick_task.cancel()
+            await asyncio.wait({self._tick_task})
         if self._runner is not None:
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(self._runner.cleanup(), SHUTDOWN_TIMEOUT_S)
 
-    async def _tick(self, after: Callable[[], None]) -> None:
+    async def _tick(self, after_tick: Callable[[], None]) -> None:
         """Tick the channels and close idle connections every `TICK_S`; a late tick is not made up for."""
         while True:
             await asyncio.sleep(TICK_S)
@@ -144,7 +144,7 @@
                 for channel in self.channels.values():
                     channel.tick()
                 self.callers.sweep()
-                after()
+                after_tick()
 
     # --- calls --------------------------------------------------------------
 
@@ -154,19 +154,19 @@
         connection = request.protocol
         assert isinstance(connection, Connection)
         self.callers.mark_busy(connection)
-        begun = time.perf_counter()
+        started_s = time.perf_counter()
         status = 500
         try:
-            wait = self._rates.admission_wait_s(connection.caller, time.monotonic())
-            made = (
-                status_response(429, f"{connection.caller} calls too often", wait)
-                if wait
+            wait_s = self._rates.admission_wait_s(connection.caller, time.monotonic())
+            response = (
+                status_response(429, f"{connection.caller} calls too often", wait_s)
+                if wait_s
                 else await self._handle(request, handler)
             )
-            status = made.status
-            return made
+            status = response.status
+            return response
         finally:
-            self._called(request.method, status, time.perf_counter() - begun)
+            self._on_call(request.method, status, time.perf_counter() - started_s)
             self.callers.mark_idle(connection)
 
     async def _handle(self, request: web.Request, handler: Handler) -> web.StreamResponse:
@@ -211,7 +211,7 @@
         wait_s = self._join_limiter.admission_wait_s(time.monotonic(), self.rng.random())
         return self.reject(reason, wait_s) if wait_s else None
 
-    async def watch(self, request: web.Request, wanted: WatchRequest) -> web.StreamResponse:
+    async def watch(self, request: web.Request, watch_request: WatchRequest) -> web.StreamResponse:
         """Serve a watch until it ends, or reject it if there are too many.
 
         Cancelling ends the watch; aiohttp cancels it when the caller has disconnected.
@@ -221,20 +221,20 @@
         rejection = self.admit_join("too many open a watch at once")
         if rejection is not None:
             return rejection
-        why = self._watches.acquire(connection.caller)
-        if why:
-            return self.reject(why, WATCH_RETRY_S * (1.0 + self.rng.random()))
+        refusal = self._watches.acquire(connection.caller)
+        if refusal:
+            return self.reject(refusal, WATCH_RETRY_S * (1.0 + self.rng.random()))
         try:
-            return await _serve_watch(request, wanted)
+            return await _serve_watch(request, watch_request)
         finally:
             self._watches.release(connection.caller)
 
 
-async def _serve_watch(request: web.Request, wanted: WatchRequest) -> web.StreamResponse:
+async def _serve_watch(request: web.Request, watch_request: WatchRequest) -> web.StreamResponse:
     """Serve an admitted watch until it ends; lines are written to the transport, past aiohttp's stream."""
-    response = web.StreamResponse(headers={"Content-Type": "application/json", **wanted.headers})
+    response = web.StreamResponse(headers={"Content-Type": "application/json", **watch_request.headers})
     response.enable_chunked_encoding()
-    deferred = wanted.deferred()
+    deferred = watch_request.deferred()
     await response.prepare(request)
     # aiohttp sends the response head with the first byte of the body. That byte is the `{` of the first line,
     # or a blank before a deferred first line.
@@ -243,7 +243,7 @@
     ended: asyncio.Future[None] = asyncio.get_running_loop().create_future()
     if transport is None or transport.is_closing():
         return response
-    channel, index = wanted.channel(), wanted.index
+    channel, index = watch_request.channel(), watch_request.index
     if not deferred:
         transport.write(chunk(channel.first_line(index)[1:]))
     watch = channel.add_watch(transport, index if deferred else channel.last_index, ended, deferred=deferred)
@@ -254,13 +254,13 @@
     return response
 
 
-async def _create_server(at: tuple[str, int]) -> socket.socket:
-    deadline = time.monotonic() + BIND_RETRY_S
+async def _create_server(address: tuple[str, int]) -> socket.socket:
+    deadline_s = time.monotonic() + BIND_RETRY_S
     while True:
         try:
-            return socket.create_server(at, backlog=BACKLOG)
+            return socket.create_server(address, backlog=BACKLOG)
         except OSError as error:
-            if error.errno not in TEMPORARY_ERRORS or time.monotonic() >= deadline:
+            if error.errno not in TEMPORARY_ERRORS or time.monotonic() >= deadline_s:
                 raise
         await asyncio.sleep(BIND_PAUSE_S)
 
@@ -271,7 +271,7 @@
     return response
 
 
-def _raise_descriptors() -> None:
+def _raise_descriptor_limit() -> None:
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft != hard:
         with contextlib.suppress(ValueError, OSError):
--- a/brassfall/controlplane/registry/geo.py
+++ b/brassfall/controlplane/registry/geo.py
@@ -37,8 +37,8 @@
 MIN_REPORT_SPAN_S = 0.25  # minimum time span of a report, which bounds the request rate computed from it
 REPORT_BATCH = 256  # number of queued reports at which they are merged into the evidence
 MAX_ANSWERS = 2**53  # limit of the answers that one row may count; larger integers are not exact in JSON
-LEASE_HOLDER = "list service"  # value of the publisher's lease row, for operators
-NO_PLAN_ACTION = "Look at the reason; the last plan fades out, and requests are then steered without one."
+LEASE_HOLDER = "list service"  # name of the holder in the row of the plan publisher's lease
+NO_PLAN_ACTION = "See the reason. The last plan fades out, and requests are then steered without a plan."
 
 log = logger("geo")
 _encode = msgspec.json.Encoder().encode
@@ -85,13 +85,14 @@
     settings: GeoSettings
     rejected_rows: int = 0  # number of malformed rows in all reports
     _evidence: evidence.State = field(default_factory=evidence.State)
-    _pending_reports: list[evidence.NodeReport] = field(
-        default_factory=list
-    )  # reports that are not merged into the evidence yet
-    _demand: dict[str, Demand] = field(default_factory=dict)  # by sidecar, or by aggregator/group/region
+    # Reports that are not merged into the evidence yet.
+    _pending_reports: list[evidence.NodeReport] = field(default_factory=list)
+    # Demand by the name of a sidecar, or by AGGREGATOR/GROUP/REGION for the children of an aggregator.
+    _demand: dict[str, Demand] = field(default_factory=dict)
     _estimate: Estimate | None = None
     _estimated_at_s: float = float("-inf")
-    _open_since: dict[str, float] = field(default_factory=dict)  # by region: when it got servers, monotonic s
+    # Monotonic time at which each region got its servers, in s.
+    _open_since: dict[str, float] = field(default_factory=dict)
     _publisher: publisher.State = field(default_factory=publisher.State)
     _tasks: Tasks = field(default_factory=Tasks)
     _executor: ThreadPoolExecutor = field(default_factory=lambda: ThreadPoolExecutor(1, "geo"))
@@ -118,7 +119,7 @@
     # --- reports ------------------------------------------------------------------------
 
     def receive_report(self, name: str, report: Report) -> dict[str, Any]:
-        """Add the delays and the demand in a sidecar's report; return no fields for the answer."""
+        """Add the delays and the demand in a sidecar's report; return no fields, as an empty dict."""
         rows = report.measures.get("delays")
         if rows:
             now_s = time.monotonic()
@@ -169,8 +170,8 @@
     def forget_sidecar(self, name: str) -> None:
         """Forget the demand of a sidecar or aggregator that has left the fleet."""
         self._demand.pop(name, None)
-        for part in [node for node in self._demand if node.startswith(f"{name}/")]:
-            del self._demand[part]
+        for key in [node for node in self._demand if node.startswith(f"{name}/")]:
+            del self._demand[key]
 
     def findings(self) -> dict[str, list[str]]:
         """Return no findings, since delays never show a fault of a single sidecar."""
@@ -205,12 +206,12 @@
 
     def _capacity(self) -> Mapping[str, float]:
         """Return the capacity of each region in requests/s, by the weights of its active servers."""
-        found: dict[str, float] = {}
+        capacity: dict[str, float] = {}
         for row in self.host.store.state.rows(INSTANCES):
             if row.value["status"] == "active":
                 rate = self.settings.per_weight_per_s * row.value.get("weight", 1.0)
-                found[row.value["zone"]] = found.get(row.value["zone"], 0.0) + rate
-        return found
+                capacity[row.value["zone"]] = capacity.get(row.value["zone"], 0.0) + rate
+        return capacity
 
     # --- plans ------------------------------------------------------------------------------
 
@@ -241,8 +242,8 @@
                 return self._renew_lease(requested_s, version)
             case publisher.ReadNewest():
                 return self._read_newest()
-            case publisher.ComputePlan(before, follows):
-                return publisher.PlanComputed(await self._compute_plan(before), follows)
+            case publisher.ComputePlan(previous_plan, follows):
+                return publisher.PlanComputed(await self._compute_plan(previous_plan), follows)
             case publisher.PublishPlan(plan, follows, token):
                 return await self._publish(plan, follows, token)
 
@@ -279,7 +280,7 @@
             plan = None  # the plan was written by a version with another plan format
         return publisher.NewestRead(plan, durable.newest)
 
-    async def _compute_plan(self, before: Plan | None) -> Plan | None:
+    async def _compute_plan(self, previous_plan: Plan | None) -> Plan | None:
         pairs = (await self._current_estimate()).pairs
         if not pairs:
             return None
@@ -292,7 +293,7 @@
             closed=self.revisions.durable_state().committed.settings.get("regions", {}).get("held", []),
         )
         policy = PlanPolicy(settings.least_elsewhere, settings.migration_most, settings.exploration)
-        compute = partial(make_plan, inputs, policy, before)
+        compute = partial(make_plan, inputs, policy, previous_plan)
         return await asyncio.get_running_loop().run_in_executor(self._executor, compute)
 
     def _demand_by_group(self, now_s: float) -> dict[str, float]:
--- a/brassfall/controlplane/registry/lists.py
+++ b/brassfall/controlplane/registry/lists.py
@@ -37,10 +37,10 @@
 class TableReads:
     """Answers reads of, and watches on, all tables of a store."""
 
-    def __init__(self, store: Store, http_server: HttpServer, gathering: ListRebuild) -> None:
+    def __init__(self, store: Store, http_server: HttpServer, list_rebuild: ListRebuild) -> None:
         self._store = store
         self._http_server = http_server
-        self._list_rebuild = gathering
+        self._list_rebuild = list_rebuild
 
     def row_view(self, table: str, row: Row) -> RowView:
         """Return a row in the form in which it is sent, with its age."""
--- a/brassfall/controlplane/registry/node_calls.py
+++ b/brassfall/controlplane/registry/node_calls.py
@@ -17,7 +17,8 @@
 from brassfall.controlplane.revisions.reports import Report, ReportError
 from brassfall.errors import NotFoundError, UnavailableError
 
-NO_PLACE, NO_PLACE_RETRY_S = "no place", 10.0  # error and `Retry-After` if the maximum of nodes is known
+# Error and `Retry-After`, in s, for a report of a new sidecar when the maximum number of nodes is known.
+NO_PLACE, NO_PLACE_RETRY_S = "no place", 10.0
 
 _encode = msgspec.json.Encoder().encode
 
--- a/brassfall/controlplane/registry/overrides.py
+++ b/brassfall/controlplane/registry/overrides.py
@@ -37,13 +37,14 @@
 from brassfall.errors import UnavailableError
 from brassfall.logs import faults, logger
 
-TICK_S = 0.1  # interval at which ends of overrides are checked
-# Backoff between attempts to publish the overrides in force; sidecars may object to each of the revisions.
+TICK_S = 0.1  # interval at which the ends of overrides are checked
+# Backoff between attempts to publish the overrides in force, from the first pause to the longest. It limits
+# the number of revisions if sidecars object to each of them.
 REPUBLISH_S, MAX_REPUBLISH_S = 1.0, 30.0
 REPEAT_CALL_ACTION = "Send the same call again: it is answered with the outcome, and changes nothing twice."
 LEASE_DENIED = "it acts on other overrides than are due"  # on the wire, as the reason to grant no lease
 
-NOT_PUBLISHED_ACTION = "Look at the reason and at /status; it is published again by itself."
+NOT_PUBLISHED_ACTION = "See the reason and /status. The overrides are published again automatically."
 
 log = logger("overrides")
 _encode = msgspec.json.Encoder().encode
@@ -89,7 +90,8 @@
     reconciler: Reconciler = field(init=False)
     clock: OverrideClock = field(init=False)
     _call_numbers: count[int] = field(default_factory=count)
-    _answers: dict[int, asyncio.Future[Override | None]] = field(default_factory=dict)  # by number of a call
+    # Results of the calls under way, by the number of the call.
+    _answers: dict[int, asyncio.Future[Override | None]] = field(default_factory=dict)
     _tasks: Tasks = field(default_factory=Tasks)
     _in_force: tuple[Override, ...] = ()
     _publishing: bool = False
@@ -105,18 +107,18 @@
         """
         state = self.host.store.state
         ring = history.HistoryRing()
-        entries_before = sorted(state.rows(history.TABLE), key=lambda row: row.key)
-        ring.restore(row.key for row in entries_before)
+        history_entries = sorted(state.rows(history.TABLE), key=lambda row: row.key)
+        ring.restore(row.key for row in history_entries)
         self.store, self.reconciler = OverrideStore(ring), Reconciler(ring)
         self.clock = OverrideClock(self.host.store, self._tasks)
         rows = ((row.key, row.value) for row in state.rows(TABLE))
-        for key in self.store.restore(rows, (row.value for row in entries_before)):
+        for key in self.store.restore(rows, (row.value for row in history_entries)):
             log.error(
                 "stored override unreadable",
                 override=key,
                 action="End it with `override end`, and write it anew.",
             )
-        self.reconciler.restore(row.value for row in entries_before)
+        self.reconciler.restore(row.value for row in history_entries)
         await self.clock.write_first_mark()
         self._tasks.spawn(self._tick())
 
@@ -160,14 +162,14 @@
                 case events.Answer():
                     self._resolve_call(action)
 
-    def _resolve_call(self, made: events.Answer) -> None:
-        future = self._answers.pop(made.call, None)
+    def _resolve_call(self, result: events.Answer) -> None:
+        future = self._answers.pop(result.call, None)
         if future is None or future.done():
             return
-        if made.error is not None:
-            future.set_exception(made.error)
+        if result.error is not None:
+            future.set_exception(result.error)
         else:
-            future.set_result(made.override)
+            future.set_result(result.override)
 
     def _reconcile(self, event: reconciliation.Event) -> None:
         """Pass an event to the reconciler, and perform the actions that it returns."""
@@ -229,14 +231,14 @@
         published = self.revisions.overrides_in_force()
         if published is None or self._publishing or time.monotonic() < self._republish_at:
             return
-        wanted = document.layer(self._in_force)
-        if published == wanted:
+        overrides_in_force = document.layer(self._in_force)
+        if published == overrides_in_force:
             self._republish_pause_s = REPUBLISH_S
             return
         self._publishing = True
         self._republish_at = time.monotonic() + self._republish_pause_s
         self._republish_pause_s = min(MAX_REPUBLISH_S, 2.0 * self._republish_pause_s)
-        self._tasks.spawn(self._publish(wanted))
+        self._tasks.spawn(self._publish(overrides_in_force))
 
     async def _publish(self, layer: list[dict[str, Any]]) -> None:
         try:
@@ -290,12 +292,12 @@
         due = orders.due(now, names, self.revisions.blocked, self._request_details, self._resend_times)
         self._request_details.difference_update(names)
         self._resend_times.difference_update(names)
-        at = self.now()
+        unix_ms = self.now()
         digests = [
-            PlaceDigest(place, self.reconciler.expected_digest(at, place.group, place.region))
+            PlaceDigest(place, self.reconciler.expected_digest(unix_ms, place.group, place.region))
             for place in report.places
         ]
-        left = document.times_left(self.store.active(at), at, report.known_override_revision)
+        left = document.times_left(self.store.active(unix_ms), unix_ms, report.known_override_revision)
         return OverrideMessages(left, digests, due)
 
     def forget_moved_sidecar(self, name: str) -> None:
@@ -317,17 +319,18 @@
 
     # --- calls ----------------------------------------------------------------------------
 
-    async def _apply_change(self, make: Callable[[int], events.Event]) -> web.Response:
+    async def _apply_change(self, event_for_call: Callable[[int], events.Event]) -> web.Response:
         """Pass a change to the override store, and answer once it is durable.
 
-        `make` returns the change's event for the number of this call. Cancelling does not undo the change.
+        `event_for_call` returns the event of the change for the number of this call. Cancelling does not undo
+        the change.
         """
         call = next(self._call_numbers)
         future: asyncio.Future[Override | None] = asyncio.get_running_loop().create_future()
         self._answers[call] = future
-        self._step(make(call))
-        found = await self._wait_for_outcome(future)
-        return answer(_encode(document.listing(found, self.now()) if found is not None else {}))
+        self._step(event_for_call(call))
+        override = await self._wait_for_outcome(future)
+        return answer(_encode(document.listing(override, self.now()) if override is not None else {}))
 
     async def _wait_for_outcome(self, future: asyncio.Future[Override | None]) -> Override | None:
         """Return the result of a change; raise `OutcomeUnknownError` if the disk does not answer in time."""
@@ -341,8 +344,8 @@
 
     async def _put(self, request: web.Request) -> web.Response:
         name = request.match_info["name"]
-        made = document.parse(name, await self.host.body(request), self.now())
-        return await self._apply_change(lambda call: events.Put(call, name, made))
+        override = document.parse(name, await self.host.body(request), self.now())
+        return await self._apply_change(lambda call: events.Put(call, name, override))
 
     async def _end(self, request: web.Request) -> web.Response:
         name = entries.check_name(request.match_info["name"])
@@ -351,12 +354,12 @@
 
     async def _get(self, request: web.Request) -> web.Response:
         name, now = entries.check_name(request.match_info["name"]), self.now()
-        found = self.store.get(name, now)
-        if found is None:
+        override = self.store.get(name, now)
+        if override is None:
             raise events.NoSuchOverrideError(name, "shown")
-        return answer(_encode(document.listing(found, now)))
+        return answer(_encode(document.listing(override, now)))
 
     async def _list(self, _request: web.Request) -> web.Response:
         now = self.now()
-        rows = [document.listing(found, now) for found in self.store.active(now)]
+        rows = [document.listing(override, now) for override in self.store.active(now)]
         return answer(_encode({"overrides": rows, "findings": self.findings(), "now_ms": now}))
--- a/brassfall/controlplane/registry/revision_service.py
+++ b/brassfall/controlplane/registry/revision_service.py
@@ -37,11 +37,9 @@
 CHANNEL = "/rules"  # name of the watch channel of the revision state
 TICK_S = 0.05  # interval at which the coordinator gets a tick
 SWEEP_S = 60.0  # interval at which nodes that no longer report are removed
-WRITE_FAILED_ACTION = (
-    "Look at the disk of the list service (/status says what it answered); nothing has changed."
-)
-FORGOTTEN_ACTION = "Nothing if it is gone for good; else look at its process and its network to the service."
-HALTED_ACTION = "Fix what the objections name and publish again; the revision before stays active."
+WRITE_FAILED_ACTION = "Check the disk of the list service (/status has its error); nothing has changed."
+FORGOTTEN_ACTION = "If the node is not gone for good, check its process and its network to the list service."
+HALTED_ACTION = "Fix what the objections name, and publish again. The committed revision stays active."
 
 AnswerFields = dict[str, Any]  # fields of an answer, by their names in JSON
 
@@ -109,9 +107,7 @@
     _tickets: count[int] = field(default_factory=count)
     _publishers: dict[int, asyncio.Future[int]] = field(default_factory=dict)  # publications by ticket
     _lease_answers: dict[int, messages.LeaseAnswer] = field(default_factory=dict)  # answers by ticket
-    _members_being_written: set[str] = field(
-        default_factory=set
-    )  # members with a write of their row under way
+    _members_being_written: set[str] = field(default_factory=set)  # members whose row is being written
     _tasks: Tasks = field(default_factory=Tasks)
     _encoded_line: tuple[DurableState, bytes] | None = None  # the last encoded state, and its line
 
@@ -230,7 +226,7 @@
         try:
             await self.host.store.submit(row)
         except NotWrittenError as error:
-            log.error("not durable", reason=str(error), action=WRITE_FAILED_ACTION)  # noqa: TRY400 - no traceback is needed
+            log.error("not durable", reason=str(error), action=WRITE_FAILED_ACTION)  # noqa: TRY400 - the reason says enough without a traceback
             self.step(messages.PersistFailed())
             return
         self.step(messages.Persisted())
@@ -297,7 +293,7 @@
 
     @contextlib.contextmanager
     def _member_write(self, name: str) -> Iterator[None]:
-        """End the write of a member's row: log a failure, and allow a later report to start another write."""
+        """Guard a write of a member's row: log a failure, and allow another write after the end."""
         try:
             yield
         except NotWrittenError as error:
--- a/brassfall/controlplane/registry/server.py
+++ b/brassfall/controlplane/registry/server.py
@@ -38,11 +38,9 @@
 from brassfall.settings import RegistrySettings
 
 STARTING, NOT_STARTED = "the service is starting", "the service has not started"
-START_RETRY_S, MAX_START_RETRY_S = (
-    0.2,
-    5.0,
-)  # backoff between attempts to start while the disk fails; doubled each time
-NOT_READY_RETRY_S = 1.0
+# Backoff between attempts to start while the disk fails; it doubles from the first pause to the longest.
+START_RETRY_S, MAX_START_RETRY_S = 0.2, 5.0
+NOT_READY_RETRY_S = 1.0  # `Retry-After` of `/health/ready` while the service is not ready, in s
 
 log = logger("registry")
 _encode = msgspec.json.Encoder().encode
@@ -133,9 +131,9 @@
         async def handle(request: web.Request) -> web.StreamResponse:
             if self._not_started:
                 raise UnavailableError(NOT_STARTED, self._not_started)
-            made = route.handler(request)
-            assert isinstance(made, Awaitable)  # every handler here is a coroutine function, not a view class
-            response: web.StreamResponse = await made
+            result = route.handler(request)
+            assert isinstance(result, Awaitable)  # every handler is a coroutine function, not a view class
+            response: web.StreamResponse = await result
             return response
 
         if route.path.startswith("/health/"):
--- a/brassfall/controlplane/registry/sidecar_rows.py
+++ b/brassfall/controlplane/registry/sidecar_rows.py
@@ -11,7 +11,7 @@
 from brassfall.controlplane.revisions.membership import Node
 from brassfall.controlplane.revisions.reports import FALLBACK, Objection
 
-OLD_LIST_AGE_MS = 10_000.0  # age from which a list counts as old; reopening a watch takes less
+OLD_LIST_AGE_MS = 10_000.0  # age above which a sidecar's list counts as old; a watch is reopened in less time
 NEVER_REPORTED = "has not reported since the service began"
 
 
--- a/tests/controlplane/test_aggregator_mirror.py
+++ b/tests/controlplane/test_aggregator_mirror.py
@@ -91,7 +91,7 @@
     mirrors = [Mirror(rng.choice((2, 50))) for _ in range(2)]
     sidecar_lists = [(0, {}) for _ in range(3)]
     complete_lists, disk_copies = 0, []
-    watch_is_open = [False, False]  # by mirror: whether it has had a line since the service's last start
+    watch_is_open = [False, False]  # for each mirror: True after a line since the service's last start
     for step in range(300):
         key = f"s{rng.randrange(8)}"
         if rng.random() < 0.02:
--- a/tests/controlplane/test_aggregator_shell.py
+++ b/tests/controlplane/test_aggregator_shell.py
@@ -39,8 +39,8 @@
 
 
 def aggregator(upstream, **more):
-    told = {"name": "a1", "region": "east", "listen": "127.0.0.1:0", "agree_ms": AGREE_MS, **more}
-    return aggregators.Service(settings.check_aggregator(AggregatorSettings(upstream=[upstream], **told)))
+    fields = {"name": "a1", "region": "east", "listen": "127.0.0.1:0", "agree_ms": AGREE_MS, **more}
+    return aggregators.Service(settings.check_aggregator(AggregatorSettings(upstream=[upstream], **fields)))
 
 
 def list_service(tmp_path, port=0, agree_ms=AGREE_MS):
@@ -50,16 +50,16 @@
 
 
 @asynccontextmanager
-async def started(*made):
+async def started(*services):
     """Start services, and yield their addresses; close the services at the end, the last first."""
-    begun = []
+    started_services = []
     try:
-        for each in made:
-            begun.append((each, await each.start()))  # noqa: PERF401 - started processes are closed even if a later start fails
-        yield tuple(at for _, at in begun)
+        for service in services:
+            started_services.append((service, await service.start()))  # noqa: PERF401 - started processes are closed even if a later start fails
+        yield tuple(at for _, at in started_services)
     finally:
-        for each, _ in reversed(begun):
-            await each.close()
+        for service, _ in reversed(started_services):
+            await service.close()
 
 
 @asynccontextmanager
@@ -68,11 +68,11 @@
     service = list_service(tmp_path, agree_ms=more.get("agree_ms", AGREE_MS))
     async with (
         started(service) as (at,),
-        started(made := aggregator(at, **more)) as (below,),
+        started(aggregator_service := aggregator(at, **more)) as (below,),
         aiohttp.ClientSession() as session,
     ):
-        await until(lambda: not made.unready())
-        yield made, at, below, session
+        await until(lambda: not aggregator_service.unready())
+        yield aggregator_service, at, below, session
 
 
 async def call(session, at, method, path, body=None, **headers):
@@ -109,15 +109,17 @@
 
 def agent(name, *addresses, listen=lambda *_: None):
     """Return a sidecar's agent without a data path; `listen` is called with each answer to a report."""
-    told = Agreement(AGREE_MS, "", "", {})
+    agreement = Agreement(AGREE_MS, "", "", {})
     at = tuple(Address(host, int(port)) for host, port in (text.split(":") for text in addresses))
-    made = Agent(asyncio.get_running_loop(), name, told, at, lambda _: "", lambda *_: float("inf"), 1)
-    made.answer_listeners.append(listen)
-    return made
+    sidecar_agent = Agent(
+        asyncio.get_running_loop(), name, agreement, at, lambda _: "", lambda *_: float("inf"), 1
+    )
+    sidecar_agent.answer_listeners.append(listen)
+    return sidecar_agent
 
 
-def acting(made):
-    return json.loads(made.state)["acting"]
+def acting(aggregator_service):
+    return json.loads(aggregator_service.state)["acting"]
 
 
 # --- configuration ----------------------------------------------------------------------------
@@ -168,11 +170,11 @@
 @bounded(30.0)
 async def test_without_a_list_service_the_aggregator_says_why_it_is_unready_and_retries(tmp_path):
     port = free_port()
-    made = aggregator(f"127.0.0.1:{port}", agree_ms=SHORT_AGREE_MS)
-    async with started(made) as (at,), aiohttp.ClientSession() as session:
+    aggregator_service = aggregator(f"127.0.0.1:{port}", agree_ms=SHORT_AGREE_MS)
+    async with started(aggregator_service) as (at,), aiohttp.ClientSession() as session:
         assert (await call(session, at, "GET", "/health/live"))[0] == 200
-        status, told, _ = await call(session, at, "GET", "/health/ready")
-        assert status == 503 and "no list" in told["reason"]
+        status, content, _ = await call(session, at, "GET", "/health/ready")
+        assert status == 503 and "no list" in content["reason"]
         for path in (LIST, f"{LIST}?watch=1", "/rules", "/rules?watch=1"):
             status, _, headers = await call(session, at, "GET", path)
             assert (status, "Retry-After" in headers) == (503, False), (
@@ -180,14 +182,14 @@
             )  # the caller tries another address
         status, _, headers = await call(session, at, "POST", "/edges/n1", {"life": "p", "seq": 1})
         assert (status, "Retry-After" in headers) == (503, False)
-        status, told, headers = await call(session, at, "PUT", f"{LIST}/s1", ENTRY)
-        assert (status, "Retry-After" in headers) == (503, True) and "X-Request-Id" in told["reason"]
-        await until(lambda: made.reporter.failed >= 3)  # the aggregator retries
+        status, content, headers = await call(session, at, "PUT", f"{LIST}/s1", ENTRY)
+        assert (status, "Retry-After" in headers) == (503, True) and "X-Request-Id" in content["reason"]
+        await until(lambda: aggregator_service.reporter.failed >= 3)  # the aggregator retries
         assert (await call(session, at, "GET", "/status"))[1]["upstream"]["failing"]
         async with session.get(f"http://{at}/metrics") as answer:
             assert "brassfall_ready 0.0" in await answer.text()
         async with started(list_service(tmp_path, port, SHORT_AGREE_MS)):
-            await until(lambda: not made.unready())
+            await until(lambda: not aggregator_service.unready())
             assert (await call(session, at, "GET", "/health/ready"))[0] == 200
             assert (await call(session, at, "GET", LIST))[0] == 200
 
@@ -201,11 +203,11 @@
         async with Watch(session, below, f"{LIST}?watch=1&from=0") as watch:
             first = await watch.content_line()
             assert first["snapshot"] and watch.answer.headers[AGE_HEADER] == "2000"
-            status, told, _ = await call(session, below, "PUT", f"{LIST}/s1", ENTRY, X_Request_Id="r1")
+            status, content, _ = await call(session, below, "PUT", f"{LIST}/s1", ENTRY, X_Request_Id="r1")
             again = await call(session, below, "PUT", f"{LIST}/s1", ENTRY, X_Request_Id="r1")
-            assert (status, again[1]) == (200, told)
+            assert (status, again[1]) == (200, content)
             line = await watch.content_line()
-            assert (line["index"], [e["name"] for e in line["endpoints"]]) == (told["index"], ["s1"])
+            assert (line["index"], [e["name"] for e in line["endpoints"]]) == (content["index"], ["s1"])
             assert (await call(session, at, "GET", LIST))[1] == (await call(session, below, "GET", LIST))[1]
             assert (await call(session, below, "PATCH", f"{LIST}/s1", {"weight": 2.0}, If_Match="1"))[
                 0
@@ -215,13 +217,13 @@
             assert changed["endpoints"][0]["weight"] == 2.0
         # A reader that continues from an index gets the changes since. It gets a complete list only when the
         # history of changes no longer reaches back to that index.
-        async with Watch(session, below, f"{LIST}?watch=1&from={told['index']}") as watch:
+        async with Watch(session, below, f"{LIST}?watch=1&from={content['index']}") as watch:
             line = await watch.content_line()
             assert (line["index"], line["snapshot"], len(line["endpoints"])) == (changed["index"], False, 1)
         for weight in range(3, 9):
             assert (await call(session, below, "PATCH", f"{LIST}/s1", {"weight": weight}))[0] == 200
         last = (await call(session, at, "GET", LIST))[1]["index"]
-        async with Watch(session, below, f"{LIST}?watch=1&from={told['index']}") as watch:
+        async with Watch(session, below, f"{LIST}?watch=1&from={content['index']}") as watch:
             line = await watch.content_line()
             assert line["snapshot"]
             while line["index"] != last:
@@ -254,22 +256,24 @@
 
 @bounded(30.0)
 async def test_reports_get_leases_and_malformed_reports_are_refused_and_counted(tmp_path):
-    async with tier(tmp_path) as (made, at, below, session):
-        status, told, _ = await call(session, below, "POST", "/edges/n1", {"life": "p", "seq": 1, "of": 0})
-        assert status == 200 and 0.0 < told["permission_ms"] <= 0.9 * AGREE_MS
-        assert told["life"] == made.core.epoch
-        body = {"life": "p", "seq": 2, "of": told["life"]}
+    async with tier(tmp_path) as (aggregator_service, at, below, session):
+        status, content, _ = await call(session, below, "POST", "/edges/n1", {"life": "p", "seq": 1, "of": 0})
+        assert status == 200 and 0.0 < content["permission_ms"] <= 0.9 * AGREE_MS
+        assert content["life"] == aggregator_service.core.epoch
+        body = {"life": "p", "seq": 2, "of": content["life"]}
         assert "life" not in (await call(session, below, "POST", "/edges/n1", body))[1]
         short = {"seq": 3, "after": 2}  # a delta to the last report on the connection
         assert (await call(session, below, "POST", "/edges/n1", short))[1]["permission_ms"] > 0.0
         for bad in (b"{", b"[]", {"seq": -1}, {"seq": 9, "after": 7}, {"life": "x" * 99}):
             assert (await call(session, below, "POST", "/edges/n1", bad))[0] == 400
-        assert made.children.statistics.refused == 5
-        status, told, _ = await call(session, below, "GET", "/edges")
-        assert [row["name"] for row in told["edges"]] == ["n1"] and told["permits"] == "yes"
+        assert aggregator_service.children.statistics.refused == 5
+        status, content, _ = await call(session, below, "GET", "/edges")
+        assert [row["name"] for row in content["edges"]] == ["n1"] and content["permits"] == "yes"
         assert (await call(session, below, "GET", "/status"))[1]["children"]["leased"] == 1
         number = (await call(session, below, "PUT", "/rules", {"caps": {"look": 5.0}}))[1]["edition"]
-        await until(lambda: made.core.committed == number)  # after the lease of the silent n1 has ended
+        await until(
+            lambda: aggregator_service.core.committed == number
+        )  # after the lease of the silent n1 has ended
         async with Watch(session, below, "/rules?watch=1") as watch:
             assert (await watch.content_line())["edition"] == number
         assert (await call(session, below, "GET", f"/rules?edition={number}"))[1]["state"] == "committed"
@@ -277,7 +281,9 @@
             same_name := aggregator(at, region="west")
         ):  # its name belongs to another aggregator
             await until(lambda: "409" in same_name.reporter.failing and "409" in same_name.unready())
-        await until(lambda: not made.unready())  # the aggregator has a lease on the new revision
+        await until(
+            lambda: not aggregator_service.unready()
+        )  # the aggregator has a lease on the new revision
         status = (await call(session, below, "GET", "/status"))[1]
         assert (status["edition"], status["reports"], status["ready"]) == (number, 3, "yes")
 
@@ -286,29 +292,29 @@
 async def test_new_sidecars_are_admitted_at_a_rate_and_sidecars_with_a_lease_at_once(tmp_path):
     limits = CallerLimits(caller_calls_per_s=0.0)
     more = {"newcomers_per_s": 10.0, "newcomers_burst": 5, "children_most": 60, "limits": limits}
-    async with tier(tmp_path, **more) as (made, _, below, session):
+    async with tier(tmp_path, **more) as (aggregator_service, _, below, session):
         body = {"life": "p", "seq": 1, "acting": "safe"}
 
         async def report(names, acting):
             bodies = {name: {**body, "acting": acting} for name in names}
             return await asyncio.gather(
-                *(call(session, below, "POST", f"/edges/{name}", told) for name, told in bodies.items())
+                *(call(session, below, "POST", f"/edges/{name}", content) for name, content in bodies.items())
             )
 
         loop = asyncio.get_running_loop()
         begun = loop.time()
-        told = await report([f"new{i}" for i in range(40)], "safe")
-        waits = [float(headers["Retry-After"]) for status, _, headers in told if status == 503]
+        content = await report([f"new{i}" for i in range(40)], "safe")
+        waits = [float(headers["Retry-After"]) for status, _, headers in content if status == 503]
         assert 5 <= 40 - len(waits) <= 5 + 10.0 * (loop.time() - begun) + 1
         assert max(waits) <= 40 / 10.0 + 0.1 and len(set(waits)) >= len(waits) // 2
-        assert made.children.statistics.rejected == len(waits)
+        assert aggregator_service.children.statistics.rejected == len(waits)
         held = await report([f"old{i}" for i in range(20)], 0)
         assert {status for status, _, _ in held} == {200}
         full = [row for row in await report([f"more{i}" for i in range(60)], 0) if row[0] == 503]
         assert full and not any(
             "Retry-After" in headers for _, _, headers in full
         )  # rejected for lack of places, sidecars try another address
-        assert made.core.counts(now_ms()).known <= 60
+        assert aggregator_service.core.counts(now_ms()).known <= 60
 
 
 # --- faults -----------------------------------------------------------------------------------------
@@ -318,14 +324,14 @@
 async def test_a_cut_off_aggregator_states_its_list_age_and_grants_no_lease_beyond_its_own(tmp_path):
     leases = []
 
-    def listen(asked, heard, told):
-        leases.append((asked, told["permission_ms"], told.get("elsewhere", False)))
+    def listen(sent_s, _received_s, content):
+        leases.append((sent_s, content["permission_ms"], content.get("elsewhere", False)))
 
     async with ServiceProcess(tmp_path, agreement={"agree_ms": AGREE_MS}) as process:
         at = await process.start()
-        made = aggregator(at, writes_at_once=1, writes_waiting=1)
-        async with started(made) as (below,), aiohttp.ClientSession() as session:
-            await until(lambda: not made.unready())
+        aggregator_service = aggregator(at, writes_at_once=1, writes_waiting=1)
+        async with started(aggregator_service) as (below,), aiohttp.ClientSession() as session:
+            await until(lambda: not aggregator_service.unready())
             sidecar = agent("n1", below, listen=listen)
             sidecar.start()
             number = (await call(session, below, "PUT", "/rules", {"caps": {"look": 5.0}}))[1]["edition"]
@@ -334,8 +340,8 @@
                 index = (await watch.content_line())["index"]
                 process.send(signal.SIGSTOP)
                 await until(lambda: acting(sidecar) == "safe")
-                ends = made.core.lease_until_ms / 1000.0
-                assert all(asked + length / 1000.0 <= ends for asked, length, _ in leases)
+                ends = aggregator_service.core.lease_until_ms / 1000.0
+                assert all(sent_s + length / 1000.0 <= ends for sent_s, length, _ in leases)
                 status, _, headers = await call(session, below, "GET", LIST)
                 assert (
                     status == 200 and float(headers[AGE_HEADER]) >= 0.9 * AGREE_MS
@@ -350,9 +356,9 @@
                 await until(
                     lambda: leases[-1][1:] == (0.0, True)
                 )  # with `elsewhere`, which sends the sidecar to another address
-                told = await asyncio.gather(*writes)
-                assert {(status, "Retry-After" in headers) for status, _, headers in told} == {(503, True)}
-                assert ["too many calls wait" in answered["reason"] for _, answered, _ in told] == [
+                content = await asyncio.gather(*writes)
+                assert {(status, "Retry-After" in headers) for status, _, headers in content} == {(503, True)}
+                assert ["too many calls wait" in answered["reason"] for _, answered, _ in content] == [
                     False
                 ] * 2 + [True] * 3
                 # A sidecar of an older version ignores `elsewhere`. It gets an error at its next report on
@@ -370,7 +376,7 @@
                     line.get("age_ms") != 2000
                 ):  # lines about s1 may come before, since a write without an answer may be done
                     line = await watch.content_line()
-                assert made.mirror.age_ms(now_ms()) < 2000.0
+                assert aggregator_service.mirror.age_ms(now_ms()) < 2000.0
             sidecar.close()
 
 
@@ -393,8 +399,8 @@
                 sidecar.start()
 
             def all_act(where):
-                told = [json.loads(sidecar.state) for sidecar in sidecars]
-                return all(row["acting"] == number and row["at"] in where for row in told)
+                states = [json.loads(sidecar.state) for sidecar in sidecars]
+                return all(row["acting"] == number and row["at"] in where for row in states)
 
             await until(lambda: all_act({near, far}))
             await process.end(signal.SIGKILL)
--- a/tests/controlplane/test_aggregators_service.py
+++ b/tests/controlplane/test_aggregators_service.py
@@ -187,7 +187,7 @@
         }
         assert (
             found["c1"] == ("x", False, "") and found["c9"][0] == "x"
-        )  # c9 is unknown to the service, and owned by no other
+        )  # the service lists c9, which no other aggregator owns
         assert (
             found["c2"] == ("y", True, "aggregator y does not answer") == (*found["c3"][:2], found["c2"][2])
         )
@@ -195,7 +195,7 @@
         assert next(row for row in answer["edges"] if row["name"] == "c1")["age_ms"] >= 40
         assert (await x.report())[1]["moved"] == [members[1]]
         async with asyncio.timeout(5.0):  # the number of sidecars is cached for a while
-            while (await x.report())[1]["members"] != 4:  # n0, c1, c2, c3
+            while (await x.report())[1]["members"] != 4:  # the sidecars n0, c1, c2 and c3
                 await asyncio.sleep(0.02)
         _, answer, _ = await call_service("GET", "/aggregators")
         assert [(row["name"], row["members"], row["children"]["known"]) for row in answer["aggregators"]] == [
--- a/tests/controlplane/test_registry_fleet.py
+++ b/tests/controlplane/test_registry_fleet.py
@@ -125,13 +125,15 @@
         executions = fleet.ran()
         runs = Counter((row["class"], row["id"]) for row in executions if row["ran"])
         assert [call for call, times in runs.items() if call[0] == "pay" and times > 1] == []
-        assert max(times for call, times in runs.items()) <= 3  # `MaxAttempts`
+        assert max(times for call, times in runs.items()) <= 3  # the limit of attempts, `MaxAttempts`
         keyed = {}
         for row in executions:
             if row["class"] == "book":
                 first, last = keyed.get(row["key"], (row["at"], row["at"]))
                 keyed[row["key"]] = (min(first, row["at"]), max(last, row["at"]))
-        assert len(keyed) > 50 and max(last - first for first, last in keyed.values()) < 1.2  # `KeyTtl`
+        assert (
+            len(keyed) > 50 and max(last - first for first, last in keyed.values()) < 1.2
+        )  # all attempts of a request fall within `KeyTtl`
         # No request is sent to a leaving server later than the rule allows; those sent before may still
         # arrive.
         assert [row for row in executions if (row["since_leaving_s"] or 0.0) > 0.6] == []
--- a/tests/controlplane/test_registry_service.py
+++ b/tests/controlplane/test_registry_service.py
@@ -115,7 +115,7 @@
 @bounded(60.0)
 async def test_a_full_disk_refuses_writes_and_loses_no_acknowledged_one(tmp_path):
     async with Service(tmp_path, limits={"caller_calls_per_s": 0}) as service:
-        await service.start(limit="ulimit -f 2000;")  # limit of the size of each file, in blocks of 512 bytes
+        await service.start(limit="ulimit -f 2000;")  # limits the size of each file, in blocks of 512 bytes
         writers = CountingWriters(service, 4, size=30_000)
         async with aiohttp.ClientSession() as session:
             status, _, _ = await call(
@@ -213,7 +213,7 @@
     assert set(answered["watches"]) <= {"t0", "t1", "t2", "/rules"}
 
 
-# --- many watchers------------------------------------------------------------------------------------
+# --- many watchers --------------------------------------------------------------------------------------
 
 
 async def open_watch(listen, index, waits):
@@ -265,7 +265,7 @@
         writer.close()
 
 
-# --- invalid callers-------------------------------------------------------------------------------
+# --- invalid callers ------------------------------------------------------------------------------------
 
 INVALID_CALLS = [
     ("PUT", "/registry/instances/a%2Fb", ENTRY, 400, "name"),
--- a/tests/controlplane/test_registry_spread.py
+++ b/tests/controlplane/test_registry_spread.py
@@ -14,13 +14,11 @@
 from tests.support.processes import Service
 from tests.support.spread import overfull_windows
 
-MIN_RETRY_S, SPAN_S = (
-    0.25,
-    0.5,
-)  # minimum and span of the random part of a wait; the caller's place in the queue is added
+# Minimum and span of the random part of a wait, to which the place in the queue is added.
+MIN_RETRY_S, SPAN_S = 0.25, 0.5
 
 
-# --- the check, on samples known to be good and bad ------------------------------------------------
+# --- the check, with samples known to be good and bad ------------------------------------------------
 
 
 @pytest.mark.parametrize("count", [0, 1, 20, 500, 1239, 1750])
@@ -79,7 +77,8 @@
             admitted_at.append(now)
     assert len(admitted_at) == callers
     assert (callers - rate / 4.0) / rate <= max(admitted_at) < callers / rate + 2.0 * (MIN_RETRY_S + SPAN_S)
-    expected = 0.1 * rate  # in a tenth of a second; a sum of samples has at most its mean as variance
+    # Expected number of retries in a tenth of a second. The variance of such a sum is at most its mean.
+    expected = 0.1 * rate
     for tenth in range(40):
         retries = sum(tenth / 10.0 <= at < (tenth + 1) / 10.0 for at in retried_at)
         assert retries <= expected + 6.0 * expected**0.5
@@ -90,8 +89,8 @@
 
 @bounded(60.0)
 async def test_the_service_spreads_retry_after_over_the_whole_span(tmp_path):
-    # Told one after another at this rate, each is ten seconds further down the queue than the one before,
-    # so that the queue's part is known, and what is left is the draw.
+    # At this rate of joins each rejected caller waits ten seconds longer in the queue than the one before. So
+    # the wait for the place in the queue is known, and the rest of `Retry-After` is the random time.
     step_s, max_call_s, sample_count, rounding_s = 10.0, 0.01, 500, 0.005
     limits = {"joins_per_s": 1.0 / step_s, "caller_calls_per_s": 0}
     samples, retries, earliest, latest = [], 0, 0.0, 0.0
@@ -107,6 +106,8 @@
             earliest, latest = max(earliest, sent) + step_s, max(latest, received) + step_s
             assert received + float(wait) - earliest >= MIN_RETRY_S - rounding_s
             assert sent + float(wait) - latest <= MIN_RETRY_S + SPAN_S + rounding_s
-            if received - sent < max_call_s:  # otherwise it isn't known well enough when it was sent
+            if (
+                received - sent < max_call_s
+            ):  # the time of the answer is not known well enough after a slow call
                 samples.append((sent + received) / 2.0 + float(wait) - retries * step_s)
     assert not overfull_windows(samples, SPAN_S, max_call_s / 2.0 + 2.0 * rounding_s)
