--- a/brassfall/controlplane/registry/aggregator/addresses.py
+++ b/brassfall/controlplane/registry/aggregator/addresses.py
@@ -7,7 +7,7 @@
 
 FIRST_WAIT_S, MAX_WAIT_S = 0.1, 1.0  # mean backoff after a first failure, and its maximum
 MIN_JITTER, JITTER_SPAN = 0.5, 1.0  # a backoff is a random time from 0.5 to 1.5 times its mean
-MAX_RETRY_S = 30.0  # maximum of a `Retry-After` that is respected
+MAX_RETRY_S = 30.0  # maximum wait for a `Retry-After`; a longer one is cut to it
 
 
 class Addresses:
--- a/brassfall/controlplane/registry/aggregator/children.py
+++ b/brassfall/controlplane/registry/aggregator/children.py
@@ -20,8 +20,8 @@
 from brassfall.controlplane.registry.reports import read_report
 from brassfall.controlplane.revisions.reports import Report, ReportError
 
-# Number of reports in a row on a connection that are answered with `elsewhere` and without a lease; further
-# ones get an error.
+# Number of reports in a row on a connection that are answered with `elsewhere` and without a lease. The next
+# such report gets an error.
 MAX_REPORTS_AFTER_REDIRECT = 1
 NO_LEASE, FULL, NO_ANSWER = "no lease", "no place", "no answer"  # summaries of errors for children
 
--- a/brassfall/controlplane/registry/aggregator/configuration.py
+++ b/brassfall/controlplane/registry/aggregator/configuration.py
@@ -69,9 +69,9 @@
 
     async def _fetch_state(self, address: str) -> None:
         try:
-            answer = await self._upstream.call(address, "GET", PATH)
-            if answer.status == 200:
-                self._step(read_state(answer.body))
+            state_answer = await self._upstream.call(address, "GET", PATH)
+            if state_answer.status == 200:
+                self._step(read_state(state_answer.body))
         except (UpstreamError, StateError) as error:
             log.warning("revision state not fetched", reason=error.summary, action=error.action)
         finally:
--- a/brassfall/controlplane/registry/aggregator/forwarding.py
+++ b/brassfall/controlplane/registry/aggregator/forwarding.py
@@ -14,7 +14,7 @@
 
 REQUEST_HEADERS = ("If-Match", "X-Request-Id", "X-Lease", "X-Force", "Content-Type")
 RESPONSE_HEADERS = ("Content-Type", "Retry-After")
-RETRY_S = 1.0  # `Retry-After` of a call that was not forwarded or answer
+RETRY_S = 1.0  # `Retry-After` of a call that was not forwarded, or got no answer, in s
 NOT_FORWARDED, NO_ANSWER = "not passed up", "no answer from the list service"
 
 
--- a/brassfall/controlplane/registry/aggregator/reporter.py
+++ b/brassfall/controlplane/registry/aggregator/reporter.py
@@ -19,7 +19,7 @@
 
 JITTER = 0.1  # fraction by which the interval between reports is lengthened or shortened at random
 URGENT_INTERVAL_S = 0.01  # minimum interval between two urgent reports
-FAULT_PAUSE_S = 0.25  # pause after an unexpected exception
+FAULT_PAUSE_S = 0.25  # pause of the reports after an unexpected exception
 
 log = logger("reports")
 
@@ -42,7 +42,7 @@
     rng: random.Random
     sent: int = 0
     failed: int = 0
-    failing: str = ""  # reason the last report had no good answer; empty if it had one
+    failing: str = ""  # reason why the last report got no good answer; empty if it got one
     _addresses: Addresses = field(init=False)
     _urgent: asyncio.Event = field(default_factory=asyncio.Event)
 
--- a/brassfall/controlplane/registry/aggregator/service.py
+++ b/brassfall/controlplane/registry/aggregator/service.py
@@ -34,7 +34,7 @@
 from brassfall.logs import faults, logger
 from brassfall.settings import AggregatorSettings
 
-TICK_S = 0.05  # interval at which the core gets a tick
+TICK_S = 0.05  # interval at which the aggregator's core gets a tick event
 LEASES_END_S = 4.0  # time limit of a shutdown for the end of all children's leases, and the last report
 NOT_READY_RETRY_S = 1.0  # `Retry-After` of `/health/ready` while the aggregator is not ready
 
--- a/brassfall/controlplane/registry/aggregators.py
+++ b/brassfall/controlplane/registry/aggregators.py
@@ -44,7 +44,7 @@
     known: int  # number of known aggregators
     live: int  # number of aggregators that have reported recently
     children: int  # number of children of all aggregators
-    children_unplaced: int  # arrivals of children beyond the maximum number of sidecars that are kept
+    children_unplaced: int  # number of arrivals of children beyond the maximum that is kept
     reports: int
     reports_malformed: int
     name_conflicts: int  # number of reports refused because another node has the aggregator's name
@@ -70,7 +70,9 @@
         self._overrides = overrides
         self._geo = geo
         self._statistics = AggregatorStatistics()
-        self._child_orders: dict[ProcessKey, ChildOrders] = {}  # one entry for each live aggregator process
+        self._child_orders: dict[
+            ProcessKey, ChildOrders
+        ] = {}  # orders for the children of each aggregator process
         self._tasks = Tasks()
 
     def start(self) -> None:
--- a/brassfall/controlplane/registry/geo.py
+++ b/brassfall/controlplane/registry/geo.py
@@ -64,7 +64,7 @@
     """The request rate of one sidecar, or of one client group towards one region behind an aggregator."""
 
     group: str
-    rate: float  # in requests/s
+    rate: float  # rate of requests, in requests/s
     reported_s: float  # monotonic time of the report, in s
 
 
--- a/brassfall/controlplane/registry/limits.py
+++ b/brassfall/controlplane/registry/limits.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 MAX_CALLERS = 4096  # maximum number of callers whose token buckets are kept
-BURST_S = 0.25  # burst of joins that is admitted at once, as the time in which the rate admits as many
+BURST_S = 0.25  # size of the burst of joins that is admitted at once, in seconds' worth of the steady rate
 # A rejected caller waits for its place in the queue, plus MIN_RETRY_S, plus a random part of RETRY_SPAN_S.
 MIN_RETRY_S, RETRY_SPAN_S = 0.25, 0.5
 
--- a/brassfall/controlplane/registry/membership.py
+++ b/brassfall/controlplane/registry/membership.py
@@ -12,7 +12,7 @@
 from enum import Enum
 from typing import Any
 
-# Backoff after a failed call: it doubles with each further failure in a row, from the first to the last.
+# Backoff after a failed call: it doubles with each further failure in a row, up to the maximum.
 FIRST_BACKOFF_MS, MAX_BACKOFF_MS = 100.0, 1000.0
 MAX_CALL_TIMEOUT_MS = 2000.0
 REJOIN_SPREAD_MS = 50.0  # time over which servers spread their calls when the service has lost its list
--- a/brassfall/controlplane/registry/override_clock.py
+++ b/brassfall/controlplane/registry/override_clock.py
@@ -14,7 +14,7 @@
 from brassfall.logs import logger
 
 TABLE, KEY = "overrides-clock", "mark"
-BOOT_ID = Path("/proc/sys/kernel/random/boot_id")  # file with an id that is new at each boot of the machine
+BOOT_ID = Path("/proc/sys/kernel/random/boot_id")  # file with an id that changes at each boot
 
 log = logger("overrides")
 
--- a/brassfall/controlplane/registry/revision_service.py
+++ b/brassfall/controlplane/registry/revision_service.py
@@ -35,7 +35,7 @@
 STATE_TABLE, STATE_KEY = "rules", "state"  # table and key of the row with the coordinator's durable state
 MEMBER_TABLE = "edges"  # table with one row for each member
 CHANNEL = "/rules"  # name of the watch channel of the revision state
-TICK_S = 0.05  # interval at which the coordinator gets a tick
+TICK_S = 0.05  # interval at which the coordinator of revisions gets a tick event
 SWEEP_S = 60.0  # interval at which nodes that no longer report are removed
 WRITE_FAILED_ACTION = "Check the disk of the list service (/status has its error); nothing has changed."
 FORGOTTEN_ACTION = "If the node is not gone for good, check its process and its network to the list service."
@@ -105,8 +105,12 @@
     channel: StateChannel = field(init=False)
     started_ms: float = 0.0
     _tickets: count[int] = field(default_factory=count)
-    _publishers: dict[int, asyncio.Future[int]] = field(default_factory=dict)  # publications by ticket
-    _lease_answers: dict[int, messages.LeaseAnswer] = field(default_factory=dict)  # answers by ticket
+    _publishers: dict[int, asyncio.Future[int]] = field(
+        default_factory=dict
+    )  # futures of publications under way, by ticket
+    _lease_answers: dict[int, messages.LeaseAnswer] = field(
+        default_factory=dict
+    )  # the coordinator's answers to reports, by the report's ticket
     _members_being_written: set[str] = field(default_factory=set)  # members whose row is being written
     _tasks: Tasks = field(default_factory=Tasks)
     _encoded_line: tuple[DurableState, bytes] | None = None  # the last encoded state, and its line
--- a/brassfall/controlplane/registry/watches.py
+++ b/brassfall/controlplane/registry/watches.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass
 
 HEARTBEAT_S = 2.0
-SLOTS = 20  # number of ticks over which the heartbeats of all watches are spread
+SLOTS = 20  # number of ticks in `HEARTBEAT_S`, over which the heartbeats of all watches are spread
 TICK_S = HEARTBEAT_S / SLOTS
 
 
