--- a/brassfall/controlplane/registry/client.py
+++ b/brassfall/controlplane/registry/client.py
@@ -105,7 +105,7 @@
     try:
         return msgspec.json.decode(raw, type=form) if isinstance(raw, bytes) else msgspec.convert(raw, form)
     except DECODING_ERRORS as error:
-        raise CallError(address, f"what came is not what was asked for: {error}", ANOTHER_PROGRAM) from error
+        raise CallError(address, f"the answer has an unexpected form: {error}", ANOTHER_PROGRAM) from error
 
 
 def retry_after_s(text: str | None) -> float:
--- a/brassfall/controlplane/registry/revision_service.py
+++ b/brassfall/controlplane/registry/revision_service.py
@@ -105,12 +105,10 @@
     channel: StateChannel = field(init=False)
     started_ms: float = 0.0
     _tickets: count[int] = field(default_factory=count)
-    _publishers: dict[int, asyncio.Future[int]] = field(
-        default_factory=dict
-    )  # futures of publications under way, by ticket
-    _lease_answers: dict[int, messages.LeaseAnswer] = field(
-        default_factory=dict
-    )  # the coordinator's answers to reports, by the report's ticket
+    # Futures of the publications under way, by ticket.
+    _publishers: dict[int, asyncio.Future[int]] = field(default_factory=dict)
+    # The coordinator's answers to reports, by the ticket of the report.
+    _lease_answers: dict[int, messages.LeaseAnswer] = field(default_factory=dict)
     _members_being_written: set[str] = field(default_factory=set)  # members whose row is being written
     _tasks: Tasks = field(default_factory=Tasks)
     _encoded_line: tuple[DurableState, bytes] | None = None  # the last encoded state, and its line
--- a/tests/controlplane/test_aggregator_mirror.py
+++ b/tests/controlplane/test_aggregator_mirror.py
@@ -131,9 +131,8 @@
         mirror.apply_line(0.0, ListLine(index, False, [endpoint("a", index)]))
     line = line_from_mirror(mirror, 101)
     assert (line.index, line.snapshot, [e["weight"] for e in line.endpoints]) == (103, False, [103])
-    assert (
-        not line_from_mirror(mirror, 100).snapshot and line_from_mirror(mirror, 99).snapshot
-    )  # the mirror's first list had index 100, so that it does not know changes since 99
+    # The mirror's first list had index 100, so that it does not know changes since 99.
+    assert not line_from_mirror(mirror, 100).snapshot and line_from_mirror(mirror, 99).snapshot
     for index in range(104, 110):
         mirror.apply_line(
             0.0, ListLine(index, False, [{**endpoint("b"), "status": "left"}, endpoint(f"n{index}")])
@@ -157,11 +156,12 @@
     with pytest.raises(MirrorError):
         mirror.apply_line(10.0, line)
     mirror.confirm(20.0)
+    # A doubted line confirms nothing.
     assert (mirror.index, mirror.count, mirror.confirmed_ms) == (
         100,
         1,
         5.0,
-    )  # a doubted line confirms nothing
+    )
     with pytest.raises(MirrorError):
         mirror.apply_line(9.0 + DOUBT_MS, line)
     assert mirror.apply_line(11.0 + DOUBT_MS, line).replaced == (line.index < 100)
@@ -177,12 +177,10 @@
     line = table.line(before)
     assert (line.snapshot, line.endpoints, line.index > before) == (False, [], True)
     assert mirror.apply_line(1.0, line).changes == ()
-    assert (
-        mirror.index == line.index
-    )  # a lower index would make the aggregator lag for ever, and grant no lease
-    assert (
-        line_from_mirror(mirror, before) == line
-    )  # a sidecar with the index before the restart gets no changes
+    # A lower index would make the aggregator lag for ever, and grant no lease.
+    assert mirror.index == line.index
+    # A sidecar with the index before the restart gets no changes.
+    assert line_from_mirror(mirror, before) == line
     assert apply_to_sidecar((0, {}), line_from_mirror(mirror, 0)) == (
         line.index,
         {key: endpoint(key) for key in ("s0", "s1")},
@@ -237,9 +235,8 @@
     mirror.apply_line(1000.0, complete_list(100, "a"))
     mirror.confirm_by_watch(900.0, 1000.0, 0)
     assert mirror.age_ms(1000.0) == 100.0
-    mirror.confirm_by_watch(
-        900.0, 5000.0, 2
-    )  # the second heartbeat is sent 2 * 1.98 s after the call, or later
+    # The second heartbeat is sent 2 * 1.98 s after the call, or later.
+    mirror.confirm_by_watch(900.0, 5000.0, 2)
     assert mirror.age_ms(5000.0) == pytest.approx(140.0)
     mirror.confirm_by_answer(6000.0, 101)  # the service has a newer list, so that this confirms nothing
     mirror.confirm_by_watch(900.0, 6100.0, 2)
@@ -262,9 +259,8 @@
     mirror.confirm(clock[0])
     heartbeats = [channel.heartbeat() for _ in range(60)]
     stated_fresh = [heartbeat for heartbeat in heartbeats if heartbeat != EMPTY_LINE]
-    assert (
-        len(stated_fresh) == 41 and heartbeats[:41] == stated_fresh
-    )  # each watch gets one or two heartbeats that state a fresh list, in its slot
+    # Each watch gets one or two heartbeats that state a fresh list, in its slot.
+    assert len(stated_fresh) == 41 and heartbeats[:41] == stated_fresh
     assert msgspec.json.decode(stated_fresh[0].split(b"\r\n")[1])["age_ms"] == FRESH_MS
 
 
--- a/tests/controlplane/test_aggregator_shell.py
+++ b/tests/controlplane/test_aggregator_shell.py
@@ -175,16 +175,15 @@
         assert (await call(session, at, "GET", "/health/live"))[0] == 200
         status, content, _ = await call(session, at, "GET", "/health/ready")
         assert status == 503 and "no list" in content["reason"]
+        # Without `Retry-After` a caller tries another address.
         for path in (LIST, f"{LIST}?watch=1", "/rules", "/rules?watch=1"):
             status, _, headers = await call(session, at, "GET", path)
-            assert (status, "Retry-After" in headers) == (503, False), (
-                path
-            )  # the caller tries another address
+            assert (status, "Retry-After" in headers) == (503, False), path
         status, _, headers = await call(session, at, "POST", "/edges/n1", {"life": "p", "seq": 1})
         assert (status, "Retry-After" in headers) == (503, False)
         status, content, headers = await call(session, at, "PUT", f"{LIST}/s1", ENTRY)
         assert (status, "Retry-After" in headers) == (503, True) and "X-Request-Id" in content["reason"]
-        await until(lambda: aggregator_service.reporter.failed >= 3)  # the aggregator retries
+        await until(lambda: aggregator_service.reporter.failed >= 3)  # the aggregator retries its reports
         assert (await call(session, at, "GET", "/status"))[1]["upstream"]["failing"]
         async with session.get(f"http://{at}/metrics") as answer:
             assert "brassfall_ready 0.0" in await answer.text()
@@ -240,10 +239,11 @@
             async with Watch(session, below, f"{LIST}?watch=1&from={last}") as watch:
                 assert watch.answer.status == 200
         status, _, headers = await call(session, below, "GET", f"{LIST}?watch=1&from={last + 1}")
+        # A reader with a later index is sent elsewhere, since it must not get an older list.
         assert (status, "Retry-After" in headers) == (
             503,
             False,
-        )  # a reader with a later index is sent elsewhere, since it must not get an older list
+        )
         assert (await call(session, below, "DELETE", f"{LIST}/s1"))[0] == 200
         row = await call(session, below, "PUT", "/tables/duty/one", {"who": "a"}, X_Lease="60000")
         assert row[0] == 200 and (await call(session, at, "GET", "/tables/duty/one"))[1]["value"] == {
@@ -271,19 +271,16 @@
         assert [row["name"] for row in content["edges"]] == ["n1"] and content["permits"] == "yes"
         assert (await call(session, below, "GET", "/status"))[1]["children"]["leased"] == 1
         number = (await call(session, below, "PUT", "/rules", {"caps": {"look": 5.0}}))[1]["edition"]
-        await until(
-            lambda: aggregator_service.core.committed == number
-        )  # after the lease of the silent n1 has ended
+        # The revision is committed after the lease of the silent n1 has ended.
+        await until(lambda: aggregator_service.core.committed == number)
         async with Watch(session, below, "/rules?watch=1") as watch:
             assert (await watch.content_line())["edition"] == number
         assert (await call(session, below, "GET", f"/rules?edition={number}"))[1]["state"] == "committed"
-        async with started(
-            same_name := aggregator(at, region="west")
-        ):  # its name belongs to another aggregator
+        # The name of this second aggregator belongs to the first.
+        async with started(same_name := aggregator(at, region="west")):
             await until(lambda: "409" in same_name.reporter.failing and "409" in same_name.unready())
-        await until(
-            lambda: not aggregator_service.unready()
-        )  # the aggregator has a lease on the new revision
+        # The aggregator has a lease on the new revision.
+        await until(lambda: not aggregator_service.unready())
         status = (await call(session, below, "GET", "/status"))[1]
         assert (status["edition"], status["reports"], status["ready"]) == (number, 3, "yes")
 
@@ -311,9 +308,8 @@
         held = await report([f"old{i}" for i in range(20)], 0)
         assert {status for status, _, _ in held} == {200}
         full = [row for row in await report([f"more{i}" for i in range(60)], 0) if row[0] == 503]
-        assert full and not any(
-            "Retry-After" in headers for _, _, headers in full
-        )  # rejected for lack of places, sidecars try another address
+        # Rejected for lack of places, sidecars try another address.
+        assert full and not any("Retry-After" in headers for _, _, headers in full)
         assert aggregator_service.core.counts(now_ms()).known <= 60
 
 
@@ -343,9 +339,8 @@
                 ends = aggregator_service.core.lease_until_ms / 1000.0
                 assert all(sent_s + length / 1000.0 <= ends for sent_s, length, _ in leases)
                 status, _, headers = await call(session, below, "GET", LIST)
-                assert (
-                    status == 200 and float(headers[AGE_HEADER]) >= 0.9 * AGREE_MS
-                )  # the list is still served, with its age
+                # The list is still served, with its age.
+                assert status == 200 and float(headers[AGE_HEADER]) >= 0.9 * AGREE_MS
                 assert (await call(session, below, "GET", "/health/ready"))[0] == 503
                 # One write is under way and one waits for it; the others are rejected at once.
                 writes = [
@@ -353,9 +348,8 @@
                 ]
                 line = await watch.content_line()  # a heartbeat that states the age of the list
                 assert (line["index"], line["endpoints"]) == (index, []) and line["age_ms"] > 2000
-                await until(
-                    lambda: leases[-1][1:] == (0.0, True)
-                )  # with `elsewhere`, which sends the sidecar to another address
+                # The last answer has no lease, and `elsewhere`, which sends the sidecar to another address.
+                await until(lambda: leases[-1][1:] == (0.0, True))
                 content = await asyncio.gather(*writes)
                 assert {(status, "Retry-After" in headers) for status, _, headers in content} == {(503, True)}
                 assert ["too many calls wait" in answered["reason"] for _, answered, _ in content] == [
@@ -372,9 +366,8 @@
                 ]
                 process.send(signal.SIGCONT)
                 await until(lambda: acting(sidecar) == number)
-                while (
-                    line.get("age_ms") != 2000
-                ):  # lines about s1 may come before, since a write without an answer may be done
+                # Lines about s1 may come before, since a write without an answer may be done.
+                while line.get("age_ms") != 2000:
                     line = await watch.content_line()
                 assert aggregator_service.mirror.age_ms(now_ms()) < 2000.0
             sidecar.close()
@@ -406,9 +399,8 @@
             await process.end(signal.SIGKILL)
             await until(lambda: all_act({far}))
             await process.start()
-            while (await call(session, near, "GET", "/health/ready"))[
-                0
-            ] != 200:  # until the restarted aggregator has a lease
+            # The restarted aggregator is ready once it has a lease.
+            while (await call(session, near, "GET", "/health/ready"))[0] != 200:
                 await asyncio.sleep(0.02)
             assert await process.end() == 0  # SIGTERM
             await until(lambda: all_act({far}))
--- a/tests/controlplane/test_aggregators_service.py
+++ b/tests/controlplane/test_aggregators_service.py
@@ -185,9 +185,8 @@
         found = {
             row["name"]: (row.get("via"), row["age_ms"] is None, row["behind"]) for row in answer["edges"]
         }
-        assert (
-            found["c1"] == ("x", False, "") and found["c9"][0] == "x"
-        )  # the service lists c9, which no other aggregator owns
+        # The service lists c9, which no other aggregator owns.
+        assert found["c1"] == ("x", False, "") and found["c9"][0] == "x"
         assert (
             found["c2"] == ("y", True, "aggregator y does not answer") == (*found["c3"][:2], found["c2"][2])
         )
@@ -205,9 +204,8 @@
         assert (await call_service("DELETE", "/edges/c1"))[0] == 404
         assert (await call_service("DELETE", "/edges/y"))[0] == 200
         async with asyncio.timeout(5.0):
-            while (await x.report())[1][
-                "members"
-            ] != 2:  # n0 and c1; c2 belonged to y, and x has been notified of that
+            # The sidecars n0 and c1 are left; c2 belonged to y, and x has been notified of that.
+            while (await x.report())[1]["members"] != 2:
                 await asyncio.sleep(0.02)
     finally:
         await runner.cleanup()
@@ -223,9 +221,8 @@
         assert x.lease["digests"] == [{"place": {"group": "g", "region": "a"}, "digest": "0-00000000"}]
         x.fields["exceptions"] = [row, {**row, "name": "stranger"}]
         await until(lambda: any(order.get("list_overrides") for order in x.lease.get("orders", ())))
-        assert [order["name"] for order in x.lease["orders"]] == [
-            "c1"
-        ]  # a sidecar that the aggregator does not own gets no orders
+        # A sidecar that the aggregator does not own gets no orders.
+        assert [order["name"] for order in x.lease["orders"]] == ["c1"]
         delay = {"group": "g", "region": "b", "window": 1, "span_ms": 5000, "first": {"100": 9}}
         await x.report(measures={"delays": [delay, {**delay, "group": 7}, 5]})
         _, answer, _ = await call_service("GET", "/geo")
--- a/tests/controlplane/test_registry_fleet.py
+++ b/tests/controlplane/test_registry_fleet.py
@@ -131,9 +131,8 @@
             if row["class"] == "book":
                 first, last = keyed.get(row["key"], (row["at"], row["at"]))
                 keyed[row["key"]] = (min(first, row["at"]), max(last, row["at"]))
-        assert (
-            len(keyed) > 50 and max(last - first for first, last in keyed.values()) < 1.2
-        )  # all attempts of a request fall within `KeyTtl`
+        # All attempts of a request fall within `KeyTtl`.
+        assert len(keyed) > 50 and max(last - first for first, last in keyed.values()) < 1.2
         # No request is sent to a leaving server later than the rule allows; those sent before may still
         # arrive.
         assert [row for row in executions if (row["since_leaving_s"] or 0.0) > 0.6] == []
--- a/tests/controlplane/test_registry_service.py
+++ b/tests/controlplane/test_registry_service.py
@@ -126,10 +126,11 @@
             for task in tasks:
                 task.cancel()
             status, answered, _ = await call(session, service, "GET", "/registry/instances")
+            # Reads still work on a full disk.
             assert (status, [row["name"] for row in answered["endpoints"]]) == (
                 200,
                 ["s1"],
-            )  # reads still work
+            )
             await service.event("disk")
             await service.end(signal.SIGKILL)
             await service.start()
--- a/tests/controlplane/test_registry_spread.py
+++ b/tests/controlplane/test_registry_spread.py
@@ -106,8 +106,7 @@
             earliest, latest = max(earliest, sent) + step_s, max(latest, received) + step_s
             assert received + float(wait) - earliest >= MIN_RETRY_S - rounding_s
             assert sent + float(wait) - latest <= MIN_RETRY_S + SPAN_S + rounding_s
-            if (
-                received - sent < max_call_s
-            ):  # the time of the answer is not known well enough after a slow call
+            # The time of the answer is not known well enough after a slow call.
+            if received - sent < max_call_s:
                 samples.append((sent + received) / 2.0 + float(wait) - retries * step_s)
     assert not overfull_windows(samples, SPAN_S, max_call_s / 2.0 + 2.0 * rounding_s)
