--- a/tests/controlplane/test_revisions_shell.py
+++ b/tests/controlplane/test_revisions_shell.py
@@ -107,7 +107,7 @@
             now[0] += 500
             row = ChildException("c", "1", place, digest, acted)
             report = AggregatorReport("p", next(seq), "a", exceptions=[row], joined=list(joined))
-            return service.aggregators.reported(name, report).orders
+            return service.aggregators.receive_report(name, report).orders
 
         assert orders("1-00000000") == []  # The service does not know "c" as a child of the aggregator yet
         orders("1-00000000", None, [Member("c", "1")])
