--- a/brassfall/controlplane/aggregation/aggregator.py
+++ b/brassfall/controlplane/aggregation/aggregator.py
@@ -64,9 +64,9 @@
             case ChildReported():
                 return self._child_reports.receive(now, event)
             case UpstreamAnswered():
-                return self._upstream.answered(now, event)
+                return self._upstream.report_answered(now, event)
             case UpstreamFailed(seq):
-                self._upstream.failed(seq)
+                self._upstream.report_failed(seq)
                 return []
             case StateReceived():
                 return self._upstream.state_received(now, event)
@@ -140,9 +140,9 @@
         """Return how long the lease from the service still runs."""
         return self._state.lease.left_ms(now)
 
-    def unready(self, now: float) -> str:
+    def unready_reason(self, now: float) -> str:
         """Return why no child can get a lease at this time; empty if leases can be granted."""
-        return self._state.unready(now)
+        return self._state.unready_reason(now)
 
     def every_ms(self) -> float:
         """Return the interval between a child's reports: `every_ms` of its answer."""
--- a/brassfall/controlplane/aggregation/child_reports.py
+++ b/brassfall/controlplane/aggregation/child_reports.py
@@ -33,7 +33,7 @@
         retry_ms = self._admission_wait_ms(now, key, report)
         if retry_ms:
             return [RejectChild(event.ticket, retry_ms, "too many sidecars come at once")]
-        self._take_in(now, key, report)
+        self._store_report(now, key, report)
         refusal = self._refusal(now, event.name, report)
         if refusal is None:
             self._grant(now, key, report)
@@ -53,10 +53,10 @@
         self.state.exceptions.remove(key)
         self.state.objections.withdraw(key.name)
 
-    def _take_in(self, now: float, key: ChildKey, report: Report) -> None:
+    def _store_report(self, now: float, key: ChildKey, report: Report) -> None:
         state = self.state
         child = state.membership.report_received(now, key, report)
-        state.child_leases.report_received(key, report.seq, self._promised(report))
+        state.child_leases.report_received(key, report.seq, self._promised_revision(report))
         state.delays.add(now, key.name, report.group, report.measures)
         state.exceptions.report_received(now, child)
         objection = report.objection
@@ -68,10 +68,10 @@
     def _refusal(self, now: float, name: str, report: Report) -> LeaseRefusal | None:
         """Return why a child gets no lease now; None if it gets one."""
         state = self.state
-        unready = state.unready(now)
+        unready = state.unready_reason(now)
         if unready:
             return LeaseRefusal(RefusalReason.AGGREGATOR_UNREADY, unready)
-        if self._ahead(report):
+        if self._is_ahead(report):
             return LeaseRefusal(RefusalReason.AHEAD_OF_AGGREGATOR)
         order = state.exceptions.order(name)
         if order is not None and order.blocked:
@@ -86,11 +86,11 @@
     def _grant(self, now: float, key: ChildKey, report: Report) -> None:
         state = self.state
         until_ms = now + expiry_bound_ms(state.lease.child_lease_ms(now), state.timing.drift)
-        state.child_leases.grant(key, until_ms, report.seq, self._promised(report))
+        state.child_leases.grant(key, until_ms, report.seq, self._promised_revision(report))
 
     # --- what a child knows ------------------------------------------------------------------
 
-    def _ahead(self, report: Report) -> bool:
+    def _is_ahead(self, report: Report) -> bool:
         """Return whether a child knows a revision that is not known here: an answer could end its promise."""
         state = self.state
         if (report.epoch or 0) > state.epoch or self._promises_unknown(report):
@@ -98,7 +98,7 @@
         same_epoch = report.epoch == state.epoch
         return same_epoch and isinstance(report.acting, int) and report.acting > state.committed
 
-    def _promised(self, report: Report) -> int:
+    def _promised_revision(self, report: Report) -> int:
         """Return the revision that a child still promises after its answer: pending or unknown here, or 0."""
         goes_on = report.prepared == self.state.pending or self._promises_unknown(report)
         return report.prepared if goes_on else 0
@@ -113,7 +113,7 @@
 
     def _fetch_unknown(self, now: float, report: Report) -> list[Action]:
         """Fetch the state if a child of this epoch knows a revision that this aggregator has missed."""
-        if not self._ahead(report) or (report.epoch or 0) > self.state.epoch:
+        if not self._is_ahead(report) or (report.epoch or 0) > self.state.epoch:
             return []
         return self.state.fetch(now)
 
@@ -144,7 +144,7 @@
         state = self.state
         if state.leaving or state.lease.stale(now) or (report.epoch or 0) > state.epoch:
             return True
-        if state.caught_up() and not self._ahead(report):
+        if state.caught_up() and not self._is_ahead(report):
             return state.lease.left_ms(now) <= 0.0
         # This aggregator usually receives what it lacks within some ms.
         if state.behind_since_ms is None:
--- a/brassfall/controlplane/aggregation/state.py
+++ b/brassfall/controlplane/aggregation/state.py
@@ -41,7 +41,8 @@
         self.why_no_lease = "it has not been answered yet"  # as the service stated last
         self.behind_since_ms: float | None = None  # since when children know later revisions, or the lease
         # is on an older one
-        self.claimed = 0  # the pending revision that was urgently reported as acknowledged by all children
+        # The pending revision that an urgent report stated to be acknowledged by all children; 0: none.
+        self.urgently_reported = 0
         self._fetched_ms = -math.inf
 
     @property
@@ -64,7 +65,7 @@
         current = self.revisions.has_committed and self.lease.revision == self.committed
         return current and self.list.index >= self.list_index_due
 
-    def unready(self, now: float) -> str:
+    def unready_reason(self, now: float) -> str:
         """Return why no child can get a lease at this time; empty if leases can be granted."""
         if self.leaving:
             return "this aggregator ends"
@@ -91,7 +92,11 @@
         """Report at once if the pending revision has a first objection, or all children acknowledged it."""
         if self.objections.take_unreported():
             return [ReportNow()]
-        if not self.pending or self.claimed == self.pending or not self.child_leases.all_acknowledged(now):
+        if (
+            not self.pending
+            or self.urgently_reported == self.pending
+            or not self.child_leases.all_acknowledged(now)
+        ):
             return []
-        self.claimed = self.pending
+        self.urgently_reported = self.pending
         return [ReportNow()]
--- a/brassfall/controlplane/aggregation/upstream_messages.py
+++ b/brassfall/controlplane/aggregation/upstream_messages.py
@@ -23,10 +23,10 @@
         self._release = release
         self._lower_since_ms: float | None = None  # since when only a lower epoch answers
 
-    def answered(self, now: float, event: UpstreamAnswered) -> list[Action]:
+    def report_answered(self, now: float, event: UpstreamAnswered) -> list[Action]:
         """Apply the answer to a report; ignore one that is late, or of another epoch."""
         state, answer = self.state, event.lease
-        if not self._follows(now, answer.epoch):
+        if not self._accepts_epoch(now, answer.epoch):
             return []
         if not state.answered_seq < answer.seq <= state.last_seq:
             return []
@@ -42,14 +42,14 @@
             actions += state.fetch(now)
         return actions
 
-    def failed(self, seq: int) -> None:
+    def report_failed(self, seq: int) -> None:
         """Note that report `seq` had no good answer."""
         self.leaving_reported = self.leaving_reported or 0 < self.state.leaving_seq <= seq
 
     def state_received(self, now: float, event: StateReceived) -> list[Action]:
         """Apply a state of the revisions; ignore one that is older than the known one."""
         state = self.state
-        if not self._follows(now, event.epoch):
+        if not self._accepts_epoch(now, event.epoch):
             return []
         if not state.revisions.state_received(
             event.revision, event.state, event.committed, state.last_seq + 1
@@ -61,7 +61,7 @@
         actions = [*self._release.due(now), *state.urgent_report(now)]
         return [*actions, ReportNow()] if self._release.waiting else actions
 
-    def _follows(self, now: float, epoch: int) -> bool:
+    def _accepts_epoch(self, now: float, epoch: int) -> bool:
         """Return whether a message of this epoch counts.
 
         A later epoch replaces the followed one; a lower one does so once it alone has answered for
@@ -84,7 +84,7 @@
         state.revisions.begin_epoch(epoch)
         state.lease.drop()
         state.override_times.begin_epoch()
-        state.claimed = 0
+        state.urgently_reported = 0
         state.await_pending()
 
     def _take_lease(self, now: float, asked_ms: float, answer: AggregatorLease) -> None:
--- a/brassfall/controlplane/registry/aggregator/service.py
+++ b/brassfall/controlplane/registry/aggregator/service.py
@@ -176,7 +176,7 @@
             return f"no list: {self.list_feed.missing}"
         if self.configuration.missing:
             return f"no rules: {self.configuration.missing}"
-        why = self.core.unready(now_ms())
+        why = self.core.unready_reason(now_ms())
         return f"{why}; {self.reporter.failing}" if why and self.reporter.failing else why
 
     async def _live(self, _request: web.Request) -> web.Response:
--- a/brassfall/controlplane/registry/aggregator/status.py
+++ b/brassfall/controlplane/registry/aggregator/status.py
@@ -105,7 +105,7 @@
         region=parts.settings.region,
         children=core.children(at),
         revision=core.committed,
-        permits=core.unready(at) or "yes",
+        permits=core.unready_reason(at) or "yes",
         mirrored=ListView(feed.mirror.index, feed.age_ms),
     )
 
--- a/brassfall/lab/agreement/tier_defects.py
+++ b/brassfall/lab/agreement/tier_defects.py
@@ -76,12 +76,12 @@
 class _TakesOvertaken(UpstreamMessages):
     state: _BegunState
 
-    def answered(self, now: float, event: UpstreamAnswered) -> list[Action]:
+    def report_answered(self, now: float, event: UpstreamAnswered) -> list[Action]:
         """Take in an answer as if it were to the newest report."""
         state = self.state
         state.answered_seq = min(state.answered_seq, state.last_seq - 1)
         answer = msgspec.structs.replace(event.lease, seq=state.last_seq)
-        return super().answered(now, UpstreamAnswered(max(state.begun_ms, event.asked_ms), answer))
+        return super().report_answered(now, UpstreamAnswered(max(state.begun_ms, event.asked_ms), answer))
 
 
 class TakesOvertaken(Aggregator):
@@ -99,10 +99,10 @@
 
 
 class _KeepsLease(UpstreamMessages):
-    def _follows(self, now: float, epoch: int) -> bool:
+    def _accepts_epoch(self, now: float, epoch: int) -> bool:
         lease = self.state.lease
         before = (lease.revision, lease.until_ms, lease.renewed_ms)
-        follows = super()._follows(now, epoch)
+        follows = super()._accepts_epoch(now, epoch)
         lease.revision, lease.until_ms, lease.renewed_ms = before
         return follows
 
@@ -162,8 +162,8 @@
 class _CountingReports(ChildReports):
     state: _CountingState
 
-    def _take_in(self, now: float, key: ChildKey, report: Report) -> None:
-        super()._take_in(now, key, report)
+    def _store_report(self, now: float, key: ChildKey, report: Report) -> None:
+        super()._store_report(now, key, report)
         self.state.child_leases.note(key, report.prepared)
 
 
@@ -177,14 +177,14 @@
 class _GrantsOnceClaimed(ChildReports):
     def _refusal(self, now: float, name: str, report: Report) -> LeaseRefusal | None:
         refusal = super()._refusal(now, name, report)
-        claimed = self.state.claimed == self.state.pending
+        claimed = self.state.urgently_reported == self.state.pending
         return None if refusal == (RefusalReason.NOT_ACKNOWLEDGED, "") and claimed else refusal
 
 
 class _ClaimsOn(ReportBuilder):
     def _prepared(self, now: float) -> int:
         prepared = super()._prepared(now)
-        claimed = self.state.pending and self.state.claimed == self.state.pending
+        claimed = self.state.pending and self.state.urgently_reported == self.state.pending
         return self.state.pending if claimed else prepared
 
 
@@ -278,10 +278,10 @@
 
 
 class _EndsPromises(ChildReports):
-    def _promised(self, report: Report) -> int:
+    def _promised_revision(self, report: Report) -> int:
         return report.prepared
 
-    def _ahead(self, report: Report) -> bool:
+    def _is_ahead(self, report: Report) -> bool:
         return False
 
     def _promises_unknown(self, report: Report) -> bool:
