--- a/brassfall/controlplane/__init__.py
+++ b/brassfall/controlplane/__init__.py
@@ -1,1 +1,1 @@
-"""The control plane: list service, revisions, aggregators, overrides and geographic steering."""
+"""Control plane: endpoint lists, configuration revisions, aggregators, overrides, geographic steering."""
--- a/brassfall/controlplane/aggregation/actions.py
+++ b/brassfall/controlplane/aggregation/actions.py
@@ -1,4 +1,4 @@
-"""The actions that an aggregator's host has to carry out, in the order in which `step` returns them."""
+"""Actions returned by `Aggregator.step`, which its caller carries out in the order returned."""
 
 from __future__ import annotations
 
@@ -10,30 +10,38 @@
 
 @dataclass(frozen=True, slots=True)
 class SendReport:
-    """Send a report to the service; `UpstreamAnswered` or `UpstreamFailed` has to follow."""
+    """Order to send a report to the service and to pass its outcome to `Aggregator.step`.
+
+    The outcome is an `UpstreamAnswered` or `UpstreamFailed` event.
+    """
 
     report: AggregatorReport
 
 
 @dataclass(frozen=True, slots=True)
 class ReportNow:
-    """Report at once, or once a report under way was answered or has failed: a decision waits for it."""
+    """Order to report to the service at once: a decision, a commit or a shutdown waits for the report.
+
+    If a report is under way, the next one follows once that one was answered or has failed.
+    """
 
 
 @dataclass(frozen=True, slots=True)
 class FetchState:
-    """Fetch `GET /rules`, and pass the answer on as `StateReceived`.
+    """Order to fetch `GET /rules` from the service and to pass its answer to `step` as `StateReceived`.
 
-    An answer named a revision that was not received: the watch may be broken.
+    It is given if a report or an answer names a revision that this aggregator has not received, because the
+    watch on the service may be broken.
     """
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerChild:
-    """The answer to a child's report; `revision` and `pending` are to be sent as they are.
+    """Order to answer a child's report; `revision` and `pending` are sent without change.
 
-    `lease_ms` counts from when the child sent its report; it is 0 with a refusal. `elsewhere` says that
-    another aggregator may grant a lease (also beside a lease that will not be renewed).
+    `ticket` is that of the `ChildReported` event. `lease_ms` counts from when the child sent its report; it
+    is 0 if the lease is refused. With `elsewhere` the child should report to another aggregator; this can
+    also accompany a lease, which will then not be renewed.
     """
 
     ticket: int
@@ -44,17 +52,17 @@
     refusal: LeaseRefusal | None = None
     elsewhere: bool = False
     order: ChildOrder | None = None
-    times_left: TimesLeft = field(default_factory=dict)  # of overrides, with `slack_ms` in the rows
+    times_left: TimesLeft = field(default_factory=dict)  # times until overrides end, with `slack_ms`
 
     @property
     def why(self) -> str:
-        """The refusal's text on the wire; empty with a lease."""
+        """The text sent to the child as the reason for the refusal; empty if a lease was granted."""
         return text_of(self.refusal)
 
 
 @dataclass(frozen=True, slots=True)
 class RejectChild:
-    """Reject a child for lack of capacity; it may come again after `retry_ms`."""
+    """Order to reject a child's report for lack of capacity; the child may retry after `retry_ms`."""
 
     ticket: int
     retry_ms: float
@@ -63,7 +71,10 @@
 
 @dataclass(frozen=True, slots=True)
 class NotifyChildren:
-    """Send a line to all watches on the configuration; those opened later begin with it."""
+    """Order to send `line` to all watches on the configuration.
+
+    It is also the first line of each watch that is opened later, until the next `NotifyChildren`.
+    """
 
     line: bytes
 
--- a/brassfall/controlplane/aggregation/aggregator.py
+++ b/brassfall/controlplane/aggregation/aggregator.py
@@ -1,8 +1,9 @@
-"""The aggregator as a state machine: `step(now, event) -> actions`, with no clock, socket or random source.
+"""State machine of an aggregator: `step(now, event) -> actions`, with no clock, socket or random source.
 
-It has a lease from the service, counted from when it sent its report, and grants leases to its children that
-never end after it. It reports a revision as prepared once each child that may still act has acknowledged it.
-`now` is milliseconds of the aggregator's monotonic clock.
+An aggregator holds a lease from the service, which counts from when it sent its report. The leases that it
+grants to its children never end after its own lease. It reports a revision as prepared once that revision was
+acknowledged by each child whose lease may still run. `now` is in milliseconds of the aggregator's monotonic
+clock.
 """
 
 from __future__ import annotations
@@ -32,23 +33,24 @@
 from brassfall.controlplane.aggregation.upstream_messages import UpstreamMessages
 from brassfall.controlplane.revisions import pace
 
-SWEEP_MS = 250.0
+SWEEP_MS = 250.0  # the minimum time between two removals of silent children
 
 
 class Aggregator:
-    """One process of an aggregator.
+    """State machine of one aggregator process.
 
-    The public properties and methods other than `step` are for the host to read.
+    Only `step` changes its state. The other public methods and the properties are for the process around it,
+    which shows their values or puts them into answers.
     """
 
-    # The types of the parts, which the lab replaces to inject defects.
+    # Types of the parts of the state machine; the lab replaces them to inject defects.
     state_type: ClassVar[type[AggregatorState]] = AggregatorState
     child_reports_type: ClassVar[type[ChildReports]] = ChildReports
     upstream_type: ClassVar[type[UpstreamMessages]] = UpstreamMessages
     builder_type: ClassVar[type[ReportBuilder]] = ReportBuilder
 
     def __init__(self, timing: AggregatorTiming, identity: Identity, started_ms: float) -> None:
-        """Begin at `started_ms`, on the clock that `step` is given."""
+        """Initialize the state machine at `started_ms`, in ms of the clock that `step` uses."""
         self.timing = timing
         self.identity = identity
         self._state = self.state_type(timing, started_ms)
@@ -56,10 +58,10 @@
         self._child_reports = self.child_reports_type(self._state)
         self._upstream = self.upstream_type(self._state, self._release)
         self._builder = self.builder_type(self._state, identity)
-        self._swept_ms = -math.inf
+        self._last_sweep_ms = -math.inf
 
     def step(self, now: float, event: Event) -> list[Action]:
-        """Apply an event; return the actions to carry out, in this order."""
+        """Apply an event at `now`, and return the actions to carry out, in the order returned."""
         match event:
             case ChildReported():
                 return self._child_reports.receive(now, event)
@@ -82,23 +84,23 @@
                 return [ReportNow()]
 
     def _tick(self, now: float) -> list[Action]:
-        if now - self._swept_ms >= SWEEP_MS:
-            self._swept_ms = now
+        if now - self._last_sweep_ms >= SWEEP_MS:
+            self._last_sweep_ms = now
             for key in self.membership.silent(now, self.timing.expiry_bound_ms):
                 self.membership.depart(key)
                 self._state.exceptions.remove(key)
         return [*self._release.due(now), *self._state.urgent_report(now)]
 
-    # --- what the host reads ----------------------------------------------------------------
+    # --- values for the process around the state machine -----------------------------------------
 
     @property
     def name(self) -> str:
-        """The configured name."""
+        """The configured name of the aggregator."""
         return self.identity.name
 
     @property
     def epoch(self) -> int:
-        """The epoch of the service that is followed; 0 before the first."""
+        """The epoch of the service whose messages this aggregator accepts; 0 before the first message."""
         return self._state.epoch
 
     @property
@@ -108,61 +110,64 @@
 
     @property
     def pending(self) -> int:
-        """The revision known to be pending; 0 if there is none."""
+        """The revision known to be pending; 0 if no revision is pending."""
         return self._state.pending
 
     @property
     def membership(self) -> ChildMembership:
-        """The children."""
+        """The children of this aggregator, with their newest reports."""
         return self._state.membership
 
     @property
     def members(self) -> int:
-        """The sidecars in the whole fleet: the field `edges` of children's answers."""
+        """The number of sidecars in the whole fleet; children get it as `edges` in their answers."""
         return self._upstream.members
 
     @property
     def report_every_ms(self) -> float:
-        """The interval between reports that the service asked for last."""
+        """The interval between reports to the service that its newest answer requests, in ms."""
         return self._upstream.report_every_ms
 
     @property
     def lease_until_ms(self) -> float:
-        """The end of the lease from the service; -inf without one."""
+        """The time at which the lease from the service ends; -inf if there was no lease."""
         return self._state.lease.until_ms
 
     @property
     def child_leases_until_ms(self) -> float:
-        """An upper bound on the end of the last child lease; -inf if there is none."""
+        """An upper bound on the time at which the last child lease ends; -inf without child leases."""
         return self._state.child_leases.latest_end_ms
 
     def lease_left_ms(self, now: float) -> float:
-        """Return how long the lease from the service still runs."""
+        """Return how many ms the lease from the service still runs; 0 if it has ended."""
         return self._state.lease.left_ms(now)
 
     def unready_reason(self, now: float) -> str:
-        """Return why no child can get a lease at this time; empty if leases can be granted."""
+        """Return why no child can get a lease at `now`; the text is empty if leases can be granted."""
         return self._state.unready_reason(now)
 
     def every_ms(self) -> float:
-        """Return the interval between a child's reports: `every_ms` of its answer."""
+        """Return the interval between the reports of a child, which gets it as `every_ms` in its answer."""
         return pace.every_ms(len(self.membership.children))
 
     def spread_ms(self) -> float:
-        """Return the time over which urgent reports are spread: `spread_ms` of children's answers."""
+        """Return the time in ms over which children spread urgent reports.
+
+        Children get it as `spread_ms` in their answers.
+        """
         return pace.spread_ms(len(self.membership.children))
 
     def children(self, now: float) -> list[ChildRow]:
-        """Return the rows for `GET /edges`, by name and process."""
+        """Return the rows for `GET /edges`, sorted by the sidecar's name and process id."""
         return [child.row(now) for _, child in sorted(self.membership.children.items())]
 
     def counts(self, now: float) -> ChildCounts:
-        """Return the number of children by their last reports."""
+        """Return the numbers of children in each condition, by their newest reports and their leases."""
         return self.membership.counts(now, self._state.child_leases)
 
     def may_end(self) -> bool:
-        """Return whether the process may end after `Leave`.
+        """Return whether the process may exit after a `Leave` event.
 
-        Then no child lease runs any more, and the service was notified or could not be reached.
+        This is so once all child leases have ended and the report that says so was answered or has failed.
         """
         return self._upstream.leaving_reported
--- a/brassfall/controlplane/aggregation/child_reports.py
+++ b/brassfall/controlplane/aggregation/child_reports.py
@@ -1,4 +1,4 @@
-"""How an aggregator answers the reports of its children. Pure code."""
+"""Answers of an aggregator to the reports of its children, and the leases granted with them."""
 
 from __future__ import annotations
 
@@ -11,18 +11,22 @@
 from brassfall.controlplane.revisions.reports import FALLBACK, Report
 from brassfall.controlplane.revisions.timing import expiry_bound_ms
 
-BEHIND_MS = 500.0  # after which children that know later revisions are redirected
+# How long an aggregator may lack a revision that a child knows until children are redirected.
+BEHIND_MS = 500.0
 
 
 class ChildReports:
-    """Applies children's reports, and grants leases that end before the aggregator's own."""
+    """Handler of children's reports; grants leases that never end after the aggregator's own."""
 
     def __init__(self, state: AggregatorState) -> None:
         self.state = state
         self._admission = Admission(state.timing)
 
     def receive(self, now: float, event: ChildReported) -> list[Action]:
-        """Apply a report at `now`, in ms of the aggregator's clock; return the actions that are due."""
+        """Apply a report of a child, and return its answer and the other actions that are due.
+
+        `now` is in ms of the aggregator's clock.
+        """
         state, report = self.state, event.report
         key = ChildKey(event.name, report.process_id)
         if report.leaving:
@@ -63,10 +67,10 @@
         if objection is not None and objection.revision == state.pending != 0:
             state.objections.add(key.name, objection)
 
-    # --- grants ------------------------------------------------------------------------------
+    # --- leases ------------------------------------------------------------------------------
 
     def _refusal(self, now: float, name: str, report: Report) -> LeaseRefusal | None:
-        """Return why a child gets no lease now; None if it gets one."""
+        """Return the reason for which a child gets no lease at `now`; None if it gets one."""
         state = self.state
         unready = state.unready_reason(now)
         if unready:
@@ -88,10 +92,13 @@
         until_ms = now + expiry_bound_ms(state.lease.child_lease_ms(now), state.timing.drift)
         state.child_leases.grant(key, until_ms, report.seq, self._promised_revision(report))
 
-    # --- what a child knows ------------------------------------------------------------------
+    # --- revisions known to a child ------------------------------------------------------------------
 
     def _is_ahead(self, report: Report) -> bool:
-        """Return whether a child knows a revision that is not known here: an answer could end its promise."""
+        """Return whether a child knows an epoch or a revision that this aggregator does not know yet.
+
+        A lease could then end the child's promise of a revision that is still pending.
+        """
         state = self.state
         if (report.epoch or 0) > state.epoch or self._promises_unknown(report):
             return True
@@ -99,20 +106,23 @@
         return same_epoch and isinstance(report.acting, int) and report.acting > state.committed
 
     def _promised_revision(self, report: Report) -> int:
-        """Return the revision that a child still promises after its answer: pending or unknown here, or 0."""
-        goes_on = report.prepared == self.state.pending or self._promises_unknown(report)
-        return report.prepared if goes_on else 0
+        """Return the revision that a child still promises to act on after the answer to its report.
+
+        This is its acknowledged revision if that is pending or unknown at this aggregator; else 0.
+        """
+        still_promised = report.prepared == self.state.pending or self._promises_unknown(report)
+        return report.prepared if still_promised else 0
 
     def _promises_unknown(self, report: Report) -> bool:
-        """Return whether a child has acknowledged a revision that is not known here yet.
+        """Return whether a child has acknowledged a revision that this aggregator does not know yet.
 
-        A number below the epoch's is from an earlier epoch: this one numbers from itself up, and its first
-        message has all that it took over.
+        The revisions of an epoch have numbers from the epoch's number up. A lower number is of an earlier
+        epoch, and known: the first message of an epoch has all revisions taken over from earlier ones.
         """
         return report.prepared > self.state.revisions.newest and report.prepared >= self.state.epoch
 
     def _fetch_unknown(self, now: float, report: Report) -> list[Action]:
-        """Fetch the state if a child of this epoch knows a revision that this aggregator has missed."""
+        """Return a `FetchState` if a child of this epoch knows a revision that this aggregator lacks."""
         if not self._is_ahead(report) or (report.epoch or 0) > self.state.epoch:
             return []
         return self.state.fetch(now)
@@ -129,7 +139,7 @@
             epoch=state.epoch,
             revision=state.committed,
             lease_ms=state.lease.child_lease_ms(now) if refusal is None else 0.0,
-            # A promise of a revision that is not known here goes on: nothing known here ended it.
+            # The child keeps its promise of a revision unknown to this aggregator, which may be pending.
             pending=report.prepared if self._promises_unknown(report) else state.pending,
             refusal=refusal,
             elsewhere=self._elsewhere(now, report),
@@ -140,13 +150,14 @@
         return answer
 
     def _elsewhere(self, now: float, report: Report) -> bool:
-        """Return whether a child should report to another aggregator."""
+        """Return whether the answer to a child redirects it to another aggregator."""
         state = self.state
         if state.leaving or state.lease.stale(now) or (report.epoch or 0) > state.epoch:
             return True
         if state.caught_up() and not self._is_ahead(report):
             return state.lease.left_ms(now) <= 0.0
-        # This aggregator usually receives what it lacks within some ms.
+        # An aggregator usually receives a missing revision within a few ms, so children are redirected
+        # only after `BEHIND_MS`.
         if state.behind_since_ms is None:
             state.behind_since_ms = now
         return state.lease.left_ms(now) <= 0.0 or now - state.behind_since_ms > BEHIND_MS
--- a/brassfall/controlplane/aggregation/children.py
+++ b/brassfall/controlplane/aggregation/children.py
@@ -1,6 +1,6 @@
-"""The children of an aggregator, and the arrivals and departures to report. Pure code.
+"""Children of an aggregator, with the arrivals and departures that it reports to the service.
 
-A child is one process of a sidecar; its lease is in `child_leases`.
+A child is one process of a sidecar. The leases of children are in `child_leases`.
 """
 
 from __future__ import annotations
@@ -16,7 +16,10 @@
 
 
 class ChildRow(msgspec.Struct, frozen=True, rename={"process_id": "life", "newest_revision": "held"}):
-    """One child in an aggregator's `GET /edges`, by its newest report; ages in ms."""
+    """Row of one child in the answer to `GET /edges` of an aggregator, by the child's newest report.
+
+    Ages are in ms.
+    """
 
     name: str
     process_id: str
@@ -34,15 +37,16 @@
 
 @dataclass(slots=True)
 class Child:
-    """One child by its newest report."""
+    """One child with its newest report; times are ms of the aggregator's clock."""
 
     key: ChildKey
     reported_ms: float
     report: Report
-    differs_since_ms: float | None = None  # since when its overrides differ from those due
+    # Since when the overrides of this child differ from the expected ones; None if they do not differ.
+    differs_since_ms: float | None = None
 
     def row(self, now: float) -> ChildRow:
-        """Return its row in a listing."""
+        """Return the row of this child in `GET /edges`."""
         report = self.report
         return ChildRow(
             name=self.key.name,
@@ -62,15 +66,15 @@
 
 @dataclass(slots=True)
 class ChildMembership:
-    """The children, and the arrivals and departures that the service has not confirmed yet."""
+    """The children of an aggregator, with arrivals and departures that the service has not confirmed."""
 
     children: dict[ChildKey, Child] = field(default_factory=dict)
-    stale: int = 0  # reports that were repeated or late
-    _arrivals: dict[ChildKey, int] = field(default_factory=dict)  # the last report with it; 0: none
-    _departures: dict[ChildKey, int] = field(default_factory=dict)
+    stale: int = 0  # number of reports that were repeated or late, and ignored
+    _arrivals: dict[ChildKey, int] = field(default_factory=dict)  # newest report with the arrival; 0: none
+    _departures: dict[ChildKey, int] = field(default_factory=dict)  # newest report with it; 0: none
 
     def is_newest(self, key: ChildKey, report: Report, leases: ChildLeases) -> bool:
-        """Return whether a report is the newest known of its process; count it if not."""
+        """Return whether a report is newer than the others of its process; count it as stale if not."""
         child = self.children.get(key)
         newest = max(leases.newest_seq(key), child.report.seq if child is not None else -1)
         if key.process_id and report.seq <= newest:
@@ -79,7 +83,7 @@
         return True
 
     def report_received(self, now: float, key: ChildKey, report: Report) -> Child:
-        """Store the newest report of a process; return its child, which may be new."""
+        """Store the newest report of a process; return the child, which is added if it is not known."""
         child = self.children.get(key)
         if child is None:
             child = self.children[key] = Child(key, now, report)
@@ -89,7 +93,7 @@
         return child
 
     def depart(self, key: ChildKey) -> Child | None:
-        """Remove a child and report its departure; return None if there is no such child."""
+        """Remove and return a child, and report its departure to the service; return None if not known."""
         child = self.children.pop(key, None)
         if child is not None:
             self._arrivals.pop(key, None)
@@ -97,16 +101,17 @@
         return child
 
     def silent(self, now: float, longest_ms: float) -> list[ChildKey]:
-        """Return the children that have not reported for longer than `longest_ms`."""
+        """Return the children whose newest report is more than `longest_ms` old."""
         return [key for key, child in self.children.items() if now - child.reported_ms > longest_ms]
 
     def migrate(self, members: Iterable[Member], asked_ms: float) -> list[ChildKey]:
-        """Remove children that have since reported to another aggregator; return those removed.
+        """Remove the children in `members`, which migrated to other aggregators; return those removed.
 
-        Their departures are not reported. A child that reported here after `asked_ms`, when the report was
-        begun that got this answer, has come back.
+        `members` is from an answer of the service, and the report that it answers was begun at `asked_ms`.
+        Departures of migrated children are not reported. A child that has reported to this aggregator after
+        `asked_ms` has returned: it stays, and its arrival is reported anew.
         """
-        dropped = []
+        removed = []
         for member in members:
             key = ChildKey(member.name, member.process_id)
             child = self.children.get(key)
@@ -117,29 +122,29 @@
             else:
                 del self.children[key]
                 self._arrivals.pop(key, None)
-                dropped.append(key)
-        return dropped
+                removed.append(key)
+        return removed
 
     def resync(self) -> None:
-        """Report all children anew: the service does not know this process."""
+        """Report the arrivals of all children anew, since the service does not know this process."""
         self._arrivals = dict.fromkeys(self.children, 0)
 
     def arrivals(self, seq: int, most: int) -> list[Member]:
-        """Return the arrivals for report `seq`."""
-        return _to_report(self._arrivals, seq, most)
+        """Return at most `most` arrivals for report `seq` to the service."""
+        return _changes_for_report(self._arrivals, seq, most)
 
     def departures(self, seq: int, most: int) -> list[Member]:
-        """Return the departures for report `seq`."""
-        return _to_report(self._departures, seq, most)
+        """Return at most `most` departures for report `seq` to the service."""
+        return _changes_for_report(self._departures, seq, most)
 
     def report_answered(self, seq: int) -> None:
-        """Forget the arrivals and departures in report `seq`, which was answered."""
+        """Remove the arrivals and departures that were in report `seq`, which the service has answered."""
         for changes in (self._arrivals, self._departures):
-            for key in [key for key, carried in changes.items() if carried == seq]:
+            for key in [key for key, report_seq in changes.items() if report_seq == seq]:
                 del changes[key]
 
     def counts(self, now: float, leases: ChildLeases) -> ChildCounts:
-        """Return the number of children by their last reports."""
+        """Return the numbers of children in each condition, by their newest reports and `leases`."""
         leased, lagging = leases.names(now), set(leases.lagging(now))
         indexes = [child.report.list_index for child in self.children.values()]
         ages = [
@@ -157,8 +162,8 @@
         )
 
 
-def _to_report(changes: dict[ChildKey, int], seq: int, most: int) -> list[Member]:
-    """Return the first changes, and mark them with the report that has them.
+def _changes_for_report(changes: dict[ChildKey, int], seq: int, most: int) -> list[Member]:
+    """Return at most `most` changes for report `seq`, and store `seq` as the newest report with them.
 
     A change in an earlier report that was not answered is reported again.
     """
--- a/brassfall/controlplane/aggregation/events.py
+++ b/brassfall/controlplane/aggregation/events.py
@@ -1,6 +1,7 @@
-"""The events of an aggregator's state machine.
+"""Events that are passed to the state machine of an aggregator, `Aggregator.step`.
 
-The time of an event is the `now` of `step`; times in events are ms of the aggregator's monotonic clock.
+The time of an event is the argument `now` of `step`. Times in events are ms of the aggregator's monotonic
+clock.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChildReported:
-    """A child reports and requests a lease; `ticket` comes back with the answer."""
+    """A child has reported, which requests a lease; the answer to it has the same `ticket`."""
 
     ticket: int
     name: str
@@ -22,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamAnswered:
-    """The service answered a report that was begun at `asked_ms`."""
+    """The service has answered the report that was begun at `asked_ms`."""
 
     asked_ms: float
     lease: AggregatorLease
@@ -30,16 +31,17 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamFailed:
-    """Report `seq` had no good answer."""
+    """The report with number `seq` failed: the service sent no usable answer to it."""
 
     seq: int
 
 
 @dataclass(frozen=True, slots=True)
 class StateReceived:
-    """The service sent the state of its revisions; children's watches get `line` unchanged.
+    """The service has sent the state of its revisions; `line` is sent on to children's watches unchanged.
 
-    A number is 0 if there is no such revision. `state` is that of `revision`, a value of `RevisionState`.
+    `state` is the state of `revision`, a value of `RevisionState`, and `committed` is the committed revision.
+    Each of the two numbers is 0 if there is no such revision.
     """
 
     epoch: int
@@ -51,7 +53,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ListReceived:
-    """The mirrored endpoint list has a new index, or was confirmed at `confirmed_ms` as the newest."""
+    """The mirrored endpoint list has a new index, or the service confirmed that it is the newest one.
+
+    The confirmation came at `confirmed_ms`.
+    """
 
     index: int
     confirmed_ms: float
@@ -59,17 +64,20 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportDue:
-    """The next report is due: the last one was answered or has failed, and the wait after it has ended."""
+    """The next report to the service is due.
+
+    The previous report was answered or has failed, and the wait after it has ended.
+    """
 
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Time has passed."""
+    """Some time has passed, so actions may be due."""
 
 
 @dataclass(frozen=True, slots=True)
 class Leave:
-    """Shut down gracefully: grant no more leases."""
+    """The aggregator shuts down gracefully, and grants no more leases."""
 
 
 Event = (
--- a/brassfall/controlplane/aggregation/merged_delays.py
+++ b/brassfall/controlplane/aggregation/merged_delays.py
@@ -1,8 +1,8 @@
-"""The delays of all children, merged by client group and region. Pure code.
+"""Delays measured by all children of an aggregator, merged by client group and region.
 
-Children report windows of delays as `sidecar.agent.delays` makes them. A merged row has the same form and
-names its group. It counts at most `MAX_CHILD_SAMPLES` of one child and window, so that no child outweighs
-the others.
+Children report windows of delays in the form that `sidecar.agent.delays` writes. A merged row has the same
+form, and also names its client group. It counts at most `MAX_CHILD_SAMPLES` samples of one child and window,
+so that no child outweighs the others.
 """
 
 from __future__ import annotations
@@ -15,19 +15,20 @@
 
 from brassfall.controlplane.geo.evidence import MAX_COUNT, DelayRow, Points, sample_count, validate_rows
 
-DELAYS = "delays"  # the field of a report's measures
-EVERY_MS = 5000.0  # the least time between two rows of a pair
-MAX_ROWS = 48  # of one report; the other pairs go on counting
-MAX_PAIRS = 4096
-MAX_CHILD_SAMPLES = 200  # of one child and window
-# One point is reported for each of these parts of a merged histogram's counts: as many as a reader takes.
+DELAYS = "delays"  # key of the delay rows in the `measures` of a report
+EVERY_MS = 5000.0  # the minimum time between two merged rows of one pair
+MAX_ROWS = 48  # the maximum number of rows in one report; further pairs stay for later reports
+MAX_PAIRS = 4096  # the maximum number of pairs; rows of further ones are rejected
+MAX_CHILD_SAMPLES = 200  # the maximum number of samples counted of one child and window
+# The ranks at which the parts of a merged histogram end; one bucket is reported for each part. The number of
+# ranks is the maximum number of buckets that a reader of the rows accepts for one histogram.
 RANKS = (0.02, 0.04, 0.07, 0.1, 0.13, 0.16, 0.2, 0.25, 0.3, 0.35, 0.4, 0.5, 0.6, 0.75, 0.9, 1.0)
 
-Histogram = dict[int, int]  # counts by bucket
+Histogram = dict[int, int]  # number of samples by bucket
 
 
 class Pair(NamedTuple):
-    """The client group and the region of a delay."""
+    """Client group that measured a delay, and region of the server."""
 
     group: str
     region: str
@@ -36,21 +37,21 @@
 class MergedDelayRow(
     msgspec.Struct, frozen=True, omit_defaults=True, rename={"handshakes": "shake", "first_bytes": "first"}
 ):
-    """One window of one pair; counts by the number of the bucket."""
+    """Merged delays of one pair in one window; the histograms map bucket numbers to sample counts."""
 
     group: str
     region: str
     window: int
     span_ms: int
     children: int
-    answers: int  # also those that the histograms leave out
+    answers: int  # number of answers, including those that the histograms leave out
     handshakes: dict[str, int] = {}
     first_bytes: dict[str, int] = {}
 
 
 @dataclass(slots=True)
 class _Counts:
-    """The counts of one pair since its last row."""
+    """Sample counts of one pair since its last merged row."""
 
     since_ms: float
     handshakes: Histogram = field(default_factory=dict)
@@ -61,14 +62,14 @@
 
 @dataclass(slots=True)
 class MergedDelays:
-    """The histograms of delays of all children, by pair; times are ms of one monotonic clock."""
+    """Histograms of the delays of all children, by pair; times are ms of one monotonic clock."""
 
-    rejected: int = 0  # rows of children that are malformed, or of too many pairs
-    _pairs: dict[Pair, _Counts] = field(default_factory=dict)  # longest waiting first
-    _window: int = 0
+    rejected: int = 0  # number of rows rejected as malformed or because of `MAX_PAIRS`
+    _pairs: dict[Pair, _Counts] = field(default_factory=dict)  # the pair reported longest ago first
+    _window: int = 0  # number of the window reported last
 
     def add(self, now: float, child: str, group: str, measures: Mapping[str, Any]) -> None:
-        """Add the measures of one report."""
+        """Add the delay rows in the `measures` of one report of a child."""
         rows = measures.get(DELAYS)
         if not rows:
             return
@@ -79,40 +80,40 @@
 
     def _add_row(self, now: float, child: str, group: str, row: DelayRow) -> None:
         pair = Pair(group, row.region)
-        gathered = self._pairs.get(pair)
-        if gathered is None:
+        pair_counts = self._pairs.get(pair)
+        if pair_counts is None:
             if len(self._pairs) >= MAX_PAIRS:
                 self.rejected += 1
                 return
-            gathered = self._pairs[pair] = _Counts(now)
-        _add_points(gathered.handshakes, row.handshakes)
-        _add_points(gathered.first_bytes, row.first_bytes)
-        gathered.answers += sample_count(row.first_bytes)
-        gathered.children.add(child)
+            pair_counts = self._pairs[pair] = _Counts(now)
+        _add_points(pair_counts.handshakes, row.handshakes)
+        _add_points(pair_counts.first_bytes, row.first_bytes)
+        pair_counts.answers += sample_count(row.first_bytes)
+        pair_counts.children.add(child)
 
     def take(self, now: float) -> dict[str, Any]:
-        """Return the measures of the next report, in their JSON form, and begin their pairs anew."""
-        due = [pair for pair, gathered in self._pairs.items() if now - gathered.since_ms >= EVERY_MS]
+        """Return the delay rows for the next report, as JSON values, and reset the counts of their pairs."""
+        due = [pair for pair, pair_counts in self._pairs.items() if now - pair_counts.since_ms >= EVERY_MS]
         if not due:
             return {}
         self._window += 1
         return {DELAYS: [msgspec.to_builtins(self._row(now, pair)) for pair in due[:MAX_ROWS]]}
 
     def _row(self, now: float, pair: Pair) -> MergedDelayRow:
-        gathered = self._pairs.pop(pair)
+        pair_counts = self._pairs.pop(pair)
         return MergedDelayRow(
             group=pair.group,
             region=pair.region,
             window=self._window,
-            span_ms=max(1, round(now - gathered.since_ms)),
-            children=len(gathered.children),
-            answers=gathered.answers,
-            handshakes=_keyed(gathered.handshakes),
-            first_bytes=_keyed(gathered.first_bytes),
+            span_ms=max(1, round(now - pair_counts.since_ms)),
+            children=len(pair_counts.children),
+            answers=pair_counts.answers,
+            handshakes=_thinned_json(pair_counts.handshakes),
+            first_bytes=_thinned_json(pair_counts.first_bytes),
         )
 
 
-def _keyed(counts: Histogram) -> dict[str, int]:
+def _thinned_json(counts: Histogram) -> dict[str, int]:
     return {str(bucket): count for bucket, count in thinned(counts).items()}
 
 
@@ -123,30 +124,30 @@
 
 
 def thinned(counts: Mapping[int, int]) -> Histogram:
-    """Return at most one bucket for each of `RANKS`, with the counts of its part."""
+    """Reduce a histogram to at most one bucket for each of `RANKS`, with the sum of the part's counts."""
     points = sorted(counts.items())
     if len(points) > len(RANKS):
-        points = [(_middle(part), sample_count(part)) for part in _parts(points) if part]
+        points = [(_median_bucket(part), sample_count(part)) for part in _split_by_rank(points) if part]
     return {bucket: min(count, MAX_COUNT) for bucket, count in points}
 
 
-def _parts(points: list[tuple[int, int]]) -> list[list[tuple[int, int]]]:
-    """Return the points by the rank of their first sample."""
-    total, passed, rank = sample_count(points), 0, 0
+def _split_by_rank(points: list[tuple[int, int]]) -> list[list[tuple[int, int]]]:
+    """Return the points of a histogram in one part for each of `RANKS`, by the rank of their first sample."""
+    total, samples_before, rank = sample_count(points), 0, 0
     parts: list[list[tuple[int, int]]] = [[] for _ in RANKS]
     for bucket, count in points:
-        while passed >= RANKS[rank] * total:
+        while samples_before >= RANKS[rank] * total:
             rank += 1
         parts[rank].append((bucket, count))
-        passed += count
+        samples_before += count
     return parts
 
 
-def _middle(points: list[tuple[int, int]]) -> int:
-    """Return the bucket with the median of these samples."""
-    left = sample_count(points) / 2.0
+def _median_bucket(points: list[tuple[int, int]]) -> int:
+    """Return the bucket of the median sample of these points."""
+    samples_left = sample_count(points) / 2.0
     for bucket, count in points:
-        left -= count
-        if left <= 0.0:
+        samples_left -= count
+        if samples_left <= 0.0:
             return bucket
     return points[-1][0]
--- a/brassfall/controlplane/aggregation/messages.py
+++ b/brassfall/controlplane/aggregation/messages.py
@@ -1,12 +1,13 @@
-"""The messages between an aggregator and the service. Pure code.
+"""Messages between an aggregator and the control-plane service.
 
 An aggregator reports with `POST /aggregators/NAME` (body `AggregatorReport`, answer `AggregatorLease`) every
-`REPORT_EVERY_MS`, and sooner when a decision waits for it. The size of a report depends on its children with
-something to report (arrivals, departures, lags, objections), not on their number: each list is limited, and
-the rest follows with the next report.
+`REPORT_EVERY_MS`, and sooner if a decision waits for the report. The size of a report depends on the number
+of children with something to report (arrivals, departures, missing acknowledgements, objections), not on the
+number of all children. Each list in a report is limited, and the rest follows in the next reports.
 
-All durations are milliseconds. Fields with another name on the wire are mapped by `rename`; the paths
-`/rules` and `/edges` call revisions and epochs `edition` and `life`.
+All durations are in milliseconds. Fields that have another name on the wire are mapped by `rename`. In the
+answers of the paths `/rules` and `/edges`, revisions are called `edition`; epochs and process ids are called
+`life`.
 """
 
 from __future__ import annotations
@@ -19,60 +20,62 @@
 from brassfall.errors import RequestError
 
 REPORT_EVERY_MS = 250.0
-MEMBERS_MOST = 256  # arrivals, and departures, in one report
-LAGGING_MOST = 32
-OBJECTIONS_MOST = 16
-EXCEPTIONS_MOST = 32
-PLACES_MOST = 64
-TEXT_MOST = 200  # characters
-NUMBER_MOST = 2**53  # above it JSON readers lose precision
-AGE_MOST_MS = 1e12
-# The integers of a report, by their names on the wire.
+MEMBERS_MOST = 256  # the maximum number of arrivals in one report, and of departures
+LAGGING_MOST = 32  # the maximum number of lagging children named in one report
+OBJECTIONS_MOST = 16  # the maximum number of objections in one report
+EXCEPTIONS_MOST = 32  # the maximum number of override exceptions in one report
+PLACES_MOST = 64  # the maximum number of places in one report
+TEXT_MOST = 200  # the maximum length of a text in a report or an order, in characters
+NUMBER_MOST = 2**53  # exclusive limit of integers; JSON readers lose precision above it
+AGE_MOST_MS = 1e12  # the maximum age of an endpoint list in a report
+# The names on the wire of the integer fields of a report, in the order in which they are checked.
 NUMBER_FIELDS = ("seq", "epoch", "held", "acknowledged", "prepared", "list_index", "told")
-UNREADABLE = "no report of an aggregator"  # in errors
+UNREADABLE = "no report of an aggregator"  # summary of the errors about malformed reports
 
-TimesLeft = dict[str, dict[str, int]]  # by override id: `rev`, `same_from`, `left_ms`; children: `slack_ms`
+# The remaining times of overrides: a row with `rev`, `same_from` and `left_ms` by override id. Rows that are
+# sent to children also have `slack_ms`.
+TimesLeft = dict[str, dict[str, int]]
 
 
 class AggregatorReportError(RequestError):
-    """A malformed or contradictory report of an aggregator."""
+    """The report of an aggregator is malformed or contradictory."""
 
     action = "See which version of the aggregator runs there; its lease runs out, its children move on."
 
 
 class Member(msgspec.Struct, frozen=True, rename={"process_id": "life"}):
-    """One child process: the name of its sidecar, and its process id."""
+    """Child of an aggregator: the name of a sidecar and the id of one of its processes."""
 
     name: str
     process_id: str
 
 
 class ChildCounts(msgspec.Struct, frozen=True):
-    """The number of children by their last reports; those that were silent for too long are left out."""
+    """Numbers of children of an aggregator in each condition, without those silent for too long."""
 
-    known: int = 0
-    leased: int = 0  # may still act on a revision
-    lagging: int = 0  # leased, and have not acknowledged the pending revision
-    fallback: int = 0  # reported that they act on the fallback configuration
+    known: int = 0  # sidecars among the children, each counted once
+    leased: int = 0  # sidecars whose leases may still run
+    lagging: int = 0  # leased sidecars that have not acknowledged the pending revision
+    fallback: int = 0  # children that have reported to act on the fallback configuration
     oldest_list_index: int = 0
     oldest_list_age_ms: float | None = None
 
 
 class Place(msgspec.Struct, frozen=True, order=True):
-    """The place of sidecars: their client group and their region."""
+    """Place of sidecars, given by their client group and their region."""
 
     group: str = ""
     region: str = ""
 
 
 class ChildException(msgspec.Struct, frozen=True, rename={"process_id": "life", "acted_overrides": "acted"}):
-    """A child whose overrides differ from those due at its place, or did so in the previous report."""
+    """Child whose overrides differ from those expected at its place, or did so in an earlier report."""
 
     name: str
     process_id: str
     place: Place = Place()
-    digest: str | None = None  # None: from a version without overrides
-    acted_overrides: dict[str, int] | None = None  # id to revision, if they were requested
+    digest: str | None = None  # of its overrides; None from a version without overrides
+    acted_overrides: dict[str, int] | None = None  # revision by override id, if the service requested them
 
 
 class AggregatorReport(
@@ -81,32 +84,34 @@
     omit_defaults=True,
     rename={"process_id": "life", "newest_revision": "held", "known_override_revision": "told"},
 ):
-    """The report of one aggregator process on itself and all its children."""
+    """Report of one aggregator process about itself and all its children."""
 
     process_id: str
-    seq: int  # grows with each report of that process
+    seq: int  # number of the report; grows with each report of the process
     region: str
-    listen: str = ""  # where its children reach it; `GET /edges` of the service asks there for details
-    epoch: int | None = None  # of the service that it follows; None before the first answer
-    newest_revision: int = 0  # the newest revision known there
-    acknowledged: int = 0  # the pending revision, which children have to acknowledge to get a lease
-    prepared: int = 0  # the revision that each child that may still act has acknowledged
+    # Address at which children reach the aggregator, and the service the details for its `GET /edges`.
+    listen: str = ""
+    epoch: int | None = None  # epoch of the service that it accepts; None before the first answer
+    newest_revision: int = 0  # the newest revision that the aggregator knows
+    acknowledged: int = 0  # pending revision that children must acknowledge for a lease; 0: none
+    prepared: int = 0  # pending revision acknowledged by all children with leases; 0: none
     list_index: int = 0
     list_age_ms: float | None = None
     children: ChildCounts = ChildCounts()
     joined: list[Member] = []
     departed: list[Member] = []
     lagging: list[str] = []
-    objections: dict[str, str] = {}  # to the pending revision, by child
+    objections: dict[str, str] = {}  # reasons of objections to the pending revision, by child
     exceptions: list[ChildException] = []
-    places: list[Place] = []  # for which it asks for the expected digest
-    measures: dict[str, Any] = {}  # merged over children
-    known_override_revision: int = 0  # the newest revision of overrides whose time left is known there
-    leaving: bool = False
+    places: list[Place] = []  # places whose expected digests are requested
+    measures: dict[str, Any] = {}  # measured values, merged over all children
+    # The newest revision of overrides whose remaining times the aggregator knows; 0 requests all times.
+    known_override_revision: int = 0
+    leaving: bool = False  # True if the process shuts down and no child has a lease any more
 
 
 class PlaceDigest(msgspec.Struct, frozen=True):
-    """The expected digest of overrides at a place."""
+    """Digest of the overrides that are expected at a place."""
 
     place: Place
     digest: str
@@ -115,37 +120,40 @@
 class ChildOrder(
     msgspec.Struct, frozen=True, omit_defaults=True, rename={"refresh_times": "retell", "blocked": "barred"}
 ):
-    """The service's order about one child, valid until the next one."""
+    """Order of the service about one child, valid until its next order about the same child."""
 
     name: str
-    list_overrides: bool = False  # have it list the overrides that it acts on
-    refresh_times: bool = False  # send it all times left anew
-    blocked: str = ""  # grant it no lease, and why
+    list_overrides: bool = False  # the child has to list the overrides that it acts on
+    refresh_times: bool = False  # the child is sent the remaining times of all overrides anew
+    blocked: str = ""  # why the child must get no lease; empty: it may get one
 
 
 class AggregatorLease(
     msgspec.Struct, frozen=True, omit_defaults=True, rename={"migrated": "moved", "times_left": "left"}
 ):
-    """The answer to a report: the lease, which counts from when the report was sent, and orders."""
+    """Answer of the service to a report, with a lease that counts from when the report was sent."""
 
     epoch: int
-    revision: int  # committed
-    lease_ms: float = 0.0  # 0: none, for the reason `why`
-    pending: int = 0
-    why: str = ""
-    seq: int = 0  # the report that it answers
-    list_index: int = 0
-    every_ms: float = REPORT_EVERY_MS
-    members: int = 1  # sidecars in the whole fleet, each counted once
+    revision: int  # the committed revision, to which the lease applies
+    lease_ms: float = 0.0  # 0: no lease is granted, for the reason in `why`
+    pending: int = 0  # the pending revision; 0: none
+    why: str = ""  # why no lease is granted; empty with a lease
+    seq: int = 0  # number of the report that is answered
+    list_index: int = 0  # index of the newest endpoint list
+    every_ms: float = REPORT_EVERY_MS  # requested interval between reports
+    members: int = 1  # number of sidecars in the whole fleet, each counted once
     migrated: list[Member] = []  # children that have since reported to another aggregator
-    resync: bool = False  # the service does not know this process: all members are to be reported anew
-    times_left: TimesLeft = {}  # of overrides
+    resync: bool = False  # True if the process has to report all its children anew
+    times_left: TimesLeft = {}  # remaining times of overrides
     digests: list[PlaceDigest] = []
     orders: list[ChildOrder] = []
 
 
 def parse_report(body: bytes) -> AggregatorReport:
-    """Return a report, without unknown fields; raise `AggregatorReportError` if it is malformed."""
+    """Parse the body of a report, and ignore unknown fields.
+
+    Raise `AggregatorReportError` if the report is malformed or a value is out of range.
+    """
     try:
         report = msgspec.json.decode(body or b"{}", type=AggregatorReport)
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
--- a/brassfall/controlplane/aggregation/report_builder.py
+++ b/brassfall/controlplane/aggregation/report_builder.py
@@ -1,4 +1,4 @@
-"""The reports of an aggregator to the service. Pure code."""
+"""Construction of the reports that an aggregator sends to the service."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True)
 class Identity:
-    """One process of an aggregator; its children reach it at `listen`."""
+    """Identity of one aggregator process; its children reach it at the address `listen`."""
 
     process_id: str
     name: str
@@ -20,16 +20,17 @@
 
 
 class ReportBuilder:
-    """Builds numbered reports."""
+    """Builder of the numbered reports of one aggregator process."""
 
     def __init__(self, state: AggregatorState, identity: Identity) -> None:
         self.state = state
         self.identity = identity
 
     def build(self, now: float) -> AggregatorReport:
-        """Return the next report, which has to be sent; `now` is ms of the aggregator's clock.
+        """Return the next report, which has to be sent; `now` is in ms of the aggregator's clock.
 
-        Its arrivals, departures and measures are in no later report unless it fails.
+        Arrivals and departures are repeated in later reports until a report with them is answered. Measures
+        are in one report only, even if it fails.
         """
         state, identity = self.state, self.identity
         state.last_seq += 1
@@ -59,11 +60,14 @@
         )
 
     def _prepared(self, now: float) -> int:
-        """Return the pending revision if each child that may still act has acknowledged it; else 0."""
+        """Return the pending revision if each child with a lease has acknowledged it; else 0."""
         return self.state.pending if self.state.child_leases.all_acknowledged(now) else 0
 
     def _leaving(self, now: float) -> bool:
-        """Return whether this process is leaving and no child lease runs any more."""
+        """Return whether this process shuts down and no child has a lease any more.
+
+        The first such report is stored in `leaving_seq`.
+        """
         leaving = self.state.leaving and not self.state.child_leases.any(now)
         if leaving and not self.state.leaving_seq:
             self.state.leaving_seq = self.state.last_seq
--- a/brassfall/controlplane/aggregation/state.py
+++ b/brassfall/controlplane/aggregation/state.py
@@ -1,4 +1,4 @@
-"""The state that the parts of an aggregator's state machine share. Pure code."""
+"""State shared by the parts of an aggregator's state machine."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from brassfall.controlplane.aggregation.timing import AggregatorTiming
 from brassfall.controlplane.aggregation.upstream_lease import UpstreamLease
 
-FETCH_EVERY_MS = 250.0
+FETCH_EVERY_MS = 250.0  # the minimum time between two fetches of the state of the revisions
 
 
 class AggregatorState:
-    """The state of one aggregator process; times in ms of its monotonic clock."""
+    """State of one aggregator process; times are ms of its monotonic clock."""
 
     def __init__(self, timing: AggregatorTiming, started_ms: float) -> None:
         self.timing = timing
@@ -33,21 +33,23 @@
         self.override_times = OverrideTimes()
         self.exceptions = OverrideExceptions(timing.late_ms)
         self.list = ListReceived(0, started_ms)
-        self.list_index_due = 0  # required before the first grant after a time without a lease
-        self.last_seq = 0  # of the newest report that was begun
-        self.answered_seq = 0  # of the newest report that was answered
-        self.leaving = False
-        self.leaving_seq = 0  # of the first report that said so; 0: none
-        self.why_no_lease = "it has not been answered yet"  # as the service stated last
-        self.behind_since_ms: float | None = None  # since when children know later revisions, or the lease
-        # is on an older one
+        self.list_index_due = 0  # index of the endpoint list that is required before leases are granted
+        self.last_seq = 0  # number of the newest report that was built
+        self.answered_seq = 0  # number of the newest report that was answered
+        self.leaving = False  # True once the aggregator shuts down
+        self.leaving_seq = 0  # number of the first report that stated the shutdown; 0: none
+        # Why the service has granted no lease, from its newest answer; empty with a lease.
+        self.why_no_lease = "it has not been answered yet"
+        # Since when children know later revisions than this aggregator, or its lease is on an older revision
+        # than the committed one; None if neither was seen.
+        self.behind_since_ms: float | None = None
         # The pending revision that an urgent report stated to be acknowledged by all children; 0: none.
         self.urgently_reported = 0
-        self._fetched_ms = -math.inf
+        self._fetched_ms = -math.inf  # when the state of the revisions was fetched last
 
     @property
     def epoch(self) -> int:
-        """The epoch of the service that is followed; 0 before the first."""
+        """The epoch of the service whose messages are accepted; 0 before the first message."""
         return self.revisions.epoch
 
     @property
@@ -57,16 +59,20 @@
 
     @property
     def pending(self) -> int:
-        """The revision known to be pending; 0 if there is none."""
+        """The revision known to be pending; 0 if no revision is pending."""
         return self.revisions.pending
 
     def caught_up(self) -> bool:
-        """Return whether the newest state and list were received."""
-        current = self.revisions.has_committed and self.lease.revision == self.committed
-        return current and self.list.index >= self.list_index_due
+        """Return whether this aggregator has the newest state of the service.
+
+        That is the document of the committed revision, a lease on this revision, and the endpoint list with
+        the required index.
+        """
+        has_newest_revision = self.revisions.has_committed and self.lease.revision == self.committed
+        return has_newest_revision and self.list.index >= self.list_index_due
 
     def unready_reason(self, now: float) -> str:
-        """Return why no child can get a lease at this time; empty if leases can be granted."""
+        """Return why no child can get a lease at `now`; the text is empty if leases can be granted."""
         if self.leaving:
             return "this aggregator ends"
         if self.lease.left_ms(now) <= 0.0:
@@ -76,20 +82,24 @@
         return ""
 
     def await_pending(self) -> None:
-        """Track the acknowledgements of the pending revision."""
+        """Track the children's acknowledgements of the pending revision, if it has changed."""
         if self.child_leases.pending != self.pending:
             self.behind_since_ms = None
             self.child_leases.await_all(self.pending)
 
     def fetch(self, now: float) -> list[Action]:
-        """Fetch the state, unless that was done within `FETCH_EVERY_MS`."""
+        """Return a `FetchState`, unless the last one was given less than `FETCH_EVERY_MS` ago."""
         if now - self._fetched_ms < FETCH_EVERY_MS:
             return []
         self._fetched_ms = now
         return [FetchState()]
 
     def urgent_report(self, now: float) -> list[Action]:
-        """Report at once if the pending revision has a first objection, or all children acknowledged it."""
+        """Return a `ReportNow` if an urgent report is due.
+
+        It is due once for the first objection to the pending revision, and once when all children with a
+        lease have acknowledged that revision.
+        """
         if self.objections.take_unreported():
             return [ReportNow()]
         if (
--- a/brassfall/controlplane/aggregation/upstream_messages.py
+++ b/brassfall/controlplane/aggregation/upstream_messages.py
@@ -1,4 +1,4 @@
-"""The messages of the service to an aggregator, and their effects. Pure code."""
+"""Handling of the messages that an aggregator receives from the service."""
 
 from __future__ import annotations
 
@@ -8,23 +8,27 @@
 from brassfall.controlplane.aggregation.state import AggregatorState
 from brassfall.controlplane.aggregation.state_release import StateRelease
 
-LOWER_EPOCH_WAIT_MS = 12_000.0  # more than twice the time that a service needs to count a majority
+# How long only a lower epoch must have answered until it is accepted. This is more than twice the time that a
+# service needs to count a majority.
+LOWER_EPOCH_WAIT_MS = 12_000.0
 
 
 class UpstreamMessages:
-    """Applies answers to reports, and states of the revisions, of the epoch that is followed."""
+    """Handler of the service's answers to reports, and of the states of its revisions."""
 
     def __init__(self, state: AggregatorState, release: StateRelease) -> None:
         self.state = state
-        self.members = 1  # sidecars in the whole fleet, as answered last
-        self.report_every_ms = REPORT_EVERY_MS  # as answered last
-        self.list_index = 0  # of the service's list, as answered last
-        self.leaving_reported = False  # the service knows that this process leaves, or can't be reached
+        self.members = 1  # number of sidecars in the whole fleet, from the newest answer
+        self.report_every_ms = REPORT_EVERY_MS  # interval between reports, from the newest answer
+        self.list_index = 0  # index of the service's endpoint list, from the newest answer
+        # True once the report that this process shuts down was answered or has failed.
+        self.leaving_reported = False
         self._release = release
-        self._lower_since_ms: float | None = None  # since when only a lower epoch answers
+        # Since when the service has answered only with an epoch lower than the accepted one; None: not so.
+        self._lower_epoch_since_ms: float | None = None
 
     def report_answered(self, now: float, event: UpstreamAnswered) -> list[Action]:
-        """Apply the answer to a report; ignore one that is late, or of another epoch."""
+        """Apply the answer to a report; ignore a late answer, or one of an epoch that is not accepted."""
         state, answer = self.state, event.lease
         if not self._accepts_epoch(now, answer.epoch):
             return []
@@ -35,7 +39,7 @@
             answer.revision, answer.pending, answer.seq, state.last_seq + 1, granted=answer.lease_ms > 0.0
         )
         self._take_lease(now, event.asked_ms, answer)
-        self._take_rest(now, event.asked_ms, answer)
+        self._apply_other_fields(now, event.asked_ms, answer)
         state.await_pending()
         actions = [*self._release.due(now), *state.urgent_report(now)]
         if state.revisions.incomplete or answer.pending != state.pending:
@@ -43,11 +47,11 @@
         return actions
 
     def report_failed(self, seq: int) -> None:
-        """Note that report `seq` had no good answer."""
+        """Handle the failure of report `seq`, to which the service sent no usable answer."""
         self.leaving_reported = self.leaving_reported or 0 < self.state.leaving_seq <= seq
 
     def state_received(self, now: float, event: StateReceived) -> list[Action]:
-        """Apply a state of the revisions; ignore one that is older than the known one."""
+        """Apply a state of the revisions; ignore a state older than the known one, or of another epoch."""
         state = self.state
         if not self._accepts_epoch(now, event.epoch):
             return []
@@ -62,19 +66,20 @@
         return [*actions, ReportNow()] if self._release.waiting else actions
 
     def _accepts_epoch(self, now: float, epoch: int) -> bool:
-        """Return whether a message of this epoch counts.
+        """Return whether a message of the given epoch is accepted.
 
-        A later epoch replaces the followed one; a lower one does so once it alone has answered for
-        `LOWER_EPOCH_WAIT_MS`, since the followed service then seems to be gone for good.
+        A later epoch replaces the accepted one. A lower epoch replaces it if no other epoch has answered for
+        `LOWER_EPOCH_WAIT_MS` and there is no lease any more, since the service with the accepted epoch then
+        seems to have been lost permanently.
         """
         state = self.state
         if epoch < state.epoch:
-            if self._lower_since_ms is None:
-                self._lower_since_ms = now
-            waited = now - self._lower_since_ms >= LOWER_EPOCH_WAIT_MS
-            if not waited or state.lease.left_ms(now) > 0.0:
+            if self._lower_epoch_since_ms is None:
+                self._lower_epoch_since_ms = now
+            waited_enough = now - self._lower_epoch_since_ms >= LOWER_EPOCH_WAIT_MS
+            if not waited_enough or state.lease.left_ms(now) > 0.0:
                 return False
-        self._lower_since_ms = None
+        self._lower_epoch_since_ms = None
         if epoch != state.epoch:
             self._begin_epoch(epoch)
         return True
@@ -98,7 +103,7 @@
             state.behind_since_ms = None
         state.lease.renew(asked_ms, answer.revision, answer.lease_ms)
 
-    def _take_rest(self, now: float, asked_ms: float, answer: AggregatorLease) -> None:
+    def _apply_other_fields(self, now: float, asked_ms: float, answer: AggregatorLease) -> None:
         state = self.state
         self.members, self.list_index = max(1, answer.members), answer.list_index
         self.report_every_ms = max(REPORT_EVERY_MS, answer.every_ms)
