--- a/tests/controlplane/test_aggregators_parts.py
+++ b/tests/controlplane/test_aggregators_parts.py
@@ -1,4 +1,4 @@
-"""The deciding service within this process: what reports of aggregators cost it, and what it forgets."""
+"""Tests of the service in this process: cost of aggregators' reports, removal of aggregators, and demand."""
 
 from __future__ import annotations
 
@@ -15,12 +15,15 @@
 GROUPS, REGIONS = ("g", "h"), ("a", "b")
 
 
-def _report(seq, **more):
-    return AggregatorReport("p", seq, "a", listen="127.0.0.1:1", **more)
+def _report(seq, **report_fields):
+    return AggregatorReport("p", seq, "a", listen="127.0.0.1:1", **report_fields)
 
 
-def _steps(work):
-    """How many bytecodes a call carries out: a measure of its cost that no other work disturbs."""
+def _executed_bytecodes(work):
+    """Return how many bytecodes a call of `work` executes.
+
+    Unlike a duration, this measure of its cost does not depend on the load of the machine.
+    """
     count = [0]
 
     def trace(frame, event, _):
@@ -38,61 +41,70 @@
 
 
 @bounded(30.0)
-async def test_a_report_costs_the_same_however_many_children_there_are(tmp_path):
-    made, costs = service(tmp_path), []
-    await made.start()
+async def test_cost_of_a_report_does_not_depend_on_the_number_of_children(tmp_path):
+    node, costs = service(tmp_path), []
+    await node.start()
     try:
         seq = 0
         for children in (10, 3000):
-            for first in range(0, children, 200):
-                joined = [Member(f"c{number}", "1") for number in range(first, min(children, first + 200))]
+            for first_child in range(0, children, 200):
+                joined = [
+                    Member(f"c{number}", "1")
+                    for number in range(first_child, min(children, first_child + 200))
+                ]
                 seq += 1
-                made.aggregators.reported("x", _report(seq, joined=joined))
-            assert made.revisions.directory.count() == children
+                node.aggregators.reported("x", _report(seq, joined=joined))
+            assert node.revisions.directory.count() == children
             counts = ChildCounts(known=children, leased=children)
-            several = []
+            bytecode_counts = []
             for _ in range(3):
                 seq += 1
-                report = _report(seq, epoch=made.revisions.coordinator.epoch, children=counts)
-                several.append(_steps(lambda report=report: made.aggregators.reported("x", report)))
-            costs.append(min(several))
+                report = _report(seq, epoch=node.revisions.coordinator.epoch, children=counts)
+                bytecode_counts.append(
+                    _executed_bytecodes(lambda report=report: node.aggregators.reported("x", report))
+                )
+            costs.append(min(bytecode_counts))
         assert costs[0] > 300 and costs[1] < 1.1 * costs[0], costs
     finally:
-        await made.close()
+        await node.close()
 
 
 @bounded(30.0)
-async def test_an_aggregator_that_is_gone_for_good_is_forgotten_by_all_parts(tmp_path, monkeypatch):
-    made = service(tmp_path)
-    await made.start()
+async def test_departed_aggregator_is_removed_from_all_parts_of_the_service(tmp_path, monkeypatch):
+    node = service(tmp_path)
+    await node.start()
     try:
         revisions, row = (
-            made.revisions,
+            node.revisions,
             {"region": "a", "window": 1, "span_ms": 5000.0, "answers": 5, "first": {"100": 5}},
         )
         delays = {"delays": [{**row, "group": "g"}]}
         for name in ("x", "y"):
-            made.aggregators.reported(name, _report(1, joined=[Member(f"c-{name}", "1")], measures=delays))
+            node.aggregators.reported(name, _report(1, joined=[Member(f"c-{name}", "1")], measures=delays))
         await until(lambda: revisions.coordinator.membership.names == {"x", "y"})
         revisions.sweep(revisions.now())
         assert set(revisions.directory.aggregators) == {"x", "y"}
         monkeypatch.setattr(RevisionCoordinator, "grant_refusal", lambda *_: None)
-        made.aggregators.reported("y", _report(2, leaving=True, children=ChildCounts(leased=1)))
-        assert not revisions.coordinator.departing  # a child of it may act: it is no end yet
-        made.aggregators.reported("y", _report(3, leaving=True))
+        node.aggregators.reported("y", _report(2, leaving=True, children=ChildCounts(leased=1)))
+        # The lease of a child may still run, so the aggregator stays a member.
+        assert not revisions.coordinator.departing
+        node.aggregators.reported("y", _report(3, leaving=True))
         assert revisions.coordinator.departing == ["y"]
         revisions.sweep(revisions.now() + revisions.settings.forget_ms + 1.0)
         await until(lambda: not revisions.coordinator.membership.names)
-        assert (revisions.directory.aggregators, revisions.directory.count(), made.geo.demand) == ({}, 0, {})
+        assert (revisions.directory.aggregators, revisions.directory.count(), node.geo.demand) == ({}, 0, {})
     finally:
-        await made.close()
+        await node.close()
 
 
 @bounded(30.0)
-async def test_demand_is_what_all_children_asked_for(tmp_path):
-    """Some ask for more than the histograms hold of one child, and rows come in different reports."""
-    made, merged = service(tmp_path), MergedDelays()
-    await made.start()
+async def test_demand_is_the_sum_of_the_answers_to_all_children(tmp_path):
+    """Guard the demand against the sample limit of merged histograms and against rows in several reports.
+
+    Each child reports more samples than a merged histogram counts of one child.
+    """
+    node, merged = service(tmp_path), MergedDelays()
+    await node.start()
     try:
         for child in range(3):
             for group in GROUPS:
@@ -101,17 +113,18 @@
                     for region in REGIONS
                 ]
                 merged.add(0.0, f"c{child}", group, {"delays": rows})
-        told = merged.take(EVERY_MS)["delays"]
-        for seq, row in enumerate(told):
-            made.geo.merged("x", _report(seq, measures={"delays": [row]}))
-        rates = {key: rate for key, (_, rate, _) in made.geo.demand.items()}
+        merged_rows = merged.take(EVERY_MS)["delays"]
+        for seq, row in enumerate(merged_rows):
+            node.geo.merged("x", _report(seq, measures={"delays": [row]}))
+        rates = {key: rate for key, (_, rate, _) in node.geo.demand.items()}
         assert rates == {f"x/{g}/{r}": pytest.approx(600.0) for g in GROUPS for r in REGIONS}
-        assert made.geo.rejected_rows == 0
-        bad = [
-            {**told[0], name: value} for name, value in (("answers", -1), ("answers", "x"), ("span_ms", 0))
+        assert node.geo.rejected_rows == 0
+        malformed_rows = [
+            {**merged_rows[0], name: value}
+            for name, value in (("answers", -1), ("answers", "x"), ("span_ms", 0))
         ]
-        made.geo.gone("x")
-        made.geo.merged("x", _report(9, measures={"delays": bad}))
-        assert made.geo.demand == {}
+        node.geo.gone("x")
+        node.geo.merged("x", _report(9, measures={"delays": malformed_rows}))
+        assert node.geo.demand == {}
     finally:
-        await made.close()
+        await node.close()
