--- a/brassfall/controlplane/aggregation/actions.py
+++ b/brassfall/controlplane/aggregation/actions.py
@@ -52,7 +52,7 @@
     refusal: LeaseRefusal | None = None
     elsewhere: bool = False
     order: ChildOrder | None = None
-    times_left: TimesLeft = field(default_factory=dict)  # times until overrides end, with `slack_ms`
+    times_left: TimesLeft = field(default_factory=dict)  # remaining times of overrides
 
     @property
     def why(self) -> str:
--- a/brassfall/controlplane/aggregation/child_leases.py
+++ b/brassfall/controlplane/aggregation/child_leases.py
@@ -24,7 +24,7 @@
 class ChildLease:
     """Lease of one child, with values of its newest report; times are ms of the aggregator's clock."""
 
-    until_ms: float  # upper bound on the end of the lease
+    until_ms: float  # upper bound on the end of the child lease
     seq: int  # number of the newest report of the child
     prepared: int  # the revision that the child has acknowledged and promises to act on; 0: none
 
--- a/brassfall/controlplane/aggregation/children.py
+++ b/brassfall/controlplane/aggregation/children.py
@@ -69,9 +69,10 @@
     """The children of an aggregator, with arrivals and departures that the service has not confirmed."""
 
     children: dict[ChildKey, Child] = field(default_factory=dict)
-    stale: int = 0  # number of reports that were repeated or late, and ignored
-    _arrivals: dict[ChildKey, int] = field(default_factory=dict)  # newest report with the arrival; 0: none
-    _departures: dict[ChildKey, int] = field(default_factory=dict)  # newest report with it; 0: none
+    stale: int = 0  # number of ignored reports, which were repeated or late
+    # Unconfirmed arrivals and departures, each with the number of the newest report that has it, or 0.
+    _arrivals: dict[ChildKey, int] = field(default_factory=dict)
+    _departures: dict[ChildKey, int] = field(default_factory=dict)
 
     def is_newest(self, key: ChildKey, report: Report, leases: ChildLeases) -> bool:
         """Return whether a report is newer than the others of its process; count it as stale if not."""
@@ -129,13 +130,13 @@
         """Report the arrivals of all children anew, since the service does not know this process."""
         self._arrivals = dict.fromkeys(self.children, 0)
 
-    def arrivals(self, seq: int, most: int) -> list[Member]:
-        """Return at most `most` arrivals for report `seq` to the service."""
-        return _changes_for_report(self._arrivals, seq, most)
+    def arrivals(self, seq: int, max_members: int) -> list[Member]:
+        """Return at most `max_members` arrivals for report `seq` to the service."""
+        return _changes_for_report(self._arrivals, seq, max_members)
 
-    def departures(self, seq: int, most: int) -> list[Member]:
-        """Return at most `most` departures for report `seq` to the service."""
-        return _changes_for_report(self._departures, seq, most)
+    def departures(self, seq: int, max_members: int) -> list[Member]:
+        """Return at most `max_members` departures for report `seq` to the service."""
+        return _changes_for_report(self._departures, seq, max_members)
 
     def report_answered(self, seq: int) -> None:
         """Remove the arrivals and departures that were in report `seq`, which the service has answered."""
@@ -162,14 +163,14 @@
         )
 
 
-def _changes_for_report(changes: dict[ChildKey, int], seq: int, most: int) -> list[Member]:
-    """Return at most `most` changes for report `seq`, and store `seq` as the newest report with them.
+def _changes_for_report(changes: dict[ChildKey, int], seq: int, max_members: int) -> list[Member]:
+    """Return at most `max_members` changes for report `seq`, and store `seq` as the newest report with them.
 
     A change in an earlier report that was not answered is reported again.
     """
     members: list[Member] = []
     for key in changes:
-        if len(members) == most:
+        if len(members) == max_members:
             break
         changes[key] = seq
         members.append(Member(key.name, key.process_id))
--- a/brassfall/controlplane/aggregation/directory.py
+++ b/brassfall/controlplane/aggregation/directory.py
@@ -40,13 +40,13 @@
 
     report: AggregatorReport
     reported_ms: float
-    children: dict[str, str] = field(default_factory=dict)  # process ids by sidecar name
+    children: dict[str, str] = field(default_factory=dict)  # process ids of its children, by sidecar name
     # Children that have migrated, with the number of answers that will still name each of them.
     migrated: dict[Member, int] = field(default_factory=dict)
     # True if the process was removed from this directory in this epoch, so its children may be unknown.
     forgotten: bool = False
-    complete: bool = False  # True once it has reported all its children in this epoch
-    succeeded_ms: float | None = None  # when another process of its name superseded it
+    complete: bool = False  # True once the process has reported all its children in this epoch
+    succeeded_ms: float | None = None  # when another process of the same name superseded this one
 
 
 @dataclass(slots=True)
@@ -88,7 +88,7 @@
     children_most: int
     unplaced: int = 0  # number of arrivals ignored because of `children_most`
     _names: dict[str, _NamedProcesses] = field(default_factory=dict)
-    _owners: dict[str, _Owner] = field(default_factory=dict)  # by sidecar
+    _owners: dict[str, _Owner] = field(default_factory=dict)  # owner by sidecar name
 
     # --- reports --------------------------------------------------------------------------------
 
@@ -211,7 +211,7 @@
         for member in members:
             notices_left = process.migrated.pop(member) - 1
             if notices_left > 0:
-                process.migrated[member] = notices_left  # at the end, after children named in fewer answers
+                process.migrated[member] = notices_left  # the child moves behind those named in fewer answers
         return members
 
     @staticmethod
--- a/brassfall/controlplane/aggregation/merged_delays.py
+++ b/brassfall/controlplane/aggregation/merged_delays.py
@@ -16,15 +16,15 @@
 from brassfall.controlplane.geo.evidence import MAX_COUNT, DelayRow, Points, sample_count, validate_rows
 
 DELAYS = "delays"  # key of the delay rows in the `measures` of a report
-EVERY_MS = 5000.0  # the minimum time between two merged rows of one pair
+EVERY_MS = 5000.0  # the minimum time between two merged rows of a pair of client group and region
 MAX_ROWS = 48  # the maximum number of rows in one report; further pairs stay for later reports
-MAX_PAIRS = 4096  # the maximum number of pairs; rows of further ones are rejected
-MAX_CHILD_SAMPLES = 200  # the maximum number of samples counted of one child and window
+MAX_PAIRS = 4096  # the maximum number of pairs of client group and region
+MAX_CHILD_SAMPLES = 200  # the maximum number of samples counted per window of a child
 # The ranks at which the parts of a merged histogram end; one bucket is reported for each part. The number of
 # ranks is the maximum number of buckets that a reader of the rows accepts for one histogram.
 RANKS = (0.02, 0.04, 0.07, 0.1, 0.13, 0.16, 0.2, 0.25, 0.3, 0.35, 0.4, 0.5, 0.6, 0.75, 0.9, 1.0)
 
-Histogram = dict[int, int]  # number of samples by bucket
+Histogram = dict[int, int]  # number of samples by number of the bucket
 
 
 class Pair(NamedTuple):
@@ -44,7 +44,7 @@
     window: int
     span_ms: int
     children: int
-    answers: int  # number of answers, including those that the histograms leave out
+    answers: int  # answers of servers in this window, also those that the histograms omit
     handshakes: dict[str, int] = {}
     first_bytes: dict[str, int] = {}
 
@@ -65,7 +65,7 @@
     """Histograms of the delays of all children, by pair; times are ms of one monotonic clock."""
 
     rejected: int = 0  # number of rows rejected as malformed or because of `MAX_PAIRS`
-    _pairs: dict[Pair, _Counts] = field(default_factory=dict)  # the pair reported longest ago first
+    _pairs: dict[Pair, _Counts] = field(default_factory=dict)  # the pair that waits longest is first
     _window: int = 0  # number of the window reported last
 
     def add(self, now: float, child: str, group: str, measures: Mapping[str, Any]) -> None:
--- a/brassfall/controlplane/aggregation/messages.py
+++ b/brassfall/controlplane/aggregation/messages.py
@@ -30,7 +30,7 @@
 AGE_MOST_MS = 1e12  # the maximum age of an endpoint list in a report
 # The names on the wire of the integer fields of a report, in the order in which they are checked.
 NUMBER_FIELDS = ("seq", "epoch", "held", "acknowledged", "prepared", "list_index", "told")
-UNREADABLE = "no report of an aggregator"  # summary of the errors about malformed reports
+UNREADABLE = "no report of an aggregator"  # summary in errors about malformed reports
 
 # The remaining times of overrides: a row with `rev`, `same_from` and `left_ms` by override id. Rows that are
 # sent to children also have `slack_ms`.
@@ -53,10 +53,10 @@
 class ChildCounts(msgspec.Struct, frozen=True):
     """Numbers of children of an aggregator in each condition, without those silent for too long."""
 
-    known: int = 0  # sidecars among the children, each counted once
-    leased: int = 0  # sidecars whose leases may still run
-    lagging: int = 0  # leased sidecars that have not acknowledged the pending revision
-    fallback: int = 0  # children that have reported to act on the fallback configuration
+    known: int = 0  # number of sidecars among the children, each counted once
+    leased: int = 0  # number of sidecars whose leases may still run
+    lagging: int = 0  # sidecars with a lease that have not acknowledged the pending revision
+    fallback: int = 0  # children that acted on the fallback configuration when they reported
     oldest_list_index: int = 0
     oldest_list_age_ms: float | None = None
 
@@ -74,8 +74,8 @@
     name: str
     process_id: str
     place: Place = Place()
-    digest: str | None = None  # of its overrides; None from a version without overrides
-    acted_overrides: dict[str, int] | None = None  # revision by override id, if the service requested them
+    digest: str | None = None  # digest of its overrides; None from versions without overrides
+    acted_overrides: dict[str, int] | None = None  # acted-on revision by override id; None: not requested
 
 
 class AggregatorReport(
@@ -135,7 +135,7 @@
 
     epoch: int
     revision: int  # the committed revision, to which the lease applies
-    lease_ms: float = 0.0  # 0: no lease is granted, for the reason in `why`
+    lease_ms: float = 0.0  # length of the lease; 0: no lease is granted, for the reason in `why`
     pending: int = 0  # the pending revision; 0: none
     why: str = ""  # why no lease is granted; empty with a lease
     seq: int = 0  # number of the report that is answered
--- a/brassfall/controlplane/aggregation/override_exceptions.py
+++ b/brassfall/controlplane/aggregation/override_exceptions.py
@@ -30,7 +30,7 @@
 class OverrideExceptions:
     """Expected digests by place, children whose overrides differ, and orders about single children."""
 
-    late_ms: float  # how long a child may differ until it is reported
+    late_ms: float  # how long overrides of a child may differ until it is reported, in ms
     # The expected digest by place, None until it is received; the next place in the rotation is first.
     _expected: dict[Place, str | None] = field(default_factory=dict)
     # Places where a child differs or the digest is unknown; the next reports request their digests.
@@ -85,7 +85,7 @@
         """Return the places whose digests the next report requests, and advance the rotation."""
         requested = dict.fromkeys(list(self._digests_needed)[: PLACES_MOST - IN_TURN])
         for place in list(self._expected)[:IN_TURN]:
-            self._expected[place] = self._expected.pop(place)  # moves to the end of the rotation
+            self._expected[place] = self._expected.pop(place)  # the place moves to the end of the rotation
             requested[place] = None
         return list(requested)
 
--- a/brassfall/controlplane/aggregation/override_times.py
+++ b/brassfall/controlplane/aggregation/override_times.py
@@ -29,10 +29,10 @@
     """Bounds on the end of one revision of an override, in ms of the aggregator's clock."""
 
     revision: int
-    same_from: int  # the oldest revision with this content, without an end in between
+    same_from: int  # the oldest revision with the same content, without an end in between
     low_ms: float  # the override does not end before this time
     high_ms: float  # the override has ended by this time
-    refresh_ms: float  # when the times are requested anew
+    refresh_ms: float  # when the remaining times of all overrides are requested anew
 
     def narrow(self, other: _Bounds) -> None:
         """Narrow the bounds to their intersection with `other`, bounds of the same revision.
@@ -50,7 +50,7 @@
 
     newest: int = 0  # the newest revision of overrides received; 0: none in this epoch
     rejected: int = 0  # number of rows rejected as malformed or because of `MAX_OVERRIDES`
-    _bounds: dict[str, _Bounds] = field(default_factory=dict)  # by override id
+    _bounds: dict[str, _Bounds] = field(default_factory=dict)  # bounds by override id
     _refreshed_ms: float = -REFRESH_EVERY_MS  # when all times were requested last
 
     def receive(self, asked_ms: float, received_ms: float, left: Mapping[str, Mapping[str, int]]) -> None:
--- a/brassfall/controlplane/aggregation/revision_view.py
+++ b/brassfall/controlplane/aggregation/revision_view.py
@@ -20,7 +20,7 @@
     committed: int = 0  # the newest revision known to be committed
     pending: int = 0  # the revision known to be prepared, and not yet committed or halted
     decided: int = 0  # the newest revision known to be committed or halted
-    _pending_seq: int = 0  # number of the first report that was built with `pending` known
+    _pending_seq: int = 0  # number of the first report built while `pending` was known
     _documents: set[int] = field(default_factory=set)  # revisions received with their documents
 
     @property
--- a/brassfall/controlplane/aggregation/state.py
+++ b/brassfall/controlplane/aggregation/state.py
@@ -45,7 +45,7 @@
         self.behind_since_ms: float | None = None
         # The pending revision that an urgent report stated to be acknowledged by all children; 0: none.
         self.urgently_reported = 0
-        self._fetched_ms = -math.inf  # when the state of the revisions was fetched last
+        self._fetched_ms = -math.inf  # when a fetch of the state of the revisions was ordered last
 
     @property
     def epoch(self) -> int:
--- a/brassfall/controlplane/aggregation/state_release.py
+++ b/brassfall/controlplane/aggregation/state_release.py
@@ -11,7 +11,7 @@
 class _Withheld(NamedTuple):
     """Line with a state of the revisions that was not sent to children yet."""
 
-    since_ms: float  # since when a line waits, in ms of the aggregator's clock
+    since_ms: float  # when a line was first withheld, in ms of the aggregator's clock
     committed: int  # the line waits for a lease on this revision
     line: bytes
 
--- a/brassfall/controlplane/aggregation/timing.py
+++ b/brassfall/controlplane/aggregation/timing.py
@@ -12,7 +12,7 @@
     """
 
     children_most: int = 2000  # the maximum number of child processes at the same time
-    newcomers_per_s: float = 300.0  # rate at which children without a lease are admitted
+    newcomers_per_s: float = 300.0  # admitted children without a lease, per second
     newcomers_burst: int = 100  # children without a lease admitted at once after a time without any
     # How long a commit may be withheld from children until the aggregator has a lease on it.
     commit_message_wait_ms: float = 500.0
--- a/brassfall/controlplane/aggregation/upstream_lease.py
+++ b/brassfall/controlplane/aggregation/upstream_lease.py
@@ -25,8 +25,8 @@
     """Lease of one aggregator process; times are ms of its monotonic clock."""
 
     timing: AggregatorTiming
-    revision: int = 0  # the revision that the lease is on
-    until_ms: float = -math.inf  # end of the lease
+    revision: int = 0  # the revision that the lease permits to act on
+    until_ms: float = -math.inf  # when the lease from the service ends
     renewed_ms: float = -math.inf  # when the report was begun whose answer renewed the lease last
 
     def renew(self, asked_ms: float, revision: int, length_ms: float) -> None:
--- a/brassfall/controlplane/aggregation/upstream_messages.py
+++ b/brassfall/controlplane/aggregation/upstream_messages.py
@@ -19,7 +19,7 @@
     def __init__(self, state: AggregatorState, release: StateRelease) -> None:
         self.state = state
         self.members = 1  # number of sidecars in the whole fleet, from the newest answer
-        self.report_every_ms = REPORT_EVERY_MS  # interval between reports, from the newest answer
+        self.report_every_ms = REPORT_EVERY_MS  # ms between reports, from the newest answer
         self.list_index = 0  # index of the service's endpoint list, from the newest answer
         # True once the report that this process shuts down was answered or has failed.
         self.leaving_reported = False
