--- a/brassfall/controlplane/registry/aggregator/status.py
+++ b/brassfall/controlplane/registry/aggregator/status.py
@@ -105,7 +105,7 @@
         region=source.settings.region,
         children=core.children(time_ms),
         revision=core.committed,
-        permits=core.unready(time_ms) or "yes",
+        permits=core.unready_reason(time_ms) or "yes",
         mirrored=ListView(feed.mirror.index, feed.age_ms),
     )
 
