--- a/tests/controlplane/test_registry_service.py
+++ b/tests/controlplane/test_registry_service.py
@@ -64,8 +64,8 @@
         self.service, self.count, self.size = service, count, size
         self.acknowledged, self.indexes, self.failed = {}, [], 0
 
-    async def write(self, session, which):
-        key, value = f"k{which}", self.acknowledged.get(f"k{which}", 0)
+    async def write(self, session, writer_number):
+        key, value = f"k{writer_number}", self.acknowledged.get(f"k{writer_number}", 0)
         while True:
             value += 1
             body = {"n": value, "x": "x" * self.size}
@@ -83,13 +83,15 @@
                 await asyncio.sleep(0.01)
 
     def start(self, session):
-        return [asyncio.create_task(self.write(session, which)) for which in range(self.count)]
+        return [
+            asyncio.create_task(self.write(session, writer_number)) for writer_number in range(self.count)
+        ]
 
     async def check(self, session):
         """Check after a restart that every acknowledged write is kept, and no index repeats or goes back."""
         _, answered, _ = await call(session, self.service, "GET", "/tables/t")
-        held = {row["key"]: row["value"]["n"] for row in answered["rows"]}
-        assert all(held[key] >= value for key, value in self.acknowledged.items())
+        values = {row["key"]: row["value"]["n"] for row in answered["rows"]}
+        assert all(values[key] >= value for key, value in self.acknowledged.items())
         assert len(set(self.indexes)) == len(self.indexes)
         assert answered["index"] > max(self.indexes, default=0)
 
@@ -103,8 +105,8 @@
             async with aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0)) as session:
                 await writers.check(session)
                 tasks = writers.start(session)
-                enough = len(writers.indexes) + rng.randint(1, 400)
-                await until(lambda enough=enough: len(writers.indexes) >= enough)
+                target = len(writers.indexes) + rng.randint(1, 400)
+                await until(lambda target=target: len(writers.indexes) >= target)
                 await service.end(signal.SIGKILL)
                 await asyncio.gather(*tasks)
         await service.start()
