--- a/brassfall/cli/__init__.py
+++ b/brassfall/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command `python -m brassfall`: a module for each group of commands."""
+"""The command `python -m brassfall`; each group of commands has a module here."""
--- a/brassfall/cli/main.py
+++ b/brassfall/cli/main.py
@@ -1,6 +1,6 @@
 """The command `python -m brassfall`.
 
-Exit status: 0 done, 1 failed, 2 wrong usage or configuration.
+Exit status: 0 for success, 1 for a failure, 2 for wrong usage or an invalid configuration.
 """
 
 from __future__ import annotations
@@ -21,10 +21,10 @@
 
 
 class OneLineErrors(TyperGroup):
-    """Command group that prints an error as one line and exits with the status of its type."""
+    """Command group that prints an error as one line and exits with the `exit_status` of its class."""
 
-    def invoke(self, ctx: Any) -> Any:  # noqa: ANN401 - as the library has it
-        """Run the command; an error ends it with one line on standard error."""
+    def invoke(self, ctx: Any) -> Any:  # noqa: ANN401 - the signature of `TyperGroup`
+        """Run the command; on an error, print one line on standard error and raise `typer.Exit`."""
         try:
             return super().invoke(ctx)
         except (BrassfallError, OSError, MemoryError, ExceptionGroup) as error:
@@ -36,7 +36,7 @@
 
 
 def _reported(error: Exception) -> BrassfallError | None:
-    """Return the error to report; None for a defect, and where the reader of a pipe has closed it."""
+    """Return the error to print; None for a defect of the program and for a pipe closed by its reader."""
     while isinstance(error, ExceptionGroup):
         error = error.exceptions[0]
     if isinstance(error, BrassfallError):
@@ -60,7 +60,7 @@
 
 @app.command()
 def check(file: Path) -> None:
-    """Check the configuration of a list service or an aggregator, or an experiment."""
+    """Check a configuration file of a list service or an aggregator, or an experiment file."""
     from brassfall.lab import spec
     from brassfall.lab.revision_chaos import spec as revision_chaos
 
@@ -77,7 +77,7 @@
 
 @app.command()
 def demo() -> None:
-    """Run a small fleet on loopback and send through it while parts fail."""
+    """Run a small fleet on loopback, and send requests through its sidecar while parts of it fail."""
     from brassfall.lab import demo as demo_
 
     run(demo_.run(typer.echo))
--- a/brassfall/cli/options.py
+++ b/brassfall/cli/options.py
@@ -1,4 +1,4 @@
-"""Options and checks of arguments that the commands share."""
+"""Command-line options and argument checks that several commands use."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 Result = TypeVar("Result")
 
-INTERRUPTED = 130  # the exit status after Ctrl-C
+INTERRUPTED = 130  # Exit status of a command that Ctrl-C ended
 
 At = Annotated[str, typer.Option(help="HOST:PORT of the list service.")]
-Json = Annotated[bool, typer.Option("--json", help="JSON instead of text.")]
+Json = Annotated[bool, typer.Option("--json", help="Print JSON instead of text.")]
 Rounds = Annotated[int, typer.Option(min=1, help="Number of measurements of each kind.")]
-Jobs = Annotated[int, typer.Option(min=0, max=256, help="Number of processes; 0: one for each core.")]
+Jobs = Annotated[int, typer.Option(min=0, max=256, help="Number of processes; 0: one per processor core.")]
 Tier = Annotated[bool, typer.Option(help="Put aggregators between sidecars and the list service.")]
 
 
@@ -30,7 +30,7 @@
     except KeyboardInterrupt:
         raise typer.Exit(INTERRUPTED) from None
     except BrokenPipeError:
-        sys.stderr.close()  # the reader of the pipe has closed it
+        sys.stderr.close()  # The process that reads the output has closed the pipe
         raise typer.Exit(0) from None
 
 
@@ -40,7 +40,7 @@
 
 
 def address(text: str, option: str = "--at") -> str:
-    """Return the same HOST:PORT; raise `UsageError`, which names the option, if it is none."""
+    """Return `text` unchanged; raise `UsageError` with the name of the option if `text` is not HOST:PORT."""
     try:
         settings.parse_address(text)
     except ValueError as error:
@@ -49,11 +49,13 @@
 
 
 def instance_name(text: str) -> str:
-    """Return the same name; raise `UsageError` if no instance can have it."""
+    """Return `text` unchanged; raise `UsageError` if it is not a valid name of an instance."""
     from brassfall.controlplane.registry import entries
     from brassfall.errors import RequestError
 
     try:
         return entries.check_name(text)
     except RequestError as error:
-        raise UsageError(error.what, action="Give a name of that form; `registry list` shows some.") from None
+        raise UsageError(
+            error.what, action="Give a name of that form; `registry list` shows the names in use."
+        ) from None
--- a/brassfall/cli/registry.py
+++ b/brassfall/cli/registry.py
@@ -1,4 +1,4 @@
-"""The commands `registry ...`: the list service, aggregators, and calls to them."""
+"""The commands `registry ...`, which run a list service or an aggregator and send requests to it."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from brassfall.cli.options import At, Json, Rounds, address, instance_name, progress, run
 from brassfall.errors import UsageError
 
-Config = Annotated[Path, typer.Option(help="A TOML file.")]
+Config = Annotated[Path, typer.Option(help="TOML file of the configuration.")]
 ROW = "{name:<24} {status:<8} {address:<22} {zone:<8} {type:<8} {weight:>6g} {since_ms}"
 BENCH_OPTION = "--seconds"
-BENCH_LEAST_S, BENCH_MOST_S = 0.1, 600.0
+BENCH_LEAST_S, BENCH_MOST_S = 0.1, 600.0  # Range of the option --seconds of `bench`, in seconds
 
-app = typer.Typer(no_args_is_help=True, help="The list service, aggregators, and calls to them.")
+app = typer.Typer(no_args_is_help=True, help="Run a list service or an aggregator, and send requests to it.")
 
 
 class WriteAnswer(msgspec.Struct, frozen=True):
-    """Answer to a write."""
+    """Answer to the registration or removal of an instance: the index of the endpoint list after it."""
 
     index: int
 
@@ -38,14 +38,14 @@
 
 @app.command()
 def aggregate(config: Config) -> None:
-    """Run an aggregator between sidecars and the deciding list service, until SIGTERM."""
+    """Run an aggregator, which connects sidecars to the list service, until SIGTERM."""
     from brassfall.controlplane.registry.aggregator import service
 
     _serve(service.serve(settings.load_aggregator(config)))
 
 
 def _serve(work: Coroutine[Any, Any, int]) -> None:
-    """Run a server process until SIGTERM, and end the command with its exit status."""
+    """Run the coroutine of a server until it ends, and exit with the status that it returns."""
     import uvloop
 
     logs.set_up()
@@ -55,7 +55,7 @@
 
 @app.command("list")
 def list_(*, at: At, json: Json = False) -> None:
-    """List the instances."""
+    """List the registered instances."""
     from brassfall.controlplane.registry import client, entries
 
     raw = run(client.call(address(at), "GET", "/registry/instances"))
@@ -70,7 +70,7 @@
 
 @app.command()
 def watch(*, at: At, from_: Annotated[int, typer.Option("--from")] = 0, json: Json = False) -> None:
-    """Print each watch event, until Ctrl-C or the end of the watch."""
+    """Print each watch event of the endpoint list, until Ctrl-C or the end of the watch."""
     run(_watch(address(at), from_, json=json))
 
 
@@ -98,10 +98,10 @@
     group: int = 0,
     weight: float = 1.0,
     since_ms: int = 0,
-    ttl_ms: Annotated[int, typer.Option(help="Lease in ms; 0: until `leave`.")] = 0,
+    ttl_ms: Annotated[int, typer.Option(help="Duration of the lease in ms; 0: no lease.")] = 0,
     json: Json = False,
 ) -> None:
-    """Register an instance by hand; without --ttl-ms it stays until `leave`."""
+    """Register an instance by hand; without --ttl-ms it stays registered until `registry leave`."""
     body = {"address": server_address, "zone": zone, "type": type_, "group": group, "weight": weight}
     body |= {"since_ms": since_ms, "ttl_ms": ttl_ms}
     _write(at, "PUT", name, body, done="registered", json=json)
@@ -109,7 +109,7 @@
 
 @app.command()
 def leave(*, at: At, name: str, json: Json = False) -> None:
-    """Remove an instance from the list; every watch gets the event."""
+    """Remove an instance from the endpoint list; every watch receives the change."""
     _write(at, "DELETE", name, None, done="left", json=json)
 
 
@@ -124,10 +124,10 @@
 
 @app.command()
 def bench(rounds: Rounds = 3, seconds: float = 3.0) -> None:
-    """Measure a list service on this machine; prints a Markdown table, in about a minute a round."""
+    """Measure a list service on this machine and print a Markdown table; takes about a minute per round."""
     from brassfall.lab import registry_bench
 
     if not BENCH_LEAST_S <= seconds <= BENCH_MOST_S:
         reason = f"{seconds:g} is not between {BENCH_LEAST_S:g} and {BENCH_MOST_S:g}"
-        raise UsageError(BENCH_OPTION, reason, "Choose a time in between.")
+        raise UsageError(BENCH_OPTION, reason, "Choose a number of seconds in this range.")
     typer.echo(run(registry_bench.run(rounds, seconds, progress)))
--- a/brassfall/errors.py
+++ b/brassfall/errors.py
@@ -1,7 +1,8 @@
-"""Hierarchy of errors: what happened, why, and what an operator can do.
+"""Base classes of the program's errors; each error says what happened, why, and what an operator can do.
 
-Every error that reaches an operator or a caller belongs to one of these families, and its type has an
-`action` of its own; `docs/operations.md` lists them all. `str()` gives all three parts in one line.
+Every error that reaches an operator or a caller is a subclass of one of these classes, and each class defines
+its own `action`. `docs/operations.md` lists all error classes. `str()` of an error gives its `what`,
+`why` and `action` in one line.
 """
 
 from __future__ import annotations
@@ -10,24 +11,24 @@
 
 
 class BrassfallError(Exception):
-    """The root: `what` happened, `why`, and `action`, a sentence that says what an operator can do.
+    """Base class of all errors: `what` happened, `why`, and `action`, a sentence on what an operator can do.
 
-    `action` of the type applies unless an instance is given one.
+    An instance uses the `action` of its class unless its constructor is given another one.
     """
 
-    action: str = "Report it: this error should have a type of its own."
-    exit_status: ClassVar[int] = 1  # of a command that it ends: 1 failed, 2 wrong usage or configuration
+    action: str = "Report this message as a defect: the error should have a class of its own."
+    exit_status: ClassVar[int] = 1  # Status of a command: 1 failed, 2 bad usage or configuration
 
     def __init_subclass__(cls, **options: object) -> None:
         super().__init_subclass__(**options)
         action = cls.__dict__.get("action")
-        # Not inherited: the advice of the family is too general for an error with a name of its own.
+        # An inherited `action` is rejected, because the advice of a base class is too general for a subclass.
         if not isinstance(action, str) or not action.strip().endswith("."):
-            message = f"{cls.__name__}: `action` has to be a sentence that says what can be done"
+            message = f"{cls.__name__}: `action` must be a sentence that says what to do and ends with '.'"
             raise TypeError(message)
 
     def __init__(self, what: str, why: str = "", action: str = "") -> None:
-        super().__init__(what, why, action)  # complete, for pickling
+        super().__init__(what, why, action)  # Pickling rebuilds the error from these `args`
         self.what = what
         self.why = why
         if action:
@@ -35,7 +36,7 @@
 
     @property
     def summary(self) -> str:
-        """What happened and why, in one line, without the action."""
+        """`what` and `why` in one line, without `action`."""
         return " ".join((f"{self.what}: {self.why}" if self.why else self.what).split())
 
     def __str__(self) -> str:
@@ -43,16 +44,17 @@
 
 
 class UsageError(BrassfallError):
-    """An argument or a configuration is invalid; exit status 2."""
+    """Invalid command-line argument or configuration; the command exits with status 2."""
 
     action = "Correct the argument or the file, and run the command again."
     exit_status = 2
 
 
 class RequestError(BrassfallError):
-    """A request is invalid: 400 unless a subclass has another status.
+    """Invalid request (400); subclasses have other statuses.
 
-    On the wire it is `status` and the JSON of `wire()`. Programs read `slug`: it does not change.
+    The HTTP response has the status `status` and the JSON of `wire()` as its body. Client programs compare
+    `slug`, so the slug of a class must not change.
     """
 
     action = "Correct the request as the reason says; the same request fails again."
@@ -60,12 +62,12 @@
     slug: ClassVar[str] = "bad request"
 
     def wire(self) -> dict[str, str]:
-        """Return the body of the answer."""
+        """Return the body of the HTTP response, to be encoded as JSON."""
         return {"error": self.slug, "reason": str(self)}
 
 
 class NotFoundError(RequestError):
-    """The request names something that does not exist (404)."""
+    """Request for something that does not exist (404)."""
 
     action = "List what exists, and name one of it; a lease may have expired."
     status = 404
@@ -73,7 +75,7 @@
 
 
 class ConflictError(RequestError):
-    """Another process has what the request wants (409)."""
+    """Request for something that another process holds (409)."""
 
     action = "Find the process that has it, and end one of the two."
     status = 409
@@ -81,7 +83,7 @@
 
 
 class PreconditionFailedError(RequestError):
-    """The version in `If-Match` is not the newest (412)."""
+    """Request whose `If-Match` header does not name the newest version (412)."""
 
     action = "Read the newest version, decide again, and send the request with that version."
     status = 412
@@ -89,7 +91,7 @@
 
 
 class TooLargeError(RequestError):
-    """The request is larger than the service accepts (413)."""
+    """Request that is larger than the service accepts (413)."""
 
     action = "Send less, or raise the limit in the service's configuration."
     status = 413
@@ -97,7 +99,7 @@
 
 
 class UnavailableError(RequestError):
-    """Not carried out for now; a retry may succeed after `retry_s` seconds (503, `Retry-After`)."""
+    """Request that the service can't carry out now; retry after `retry_s` seconds (503, `Retry-After`)."""
 
     action = "Retry after the time in Retry-After; if it goes on, look at /status of the service."
     status = 503
@@ -112,7 +114,7 @@
 
 
 class RateLimitError(UnavailableError):
-    """One caller exceeds its rate limit (429, `Retry-After`)."""
+    """Request of a caller that exceeds its rate limit (429, `Retry-After`)."""
 
     action = "Call less often, or raise the limit for one caller in the service's configuration."
     status = 429
@@ -120,30 +122,32 @@
 
 
 class StorageError(BrassfallError):
-    """Durable data can't be read or written; the text names the file."""
+    """Durable data that can't be read or written; `what` or `why` names the file."""
 
-    action = "Look at the disk and at the file; start from a good copy, or empty where that is safe."
+    action = "Check the disk and the file; restore an intact copy, or start without data where that is safe."
 
 
 class UnreachableError(BrassfallError):
-    """A process gave no valid answer."""
+    """Process that can't be reached or gave no valid answer."""
 
-    action = "Check that it runs at that address and is reachable from here; its log and /status say more."
+    action = (
+        "Check that the process runs at that address and is reachable from here; read its log and /status."
+    )
 
 
 class ListenError(BrassfallError):
-    """A process can't listen on its address."""
+    """Address on which a process can't listen."""
 
-    action = "End the process that has that address, or configure another address of this machine."
+    action = "Stop the process that uses that address, or configure another address of this machine."
 
 
 class OperatingSystemError(BrassfallError):
-    """The operating system refused a call that a command needs."""
+    """System call of a command that the operating system refused."""
 
-    action = "Look at that file or address, at the disk, and at this user's rights and limits."
+    action = "Check that file or address, the disk, and the permissions and resource limits of this user."
 
 
 class ExperimentError(BrassfallError):
-    """An experiment could not be played to its end; it has no result."""
+    """Experiment that could not run to its end and has no result."""
 
-    action = "Look at the logs in the folder of the play, remove the cause, and run it again."
+    action = "Read the logs in the folder of the failed run, remove the cause, and run the experiment again."
