--- a/tests/cli/test_errors.py
+++ b/tests/cli/test_errors.py
@@ -1,4 +1,4 @@
-"""Errors that reach an operator: a type, what happened, why, and what can be done."""
+"""Errors that reach an operator: their class, and one line with what happened, why, and what to do."""
 
 from __future__ import annotations
 
@@ -16,31 +16,39 @@
 
 
 @pytest.mark.parametrize("action", [None, "", "  ", "look"])
-def test_an_error_type_without_advice_of_its_own_can_not_be_written(action):
-    with pytest.raises(TypeError, match="Careless"):
-        type("Careless", (errors.RequestError,), {} if action is None else {"action": action})
+def test_defining_an_error_class_without_its_own_action_sentence_raises_type_error(action):
+    with pytest.raises(TypeError, match="NoActionError"):
+        type("NoActionError", (errors.RequestError,), {} if action is None else {"action": action})
 
 
-def test_an_error_is_one_line_with_all_its_parts_and_comes_whole_from_another_process():
-    made = pickle.loads(
+def test_error_text_is_one_line_with_all_parts_and_pickling_keeps_every_field():
+    unpickled = pickle.loads(
         pickle.dumps(errors.RateLimitError("10.0.0.1 was put\noff", "2,100 calls", retry_s=2.5))
     )
-    assert str(made) == f"10.0.0.1 was put off: 2,100 calls. {errors.RateLimitError.action}"
-    assert made.wire() == {"error": "too many calls", "reason": str(made)}
-    assert (made.status, made.retry_s, made.summary) == (429, 2.5, "10.0.0.1 was put off: 2,100 calls")
+    assert str(unpickled) == f"10.0.0.1 was put off: 2,100 calls. {errors.RateLimitError.action}"
+    assert unpickled.wire() == {"error": "too many calls", "reason": str(unpickled)}
+    assert (unpickled.status, unpickled.retry_s, unpickled.summary) == (
+        429,
+        2.5,
+        "10.0.0.1 was put off: 2,100 calls",
+    )
     assert str(errors.UsageError("--at.", action="Name HOST:PORT.")) == "--at. Name HOST:PORT."
 
 
-def test_every_error_type_has_an_action_and_the_page_lists_it_and_no_other():
-    kinds = error_page.error_types()
-    assert len(kinds) > 20
-    for name, kind in kinds.items():
-        assert getattr(kind, "action", "").strip(), f"{name}: what can an operator do?"
-        # The sidecar and the simulator's adapter run without the packages that the root of errors needs.
+def test_every_error_class_has_an_action_and_operations_page_lists_exactly_these_classes():
+    error_classes = error_page.error_types()
+    assert len(error_classes) > 20
+    for name, error_class in error_classes.items():
+        assert getattr(error_class, "action", "").strip(), f"{name} has no `action`"
+        # Errors of the sidecar and of the simulator's adapter are exempt: both run without the packages that
+        # `brassfall.errors` needs.
         if not name.startswith(("brassfall.sidecar.", "brassfall.simulator.")):
-            assert issubclass(kind, errors.BrassfallError), name
-    wanted, listed = {error_page.row(name, kind) for name, kind in kinds.items()}, error_page.listed_rows()
-    assert (sorted(wanted - listed), sorted(listed - wanted)) == ([], [])  # missing rows, stale rows
+            assert issubclass(error_class, errors.BrassfallError), name
+    expected, listed = (
+        {error_page.row(name, error_class) for name, error_class in error_classes.items()},
+        error_page.listed_rows(),
+    )
+    assert (sorted(expected - listed), sorted(listed - expected)) == ([], [])  # Missing rows, stale rows
 
 
 SERVICE = '[registry]\nlisten = "127.0.0.1:0"\ndata = "d"\n'
@@ -71,8 +79,10 @@
 }
 RUN = ("lab", "run", "{}/play.toml", "--out")
 LIST = ("registry", "list", "--at")
-# What is asked for, the exit status, and what the one line says. {} is a folder with FILES.
-BAD = [
+# Cases of bad input: arguments of the command, expected exit status, and a text that the error line contains.
+# `{}` is a folder that contains FILES, `{closed}` an address on which nothing listens, and `{odd}` the
+# address of an HTTP server that is not a list service.
+BAD_INPUT_CASES = [
     *((("check", "{}/" + name), 2, name) for name in ("none", "bare", "text.toml", "deep.toml")),
     *((("check", "{}/" + name), 2, name) for name in ("digits.toml", "array.toml", "host.toml", "nul.toml")),
     (("check", "{}/years.toml"), 2, "experiment.for"),
@@ -110,37 +120,40 @@
 
 
 @contextmanager
-def another_program():
-    """Something that listens and speaks HTTP, but is no list service; where."""
-    with socket.create_server(("127.0.0.1", 0)) as listening:
+def run_unrelated_http_server():
+    """Run an HTTP server that is not a list service; yield its address."""
+    with socket.create_server(("127.0.0.1", 0)) as listener:
 
         def serve():
             while True:
                 try:
-                    far, _ = listening.accept()
+                    connection, _ = listener.accept()
                 except OSError:
                     return
-                with far:
-                    far.recv(65_536)
-                    far.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\n[]")
+                with connection:
+                    connection.recv(65_536)
+                    connection.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\n[]")
 
         threading.Thread(target=serve, daemon=True).start()
-        yield f"127.0.0.1:{listening.getsockname()[1]}"
-        listening.shutdown(socket.SHUT_RDWR)
+        yield f"127.0.0.1:{listener.getsockname()[1]}"
+        listener.shutdown(socket.SHUT_RDWR)
 
 
-def test_bad_input_at_any_command_is_one_line_that_says_what_can_be_done(tmp_path, monkeypatch):
-    monkeypatch.setattr(logs, "set_up", lambda: None)  # it would keep the stream of this test for good
+def test_bad_input_to_any_command_prints_one_error_line_and_exits_with_its_status(tmp_path, monkeypatch):
+    monkeypatch.setattr(logs, "set_up", lambda: None)  # It would keep this stream after the test
     for name, content in FILES.items():
         (tmp_path / name).parent.mkdir(parents=True, exist_ok=True)
         (tmp_path / name).write_bytes(content if isinstance(content, bytes) else content.encode())
-    with socket.socket() as unheard, another_program() as odd:
-        unheard.bind(("127.0.0.1", 0))
-        closed = f"127.0.0.1:{unheard.getsockname()[1]}"
-        for words, status, said in BAD:
-            words = [word.format(tmp_path, closed=closed, odd=odd) for word in words]
-            done = CliRunner().invoke(cli.app, words)
-            assert isinstance(done.exception, SystemExit), (words, done.exception)
-            lines = done.stderr.splitlines()
-            assert (done.exit_code, len(lines)) == (status, 1), (words, done.stderr)
-            assert said.format(closed=closed) in lines[0] and lines[0].endswith("."), (words, lines)
+    with socket.socket() as unlistened, run_unrelated_http_server() as odd:
+        unlistened.bind(("127.0.0.1", 0))
+        closed = f"127.0.0.1:{unlistened.getsockname()[1]}"
+        for arguments, status, expected_text in BAD_INPUT_CASES:
+            arguments = [argument.format(tmp_path, closed=closed, odd=odd) for argument in arguments]
+            result = CliRunner().invoke(cli.app, arguments)
+            assert isinstance(result.exception, SystemExit), (arguments, result.exception)
+            lines = result.stderr.splitlines()
+            assert (result.exit_code, len(lines)) == (status, 1), (arguments, result.stderr)
+            assert expected_text.format(closed=closed) in lines[0] and lines[0].endswith("."), (
+                arguments,
+                lines,
+            )
