--- a/brassfall/controlplane/registry/aggregator/configuration.py
+++ b/brassfall/controlplane/registry/aggregator/configuration.py
@@ -73,7 +73,9 @@
             if state_answer.status == 200:
                 self._step(read_state(state_answer.body))
         except (UpstreamError, StateError) as error:
-            log.warning("revision state not fetched", reason=error.summary, action=error.action)
+            log.warning(
+                "revision state not fetched from the list service", reason=error.summary, action=error.action
+            )
         finally:
             self._fetching = False
 
--- a/brassfall/controlplane/registry/aggregator/list_feed.py
+++ b/brassfall/controlplane/registry/aggregator/list_feed.py
@@ -117,7 +117,11 @@
             line.received_ms, parse_line(line.text), first=line.content_lines == 1
         )
         if update.replaced:
-            log.warning("mirrored list replaced", index=self.mirror.index, action=LIST_REPLACED_ACTION)
+            log.warning(
+                "mirrored list replaced by one with a lower index",
+                index=self.mirror.index,
+                action=LIST_REPLACED_ACTION,
+            )
             self._channel.abort_all()
             self._channel = self._http_server.channels[INSTANCES] = self._new_channel()
         for change in update.changes:
@@ -140,7 +144,10 @@
             self._lagging_since_ms = now_ms()
         elif now_ms() - self._lagging_since_ms > MAX_LAG_MS:
             log.warning(
-                "list is late", index=self.mirror.index, above=lease.list_index, action=LATE_LIST_ACTION
+                "mirrored list is behind the list service, watch reopened",
+                index=self.mirror.index,
+                above=lease.list_index,
+                action=LATE_LIST_ACTION,
             )
             self._lagging_since_ms = None
             self._open_watch()
--- a/brassfall/controlplane/registry/aggregator/reporter.py
+++ b/brassfall/controlplane/registry/aggregator/reporter.py
@@ -65,7 +65,7 @@
             try:
                 wait_s = await self._report()
             except Exception:  # reporting has to go on, since without it no child would get a lease
-                log.exception("fault", action=logs.REPORT)
+                log.exception("unexpected exception in this program", action=logs.REPORT)
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(wait_s):
                     await self._urgent.wait()
@@ -103,7 +103,11 @@
     def _set_failing(self, reason: str) -> None:
         if bool(reason) != bool(self.failing):
             if reason:
-                log.warning("reports fail", reason=reason, action=UpstreamError.action)
+                log.warning(
+                    "aggregator's reports to the list service fail",
+                    reason=reason,
+                    action=UpstreamError.action,
+                )
             else:
-                log.info("reports are answered")
+                log.info("aggregator's reports to the list service are answered again")
         self.failing = reason
--- a/brassfall/controlplane/registry/aggregator/upstream.py
+++ b/brassfall/controlplane/registry/aggregator/upstream.py
@@ -155,10 +155,15 @@
             except RequestError as error:
                 state.failing = error.summary
                 state.refused_lines += 1
-                log.warning("watch line refused", at=state.at, reason=error.summary, action=error.action)
+                log.warning(
+                    "line of a watch on the list service rejected",
+                    at=state.at,
+                    reason=error.summary,
+                    action=error.action,
+                )
             except Exception as error:  # the watch has to go on, since without it children get no changes
                 state.failing = f"a defect here: {error!r}"
-                log.exception("fault", action=logs.REPORT)
+                log.exception("unexpected exception in this program", action=logs.REPORT)
             state.open = False
             await asyncio.sleep(addresses.record_failure(retry_s))
 
--- a/brassfall/controlplane/registry/aggregators.py
+++ b/brassfall/controlplane/registry/aggregators.py
@@ -116,7 +116,12 @@
             lease = self.receive_report(name, report)
         except AggregatorNameError as error:
             self._statistics.name_conflicts += 1
-            log.warning("name conflict", name=name, reason=error.summary, action=error.action)
+            log.warning(
+                "aggregator report refused, its name belongs to another aggregator",
+                name=name,
+                reason=error.summary,
+                action=error.action,
+            )
             raise
         return calls.MinimalResponse(body=_encode(lease))
 
--- a/brassfall/controlplane/registry/front.py
+++ b/brassfall/controlplane/registry/front.py
@@ -187,7 +187,7 @@
         except (ConnectionError, asyncio.CancelledError, web.RequestPayloadError):
             raise
         except Exception:
-            log.exception("fault", path=request.path, action=logs.REPORT)
+            log.exception("unexpected exception in this program", path=request.path, action=logs.REPORT)
             return status_response(500, "a fault in the service")
 
     async def body(self, request: web.Request) -> bytes:
--- a/brassfall/controlplane/registry/geo.py
+++ b/brassfall/controlplane/registry/geo.py
@@ -229,7 +229,7 @@
         try:
             event = await self._result_of_action(action)
         except RequestError as error:
-            log.warning("no plan", reason=str(error), action=NO_PLAN_ACTION)
+            log.warning("steering plan not renewed", reason=str(error), action=NO_PLAN_ACTION)
             event = publisher.CallFailed()
         self._step(event)
 
@@ -317,7 +317,7 @@
         if self._fencing_token() != token:
             return publisher.PublicationRejected()
         number = await self.revisions.publish(plan=plan.as_json(), if_match=follows)
-        log.info("plan published", edition=number, moved=round(plan.shift, 3))
+        log.info("steering plan published", edition=number, moved=round(plan.shift, 3))
         return publisher.Published(number)
 
 
--- a/brassfall/controlplane/registry/http_errors.py
+++ b/brassfall/controlplane/registry/http_errors.py
@@ -42,7 +42,10 @@
 class InternalError(RequestError):
     """A request failed because of a defect in the service (500)."""
 
-    action = "Report it with the traceback that the service's log has under `fault`."
+    action = (
+        "Report it with the traceback that the service's log has under "
+        "`unexpected exception in this program`."
+    )
     status = 500
     slug = "internal error"
 
--- a/brassfall/controlplane/registry/override_clock.py
+++ b/brassfall/controlplane/registry/override_clock.py
@@ -63,7 +63,7 @@
         try:
             await self._store.submit(self.mark())
         except UnavailableError as error:
-            log.warning("override clock not durable", reason=error.summary, action=error.action)
+            log.warning("override clock not written to disk", reason=error.summary, action=error.action)
 
 
 def _monotonic_ms() -> float:
--- a/brassfall/controlplane/registry/overrides.py
+++ b/brassfall/controlplane/registry/overrides.py
@@ -182,13 +182,15 @@
                 case reconciliation.DenyLease(node):
                     self.revisions.blocked[node] = LEASE_DENIED
                     log.warning(
-                        "lease denied", edge=node, action="Upgrade that sidecar, or end the override."
+                        "sidecar gets no lease, it acts on other overrides than are due",
+                        edge=node,
+                        action="Upgrade that sidecar, or end the override.",
                     )
                 case reconciliation.AllowLease(node):
                     self.revisions.blocked.pop(node, None)
                 case reconciliation.AlertOperator(finding):
                     log.error(
-                        "override finding",
+                        "sidecar acts on other overrides than are due",
                         edge=finding.node,
                         kind=finding.kind,
                         ids=finding.ids,
--- a/brassfall/controlplane/registry/revision_service.py
+++ b/brassfall/controlplane/registry/revision_service.py
@@ -228,7 +228,11 @@
         try:
             await self.host.store.submit(row)
         except NotWrittenError as error:
-            log.error("not durable", reason=str(error), action=WRITE_FAILED_ACTION)  # noqa: TRY400 - the reason says enough without a traceback
+            log.error(  # noqa: TRY400 - the reason says enough without a traceback
+                "state of the configuration revisions not written to disk",
+                reason=str(error),
+                action=WRITE_FAILED_ACTION,
+            )
             self.step(messages.PersistFailed())
             return
         self.step(messages.Persisted())
@@ -257,7 +261,10 @@
             node = membership.nodes.get(name)
             if (node.reported_ms if node is not None else self.started_ms) < limit_ms:
                 log.warning(
-                    "node forgotten", name=name, reason="no report for too long", action=FORGOTTEN_ACTION
+                    "node removed for lack of reports",
+                    name=name,
+                    reason="no report for too long",
+                    action=FORGOTTEN_ACTION,
                 )
                 self.step(messages.RemoveMember(name))
                 self.forget(name)
@@ -299,7 +306,12 @@
         try:
             yield
         except NotWrittenError as error:
-            log.warning("member not durable", name=name, reason=str(error), action=WRITE_FAILED_ACTION)
+            log.warning(
+                "membership change of a node not written to disk",
+                name=name,
+                reason=str(error),
+                action=WRITE_FAILED_ACTION,
+            )
         finally:
             self._members_being_written.discard(name)
 
@@ -325,13 +337,17 @@
 
 def _log_changes(before: DurableState, after: DurableState) -> None:
     if after.committed.number != before.committed.number:
-        log.info("committed", edition=after.committed.number)
+        log.info("configuration revision committed", edition=after.committed.number)
     if after.halted is not None and after.halted != before.halted:
         log.warning(
-            "halted",
+            "configuration revision halted, nodes object to it",
             edition=after.halted.revision.number,
             objections=after.halted.objections,
             action=HALTED_ACTION,
         )
     if after.pending is not None and after.pending != before.pending:
-        log.info("prepared", edition=after.pending.number, layers=after.pending.layers)
+        log.info(
+            "configuration revision prepared, waiting for acknowledgements",
+            edition=after.pending.number,
+            layers=after.pending.layers,
+        )
--- a/brassfall/controlplane/registry/server.py
+++ b/brassfall/controlplane/registry/server.py
@@ -114,7 +114,11 @@
         pause_s = START_RETRY_S
         while (failure := await _try_start(start_part)) is not None:
             if self._not_started != failure.summary:
-                log.error("not ready", reason=failure.summary, action=failure.action)
+                log.error(
+                    "service not ready, disk error at the start",
+                    reason=failure.summary,
+                    action=failure.action,
+                )
             self._not_started = failure.summary
             await self._serve()
             await asyncio.sleep(pause_s)
--- a/brassfall/controlplane/registry/tasks.py
+++ b/brassfall/controlplane/registry/tasks.py
@@ -33,7 +33,7 @@
         self._running.discard(task)
         error = None if task.cancelled() else task.exception()
         if error is not None:
-            log.error("fault", exc_info=error, action=logs.REPORT)
+            log.error("unexpected exception in this program", exc_info=error, action=logs.REPORT)
 
     async def end(self) -> None:
         """Cancel all running tasks, and wait until they have ended."""
--- a/brassfall/controlplane/store/row_leases.py
+++ b/brassfall/controlplane/store/row_leases.py
@@ -97,7 +97,12 @@
                 ended = leases.check(monotonic_ms())
                 if ended.suspected:
                     self._statistics.suspected_leases += len(ended.suspected)
-                    log.warning("suspect", table=table, keys=ended.suspected, action=SUSPECT_ACTION)
+                    log.warning(
+                        "several leases not renewed together, their rows are kept as suspect",
+                        table=table,
+                        keys=ended.suspected,
+                        action=SUSPECT_ACTION,
+                    )
                 for key in ended.expired:
                     self._start_deletion(table, key)
 
@@ -149,7 +154,7 @@
             command = Delete(table=table, key=row.key, if_match=row.version)
             if (await self._writer.submit(command, until_settled=True)).done:
                 self._statistics.expired_leases += 1
-                log.info("expired", table=table, key=row.key)
+                log.info("lease expired, row deleted", table=table, key=row.key)
         except UnavailableError:
             if self._state.get(table, row.key) is row:
                 self._grant(table, row)
--- a/brassfall/controlplane/store/writer.py
+++ b/brassfall/controlplane/store/writer.py
@@ -212,12 +212,12 @@
     def _disk_failed(self, error: LogError) -> None:
         self.statistics.failed_commits += 1
         if not self.statistics.disk_error:
-            log.error("disk", reason=error.summary, action=error.action)
+            log.error("commits to disk fail, writes get 503", reason=error.summary, action=error.action)
         self.statistics.disk_error = error.summary
 
     def _disk_works(self) -> None:
         if self.statistics.disk_error:
-            log.info("commits succeed again")
+            log.info("commits to disk succeed again")
             self.statistics.disk_error = ""
 
     async def _compact(self) -> None:
@@ -229,7 +229,9 @@
             await asyncio.get_running_loop().run_in_executor(self._thread, self._log.compact, snapshot)
         except LogError as error:
             self._compact_at_ms = monotonic_ms() + COMPACT_RETRY_MS
-            log.warning("snapshot failed", reason=error.summary, action=error.action)
+            log.warning(
+                "snapshot of the tables failed, the log file grows", reason=error.summary, action=error.action
+            )
         else:
             self.statistics.snapshots += 1
 
@@ -237,7 +239,7 @@
 
     def _wait_for_outcome(self, batch: UnsettledBatch) -> None:
         log.error(
-            "outcome unknown",
+            "commit failed, unknown whether its records are in the log file",
             reason=batch.reason,
             records=len(batch.records),
             action=LogOutcomeUnknownError.action,
--- a/brassfall/logs.py
+++ b/brassfall/logs.py
@@ -48,8 +48,8 @@
 
 @contextlib.contextmanager
 def faults(log: structlog.typing.FilteringBoundLogger) -> Iterator[None]:
-    """Log an exception raised within as `fault` and suppress it, for tasks that nothing awaits."""
+    """Log an exception raised within with its traceback and suppress it, for tasks that nothing awaits."""
     try:
         yield
     except Exception:
-        log.exception("fault", action=REPORT)
+        log.exception("unexpected exception in this program", action=REPORT)
--- a/tests/controlplane/test_registry_fleet.py
+++ b/tests/controlplane/test_registry_fleet.py
@@ -65,7 +65,7 @@
 
 async def third_of_servers_cut_off(fleet):
     fleet.far.cut()
-    suspect = await fleet.service.event("suspect")
+    suspect = await fleet.service.event("several leases not renewed together, their rows are kept as suspect")
     assert set(suspect["keys"]) <= {"s0", "s3"}
     told = await client.call(fleet.service.listen, "GET", "/status")
     assert told["suspects"] and set(told["suspects"]) <= {"s0", "s3"}
@@ -78,7 +78,7 @@
 
 async def server_killed(fleet):
     await fleet.servers["s1"].end(signal.SIGKILL)
-    await fleet.service.event("expired", key="s1")
+    await fleet.service.event("lease expired, row deleted", key="s1")
     return 5
 
 
--- a/tests/controlplane/test_registry_service.py
+++ b/tests/controlplane/test_registry_service.py
@@ -131,7 +131,7 @@
                 200,
                 ["s1"],
             )
-            await service.event("disk")
+            await service.event("commits to disk fail, writes get 503")
             await service.end(signal.SIGKILL)
             await service.start()
             await writers.check(session)
@@ -326,7 +326,9 @@
     writer.write(b"GET / HTTP/1.1\r\nX: ")  # a request head without an end
     assert await incomplete.read() == b""  # the service closes the connection
     writer.close()
-    assert not [line for line in service.lines if line["event"] in ("fault", "?")]
+    assert not [
+        line for line in service.lines if line["event"] in ("unexpected exception in this program", "?")
+    ]
     await call(session, service, "DELETE", "/registry/instances/s1")
     await reader.readuntil(b'"left"')  # the watch that was opened before still works
     watch_writer.close()
--- a/tests/controlplane/test_registry_start.py
+++ b/tests/controlplane/test_registry_start.py
@@ -27,7 +27,7 @@
     """Start the process on a failing disk; return a task that ends when the process is ready."""
     starting = asyncio.ensure_future(service.start(limit))
     await until(lambda: service.process is not None)
-    await service.event("not ready")
+    await service.event("service not ready, disk error at the start")
     return starting
 
 
--- a/tests/controlplane/test_revisions_service.py
+++ b/tests/controlplane/test_revisions_service.py
@@ -305,7 +305,9 @@
     names = [row["name"] for row in (await ask("GET", "/edges"))[1]["edges"]]
     assert names == ["n0", "n2"]
     assert (await ask("GET", "/status"))[1]["rules"]["reports_refused"] >= 18
-    assert not [line for line in service.lines if line["event"] in ("fault", "?")]
+    assert not [
+        line for line in service.lines if line["event"] in ("unexpected exception in this program", "?")
+    ]
 
 
 def override_document(left_ms, **more):
--- a/tests/controlplane/test_revisions_shell.py
+++ b/tests/controlplane/test_revisions_shell.py
@@ -179,4 +179,8 @@
     await asyncio.sleep(0.0)
     await tasks.end()
     line = json.loads(capsys.readouterr().err.splitlines()[0])
-    assert (line["event"], "a fault" in line["exception"], ended.is_set()) == ("fault", True, True)
+    assert (line["event"], "a fault" in line["exception"], ended.is_set()) == (
+        "unexpected exception in this program",
+        True,
+        True,
+    )
